--- /dev/null
+++ b/control/leader/stored_test.go
@@ -0,0 +1,158 @@
+package leader
+
+import (
+	"fmt"
+	"net/http"
+	"strings"
+	"testing"
+	"time"
+
+	"mulleinmast/control/fleetconfig"
+	"mulleinmast/control/internal/golden"
+	"mulleinmast/control/leadercall"
+	"mulleinmast/control/placement"
+	"mulleinmast/control/quorum"
+	"mulleinmast/wire/message"
+)
+
+func completeReplicas() []message.Replica {
+	return []message.Replica{{Ident: "a", Addr: "10.0.0.1:1"}, {Ident: "b", Addr: "10.0.0.2:1"}}
+}
+
+// The bodies of calls, and the records that a leader writes by them, are the JSON that other builds read.
+func TestStoredJSONKeepsItsBytes(t *testing.T) {
+	list := fleetconfig.List{Version: 3, Servers: []fleetconfig.Server{{
+		ID: "server-1", Addr: "10.0.0.1:9000", Zone: "north", Capacity: 8, Leaving: true, Part: placement.Decode, Warming: true,
+	}}}
+	claim := leadercall.Claim{Request: "request-1", Daemon: "d", State: "claimed", Past: []string{"request-0"}}
+	golden.Check(t, "servers-call.json", ServersCall{Service: "timetable", List: list}, golden.JSON[ServersCall]())
+	golden.Check(t, "replica-call.json", ReplicaCall{Out: "c", Ident: "d", Addr: "10.0.0.4:1"}, golden.JSON[ReplicaCall]())
+	golden.Check(t, "claim-call.json", ClaimCall{Key: "express/k-17", Claim: claim}, golden.JSON[ClaimCall]())
+	golden.Check(t, "past-calls.json", []pastCall{{Call: "p#1/7", Word: leadercall.Word{
+		Result: "not done", Why: "why", Faults: []string{"body"}, After: 1500, Claim: &claim, Plan: "plan-12", Version: 12,
+	}, What: "evacuate/north"}}, golden.Encoding[[]pastCall]{
+		Encode: golden.JSON[[]pastCall]().Encode,
+		Decode: func(value []byte) ([]pastCall, error) { return readCalls(message.Rec{Key: callsKey, Val: value}) },
+	})
+	golden.Check(t, "replicas.json", completeReplicas(), golden.Encoding[[]message.Replica]{
+		Encode: golden.JSON[[]message.Replica]().Encode,
+		Decode: func(value []byte) ([]message.Replica, error) {
+			return readReplicas(message.Rec{Key: fleetconfig.ReplicaKey, Val: value})
+		},
+	})
+	golden.Check(t, "floor.json", message.Ver{Term: 4, Seq: 900}, golden.JSON[message.Ver]())
+}
+
+// Keys of records that only a leader writes stay.
+func TestStoredKeysStay(t *testing.T) {
+	for key, want := range map[string]string{callsKey: "calls/done", OnceKey("express/k-17"): "once/express/k-17", quorum.FloorKey: "floor/once"} {
+		if key != want {
+			t.Errorf("%q was %q", key, want)
+		}
+	}
+}
+
+// storedRecords is what a step left on disk, a line a record.
+func (a *office) storedRecords() string {
+	var out strings.Builder
+	for _, r := range a.last {
+		if r.Key == fleetconfig.PlanKey {
+			r.Val = []byte(fmt.Sprintf("version %d", fleetconfig.Open(r).Version))
+		}
+		fmt.Fprintf(&out, "  %s %s %q deleted=%v\n", r.Key, r.Ver, r.Val, r.Dead)
+	}
+	return out.String()
+}
+
+// transcript is a series of calls at a leader, with what each was answered and what it wrote.
+type transcript struct {
+	*office
+	text strings.Builder
+	no   uint64
+}
+
+func (c *transcript) call(ref uint64, op string, body []byte) {
+	c.no++
+	c.back, c.last = nil, nil
+	c.carry(c.m.Hear(c.now, message.Message{
+		Kind: message.Call, Partition: c.m.partition, From: "p", Epoch: 1, Addr: "10.0.0.9:1", Ref: ref, No: c.no, Op: op, Body: body,
+	}))
+	fmt.Fprintf(&c.text, "%s %q\n", op, body)
+	for _, m := range c.back {
+		encoded, err := m.MarshalMsg(nil)
+		if err != nil {
+			c.t.Fatal(err)
+		}
+		fmt.Fprintf(&c.text, "  code %d %s in frame %x\n", m.Code, m.Body, encoded)
+	}
+	c.text.WriteString(c.storedRecords())
+}
+
+// Every call, by its name, with its body as it is sent by other builds, has the same answer and writes the same records.
+func TestCallsKeepTheirAnswersAndRecords(t *testing.T) {
+	config := &transcript{office: open(t, 0, nil)}
+	plan := fleetconfig.Plan{ID: "p1", Tenants: []fleetconfig.Tenant{}, Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}
+	changes := fleetconfig.Changes{ID: "c1", Base: 1, Changes: []fleetconfig.Change{{Op: "set-service", Service: &fleetconfig.Service{Name: "n", PrefillServers: 1, DecodeServers: 1}}}}
+	packed, err := fleetconfig.Pack(changes)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, x := range []struct {
+		op   string
+		body []byte
+	}{
+		{"plan", leadercall.Pack(plan)}, {"plan", leadercall.Pack(plan)}, {"plan", leadercall.Pack(fleetconfig.Plan{ID: "p2"})},
+		{"plan", leadercall.Pack(fleetconfig.Plan{Base: 1})}, {"plan", []byte("{")}, {"changes", packed}, {"changes", packed},
+		{"changes", leadercall.Pack(fleetconfig.Changes{ID: "c2", Base: 2})},
+		{"evacuate", []byte("north")}, {"evacuate", []byte("north")}, {"return", []byte("north")}, {"evacuate", []byte("north")},
+		{"seat", []byte(`{"out":"x","ident":"y","addr":"10.0.0.4:1"}`)}, {"seat", []byte(`{"out":"o","ident":"y","addr":"10.0.0.4:1"}`)},
+		{"seat", []byte(`{"out":"o","ident":"y","addr":"10.0.0.4:1"}`)}, {"seat", []byte("7")}, {"no such call", nil},
+	} {
+		config.call(config.no+1, x.op, x.body)
+	}
+	config.call(9, "evacuate", []byte("north")) // a try of an earlier call
+	golden.Bytes(t, "calls-configuration.txt", []byte(config.text.String()))
+
+	service := &transcript{office: open(t, 1, nil)}
+	servers := func(version int, addr string) []byte {
+		return []byte(fmt.Sprintf(`{"Service":"m","List":{"version":%d,"servers":[{"addr":%q,"capacity":8}]}}`, version, addr))
+	}
+	once := func(request, state string) []byte {
+		return []byte(fmt.Sprintf(`{"Key":"t/k","Claim":{"request":%q,"daemon":"d","state":%q}}`, request, state))
+	}
+	for _, x := range []struct {
+		op   string
+		body []byte
+	}{
+		{"servers", servers(2, "10.0.0.1:1")}, {"servers", servers(2, "10.0.0.1:1")}, {"servers", servers(1, "10.0.0.2:1")},
+		{"servers", servers(0, "10.0.0.3:1")}, {"servers", []byte("{")}, {"claim", once("r1", "claimed")}, {"claim", once("r1", "claimed")},
+		{"claim", once("r2", "claimed")}, {"unclaim", once("r1", "shed")}, {"claim", once("r2", "claimed")}, {"unclaim", once("r1", "shed")},
+		{"unclaim", once("r3", "shed")}, {"claim", once("r3", "claimed")}, {"unclaim", once("r2", "done")}, {"claim", once("r4", "claimed")},
+		{"claim", []byte("7")}, {"want", []byte("{")}, {"want", []byte(`{"s":"m"}`)},
+	} {
+		service.call(service.no+1, x.op, x.body)
+	}
+	service.m.holder = placement.New(placement.Config{Share: time.Second}, 1, 0)
+	service.call(service.no+1, "want", []byte(`{"s":"m","a":0}`))
+	service.call(service.no-1, "want", []byte(`{"s":"m","a":0}`)) // overtaken
+	golden.Bytes(t, "calls-service.txt", []byte(service.text.String()))
+
+	follower := &transcript{office: open(t, 0, nil)}
+	follower.now = follower.m.Partition().Replica.Lease()
+	follower.call(1, "plan", leadercall.Pack(plan))
+	if follower.back[0].Code != http.StatusMisdirectedRequest {
+		t.Errorf("a lapsed leader answers %d", follower.back[0].Code)
+	}
+	golden.Bytes(t, "calls-lapsed.txt", []byte(follower.text.String()))
+}
+
+// The record below which once keys are dropped is the JSON of a version.
+func TestFloorRecordKeepsItsBytes(t *testing.T) {
+	a := open(t, 1, nil)
+	a.m.cfg.Keep = time.Second
+	for a.now < 4*time.Second && len(a.records) == 0 {
+		a.step()
+		a.carry(a.m.Works(a.now, Sight{}))
+	}
+	golden.Bytes(t, "floor-records.txt", []byte(a.storedRecords()))
+}
--- /dev/null
+++ b/control/leadercall/stored_test.go
@@ -0,0 +1,68 @@
+package leadercall
+
+import (
+	"testing"
+	"time"
+
+	"mulleinmast/control/internal/golden"
+	"mulleinmast/wire/message"
+)
+
+// Answers and once keys' records are the JSON that earlier builds wrote.
+func TestStoredJSONKeepsItsBytes(t *testing.T) {
+	claim := Claim{Request: "request-1", Daemon: "d", State: "claimed", Past: []string{"request-0"}}
+	golden.Check(t, "once-key.json", claim, golden.JSON[Claim]())
+	golden.Check(t, "response.json", Word{
+		Result: "duplicate", Why: "why", Faults: []string{"body"}, After: 1500, Claim: &claim, Plan: "plan-12", Version: 12,
+	}, golden.JSON[Word]())
+	golden.Bytes(t, "empty-response.json", Pack(Word{}))
+}
+
+// The status codes that daemons of other builds understand stay.
+func TestStatusCodesStay(t *testing.T) {
+	for code, want := range map[int]int{Other: 421, Uncertain: 504, NotDone: 503, Behind: 425} {
+		if code != want {
+			t.Errorf("code %d was %d", code, want)
+		}
+	}
+}
+
+// A call's message is the frame that other builds read: its fields and numbers, at first and when it is sent again.
+func TestFrameOfACallKeepsItsBytes(t *testing.T) {
+	calls := New(cfg, 3)
+	frame := func(name string, sends []message.Send) message.Message {
+		t.Helper()
+		if len(sends) != 1 || sends[0].Addr != own.Addr || sends[0].Exact {
+			t.Fatalf("%s: sent %+v", name, sends)
+		}
+		encoded, err := sends[0].Message.MarshalMsg(nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var decoded message.Message
+		if _, err := decoded.UnmarshalMsg(golden.Bytes(t, name, encoded)); err != nil {
+			t.Fatal(err)
+		}
+		return decoded
+	}
+	leader := func(int) message.Replica { return own }
+	_, out := calls.Start(0, own, 5, "servers", []byte(`{"body":1}`), time.Hour, false)
+	first := frame("call.msgp", out.Sends)
+	calls.Hear(time.Millisecond, message.Message{Kind: message.Back, From: own.Ident, Ref: first.No, Code: 425, Ver: message.Ver{Term: 2, Seq: 9}})
+	frame("call-again.msgp", calls.Tick(2*time.Millisecond, leader).Sends)
+	_, out = calls.Start(0, own, 5, "want", []byte(`{}`), time.Hour, true)
+	frame("call-once.msgp", out.Sends)
+}
+
+// What a call that nobody answered ends with stays.
+func TestEndsOfCallsKeepTheirBytes(t *testing.T) {
+	for name, leader := range map[string]message.Replica{"not-done.json": {}, "uncertain.json": own} {
+		calls := New(cfg, 1)
+		calls.Start(0, leader, 5, "plan", nil, time.Second, false)
+		out := calls.Tick(time.Second, func(int) message.Replica { return leader })
+		if len(out.Done) != 1 {
+			t.Fatalf("%s: %+v", name, out)
+		}
+		golden.Bytes(t, name, out.Done[0].Body)
+	}
+}
