--- /dev/null
+++ b/control/lease/golden_test.go
@@ -0,0 +1,524 @@
+package lease_test
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"flag"
+	"fmt"
+	"hash/crc32"
+	"maps"
+	"math/rand"
+	"os"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/tinylib/msgp/msgp"
+
+	"mulleinmast/control/lease"
+	"mulleinmast/wire/message"
+)
+
+var writeGolden = flag.Bool("write-golden", false, "write testdata/messages.golden anew instead of comparing with it")
+
+// goldenBounds are the leases' bounds of the recorded scenes.
+var goldenBounds = lease.Config{
+	Vol: 800 * time.Millisecond, Obj: 3 * time.Second, Drift: 0.02,
+	Margin: 20 * time.Millisecond, Beat: 266 * time.Millisecond,
+}
+
+// prefixCodec patches a value by what follows a common prefix; the first four bytes
+// of a patch are the checksum of the value that it applies to. Values below the root
+// begin with '#'.
+type prefixCodec struct{}
+
+// Patch gives none where less than the half is in common.
+func (prefixCodec) Patch(from, to []byte) []byte {
+	from, to = bytes.TrimPrefix(from, []byte("#")), bytes.TrimPrefix(to, []byte("#"))
+	n := 0
+	for n < len(from) && n < len(to) && from[n] == to[n] {
+		n++
+	}
+	if n < len(to)/2 {
+		return nil
+	}
+	return append([]byte(fmt.Sprintf("%08x%04d", crc32.ChecksumIEEE(from), n)), to[n:]...)
+}
+
+// Apply fails where the checksum differs.
+func (prefixCodec) Apply(from, patch []byte) ([]byte, error) {
+	from = bytes.TrimPrefix(from, []byte("#"))
+	var sum uint32
+	var n int
+	if len(patch) < 12 {
+		return nil, errors.New("too short")
+	}
+	if _, err := fmt.Sscanf(string(patch[:12]), "%08x%04d", &sum, &n); err != nil || sum != crc32.ChecksumIEEE(from) {
+		return nil, fmt.Errorf("another base: %w", err)
+	}
+	return slices.Concat([]byte("#"), from[:n], patch[12:]), nil
+}
+
+// Whole marks the value.
+func (prefixCodec) Whole(kept []byte) []byte {
+	return slices.Concat([]byte("#"), bytes.TrimPrefix(kept, []byte("#")))
+}
+
+// recordedFrame is a message on its way.
+type recordedFrame struct {
+	at       time.Duration
+	from, to string
+	bytes    []byte
+}
+
+// recorder runs nodes, carries their messages as bytes, and writes down what they ask for.
+type recorder struct {
+	t        *testing.T
+	cfg      lease.Config
+	now      time.Duration
+	nodes    map[string]*lease.Node
+	epochs   map[string]uint64
+	records  map[string]message.Rec // the root's
+	rootEnds time.Duration          // of the leader lease
+	frames   []recordedFrame
+	delay    func(from, to string) time.Duration
+	lost     func(from, to string, m *message.Message) bool
+	complete []uint64 // tags of invalidations
+	log      *strings.Builder
+}
+
+func newRecorder(t *testing.T, cfg lease.Config, log *strings.Builder) *recorder {
+	r := &recorder{t: t, cfg: cfg, now: time.Second, log: log}
+	r.nodes, r.epochs, r.records = map[string]*lease.Node{}, map[string]uint64{}, map[string]message.Rec{}
+	r.delay = func(string, string) time.Duration { return 2 * time.Millisecond }
+	r.lost = func(string, string, *message.Message) bool { return false }
+	return r
+}
+
+func (r *recorder) scene(name string) { fmt.Fprintf(r.log, "\n== %s\n", name) }
+
+// start makes a node anew, with a later epoch.
+func (r *recorder) start(name string, pins ...string) *lease.Node {
+	r.epochs[name]++
+	n := lease.New(r.cfg, 3, goldenReplica(name), r.epochs[name])
+	n.UseCodec(prefixCodec{}, 40)
+	r.nodes[name] = n
+	for _, key := range pins {
+		r.take(name, n.Pin(r.now, key))
+	}
+	return n
+}
+
+func goldenReplica(name string) message.Replica {
+	return message.Replica{Ident: name, Addr: name + ":7"}
+}
+
+// lead makes a node the root.
+func (r *recorder) lead(name string, term uint64) {
+	r.rootEnds = r.now + 2*r.cfg.Vol
+	r.nodes[name].Crown(term, func(key string) message.Rec {
+		if rec, ok := r.records[key]; ok {
+			return rec
+		}
+		return message.Rec{Key: key, Dead: true}
+	}, func() time.Duration { return r.rootEnds })
+}
+
+func (r *recorder) adopt(name, parent string) {
+	r.take(name, r.nodes[name].Adopt(r.now, goldenReplica(parent)))
+}
+
+// take writes down what a step asks for and sends it.
+func (r *recorder) take(from string, o lease.Out) {
+	for _, s := range o.Sends {
+		m := s.Message
+		m.From, m.Addr, m.Epoch = from, goldenReplica(from).Addr, r.epochs[from]
+		b, err := m.MarshalMsg(nil)
+		if err != nil {
+			r.t.Fatal(err)
+		}
+		var text bytes.Buffer
+		if _, err := msgp.UnmarshalAsJSON(&text, b); err != nil {
+			r.t.Fatal(err)
+		}
+		fmt.Fprintf(r.log, "%v %s>%s %v %s %08x\n", r.now, from, s.Addr, s.Exact, text.String(), crc32.ChecksumIEEE(b))
+		to := strings.TrimSuffix(s.Addr, ":7")
+		if r.lost(from, to, &m) {
+			continue
+		}
+		if b, err = m.MarshalMsg(nil); err != nil {
+			r.t.Fatal(err)
+		}
+		r.frames = append(r.frames, recordedFrame{r.now + r.delay(from, to), from, to, b})
+	}
+	if len(o.Fresh)+len(o.Gone)+len(o.Invalidated) > 0 || o.Orphan || o.Steer.Ident != "" {
+		fmt.Fprintf(r.log, "%v %s: readable %q, withdrawn %q, invalidated %v, orphaned %v, redirected to %q %q\n",
+			r.now, from, o.Fresh, o.Gone, o.Invalidated, o.Orphan, o.Steer.Ident, o.Steer.Addr)
+	}
+	r.complete = append(r.complete, o.Invalidated...)
+}
+
+// deliver brings what has arrived, in the order of sending.
+func (r *recorder) deliver() {
+	for {
+		i := slices.IndexFunc(r.frames, func(f recordedFrame) bool { return f.at <= r.now })
+		if i < 0 {
+			return
+		}
+		f := r.frames[i]
+		r.frames = slices.Delete(r.frames, i, i+1)
+		var m message.Message
+		if _, err := m.UnmarshalMsg(f.bytes); err != nil {
+			r.t.Fatal(err)
+		}
+		if n := r.nodes[f.to]; n != nil {
+			r.take(f.to, n.Hear(r.now, m))
+		}
+	}
+}
+
+// pass lets time pass, in steps of a millisecond; nodes tick every 20.
+func (r *recorder) pass(d time.Duration) {
+	for end := r.now + d; r.now < end; r.now += time.Millisecond {
+		r.deliver()
+		if r.now%(20*time.Millisecond) != 0 {
+			continue
+		}
+		for _, name := range slices.Sorted(maps.Keys(r.nodes)) {
+			if r.nodes[name].Root() {
+				r.rootEnds = max(r.rootEnds, r.now+2*r.cfg.Vol)
+			}
+			r.take(name, r.nodes[name].Tick(r.now))
+		}
+	}
+}
+
+// write changes a record at the root: all of it, or as much as is complete in a time.
+func (r *recorder) write(root, key, value string, tag uint64, most time.Duration) {
+	r.take(root, r.nodes[root].Hold(r.now, key, tag))
+	for end := r.now + most; r.now < end && !slices.Contains(r.complete, tag); {
+		r.pass(time.Millisecond)
+	}
+	r.records[key] = message.Rec{Key: key, Ver: message.Ver{Term: 1, Seq: tag}, Val: []byte(value)}
+	r.take(root, r.nodes[root].Free(r.now, key))
+}
+
+// show writes down what the nodes would answer.
+func (r *recorder) show(keys ...string) {
+	for _, name := range slices.Sorted(maps.Keys(r.nodes)) {
+		n := r.nodes[name]
+		view, err := json.Marshal(n.View(r.now))
+		if err != nil {
+			r.t.Fatal(err)
+		}
+		lapsed, lasts := n.Lapsed(r.now)
+		fmt.Fprintf(r.log, "%v %s: %s parent %q cost %v till %v until %v lapsed %v %v changes %d whole %d\n", r.now, name, view,
+			n.Parent().Ident, n.Cost(), n.Till()-r.now, n.Until()-r.now, lapsed, lasts, n.SentChanges, n.SentWhole)
+		for _, key := range keys {
+			rec, ok := n.Get(r.now, key)
+			last, at, lasts := n.Last(r.now, key)
+			fmt.Fprintf(r.log, "  %s: %v %v %v %.20q, last %v %v %v\n", key, ok, rec.Ver, rec.Dead, rec.Val, lasts, last.Ver, at)
+		}
+	}
+}
+
+// zoneOfTwo is a root, a relay and two children below it.
+func zoneOfTwo(t *testing.T, cfg lease.Config, log *strings.Builder) *recorder {
+	r := newRecorder(t, cfg, log)
+	r.records["k"] = message.Rec{Key: "k", Ver: message.Ver{Term: 1, Seq: 1}, Val: longValue(0)}
+	r.start("root")
+	r.start("relay", "k")
+	r.start("a", "k", "absent")
+	r.start("b", "k")
+	r.lead("root", 1)
+	r.adopt("a", "relay")
+	r.adopt("b", "relay")
+	r.adopt("relay", "root")
+	return r
+}
+
+func longValue(n int) []byte { return []byte(fmt.Sprintf("%s%d", strings.Repeat("value ", 10), n)) }
+
+// recordScenes runs the scenes whose messages are written down one by one.
+func recordScenes(t *testing.T, log *strings.Builder) {
+	r := zoneOfTwo(t, goldenBounds, log)
+	r.scene("two children and a relay connect")
+	r.pass(500 * time.Millisecond)
+	r.show("k", "absent")
+
+	r.scene("a record changes, and goes down as a patch")
+	r.write("root", "k", string(longValue(1)), 2, time.Second)
+	r.pass(40 * time.Millisecond)
+	r.show("k")
+
+	r.scene("a patch is spoilt on its way")
+	r.lost = func(_, to string, m *message.Message) bool {
+		if to == "a" && len(m.Recs) > 0 && len(m.Recs[0].Links) > 0 {
+			m.Recs = slices.Clone(m.Recs)
+			m.Recs[0].Links = slices.Clone(m.Recs[0].Links)
+			m.Recs[0].Links[0].Patch = []byte("spoilt, and of another base")
+		}
+		return false
+	}
+	r.write("root", "k", string(longValue(2)), 3, time.Second)
+	r.pass(100 * time.Millisecond)
+	r.show("k")
+
+	r.scene("a child is silent, until its lease lapses")
+	r.lost = func(from, to string, _ *message.Message) bool { return from == "b" || to == "b" }
+	r.write("root", "k", string(longValue(3)), 4, 3*time.Second)
+	r.pass(100 * time.Millisecond)
+	r.show("k")
+	r.lost = func(string, string, *message.Message) bool { return false }
+	r.pass(600 * time.Millisecond)
+	r.show("k")
+
+	r.scene("the root is silent, leases lapse")
+	r.lost = func(from, _ string, _ *message.Message) bool { return from == "root" }
+	r.pass(2500 * time.Millisecond)
+	r.show("k", "absent")
+	r.lost = func(string, string, *message.Message) bool { return false }
+	r.pass(600 * time.Millisecond)
+	r.show("k", "absent")
+
+	r.scene("the relay starts anew")
+	r.start("relay", "k")
+	r.adopt("relay", "root")
+	r.pass(700 * time.Millisecond)
+	r.show("k")
+
+	r.scene("another leader")
+	r.take("root", r.nodes["root"].Hold(r.now, "absent", 9))
+	r.nodes["root"].Uncrown()
+	r.pass(60 * time.Millisecond)
+	r.show("k")
+	r.lead("relay", 2)
+	r.adopt("root", "relay")
+	r.pass(400 * time.Millisecond)
+	r.show("k", "absent")
+	recordOddMessages(t, log)
+	recordRedirects(t, log)
+}
+
+// recordOddMessages gives a relay with a child what comes late, twice or from others.
+func recordOddMessages(t *testing.T, log *strings.Builder) {
+	r := zoneOfTwo(t, goldenBounds, log)
+	r.pass(500 * time.Millisecond)
+	r.scene("messages that are late, repeated or from others")
+	n := r.nodes["relay"]
+	root, mine := r.nodes["root"].Mark(), n.Mark()
+	older, stranger := root, message.Mark{Ident: "x", Epoch: 1}
+	older.Term--
+	ver := message.Ver{Term: 1, Seq: 1}
+	long := []message.Rec{{Key: "k", Ver: ver}}
+	for i, m := range []message.Message{
+		{Kind: message.Grant, From: "root", Mark: root, No: 1, Num: 1, Ref: 1, Len: 9e9, Recs: long, Long: 9e9},
+		{Kind: message.Grant, From: "root", Mark: older, No: 900, Num: 1, Ref: 1, Len: 9e9, Recs: long, Long: 9e9},
+		{Kind: message.Grant, From: "root", Mark: root, No: 901, Num: 7, Len: 9e9},
+		{Kind: message.Grant, From: "x", Mark: stranger, No: 901, Num: 1, Len: 9e9},
+		{Kind: message.Grant, From: "root", Mark: stranger, No: 901, Num: 1, Len: 9e9},
+		{Kind: message.Grant, From: "root", Mark: root, No: 901, Num: 1, Ref: 800, Len: 9e9, Recs: long, Long: 9e9},
+		{Kind: message.Synced, From: "root", Mark: root, No: 902, Num: 1, Ref: 800, Len: 9e9, Recs: long},
+		{Kind: message.Reconnect, From: "root", Mark: root, No: 903, Num: 1},
+		{Kind: message.Reconnect, From: "root", Mark: root, No: 904, Num: 1},
+		{Kind: message.Deny, From: "root", Mark: root, No: 905, Num: 1, Why: "no lease"},
+		{Kind: message.Steer, From: "root", Mark: root, No: 906, Num: 1, Hint: goldenReplica("a"), Why: "join"},
+		{Kind: message.Steer, From: "root", Mark: root, No: 906, Num: 1, Hint: goldenReplica("a"), Why: "split"},
+		{Kind: message.Steer, From: "x", Mark: stranger, Hint: goldenReplica("b"), Why: "return"},
+		{Kind: message.Steer, From: "y", Mark: stranger, Hint: goldenReplica("b"), Why: "return"},
+		{Kind: message.Steer, From: "x", Mark: stranger, No: 5, Num: 1, Hint: goldenReplica("b"), Why: "join"},
+		{Kind: message.Connect, From: "a", Epoch: 1, Mark: mine, Ref: 99},
+		{Kind: message.Connect, From: "zz", Epoch: 1, Mark: mine, Ref: 99},
+		{Kind: message.Listing, From: "a", Epoch: 1, Mark: root, No: 70},
+		{Kind: message.Listing, From: "a", Epoch: 1, Mark: mine, No: 71, Recs: []message.Rec{{Key: "k", Ver: ver}, {Key: "absent", Dead: true}, {Key: "q"}}},
+		{Kind: message.Renew, From: "a", Epoch: 1, Mark: mine, No: 72, Keys: []string{"k"}},
+		{Kind: message.Renew, From: "a", Epoch: 2, Mark: mine, No: 1, Keys: []string{"k"}, Cost: 5e6},
+		{Kind: message.Listing, From: "a", Epoch: 2, Mark: mine, No: 2},
+		{Kind: message.Renew, From: "b", Epoch: 1, Mark: mine, No: 73, Keys: []string{"k", "new"}, Recs: long, Cost: 7e6},
+		{Kind: message.Renew, From: "b", Epoch: 1, Mark: stranger, No: 74},
+		{Kind: message.Invalidate, From: "x", Mark: stranger, No: 4, Num: 1, Key: "k", Ref: 6},
+		{Kind: message.Invalidate, From: "root", Mark: root, No: 990, Num: 1, Key: "k", Ref: 7},
+		{Kind: message.Invalidate, From: "root", Mark: root, No: 991, Num: 9, Key: "k", Ref: 8},
+		{Kind: message.Grant, From: "root", Mark: root, No: 989, Num: 1, Recs: long, Long: 9e9},
+		{Kind: message.Renew, From: "a", Epoch: 1, Mark: mine, No: 75, Keys: []string{"k"}},
+		{Kind: message.Listing, From: "b", Epoch: 1, Mark: mine, No: 76},
+		{Kind: message.Invalidated, From: "a", Epoch: 1, Key: "k", Ref: 700},
+		{Kind: message.Invalidated, From: "a", Epoch: 1, Key: "k", Ref: 1},
+		{Kind: message.Invalidated, From: "b", Epoch: 1, Key: "k", Ref: 1},
+		{Kind: message.Invalidated, From: "b", Epoch: 1, Key: "k", Ref: 1},
+		{Kind: message.Hello, From: "b", Epoch: 1},
+	} {
+		m.Partition, m.Addr = 3, m.From+":7"
+		fmt.Fprintf(r.log, "message %d, %v\n", i, m.Kind)
+		r.take("relay", n.Hear(r.now, m))
+		r.now++
+	}
+	r.show("k")
+	r.now -= r.now % time.Millisecond
+	r.pass(200 * time.Millisecond)
+	r.take("a", r.nodes["a"].Adopt(r.now, message.Replica{}))
+	r.pass(1200 * time.Millisecond)
+	r.show("k", "absent")
+}
+
+// recordRedirects has a slow relay join its children to the root, and a root send
+// the children of a relay to it.
+func recordRedirects(t *testing.T, log *strings.Builder) {
+	cfg := goldenBounds
+	cfg.Span, cfg.Most, cfg.Gain = time.Second, 2000, 5*time.Millisecond
+	r := zoneOfTwo(t, cfg, log)
+	r.delay = func(from, to string) time.Duration {
+		if from == "root" || to == "root" {
+			return time.Millisecond
+		}
+		return 25 * time.Millisecond
+	}
+	r.scene("a slow relay")
+	r.pass(2400 * time.Millisecond)
+	r.show()
+
+	for _, most := range []int{2000, 3} {
+		cfg.Most = most
+		r = zoneOfTwo(t, cfg, log)
+		r.nodes["root"].Relay = func(ident string) message.Replica {
+			if ident == "a" || ident == "b" {
+				return goldenReplica("relay")
+			}
+			return message.Replica{}
+		}
+		r.delay = func(from, to string) time.Duration {
+			if most == 2000 && (from == "a" || from == "b" || to == "a" || to == "b") {
+				return 30 * time.Millisecond
+			}
+			return time.Millisecond
+		}
+		r.adopt("a", "root")
+		r.adopt("b", "root")
+		r.scene(fmt.Sprintf("children beside their relay, at most %d renewals", most))
+		r.pass(2400 * time.Millisecond)
+		r.show()
+	}
+}
+
+// recordRandom runs a tree for 40 s under losses, delays, repeats, writes, restarts and
+// changes of the leader and of parents; the log says each second's checksum only.
+func recordRandom(t *testing.T, seed int64, log *strings.Builder) {
+	cfg := goldenBounds
+	cfg.Span, cfg.Most, cfg.Gain = time.Second, 12, 2*time.Millisecond
+	var messages strings.Builder
+	r := newRecorder(t, cfg, &messages)
+	rng := rand.New(rand.NewSource(seed))
+	names, keys := []string{"a", "b", "c", "d", "relay", "root"}, []string{"k", "l", "m"}
+	for i, key := range keys {
+		r.records[key] = message.Rec{Key: key, Ver: message.Ver{Term: 1, Seq: 1}, Val: longValue(i)}
+	}
+	for _, name := range names {
+		r.start(name, keys[rng.Intn(3)], keys[rng.Intn(3)])
+		r.nodes[name].Relay = func(ident string) message.Replica { return goldenReplica("relay") }
+	}
+	leader, term, tag := "root", uint64(1), uint64(1)
+	r.lead(leader, term)
+	for _, name := range names[:4] {
+		r.adopt(name, "relay")
+	}
+	r.adopt("relay", "root")
+	losses, slow := 0.0, time.Duration(0)
+	cut := map[string]bool{}
+	r.lost = func(from, to string, _ *message.Message) bool {
+		return cut[from] != cut[to] || rng.Float64() < losses
+	}
+	r.delay = func(string, string) time.Duration {
+		return time.Millisecond + time.Duration(rng.Int63n(int64(slow)+1)).Truncate(time.Millisecond)
+	}
+	suspended := map[string]uint64{}
+	for step := range 400 {
+		name, key := names[rng.Intn(len(names))], keys[rng.Intn(len(keys))]
+		switch rng.Intn(24) {
+		case 0:
+			losses = rng.Float64() * 0.3
+		case 1:
+			losses, cut = 0, map[string]bool{}
+		case 2:
+			slow = time.Duration(rng.Intn(400)) * time.Millisecond
+		case 3:
+			slow = 0
+		case 4:
+			cut[name] = !cut[name]
+		case 5:
+			// A relay with two incarnations has two RenewCosts; which one counts is the map's choice.
+			if name != leader && name != "relay" {
+				r.start(name, key)
+				r.nodes[name].Relay = func(string) message.Replica { return goldenReplica("relay") }
+				r.adopt(name, leader)
+			}
+		case 6, 7:
+			if name != leader {
+				r.adopt(name, names[rng.Intn(len(names))])
+			}
+		case 8:
+			r.nodes[leader].Uncrown()
+			if rng.Intn(2) == 0 {
+				r.pass(r.rootEnds - r.now)
+			}
+			leader, term, suspended = name, term+1, map[string]uint64{}
+			r.lead(leader, term)
+			for _, other := range names {
+				if other != leader && rng.Intn(3) > 0 {
+					r.adopt(other, leader)
+				}
+			}
+		case 9, 10, 11:
+			r.take(name, r.nodes[name].Pin(r.now, key))
+		case 12, 13, 14, 15, 16, 17:
+			if suspended[key] == 0 {
+				tag++
+				suspended[key] = tag
+				r.take(leader, r.nodes[leader].Hold(r.now, key, tag))
+			}
+		}
+		r.pass(100 * time.Millisecond)
+		for _, key := range keys {
+			if at := suspended[key]; at > 0 && slices.Contains(r.complete, at) {
+				delete(suspended, key)
+				r.records[key] = message.Rec{Key: key, Ver: message.Ver{Term: term, Seq: at}, Val: longValue(int(at)), Dead: at%5 == 0}
+				r.take(leader, r.nodes[leader].Free(r.now, key))
+			}
+		}
+		if step%10 == 9 {
+			r.show(keys...)
+			fmt.Fprintf(log, "seed %d, %v: %d lines, %08x\n", seed, r.now, strings.Count(messages.String(), "\n"), crc32.ChecksumIEEE([]byte(messages.String())))
+			messages.Reset()
+		}
+	}
+}
+
+// What the nodes of a tree send, byte by byte, and what they ask of their daemon is
+// what testdata holds: the record of the build before the handlers were split.
+func TestMessagesAreAsRecorded(t *testing.T) {
+	var log strings.Builder
+	recordScenes(t, &log)
+	for seed := range int64(12) {
+		recordRandom(t, seed, &log)
+	}
+	const path = "testdata/messages.golden"
+	if *writeGolden {
+		if err := os.WriteFile(path, []byte(log.String()), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	got := strings.Split(log.String(), "\n")
+	for i, line := range strings.Split(string(want), "\n") {
+		if i >= len(got) || got[i] != line {
+			t.Fatalf("line %d is\n%s\nrecorded is\n%s", i+1, strings.Join(got[min(i, len(got)):min(i+1, len(got))], ""), line)
+		}
+	}
+	if len(got) != strings.Count(string(want), "\n")+1 {
+		t.Errorf("%d lines, recorded are %d", len(got), strings.Count(string(want), "\n")+1)
+	}
+}
