--- /dev/null
+++ b/control/quorum/stored_test.go
@@ -0,0 +1,92 @@
+package quorum
+
+import (
+	"encoding/json"
+	"reflect"
+	"strings"
+	"testing"
+
+	"mulleinmast/control/digest"
+	"mulleinmast/wire/message"
+)
+
+// fullMeta has every field set, so that a field whose stored name changes shows.
+func fullMeta() Meta {
+	return Meta{
+		Promised: 11, To: "b", ToEpoch: 2<<32 + 5, Tried: 12, LastComplete: 10,
+		Group: message.Group{
+			Num:      3<<16 + 1,
+			Replicas: []message.Replica{{Ident: "a", Addr: "10.0.0.1:7"}, {Ident: "b", Addr: "10.0.0.2:7"}},
+			Next:     []message.Replica{{Ident: "a", Addr: "10.0.0.1:7"}, {Ident: "c", Addr: "10.0.0.3:7"}},
+		},
+		Short:   true,
+		State:   message.Stamp{Epoch: 4<<32 + 1, Saves: 20},
+		History: []message.Stamp{{Epoch: 2<<32 + 9, Saves: 3}, {Epoch: 3<<32 + 8, Saves: 7}},
+		Peers:   []message.Peer{{Ident: "b", Epoch: 2<<32 + 5, State: message.Stamp{Epoch: 2<<32 + 5, Saves: 41}}, {Ident: "c", Epoch: 1<<32 + 6}},
+	}
+}
+
+// What every build so far stored for fullMeta.
+const fullMetaStored = `{"Promised":11,"To":"b","ToEpoch":8589934597,"Tried":12,"Set":10,` +
+	`"Group":{"Num":196609,"Seats":[{"Ident":"a","Addr":"10.0.0.1:7"},{"Ident":"b","Addr":"10.0.0.2:7"}],` +
+	`"Next":[{"Ident":"a","Addr":"10.0.0.1:7"},{"Ident":"c","Addr":"10.0.0.3:7"}]},"Short":true,` +
+	`"State":{"Epoch":17179869185,"Saves":20},` +
+	`"History":[{"Epoch":8589934601,"Saves":3},{"Epoch":12884901896,"Saves":7}],` +
+	`"Peers":[{"Ident":"b","Epoch":8589934597,"State":{"Epoch":8589934597,"Saves":41}},{"Ident":"c","Epoch":4294967302}]}`
+
+// What every build so far stored for a replica that knows nothing yet.
+var emptyMetaStored = strings.ReplaceAll(
+	`{"Promised":0,"To":"","ToEpoch":0,"Tried":0,"Set":0,"Group":{"Num":0,"Seats":[],"Next":[]}}`, "[]", "null")
+
+// A stored vote that a build can't read is a vote forgotten.
+func TestMetaIsStoredUnderTheNamesOfEarlierBuilds(t *testing.T) {
+	for name, c := range map[string]struct {
+		meta   Meta
+		stored string
+	}{"every field set": {fullMeta(), fullMetaStored}, "empty": {Meta{}, emptyMetaStored}} {
+		t.Run(name, func(t *testing.T) {
+			raw, err := json.Marshal(c.meta)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if string(raw) != c.stored {
+				t.Errorf("stored as\n%s\nnot as\n%s", raw, c.stored)
+			}
+			var read Meta
+			if err := json.Unmarshal([]byte(c.stored), &read); err != nil {
+				t.Fatal(err)
+			}
+			if !reflect.DeepEqual(read, c.meta) {
+				t.Errorf("read as %+v, not as %+v", read, c.meta)
+			}
+		})
+	}
+}
+
+// The checksums stand beside the state on disk: one that is computed otherwise
+// makes a whole copy look damaged.
+func TestMetaChecksumsAreThoseOfEarlierBuilds(t *testing.T) {
+	records := digest.NewRecords()
+	records.Put(message.Rec{Key: "plan/now", Ver: message.Ver{Term: 9, Seq: 4}, Val: []byte("value")})
+	records.Put(message.Rec{Key: "server/7", Ver: message.Ver{Term: 10, Seq: 1}, Dead: true})
+	votable := fullMeta()
+	votable.Short = false
+	for name, c := range map[string]struct {
+		meta         Meta
+		records      *digest.Records
+		sum, pastSum uint64
+	}{
+		"every field set": {fullMeta(), records, 6848617890316624777, 4339655454683573597},
+		"not short":       {votable, records, 5275727718337320453, 4339655454683573597},
+		"empty":           {Meta{}, digest.NewRecords(), 13389207865668415525, 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got := c.meta.Sum(c.records); got != c.sum {
+				t.Errorf("Sum %d, not %d", got, c.sum)
+			}
+			if got := c.meta.PastSum(); got != c.pastSum {
+				t.Errorf("PastSum %d, not %d", got, c.pastSum)
+			}
+		})
+	}
+}
