--- /dev/null
+++ b/control/storage/golden_test.go
@@ -0,0 +1,280 @@
+package storage
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"mulleinmast/control/digest"
+	"mulleinmast/control/incarnation"
+	"mulleinmast/control/quorum"
+	"mulleinmast/wire/message"
+)
+
+// update has the data folders of testdata written anew. They were written by the
+// build before issue 29 and stand for the disks of the machines that run it, so
+// they are written anew only for a new format.
+var update = flag.Bool("update", false, "write the data folders of testdata with this build")
+
+const (
+	goldenFleet  = "f"
+	goldenIdent  = "0123456789abcdef"
+	goldenStarts = 2 // of the folder, until it was put into testdata
+)
+
+func goldenReplicas(idents string) (list []message.Replica) {
+	for i, ident := range strings.Fields(idents) {
+		list = append(list, message.Replica{Ident: ident, Addr: fmt.Sprintf("10.0.0.%d:7000", i+1)})
+	}
+	return list
+}
+
+// goldenSaves is what the folders of testdata hold: a partition with every field of
+// its state set and its group in change, one that is short of records, one that was
+// only just founded.
+func goldenSaves() []quorum.Save {
+	saves := []quorum.Save{
+		{
+			Partition: 0,
+			Meta: quorum.Meta{
+				Promised: 7, To: "b", ToEpoch: incarnation.Number(3, 21), Tried: 6, LastComplete: 5,
+				Group: message.Group{
+					Num: 4, Replicas: goldenReplicas(goldenIdent + " b c"), Next: goldenReplicas(goldenIdent + " b d"),
+				},
+				State:   message.Stamp{Epoch: incarnation.Number(1, 17), Saves: 12},
+				History: []message.Stamp{{Epoch: incarnation.Number(1, 3), Saves: 2}, {Epoch: incarnation.Number(1, 4), Saves: 9}},
+				Peers: []message.Peer{
+					{Ident: "b", Epoch: incarnation.Number(3, 21), State: message.Stamp{Epoch: incarnation.Number(3, 21), Saves: 40}},
+					{Ident: "c", Epoch: incarnation.Number(9, 2)},
+				},
+			},
+			Recs: []message.Rec{
+				{Key: "plan/now", Ver: message.Ver{Term: 5, Seq: 1}, Val: []byte("the plan")},
+				{Key: "once/dead", Ver: message.Ver{Term: 4, Seq: 2}, Dead: true},
+				{Key: "once/empty", Ver: message.Ver{Term: 4, Seq: 3}},
+				{Key: "server/s1", Ver: message.Ver{Term: 5, Seq: 1 << 40}, Val: []byte{0, 1, 0xff, '\''}},
+			},
+		},
+		{
+			Partition: 2,
+			Meta:      quorum.Meta{Promised: 2, To: "c", LastComplete: 1, Group: message.Group{Num: 1, Replicas: goldenReplicas("c " + goldenIdent)}, Short: true},
+			Recs:      []message.Rec{{Key: "plan/now", Ver: message.Ver{Term: 1, Seq: 1}, Val: []byte("old")}},
+		},
+		{Partition: 5, Meta: quorum.Meta{Group: message.Group{Num: 1, Replicas: goldenReplicas(goldenIdent)}}},
+	}
+	for i, s := range saves {
+		saves[i].Sum = s.Meta.Sum(recordsOf(s))
+	}
+	return saves
+}
+
+func recordsOf(s quorum.Save) *digest.Records {
+	records := digest.NewRecords()
+	for _, r := range s.Recs {
+		records.Put(r)
+	}
+	return records
+}
+
+// writeGoldenFolders makes the three folders of testdata.
+func writeGoldenFolders(t *testing.T) {
+	t.Helper()
+	made := filepath.Join("testdata", "folder")
+	for _, dir := range []string{made, filepath.Join("testdata", "superseded"), filepath.Join("testdata", "backup")} {
+		if err := os.RemoveAll(dir); err != nil {
+			t.Fatal(err)
+		}
+		if err := os.MkdirAll(dir, 0o755); err != nil {
+			t.Fatal(err)
+		}
+	}
+	a := open(t, made)
+	if _, err := a.db.Exec("update meta set v=? where k='ident'", goldenIdent); err != nil {
+		t.Fatal(err)
+	}
+	a.Close()
+	a = open(t, made)
+	if err := a.Write(goldenSaves()); err != nil {
+		t.Fatal(err)
+	}
+	if err := a.Backup(filepath.Join("testdata", "backup", "state.db")); err != nil {
+		t.Fatal(err)
+	}
+	if err := a.MarkSuperseded(); err != nil {
+		t.Fatal(err)
+	}
+	a.Close()
+	if err := os.CopyFS(filepath.Join("testdata", "superseded"), os.DirFS(made)); err != nil {
+		t.Fatal(err)
+	}
+	for _, path := range []string{"folder/superseded", "folder/lock", "superseded/lock"} {
+		if err := os.Remove(filepath.Join("testdata", path)); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// goldenFolder copies a folder of testdata to one that the test may write to.
+func goldenFolder(t *testing.T, name string) (dir string) {
+	t.Helper()
+	if *update {
+		writeGoldenFolders(t)
+	}
+	dir = t.TempDir()
+	if err := os.CopyFS(dir, os.DirFS(filepath.Join("testdata", name))); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+// expectGolden checks that an open folder holds what the folders of testdata do.
+func expectGolden(t *testing.T, a *Store, want []quorum.Save) {
+	t.Helper()
+	if a.Empty || a.Moved != "" || a.Spoilt != 0 || len(a.Short) > 0 || a.Ident != goldenIdent {
+		t.Fatalf("empty %v, moved %q, spoilt %d, short %v, identity %s", a.Empty, a.Moved, a.Spoilt, a.Short, a.Ident)
+	}
+	if len(a.Partitions) != len(want) {
+		t.Errorf("%d partitions instead of %d", len(a.Partitions), len(want))
+	}
+	for _, s := range want {
+		got, ok := a.Partitions[s.Partition]
+		if !ok {
+			t.Errorf("no partition %d", s.Partition)
+			continue
+		}
+		if !reflect.DeepEqual(got.Meta, s.Meta) {
+			t.Errorf("partition %d: %+v\nexpected %+v", s.Partition, got.Meta, s.Meta)
+		}
+		if got.Records.Size() != len(s.Recs) || got.Records.Sum() != recordsOf(s).Sum() {
+			t.Errorf("partition %d: other records", s.Partition)
+		}
+		for _, r := range s.Recs {
+			if held, ok := got.Records.Get(r.Key); !ok || held.Ver != r.Ver || held.Dead != r.Dead || string(held.Val) != string(r.Val) {
+				t.Errorf("partition %d: %+v instead of %+v", s.Partition, held, r)
+			}
+		}
+	}
+}
+
+// A folder that an earlier build wrote is opened, holds what was written, and is
+// gone on with.
+func TestFolderOfAnEarlierBuildIsGoneOnWith(t *testing.T) {
+	dir, want := goldenFolder(t, "folder"), goldenSaves()
+	a := open(t, dir)
+	expectGolden(t, a, want)
+	if starts := incarnation.Starts(a.Epoch); starts != goldenStarts+1 {
+		t.Errorf("start %d, expected %d", starts, goldenStarts+1)
+	}
+	next := quorum.Save{Partition: 2, Meta: want[1].Meta, Drop: []string{"plan/now"}}
+	next.Meta.Short, next.Meta.Promised = false, 8
+	next.Recs = []message.Rec{{Key: "plan/next", Ver: message.Ver{Term: 8, Seq: 1}, Val: []byte("new")}}
+	next.Sum = next.Meta.Sum(recordsOf(next))
+	if err := a.Write([]quorum.Save{next}); err != nil {
+		t.Fatal(err)
+	}
+	a.Close()
+	a = open(t, dir)
+	defer a.Close()
+	next.Drop, want[1] = nil, next
+	expectGolden(t, a, want)
+	if starts := incarnation.Starts(a.Epoch); starts != goldenStarts+2 {
+		t.Errorf("start %d, expected %d", starts, goldenStarts+2)
+	}
+}
+
+// A state that an earlier build marked as superseded is set aside.
+func TestSupersededFolderOfAnEarlierBuildIsSetAside(t *testing.T) {
+	dir := goldenFolder(t, "superseded")
+	a := open(t, dir)
+	defer a.Close()
+	if !a.Superseded || a.Copied || !a.Empty || a.Ident == goldenIdent || len(a.Partitions) > 0 || incarnation.Starts(a.Epoch) != 1 {
+		t.Errorf("%+v", a)
+	}
+	if !strings.HasPrefix(a.Moved, filepath.Join(dir, "state.db.superseded-")) {
+		t.Errorf("set aside as %s", a.Moved)
+	}
+	if _, err := os.Stat(filepath.Join(dir, "superseded")); !os.IsNotExist(err) {
+		t.Errorf("the mark counts for more than one start: %v", err)
+	}
+}
+
+// A back-up that an earlier build wrote is set aside, and is the state where an
+// operator says that a majority of the disks is lost.
+func TestBackupOfAnEarlierBuild(t *testing.T) {
+	t.Run("in the place of a folder's own state", func(t *testing.T) {
+		dir := goldenFolder(t, "backup")
+		a := open(t, dir)
+		defer a.Close()
+		if !a.Copied || a.Superseded || !a.Empty || a.Ident == goldenIdent || len(a.Partitions) > 0 {
+			t.Errorf("%+v", a)
+		}
+		if !strings.HasPrefix(a.Moved, filepath.Join(dir, "state.db.back-up-")) {
+			t.Errorf("set aside as %s", a.Moved)
+		}
+	})
+	t.Run("restored", func(t *testing.T) {
+		dir, want := goldenFolder(t, "backup"), goldenSaves()
+		if err := os.WriteFile(filepath.Join(dir, "majority-lost"), nil, 0o600); err != nil {
+			t.Fatal(err)
+		}
+		for i := range want {
+			want[i].Meta.State, want[i].Meta.History, want[i].Meta.Peers = message.Stamp{}, nil, nil
+		}
+		const restored = goldenStarts + 1<<16 + 1
+		for start := range uint64(2) {
+			a := open(t, dir)
+			expectGolden(t, a, want)
+			if starts := incarnation.Starts(a.Epoch); starts != restored+start {
+				t.Errorf("start %d, expected %d", starts, restored+start)
+			}
+			a.Close()
+		}
+	})
+}
+
+// What is written is what earlier builds wrote, and so what they read.
+func TestRowsAreThoseOfEarlierBuilds(t *testing.T) {
+	dir := t.TempDir()
+	a := open(t, dir)
+	defer a.Close()
+	if _, err := a.db.Exec("update meta set v=? where k='ident'", goldenIdent); err != nil {
+		t.Fatal(err)
+	}
+	if err := a.Write(goldenSaves()); err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct{ name, query, golden string }{
+		{"head", "select k||' '||v from meta order by k", "head.txt"},
+		{"replicas", "select part||' '||v from seat order by part", "replicas.txt"},
+		{"records", "select part||' '||key||' '||span||' '||term||' '||seq||' '||dead||' '||hex(val) from rec order by part, key", "records.txt"},
+		{"sums", "select part||' '||key||' '||term||' '||seq||' '||sum from sums order by part, key", "sums.txt"},
+		{"tables", "select sql from sqlite_master where sql is not null order by name", "tables.txt"},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var got strings.Builder
+			err := a.each(c.query, func(scan func(...any) error) error {
+				var line string
+				err := scan(&line)
+				got.WriteString(line + "\n")
+				return err
+			})
+			if err != nil {
+				t.Fatal(err)
+			}
+			path := filepath.Join("testdata", c.golden)
+			if *update {
+				if err := os.WriteFile(path, []byte(got.String()), 0o600); err != nil {
+					t.Fatal(err)
+				}
+			}
+			want, err := os.ReadFile(path)
+			if err != nil || got.String() != string(want) {
+				t.Errorf("%v\nis\n%swas\n%s", err, got.String(), want)
+			}
+		})
+	}
+}
