--- a/control/storage/load.go
+++ b/control/storage/load.go
@@ -28,8 +28,8 @@
 // row is what the table of replicas holds of one.
 type row struct {
 	quorum.Meta
-	Sum  uint64 `json:",omitempty"` // of the state as it was written; a build before this one writes none
-	Past uint64 `json:",omitempty"` // of what it says of incarnations
+	Sum  uint64 `json:"Sum,omitempty"`  // of the state as it was written; a build before this one writes none
+	Past uint64 `json:"Past,omitempty"` // of what it says of incarnations
 }
 
 // load reads all partitions. What is there and isn't what was written, by its
--- a/wire/message/message.go
+++ b/wire/message/message.go
@@ -83,8 +83,8 @@
 // Ver is a record's version: the term of the leader that wrote it and a
 // number that leader counts up. No two writes share one.
 type Ver struct {
-	Term uint64 `msg:"t"`
-	Seq  uint64 `msg:"s"`
+	Term uint64 `msg:"t" json:"Term"`
+	Seq  uint64 `msg:"s" json:"Seq"`
 }
 
 // Less orders versions.
@@ -99,34 +99,34 @@
 
 // Rec is one record of a partition. A Dead record is cached absence.
 type Rec struct {
-	Key  string `msg:"k"`
-	Ver  Ver    `msg:"v"`
-	Val  []byte `msg:"b,omitempty"`
-	Dead bool   `msg:"d,omitempty"`
+	Key  string `msg:"k" json:"Key"`
+	Ver  Ver    `msg:"v" json:"Ver"`
+	Val  []byte `msg:"b,omitempty" json:"Val"`
+	Dead bool   `msg:"d,omitempty" json:"Dead"`
 
 	// Held says that the value is the one that the addressee holds, after Links.
-	Held  bool   `msg:"h,omitempty"`
-	Links []Link `msg:"l,omitempty"`
+	Held  bool   `msg:"h,omitempty" json:"Held"`
+	Links []Link `msg:"l,omitempty" json:"Links"`
 }
 
 // Link is what turns one version of a record's value into a later one.
 type Link struct {
-	From  Ver    `msg:"f"`
-	To    Ver    `msg:"t"`
-	Patch []byte `msg:"p"`
+	From  Ver    `msg:"f" json:"From"`
+	To    Ver    `msg:"t" json:"To"`
+	Patch []byte `msg:"p" json:"Patch"`
 }
 
 // Replica is a daemon's identity and wire address.
 type Replica struct {
-	Ident string `msg:"i"`
-	Addr  string `msg:"a"`
+	Ident string `msg:"i" json:"Ident"`
+	Addr  string `msg:"a" json:"Addr"`
 }
 
 // Group is a partition's voters; while Next is set a majority of both is needed.
 type Group struct {
-	Num      uint64    `msg:"n"`
+	Num      uint64    `msg:"n" json:"Num"`
 	Replicas []Replica `msg:"s" json:"Seats"`
-	Next     []Replica `msg:"x,omitempty"`
+	Next     []Replica `msg:"x,omitempty" json:"Next"`
 }
 
 // Has tells whether an identity has a vote in the group.
@@ -177,24 +177,24 @@
 // Mark is the volume epoch: the granter's identity, its epoch and, for an
 // leader, its term.
 type Mark struct {
-	Ident string `msg:"i"`
-	Epoch uint64 `msg:"e"`
-	Term  uint64 `msg:"t"`
+	Ident string `msg:"i" json:"Ident"`
+	Epoch uint64 `msg:"e" json:"Epoch"`
+	Term  uint64 `msg:"t" json:"Term"`
 }
 
 // Stamp names a state of a replica: as of so many saves of one incarnation of its
 // daemon, counted from 1. None is told by builds that don't count.
 type Stamp struct {
-	Epoch uint64 `msg:"e"`
-	Saves uint64 `msg:"n"`
+	Epoch uint64 `msg:"e" json:"Epoch"`
+	Saves uint64 `msg:"n" json:"Saves"`
 }
 
 // Peer is what one replica knows of another: the incarnation that it goes by, and
 // the latest state of that which is known to be on its disk.
 type Peer struct {
-	Ident string `msg:"i"`
-	Epoch uint64 `msg:"e"`
-	State Stamp  `msg:"s" json:",omitzero"`
+	Ident string `msg:"i" json:"Ident"`
+	Epoch uint64 `msg:"e" json:"Epoch"`
+	State Stamp  `msg:"s" json:"State,omitzero"`
 }
 
 // Member is one daemon as the fleet sees it.
