--- a/control/storage/golden_test.go
+++ b/control/storage/golden_test.go
@@ -252,7 +252,7 @@
 		{"replicas", "select part||' '||v from seat order by part", "replicas.txt"},
 		{"records", "select part||' '||key||' '||span||' '||term||' '||seq||' '||dead||' '||hex(val) from rec order by part, key", "records.txt"},
 		{"sums", "select part||' '||key||' '||term||' '||seq||' '||sum from sums order by part, key", "sums.txt"},
-		{"tables", "select sql from sqlite_master where sql is not null order by name", "tables.txt"},
+		{"tables", "select sql from sqlite_schema where sql is not null order by name", "tables.txt"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var got strings.Builder
