--- /dev/null
+++ b/cmd/mulleinmast/metrics_test.go
@@ -0,0 +1,60 @@
+package main
+
+import (
+	"io"
+	"net/http/httptest"
+	"os"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+
+	"mulleinmast/control/daemon"
+	"mulleinmast/control/eventlog"
+	"mulleinmast/platform"
+	"mulleinmast/traffic/nativeapi"
+)
+
+var (
+	measured = regexp.MustCompile(` \S+$`)
+	address  = regexp.MustCompile(`\d+\.\d+\.\d+\.\d+:\d+`)
+)
+
+// The whole daemon's metrics keep their names and labels, and the names of the
+// invariants that stand among the labels.
+func TestMetricsKeepTheirNames(t *testing.T) {
+	cfg := daemon.Default()
+	cfg.Wire, cfg.Web = "127.0.0.1:0", "127.0.0.1:0"
+	c, err := daemon.Open(cfg, eventlog.New(64, io.Discard))
+	if err != nil {
+		t.Fatal(err)
+	}
+	nativeapi.New(t.Context(), c)
+	local := "127.0.0.1:0"
+	if _, err := platform.Start(platform.Settings{Listen: platform.Listen{Public: local, Readiness: local, Control: local}}, c, nil); err != nil {
+		t.Fatal(err)
+	}
+	written := httptest.NewRecorder()
+	c.Mux.ServeHTTP(written, httptest.NewRequestWithContext(t.Context(), "GET", "/metrics", nil))
+	names := c.Metrics.ListMetricNames() // with those that have no value yet
+	for line := range strings.Lines(written.Body.String()) {
+		if strings.HasPrefix(line, "mulleinmast_") {
+			names = append(names, measured.ReplaceAllString(strings.TrimSpace(line), ""))
+		}
+	}
+	for i, name := range names {
+		names[i] = address.ReplaceAllString(name, "<address>")
+	}
+	slices.Sort(names)
+	got := strings.Join(slices.Compact(names), "\n") + "\n"
+	path := "testdata/metrics.txt"
+	if os.Getenv("GOLDEN") == "write" {
+		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil || got != string(want) {
+		t.Errorf("%v: the daemon's metrics are\n%s", err, got)
+	}
+}
--- /dev/null
+++ b/control/daemon/interface_test.go
@@ -0,0 +1,387 @@
+package daemon
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"mulleinmast/control/eventlog"
+	"mulleinmast/control/fleetconfig"
+	"mulleinmast/control/leader"
+	"mulleinmast/control/leadercall"
+	"mulleinmast/control/placement"
+)
+
+// What others rely on by its name is compared with files in testdata. They are
+// written anew only where the interface itself is meant to change:
+//
+//	GOLDEN=write go test ./control/daemon
+func golden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name)
+	if os.Getenv("GOLDEN") == "write" {
+		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got == string(want) {
+		return
+	}
+	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
+	for i := range max(len(gotLines), len(wantLines)) {
+		line := func(lines []string) string {
+			if i < len(lines) {
+				return lines[i]
+			}
+			return "(end)"
+		}
+		if line(gotLines) != line(wantLines) {
+			t.Errorf("%s:%d: got %q, expected %q", path, i+1, line(gotLines), line(wantLines))
+			return
+		}
+	}
+}
+
+// filled sets every exported field below a value, by its type alone.
+func filled(v reflect.Value) {
+	switch v.Kind() {
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		filled(v.Elem())
+	case reflect.Struct:
+		if at, ok := v.Addr().Interface().(*time.Time); ok {
+			*at = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
+			return
+		}
+		for i := range v.NumField() {
+			if v.Type().Field(i).IsExported() {
+				filled(v.Field(i))
+			}
+		}
+	case reflect.Slice:
+		if raw, ok := v.Addr().Interface().(*json.RawMessage); ok {
+			*raw = json.RawMessage(`"raw"`)
+			return
+		}
+		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
+		filled(v.Index(0))
+	case reflect.Array:
+		for i := range v.Len() {
+			filled(v.Index(i))
+		}
+	case reflect.Map:
+		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		filled(key)
+		filled(value)
+		v.Set(reflect.MakeMap(v.Type()))
+		v.SetMapIndex(key, value)
+	case reflect.Interface:
+		v.Set(reflect.ValueOf("any"))
+	case reflect.String:
+		v.SetString("text")
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Float64:
+		v.SetFloat(1.5)
+	default:
+		if v.CanInt() {
+			v.SetInt(1)
+		} else if v.CanUint() {
+			v.SetUint(1)
+		}
+	}
+}
+
+// The JSON of what the operator's calls take and answer, with every field set.
+func TestOperatorJSONKeepsItsNames(t *testing.T) {
+	var text strings.Builder
+	for _, x := range []struct {
+		what string
+		of   any
+	}{
+		{"answer to a call", new(leadercall.Word)},
+		{"plan", new(fleetconfig.Plan)},
+		{"changes of a plan", new(fleetconfig.Changes)},
+		{"list of servers", new(fleetconfig.List)},
+		{"call for a replica", new(leader.ReplicaCall)},
+		{"call with servers", new(leader.ServersCall)},
+		{"demand for slots", new(placement.Want)},
+		{"share of slots", new(placement.Share)},
+		{"order to a server", new(placement.Order)},
+		{"state of a daemon", new(State)},
+		{"line of the log", new(eventlog.Entry)},
+	} {
+		filled(reflect.ValueOf(x.of).Elem())
+		packed, err := json.MarshalIndent(x.of, "", "  ")
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&text, "%s: %s\n", x.what, packed)
+	}
+	golden(t, "operator-types.txt", text.String())
+}
+
+// masked is a JSON text with what varies from run to run taken out: numbers are
+// 0, of lines of the log the first one stands.
+func masked(text []byte, vary ...string) string {
+	var v any
+	if err := json.Unmarshal(text, &v); err != nil {
+		return string(text)
+	}
+	var mask func(v any) any
+	mask = func(v any) any {
+		switch v := v.(type) {
+		case map[string]any:
+			out := map[string]any{}
+			for key, value := range v {
+				if list, ok := value.([]any); ok && key == "lines" {
+					value = list[:min(1, len(list))]
+				}
+				out[maskedText(key, vary)] = mask(value)
+				if key == "text" { // of a line of the log
+					out[key] = "<text>"
+				}
+			}
+			return out
+		case []any:
+			for i := range v {
+				v[i] = mask(v[i])
+			}
+			return v
+		case float64:
+			return 0
+		case string:
+			return maskedText(v, vary)
+		}
+		return v
+	}
+	packed, err := json.MarshalIndent(mask(v), "", "  ")
+	if err != nil {
+		return err.Error()
+	}
+	return string(packed)
+}
+
+var wallTime = regexp.MustCompile(`\d{4}-\d\d-\d\dT[\d:.]+(Z|[+-]\d\d:\d\d)`)
+
+func maskedText(s string, vary []string) string {
+	for i, text := range vary {
+		s = strings.ReplaceAll(s, text, fmt.Sprint("<", i, ">"))
+	}
+	return wallTime.ReplaceAllString(s, "<time>")
+}
+
+// Each call of the operator's interface at a daemon that is a fleet by itself.
+func TestOperatorCallsKeepTheirAnswers(t *testing.T) {
+	cfg := Default()
+	cfg.Wire, cfg.Web, cfg.Partitions, cfg.Data, cfg.Losses = freeAddress(t), freeAddress(t), 1, t.TempDir(), 0
+	cfg.Seeds = []string{cfg.Wire}
+	c, plan := runDaemon(t, cfg), `{"id":"first","tenants":[],"services":[{"name":"m","prefill_servers":1,"decode_servers":1}]}`
+	backup := filepath.Join(t.TempDir(), "backup")
+	packed := string(leadercall.Pack(fleetconfig.Plan{ID: "first", Tenants: []fleetconfig.Tenant{}, Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}))
+	servers := string(leadercall.Pack(fleetconfig.List{Version: 1, Servers: []fleetconfig.Server{{Addr: "10.0.0.9:80", Zone: "north", Capacity: 1}}}))
+	var text strings.Builder
+	call := func(method, path, body string) int {
+		w, r := httptest.NewRecorder(), httptest.NewRequestWithContext(t.Context(), method, path, strings.NewReader(body))
+		c.Mux.ServeHTTP(w, r)
+		fmt.Fprintf(&text, "%s %s\n%d", method, maskedText(path, []string{backup}), w.Code)
+		for _, name := range []string{"Content-Type", "Retry-After", "Warning", "Allow"} {
+			if v := w.Header().Get(name); v != "" {
+				fmt.Fprintf(&text, " %s: %s;", name, v)
+			}
+		}
+		fmt.Fprintf(&text, "\n%s\n", masked(w.Body.Bytes(), c.Ident(), cfg.Wire, cfg.Web, cfg.Data, backup))
+		return w.Code
+	}
+	call("GET", "/livez", "")
+	call("GET", "/readyz", "")
+	if code, answer := c.Ask(t.Context(), 0, "plan", []byte(packed), 20*time.Second); code != 200 {
+		t.Fatalf("the first plan: %d %s", code, answer)
+	}
+	await(t, c.Daemon, func() bool { return c.ready.Load() && c.isReady() })
+	call("GET", "/readyz", "")
+	call("GET", "/v1/plan/template", "")
+	call("GET", "/v1/plan", "")
+	call("PUT", "/v1/plan", packed)
+	call("PUT", "/v1/plan", plan)
+	call("PUT", "/v1/plan", `{"id":1}`)
+	call("POST", "/v1/plan/changes", `{"id":"next","base":1,"changes":[{"op":"drop-tenant","name":"x"}]}`)
+	call("POST", "/v1/zones/north/evacuate", "")
+	await(t, c.Daemon, func() bool {
+		state := c.State()
+		return len(state.Zones) == 1 && state.Live && state.PlanOK && state.Me.Ready && !state.Me.Empty && state.Members[0] == state.Me &&
+			state.Partitions[0].Mine && state.Partitions[1].Mine && len(c.View().Owns) == len(state.Partitions)
+	})
+	call("GET", "/v1/state", "")
+	call("POST", "/v1/zones/zone-1/return", "")
+	method, path, _ := strings.Cut("POST /v1/cells/{zone}/{op}", " ")
+	call(method, strings.NewReplacer("{zone}", "north", "{op}", "return").Replace(path), "")
+	call("POST", "/v1/zones/north/leave", "")
+	call("POST", "/v1/replicas", `{"out":""}`)
+	method, path, _ = strings.Cut("POST /v1/seats", " ")
+	call(method, path, `{"out":"a","ident":"b","addr":"10.0.0.1:1"}`)
+	call("PUT", "/v1/services/m/servers", servers)
+	call("PUT", "/v1/services/m/servers", `{"version":0,"servers":[{"addr":"x"}]}`)
+	call("GET", "/v1/services/m/servers", "")
+	call("GET", "/v1/services/n/servers", "")
+	call("GET", "/v1/services/a%20b/servers", "")
+	call("GET", "/v1/ring", "")
+	call("GET", "/v1/ring?since=x", "")
+	call("POST", "/v1/backup?to=relative", "")
+	call("POST", "/v1/backup?to="+backup, "")
+	call("POST", "/v1/backup?to="+backup, "")
+	call("DELETE", "/v1/plan", "")
+	call("POST", "/test/cut", "[]")
+	c.Leave()
+	call("GET", "/readyz", "")
+	golden(t, "operator-calls.txt", text.String())
+}
+
+// await waits until something is so, looked at whenever records change and often
+// between.
+func await(t *testing.T, c *Daemon, so func() bool) {
+	t.Helper()
+	limit, often := time.After(20*time.Second), time.NewTicker(10*time.Millisecond)
+	defer often.Stop()
+	for !so() {
+		select {
+		case <-limit:
+			t.Fatal("not in time: " + c.unready())
+		case <-c.News():
+		case <-often.C:
+		}
+	}
+}
+
+// The switches that tests use keep their paths and answers.
+func TestSwitchesKeepTheirAnswers(t *testing.T) {
+	c := alone(t, func(cfg *Config) { steady(cfg); cfg.Test = true })
+	var text strings.Builder
+	for _, call := range [][2]string{{"cut", `["10.0.0.1:1"]`}, {"cut", "x"}, {"deaf", "[]"}, {"slow?for=300ms", ""}, {"slow", ""}, {"stall?for=1s", ""}, {"leap?by=30s", ""}, {"leap", ""}, {"full?on=1", ""}} {
+		w := httptest.NewRecorder()
+		c.Mux.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), "POST", "/test/"+call[0], strings.NewReader(call[1])))
+		fmt.Fprintf(&text, "POST /test/%s %s\n%d %s", call[0], call[1], w.Code, w.Body)
+	}
+	golden(t, "switches.txt", text.String())
+}
+
+var route = regexp.MustCompile(`^(GET|HEAD|PUT|POST|PATCH|DELETE) /`)
+
+// The paths that the daemon registers, with their methods: as its sources name
+// them, and as its mux knows them.
+func TestPathsStay(t *testing.T) {
+	sources, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var paths []string
+	for _, source := range sources {
+		if strings.HasSuffix(source, "_test.go") {
+			continue
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), source, nil, 0)
+		if err != nil {
+			t.Fatal(err)
+		}
+		ast.Inspect(file, func(n ast.Node) bool {
+			if literal, ok := n.(*ast.BasicLit); ok && literal.Kind == token.STRING {
+				if text, err := strconv.Unquote(literal.Value); err == nil && route.MatchString(text) {
+					paths = append(paths, text)
+				}
+			}
+			return true
+		})
+	}
+	slices.Sort(paths)
+	c := alone(t, func(cfg *Config) { cfg.Data, cfg.Test = t.TempDir(), true })
+	for _, path := range paths {
+		method, place, _ := strings.Cut(path, " ")
+		place = strings.NewReplacer("{", "", "}", "").Replace(place)
+		r, err := http.NewRequestWithContext(t.Context(), method, place, nil)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if _, pattern := c.Mux.Handler(r); pattern != path {
+			t.Errorf("%s is served by %q", path, pattern)
+		}
+	}
+	golden(t, "paths.txt", strings.Join(paths, "\n")+"\n")
+}
+
+// The figures of the control plane keep their names.
+func TestMetricsKeepTheirNames(t *testing.T) {
+	c := alone(t, func(*Config) {})
+	names := c.Metrics.ListMetricNames()
+	slices.Sort(names)
+	golden(t, "metrics.txt", strings.Join(names, "\n")+"\n")
+}
+
+// leaves are the values below one, sorted, without their names.
+func leaves(v reflect.Value) (list []string) {
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			list = append(list, leaves(v.Field(i))...)
+		}
+	case reflect.Slice:
+		for i := range v.Len() {
+			list = append(list, leaves(v.Index(i))...)
+		}
+	default:
+		list = append(list, fmt.Sprint(v))
+	}
+	slices.Sort(list)
+	return list
+}
+
+// The settings of the file and the flags keep their names, defaults, and places.
+func TestSettingsKeepTheirNames(t *testing.T) {
+	var text bytes.Buffer
+	show := func(what string, args ...string) {
+		cfg, err := ReadConfig("mulleinmast", args, &text)
+		fmt.Fprintf(&text, "%s: %v\n", what, err)
+		for _, leaf := range leaves(reflect.ValueOf(cfg)) {
+			fmt.Fprintln(&text, " ", leaf)
+		}
+	}
+	show("usage", "-h")
+	show("file", "-config", "testdata/settings.json")
+	show("faults of a file", "-config", "testdata/faulty.json")
+	show("no file", "-config", "testdata/nowhere.json")
+	show("flags", "-fleet", "f1", "-wire", "10.0.0.1:1", "-web", "10.0.0.1:2", "-zone", "z1", "-seeds", "10.0.0.3:3,10.0.0.4:4", "-data", "d1", "-partitions", "5",
+		"-drift", "0.06", "-losses", "3", "-first=false", "-admit", "7.5", "-queue", "88", "-test-switches")
+	show("over the file", "-config", "testdata/settings.json", "-zone", "z1", "-queue", "88")
+	show("faults", "-fleet", "a b", "-wire", "0.0.0.0:1", "-web", "x", "-zone", "", "-seeds", "x,x", "-partitions", "65", "-drift", "0.3", "-losses", "5", "-admit", "101", "-queue", "0", "stray")
+	for _, set := range []func(*Config){
+		func(c *Config) { c.Bounds.Plan = 0 },
+		func(c *Config) { c.Bounds.Leave = 0 },
+		func(c *Config) { c.Bounds.Evacuate = 0 },
+		func(c *Config) { c.Bounds.Swap = 2 * time.Hour },
+		func(c *Config) { c.Bounds.Recover = 0 },
+		func(c *Config) { c.Ring = 1 },
+	} {
+		cfg := Default()
+		cfg.Wire, cfg.Web, cfg.Seeds = "10.0.0.1:1", "10.0.0.1:2", []string{"10.0.0.1:1"}
+		set(&cfg)
+		fmt.Fprintln(&text, cfg.Check().List)
+	}
+	golden(t, "settings.txt", text.String())
+}
