--- a/cmd/daygen/draw.go
+++ b/cmd/daygen/draw.go
@@ -64,8 +64,10 @@
 // Everything else may come at any moment.
 func Draw(site Site, table Table, wish Wish) (Day, error) {
 	one, zero, floor, wall := site.marks()
-	d := &drawer{site: site, wish: wish, luck: rand.New(rand.NewPCG(wish.Seed, uint64(len(table.Kinds)))), clear: quietStart,
-		day: &Day{Site: site.Name, Wish: wish, One: one, Zero: zero, Floor: floor}}
+	d := &drawer{
+		site: site, wish: wish, luck: rand.New(rand.NewPCG(wish.Seed, uint64(len(table.Kinds)))), clear: quietStart,
+		day: &Day{Site: site.Name, Wish: wish, One: one, Zero: zero, Floor: floor},
+	}
 	drawn, err := d.choose(table)
 	if err != nil {
 		return Day{}, err
@@ -186,8 +188,10 @@
 		}
 		return number(tidy(v))
 	}
-	return Trouble{Kind: k.Name, On: d.word(k.On), Service: d.word(k.Of), Class: d.word(k.Class), How: d.word(k.How),
-		Share: draw(k.Share, false), Count: draw(k.Count, true), X: draw(k.X, false), ForS: draw(k.ForS, false), GapS: draw(k.GapS, false)}
+	return Trouble{
+		Kind: k.Name, On: d.word(k.On), Service: d.word(k.Of), Class: d.word(k.Class), How: d.word(k.How),
+		Share: draw(k.Share, false), Count: draw(k.Count, true), X: draw(k.X, false), ForS: draw(k.ForS, false), GapS: draw(k.GapS, false),
+	}
 }
 
 func (d *drawer) word(of []string) string {
--- a/cmd/daygen/site.go
+++ b/cmd/daygen/site.go
@@ -81,9 +81,11 @@
 	}
 	var t Table
 	for _, e := range s.Troubles {
-		k := Kind{Name: e.Kind, Planned: planned[e.Kind], Storm: e.GapS != nil && e.ForS != nil && e.Share == nil && e.X == nil && planned[e.Kind],
+		k := Kind{
+			Name: e.Kind, Planned: planned[e.Kind], Storm: e.GapS != nil && e.ForS != nil && e.Share == nil && e.X == nil && planned[e.Kind],
 			How: one(e.How), On: one(e.On), Of: one(e.Service), Class: one(e.Class),
-			Share: around(e.Share, 1), Count: exactly(e.Count), X: around(e.X, 0), ForS: around(e.ForS, 0), GapS: around(e.GapS, 0)}
+			Share: around(e.Share, 1), Count: exactly(e.Count), X: around(e.X, 0), ForS: around(e.ForS, 0), GapS: around(e.GapS, 0),
+		}
 		if !k.Planned && len(k.Of) == 0 && len(k.Class) == 0 {
 			k.Loses = loseMachine
 		}
--- a/control/daemon/config.go
+++ b/control/daemon/config.go
@@ -73,9 +73,11 @@
 //
 // Example: c := daemon.Default()
 func Default() Config {
-	return Config{Fleet: "mulleinmast", Zone: "zone-1", Partitions: 8, Drift: 0.02, Queue: 512, Ring: 4096, Losses: 1, First: true,
+	return Config{
+		Fleet: "mulleinmast", Zone: "zone-1", Partitions: 8, Drift: 0.02, Queue: 512, Ring: 4096, Losses: 1, First: true,
 		Touch: 3 * time.Second, Catch: 4 * time.Second, Ack: 4 * time.Second, Grace: 12 * time.Second, CPU: 1, Admit: 3, Retry: Retry{Ratio: 0.2, Window: 12 * time.Second}, Warm: Warm{Over: 1},
-		Bounds: Bounds{Plan: 2 * time.Second, Leave: 3 * time.Second, Evacuate: 5 * time.Second, Swap: 3 * time.Second, Recover: 12 * time.Second}}
+		Bounds: Bounds{Plan: 2 * time.Second, Leave: 3 * time.Second, Evacuate: 5 * time.Second, Swap: 3 * time.Second, Recover: 12 * time.Second},
+	}
 }
 
 type file struct {
@@ -211,8 +213,13 @@
 		name string
 		from *string
 		to   *time.Duration
-	}{{"bound_plan", in.Plan, &c.Bounds.Plan}, {"bound_leave", in.Leave, &c.Bounds.Leave}, {"bound_evacuate", in.Evacuate, &c.Bounds.Evacuate},
-		{"bound_swap", in.Swap, &c.Bounds.Swap}, {"bound_recover", in.Recover, &c.Bounds.Recover}} {
+	}{
+		{"bound_plan", in.Plan, &c.Bounds.Plan},
+		{"bound_leave", in.Leave, &c.Bounds.Leave},
+		{"bound_evacuate", in.Evacuate, &c.Bounds.Evacuate},
+		{"bound_swap", in.Swap, &c.Bounds.Swap},
+		{"bound_recover", in.Recover, &c.Bounds.Recover},
+	} {
 		if x.from == nil {
 			continue
 		}
@@ -311,8 +318,10 @@
 //
 // Example: node := lease.New(c.Leases(), 0, me, epoch)
 func (c Config) Leases() lease.Config {
-	return lease.Config{Vol: c.Vol(), Obj: 600 * c.Vol(), Drift: c.Drift, Margin: c.margin(), Beat: c.Vol() / 3,
-		Gain: fraction(c.Bounds.Plan, 0.01), Span: 5 * c.Vol(), Most: 2000}
+	return lease.Config{
+		Vol: c.Vol(), Obj: 600 * c.Vol(), Drift: c.Drift, Margin: c.margin(), Beat: c.Vol() / 3,
+		Gain: fraction(c.Bounds.Plan, 0.01), Span: 5 * c.Vol(), Most: 2000,
+	}
 }
 
 // goneRatio is the part of the catch-up bound after which a silent replica goes to
@@ -351,7 +360,9 @@
 // Example: h := placement.New(c.Works(), term, since)
 func (c Config) Works() placement.Config {
 	b := c.Bounds
-	return placement.Config{Swap: b.Swap, Poll: fraction(b.Leave, 0.08), Warm: b.Swap, Share: fraction(b.Leave, 0.25), Drift: c.Drift, Margin: c.margin(),
+	return placement.Config{
+		Swap: b.Swap, Poll: fraction(b.Leave, 0.08), Warm: b.Swap, Share: fraction(b.Leave, 0.25), Drift: c.Drift, Margin: c.margin(),
 		Dwell: 2 * b.Evacuate, Window: fraction(b.Leave, 0.8), Drain: 2 * b.Recover, Slow: fraction(b.Plan, 0.05), Dark: 3, High: 0.9, Low: 0.6,
-		Settle: b.Swap, Press: b.Swap / 8}
+		Settle: b.Swap, Press: b.Swap / 8,
+	}
 }
--- a/control/daemon/daemon.go
+++ b/control/daemon/daemon.go
@@ -115,8 +115,10 @@
 //
 // Example: c, err := daemon.Open(cfg, records)
 func Open(cfg Config, events *eventlog.Log) (*Daemon, error) {
-	c := &Daemon{Cfg: cfg, Events: events, Mux: http.NewServeMux(), Metrics: metrics.NewSet(), Polls: undriven{}, Orders: undriven{}, clock: clock.New(), epoch: 1,
-		dwake: make(chan struct{}, 1), calls: map[uint64]chan leadercall.Done{}, news: make(chan struct{}), superseded: superseded{told: make(chan struct{})}}
+	c := &Daemon{
+		Cfg: cfg, Events: events, Mux: http.NewServeMux(), Metrics: metrics.NewSet(), Polls: undriven{}, Orders: undriven{}, clock: clock.New(), epoch: 1,
+		dwake: make(chan struct{}, 1), calls: map[uint64]chan leadercall.Done{}, news: make(chan struct{}), superseded: superseded{told: make(chan struct{})},
+	}
 	c.me = message.Replica{Ident: storage.NewIdent(), Addr: cfg.Wire}
 	if cfg.Data != "" {
 		a, err := openFolder(cfg, events)
--- a/control/fleetconfig/change.go
+++ b/control/fleetconfig/change.go
@@ -90,9 +90,11 @@
 // Example: next, f := plan.With(changes)
 func (p Plan) With(c Changes) (Plan, Faults) {
 	var f Faults
-	d := draft{tenants: newList(p.Tenants, func(t *Tenant) string { return t.Name }),
+	d := draft{
+		tenants:  newList(p.Tenants, func(t *Tenant) string { return t.Name }),
 		services: newList(p.Services, func(s *Service) string { return s.Name }),
-		routes:   newList(p.Routes, func(r *Route) string { return r.Name }), limits: p.Limits, needs: p.Needs}
+		routes:   newList(p.Routes, func(r *Route) string { return r.Name }), limits: p.Limits, needs: p.Needs,
+	}
 	for i := range d.services.items {
 		d.services.items[i].Exclude = slices.Clone(d.services.items[i].Exclude)
 	}
--- a/control/fleetconfig/fleetconfig.go
+++ b/control/fleetconfig/fleetconfig.go
@@ -102,8 +102,10 @@
 //
 // Example: json.Marshal(fleetconfig.Template())
 func Template() Plan {
-	return Plan{ID: "change-me", Tenants: []Tenant{{Name: "tenant", Priority: 5, Timeout: 30000, Queue: 0.5}},
-		Services: []Service{{Name: "model", PrefillServers: 1, DecodeServers: 1}}}
+	return Plan{
+		ID: "change-me", Tenants: []Tenant{{Name: "tenant", Priority: 5, Timeout: 30000, Queue: 0.5}},
+		Services: []Service{{Name: "model", PrefillServers: 1, DecodeServers: 1}},
+	}
 }
 
 // Faults collects everything wrong with an input.
--- a/control/fleetconfig/route_test.go
+++ b/control/fleetconfig/route_test.go
@@ -17,7 +17,8 @@
 	p := good()
 	p.Routes = []Route{
 		{Name: "r1", Host: "a.example", Prefix: "/x/", Kind: Safe, GiveUp: 100, Services: []Share{{"m", 1}}},
-		{Name: "r2", Host: "a.example", Prefix: "/y/", Kind: Stream, GiveUp: 100, Services: []Share{{"m", 0}, {"m", 9}}}}
+		{Name: "r2", Host: "a.example", Prefix: "/y/", Kind: Stream, GiveUp: 100, Services: []Share{{"m", 0}, {"m", 9}}},
+	}
 	return p
 }
 
@@ -73,8 +74,17 @@
 		number uint64
 		result string
 		ver    uint64
-	}{{"a", 0, 5, "taken", 5}, {"b", 5, 5, "broken", 5}, {"c", 5, 4, "broken", 5}, {"d", 4, 9, "beaten", 5}, {"e", 5, 12, "taken", 12},
-		{"f", 12, 0, "taken", 13}, {"a", 0, 5, "taken", 5}, {"e", 5, 12, "taken", 12}, {"g", 0, 14, "beaten", 13}} {
+	}{
+		{"a", 0, 5, "taken", 5},
+		{"b", 5, 5, "broken", 5},
+		{"c", 5, 4, "broken", 5},
+		{"d", 4, 9, "beaten", 5},
+		{"e", 5, 12, "taken", 12},
+		{"f", 12, 0, "taken", 13},
+		{"a", 0, 5, "taken", 5},
+		{"e", 5, 12, "taken", 12},
+		{"g", 0, 14, "beaten", 13},
+	} {
 		recs, v, err := Decide(s.read, new(PlanReader), x.id, x.base, x.number, to(routed(), x.number))
 		if err != nil || v.Result != x.result || v.Version != x.ver || (v.Result == "broken") != (len(v.Faults) == 1) {
 			t.Errorf("%d: %+v %v, expected %s %d", i, v, err, x.result, x.ver)
@@ -99,13 +109,20 @@
 	r.GiveUp = 7
 	added := r
 	added.Name, added.Prefix = "r3", "/z/"
-	next, f := p.With(Changes{ID: "x", Number: 8, Changes: []Change{{Op: "set-route", Route: &added}, {Op: "set-route", Route: &r}, {Op: "drop-route", Name: "r2"},
-		{Op: "drop-route", Name: "r9", Lenient: true}, {Op: "set-limits", Limits: &Limits{Idle: 3}}}})
+	next, f := p.With(Changes{ID: "x", Number: 8, Changes: []Change{
+		{Op: "set-route", Route: &added},
+		{Op: "set-route", Route: &r},
+		{Op: "drop-route", Name: "r2"},
+		{Op: "drop-route", Name: "r9", Lenient: true},
+		{Op: "set-limits", Limits: &Limits{Idle: 3}},
+	}})
 	if f.Any() || next.Number != 8 || next.Limits.Idle != 3 || !reflect.DeepEqual(next.Routes, []Route{r, added}) || !reflect.DeepEqual(p, routed()) {
 		t.Errorf("%+v %v", next, f)
 	}
-	for want, c := range map[string]Change{"no route": {Op: "drop-route", Name: "r9"}, "needs a route": {Op: "set-route"}, "needs limits": {Op: "set-limits"},
-		"no service": {Op: "drop-service", Name: "m"}} {
+	for want, c := range map[string]Change{
+		"no route": {Op: "drop-route", Name: "r9"}, "needs a route": {Op: "set-route"}, "needs limits": {Op: "set-limits"},
+		"no service": {Op: "drop-service", Name: "m"},
+	} {
 		_, f := p.With(Changes{ID: "x", Changes: []Change{c}})
 		if !f.Any() || !strings.Contains(f.List[0], want) {
 			t.Errorf("%s: %v", want, f)
--- a/control/leader/cutoff_test.go
+++ b/control/leader/cutoff_test.go
@@ -24,8 +24,13 @@
 		body []byte
 		code int // from the leader
 	}{
-		{"plan", plan, 200}, {"plan", leadercall.Pack(fleetconfig.Plan{ID: "two"}), 409}, {"plan", []byte("{"), 400}, {"changes", leadercall.Pack(fleetconfig.Changes{ID: "c", Base: 9}), 409},
-		{"evacuate", []byte("north"), 200}, {"seat", leadercall.Pack(ReplicaCall{Out: "nobody"}), 409}, {"no such call", nil, 400},
+		{"plan", plan, 200},
+		{"plan", leadercall.Pack(fleetconfig.Plan{ID: "two"}), 409},
+		{"plan", []byte("{"), 400},
+		{"changes", leadercall.Pack(fleetconfig.Changes{ID: "c", Base: 9}), 409},
+		{"evacuate", []byte("north"), 200},
+		{"seat", leadercall.Pack(ReplicaCall{Out: "nobody"}), 409},
+		{"no such call", nil, 400},
 	}
 	for i, x := range calls {
 		if code, word := a.call("d", uint64(i+1), uint64(i+1), x.op, x.body); code != x.code {
--- a/control/leader/plan_test.go
+++ b/control/leader/plan_test.go
@@ -12,8 +12,10 @@
 // A daemon may pass a plan or changes on packed: the leader does the same with
 // them as with plain ones, and names one that can't be opened.
 func TestPackedCalls(t *testing.T) {
-	plan := fleetconfig.Plan{ID: "p", Number: 4, Tenants: []fleetconfig.Tenant{}, Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}},
-		Routes: []fleetconfig.Route{{Name: "r", Host: "h", Prefix: "/", Kind: fleetconfig.Safe, GiveUp: 5, Services: []fleetconfig.Share{{Service: "m", Weight: 1}}}}}
+	plan := fleetconfig.Plan{
+		ID: "p", Number: 4, Tenants: []fleetconfig.Tenant{}, Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}},
+		Routes: []fleetconfig.Route{{Name: "r", Host: "h", Prefix: "/", Kind: fleetconfig.Safe, GiveUp: 5, Services: []fleetconfig.Share{{Service: "m", Weight: 1}}}},
+	}
 	drop := fleetconfig.Changes{ID: "c", Base: 4, Number: 9, Changes: []fleetconfig.Change{{Op: "drop-route", Name: "r"}}}
 	held := map[string]message.Rec{}
 	read := func(key string) message.Rec {
--- a/control/leader/stored_test.go
+++ b/control/leader/stored_test.go
@@ -101,12 +101,23 @@
 		op   string
 		body []byte
 	}{
-		{"plan", leadercall.Pack(plan)}, {"plan", leadercall.Pack(plan)}, {"plan", leadercall.Pack(fleetconfig.Plan{ID: "p2"})},
-		{"plan", leadercall.Pack(fleetconfig.Plan{Base: 1})}, {"plan", []byte("{")}, {"changes", packed}, {"changes", packed},
+		{"plan", leadercall.Pack(plan)},
+		{"plan", leadercall.Pack(plan)},
+		{"plan", leadercall.Pack(fleetconfig.Plan{ID: "p2"})},
+		{"plan", leadercall.Pack(fleetconfig.Plan{Base: 1})},
+		{"plan", []byte("{")},
+		{"changes", packed},
+		{"changes", packed},
 		{"changes", leadercall.Pack(fleetconfig.Changes{ID: "c2", Base: 2})},
-		{"evacuate", []byte("north")}, {"evacuate", []byte("north")}, {"return", []byte("north")}, {"evacuate", []byte("north")},
-		{"seat", []byte(`{"out":"x","ident":"y","addr":"10.0.0.4:1"}`)}, {"seat", []byte(`{"out":"o","ident":"y","addr":"10.0.0.4:1"}`)},
-		{"seat", []byte(`{"out":"o","ident":"y","addr":"10.0.0.4:1"}`)}, {"seat", []byte("7")}, {"no such call", nil},
+		{"evacuate", []byte("north")},
+		{"evacuate", []byte("north")},
+		{"return", []byte("north")},
+		{"evacuate", []byte("north")},
+		{"seat", []byte(`{"out":"x","ident":"y","addr":"10.0.0.4:1"}`)},
+		{"seat", []byte(`{"out":"o","ident":"y","addr":"10.0.0.4:1"}`)},
+		{"seat", []byte(`{"out":"o","ident":"y","addr":"10.0.0.4:1"}`)},
+		{"seat", []byte("7")},
+		{"no such call", nil},
 	} {
 		config.call(config.no+1, x.op, x.body)
 	}
@@ -124,11 +135,24 @@
 		op   string
 		body []byte
 	}{
-		{"servers", servers(2, "10.0.0.1:1")}, {"servers", servers(2, "10.0.0.1:1")}, {"servers", servers(1, "10.0.0.2:1")},
-		{"servers", servers(0, "10.0.0.3:1")}, {"servers", []byte("{")}, {"claim", once("r1", "claimed")}, {"claim", once("r1", "claimed")},
-		{"claim", once("r2", "claimed")}, {"unclaim", once("r1", "shed")}, {"claim", once("r2", "claimed")}, {"unclaim", once("r1", "shed")},
-		{"unclaim", once("r3", "shed")}, {"claim", once("r3", "claimed")}, {"unclaim", once("r2", "done")}, {"claim", once("r4", "claimed")},
-		{"claim", []byte("7")}, {"want", []byte("{")}, {"want", []byte(`{"s":"m"}`)},
+		{"servers", servers(2, "10.0.0.1:1")},
+		{"servers", servers(2, "10.0.0.1:1")},
+		{"servers", servers(1, "10.0.0.2:1")},
+		{"servers", servers(0, "10.0.0.3:1")},
+		{"servers", []byte("{")},
+		{"claim", once("r1", "claimed")},
+		{"claim", once("r1", "claimed")},
+		{"claim", once("r2", "claimed")},
+		{"unclaim", once("r1", "shed")},
+		{"claim", once("r2", "claimed")},
+		{"unclaim", once("r1", "shed")},
+		{"unclaim", once("r3", "shed")},
+		{"claim", once("r3", "claimed")},
+		{"unclaim", once("r2", "done")},
+		{"claim", once("r4", "claimed")},
+		{"claim", []byte("7")},
+		{"want", []byte("{")},
+		{"want", []byte(`{"s":"m"}`)},
 	} {
 		service.call(service.no+1, x.op, x.body)
 	}
--- a/control/lease/cutoff_test.go
+++ b/control/lease/cutoff_test.go
@@ -23,7 +23,8 @@
 			t.Fatalf("root %v: leased %v, last %v", root, ok, l.last("k"))
 		}
 		ask := []message.Message{
-			{Kind: message.Renew, No: 7, Mark: l.Mark(), Keys: []string{"k"}}, {Kind: message.Renew, No: 8},
+			{Kind: message.Renew, No: 7, Mark: l.Mark(), Keys: []string{"k"}},
+			{Kind: message.Renew, No: 8},
 			{Kind: message.Listing, No: 9, Mark: l.Mark(), Recs: []message.Rec{{Key: "k", Ver: l.recs["k"].Ver}}},
 		}
 		for _, n := range ask {
--- a/control/membership/found_test.go
+++ b/control/membership/found_test.go
@@ -316,8 +316,18 @@
 		zones []int
 		n     int
 		most  int // replicas in one zone
-	}{{[]int{2, 2, 2}, 5, 2}, {[]int{2, 2, 2, 2}, 5, 2}, {[]int{6, 1, 1}, 5, 3}, {[]int{4, 2, 2}, 5, 2}, {[]int{5, 1, 1}, 3, 1},
-		{[]int{3, 3}, 3, 2}, {[]int{6}, 5, 5}, {[]int{1, 1, 1}, 3, 1}, {[]int{1}, 1, 1}, {[]int{3, 2}, 1, 1}} {
+	}{
+		{[]int{2, 2, 2}, 5, 2},
+		{[]int{2, 2, 2, 2}, 5, 2},
+		{[]int{6, 1, 1}, 5, 3},
+		{[]int{4, 2, 2}, 5, 2},
+		{[]int{5, 1, 1}, 3, 1},
+		{[]int{3, 3}, 3, 2},
+		{[]int{6}, 5, 5},
+		{[]int{1, 1, 1}, 3, 1},
+		{[]int{1}, 1, 1},
+		{[]int{3, 2}, 1, 1},
+	} {
 		list := make(x.zones...)
 		replicas := Spread(list, nil, x.n)
 		in := map[byte]int{}
--- a/control/membership/membership.go
+++ b/control/membership/membership.go
@@ -69,8 +69,10 @@
 //
 // Example: r := membership.New(cfg, me, seeds)
 func New(cfg Config, me message.Member, seeds []string) *Table {
-	return &Table{cfg: cfg, me: me, seeds: seeds, mine: map[string]session{}, heard: map[string]rumour{}, owns: map[int]message.Own{},
-		lost: map[string]Lost{}, acked: map[string]uint64{}, backAt: -cfg.Session, ctl: int(weight(0, me.Addr) % 97)}
+	return &Table{
+		cfg: cfg, me: me, seeds: seeds, mine: map[string]session{}, heard: map[string]rumour{}, owns: map[int]message.Own{},
+		lost: map[string]Lost{}, acked: map[string]uint64{}, backAt: -cfg.Session, ctl: int(weight(0, me.Addr) % 97),
+	}
 }
 
 // Know adds addresses of control daemons that were learnt elsewhere: seeds may
--- a/control/placement/balance.go
+++ b/control/placement/balance.go
@@ -67,7 +67,7 @@
 	if h.Strain == nil || !h.listed(keys) {
 		return
 	}
-	var side = map[string][]string{}
+	side := map[string][]string{}
 	present := map[string]int{}
 	moving, all := false, 0
 	for _, k := range keys {
--- a/control/placement/balance_test.go
+++ b/control/placement/balance_test.go
@@ -149,9 +149,12 @@
 		cold          bool
 		want          string
 	}{
-		{Decode, Prefill, true, Decode}, {Prefill, Decode, true, Prefill},
-		{Decode, Decode, true, Decode}, {Prefill, Prefill, true, Prefill},
-		{Decode, Prefill, false, Prefill}, {Prefill, Decode, false, Decode},
+		{Decode, Prefill, true, Decode},
+		{Prefill, Decode, true, Prefill},
+		{Decode, Decode, true, Decode},
+		{Prefill, Prefill, true, Prefill},
+		{Decode, Prefill, false, Prefill},
+		{Prefill, Decode, false, Decode},
 	} {
 		s := newSite(t, 4, 2, fleetconfig.Service{})
 		s.run(5 * time.Second)
--- a/control/placement/placement.go
+++ b/control/placement/placement.go
@@ -94,8 +94,10 @@
 //
 // Example: h := placement.New(cfg, replica.Num(), replica.Since())
 func New(cfg Config, term uint64, since time.Duration) *Holder {
-	return &Holder{cfg: cfg, term: term, since: since, servers: map[string]*server{}, daemons: map[string]*daemon{},
-		share: map[string]float64{}, moved: map[string]time.Duration{}, short: map[string]time.Duration{}, plan: map[string]fleetconfig.Service{}, out: map[string]bool{}}
+	return &Holder{
+		cfg: cfg, term: term, since: since, servers: map[string]*server{}, daemons: map[string]*daemon{},
+		share: map[string]float64{}, moved: map[string]time.Duration{}, short: map[string]time.Duration{}, plan: map[string]fleetconfig.Service{}, out: map[string]bool{},
+	}
 }
 
 // Plan tells the holder of the plan and the evacuated zones in force.
--- a/control/placement/placement_test.go
+++ b/control/placement/placement_test.go
@@ -11,8 +11,10 @@
 	"mulleinmast/wire/message"
 )
 
-var cfg = Config{Swap: 3 * time.Second, Poll: 240 * time.Millisecond, Warm: 3 * time.Second, Share: 750 * time.Millisecond, Drift: 0.02, Margin: 20 * time.Millisecond,
-	Dwell: 10 * time.Second, Window: 2400 * time.Millisecond, Drain: 24 * time.Second, Slow: 100 * time.Millisecond, Dark: 3, High: 0.9, Low: 0.6}
+var cfg = Config{
+	Swap: 3 * time.Second, Poll: 240 * time.Millisecond, Warm: 3 * time.Second, Share: 750 * time.Millisecond, Drift: 0.02, Margin: 20 * time.Millisecond,
+	Dwell: 10 * time.Second, Window: 2400 * time.Millisecond, Drain: 24 * time.Second, Slow: 100 * time.Millisecond, Dark: 3, High: 0.9, Low: 0.6,
+}
 
 func fleet(n int) (*Holder, fleetconfig.List) {
 	h := New(cfg, 1, 0)
--- a/control/quorum/incarnation_test.go
+++ b/control/quorum/incarnation_test.go
@@ -234,8 +234,13 @@
 	for _, x := range []struct {
 		state message.Stamp
 		is    bool
-	}{{message.Stamp{Epoch: 1 << 32, Saves: 99}, true}, {message.Stamp{Epoch: 5 << 32, Saves: 5}, true}, {message.Stamp{Epoch: 5 << 32, Saves: 6}, false},
-		{message.Stamp{Epoch: 5<<32 + 1, Saves: 1}, false}, {message.Stamp{}, true}} {
+	}{
+		{message.Stamp{Epoch: 1 << 32, Saves: 99}, true},
+		{message.Stamp{Epoch: 5 << 32, Saves: 5}, true},
+		{message.Stamp{Epoch: 5 << 32, Saves: 6}, false},
+		{message.Stamp{Epoch: 5<<32 + 1, Saves: 1}, false},
+		{message.Stamp{}, true},
+	} {
 		if f.descends(x.state) != x.is {
 			t.Errorf("%v is in its past: %v", x.state, !x.is)
 		}
--- a/control/quorum/quorum.go
+++ b/control/quorum/quorum.go
@@ -184,8 +184,10 @@
 //
 // Example: s := quorum.New(cfg, 0, me, folder, meta, records, now, false)
 func New(cfg Config, partition int, me message.Replica, folder *Folder, meta Meta, records *digest.Records, now time.Duration, fresh bool) *Replica {
-	s := &Replica{cfg: cfg, partition: partition, me: me, meta: meta, records: records, born: now, after: map[uint64][]message.Send{}, lives: map[string]uint64{},
-		rounds: map[uint64]time.Duration{}, yes: map[uint64]map[string]bool{}, writes: map[uint64]*write{}, few: map[uint64]*write{}}
+	s := &Replica{
+		cfg: cfg, partition: partition, me: me, meta: meta, records: records, born: now, after: map[uint64][]message.Send{}, lives: map[string]uint64{},
+		rounds: map[uint64]time.Duration{}, yes: map[uint64]map[string]bool{}, writes: map[uint64]*write{}, few: map[uint64]*write{},
+	}
 	s.guard = guard{folder: folder, admitted: map[string]bool{}}
 	s.now = now
 	s.till = now + cfg.Wait(cfg.LeaderLease)
--- a/names_test.go
+++ b/names_test.go
@@ -11,13 +11,15 @@
 // The platform's own names: of headers, the variable that names its settings
 // file, fields, words and paths. They stand where the platform is spoken to,
 // in what stands in for it, in tests of these and in the notes.
-var platformNames = []string{"x-mulleinmast", "mulleinmast_boot", "mulleinmast/settings",
+var platformNames = []string{
+	"x-mulleinmast", "mulleinmast_boot", "mulleinmast/settings",
 	"config-version", "weighted-services", "service-name", "path-start", "host-name", "route-kind", "give-up-ms", "target-ms", "gap-target-ms", "stick-to-server", "can-resume",
 	"health-path", "max-conns", "cold-per-s", "cold-left-ms", "cold-s\"", "memory-tokens", "token-bytes", "switch-time-s", "hold-s\"", "model-list",
 	"slot-count", "server-state", "next-token", "page-token", "prompt-handle", "token-count", "kv-handle", "call-count", "fence-number",
 	"node-name", "machine-class", "seed-nodes", "internal-ports", "is-first-start", "counts-loss", "data-folder", "listen-on", "public-http", "control-addr",
 	"machine-losses", "time-limits", "in-touch-ms", "ack-within-ms", "drain-ms", "grace-period-s", "apply-ms", "evacuate-ms", "retry-window-s", "cloud-api",
-	"/v1/evacuation", "/v1/config\"", "/v1/ready\"", "/v1/order\"", "/v1/report\""}
+	"/v1/evacuation", "/v1/config\"", "/v1/ready\"", "/v1/order\"", "/v1/report\"",
+}
 
 // spoken are the folders and files where the platform's names may stand. The
 // hollow fleets' source stands in for the platform's list.
--- a/proof/hollow/client.go
+++ b/proof/hollow/client.go
@@ -121,8 +121,10 @@
 	for i := range count {
 		now += time.Millisecond
 		id := fmt.Sprintf("r-%d", i)
-		c := forward.Call{ID: id, Service: model(0), Split: true, Tries: 3, Aim: 680 * time.Millisecond, Gap: 26 * time.Millisecond, Due: now + 30*time.Second,
-			Parts: []forward.Part{{Key: uint64(i % 50), Tokens: 20000}, {Key: uint64(1000 + i), Tokens: 400}}, In: 20400, Out: 275}
+		c := forward.Call{
+			ID: id, Service: model(0), Split: true, Tries: 3, Aim: 680 * time.Millisecond, Gap: 26 * time.Millisecond, Due: now + 30*time.Second,
+			Parts: []forward.Part{{Key: uint64(i % 50), Tokens: 20000}, {Key: uint64(1000 + i), Tokens: 400}}, In: 20400, Out: 275,
+		}
 		open = append(open, trip{id, l.Begin(now, c)})
 		if len(open) < abreast {
 			continue
--- a/proof/hollow/fit.go
+++ b/proof/hollow/fit.go
@@ -59,11 +59,13 @@
 var (
 	Sizes = map[string]func(Row) float64{
 		"daemons": func(r Row) float64 { return float64(r.Daemons) }, "servers": func(r Row) float64 { return float64(r.Servers) },
-		"routes": func(r Row) float64 { return float64(r.Routes) }, "tenants": func(r Row) float64 { return float64(r.Tenants) }}
+		"routes": func(r Row) float64 { return float64(r.Routes) }, "tenants": func(r Row) float64 { return float64(r.Tenants) },
+	}
 	Costs = map[string]func(Row) float64{
 		"messages in": func(r Row) float64 { return r.In }, "messages out": func(r Row) float64 { return r.Out },
 		"bytes": func(r Row) float64 { return r.BytesIn + r.BytesOut }, "core": func(r Row) float64 { return r.CPU },
-		"resident MB": func(r Row) float64 { return r.Memory }, "disk bytes": func(r Row) float64 { return r.Written }}
+		"resident MB": func(r Row) float64 { return r.Memory }, "disk bytes": func(r Row) float64 { return r.Written },
+	}
 )
 
 // Series picks one role's cost over a size out of rows.
--- a/proof/hollow/source.go
+++ b/proof/hollow/source.go
@@ -54,8 +54,10 @@
 		if float64(i/o.Models%10) < o.Reading*10 {
 			phase = "reading"
 		}
-		s.rows = append(s.rows, row{ID: fmt.Sprintf("srv-%05d-0", i), Model: model(i % o.Models), Addr: fmt.Sprintf("10.%d.%d.%d:9000", 1+i/60000, i/250%240, 1+i%250),
-			Zone: fmt.Sprintf("zone-%d", i/o.Models%o.Zones), Slots: 16, State: "running", Phase: phase})
+		s.rows = append(s.rows, row{
+			ID: fmt.Sprintf("srv-%05d-0", i), Model: model(i % o.Models), Addr: fmt.Sprintf("10.%d.%d.%d:9000", 1+i/60000, i/250%240, 1+i%250),
+			Zone: fmt.Sprintf("zone-%d", i/o.Models%o.Zones), Slots: 16, State: "running", Phase: phase,
+		})
 	}
 	s.srv = &http.Server{Handler: http.HandlerFunc(s.page)}
 	go func() { _ = s.srv.Serve(ln) }() // ends with close
@@ -134,6 +136,8 @@
 
 // change is route i as change no makes it.
 func change(o Options, i, no int) fleetconfig.Route {
-	return fleetconfig.Route{Name: fmt.Sprintf("route-%d", i), Host: fmt.Sprintf("tenant-%d.example", i%max(1, o.Tenants)), Prefix: fmt.Sprintf("/v1/%d/", i), Kind: "stream",
-		GiveUp: 30000 + no%1000, Target: 680, Gap: 26, Urgency: i % 4, Tries: 3, Sticky: true, Services: []fleetconfig.Share{{Service: model(i % o.Models), Weight: 1}}}
+	return fleetconfig.Route{
+		Name: fmt.Sprintf("route-%d", i), Host: fmt.Sprintf("tenant-%d.example", i%max(1, o.Tenants)), Prefix: fmt.Sprintf("/v1/%d/", i), Kind: "stream",
+		GiveUp: 30000 + no%1000, Target: 680, Gap: 26, Urgency: i % 4, Tries: 3, Sticky: true, Services: []fleetconfig.Share{{Service: model(i % o.Models), Weight: 1}},
+	}
 }
--- a/proof/hollow/spec.go
+++ b/proof/hollow/spec.go
@@ -40,8 +40,10 @@
 //
 // Example: f, err := hollow.Start(ctx, hollow.Default(40, 120))
 func Default(daemons, servers int) Options {
-	o := Options{Daemons: daemons, Core: 7, Zones: 10, Regions: 4, Servers: servers, Models: 9, Tenants: 60, Routes: 60, Reading: 0.3, Apply: 2 * time.Second, Losses: 1,
-		Port: 7300, Alone: 2, Shared: 150}
+	o := Options{
+		Daemons: daemons, Core: 7, Zones: 10, Regions: 4, Servers: servers, Models: 9, Tenants: 60, Routes: 60, Reading: 0.3, Apply: 2 * time.Second, Losses: 1,
+		Port: 7300, Alone: 2, Shared: 150,
+	}
 	if daemons < 100 {
 		o.Core, o.Zones, o.Regions = 3, 3, 3
 	}
--- a/proof/judge/judge.go
+++ b/proof/judge/judge.go
@@ -42,9 +42,26 @@
 	Name  string
 	check func([]history.Event, Bounds, func(string, ...any))
 }{
-	{"once", once}, {"refused", refused}, {"foreign", foreign}, {"stream", streams}, {"whole", whole}, {"final", final}, {"answered", answered}, {"told", told},
-	{"holders", holders}, {"leaving", leaving}, {"evacuated", evacuated}, {"retries", retries}, {"flood", flood},
-	{"plan-race", races}, {"plan-refused", refusedPlans}, {"plan-back", fallsBack}, {"plan-late", late}, {"plan-old", old}, {"recovery", recovery}, {"linear", linear},
+	{"once", once},
+	{"refused", refused},
+	{"foreign", foreign},
+	{"stream", streams},
+	{"whole", whole},
+	{"final", final},
+	{"answered", answered},
+	{"told", told},
+	{"holders", holders},
+	{"leaving", leaving},
+	{"evacuated", evacuated},
+	{"retries", retries},
+	{"flood", flood},
+	{"plan-race", races},
+	{"plan-refused", refusedPlans},
+	{"plan-back", fallsBack},
+	{"plan-late", late},
+	{"plan-old", old},
+	{"recovery", recovery},
+	{"linear", linear},
 }
 
 // All applies every rule to events in any order.
--- a/proof/knownred/judge.go
+++ b/proof/knownred/judge.go
@@ -37,8 +37,10 @@
 // out.
 // Example: NewJudge(entries, "mulleinmast", os.Stdout)
 func NewJudge(entries []Entry, module string, out io.Writer) *Judge {
-	return &Judge{entries: entries, module: module, out: out,
-		failed: map[string]bool{}, passed: map[string]bool{}, spoke: map[string]bool{}, bad: map[string]bool{}, open: map[string]bool{}, closed: map[string]bool{}}
+	return &Judge{
+		entries: entries, module: module, out: out,
+		failed: map[string]bool{}, passed: map[string]bool{}, spoke: map[string]bool{}, bad: map[string]bool{}, open: map[string]bool{}, closed: map[string]bool{},
+	}
 }
 
 // Follow reads the whole run. A line that isn't an event breaks it.
--- a/proof/knownred/knownred_test.go
+++ b/proof/knownred/knownred_test.go
@@ -86,19 +86,27 @@
 		pass                   bool
 		says                   []string
 	}{
-		{"all listed", listed, "", "", true,
-			[]string{"KNOWN RED: inner.TestRed: counts twice (issue 7)", "KNOWN RED: inner.TestParts/red: late (issue 8)", "--- PASS: TestLast"}},
+		{
+			"all listed", listed, "", "", true,
+			[]string{"KNOWN RED: inner.TestRed: counts twice (issue 7)", "KNOWN RED: inner.TestParts/red: late (issue 8)", "--- PASS: TestLast"},
+		},
 		{"no list", "", "", "", false, []string{"--- FAIL: TestRed"}},
 		{"one not listed", strings.SplitAfter(listed, "\n")[0], "", "", false, []string{"NOT PASSED OVER: inner.TestParts/red"}},
 		{"another fails", listed, "", `t.Error("new")`, false, []string{"NOT PASSED OVER: inner.TestOther"}},
 		{"a listed part's whole fails by itself", listed, `t.Error("of its own")`, "", false, []string{"NOT PASSED OVER: inner.TestParts"}},
-		{"a listed test ends the others, too", listed + "inner.TestOther, panics, issue 9\n", "", `panic("new")`, false,
-			[]string{"NOT PASSED OVER: fixture/inner stopped in the middle of its tests"}},
+		{
+			"a listed test ends the others, too", listed + "inner.TestOther, panics, issue 9\n", "", `panic("new")`, false,
+			[]string{"NOT PASSED OVER: fixture/inner stopped in the middle of its tests"},
+		},
 		{"the tests don't build", listed, "", `nothing()`, false, []string{"doesn't build", "inner.TestRed is listed and wasn't run"}},
-		{"a listed test passes", listed + "inner.TestGood, was slow, issue 9\n", "", "", true,
-			[]string{"LISTED BUT PASSES: inner.TestGood: take it off the list (issue 9)"}},
-		{"a listed test is gone", listed + "inner.TestGone, was slow, issue 9\n", "", "", false,
-			[]string{"inner.TestGone is listed and wasn't run"}},
+		{
+			"a listed test passes", listed + "inner.TestGood, was slow, issue 9\n", "", "", true,
+			[]string{"LISTED BUT PASSES: inner.TestGood: take it off the list (issue 9)"},
+		},
+		{
+			"a listed test is gone", listed + "inner.TestGone, was slow, issue 9\n", "", "", false,
+			[]string{"inner.TestGone is listed and wasn't run"},
+		},
 		{"too many", listed + "inner.TestA, x, issue 1\ninner.TestB, x, issue 1\n", "", "", false, []string{"4 tests are listed, 3 at most"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/proof/load/load.go
+++ b/proof/load/load.go
@@ -42,10 +42,14 @@
 //
 // Example: load.Mixes["rangsit"][0].Model == "timetable"
 var Mixes = map[string][]Kind{
-	"rangsit": {{Name: "clearance", Model: "timetable", Part: 0.6, Shared: 6000, Own: 300, Prefixes: 12, Tokens: 12},
-		{Name: "note", Model: "yardnotes", Part: 0.4, Shared: 400, Own: 120, Prefixes: 4, Tokens: 8}},
-	"pat": {{Name: "dossier", Model: "dossiers", Part: 0.4, Shared: 1500, Own: 6000, Prefixes: 8, Tokens: 20},
-		{Name: "question", Model: "clerk", Part: 0.6, Shared: 300, Own: 150, Prefixes: 4, Tokens: 8}},
+	"rangsit": {
+		{Name: "clearance", Model: "timetable", Part: 0.6, Shared: 6000, Own: 300, Prefixes: 12, Tokens: 12},
+		{Name: "note", Model: "yardnotes", Part: 0.4, Shared: 400, Own: 120, Prefixes: 4, Tokens: 8},
+	},
+	"pat": {
+		{Name: "dossier", Model: "dossiers", Part: 0.4, Shared: 1500, Own: 6000, Prefixes: 8, Tokens: 20},
+		{Name: "question", Model: "clerk", Part: 0.6, Shared: 300, Own: 150, Prefixes: 4, Tokens: 8},
+	},
 }
 
 // Kind is one kind of request.
@@ -98,8 +102,10 @@
 		ten := Tenants[rng.Intn(len(Tenants))]
 		pre := rng.Intn(k.Prefixes)
 		parts := []serverpool.Part{{Key: fmt.Sprintf("%s-%d", k.Name, pre), Text: strings.Repeat(string(rune('a'+pre%26)), k.Shared)}, {Text: fmt.Sprintf("%d/%d ", c.Seed, i) + strings.Repeat("x", k.Own)}}
-		body := map[string]any{"model": k.Model, "tenant": ten.Name, "tokens": k.Tokens, "budget_ms": c.Timeout.Milliseconds(),
-			"parts": parts}
+		body := map[string]any{
+			"model": k.Model, "tenant": ten.Name, "tokens": k.Tokens, "budget_ms": c.Timeout.Milliseconds(),
+			"parts": parts,
+		}
 		key := ""
 		if rng.Float64() < c.Once {
 			key = fmt.Sprintf("k%d-%d-%d", c.Seed, from.UnixNano(), i)
--- a/proof/overload/overload_test.go
+++ b/proof/overload/overload_test.go
@@ -21,8 +21,13 @@
 	{"all connections to servers reset at once", []Trouble{{At: begins, Reset: true}}, begins},
 	{"no daemon with valid leases for 2 s", []Trouble{{At: begins, For: 2 * time.Second, Blind: true}}, 12 * time.Second},
 	{"three of four servers away for 6 s", []Trouble{{At: begins, For: 6 * time.Second, Gone: 0.75}}, 16 * time.Second},
-	{"all of these, one over the other", []Trouble{{At: begins, For: 6 * time.Second, Crowd: 4}, {At: 12 * time.Second, Cold: true}, {At: 13 * time.Second, Reset: true},
-		{At: 13 * time.Second, For: 2 * time.Second, Blind: true}, {At: 14 * time.Second, For: 4 * time.Second, Gone: 0.5}}, 18 * time.Second},
+	{"all of these, one over the other", []Trouble{
+		{At: begins, For: 6 * time.Second, Crowd: 4},
+		{At: 12 * time.Second, Cold: true},
+		{At: 13 * time.Second, Reset: true},
+		{At: 13 * time.Second, For: 2 * time.Second, Blind: true},
+		{At: 14 * time.Second, For: 4 * time.Second, Gone: 0.5},
+	}, 18 * time.Second},
 }
 
 // Without any trouble nearly all is served inside its aim once the stores are warm.
--- a/proof/sim/caller.go
+++ b/proof/sim/caller.go
@@ -152,8 +152,10 @@
 		kind, _, _ := strings.Cut(why, " of \"")
 		w.res.Refusals[kind]++
 	}
-	w.jot(history.Event{Who: c.n.name, Ev: "reply", Request: c.see.Request, Run: c.see.Run, Count: c.see.N, Once: c.asked.Once, Tenant: c.asked.Tenant, Result: result, Why: why,
-		After: after, Took: int64(w.now - c.at), Zone: c.n.zone, Again: c.again})
+	w.jot(history.Event{
+		Who: c.n.name, Ev: "reply", Request: c.see.Request, Run: c.see.Run, Count: c.see.N, Once: c.asked.Once, Tenant: c.asked.Tenant, Result: result, Why: why,
+		After: after, Took: int64(w.now - c.at), Zone: c.n.zone, Again: c.again,
+	})
 	if result == "silent" || result == "hung" {
 		if r := c.n.rides[c.see.Request]; r != nil && r.c == c {
 			n, l, id := c.n, r.l, r.req.ID
@@ -372,8 +374,10 @@
 	w.callers++
 	timeout := time.Second + time.Duration(w.rng.Int63n(int64(3*time.Second)))
 	ms := timeout.Milliseconds()
-	c := &caller{w: w, no: w.callers, timeout: timeout, asked: scheduler.Asked{Model: svc, Tenant: []string{"express", "regular", "bulk"}[w.rng.Intn(3)], Tokens: 3 + w.rng.Intn(4), Timeout: &ms,
-		Parts: []serverpool.Part{{Key: "shared", Text: strings.Repeat(string(rune('a'+pre)), 150)}, {Text: fmt.Sprintf("own %d ", w.callers) + strings.Repeat("x", 50+w.rng.Intn(150))}}}}
+	c := &caller{w: w, no: w.callers, timeout: timeout, asked: scheduler.Asked{
+		Model: svc, Tenant: []string{"express", "regular", "bulk"}[w.rng.Intn(3)], Tokens: 3 + w.rng.Intn(4), Timeout: &ms,
+		Parts: []serverpool.Part{{Key: "shared", Text: strings.Repeat(string(rune('a'+pre)), 150)}, {Text: fmt.Sprintf("own %d ", w.callers) + strings.Repeat("x", 50+w.rng.Intn(150))}},
+	}}
 	zone := w.nodes[w.rng.Intn(len(w.nodes))].zone
 	to := w.pick(zone)
 	if w.rng.Intn(5) < 2 {
--- a/proof/sim/fault.go
+++ b/proof/sim/fault.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
-	"mulleinmast/control/digest"
 	"slices"
 	"sort"
 	"time"
+
+	"mulleinmast/control/digest"
 )
 
 // plan lays out a run's failures.
--- a/proof/sim/folder.go
+++ b/proof/sim/folder.go
@@ -2,10 +2,11 @@
 
 import (
 	"fmt"
+	"time"
+
 	"mulleinmast/control/digest"
 	"mulleinmast/control/quorum"
 	"mulleinmast/wire/message"
-	"time"
 )
 
 // folder is what a simulated disk holds, synced.
--- a/proof/sim/net.go
+++ b/proof/sim/net.go
@@ -1,8 +1,9 @@
 package sim
 
 import (
-	"mulleinmast/wire/message"
 	"time"
+
+	"mulleinmast/wire/message"
 )
 
 func (n *node) send(m message.Send) {
@@ -92,8 +93,10 @@
 }
 
 // responses are the kinds that respond to another message.
-var responses = map[message.Kind]bool{message.Back: true, message.Promise: true, message.Refuse: true, message.Filled: true, message.Unfit: true, message.Accepted: true,
-	message.Supported: true, message.Void: true, message.Grant: true, message.Reconnect: true, message.Synced: true, message.Invalidated: true, message.Deny: true, message.Welcome: true}
+var responses = map[message.Kind]bool{
+	message.Back: true, message.Promise: true, message.Refuse: true, message.Filled: true, message.Unfit: true, message.Accepted: true,
+	message.Supported: true, message.Void: true, message.Grant: true, message.Reconnect: true, message.Synced: true, message.Invalidated: true, message.Deny: true, message.Welcome: true,
+}
 
 // land hands a message over; one that waits at a frozen node is read on waking.
 func (w *world) land(to *node, m message.Message) {
--- a/proof/sim/node.go
+++ b/proof/sim/node.go
@@ -3,6 +3,8 @@
 import (
 	"encoding/json"
 	"fmt"
+	"time"
+
 	"mulleinmast/control/fleetconfig"
 	"mulleinmast/control/incarnation"
 	"mulleinmast/control/leader"
@@ -13,7 +15,6 @@
 	"mulleinmast/control/quorum"
 	"mulleinmast/proof/history"
 	"mulleinmast/wire/message"
-	"time"
 )
 
 type node struct {
--- a/proof/sim/options.go
+++ b/proof/sim/options.go
@@ -71,9 +71,11 @@
 //
 // Example: sim.Run(sim.Default(1))
 func Default(seed int64) Options {
-	return Options{Seed: seed, Zones: []int{3, 3, 1}, Partitions: 1, Length: 40 * time.Second, Calm: 14 * time.Second, Keys: 3,
+	return Options{
+		Seed: seed, Zones: []int{3, 3, 1}, Partitions: 1, Length: 40 * time.Second, Calm: 14 * time.Second, Keys: 3,
 		Writes: 250 * time.Millisecond, Reads: 60 * time.Millisecond, Drift: 0.02,
-		Faults: map[string]float64{"kill": 2, "all": 0.15, "wipe": 0.4, "cut": 1.5, "oneway": 1, "alone": 1, "freeze": 2, "slow": 1, "stall": 0.5, "ackkill": 1}}
+		Faults: map[string]float64{"kill": 2, "all": 0.15, "wipe": 0.4, "cut": 1.5, "oneway": 1, "alone": 1, "freeze": 2, "slow": 1, "stall": 0.5, "ackkill": 1},
+	}
 }
 
 // Scenarios are the runs of a sweep.
@@ -90,8 +92,10 @@
 		o.Zones, o.Reads = []int{4, 3, 3}, 100*time.Millisecond
 		return o
 	},
-	"traffic": calls([]int{4, 3, 3}, []int{7, 5}, map[string]float64{"kill": 2, "freeze": 1, "cut": 0.7, "oneway": 0.5, "alone": 0.7, "wipe": 0.3, "stall": 0.5, "ackkill": 1,
-		"crash": 2, "dark": 1, "lapse": 1, "cross": 1, "break": 2, "skip": 1, "twice": 1, "sluggish": 1, "link": 1, "roll": 1, "crowd": 1, "swing": 1}),
+	"traffic": calls([]int{4, 3, 3}, []int{7, 5}, map[string]float64{
+		"kill": 2, "freeze": 1, "cut": 0.7, "oneway": 0.5, "alone": 0.7, "wipe": 0.3, "stall": 0.5, "ackkill": 1,
+		"crash": 2, "dark": 1, "lapse": 1, "cross": 1, "break": 2, "skip": 1, "twice": 1, "sluggish": 1, "link": 1, "roll": 1, "crowd": 1, "swing": 1,
+	}),
 	"servers": calls([]int{3, 3, 3}, []int{5, 4}, map[string]float64{"crash": 4, "dark": 2, "lapse": 2, "cross": 3, "break": 4, "skip": 2, "twice": 2, "sluggish": 2, "link": 2, "roll": 2, "crowd": 1}),
 	// Decodes that were sent are lost, before and after their first piece.
 	"lost":   calls([]int{3, 3, 3}, []int{5, 4}, map[string]float64{"drop": 10, "break": 4, "crash": 6, "dark": 3, "crowd": 1}),
@@ -190,8 +194,10 @@
 // calls is a whole fleet with servers, clients, operators and a platform.
 func calls(zones []int, servers []int, f map[string]float64) func(int64) Options {
 	return func(seed int64) Options {
-		return Options{Seed: seed, Zones: zones, Partitions: 2, Length: 56 * time.Second, Calm: 24 * time.Second, Keys: 1, Writes: time.Second, Reads: 250 * time.Millisecond, Drift: 0.02,
-			Calls: 45 * time.Millisecond, Servers: servers, Orders: time.Second, Faults: f}
+		return Options{
+			Seed: seed, Zones: zones, Partitions: 2, Length: 56 * time.Second, Calm: 24 * time.Second, Keys: 1, Writes: time.Second, Reads: 250 * time.Millisecond, Drift: 0.02,
+			Calls: 45 * time.Millisecond, Servers: servers, Orders: time.Second, Faults: f,
+		}
 	}
 }
 
--- a/proof/sim/races.go
+++ b/proof/sim/races.go
@@ -52,7 +52,8 @@
 	w.open++
 	r := &raced{id: fmt.Sprintf("r%d", w.tags), base: base, number: number}
 	r.body = leadercall.Pack(fleetconfig.Changes{ID: r.id, Base: base, Number: number, Changes: []fleetconfig.Change{
-		{Op: "set-tenant", Tenant: &fleetconfig.Tenant{Name: "regular", Priority: 4, Timeout: 4000 + int(w.tags%1000), Queue: 0.6}}}})
+		{Op: "set-tenant", Tenant: &fleetconfig.Tenant{Name: "regular", Priority: 4, Timeout: 4000 + int(w.tags%1000), Queue: 0.6}},
+	}})
 	w.sendRaced(r)
 }
 
--- a/proof/sim/sim.go
+++ b/proof/sim/sim.go
@@ -6,12 +6,13 @@
 import (
 	"fmt"
 	"math/rand"
+	"time"
+
 	"mulleinmast/control/daemon"
 	"mulleinmast/control/fleetconfig"
 	"mulleinmast/proof/eventqueue"
 	"mulleinmast/proof/history"
 	"mulleinmast/proof/judge"
-	"time"
 )
 
 type world struct {
@@ -86,8 +87,10 @@
 }
 
 func (w *world) add(zone string, disk bool, i int) *node {
-	n := &node{w: w, name: fmt.Sprintf("n%d", i), addr: fmt.Sprintf("10.0.0.%d:1", i+1), zone: zone, hasDisk: disk,
-		rate: 1 + (w.rng.Float64()-0.5)*w.o.Drift, base: time.Duration(w.rng.Int63n(int64(time.Hour)))}
+	n := &node{
+		w: w, name: fmt.Sprintf("n%d", i), addr: fmt.Sprintf("10.0.0.%d:1", i+1), zone: zone, hasDisk: disk,
+		rate: 1 + (w.rng.Float64()-0.5)*w.o.Drift, base: time.Duration(w.rng.Int63n(int64(time.Hour))),
+	}
 	w.nodes = append(w.nodes, n)
 	return n
 }
--- a/proof/sim/write.go
+++ b/proof/sim/write.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+
 	"mulleinmast/control/lease"
 	"mulleinmast/control/partition"
 	"mulleinmast/wire/message"
--- a/proof/standin/client/load.go
+++ b/proof/standin/client/load.go
@@ -114,8 +114,10 @@
 
 // message makes a request of a kind; all its tries have the same body.
 func (l *Load) message(c *client, a Ask) message {
-	m := message{Ask: a, host: a.Route.Host, method: "POST", target: fmt.Sprintf("%s%s?n=%d", a.Route.Start, a.Path, c.rng.Intn(1000)), chunked: c.rng.Intn(4) == 0,
-		body: strings.Repeat("prompt ", 1+c.rng.Intn(60))}
+	m := message{
+		Ask: a, host: a.Route.Host, method: "POST", target: fmt.Sprintf("%s%s?n=%d", a.Route.Start, a.Path, c.rng.Intn(1000)), chunked: c.rng.Intn(4) == 0,
+		body: strings.Repeat("prompt ", 1+c.rng.Intn(60)),
+	}
 	if a.In > 0 {
 		var parts []string
 		rest := a.In
@@ -216,8 +218,10 @@
 
 func (l *Load) open(d entry.Daemon, m *message, until time.Time) *record.Try {
 	now := l.log.Now()
-	t := &record.Try{ID: m.id, Daemon: d.Name, Life: d.Life, Host: m.host, Target: m.target, Method: m.method, Body: server.Digest([]byte(m.body)), Route: m.Route.Name,
-		Resume: m.after, Prompt: m.prompt(), Sent: now, Deadline: now + time.Until(until)}
+	t := &record.Try{
+		ID: m.id, Daemon: d.Name, Life: d.Life, Host: m.host, Target: m.target, Method: m.method, Body: server.Digest([]byte(m.body)), Route: m.Route.Name,
+		Resume: m.after, Prompt: m.prompt(), Sent: now, Deadline: now + time.Until(until),
+	}
 	l.log.Do(func(a *record.All) { a.Tries = append(a.Tries, t) })
 	return t
 }
--- a/proof/standin/entry/entry.go
+++ b/proof/standin/entry/entry.go
@@ -38,8 +38,10 @@
 //
 // Example: e := entry.New(fleet.Daemons)
 func New(list func() []Daemon) *Entry {
-	return &Entry{list: list, missed: map[string]int{}, in: map[string]bool{}, news: make(chan struct{}),
-		web: &http.Client{Timeout: 900 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}}}
+	return &Entry{
+		list: list, missed: map[string]int{}, in: map[string]bool{}, news: make(chan struct{}),
+		web: &http.Client{Timeout: 900 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}},
+	}
 }
 
 // Serve asks all daemons each second until the context ends.
--- a/proof/standin/fleet/fleet.go
+++ b/proof/standin/fleet/fleet.go
@@ -193,8 +193,10 @@
 	defer f.mu.Unlock()
 	for _, m := range f.list {
 		if !m.gone {
-			out = append(out, entry.Daemon{Name: m.Name, Zone: m.Zone, Public: fmt.Sprintf("%s:%d", m.IP, publicPort), Readiness: fmt.Sprintf("%s:%d", m.IP, readinessPort),
-				Steer: fmt.Sprintf("%s:%d", m.IP, controlPort), Life: m.life})
+			out = append(out, entry.Daemon{
+				Name: m.Name, Zone: m.Zone, Public: fmt.Sprintf("%s:%d", m.IP, publicPort), Readiness: fmt.Sprintf("%s:%d", m.IP, readinessPort),
+				Steer: fmt.Sprintf("%s:%d", m.IP, controlPort), Life: m.life,
+			})
 		}
 	}
 	return out
--- a/proof/standin/fleet/signal_test.go
+++ b/proof/standin/fleet/signal_test.go
@@ -29,8 +29,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	bounds := rules.Bounds{InTouch: 3 * time.Second, Drain: 3 * time.Second, Grace: 8 * time.Second, Apply: 2 * time.Second, Evacuate: 5 * time.Second, Recovery: 12 * time.Second,
-		Lease: 3 * time.Second, RetryRatio: 0.2, RetryWindow: 10 * time.Second, ColdOverrun: 1.5}
+	bounds := rules.Bounds{
+		InTouch: 3 * time.Second, Drain: 3 * time.Second, Grace: 8 * time.Second, Apply: 2 * time.Second, Evacuate: 5 * time.Second, Recovery: 12 * time.Second,
+		Lease: 3 * time.Second, RetryRatio: 0.2, RetryWindow: 10 * time.Second, ColdOverrun: 1.5,
+	}
 	f := New(Config{Dir: dir, Program: filepath.Join(dir, "mulleinmast"), Net: at, Zones: []string{"north"}, PerZone: 1, Bounds: bounds, Ack: 4 * time.Second, Cloud: at + ".250:8266", Rate: 42}, record.New())
 	t.Cleanup(f.Stop)
 	return f, f.Machines()[0]
--- a/proof/standin/operator/operator.go
+++ b/proof/standin/operator/operator.go
@@ -45,7 +45,8 @@
 func New(log *record.Log, list func() []entry.Daemon, most time.Duration) *Operator {
 	return &Operator{log: log, list: list, most: most, web: &http.Client{
 		Timeout:       time.Second,
-		CheckRedirect: func(_ *http.Request, via []*http.Request) error { return tooFar(len(via)) }}}
+		CheckRedirect: func(_ *http.Request, via []*http.Request) error { return tooFar(len(via)) },
+	}}
 }
 
 func tooFar(n int) error {
--- a/proof/standin/rules/repeats.go
+++ b/proof/standin/rules/repeats.go
@@ -18,8 +18,10 @@
 func inOrder(v *view, bad say) {
 	var ev []history.Event
 	for _, c := range v.PlanCalls {
-		ev = append(ev, history.Event{At: int64(c.Done), Ev: "plan", Plan: c.ID, Base: uint64(c.Base), Number: uint64(c.Number), Ver: uint64(c.Number),
-			Result: told[c.Status], Took: max(1, int64(c.Done-c.Sent))})
+		ev = append(ev, history.Event{
+			At: int64(c.Done), Ev: "plan", Plan: c.ID, Base: uint64(c.Base), Number: uint64(c.Number), Ver: uint64(c.Number),
+			Result: told[c.Status], Took: max(1, int64(c.Done-c.Sent)),
+		})
 	}
 	slices.SortStableFunc(ev, func(a, b history.Event) int { return int(a.At - b.At) })
 	judge.Linear(ev, bad)
--- a/proof/standin/rules/rules.go
+++ b/proof/standin/rules/rules.go
@@ -39,9 +39,31 @@
 	Name  string
 	check func(*view, say)
 }{
-	{"MIXED", mixed}, {"MIXED", handles}, {"ORDER", order}, {"UNASKED", unasked}, {"TWICE", twice}, {"REFUSED", refused}, {"DENIED", denied}, {"ROUTE", routed},
-	{"DRAIN", drained}, {"EVAC", evacuated}, {"LOST", planned}, {"LOST", kept}, {"CONFIG", configured}, {"CONFIG", wentBack}, {"CONFIG", taken}, {"CONFIG", readBack}, {"CONFIG", later}, {"CONFIG", inOrder}, {"CONFIG", stale},
-	{"BUDGET", further}, {"FAILBACK", flooded}, {"ONE", holders}, {"RECOVER", recovered}, {"GONE", gone}, {"LOST", closed},
+	{"MIXED", mixed},
+	{"MIXED", handles},
+	{"ORDER", order},
+	{"UNASKED", unasked},
+	{"TWICE", twice},
+	{"REFUSED", refused},
+	{"DENIED", denied},
+	{"ROUTE", routed},
+	{"DRAIN", drained},
+	{"EVAC", evacuated},
+	{"LOST", planned},
+	{"LOST", kept},
+	{"CONFIG", configured},
+	{"CONFIG", wentBack},
+	{"CONFIG", taken},
+	{"CONFIG", readBack},
+	{"CONFIG", later},
+	{"CONFIG", inOrder},
+	{"CONFIG", stale},
+	{"BUDGET", further},
+	{"FAILBACK", flooded},
+	{"ONE", holders},
+	{"RECOVER", recovered},
+	{"GONE", gone},
+	{"LOST", closed},
 }
 
 const mostTold = 20 // of one check
@@ -86,8 +108,10 @@
 }
 
 func newView(all record.All, b Bounds) *view {
-	v := &view{All: all, Bounds: b, tries: map[string]*record.Try{}, arrivals: map[string][]*record.Arrival{}, seals: map[string]*record.Arrival{},
-		lives: map[string]*record.Life{}, routes: map[string]wire.Route{}}
+	v := &view{
+		All: all, Bounds: b, tries: map[string]*record.Try{}, arrivals: map[string][]*record.Arrival{}, seals: map[string]*record.Arrival{},
+		lives: map[string]*record.Life{}, routes: map[string]wire.Route{},
+	}
 	for _, t := range all.Tries {
 		if t.ID != "" {
 			v.tries[t.ID] = t
--- a/proof/standin/rules/rules_test.go
+++ b/proof/standin/rules/rules_test.go
@@ -13,8 +13,10 @@
 
 const s = time.Second
 
-var bounds = Bounds{InTouch: 3 * s, Drain: 3 * s, Grace: 8 * s, LostSlack: 200 * time.Millisecond, Apply: 2 * s, GoBack: 250 * time.Millisecond, Evacuate: 5 * s, Recovery: 12 * s,
-	Lease: 3 * s, RetryRatio: 0.2, RetryWindow: 10 * s, RetrySlack: 2, ColdOverrun: 1.5, ColdSlack: 1}
+var bounds = Bounds{
+	InTouch: 3 * s, Drain: 3 * s, Grace: 8 * s, LostSlack: 200 * time.Millisecond, Apply: 2 * s, GoBack: 250 * time.Millisecond, Evacuate: 5 * s, Recovery: 12 * s,
+	Lease: 3 * s, RetryRatio: 0.2, RetryWindow: 10 * s, RetrySlack: 2, ColdOverrun: 1.5, ColdSlack: 1,
+}
 
 var routes = []wire.Route{
 	{Name: "safe", Host: "h", Start: "/safe/", Kind: wire.Safe, GiveUpMs: 3000, Service: "one"},
@@ -61,10 +63,14 @@
 // add has one request served.
 func add(a *record.All, r wire.Route, n int, at time.Duration) (*record.Try, *record.Arrival) {
 	id := fmt.Sprint("t", n)
-	t := &record.Try{ID: id, Daemon: fmt.Sprint("d", n%2), Host: "h", Target: r.Start + "x?q=1", Method: "POST", Body: 7, Route: r.Name, Sent: at, Whole: at + 1, End: at + s/10, Deadline: at + 3*s,
-		Status: 200, Seal: "s." + id, Echo: id, Complete: true, Length: 4, Digest: 9}
-	arr := &record.Arrival{At: at + s/50, Server: map[string]string{"one": "i-0", "two": "i-2"}[r.Service], Service: r.Service, Zone: "north", Attempt: id, Host: "h", Target: t.Target, Method: "POST", Body: 7,
-		Out: record.Ran, Run: id, Seal: t.Seal, Status: 200, End: t.End, Whole: true, Length: 4, Digest: 9}
+	t := &record.Try{
+		ID: id, Daemon: fmt.Sprint("d", n%2), Host: "h", Target: r.Start + "x?q=1", Method: "POST", Body: 7, Route: r.Name, Sent: at, Whole: at + 1, End: at + s/10, Deadline: at + 3*s,
+		Status: 200, Seal: "s." + id, Echo: id, Complete: true, Length: 4, Digest: 9,
+	}
+	arr := &record.Arrival{
+		At: at + s/50, Server: map[string]string{"one": "i-0", "two": "i-2"}[r.Service], Service: r.Service, Zone: "north", Attempt: id, Host: "h", Target: t.Target, Method: "POST", Body: 7,
+		Out: record.Ran, Run: id, Seal: t.Seal, Status: 200, End: t.End, Whole: true, Length: 4, Digest: 9,
+	}
 	if r.Kind == wire.Streaming {
 		for k := 1; k <= 3; k++ {
 			t.Pieces = append(t.Pieces, record.Piece{ID: k, Run: id})
--- a/proof/standin/scene/scene_test.go
+++ b/proof/standin/scene/scene_test.go
@@ -55,8 +55,10 @@
 func TestScenesOnThePlatform(t *testing.T) {
 	program := build(t)
 	t.Run("scenes", func(t *testing.T) {
-		for name, part := range map[string]float64{"calm": 0.98, "roll": 0.95, "kill-leader": 0.9, "release": 0.95, "evacuate": 0.95, "config": 0.95, "garble": 0.8, "answers": 0.75, "crash": 0.9,
-			"race": 0.95, "repeats": 0.9, "lost-disk": 0.9, "seeds": 0.6, "cut-off": 0.9, "lapse": 0.7} {
+		for name, part := range map[string]float64{
+			"calm": 0.98, "roll": 0.95, "kill-leader": 0.9, "release": 0.95, "evacuate": 0.95, "config": 0.95, "garble": 0.8, "answers": 0.75, "crash": 0.9,
+			"race": 0.95, "repeats": 0.9, "lost-disk": 0.9, "seeds": 0.6, "cut-off": 0.9, "lapse": 0.7,
+		} {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
 				four <- true
--- a/proof/standin/scene/storm.go
+++ b/proof/standin/scene/storm.go
@@ -19,8 +19,19 @@
 	acts := []struct {
 		name string
 		do   func(context.Context)
-	}{{"a daemon is killed", s.kill}, {"a daemon is stopped", s.term}, {"a daemon freezes", s.freeze}, {"the seeds are told anew", s.hup}, {"a server is replaced", s.replace}, {"a server crashes", s.crash},
-		{"servers misbehave", s.misbehave}, {"the configuration changes", s.change}, {"an invalid configuration", s.bad}, {"a zone is evacuated", s.evacuate}, {"the list is down", s.list}}
+	}{
+		{"a daemon is killed", s.kill},
+		{"a daemon is stopped", s.term},
+		{"a daemon freezes", s.freeze},
+		{"the seeds are told anew", s.hup},
+		{"a server is replaced", s.replace},
+		{"a server crashes", s.crash},
+		{"servers misbehave", s.misbehave},
+		{"the configuration changes", s.change},
+		{"an invalid configuration", s.bad},
+		{"a zone is evacuated", s.evacuate},
+		{"the list is down", s.list},
+	}
 	steps := 30
 	if w.Short {
 		steps = 12
--- a/proof/standin/scene/world.go
+++ b/proof/standin/scene/world.go
@@ -47,8 +47,10 @@
 // Example: b := scene.Bounds(1); b.Drain == 3*time.Second
 func Bounds(pace float64) rules.Bounds {
 	d := func(ms float64) time.Duration { return time.Duration(ms * pace * float64(time.Millisecond)) }
-	return rules.Bounds{InTouch: d(3000), Drain: d(3000), Grace: max(d(8000), 4500*time.Millisecond), LostSlack: 200 * time.Millisecond, Apply: d(2000), GoBack: 250 * time.Millisecond,
-		Evacuate: d(5000), Recovery: d(12000), Lease: d(3000), RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 60, ColdOverrun: 1.5, ColdSlack: 5}
+	return rules.Bounds{
+		InTouch: d(3000), Drain: d(3000), Grace: max(d(8000), 4500*time.Millisecond), LostSlack: 200 * time.Millisecond, Apply: d(2000), GoBack: 250 * time.Millisecond,
+		Evacuate: d(5000), Recovery: d(12000), Lease: d(3000), RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 60, ColdOverrun: 1.5, ColdSlack: 5,
+	}
 }
 
 // World is a deployment that runs.
@@ -121,8 +123,10 @@
 		return w, err
 	}
 	w.stop = append(w.stop, w.Cloud.End)
-	w.Fleet = fleet.New(fleet.Config{Dir: c.Dir, Program: c.Program, Old: c.Old, Net: at, Zones: Zones, PerZone: c.PerZone, Bounds: w.Bounds, Ack: time.Duration(4000 * max(c.Pace, 0.7) * float64(time.Millisecond)),
-		Cloud: cc.Address, Lag: lag, Rate: cc.Rate}, w.Log)
+	w.Fleet = fleet.New(fleet.Config{
+		Dir: c.Dir, Program: c.Program, Old: c.Old, Net: at, Zones: Zones, PerZone: c.PerZone, Bounds: w.Bounds, Ack: time.Duration(4000 * max(c.Pace, 0.7) * float64(time.Millisecond)),
+		Cloud: cc.Address, Lag: lag, Rate: cc.Rate,
+	}, w.Log)
 	w.Door = entry.New(w.Fleet.Daemons)
 	w.Op = operator.New(w.Log, w.Fleet.Daemons, 20*time.Second)
 	w.Load = client.New(client.Config{Rate: c.Rate, Further: 2, Actors: 12, Zones: Zones, Seed: c.Seed, Name: fmt.Sprintf("%04x", c.Seed&0xffff)}, w.Log, w.Door)
@@ -156,8 +160,10 @@
 //
 // Example: s, err := w.ServeAt(old.Address, "plain", "north", "", 0)
 func (w *World) ServeAt(addr, svc, zone, phase string, cold time.Duration) (*server.Server, error) {
-	c := server.Config{ID: fmt.Sprintf("i-%s-%x", svc, time.Now().UnixNano()&0xffffffff), Service: svc, Zone: zone, Address: addr, Phase: phase, Slots: 16, Queue: 24, Health: "/health",
-		Work: 10 * time.Millisecond, KeepAlive: 4 * time.Second, TellsLoad: true, ColdFor: cold, ColdRate: 12}
+	c := server.Config{
+		ID: fmt.Sprintf("i-%s-%x", svc, time.Now().UnixNano()&0xffffffff), Service: svc, Zone: zone, Address: addr, Phase: phase, Slots: 16, Queue: 24, Health: "/health",
+		Work: 10 * time.Millisecond, KeepAlive: 4 * time.Second, TellsLoad: true, ColdFor: cold, ColdRate: 12,
+	}
 	c.Changed = func(s *server.Server) { w.Cloud.Put(s.ID, s) }
 	if phase != "" {
 		c.Pace, c.Step, c.Memory, c.TokenBytes, c.Mbps, c.Hold, c.Switch = 20, 15*time.Millisecond, 60000, 18432, 550000, 2*time.Second, 300*time.Millisecond
--- a/proof/standin/server/server_test.go
+++ b/proof/standin/server/server_test.go
@@ -28,8 +28,10 @@
 	if err != nil {
 		b.t.Fatal(err)
 	}
-	c := Config{ID: fmt.Sprint("i-", b.n), Service: "gen", Zone: "north", Address: ln.Addr().String(), Phase: phase, Slots: 1, Queue: 1, Pace: 1000, Step: time.Millisecond, Memory: 1000, TokenBytes: 1, Mbps: 1000,
-		Hold: time.Minute, Health: "/health", KeepAlive: 30 * time.Second}
+	c := Config{
+		ID: fmt.Sprint("i-", b.n), Service: "gen", Zone: "north", Address: ln.Addr().String(), Phase: phase, Slots: 1, Queue: 1, Pace: 1000, Step: time.Millisecond, Memory: 1000, TokenBytes: 1, Mbps: 1000,
+		Hold: time.Minute, Health: "/health", KeepAlive: 30 * time.Second,
+	}
 	_ = ln.Close()
 	if edit != nil {
 		edit(&c)
@@ -181,9 +183,13 @@
 		body string
 		code int
 	}{
-		{`{"operation":"phase","phase":"reading","fence-number":4}`, 400}, {`{"operation":"phase","phase":"reading","holder":"n"}`, 400}, {`{"operation":"sing","holder":"n","fence-number":4}`, 400},
-		{`{"operation":"phase","phase":"writing","holder":"n","fence-number":4}`, 200}, {`{"operation":"phase","phase":"reading","holder":"n","fence-number":3}`, 412},
-		{`{"operation":"phase","phase":"reading","holder":"n","fence-number":4,"expected":7}`, 409}, {`{"operation":"phase","phase":"reading","holder":"n","fence-number":4,"expected":0}`, 202},
+		{`{"operation":"phase","phase":"reading","fence-number":4}`, 400},
+		{`{"operation":"phase","phase":"reading","holder":"n"}`, 400},
+		{`{"operation":"sing","holder":"n","fence-number":4}`, 400},
+		{`{"operation":"phase","phase":"writing","holder":"n","fence-number":4}`, 200},
+		{`{"operation":"phase","phase":"reading","holder":"n","fence-number":3}`, 412},
+		{`{"operation":"phase","phase":"reading","holder":"n","fence-number":4,"expected":7}`, 409},
+		{`{"operation":"phase","phase":"reading","holder":"n","fence-number":4,"expected":0}`, 202},
 	} {
 		if got := order(x.body); got != x.code {
 			t.Errorf("%s: %d, expected %d", x.body, got, x.code)
--- a/proof/standin/soak/machines.go
+++ b/proof/standin/soak/machines.go
@@ -15,9 +15,22 @@
 // machineTroubles befall the processes, disks and links of daemons.
 func machineTroubles() []trouble {
 	return []trouble{
-		{"kill", 6, (*run).kill}, {"kill, signals during the start", 4, (*run).killAndSignal}, {"stop", 5, (*run).term}, {"freeze", 5, (*run).freeze},
-		{"cut from the core", 4, (*run).cut}, {"cut from all", 3, (*run).isolate}, {"cut one way", 3, (*run).deafen}, {"messages late", 4, (*run).slow}, {"reload", 4, (*run).reload}, {"disk lost", 2, (*run).wipe}, {"machine replaced", 2, (*run).replaceMachine}, {"seeds exchanged", 1, (*run).exchangeSeeds}, {"disk stalls", 3, (*run).stall}, {"disk full", 2, (*run).full},
-		{"core killed", 1, (*run).killCore}, {"all killed", 1, (*run).killAll},
+		{"kill", 6, (*run).kill},
+		{"kill, signals during the start", 4, (*run).killAndSignal},
+		{"stop", 5, (*run).term},
+		{"freeze", 5, (*run).freeze},
+		{"cut from the core", 4, (*run).cut},
+		{"cut from all", 3, (*run).isolate},
+		{"cut one way", 3, (*run).deafen},
+		{"messages late", 4, (*run).slow},
+		{"reload", 4, (*run).reload},
+		{"disk lost", 2, (*run).wipe},
+		{"machine replaced", 2, (*run).replaceMachine},
+		{"seeds exchanged", 1, (*run).exchangeSeeds},
+		{"disk stalls", 3, (*run).stall},
+		{"disk full", 2, (*run).full},
+		{"core killed", 1, (*run).killCore},
+		{"all killed", 1, (*run).killAll},
 	}
 }
 
--- a/proof/standin/wire/wire.go
+++ b/proof/standin/wire/wire.go
@@ -211,9 +211,11 @@
 //
 // Example: next := config.With(change)
 func (c Config) With(ch Change) Config {
-	return Config{Version: ch.Version, Limits: c.Limits,
+	return Config{
+		Version: ch.Version, Limits: c.Limits,
 		Routes:   changed(c.Routes, ch.Replace.Routes, ch.Remove.Routes, func(r Route) string { return r.Name }),
-		Services: changed(c.Services, ch.Replace.Services, ch.Remove.Services, func(s Service) string { return s.Name })}
+		Services: changed(c.Services, ch.Replace.Services, ch.Remove.Services, func(s Service) string { return s.Name }),
+	}
 }
 
 // changed is a list of named items after some were replaced, added or removed.
--- a/proof/track/track_test.go
+++ b/proof/track/track_test.go
@@ -53,9 +53,20 @@
 	bin := build(t)
 	base := 25000
 	for _, x := range []struct{ layout, name string }{
-		{"rangsit", "kill-leader"}, {"pat", "kill-all"}, {"pat", "lost-disk"}, {"rangsit", "freeze-leader"}, {"pat", "cut-core"},
-		{"rangsit", "lost-zone"}, {"pat", "evacuate"}, {"rangsit", "leaving"}, {"pat", "plans"}, {"rangsit", "servers-roll"},
-		{"pat", "roll"}, {"rangsit", "suspend"}, {"pat", "slow-clients"}, {"pat", "disk-full"},
+		{"rangsit", "kill-leader"},
+		{"pat", "kill-all"},
+		{"pat", "lost-disk"},
+		{"rangsit", "freeze-leader"},
+		{"pat", "cut-core"},
+		{"rangsit", "lost-zone"},
+		{"pat", "evacuate"},
+		{"rangsit", "leaving"},
+		{"pat", "plans"},
+		{"rangsit", "servers-roll"},
+		{"pat", "roll"},
+		{"rangsit", "suspend"},
+		{"pat", "slow-clients"},
+		{"pat", "disk-full"},
 	} {
 		base += 400
 		port := base
--- a/traffic/board/board.go
+++ b/traffic/board/board.go
@@ -72,8 +72,10 @@
 //
 // Example: b := board.New(board.Config{Beat: 250 * time.Millisecond, Old: time.Second, Most: 128, Keep: 0.7, Size: 1 << 15})
 func New(cfg Config) *Board {
-	return &Board{cfg: cfg, own: map[uint64]Use{}, told: map[uint64]Use{}, leaves: map[string]heard{}, zones: map[string]heard{}, pauses: map[uint64]time.Duration{}, marks: map[uint64]mark{},
-		clocks: map[uint64]float64{}, memory: map[uint64]float64{}, at: map[uint64]map[uint64]*place{}}
+	return &Board{
+		cfg: cfg, own: map[uint64]Use{}, told: map[uint64]Use{}, leaves: map[string]heard{}, zones: map[string]heard{}, pauses: map[uint64]time.Duration{}, marks: map[uint64]mark{},
+		clocks: map[uint64]float64{}, memory: map[uint64]float64{}, at: map[uint64]map[uint64]*place{},
+	}
 }
 
 // Name is the short name of a server of a service on the board.
@@ -198,8 +200,10 @@
 	}
 	if now-b.whole.at < b.cfg.Old && b.whole.uses != nil {
 		u, old := b.whole.uses[server], b.told[server]
-		add(Use{Tokens: max(0, u.Tokens-old.Tokens), Writing: max(0, u.Writing-old.Writing), Pause: max(0, u.Pause-old.Pause),
-			Good: max(0, u.Good-old.Good), Bad: max(0, u.Bad-old.Bad)})
+		add(Use{
+			Tokens: max(0, u.Tokens-old.Tokens), Writing: max(0, u.Writing-old.Writing), Pause: max(0, u.Pause-old.Pause),
+			Good: max(0, u.Good-old.Good), Bad: max(0, u.Bad-old.Bad),
+		})
 	}
 	return sum
 }
--- a/traffic/forward/lane.go
+++ b/traffic/forward/lane.go
@@ -59,8 +59,10 @@
 //
 // Example: l := forward.New(cfg, "timetable", 3, daemon, board)
 func New(cfg Config, svc string, partition int, src Source, board Board) *Lane {
-	return &Lane{cfg: cfg, svc: svc, partition: partition, src: src, board: board, rows: map[string]Server{}, crew: crew{seen: map[string]time.Duration{}}, spacing: map[string]time.Duration{}, stats: map[string]*stat{}, pace: cfg.Pace,
-		bucket: attempt.Bucket{Rate: cfg.Retry, Window: cfg.Window}, trips: map[string]*trip{}}
+	return &Lane{
+		cfg: cfg, svc: svc, partition: partition, src: src, board: board, rows: map[string]Server{}, crew: crew{seen: map[string]time.Duration{}}, spacing: map[string]time.Duration{}, stats: map[string]*stat{}, pace: cfg.Pace,
+		bucket: attempt.Bucket{Rate: cfg.Retry, Window: cfg.Window}, trips: map[string]*trip{},
+	}
 }
 
 // Counts are the lane's numbers so far.
--- a/traffic/forward/model_test.go
+++ b/traffic/forward/model_test.go
@@ -143,9 +143,11 @@
 func (m *model) begin() {
 	t := m.t
 	m.no++
-	c := Call{ID: fmt.Sprint("r", m.no), Service: "s", Repeat: rapid.Bool().Draw(t, "repeat"), Split: rapid.IntRange(0, 3).Draw(t, "split") > 0, Tries: rapid.IntRange(1, 4).Draw(t, "tries"),
+	c := Call{
+		ID: fmt.Sprint("r", m.no), Service: "s", Repeat: rapid.Bool().Draw(t, "repeat"), Split: rapid.IntRange(0, 3).Draw(t, "split") > 0, Tries: rapid.IntRange(1, 4).Draw(t, "tries"),
 		Aim: 400 * time.Millisecond, Due: m.now + rapid.SampledFrom([]time.Duration{20 * time.Second, 3 * time.Second, 3 * time.Second, 100 * time.Millisecond, 0}).Draw(t, "left"), In: rapid.SampledFrom([]int{9000, 9000, 9000, 1000, 0}).Draw(t, "in"), Out: 50,
-		After: rapid.IntRange(0, 9).Draw(t, "after") == 0, Parts: []Part{{Key: 7, Tokens: 900}, {Key: uint64(m.no), Tokens: 100}}}
+		After: rapid.IntRange(0, 9).Draw(t, "after") == 0, Parts: []Part{{Key: 7, Tokens: 900}, {Key: uint64(m.no), Tokens: 100}},
+	}
 	c.Resume = c.Repeat && rapid.Bool().Draw(t, "resume")
 	j := &journey{Call: c, tried: map[string]bool{}, handles: map[string]string{}}
 	m.trips[c.ID] = j
@@ -391,5 +393,7 @@
 	}
 }
 
-var bounds = Config{Zone: "zone-0", Retry: 0.2, Window: 10 * time.Second, Slack: 3, Patience: 200 * time.Millisecond, Shy: 2 * time.Second, Turned: 250 * time.Millisecond,
-	Back: 125 * time.Millisecond, Pace: 15, Weights: Weights{Far: 0.001, Again: 0.01, Moved: 0.01, Apart: 2, Miss: 0.1, Stall: 1}}
+var bounds = Config{
+	Zone: "zone-0", Retry: 0.2, Window: 10 * time.Second, Slack: 3, Patience: 200 * time.Millisecond, Shy: 2 * time.Second, Turned: 250 * time.Millisecond,
+	Back: 125 * time.Millisecond, Pace: 15, Weights: Weights{Far: 0.001, Again: 0.01, Moved: 0.01, Apart: 2, Miss: 0.1, Stall: 1},
+}
--- a/traffic/gateway/gateway.go
+++ b/traffic/gateway/gateway.go
@@ -67,9 +67,11 @@
 //
 // Example: l := forward.New(gateway.Config(cfg), svc, part, source)
 func Config(c daemon.Config) forward.Config {
-	return forward.Config{Zone: c.Zone, Retry: c.Retry.Ratio, Window: c.Retry.Window, Slack: c.Retry.Slack * 4 / 5, Patience: c.Vol() * 5 / 4,
+	return forward.Config{
+		Zone: c.Zone, Retry: c.Retry.Ratio, Window: c.Retry.Window, Slack: c.Retry.Slack * 4 / 5, Patience: c.Vol() * 5 / 4,
 		Shy: c.Bounds.Plan / 2, Turned: c.Bounds.Plan / 8, Back: c.Vol() / 4, Pace: 50, InTime: c.Admit,
-		Weights: forward.Weights{Far: 0.0023, Again: 0.05, Moved: 0.0022, Apart: 3, Miss: 0.05, Cold: 0.05, Stall: 0.3}}
+		Weights: forward.Weights{Far: 0.0023, Again: 0.05, Moved: 0.0022, Apart: 3, Miss: 0.05, Cold: 0.05, Stall: 0.3},
+	}
 }
 
 // BoardConfig is the board's bounds, as ratios to those in the daemon's config.
@@ -367,9 +369,11 @@
 		g.early(q, w, http.StatusNotFound, "no route")
 		return
 	}
-	c := forward.Call{ID: q.ID, Repeat: r.Kind == "safe" || r.Kind == "stream" && r.Resume, Resume: r.Kind == "stream" && r.Resume, After: q.Last != "",
+	c := forward.Call{
+		ID: q.ID, Repeat: r.Kind == "safe" || r.Kind == "stream" && r.Resume, Resume: r.Kind == "stream" && r.Resume, After: q.Last != "",
 		Urgency: r.Urgency, Least: s.least, Tries: r.Tries, Aim: time.Duration(r.Target) * time.Millisecond, Gap: time.Duration(r.Gap) * time.Millisecond,
-		Parts: q.Parts, In: q.In, Out: q.Out, Bytes: len(q.Body)}
+		Parts: q.Parts, In: q.In, Out: q.Out, Bytes: len(q.Body),
+	}
 	c.Service = route.Pick(r, dice(q.ID))
 	c.Split = r.Kind == "stream" && s.split[c.Service]
 	c.Due = at + time.Duration(r.GiveUp)*time.Millisecond
--- a/traffic/nativeapi/nativeapi.go
+++ b/traffic/nativeapi/nativeapi.go
@@ -78,8 +78,10 @@
 // Example: l := scheduler.New(nativeapi.Config(cfg), svc, part, read, term)
 func Config(c daemon.Config) scheduler.Config {
 	b := c.Bounds
-	return scheduler.Config{Queue: slots.Config{Most: c.Queue, Floor: b.Plan / 2, Ceil: 5 * b.Recover}, Retry: 0.2, Window: b.Recover, Most: 3,
-		Patience: 2 * c.Vol(), Shy: 2 * c.Vol(), Turned: c.Vol() / 4, Stall: b.Plan, Ahead: 32, Back: b.Plan / 2, Prefixes: 1 << 16}
+	return scheduler.Config{
+		Queue: slots.Config{Most: c.Queue, Floor: b.Plan / 2, Ceil: 5 * b.Recover}, Retry: 0.2, Window: b.Recover, Most: 3,
+		Patience: 2 * c.Vol(), Shy: 2 * c.Vol(), Turned: c.Vol() / 4, Stall: b.Plan, Ahead: 32, Back: b.Plan / 2, Prefixes: 1 << 16,
+	}
 }
 
 func (d *API) lane(svc string) *lane {
@@ -87,8 +89,10 @@
 		return l.(*lane)
 	}
 	p := d.c.Partition(svc)
-	l := &lane{partition: p, kick: make(chan struct{}, 1), rides: map[string]*ride{},
-		Lane: scheduler.New(Config(d.c.Cfg), svc, p, d.c.Read, func() uint64 { return d.c.Term(p) })}
+	l := &lane{
+		partition: p, kick: make(chan struct{}, 1), rides: map[string]*ride{},
+		Lane: scheduler.New(Config(d.c.Cfg), svc, p, d.c.Read, func() uint64 { return d.c.Term(p) }),
+	}
 	got, had := d.lanes.LoadOrStore(svc, l)
 	if !had {
 		d.c.Pin(p, fleetconfig.ListKey(svc))
--- a/traffic/nativeapi/show.go
+++ b/traffic/nativeapi/show.go
@@ -58,9 +58,11 @@
 	if early := d.early.Load(); early > 0 {
 		why["before a lane"] = early
 	}
-	return map[string]int64{"first_tries": n.First, "retries": n.Retries, "served": n.Served, "shed": n.Refusals + d.early.Load(), "uncertain": n.Unsure,
+	return map[string]int64{
+		"first_tries": n.First, "retries": n.Retries, "served": n.Served, "shed": n.Refusals + d.early.Load(), "uncertain": n.Unsure,
 		"broken": n.Broken, "duplicates": n.Dups, "gone": n.Gone, "bad": d.bad.Load(), "wasted_prefills": n.Wasted,
-		"prefix_parts_held": n.Hits, "prefix_parts": n.Reads, "open": d.open.Load()}, why
+		"prefix_parts_held": n.Hits, "prefix_parts": n.Reads, "open": d.open.Load(),
+	}, why
 }
 
 // all iterates over the lanes.
--- a/traffic/scheduler/lane.go
+++ b/traffic/scheduler/lane.go
@@ -52,8 +52,10 @@
 //
 // Example: l := scheduler.New(cfg, "timetable", 3, daemon.Read, term)
 func New(cfg Config, svc string, partition int, src Source, term func() uint64) *Lane {
-	return &Lane{cfg: cfg, svc: svc, partition: partition, src: src, term: term, q: slots.New(cfg.Queue), bucket: attempt.Bucket{Rate: cfg.Retry, Window: cfg.Window},
-		seen: serverpool.NewPrefixes(cfg.Prefixes), shy: map[string]time.Duration{}, rows: map[string]placement.ServerRecord{}, trips: map[string]*trip{}, serverRecords: map[string]parsed{}, n: Counts{Why: map[string]int64{}}}
+	return &Lane{
+		cfg: cfg, svc: svc, partition: partition, src: src, term: term, q: slots.New(cfg.Queue), bucket: attempt.Bucket{Rate: cfg.Retry, Window: cfg.Window},
+		seen: serverpool.NewPrefixes(cfg.Prefixes), shy: map[string]time.Duration{}, rows: map[string]placement.ServerRecord{}, trips: map[string]*trip{}, serverRecords: map[string]parsed{}, n: Counts{Why: map[string]int64{}},
+	}
 }
 
 // Service is the lane's service.
--- a/traffic/scheduler/scheduler_test.go
+++ b/traffic/scheduler/scheduler_test.go
@@ -35,8 +35,10 @@
 	put(fleetconfig.ServerRecordKey("m", prefill), placement.ServerRecord{Addr: prefill, Zone: "a", Part: placement.Prefill, Status: placement.Up, Pairs: []string{decode}})
 	put(fleetconfig.ServerRecordKey("m", decode), placement.ServerRecord{Addr: decode, Zone: "a", Part: placement.Decode, Status: placement.Up})
 	src := func(_ int, key string) (message.Rec, bool) { r, ok := w.recs[key]; return r, ok }
-	cfg := Config{Queue: slots.Config{Most: 8, Floor: time.Second, Ceil: time.Minute}, Retry: 0.2, Window: 16 * time.Second, Most: 3, Patience: time.Second,
-		Shy: time.Second, Turned: time.Second, Stall: 2 * time.Second, Ahead: 4, Back: time.Second, Prefixes: 100}
+	cfg := Config{
+		Queue: slots.Config{Most: 8, Floor: time.Second, Ceil: time.Minute}, Retry: 0.2, Window: 16 * time.Second, Most: 3, Patience: time.Second,
+		Shy: time.Second, Turned: time.Second, Stall: 2 * time.Second, Ahead: 4, Back: time.Second, Prefixes: 100,
+	}
 	w.Lane = New(cfg, "m", 1, src, func() uint64 { return 1 })
 	w.Shared(w.now, placement.Share{No: 1, Len: int64(time.Hour), Slots: map[string]int{prefill: 2, decode: 2}}, w.now)
 	return w
--- a/traffic/serverpool/serverpool.go
+++ b/traffic/serverpool/serverpool.go
@@ -41,7 +41,8 @@
 func NewHands(dial time.Duration) *Hands {
 	return &Hands{web: &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dial}).DialContext,
-		MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second, DisableCompression: true}}}
+		MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second, DisableCompression: true,
+	}}}
 }
 
 // errLapsed stops a request whose ground is gone just before its first byte.
--- a/wire/message/message.go
+++ b/wire/message/message.go
@@ -61,9 +61,11 @@
 	kindEnd
 )
 
-var kindNames = [...]string{"none", "renew", "grant", "reconnect", "listing", "synced", "connect", "invalidate", "invalidated", "deny", "steer",
+var kindNames = [...]string{
+	"none", "renew", "grant", "reconnect", "listing", "synced", "connect", "invalidate", "invalidated", "deny", "steer",
 	"ask", "promise", "refuse", "fill", "filled", "unfit", "accept", "accepted", "support", "void", "supported",
-	"hello", "welcome", "gossip", "census", "count", "call", "back", "found", "board", "incarnation"}
+	"hello", "welcome", "gossip", "census", "count", "call", "back", "found", "board", "incarnation",
+}
 
 // String names a kind.
 //
--- a/wire/transport/transport_test.go
+++ b/wire/transport/transport_test.go
@@ -15,8 +15,10 @@
 )
 
 func sample() message.Message {
-	return message.Message{Kind: message.Listing, Fleet: "f", Partition: 3, From: "a", Epoch: 2, Addr: "10.0.0.1:1", To: "b", No: 7, Mark: message.Mark{Ident: "b", Epoch: 1, Term: 9},
-		Recs: []message.Rec{{Key: "plan/now", Ver: message.Ver{Term: 4, Seq: 2}, Val: []byte("x")}}, Keys: []string{"k"}, Group: message.Group{Num: 1, Replicas: []message.Replica{{Ident: "a", Addr: "q"}}}}
+	return message.Message{
+		Kind: message.Listing, Fleet: "f", Partition: 3, From: "a", Epoch: 2, Addr: "10.0.0.1:1", To: "b", No: 7, Mark: message.Mark{Ident: "b", Epoch: 1, Term: 9},
+		Recs: []message.Rec{{Key: "plan/now", Ver: message.Ver{Term: 4, Seq: 2}, Val: []byte("x")}}, Keys: []string{"k"}, Group: message.Group{Num: 1, Replicas: []message.Replica{{Ident: "a", Addr: "q"}}},
+	}
 }
 
 func TestBadFramesAreNamed(t *testing.T) {
