--- a/cmd/mulleinctl/main.go
+++ b/cmd/mulleinctl/main.go
@@ -123,13 +123,13 @@
 		go func() {
 			defer wg.Done()
 			var v T
-			err := s.get(m.Web, path, &v)
+			err := s.get(m.HTTPAddr, path, &v)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				bad[m.Web] = err
+				bad[m.HTTPAddr] = err
 			} else {
-				got[m.Web] = v
+				got[m.HTTPAddr] = v
 			}
 		}()
 	}
@@ -185,7 +185,7 @@
 		}
 		var rows [][]any
 		for _, m := range st.Members {
-			rows = append(rows, []any{m.Ident, incarnation.String(m.Epoch), m.Zone, m.Web, m.Addr, m.Disk, m.Ready})
+			rows = append(rows, []any{m.Ident, incarnation.String(m.Epoch), m.Zone, m.HTTPAddr, m.Addr, m.HasDisk, m.Ready})
 		}
 		return s.show(st.Members, "IDENT START ZONE WEB WIRE DISK READY", rows)
 	case "plan":
@@ -251,7 +251,7 @@
 				switch {
 				case what == "partitions" && p.Mine:
 					head = "PARTITION LEADER TERM GROUP NEXT RECORDS"
-					rows = append(rows, []any{p.Partition, web, p.Leader.Num, len(p.Group.Replicas), len(p.Group.Next), p.Recs})
+					rows = append(rows, []any{p.Partition, web, p.Leader.Term, len(p.Group.Replicas), len(p.Group.Next), p.Recs})
 				case what == "servers":
 					head = "SERVICE SERVER ZONE ROLE STATUS TO ACTIVE SLOTS OUT PAIRS"
 					for _, r := range p.Server {
--- a/control/daemon/call.go
+++ b/control/daemon/call.go
@@ -10,7 +10,9 @@
 	"mulleinmast/wire/message"
 )
 
-func (c *Daemon) leaderOf(partition int) message.Replica { return c.View().Owns[partition].Replica }
+func (c *Daemon) leaderOf(partition int) message.Replica {
+	return c.View().Leaderships[partition].Leader
+}
 
 // carryCalls carries out what a step of the calls under way asks for; cmu is held.
 func (c *Daemon) carryCalls(o leadercall.Out) {
@@ -46,7 +48,7 @@
 		c.runs.Drop(no)
 		delete(c.calls, no)
 		c.cmu.Unlock()
-		return leadercall.Uncertain, leadercall.Pack(leadercall.Word{Result: "uncertain", Why: "the caller went away"})
+		return leadercall.Uncertain, leadercall.Pack(leadercall.Response{Result: "uncertain", Why: "the caller went away"})
 	}
 }
 
@@ -64,12 +66,12 @@
 func (c *Daemon) Contact(part int) (out Contact) {
 	s := c.shards[part]
 	s.mu.Lock()
-	out.Lapsed = max(0, c.Now()-s.Partition().Node.Till())
+	out.Lapsed = max(0, c.Now()-s.Partition().Node.VolumeExpiry())
 	s.mu.Unlock()
 	out.Away = out.Lapsed > c.Cfg.QuorumConfig().LeaderLease
 	v := c.View()
 	for _, l := range v.Torn() {
-		if l.At+2*c.Cfg.Sessions().Session >= c.Now()-out.Lapsed { // by the same cut
+		if l.At+2*c.Cfg.Sessions().SessionTimeout >= c.Now()-out.Lapsed { // by the same cut
 			out.Others = append(out.Others, l.Member)
 		}
 	}
@@ -77,7 +79,7 @@
 		return out // none: nobody has a leader, as far as this daemon knows
 	}
 	for _, m := range v.Members {
-		if m.Disk && m.Addr != c.me.Addr {
+		if m.HasDisk && m.Addr != c.me.Addr {
 			out.Others = append(out.Others, m)
 		}
 	}
--- a/control/daemon/config.go
+++ b/control/daemon/config.go
@@ -319,7 +319,7 @@
 // Example: node := lease.New(c.Leases(), 0, me, epoch)
 func (c Config) Leases() lease.Config {
 	return lease.Config{
-		Vol: c.Vol(), Obj: 600 * c.Vol(), Drift: c.Drift, Margin: c.margin(), Beat: c.Vol() / 3,
+		VolumeLease: c.Vol(), ObjectLease: 600 * c.Vol(), Drift: c.Drift, Margin: c.margin(), RenewInterval: c.Vol() / 3,
 		Gain: fraction(c.Bounds.Plan, 0.01), Span: 5 * c.Vol(), Most: 2000,
 	}
 }
@@ -334,7 +334,7 @@
 // Example: replica := quorum.New(c.QuorumConfig(), 0, me, folder, meta, records, now, false)
 func (c Config) QuorumConfig() quorum.Config {
 	d := c.Bounds.Plan / 2
-	return quorum.Config{LeaderLease: d, Drift: c.Drift, Margin: c.margin(), Beat: d / 3, Gone: max(fraction(c.Catch, goneRatio), d+d/2)}
+	return quorum.Config{LeaderLease: d, Drift: c.Drift, Margin: c.margin(), HeartbeatInterval: d / 3, LostAfter: max(fraction(c.Catch, goneRatio), d+d/2)}
 }
 
 // Keep is how long a once key is kept; no request's timeout is longer than half.
@@ -352,7 +352,7 @@
 //
 // Example: r := membership.New(c.Sessions(), me, c.Seeds)
 func (c Config) Sessions() membership.Config {
-	return membership.Config{Session: fraction(c.Bounds.Plan, 0.6), Beat: fraction(c.Bounds.Plan, 0.1), Small: 3, Losses: c.Losses, First: c.First}
+	return membership.Config{SessionTimeout: fraction(c.Bounds.Plan, 0.6), HeartbeatInterval: fraction(c.Bounds.Plan, 0.1), Small: 3, Losses: c.Losses, First: c.First}
 }
 
 // Works is the config of the servers' holder.
--- a/control/daemon/contact_test.go
+++ b/control/daemon/contact_test.go
@@ -16,8 +16,8 @@
 	cfg := c.Cfg
 	leased(c)
 
-	disk := func(addr string) message.Member { return message.Member{Ident: addr, Addr: addr, Disk: true} }
-	session := cfg.Sessions().Session
+	disk := func(addr string) message.Member { return message.Member{Ident: addr, Addr: addr, HasDisk: true} }
+	session := cfg.Sessions().SessionTimeout
 	for _, x := range []struct {
 		what string
 		wait time.Duration
--- a/control/daemon/daemon.go
+++ b/control/daemon/daemon.go
@@ -163,7 +163,7 @@
 	if c.arch != nil {
 		for _, h := range c.arch.Partitions {
 			for _, replica := range h.Meta.Group.All() {
-				c.rost.Know(replica.Addr)
+				c.rost.AddControlAddrs(replica.Addr)
 			}
 		}
 	}
@@ -177,7 +177,7 @@
 			if !ok {
 				h = storage.Held{Records: digest.NewRecords()}
 			}
-			replica = quorum.New(cfg.QuorumConfig(), p, c.me, folder, h.Meta, h.Records, now, h.Meta.Group.Num == 0)
+			replica = quorum.New(cfg.QuorumConfig(), p, c.me, folder, h.Meta, h.Records, now, h.Meta.Group.Number == 0)
 		}
 		node := lease.New(cfg.Leases(), p, c.me, c.epoch)
 		node.UseCodec(fleetconfig.Codec{}, lease.LeastDelta)
@@ -190,7 +190,7 @@
 			return message.Replica{}
 		}
 		m := leader.New(leader.Config{Works: cfg.Works(), Keep: cfg.Keep(), Again: cfg.Again(), Reads: c.formatRead}, p, c.me, partition.New(p, c.me, c.epoch, replica, node))
-		c.shards = append(c.shards, &shard{partition: p, Controller: m, guide: membership.Guide{Partition: p, Vol: cfg.Vol()}})
+		c.shards = append(c.shards, &shard{partition: p, Controller: m, guide: membership.ParentChooser{Partition: p, Vol: cfg.Vol()}})
 	}
 	c.Pin(0, fleetconfig.PlanKey)
 	c.Pin(0, fleetconfig.ZoneKey)
--- a/control/daemon/disk_test.go
+++ b/control/daemon/disk_test.go
@@ -27,14 +27,14 @@
 		t.Fatal(err)
 	}
 	for i := range 300 {
-		rec := message.Rec{Key: fmt.Sprint("k", i%3), Ver: message.Ver{Term: 1, Seq: uint64(i + 1)}, Val: make([]byte, 1<<18)}
-		c.toDisk([]quorum.Save{{Ticket: uint64(i + 1), Partition: 1, Meta: quorum.Meta{Promised: uint64(i + 1)}, Recs: []message.Rec{rec}}})
+		rec := message.Record{Key: fmt.Sprint("k", i%3), Version: message.Version{Term: 1, Seq: uint64(i + 1)}, Value: make([]byte, 1<<18)}
+		c.toDisk([]quorum.Save{{Ticket: uint64(i + 1), Partition: 1, Meta: quorum.Meta{Promised: uint64(i + 1)}, Records: []message.Record{rec}}})
 		if i%100 == 50 && !c.flush(t.Context()) {
 			t.Fatal("nothing was tried")
 		}
 	}
-	if s := c.dq.Saves(); len(s) != 1 || len(s[0].Recs) != 3 || len(c.dq.Given) != 300 || c.refused.Load() != 3 {
-		t.Errorf("%d saves of %d records wait, %d refused", len(s), len(s[0].Recs), c.refused.Load())
+	if s := c.dq.Saves(); len(s) != 1 || len(s[0].Records) != 3 || len(c.dq.Given) != 300 || c.refused.Load() != 3 {
+		t.Errorf("%d saves of %d records wait, %d refused", len(s), len(s[0].Records), c.refused.Load())
 	}
 	if err := c.arch.Full(false); err != nil {
 		t.Fatal(err)
@@ -56,8 +56,8 @@
 	defer a.Close()
 	h := a.Partitions[1]
 	for k, seq := range map[string]uint64{"k0": 298, "k1": 299, "k2": 300} {
-		if r, _ := h.Records.Get(k); r.Ver.Seq != seq || h.Meta.Promised != 300 {
-			t.Errorf("%s is of change %d, the promise of %d", k, r.Ver.Seq, h.Meta.Promised)
+		if r, _ := h.Records.Get(k); r.Version.Seq != seq || h.Meta.Promised != 300 {
+			t.Errorf("%s is of change %d, the promise of %d", k, r.Version.Seq, h.Meta.Promised)
 		}
 	}
 }
--- a/control/daemon/fleet.go
+++ b/control/daemon/fleet.go
@@ -14,19 +14,19 @@
 	empty := c.arch != nil
 	for _, s := range c.shards {
 		s.mu.Lock()
-		if s.Partition().Replica != nil && s.Partition().Replica.Group().Num > 0 {
+		if s.Partition().Replica != nil && s.Partition().Replica.Group().Number > 0 {
 			empty = false
 		}
 		s.mu.Unlock()
 	}
 	if c.shards == nil && c.arch != nil {
 		for _, h := range c.arch.Partitions {
-			if h.Meta.Group.Num > 0 {
+			if h.Meta.Group.Number > 0 {
 				empty = false
 			}
 		}
 	}
-	return message.Member{Ident: c.me.Ident, Epoch: c.epoch, Addr: c.me.Addr, Web: c.Cfg.Web, Zone: c.Cfg.Zone, Disk: c.arch != nil, Ready: c.shown(), Empty: empty, Build: Build}
+	return message.Member{Ident: c.me.Ident, Epoch: c.epoch, Addr: c.me.Addr, HTTPAddr: c.Cfg.Web, Zone: c.Cfg.Zone, HasDisk: c.arch != nil, Ready: c.shown(), Empty: empty, Build: Build}
 }
 
 // shown tells whether the session table is to show this daemon as ready: a dip
@@ -36,11 +36,11 @@
 		c.readyAt.Store(int64(c.Now()))
 		return true
 	}
-	return c.wasReady(c.Cfg.Sessions().Session)
+	return c.wasReady(c.Cfg.Sessions().SessionTimeout)
 }
 
 func (c *Daemon) tickMembership(ctx context.Context) error {
-	t := time.NewTicker(c.Cfg.Sessions().Beat / 4)
+	t := time.NewTicker(c.Cfg.Sessions().HeartbeatInterval / 4)
 	defer t.Stop()
 	for {
 		select {
@@ -48,13 +48,13 @@
 			return ctx.Err()
 		case <-t.C:
 		}
-		var owns []message.Own
+		var owns []message.Leadership
 		for _, s := range c.shards {
 			s.mu.Lock()
 			if s.Partition().Replica != nil {
 				if s.Leader(c.Now()) {
-					owns = append(owns, message.Own{Partition: s.partition, Num: s.Partition().Replica.Num(), Replica: c.me})
-				} else if h := s.Partition().Replica.Hint(); h.Num > 0 {
+					owns = append(owns, message.Leadership{Partition: s.partition, Term: s.Partition().Replica.Term(), Leader: c.me})
+				} else if h := s.Partition().Replica.KnownLeader(); h.Term > 0 {
 					owns = append(owns, h)
 				}
 			}
@@ -72,14 +72,14 @@
 		for _, m := range o.Sends {
 			c.Line.Send(m)
 		}
-		if o.Found != nil {
-			c.found(o.Found)
+		if o.Bootstrap != nil {
+			c.found(o.Bootstrap)
 		}
 	}
 }
 
 // tickTable lets time pass in the membership table and shows what it knows then.
-func (c *Daemon) tickTable(me message.Member, owns []message.Own) membership.Out {
+func (c *Daemon) tickTable(me message.Member, owns []message.Leadership) membership.Out {
 	c.rmu.Lock()
 	defer c.rmu.Unlock()
 	o := c.rost.Tick(c.Now(), me, owns)
@@ -91,12 +91,12 @@
 func (c *Daemon) found(replicas []message.Replica) {
 	c.Events.Say("fleet", "nobody knows of a group: the fleet is founded with %v", replicas)
 	var saves []quorum.Save
-	var sends []message.Send
+	var sends []message.Envelope
 	for _, s := range c.shards { // a promise that a partition makes meanwhile must come to the disk later
 		s.mu.Lock()
 	}
 	for _, s := range c.shards {
-		o := s.Found(c.Now(), message.Group{Num: 1, Replicas: replicas})
+		o := s.Bootstrap(c.Now(), message.Group{Number: 1, Replicas: replicas})
 		saves, sends = append(saves, o.Saves...), append(sends, o.Sends...)
 	}
 	c.toDisk(saves)
@@ -145,4 +145,4 @@
 // OpenPlan reads a plan record, once a version; the plan is not to be changed.
 //
 // Example: plan := c.OpenPlan(rec)
-func (c *Daemon) OpenPlan(rec message.Rec) fleetconfig.Plan { return c.plans.Open(rec) }
+func (c *Daemon) OpenPlan(rec message.Record) fleetconfig.Plan { return c.plans.Open(rec) }
--- a/control/daemon/handover.go
+++ b/control/daemon/handover.go
@@ -63,7 +63,7 @@
 		g, set := s.Partition().Replica.Group(), s.Partition().Replica.Meta().LastComplete
 		s.mu.Unlock()
 		switch {
-		case g.Num == 0 || set == 0:
+		case g.Number == 0 || set == 0:
 			return
 		case len(g.Next) > 0 || !g.Has(c.me.Ident):
 			now = holding
--- a/control/daemon/handover_test.go
+++ b/control/daemon/handover_test.go
@@ -22,10 +22,10 @@
 	}{
 		"nobody else":              {nil, 0},
 		"a daemon without a disk":  {[]message.Member{{Ident: "d"}}, 0},
-		"a standby":                {[]message.Member{{Ident: "d", Disk: true}}, 2},
-		"a standby beside another": {[]message.Member{{Ident: "d"}, {Ident: "e", Disk: true}}, 2},
+		"a standby":                {[]message.Member{{Ident: "d", HasDisk: true}}, 2},
+		"a standby beside another": {[]message.Member{{Ident: "d"}, {Ident: "e", HasDisk: true}}, 2},
 	} {
-		members := append([]message.Member{c.member(), {Ident: "b", Disk: true}, {Ident: "c", Disk: true}}, x.more...)
+		members := append([]message.Member{c.member(), {Ident: "b", HasDisk: true}, {Ident: "c", HasDisk: true}}, x.more...)
 		c.view.Store(&membership.View{Me: members[0], Members: members})
 		if n := c.Held(); n != x.held {
 			t.Errorf("%s: %d partitions held, expected %d", what, n, x.held)
--- a/control/daemon/host.go
+++ b/control/daemon/host.go
@@ -33,5 +33,5 @@
 func (c *Daemon) Know(addrs ...string) {
 	c.rmu.Lock()
 	defer c.rmu.Unlock()
-	c.rost.Know(addrs...)
+	c.rost.AddControlAddrs(addrs...)
 }
--- a/control/daemon/interface_test.go
+++ b/control/daemon/interface_test.go
@@ -117,7 +117,7 @@
 		what string
 		of   any
 	}{
-		{"answer to a call", new(leadercall.Word)},
+		{"answer to a call", new(leadercall.Response)},
 		{"plan", new(fleetconfig.Plan)},
 		{"changes of a plan", new(fleetconfig.Changes)},
 		{"list of servers", new(fleetconfig.List)},
@@ -228,7 +228,7 @@
 	await(t, c.Daemon, func() bool {
 		state := c.State()
 		return len(state.Zones) == 1 && state.Live && state.PlanOK && state.Me.Ready && !state.Me.Empty && state.Members[0] == state.Me &&
-			state.Partitions[0].Mine && state.Partitions[1].Mine && len(c.View().Owns) == len(state.Partitions)
+			state.Partitions[0].Mine && state.Partitions[1].Mine && len(c.View().Leaderships) == len(state.Partitions)
 	})
 	call("GET", "/v1/state", "")
 	call("POST", "/v1/zones/zone-1/return", "")
--- a/control/daemon/last_test.go
+++ b/control/daemon/last_test.go
@@ -19,8 +19,8 @@
 		cfg.Bounds.Recover = 1200 * time.Second
 	})
 	cfg, node, hear := c.Cfg, c.shards[0].Partition().Node, leased(c)
-	beat := cfg.Leases().Beat
-	hear(message.Message{Kind: message.Grant, Recs: []message.Rec{{Key: fleetconfig.PlanKey, Val: []byte("{}")}, {Key: fleetconfig.ZoneKey, Val: []byte("[]")}}, Long: int64(time.Hour)})
+	beat := cfg.Leases().RenewInterval
+	hear(message.Message{Kind: message.KindGrantLease, Records: []message.Record{{Key: fleetconfig.PlanKey, Value: []byte("{}")}, {Key: fleetconfig.ZoneKey, Value: []byte("[]")}}, ObjectLease: int64(time.Hour)})
 
 	tick := func() {
 		c.step(c.shards[0], func(m *leader.Controller, now time.Duration) leader.Out { return m.Tick(now) })
--- a/control/daemon/metrics.go
+++ b/control/daemon/metrics.go
@@ -45,7 +45,7 @@
 
 func (s *shard) led(c *Daemon) bool { return s.Leader(c.Now()) }
 
-func (s *shard) leased(c *Daemon) bool { return c.Now() < s.Partition().Node.Till() }
+func (s *shard) leased(c *Daemon) bool { return c.Now() < s.Partition().Node.VolumeExpiry() }
 
 // partitionsThat counts the partitions of which something is true.
 func (c *Daemon) partitionsThat(is func(*shard, *Daemon) bool, of *Daemon) (n float64) {
--- a/control/daemon/open_test.go
+++ b/control/daemon/open_test.go
@@ -31,15 +31,15 @@
 
 // leased has a daemon's partition adopt a parent and hold its volume lease; what
 // the parent says goes in by the function that it gives.
-func leased(c *Daemon) (hear func(message.Message) []message.Send) {
+func leased(c *Daemon) (hear func(message.Message) []message.Envelope) {
 	node, no := c.shards[0].Partition().Node, uint64(0)
-	hear = func(n message.Message) []message.Send {
+	hear = func(n message.Message) []message.Envelope {
 		no++
-		n.From, n.Addr, n.Mark, n.No, n.Num = "p", "p", message.Mark{Ident: "p", Epoch: 1}, no, c.epoch
-		return node.Hear(c.Now(), n).Sends
+		n.From, n.Addr, n.VolumeEpoch, n.RequestID, n.Term = "p", "p", message.VolumeEpoch{Ident: "p", Epoch: 1}, no, c.epoch
+		return node.Step(c.Now(), n).Sends
 	}
-	node.Adopt(c.Now(), message.Replica{Ident: "p", Addr: "p"})
-	list := hear(message.Message{Kind: message.Reconnect})[0].Message
-	hear(message.Message{Kind: message.Synced, Ref: list.No, Len: int64(c.Cfg.Vol()), Long: int64(time.Hour)})
+	node.SetParent(c.Now(), message.Replica{Ident: "p", Addr: "p"})
+	list := hear(message.Message{Kind: message.KindReconnect})[0].Message
+	hear(message.Message{Kind: message.KindReconciled, ResponseTo: list.RequestID, Length: int64(c.Cfg.Vol()), ObjectLease: int64(time.Hour)})
 	return hear
 }
--- a/control/daemon/operate.go
+++ b/control/daemon/operate.go
@@ -25,13 +25,13 @@
 
 // Respond writes a JSON answer; one to come back for carries Retry-After.
 //
-// Example: daemon.Respond(w, 503, leadercall.Word{Result: "refused", After: 1500})
+// Example: daemon.Respond(w, 503, leadercall.Response{Result: "refused", After: 1500})
 func Respond(w http.ResponseWriter, code int, v any) {
 	b, ok := v.([]byte)
 	if !ok {
 		b = leadercall.Pack(v)
 	}
-	var word leadercall.Word
+	var word leadercall.Response
 	if code >= 500 || code == http.StatusTooManyRequests {
 		_ = json.Unmarshal(b, &word)
 		w.Header().Set("Retry-After", strconv.FormatInt(max(1, (word.After+999)/1000), 10))
@@ -49,10 +49,10 @@
 	var big *http.MaxBytesError
 	switch {
 	case errors.As(err, &big):
-		Respond(w, http.StatusRequestEntityTooLarge, leadercall.Word{Result: "broken", Faults: []string{fmt.Sprintf("body: more than %d bytes", most)}})
+		Respond(w, http.StatusRequestEntityTooLarge, leadercall.Response{Result: "broken", Faults: []string{fmt.Sprintf("body: more than %d bytes", most)}})
 	case err != nil:
 		// What did not come whole may be in order: nothing is said of it.
-		Respond(w, http.StatusRequestTimeout, leadercall.Word{Result: "not done", Why: "body: " + err.Error()})
+		Respond(w, http.StatusRequestTimeout, leadercall.Response{Result: "not done", Why: "body: " + err.Error()})
 	}
 	return b, err == nil
 }
@@ -60,14 +60,14 @@
 // operate lays out the calls for operators and the platform.
 func (c *Daemon) operate() {
 	m := c.Mux
-	m.HandleFunc("GET /livez", func(w http.ResponseWriter, r *http.Request) { Respond(w, 200, leadercall.Word{Result: "live"}) })
+	m.HandleFunc("GET /livez", func(w http.ResponseWriter, r *http.Request) { Respond(w, 200, leadercall.Response{Result: "live"}) })
 	m.HandleFunc("GET /readyz", func(w http.ResponseWriter, r *http.Request) {
 		if c.ready.Load() && c.isReady() {
 			id, version, _ := c.Plan()
-			Respond(w, 200, leadercall.Word{Result: "ready", Plan: id, Version: version})
+			Respond(w, 200, leadercall.Response{Result: "ready", Plan: id, Version: version})
 			return
 		}
-		Respond(w, 503, leadercall.Word{Result: "not ready", Why: c.unready(), After: 1000})
+		Respond(w, 503, leadercall.Response{Result: "not ready", Why: c.unready(), After: 1000})
 	})
 	m.HandleFunc("GET /v1/plan/template", func(w http.ResponseWriter, r *http.Request) { Respond(w, 200, fleetconfig.Template()) })
 	m.HandleFunc("GET /v1/plan", func(w http.ResponseWriter, r *http.Request) {
@@ -75,7 +75,7 @@
 		defer done()
 		rec, ok := c.Await(ctx, 0, fleetconfig.PlanKey)
 		if !ok {
-			Respond(w, 503, leadercall.Word{Result: "not known", Why: "no valid lease on the plan", After: part2(c.Cfg)})
+			Respond(w, 503, leadercall.Response{Result: "not known", Why: "no valid lease on the plan", After: part2(c.Cfg)})
 			return
 		}
 		Respond(w, 200, c.plans.Open(rec))
@@ -85,7 +85,7 @@
 	zones := func(w http.ResponseWriter, r *http.Request) {
 		op, zone := r.PathValue("op"), r.PathValue("zone")
 		if op != "evacuate" && op != "return" || !fleetconfig.GoodName(zone) {
-			Respond(w, 404, leadercall.Word{Result: "broken", Faults: []string{fmt.Sprintf("zone %q, op %q: expected a zone's name and evacuate or return", zone, op)}})
+			Respond(w, 404, leadercall.Response{Result: "broken", Faults: []string{fmt.Sprintf("zone %q, op %q: expected a zone's name and evacuate or return", zone, op)}})
 			return
 		}
 		known := false
@@ -129,26 +129,26 @@
 		ctx, done := context.WithTimeout(r.Context(), c.Cfg.Bounds.Plan)
 		defer done()
 		if !fleetconfig.GoodName(svc) {
-			Respond(w, 404, leadercall.Word{Result: "broken", Faults: []string{"no such service"}})
+			Respond(w, 404, leadercall.Response{Result: "broken", Faults: []string{"no such service"}})
 			return
 		}
 		rec, ok := c.Await(ctx, c.Partition(svc), fleetconfig.ListKey(svc))
 		if !ok {
-			Respond(w, 503, leadercall.Word{Result: "not known", After: part2(c.Cfg)})
+			Respond(w, 503, leadercall.Response{Result: "not known", After: part2(c.Cfg)})
 			return
 		}
-		if rec.Dead {
-			Respond(w, 404, leadercall.Word{Result: "not known", Why: "no list for service " + svc})
+		if rec.Deleted {
+			Respond(w, 404, leadercall.Response{Result: "not known", Why: "no list for service " + svc})
 			return
 		}
-		Respond(w, 200, rec.Val)
+		Respond(w, 200, rec.Value)
 	})
 	m.HandleFunc("GET /v1/state", func(w http.ResponseWriter, r *http.Request) { Respond(w, 200, c.State()) })
 	m.HandleFunc("GET /v1/ring", func(w http.ResponseWriter, r *http.Request) {
 		since := r.URL.Query().Get("since")
 		from, err := strconv.ParseUint(since, 10, 64)
 		if err != nil && since != "" {
-			Respond(w, 400, leadercall.Word{Result: "broken", Faults: []string{fmt.Sprintf("since: %q: expected a line's number", since)}})
+			Respond(w, 400, leadercall.Response{Result: "broken", Faults: []string{fmt.Sprintf("since: %q: expected a line's number", since)}})
 			return
 		}
 		Respond(w, 200, map[string]any{"ident": c.me.Ident, "addr": c.Cfg.Web, "lines": c.Events.Since(from)})
@@ -157,15 +157,15 @@
 		m.HandleFunc("POST /v1/backup", func(w http.ResponseWriter, r *http.Request) {
 			to := r.URL.Query().Get("to")
 			if !filepath.IsAbs(to) {
-				Respond(w, 400, leadercall.Word{Result: "broken", Faults: []string{fmt.Sprintf("to: %q: expected the full path of a file that isn't there yet", to)}})
+				Respond(w, 400, leadercall.Response{Result: "broken", Faults: []string{fmt.Sprintf("to: %q: expected the full path of a file that isn't there yet", to)}})
 				return
 			}
 			if err := c.arch.Backup(to); err != nil {
-				Respond(w, 400, leadercall.Word{Result: "not done", Why: err.Error()})
+				Respond(w, 400, leadercall.Response{Result: "not done", Why: err.Error()})
 				return
 			}
 			c.Events.Record("disk", "backed up to %s", to)
-			Respond(w, 200, leadercall.Word{Result: "done"})
+			Respond(w, 200, leadercall.Response{Result: "done"})
 		})
 	}
 	if c.Cfg.Test {
@@ -198,7 +198,7 @@
 			}
 			return ok
 		}
-		if g.Num > 0 && !g.Quorum(there) {
+		if g.Number > 0 && !g.HasQuorum(there) {
 			return fmt.Sprintf("partition %d: %d of its group's %d disks are here, a majority is needed; bring the others back, or restore their folders from a back-up", s.partition, here, len(g.All()))
 		}
 	}
@@ -217,7 +217,7 @@
 	if turn != nil {
 		var f fleetconfig.Faults
 		if b, f = turn(b); f.Any() {
-			Respond(w, 400, leadercall.Word{Result: "broken", Faults: f.List})
+			Respond(w, 400, leadercall.Response{Result: "broken", Faults: f.List})
 			return
 		}
 	}
@@ -228,14 +228,14 @@
 
 // PartitionView is one partition as this daemon sees it.
 type PartitionView struct {
-	Partition int             `json:"part"`
-	Leader    message.Own     `json:"owner"`
-	Mine      bool            `json:"mine"`
-	Group     message.Group   `json:"group"`
-	Set       uint64          `json:"set"`
-	Recs      int             `json:"records"`
-	Node      lease.View      `json:"node"`
-	Server    []placement.Row `json:"servers,omitempty"`
+	Partition int                `json:"part"`
+	Leader    message.Leadership `json:"owner"`
+	Mine      bool               `json:"mine"`
+	Group     message.Group      `json:"group"`
+	Set       uint64             `json:"set"`
+	Recs      int                `json:"records"`
+	Node      lease.View         `json:"node"`
+	Server    []placement.Row    `json:"servers,omitempty"`
 }
 
 // State is the dump that the query shell reads.
@@ -269,7 +269,7 @@
 	for _, s := range c.shards {
 		s.mu.Lock()
 		now := c.Now()
-		p := PartitionView{Partition: s.partition, Leader: v.Owns[s.partition], Mine: s.Leader(now), Node: s.Partition().Node.View(now)}
+		p := PartitionView{Partition: s.partition, Leader: v.Leaderships[s.partition], Mine: s.Leader(now), Node: s.Partition().Node.View(now)}
 		if s.Partition().Replica != nil {
 			p.Group, p.Set, p.Recs = s.Partition().Replica.Group(), s.Partition().Replica.Meta().LastComplete, s.Partition().Replica.Records().Size()
 		}
--- a/control/daemon/readable.go
+++ b/control/daemon/readable.go
@@ -11,21 +11,21 @@
 
 // checked is what the check of one version of a record came to.
 type checked struct {
-	ver message.Ver
+	ver message.Version
 	err error
 }
 
 // readable tells whether this build can read a record, and says so once a version
 // if not: nothing may be served by it then. The shard's lock is held.
-func (c *Daemon) readable(s *shard, r message.Rec) bool {
-	if known, ok := s.checks[r.Key]; ok && known.ver == r.Ver && r.Ver != (message.Ver{}) {
+func (c *Daemon) readable(s *shard, r message.Record) bool {
+	if known, ok := s.checks[r.Key]; ok && known.ver == r.Version && r.Version != (message.Version{}) {
 		return known.err == nil
 	}
 	if s.checks == nil || len(s.checks) >= mostChecked {
 		s.checks = map[string]checked{}
 	}
 	err := leader.Readable(&c.plans, r)
-	s.checks[r.Key] = checked{r.Ver, err}
+	s.checks[r.Key] = checked{r.Version, err}
 	if err != nil {
 		c.Events.Trouble("record", "partition %d: %v; nothing is served by it. If another build wrote it, run that one", s.partition, err)
 	}
--- a/control/daemon/shard.go
+++ b/control/daemon/shard.go
@@ -16,7 +16,7 @@
 	partition int
 	gen       atomic.Uint64 // counts changes of what may be served
 	*leader.Controller
-	guide  membership.Guide
+	guide  membership.ParentChooser
 	fence  uint64             // the highest that an order from here bore
 	saved  uint64             // the last save that was told as done; the disk's loop writes it
 	checks map[string]checked // records that were asked for, by key
@@ -52,35 +52,35 @@
 		}
 		tell("leader", "partition %d: leadership lost", s.partition)
 	}
-	if o.Orphan {
+	if o.Orphaned {
 		s.guide.Orphaned(c.Now())
 		c.Events.Record("tree", "partition %d: parent %s can't serve", s.partition, s.Partition().Node.Parent().Addr)
 	}
-	if o.Steer.Ident != "" {
-		s.guide.Steered(c.Now(), o.Steer)
-		c.Events.Record("tree", "partition %d: steered to %s", s.partition, o.Steer.Addr)
+	if o.Redirect.Ident != "" {
+		s.guide.Steered(c.Now(), o.Redirect)
+		c.Events.Record("tree", "partition %d: steered to %s", s.partition, o.Redirect.Addr)
 	}
 	if s.partition == 0 {
-		c.withdrawn.note(c.Now(), o.Gone, o.Fresh)
+		c.withdrawn.note(c.Now(), o.Withdrawn, o.Readable)
 	}
-	if len(o.Fresh)+len(o.Gone) > 0 || o.Won || o.Lost {
+	if len(o.Readable)+len(o.Withdrawn) > 0 || o.Won || o.Lost {
 		c.tellNews()
 	}
-	if gen := s.Partition().Node.Gen(); gen != s.gen.Load() {
+	if gen := s.Partition().Node.Generation(); gen != s.gen.Load() {
 		s.gen.Store(gen)
 		c.tellNews()
 	}
 }
 
 // send puts a message on the line; one to ourselves never leaves the daemon.
-func (c *Daemon) send(m message.Send) {
+func (c *Daemon) send(m message.Envelope) {
 	if m.Message.To == c.me.Ident {
 		m.Message.From, m.Message.Epoch, m.Message.Addr = c.me.Ident, c.epoch, c.me.Addr
 		go c.hear(m.Message) // the shard's lock is held here
 		return
 	}
 	// A replica is known by its identity; its machine may have a new address.
-	if at, ok := c.View().Find(m.Message.To); ok && !m.Exact {
+	if at, ok := c.View().Find(m.Message.To); ok && !m.ExactAddr {
 		m.Addr = at.Addr
 	}
 	c.Line.Send(m)
@@ -104,24 +104,24 @@
 
 func (c *Daemon) hear(n message.Message) {
 	switch {
-	case n.Kind >= message.Hello && n.Kind <= message.Count, n.Kind == message.Found:
+	case n.Kind >= message.KindHello && n.Kind <= message.KindCensusAnswer, n.Kind == message.KindBootstrap:
 		o := c.hearMember(n)
 		for _, m := range o.Sends {
 			c.Line.Send(m)
 		}
-		if o.Found != nil {
-			c.found(o.Found)
+		if o.Bootstrap != nil {
+			c.found(o.Bootstrap)
 		}
-	case n.Kind == message.Board:
+	case n.Kind == message.KindLoadReport:
 		if c.Hint != nil {
 			c.Hint(n)
 		}
-	case n.Kind == message.Back:
+	case n.Kind == message.KindCallResult:
 		c.hearBack(n)
 	case n.Partition < 0 || n.Partition >= len(c.shards):
 		c.Events.Trouble("wire", "%s: %s for partition %d, which isn't one of %d", n.Addr, n.Kind, n.Partition, len(c.shards))
 	default:
-		c.step(c.shards[n.Partition], func(s *leader.Controller, now time.Duration) leader.Out { return s.Hear(now, n) })
+		c.step(c.shards[n.Partition], func(s *leader.Controller, now time.Duration) leader.Out { return s.Step(now, n) })
 	}
 }
 
@@ -131,20 +131,20 @@
 func (c *Daemon) hearMember(n message.Message) membership.Out {
 	c.rmu.Lock()
 	defer c.rmu.Unlock()
-	return c.rost.Hear(c.Now(), n)
+	return c.rost.Step(c.Now(), n)
 }
 
 // hearBack takes the answer to a call.
 func (c *Daemon) hearBack(n message.Message) {
 	c.cmu.Lock()
 	defer c.cmu.Unlock()
-	c.carryCalls(c.runs.Hear(c.Now(), n))
+	c.carryCalls(c.runs.Step(c.Now(), n))
 }
 
 // Tell puts messages on the line to other daemons.
 //
 // Example: c.Tell(board.Tick(now, me, members))
-func (c *Daemon) Tell(list []message.Send) {
+func (c *Daemon) Tell(list []message.Envelope) {
 	for _, m := range list {
 		c.Line.Send(m)
 	}
@@ -154,7 +154,7 @@
 // this build can read it.
 //
 // Example: rec, ok := c.Read(0, fleetconfig.PlanKey)
-func (c *Daemon) Read(partition int, key string) (message.Rec, bool) {
+func (c *Daemon) Read(partition int, key string) (message.Record, bool) {
 	s := c.shards[partition]
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,7 +168,7 @@
 // is ordered, written or told to others on its ground.
 //
 // Example: rec, ok := c.Last(0, fleetconfig.PlanKey)
-func (c *Daemon) Last(partition int, key string) (message.Rec, bool) {
+func (c *Daemon) Last(partition int, key string) (message.Record, bool) {
 	s := c.shards[partition]
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,7 +188,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := c.Now()
-	if until := s.Partition().Node.Until(); now < until {
+	if until := s.Partition().Node.ValidUntil(); now < until {
 		return until
 	}
 	lapsed, ok := s.Partition().Node.Lapsed(now)
@@ -212,7 +212,7 @@
 	s := c.shards[partition]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.Partition().Node.Until()
+	return s.Partition().Node.ValidUntil()
 }
 
 // Pin keeps a record wanted here.
@@ -225,7 +225,7 @@
 // Await waits for a record to be servable.
 //
 // Example: rec, ok := c.Await(ctx, 0, fleetconfig.PlanKey)
-func (c *Daemon) Await(ctx context.Context, partition int, key string) (message.Rec, bool) {
+func (c *Daemon) Await(ctx context.Context, partition int, key string) (message.Record, bool) {
 	pinned := false
 	for {
 		news := c.News()
@@ -238,7 +238,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return message.Rec{}, false
+			return message.Record{}, false
 		case <-news:
 		case <-time.After(c.Cfg.Vol() / 16): // volume leases come without news
 		}
@@ -248,7 +248,7 @@
 // Term is the term of a partition's leader as far as known; attempts carry it.
 //
 // Example: term := c.Term(p)
-func (c *Daemon) Term(partition int) uint64 { return c.View().Owns[partition].Num }
+func (c *Daemon) Term(partition int) uint64 { return c.View().Leaderships[partition].Term }
 
 // tickShards lets time pass in all partitions, one after another: one wake-up, and
 // one write to each daemon that several of them speak to.
@@ -290,10 +290,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c.carry(s, s.Tick(now))
-	if p := s.guide.Parent(now, v); p != s.Partition().Node.Parent() && !s.Partition().Node.Root() {
-		c.carry(s, s.Adopt(now, p))
+	if p := s.guide.Parent(now, v); p != s.Partition().Node.Parent() && !s.Partition().Node.IsRoot() {
+		c.carry(s, s.SetParent(now, p))
 	}
-	for _, m := range s.guide.Hints(s.Partition().Node.Live(now), s.Partition().Node.Mark(), v) {
+	for _, m := range s.guide.Hints(s.Partition().Node.HasVolumeLease(now), s.Partition().Node.VolumeEpoch(), v) {
 		c.Line.Send(m)
 	}
 }
--- a/control/daemon/source.go
+++ b/control/daemon/source.go
@@ -60,7 +60,7 @@
 	if !s.Leader(c.Now()) {
 		return 0
 	}
-	return s.Partition().Replica.Num()
+	return s.Partition().Replica.Term()
 }
 
 // pull takes one look at the source and hands on what changed.
--- a/control/daemon/switches.go
+++ b/control/daemon/switches.go
@@ -21,7 +21,7 @@
 }
 
 func turnedDown(w http.ResponseWriter, fault string) {
-	Respond(w, http.StatusBadRequest, leadercall.Word{Result: "broken", Faults: []string{fault}})
+	Respond(w, http.StatusBadRequest, leadercall.Response{Result: "broken", Faults: []string{fault}})
 }
 
 // switchAddresses sets the addresses that something befalls.
@@ -36,7 +36,7 @@
 		named[a] = true
 	}
 	to.Store(&named)
-	Respond(w, http.StatusOK, leadercall.Word{Result: "done"})
+	Respond(w, http.StatusOK, leadercall.Response{Result: "done"})
 }
 
 // switchTime sets how long something takes more.
@@ -47,7 +47,7 @@
 		return
 	}
 	to.Store(int64(d))
-	Respond(w, http.StatusOK, leadercall.Word{Result: "done"})
+	Respond(w, http.StatusOK, leadercall.Response{Result: "done"})
 }
 
 // leap has the clock go on as after a suspend, and tells what is still served, led
@@ -76,8 +76,8 @@
 		return
 	}
 	if err := c.arch.Full(r.URL.Query().Get("on") == "1"); err != nil {
-		Respond(w, http.StatusInternalServerError, leadercall.Word{Result: "not done", Why: err.Error()})
+		Respond(w, http.StatusInternalServerError, leadercall.Response{Result: "not done", Why: err.Error()})
 		return
 	}
-	Respond(w, http.StatusOK, leadercall.Word{Result: "done"})
+	Respond(w, http.StatusOK, leadercall.Response{Result: "done"})
 }
--- a/control/daemon/unreadable_test.go
+++ b/control/daemon/unreadable_test.go
@@ -27,12 +27,12 @@
 			c := alone(t, steady)
 			hear := leased(c)
 			grant := func(seq uint64, vals map[string]string) {
-				var recs []message.Rec
+				var recs []message.Record
 				for k, v := range vals {
-					hear(message.Message{Kind: message.Invalidate, Key: k})
-					recs = append(recs, message.Rec{Key: k, Val: []byte(v), Ver: message.Ver{Term: 1, Seq: seq}})
+					hear(message.Message{Kind: message.KindInvalidate, Key: k})
+					recs = append(recs, message.Record{Key: k, Value: []byte(v), Version: message.Version{Term: 1, Seq: seq}})
 				}
-				hear(message.Message{Kind: message.Grant, Recs: recs, Long: int64(time.Hour)})
+				hear(message.Message{Kind: message.KindGrantLease, Records: recs, ObjectLease: int64(time.Hour)})
 			}
 			grant(1, good)
 			if !c.isReady() {
@@ -110,8 +110,8 @@
 	if !ok {
 		t.Fatal("no plan on disk")
 	}
-	rec.Val = []byte("m\xffof another build")
-	if err := a.Write([]quorum.Save{{Meta: held.Meta, Recs: []message.Rec{rec}}}); err != nil {
+	rec.Value = []byte("m\xffof another build")
+	if err := a.Write([]quorum.Save{{Meta: held.Meta, Records: []message.Record{rec}}}); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/control/daemon/works.go
+++ b/control/daemon/works.go
@@ -11,17 +11,17 @@
 
 // works runs the leader's systems over its servers and its group.
 func (c *Daemon) works(ctx context.Context, s *shard) {
-	var sight leader.Sight
+	var sight leader.ClusterView
 	sight.Plan, sight.OkPlan = c.Read(0, fleetconfig.PlanKey)
 	sight.Zones, sight.OkZones = c.Read(0, fleetconfig.ZoneKey)
 	if c.arch != nil {
 		sight.Replicas, sight.OkReplicas = c.Read(0, fleetconfig.ReplicaKey)
-		sight.Core = c.View().Core()
+		sight.Core = c.View().ControlDaemons()
 	}
 	sight.Strain = c.Strain
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	o := s.Works(c.Now(), sight)
+	o := s.Reconcile(c.Now(), sight)
 	term := s.Term()
 	c.carry(s, o)
 	for _, key := range o.Polls {
--- a/control/digest/digest.go
+++ b/control/digest/digest.go
@@ -8,13 +8,13 @@
 	"mulleinmast/wire/message"
 )
 
-// Spans is the number of ranges a partition's keys are cut into.
-const Spans = 64
+// Ranges is the number of ranges a partition's keys are cut into.
+const Ranges = 64
 
-// Span tells which range a key falls in.
+// RangeOf tells which range a key falls in.
 //
-// Example: digest.Span("plan/now") < digest.Spans
-func Span(key string) int { return int(mix(hash(key)) % Spans) }
+// Example: digest.RangeOf("plan/now") < digest.Ranges
+func RangeOf(key string) int { return int(mix(hash(key)) % Ranges) }
 
 func hash(key string) uint64 {
 	h := fnv.New64a()
@@ -30,22 +30,22 @@
 	return x ^ x>>31
 }
 
-// Print is what one record adds to its range's digest.
+// Fingerprint is what one record adds to its range's digest.
 //
-// Example: digest.Print(rec) != digest.Print(newerRec)
-func Print(r message.Rec) uint64 {
+// Example: digest.Fingerprint(rec) != digest.Fingerprint(newerRec)
+func Fingerprint(r message.Record) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write(r.Val)
-	if r.Dead {
+	_, _ = h.Write(r.Value)
+	if r.Deleted {
 		_, _ = h.Write([]byte{1})
 	}
-	return mix(hash(r.Key) ^ mix(r.Ver.Term*0x9e3779b97f4a7c15^mix(r.Ver.Seq+1)) ^ mix(h.Sum64()))
+	return mix(hash(r.Key) ^ mix(r.Version.Term*0x9e3779b97f4a7c15^mix(r.Version.Seq+1)) ^ mix(h.Sum64()))
 }
 
 // Records is a set of records with its digests kept up to date.
 type Records struct {
-	recs [Spans]map[string]message.Rec
-	digs [Spans]uint64
+	recs [Ranges]map[string]message.Record
+	digs [Ranges]uint64
 	size int
 }
 
@@ -55,7 +55,7 @@
 func NewRecords() *Records {
 	b := &Records{}
 	for i := range b.recs {
-		b.recs[i] = map[string]message.Rec{}
+		b.recs[i] = map[string]message.Record{}
 	}
 	return b
 }
@@ -63,31 +63,31 @@
 // Get returns a record.
 //
 // Example: rec, ok := b.Get("plan/now")
-func (b *Records) Get(key string) (message.Rec, bool) {
-	r, ok := b.recs[Span(key)][key]
+func (b *Records) Get(key string) (message.Record, bool) {
+	r, ok := b.recs[RangeOf(key)][key]
 	return r, ok
 }
 
 // Put sets a record, whatever was there.
 //
-// Example: b.Put(message.Rec{Key: "plan/now", Ver: v})
-func (b *Records) Put(r message.Rec) {
-	s := Span(r.Key)
+// Example: b.Put(message.Record{Key: "plan/now", Version: v})
+func (b *Records) Put(r message.Record) {
+	s := RangeOf(r.Key)
 	if old, ok := b.recs[s][r.Key]; ok {
-		b.digs[s] ^= Print(old)
+		b.digs[s] ^= Fingerprint(old)
 	} else {
 		b.size++
 	}
 	b.recs[s][r.Key] = r
-	b.digs[s] ^= Print(r)
+	b.digs[s] ^= Fingerprint(r)
 }
 
-// Take sets a record only if it is newer than the one there.
+// PutNewer sets a record only if it is newer than the one there.
 //
-// Example: if b.Take(rec) { save(rec) }
-func (b *Records) Take(r message.Rec) bool {
+// Example: if b.PutNewer(rec) { save(rec) }
+func (b *Records) PutNewer(r message.Record) bool {
 	old, ok := b.Get(r.Key)
-	if ok && !old.Ver.Less(r.Ver) {
+	if ok && !old.Version.Less(r.Version) {
 		return false
 	}
 	b.Put(r)
@@ -98,9 +98,9 @@
 //
 // Example: b.Drop("once/x")
 func (b *Records) Drop(key string) {
-	s := Span(key)
+	s := RangeOf(key)
 	if old, ok := b.recs[s][key]; ok {
-		b.digs[s] ^= Print(old)
+		b.digs[s] ^= Fingerprint(old)
 		delete(b.recs[s], key)
 		b.size--
 	}
@@ -111,17 +111,17 @@
 // Example: digest.NewRecords().Size() == 0
 func (b *Records) Size() int { return b.size }
 
-// Digs returns the digests of all ranges.
+// Digests returns the digests of all ranges.
 //
-// Example: diff := digest.Differ(a.Digs(), b.Digs())
-func (b *Records) Digs() []uint64 { return append([]uint64(nil), b.digs[:]...) }
+// Example: diff := digest.DifferingRanges(a.Digests(), b.Digests())
+func (b *Records) Digests() []uint64 { return append([]uint64(nil), b.digs[:]...) }
 
 // Sum is one digest of all records.
 //
 // Example: a.Sum() == b.Sum() // two copies are alike
 func (b *Records) Sum() uint64 { return sum(b.digs) }
 
-func sum(digs [Spans]uint64) uint64 {
+func sum(digs [Ranges]uint64) uint64 {
 	all := uint64(0)
 	for _, d := range digs {
 		all = mix(all ^ d)
@@ -129,43 +129,43 @@
 	return all | 1 // 0 is none
 }
 
-// After is what Sum would be once the records in some ranges were replaced.
+// SumAfterInstall is what Sum would be once the records in some ranges were replaced.
 //
-// Example: if b.After(spans, recs) != wanted { refuse() }
-func (b *Records) After(spans []int, recs []message.Rec) uint64 {
-	digs, gone := b.digs, [Spans]bool{}
+// Example: if b.SumAfterInstall(spans, recs) != wanted { refuse() }
+func (b *Records) SumAfterInstall(spans []int, recs []message.Record) uint64 {
+	digs, gone := b.digs, [Ranges]bool{}
 	for _, s := range spans {
-		if s >= 0 && s < Spans {
+		if s >= 0 && s < Ranges {
 			digs[s], gone[s] = 0, true
 		}
 	}
 	for _, r := range recs {
-		s := Span(r.Key)
+		s := RangeOf(r.Key)
 		if old, ok := b.recs[s][r.Key]; ok && !gone[s] {
-			digs[s] ^= Print(old)
+			digs[s] ^= Fingerprint(old)
 		}
-		digs[s] ^= Print(r)
+		digs[s] ^= Fingerprint(r)
 	}
 	return sum(digs)
 }
 
-// Within lists the records of some ranges, range by range.
+// RecordsIn lists the records of some ranges, range by range.
 //
-// Example: recs := b.Within(digest.Differ(b.Digs(), theirs))
-func (b *Records) Within(spans []int) (recs []message.Rec) {
+// Example: recs := b.RecordsIn(digest.DifferingRanges(b.Digests(), theirs))
+func (b *Records) RecordsIn(spans []int) (recs []message.Record) {
 	for _, span := range spans {
-		for r := range b.In(span) {
+		for r := range b.InRange(span) {
 			recs = append(recs, r)
 		}
 	}
 	return recs
 }
 
-// In iterates over the records of one range.
+// InRange iterates over the records of one range.
 //
-// Example: for rec := range b.In(3) { ... }
-func (b *Records) In(span int) iter.Seq[message.Rec] {
-	return func(yield func(message.Rec) bool) {
+// Example: for rec := range b.InRange(3) { ... }
+func (b *Records) InRange(span int) iter.Seq[message.Record] {
+	return func(yield func(message.Record) bool) {
 		for _, r := range b.recs[span] {
 			if !yield(r) {
 				return
@@ -177,8 +177,8 @@
 // All iterates over every record.
 //
 // Example: for rec := range b.All() { ... }
-func (b *Records) All() iter.Seq[message.Rec] {
-	return func(yield func(message.Rec) bool) {
+func (b *Records) All() iter.Seq[message.Record] {
+	return func(yield func(message.Record) bool) {
 		for i := range b.recs {
 			for _, r := range b.recs[i] {
 				if !yield(r) {
@@ -189,14 +189,14 @@
 	}
 }
 
-// Differ lists the ranges whose digests differ; digests of another length
+// DifferingRanges lists the ranges whose digests differ; digests of another length
 // differ everywhere.
 //
-// Example: digest.Differ(a.Digs(), a.Digs()) == nil
-func Differ(a, b []uint64) []int {
+// Example: digest.DifferingRanges(a.Digests(), a.Digests()) == nil
+func DifferingRanges(a, b []uint64) []int {
 	var out []int
-	for i := 0; i < Spans; i++ {
-		if len(a) != Spans || len(b) != Spans || a[i] != b[i] {
+	for i := 0; i < Ranges; i++ {
+		if len(a) != Ranges || len(b) != Ranges || a[i] != b[i] {
 			out = append(out, i)
 		}
 	}
--- a/control/digest/digest_test.go
+++ b/control/digest/digest_test.go
@@ -15,14 +15,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		a := NewRecords()
 		for i := 0; i < 60; i++ {
-			r := message.Rec{Key: fmt.Sprint("k", rapid.IntRange(0, 20).Draw(t, "key")), Ver: message.Ver{Term: 1, Seq: uint64(rapid.IntRange(0, 5).Draw(t, "seq"))}, Val: []byte{byte(i)}}
+			r := message.Record{Key: fmt.Sprint("k", rapid.IntRange(0, 20).Draw(t, "key")), Version: message.Version{Term: 1, Seq: uint64(rapid.IntRange(0, 5).Draw(t, "seq"))}, Value: []byte{byte(i)}}
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
 				a.Put(r)
 			case 1:
 				old, had := a.Get(r.Key)
-				if took := a.Take(r); took != (!had || old.Ver.Less(r.Ver)) {
-					t.Fatalf("took %v: %v over %v", took, r.Ver, old.Ver)
+				if took := a.PutNewer(r); took != (!had || old.Version.Less(r.Version)) {
+					t.Fatalf("took %v: %v over %v", took, r.Version, old.Version)
 				}
 			case 2:
 				a.Drop(r.Key)
@@ -34,13 +34,13 @@
 			b.Put(r)
 			n++
 		}
-		if d := Differ(a.Digs(), b.Digs()); len(d) > 0 || n != a.Size() {
+		if d := DifferingRanges(a.Digests(), b.Digests()); len(d) > 0 || n != a.Size() {
 			t.Fatalf("a copy differs in %v, %d records of %d", d, n, a.Size())
 		}
 		for r := range a.All() { // one record spoilt
-			r.Val = append([]byte{1}, r.Val...)
+			r.Value = append([]byte{1}, r.Value...)
 			b.Put(r)
-			if d := Differ(a.Digs(), b.Digs()); len(d) != 1 || d[0] != Span(r.Key) {
+			if d := DifferingRanges(a.Digests(), b.Digests()); len(d) != 1 || d[0] != RangeOf(r.Key) {
 				t.Fatalf("%s spoilt, ranges %v differ", r.Key, d)
 			}
 			return
--- a/control/fleetconfig/codec_test.go
+++ b/control/fleetconfig/codec_test.go
@@ -48,8 +48,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := ReadPlan(message.Rec{Key: PlanKey, Val: val})
-		if err != nil || !reflect.DeepEqual(got, Open(message.Rec{Key: PlanKey, Val: to})) {
+		got, err := ReadPlan(message.Record{Key: PlanKey, Value: val})
+		if err != nil || !reflect.DeepEqual(got, Open(message.Record{Key: PlanKey, Value: to})) {
 			t.Fatalf("change %d: %v, or another plan", n, err)
 		}
 		if again := (Codec{}).Whole(val); string(again) != string(to) {
@@ -153,14 +153,14 @@
 	})
 	b.Run("read whole", func(b *testing.B) {
 		for b.Loop() {
-			if _, err := ReadPlan(message.Rec{Val: to}); err != nil {
+			if _, err := ReadPlan(message.Record{Value: to}); err != nil {
 				b.Fatal(err)
 			}
 		}
 	})
 	b.Run("read kept", func(b *testing.B) {
 		for b.Loop() {
-			if _, err := ReadPlan(message.Rec{Val: base}); err != nil {
+			if _, err := ReadPlan(message.Record{Value: base}); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/control/fleetconfig/fleetconfig.go
+++ b/control/fleetconfig/fleetconfig.go
@@ -263,11 +263,11 @@
 // of one that this build can't read: another build may have written it.
 //
 // Example: plan, err := fleetconfig.ReadPlan(rec)
-func ReadPlan(r message.Rec) (p Plan, err error) {
-	if r.Dead || len(r.Val) == 0 {
+func ReadPlan(r message.Record) (p Plan, err error) {
+	if r.Deleted || len(r.Value) == 0 {
 		return p, nil
 	}
-	b, packed, err := plainPlan(r.Val)
+	b, packed, err := plainPlan(r.Value)
 	switch {
 	case err != nil:
 	case packed:
@@ -281,18 +281,18 @@
 }
 
 // unread names the record that an error is of.
-func unread(r message.Rec, err error) error {
+func unread(r message.Record, err error) error {
 	if err == nil {
 		return nil
 	}
-	return Error.New("record %q of version %s can't be read: %v", r.Key, r.Ver, err)
+	return Error.New("record %q of version %s can't be read: %v", r.Key, r.Version, err)
 }
 
 // Open is ReadPlan for records that were found readable before: what the daemon
 // serves is.
 //
 // Example: plan := fleetconfig.Open(rec)
-func Open(r message.Rec) Plan {
+func Open(r message.Record) Plan {
 	p, err := ReadPlan(r)
 	if err != nil {
 		panic(err)
@@ -304,13 +304,13 @@
 // one that this build can't read: it is not known then which zones are.
 //
 // Example: out, err := fleetconfig.ReadZones(rec)
-func ReadZones(r message.Rec) (map[string]bool, error) {
+func ReadZones(r message.Record) (map[string]bool, error) {
 	out := map[string]bool{}
-	if r.Dead || len(r.Val) == 0 {
+	if r.Deleted || len(r.Value) == 0 {
 		return out, nil
 	}
 	var list []string
-	if err := json.Unmarshal(r.Val, &list); err != nil {
+	if err := json.Unmarshal(r.Value, &list); err != nil {
 		return nil, unread(r, err)
 	}
 	for _, c := range list {
@@ -322,7 +322,7 @@
 // Zones is ReadZones for records that were found readable before.
 //
 // Example: if fleetconfig.Zones(rec)["north"] { skip() }
-func Zones(r message.Rec) map[string]bool {
+func Zones(r message.Record) map[string]bool {
 	out, err := ReadZones(r)
 	if err != nil {
 		panic(err)
@@ -376,9 +376,9 @@
 // that this build can't read.
 //
 // Example: list, err := fleetconfig.ReadList(rec)
-func ReadList(r message.Rec) (l List, err error) {
-	if !r.Dead && len(r.Val) > 0 {
-		err = unread(r, json.Unmarshal(r.Val, &l))
+func ReadList(r message.Record) (l List, err error) {
+	if !r.Deleted && len(r.Value) > 0 {
+		err = unread(r, json.Unmarshal(r.Value, &l))
 	}
 	return l, err
 }
@@ -386,7 +386,7 @@
 // OpenList is ReadList for records that were found readable before.
 //
 // Example: for _, s := range fleetconfig.OpenList(rec).Servers { ... }
-func OpenList(r message.Rec) List {
+func OpenList(r message.Record) List {
 	l, err := ReadList(r)
 	if err != nil {
 		panic(err)
--- a/control/fleetconfig/fleetconfig_test.go
+++ b/control/fleetconfig/fleetconfig_test.go
@@ -50,7 +50,7 @@
 	if v.Result != "taken" || v.Version != 1 {
 		t.Fatal(v)
 	}
-	cur := Open(message.Rec{Val: val})
+	cur := Open(message.Record{Value: val})
 	if val, v := Judge(cur, "a", 0, whole(good())); val != nil || v.Result != "taken" || v.Version != 1 {
 		t.Errorf("resent: %v", v)
 	}
@@ -100,14 +100,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := ReadPlan(message.Rec{Key: PlanKey, Val: val}); err != nil || got.Needs != Format() {
+	if got, err := ReadPlan(message.Record{Key: PlanKey, Value: val}); err != nil || got.Needs != Format() {
 		t.Errorf("needs what this build reads: %v, %+v", err, got)
 	}
 	p.Needs = Format() + 1
 	if val, err = Record(p); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ReadPlan(message.Rec{Key: PlanKey, Val: val}); err == nil || !strings.Contains(err.Error(), fmt.Sprintf("format %d", Format()+1)) {
+	if _, err := ReadPlan(message.Record{Key: PlanKey, Value: val}); err == nil || !strings.Contains(err.Error(), fmt.Sprintf("format %d", Format()+1)) {
 		t.Errorf("needs more: %v", err)
 	}
 	next, f := p.With(Changes{ID: "c", Changes: []Change{{Op: "set-needs"}}})
--- a/control/fleetconfig/pack.go
+++ b/control/fleetconfig/pack.go
@@ -66,7 +66,7 @@
 // read once a version, however many ask. Plans that it gives are not changed.
 type PlanReader struct {
 	mu   sync.Mutex
-	ver  message.Ver
+	ver  message.Version
 	plan Plan
 	err  error
 }
@@ -74,15 +74,15 @@
 // Read is ReadPlan, once a version.
 //
 // Example: plan, err := reader.Read(rec)
-func (r *PlanReader) Read(rec message.Rec) (Plan, error) {
+func (r *PlanReader) Read(rec message.Record) (Plan, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if rec.Ver == (message.Ver{}) || rec.Dead {
+	if rec.Version == (message.Version{}) || rec.Deleted {
 		return ReadPlan(rec)
 	}
-	if r.ver != rec.Ver {
+	if r.ver != rec.Version {
 		r.plan, r.err = ReadPlan(rec)
-		r.ver = rec.Ver
+		r.ver = rec.Version
 	}
 	return r.plan, r.err
 }
@@ -90,7 +90,7 @@
 // Open is Read for records that were found readable before.
 //
 // Example: plan := reader.Open(rec)
-func (r *PlanReader) Open(rec message.Rec) Plan {
+func (r *PlanReader) Open(rec message.Record) Plan {
 	p, err := r.Read(rec)
 	if err != nil {
 		panic(err)
--- a/control/fleetconfig/route_test.go
+++ b/control/fleetconfig/route_test.go
@@ -67,7 +67,7 @@
 		p.Number = number
 		return func(Plan) (Plan, Faults) { return p, p.Check() }
 	}
-	s := &shelf{held: map[string]message.Rec{}}
+	s := &shelf{held: map[string]message.Record{}}
 	for i, x := range []struct {
 		id     string
 		base   uint64
@@ -195,7 +195,7 @@
 	if len(packed)*5 > len(plain) {
 		t.Errorf("%d bytes packed to %d", len(plain), len(packed))
 	}
-	a, b := Open(message.Rec{Val: plain}), Open(message.Rec{Val: packed})
+	a, b := Open(message.Record{Value: plain}), Open(message.Record{Value: packed})
 	p.Raw, a.Raw = nil, nil // escaped by Marshal in the plain record
 	if b.Raw = nil; !reflect.DeepEqual(a, p) || !reflect.DeepEqual(b, p) {
 		t.Error("not the same plan")
@@ -235,7 +235,7 @@
 		b.Fatal(v)
 	}
 	for b.Loop() {
-		cur := Open(message.Rec{Val: val})
+		cur := Open(message.Record{Value: val})
 		if _, v := Judge(cur, "b", 1, func(p Plan) (Plan, Faults) {
 			return p.With(Changes{ID: "b", Changes: []Change{{Op: "set-route", Route: &p.Routes[7]}}})
 		}); v.Result != "taken" {
--- a/control/fleetconfig/stored_test.go
+++ b/control/fleetconfig/stored_test.go
@@ -40,7 +40,7 @@
 
 // The record of a plan is what earlier builds wrote, byte for byte, and theirs are read.
 func TestStoredPlanKeepsItsBytes(t *testing.T) {
-	read := func(value []byte) (Plan, error) { return ReadPlan(message.Rec{Key: PlanKey, Val: value}) }
+	read := func(value []byte) (Plan, error) { return ReadPlan(message.Record{Key: PlanKey, Value: value}) }
 	plan := completePlan()
 	golden.Check(t, "plan.record", plan, golden.Encoding[Plan]{Encode: Record, Decode: read})
 	golden.Check(t, "plan.msgp", plan, golden.Encoding[Plan]{
@@ -88,14 +88,14 @@
 	golden.Check(t, "zones.json", map[string]bool{"north": true, "south": true}, golden.Encoding[map[string]bool]{
 		Encode: func(zones map[string]bool) ([]byte, error) { return PackZones(zones), nil },
 		Decode: func(value []byte) (map[string]bool, error) {
-			return ReadZones(message.Rec{Key: ZoneKey, Val: value})
+			return ReadZones(message.Record{Key: ZoneKey, Value: value})
 		},
 	})
 	golden.Check(t, "list.json", List{Version: 3, Servers: []Server{{
 		ID: "server-1", Addr: "10.0.0.1:9000", Zone: "north", Capacity: 8, Leaving: true, Part: "maker", Warming: true,
 	}}}, golden.Encoding[List]{
 		Encode: golden.JSON[List]().Encode,
-		Decode: func(value []byte) (List, error) { return ReadList(message.Rec{Key: ListKey("m"), Val: value}) },
+		Decode: func(value []byte) (List, error) { return ReadList(message.Record{Key: ListKey("m"), Value: value}) },
 	})
 	golden.Check(t, "verdict.json", Verdict{Result: "broken", Version: 12, Faults: []string{"plan.id"}}, golden.JSON[Verdict]())
 	golden.Check(t, "faults.json", Faults{List: []string{"plan.id"}}, golden.JSON[Faults]())
@@ -108,9 +108,9 @@
 	if len(records) != 1 || records[0].Key != "taken/00" {
 		t.Fatalf("records %+v", records)
 	}
-	stored := golden.Bytes(t, "accepted.page", records[0].Val)
-	restored := OpenTaken(func(key string) message.Rec {
-		return message.Rec{Key: key, Val: stored, Dead: key != "taken/00"}
+	stored := golden.Bytes(t, "accepted.page", records[0].Value)
+	restored := OpenTaken(func(key string) message.Record {
+		return message.Record{Key: key, Value: stored, Deleted: key != "taken/00"}
 	})
 	if version, ok := restored.Find("change-2", 0); !ok || version != 7 {
 		t.Errorf("change-2 was accepted as %d, %v", version, ok)
@@ -179,11 +179,11 @@
 	_, verdict := Judge(Plan{Version: 4}, "c", 4, func(Plan) (Plan, Faults) { return Plan{Number: 4}, Faults{} })
 	faults = append(faults, verdict.Faults...)
 	for _, value := range []string{"m\xff", "{", "o\x01"} {
-		if _, err := ReadPlan(message.Rec{Key: PlanKey, Val: []byte(value), Ver: message.Ver{Term: 3, Seq: 9}}); err != nil {
+		if _, err := ReadPlan(message.Record{Key: PlanKey, Value: []byte(value), Version: message.Version{Term: 3, Seq: 9}}); err != nil {
 			faults = append(faults, err.Error())
 		}
 	}
-	_, err := ReadZones(message.Rec{Key: ZoneKey, Val: []byte("{}")})
+	_, err := ReadZones(message.Record{Key: ZoneKey, Value: []byte("{}")})
 	faults = append(faults, err.Error())
 	golden.Bytes(t, "faults.txt", []byte(strings.Join(faults, "\n")+"\n"))
 }
--- a/control/fleetconfig/taken.go
+++ b/control/fleetconfig/taken.go
@@ -37,14 +37,14 @@
 // OpenTaken reads the memory; what can't be a page counts as none.
 //
 // Example: taken := fleetconfig.OpenTaken(read)
-func OpenTaken(read func(key string) message.Rec) (t Taken) {
+func OpenTaken(read func(key string) message.Record) (t Taken) {
 	for i, key := range takenKeys {
 		r := read(key)
-		if r.Dead || len(r.Val) < takenHead || (len(r.Val)-takenHead)%takenBytes != 0 {
+		if r.Deleted || len(r.Value) < takenHead || (len(r.Value)-takenHead)%takenBytes != 0 {
 			continue
 		}
-		t.pages[i] = r.Val
-		if no := binary.BigEndian.Uint64(r.Val); no%takenPages == uint64(i+1)%takenPages {
+		t.pages[i] = r.Value
+		if no := binary.BigEndian.Uint64(r.Value); no%takenPages == uint64(i+1)%takenPages {
 			t.last = max(t.last, no)
 		}
 	}
@@ -82,7 +82,7 @@
 // gives way where all are full.
 //
 // Example: recs = append(recs, taken.Add(fleetconfig.Past{ID: id, Version: 9})...)
-func (t *Taken) Add(list ...Past) (recs []message.Rec) {
+func (t *Taken) Add(list ...Past) (recs []message.Record) {
 	touched := map[uint64]bool{}
 	var order []uint64
 	for _, p := range list {
@@ -100,7 +100,7 @@
 		}
 	}
 	for _, at := range order {
-		recs = append(recs, message.Rec{Key: takenKeys[at], Val: t.pages[at]})
+		recs = append(recs, message.Record{Key: takenKeys[at], Value: t.pages[at]})
 	}
 	return recs
 }
@@ -111,7 +111,7 @@
 // error is of a plan in force that this build can't read: nothing is decided on it.
 //
 // Example: recs, verdict, err := fleetconfig.Decide(read, plans, "id-1", 4, 7, next)
-func Decide(read func(key string) message.Rec, plans *PlanReader, id string, base, number uint64, next func(Plan) (Plan, Faults)) ([]message.Rec, Verdict, error) {
+func Decide(read func(key string) message.Record, plans *PlanReader, id string, base, number uint64, next func(Plan) (Plan, Faults)) ([]message.Record, Verdict, error) {
 	cur, err := plans.Read(read(PlanKey))
 	if err != nil {
 		return nil, Verdict{}, err
@@ -125,5 +125,5 @@
 		return nil, verdict, nil
 	}
 	// What a build before this one kept in the plan's record moves out of it.
-	return append([]message.Rec{{Key: PlanKey, Val: val}}, taken.Add(slices.Concat(cur.Past, []Past{{ID: id, Version: verdict.Version}})...)...), verdict, nil
+	return append([]message.Record{{Key: PlanKey, Value: val}}, taken.Add(slices.Concat(cur.Past, []Past{{ID: id, Version: verdict.Version}})...)...), verdict, nil
 }
--- a/control/fleetconfig/taken_test.go
+++ b/control/fleetconfig/taken_test.go
@@ -9,17 +9,17 @@
 
 // shelf holds the records of a part, as its leader reads and writes them.
 type shelf struct {
-	held  map[string]message.Rec
+	held  map[string]message.Record
 	plans PlanReader
 	seq   uint64
 	bytes int // of the records of the last write
 }
 
-func (s *shelf) read(key string) message.Rec {
+func (s *shelf) read(key string) message.Record {
 	if r, ok := s.held[key]; ok {
 		return r
 	}
-	return message.Rec{Key: key, Dead: true}
+	return message.Record{Key: key, Deleted: true}
 }
 
 func (s *shelf) change(id string, base, number uint64) Verdict {
@@ -32,9 +32,9 @@
 	s.bytes = 0
 	for _, r := range recs {
 		s.seq++
-		r.Ver = message.Ver{Term: 1, Seq: s.seq}
+		r.Version = message.Version{Term: 1, Seq: s.seq}
 		s.held[r.Key] = r
-		s.bytes += len(r.Val)
+		s.bytes += len(r.Value)
 	}
 	return v
 }
@@ -42,7 +42,7 @@
 // A change that was accepted is acknowledged again with thousands of others in
 // between, and one that was in conflict stays in conflict; neither comes into force.
 func TestAnAcceptedChangeIsKnownAfterThousands(t *testing.T) {
-	s := &shelf{held: map[string]message.Rec{}}
+	s := &shelf{held: map[string]message.Record{}}
 	const changes = 5000
 	version := func(i uint64) uint64 { return 3 * i }
 	for i := uint64(1); i <= changes; i++ {
@@ -71,17 +71,17 @@
 
 // The memory has a bound, and so has each write of it.
 func TestTheMemoryOfChangesIsBounded(t *testing.T) {
-	held := map[string]message.Rec{}
-	read := func(key string) message.Rec { return held[key] }
+	held := map[string]message.Record{}
+	read := func(key string) message.Record { return held[key] }
 	total, most := 0, 0
 	for i := range uint64(2*takenPages*takenOnPage + 5) {
 		taken := OpenTaken(read)
 		for _, r := range taken.Add(Past{ID: fmt.Sprint(i), Version: i + 1}) {
-			held[r.Key], most = r, max(most, len(r.Val))
+			held[r.Key], most = r, max(most, len(r.Value))
 		}
 	}
 	for _, r := range held {
-		total += len(r.Val)
+		total += len(r.Value)
 	}
 	if bound := takenHead + takenOnPage*takenBytes; most > bound || len(held) > takenPages || total > takenPages*bound {
 		t.Errorf("%d records of %d bytes, the longest of %d", len(held), total, most)
@@ -102,7 +102,7 @@
 // What a build before this one kept in the plan's record is known, and moves
 // into the pages with the next change.
 func TestOlderMemoryMoves(t *testing.T) {
-	s := &shelf{held: map[string]message.Rec{}}
+	s := &shelf{held: map[string]message.Record{}}
 	old := good()
 	old.ID, old.Version = "o64", 64
 	for i := range uint64(64) {
@@ -112,7 +112,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.held[PlanKey] = message.Rec{Key: PlanKey, Ver: message.Ver{Term: 1, Seq: 1}, Val: val}
+	s.held[PlanKey] = message.Record{Key: PlanKey, Version: message.Version{Term: 1, Seq: 1}, Value: val}
 	known := func(when string) {
 		t.Helper()
 		for i := range uint64(64) {
@@ -131,8 +131,8 @@
 
 // A record that isn't a page, or a page that is lost, is none, and stops nothing.
 func TestADamagedPageIsNone(t *testing.T) {
-	held := map[string]message.Rec{}
-	read := func(key string) message.Rec { return held[key] }
+	held := map[string]message.Record{}
+	read := func(key string) message.Record { return held[key] }
 	add := func(id string, version uint64) {
 		taken := OpenTaken(read)
 		for _, r := range taken.Add(Past{ID: id, Version: version}) {
@@ -143,7 +143,7 @@
 		add(fmt.Sprint(i), i+1)
 	}
 	delete(held, takenKeys[0])
-	held[takenKeys[1]] = message.Rec{Key: takenKeys[1], Val: []byte("short")}
+	held[takenKeys[1]] = message.Record{Key: takenKeys[1], Value: []byte("short")}
 	add("next", 500)
 	taken := OpenTaken(read)
 	for id, want := range map[string]bool{"0": false, "40": false, "70": true, "next": true} {
--- a/control/leader/cost_test.go
+++ b/control/leader/cost_test.go
@@ -24,7 +24,7 @@
 			t.Fatalf("%s %d: %d %s", op, no, code, w)
 		}
 		for _, r := range a.last {
-			size := packed(t, message.Message{Kind: message.Accept, Recs: []message.Rec{r}})
+			size := packed(t, message.Message{Kind: message.KindReplicate, Records: []message.Record{r}})
 			group += size
 			if r.Key == fleetconfig.PlanKey {
 				daemons += size
--- a/control/leader/cutoff_test.go
+++ b/control/leader/cutoff_test.go
@@ -37,15 +37,15 @@
 			t.Errorf("%s, by the leader: %d %s, expected %d", x.op, code, word, x.code)
 		}
 	}
-	a.now = a.m.Partition().Replica.Lease()
+	a.now = a.m.Partition().Replica.LeaseEnd()
 	for i, x := range calls {
-		n := message.Message{Kind: message.Call, Partition: 0, From: "d", Epoch: 1, Addr: "10.0.0.9:1", Ref: uint64(i + 100), No: uint64(i + 100), Op: x.op, Body: x.body}
+		n := message.Message{Kind: message.KindCall, Partition: 0, From: "d", Epoch: 1, Addr: "10.0.0.9:1", ResponseTo: uint64(i + 100), RequestID: uint64(i + 100), Op: x.op, Body: x.body}
 		a.back = nil
-		if a.carry(a.m.Hear(a.now, n)); len(a.back) != 1 || a.back[0].Code != leadercall.Other || len(a.back[0].Body) > 0 {
+		if a.carry(a.m.Step(a.now, n)); len(a.back) != 1 || a.back[0].Status != leadercall.Other || len(a.back[0].Body) > 0 {
 			t.Errorf("%s, after the lease: %+v, expected %d", x.op, a.back, http.StatusMisdirectedRequest)
 		}
 	}
-	if _, ok := a.m.Partition().Node.Get(a.now, fleetconfig.PlanKey); ok || a.m.MayOrder(a.now, a.m.Partition().Replica.Num()) {
+	if _, ok := a.m.Partition().Node.Get(a.now, fleetconfig.PlanKey); ok || a.m.MayOrder(a.now, a.m.Partition().Replica.Term()) {
 		t.Error("after the lease a record is served or an order may go out")
 	}
 }
--- a/control/leader/job.go
+++ b/control/leader/job.go
@@ -12,7 +12,7 @@
 	"mulleinmast/wire/message"
 )
 
-var done = leadercall.Word{Result: "done"}
+var done = leadercall.Response{Result: "done"}
 
 // ServersCall is the body of a call that names a service's servers.
 type ServersCall struct {
@@ -100,7 +100,7 @@
 		id, base, number = named.ID, named.Base, named.Number
 		next = func(p fleetconfig.Plan) (fleetconfig.Plan, fleetconfig.Faults) { return p.With(named) }
 	}
-	return partition.Job{Keys: []string{fleetconfig.PlanKey}, Joins: true, Make: func(read lease.Source) ([]message.Rec, any) {
+	return partition.Job{Keys: []string{fleetconfig.PlanKey}, Joins: true, Make: func(read lease.Source) ([]message.Record, any) {
 		unread := ""
 		readable := func(p fleetconfig.Plan) (fleetconfig.Plan, fleetconfig.Faults) {
 			out, f := next(p)
@@ -114,14 +114,14 @@
 		case err != nil:
 			return nil, notClear(err)
 		case unread != "":
-			return nil, leadercall.Word{Result: "not done", Why: unread}
+			return nil, leadercall.Response{Result: "not done", Why: unread}
 		}
 		return recs, verdict
 	}}, ""
 }
 
 func zoneJob(op, zone string) partition.Job {
-	return partition.Job{Keys: []string{fleetconfig.ZoneKey}, Make: func(read lease.Source) ([]message.Rec, any) {
+	return partition.Job{Keys: []string{fleetconfig.ZoneKey}, Make: func(read lease.Source) ([]message.Record, any) {
 		out, err := fleetconfig.ReadZones(read(fleetconfig.ZoneKey))
 		if err != nil {
 			return nil, notClear(err)
@@ -130,14 +130,14 @@
 			return nil, done
 		}
 		out[zone] = op == "evacuate"
-		return []message.Rec{{Key: fleetconfig.ZoneKey, Val: fleetconfig.PackZones(out)}}, done
+		return []message.Record{{Key: fleetconfig.ZoneKey, Value: fleetconfig.PackZones(out)}}, done
 	}}
 }
 
 // replicaJob changes the replicas that an operator wants: those that were wanted
 // before, or as the group has become since.
 func replicaJob(in ReplicaCall, now []message.Replica) partition.Job {
-	return partition.Job{Keys: []string{fleetconfig.ReplicaKey}, Make: func(read lease.Source) ([]message.Rec, any) {
+	return partition.Job{Keys: []string{fleetconfig.ReplicaKey}, Make: func(read lease.Source) ([]message.Record, any) {
 		replicas, err := readReplicas(read(fleetconfig.ReplicaKey))
 		if err != nil {
 			return nil, notClear(err)
@@ -151,10 +151,10 @@
 			}
 			if replicas[i].Ident == in.Out {
 				replicas[i] = message.Replica{Ident: in.Ident, Addr: in.Addr}
-				return []message.Rec{{Key: fleetconfig.ReplicaKey, Val: leadercall.Pack(replicas)}}, done
+				return []message.Record{{Key: fleetconfig.ReplicaKey, Value: leadercall.Pack(replicas)}}, done
 			}
 		}
-		return nil, leadercall.Word{Result: "not done", Why: fmt.Sprintf("no replica of %q in %v", in.Out, replicas)}
+		return nil, leadercall.Response{Result: "not done", Why: fmt.Sprintf("no replica of %q in %v", in.Out, replicas)}
 	}}
 }
 
@@ -164,16 +164,16 @@
 func listJob(in ServersCall) partition.Job {
 	key := fleetconfig.ListKey(in.Service)
 	val := leadercall.Pack(in.List)
-	return partition.Job{Keys: []string{key}, Make: func(read lease.Source) ([]message.Rec, any) {
-		if cur := read(key); !cur.Dead {
-			if string(cur.Val) == string(val) {
+	return partition.Job{Keys: []string{key}, Make: func(read lease.Source) ([]message.Record, any) {
+		if cur := read(key); !cur.Deleted {
+			if string(cur.Value) == string(val) {
 				return nil, done
 			}
 			if now, err := fleetconfig.ReadList(cur); err == nil && in.List.Version > 0 && in.List.Version <= now.Version {
-				return nil, leadercall.Word{Result: "beaten", Version: now.Version, Why: "a list of a later or the same version is in force"}
+				return nil, leadercall.Response{Result: "beaten", Version: now.Version, Why: "a list of a later or the same version is in force"}
 			}
 		}
-		return []message.Rec{{Key: key, Val: val}}, done
+		return []message.Record{{Key: key, Value: val}}, done
 	}}
 }
 
@@ -182,11 +182,11 @@
 // other requests had the key since.
 func claimJob(op string, in ClaimCall) partition.Job {
 	key := OnceKey(in.Key)
-	return partition.Job{Keys: []string{key}, Make: func(read lease.Source) ([]message.Rec, any) {
+	return partition.Job{Keys: []string{key}, Make: func(read lease.Source) ([]message.Record, any) {
 		var cur leadercall.Claim
 		r := read(key)
-		if !r.Dead {
-			if err := json.Unmarshal(r.Val, &cur); err != nil {
+		if !r.Deleted {
+			if err := json.Unmarshal(r.Value, &cur); err != nil {
 				return nil, notClear(err)
 			}
 		}
@@ -196,18 +196,18 @@
 		switch {
 		case op == "claim" && mine && cur.State == next.State:
 			return nil, done
-		case op == "claim" && (mine || over || !r.Dead && cur.State != "shed"):
+		case op == "claim" && (mine || over || !r.Deleted && cur.State != "shed"):
 			cur.Past = nil
-			return nil, leadercall.Word{Result: "duplicate", Claim: &cur}
-		case op == "claim" && !r.Dead:
+			return nil, leadercall.Response{Result: "duplicate", Claim: &cur}
+		case op == "claim" && !r.Deleted:
 			next.Past = settled(cur.Past, cur.Request)
-		case op == "unclaim" && !r.Dead && !mine:
+		case op == "unclaim" && !r.Deleted && !mine:
 			if over {
 				return nil, done
 			}
 			next, next.Past = cur, settled(cur.Past, in.Claim.Request)
 		}
-		return []message.Rec{{Key: key, Val: leadercall.Pack(next)}}, done
+		return []message.Record{{Key: key, Value: leadercall.Pack(next)}}, done
 	}}
 }
 
@@ -219,9 +219,9 @@
 
 // readReplicas reads the record of the replicas that an operator wants; absence is
 // none.
-func readReplicas(r message.Rec) (replicas []message.Replica, err error) {
-	if !r.Dead && len(r.Val) > 0 {
-		err = json.Unmarshal(r.Val, &replicas)
+func readReplicas(r message.Record) (replicas []message.Replica, err error) {
+	if !r.Deleted && len(r.Value) > 0 {
+		err = json.Unmarshal(r.Value, &replicas)
 	}
 	return replicas, err
 }
@@ -232,6 +232,6 @@
 
 // notClear is the word for a call on a record that this build can't read: nothing
 // was changed, and nobody here knows what the call would have met.
-func notClear(err error) leadercall.Word {
-	return leadercall.Word{Result: resultNotClear, Why: err.Error()}
+func notClear(err error) leadercall.Response {
+	return leadercall.Response{Result: resultNotClear, Why: err.Error()}
 }
--- a/control/leader/job_test.go
+++ b/control/leader/job_test.go
@@ -21,7 +21,7 @@
 		"unclaim": leadercall.Pack(ClaimCall{Key: "t/k", Claim: leadercall.Claim{Request: "r", State: "shed"}}),
 	}
 	writes := map[string]int{"plan": 2, "changes": 2} // with what is remembered of it
-	none := func(key string) message.Rec { return message.Rec{Key: key, Dead: true} }
+	none := func(key string) message.Record { return message.Record{Key: key, Deleted: true} }
 	for op, good := range bodies {
 		if j, fault := job(new(fleetconfig.PlanReader), ask{}, op, good); fault != "" {
 			t.Errorf("%s: %s", op, fault)
@@ -43,8 +43,8 @@
 					broken++
 				}
 				for _, r := range recs {
-					fleetconfig.Open(message.Rec{Dead: r.Key != fleetconfig.PlanKey, Val: r.Val})
-					fleetconfig.OpenList(message.Rec{Dead: r.Key != fleetconfig.ListKey("m"), Val: r.Val})
+					fleetconfig.Open(message.Record{Deleted: r.Key != fleetconfig.PlanKey, Value: r.Value})
+					fleetconfig.OpenList(message.Record{Deleted: r.Key != fleetconfig.ListKey("m"), Value: r.Value})
 				}
 			}
 		}
@@ -60,20 +60,20 @@
 // A list of an earlier version that comes late is in conflict; a key that was
 // settled before its claim came can't be claimed by it any more.
 func TestLateCallsConflict(t *testing.T) {
-	recs := map[string]message.Rec{}
-	read := func(key string) message.Rec {
+	recs := map[string]message.Record{}
+	read := func(key string) message.Record {
 		if r, ok := recs[key]; ok {
 			return r
 		}
-		return message.Rec{Key: key, Dead: true}
+		return message.Record{Key: key, Deleted: true}
 	}
-	do := func(op string, in any) leadercall.Word {
+	do := func(op string, in any) leadercall.Response {
 		j, _ := job(new(fleetconfig.PlanReader), ask{}, op, leadercall.Pack(in))
 		out, word := j.Make(read)
 		for _, r := range out {
 			recs[r.Key] = r
 		}
-		w, _ := word.(leadercall.Word)
+		w, _ := word.(leadercall.Response)
 		return w
 	}
 	list := func(v uint64, leaving bool) ServersCall {
--- a/control/leader/leader.go
+++ b/control/leader/leader.go
@@ -44,9 +44,9 @@
 	o.Lines = append(o.Lines, Line{kind, fmt.Sprintf(how, args...)})
 }
 
-// Sight is what this daemon sees of the configuration under valid leases.
-type Sight struct {
-	Plan, Zones, Replicas       message.Rec
+// ClusterView is what this daemon sees of the configuration under valid leases.
+type ClusterView struct {
+	Plan, Zones, Replicas       message.Record
 	OkPlan, OkZones, OkReplicas bool
 	// Strain tells how hard a server is pressed, as far as this daemon heard.
 	Strain func(service, server string) placement.Strain
@@ -57,7 +57,7 @@
 // mark is the last version that had been written at some time.
 type mark struct {
 	at  time.Duration
-	ver message.Ver
+	ver message.Version
 }
 
 // Controller is the state machine.
@@ -69,14 +69,14 @@
 
 	tags  uint64
 	acts  map[uint64]func(partition.Result)
-	backs []message.Send
+	backs []message.Envelope
 
 	plans  fleetconfig.PlanReader
-	holder *placement.Holder
+	holder *placement.Controller
 	orders orders
 	wants  map[string][2]uint64 // life and number of a daemon's last report for a service
 	dirty  bool
-	seen   [2]message.Ver // plan and zones that the holder works by
+	seen   [2]message.Version // plan and zones that the holder works by
 	group  uint64
 	marks  []mark // versions written so far under this leadership, and when
 }
@@ -114,8 +114,8 @@
 	}
 	if s.Won {
 		m.holder, m.marks, m.wants = nil, nil, map[string][2]uint64{}
-		m.orders.since, m.orders.at = m.sec.Replica.Since(), map[string]time.Duration{}
-		o.say("leader", "partition %d: leader with term %d", m.partition, m.sec.Replica.Num())
+		m.orders.since, m.orders.at = m.sec.Replica.LeaderSince(), map[string]time.Duration{}
+		o.say("leader", "partition %d: leader with term %d", m.partition, m.sec.Replica.Term())
 	}
 	o.Out = s
 	return o
@@ -124,11 +124,11 @@
 func (o *Out) add(p Out) {
 	o.Sends = append(o.Sends, p.Sends...)
 	o.Saves = append(o.Saves, p.Saves...)
-	o.Fresh = append(o.Fresh, p.Fresh...)
-	o.Gone = append(o.Gone, p.Gone...)
-	o.Won, o.Lost, o.Orphan = o.Won || p.Won, o.Lost || p.Lost, o.Orphan || p.Orphan
-	if p.Steer.Ident != "" {
-		o.Steer = p.Steer
+	o.Readable = append(o.Readable, p.Readable...)
+	o.Withdrawn = append(o.Withdrawn, p.Withdrawn...)
+	o.Won, o.Lost, o.Orphaned = o.Won || p.Won, o.Lost || p.Lost, o.Orphaned || p.Orphaned
+	if p.Redirect.Ident != "" {
+		o.Redirect = p.Redirect
 	}
 	if p.Superseded != "" {
 		o.Superseded = p.Superseded
@@ -138,14 +138,14 @@
 	o.Lines = append(o.Lines, p.Lines...)
 }
 
-// Hear takes a message: a lease's, a term's or a call.
+// Step takes a message: a lease's, a term's or a call.
 //
-// Example: out := m.Hear(now, message)
-func (m *Controller) Hear(now time.Duration, n message.Message) Out {
-	if n.Kind == message.Call {
+// Example: out := m.Step(now, message)
+func (m *Controller) Step(now time.Duration, n message.Message) Out {
+	if n.Kind == message.KindCall {
 		return m.called(now, n)
 	}
-	return m.wrap(m.sec.Hear(now, n))
+	return m.wrap(m.sec.Step(now, n))
 }
 
 // Saved tells that a save is on disk.
@@ -163,11 +163,11 @@
 	return m.wrap(m.sec.Tick(now))
 }
 
-// Found makes the first group.
+// Bootstrap makes the first group.
 //
-// Example: out := m.Found(now, group)
-func (m *Controller) Found(now time.Duration, g message.Group) Out {
-	return m.wrap(m.sec.Found(now, g))
+// Example: out := m.Bootstrap(now, group)
+func (m *Controller) Bootstrap(now time.Duration, g message.Group) Out {
+	return m.wrap(m.sec.Bootstrap(now, g))
 }
 
 // Supersede takes this daemon's copy its voice.
@@ -177,11 +177,11 @@
 	return m.wrap(m.sec.Supersede(now, why))
 }
 
-// Adopt sets the parent in the tree.
+// SetParent sets the parent in the tree.
 //
-// Example: out := m.Adopt(now, replica)
-func (m *Controller) Adopt(now time.Duration, p message.Replica) Out {
-	return m.wrap(m.sec.Adopt(now, p))
+// Example: out := m.SetParent(now, replica)
+func (m *Controller) SetParent(now time.Duration, p message.Replica) Out {
+	return m.wrap(m.sec.SetParent(now, p))
 }
 
 // Pin keeps a record wanted here.
@@ -199,7 +199,7 @@
 }
 
 func (m *Controller) back(n message.Message, code int, body []byte) {
-	m.backs = append(m.backs, message.Send{Addr: n.Addr, Message: message.Message{Kind: message.Back, Partition: m.partition, To: n.From, Ref: n.No, Code: code, Body: body}})
+	m.backs = append(m.backs, message.Envelope{Addr: n.Addr, Message: message.Message{Kind: message.KindCallResult, Partition: m.partition, To: n.From, ResponseTo: n.RequestID, Status: code, Body: body}})
 }
 
 // called carries out a call if this daemon is the leader.
@@ -217,13 +217,13 @@
 	by.reads = m.cfg.Reads
 	j, fault := job(&m.plans, by, n.Op, n.Body, m.replicas()...)
 	if fault != "" {
-		m.back(n, http.StatusBadRequest, leadercall.Pack(leadercall.Word{Result: "broken", Faults: []string{fault}}))
+		m.back(n, http.StatusBadRequest, leadercall.Pack(leadercall.Response{Result: "broken", Faults: []string{fault}}))
 		return m.wrap(partition.Out{})
 	}
 	line := Line{}
 	o := m.Do(now, j, func(r partition.Result) {
 		m.dirty = m.dirty || n.Op == "servers" // once keys come by the hundred and concern no server
-		switch r.Fate {
+		switch r.Outcome {
 		case partition.NotLeader:
 			m.back(n, leadercall.Other, nil)
 			return
@@ -235,14 +235,14 @@
 		case fleetconfig.Verdict:
 			line = Line{"plan", fmt.Sprintf("%s: %s, version %d", n.Op, w.Result, w.Version)}
 			m.back(n, map[string]int{"taken": 200, "beaten": 409, "broken": 400}[w.Result], leadercall.Pack(w))
-		case leadercall.Word:
+		case leadercall.Response:
 			if w.Result == resultNotClear {
 				line = Line{"call", fmt.Sprintf("%s: %s, %s", n.Op, w.Result, w.Why)}
 			}
 			m.back(n, map[string]int{"done": 200, "duplicate": 409, "beaten": 409, "not done": 409, resultNotClear: leadercall.NotDone}[w.Result], leadercall.Pack(w))
 		case behind:
 			m.back(n, leadercall.Behind, nil)
-			m.backs[len(m.backs)-1].Message.Ver = w.on
+			m.backs[len(m.backs)-1].Message.Version = w.on
 		default:
 			panic("job without a word: " + n.Op)
 		}
@@ -253,10 +253,10 @@
 	return o
 }
 
-// Works runs the leader's systems over its group, its once keys and its servers.
+// Reconcile runs the leader's systems over its group, its once keys and its servers.
 //
-// Example: out := m.Works(now, sight)
-func (m *Controller) Works(now time.Duration, s Sight) (o Out) {
+// Example: out := m.Reconcile(now, sight)
+func (m *Controller) Reconcile(now time.Duration, s ClusterView) (o Out) {
 	if !m.sec.Leader(now) {
 		m.holder = nil
 		return o
@@ -267,14 +267,14 @@
 		return o
 	}
 	if m.holder == nil {
-		m.holder, m.dirty = placement.New(m.cfg.Works, m.sec.Replica.Num(), m.sec.Replica.Since()), true
+		m.holder, m.dirty = placement.New(m.cfg.Works, m.sec.Replica.Term(), m.sec.Replica.LeaderSince()), true
 	}
 	m.floor(now, &o)
 	h := m.holder
 	h.Strain = s.Strain
-	if s.OkPlan && s.OkZones && (m.dirty || m.seen != [2]message.Ver{s.Plan.Ver, s.Zones.Ver}) {
+	if s.OkPlan && s.OkZones && (m.dirty || m.seen != [2]message.Version{s.Plan.Version, s.Zones.Version}) {
 		h.Plan(m.plans.Open(s.Plan), fleetconfig.Zones(s.Zones))
-		m.seen = [2]message.Ver{s.Plan.Ver, s.Zones.Ver}
+		m.seen = [2]message.Version{s.Plan.Version, s.Zones.Version}
 		m.dirty = !m.load(now)
 	}
 	t := h.Tick(now)
@@ -295,14 +295,14 @@
 	if m.holder == nil {
 		return 0
 	}
-	return m.sec.Replica.Num()
+	return m.sec.Replica.Term()
 }
 
 // MayOrder looks once more, just before an order goes out.
 //
 // Example: if m.MayOrder(now, order.Term) { send(order) }
 func (m *Controller) MayOrder(now time.Duration, term uint64) bool {
-	return m.holder != nil && m.sec.Leader(now) && m.sec.Replica.Num() == term
+	return m.holder != nil && m.sec.Leader(now) && m.sec.Replica.Term() == term
 }
 
 // Polled takes a server's answer to a poll of this term, or its silence.
@@ -344,8 +344,8 @@
 	}
 	val := leadercall.Pack(m.marks[0].ver)
 	m.marks = m.marks[1:]
-	o.add(m.Do(now, partition.Job{Keys: []string{quorum.FloorKey}, Make: func(lease.Source) ([]message.Rec, any) {
-		return []message.Rec{{Key: quorum.FloorKey, Val: val}}, nil
+	o.add(m.Do(now, partition.Job{Keys: []string{quorum.FloorKey}, Make: func(lease.Source) ([]message.Record, any) {
+		return []message.Record{{Key: quorum.FloorKey, Value: val}}, nil
 	}}, nil))
 }
 
@@ -362,7 +362,7 @@
 		}
 		cur, ok := m.sec.Node.Get(now, r.Key)
 		whole = whole && ok
-		if !ok || cur.Dead {
+		if !ok || cur.Deleted {
 			continue
 		}
 		svc, _, _ := strings.Cut(rest, "/")
@@ -383,14 +383,14 @@
 	return whole
 }
 
-func (m *Controller) writeServerRecord(now time.Duration, h *placement.Holder, w placement.Write) Out {
-	return m.Do(now, partition.Job{Keys: []string{w.Key}, Make: func(lease.Source) ([]message.Rec, any) {
-		return []message.Rec{{Key: w.Key, Val: w.Val, Dead: w.Gone}}, nil
+func (m *Controller) writeServerRecord(now time.Duration, h *placement.Controller, w placement.Write) Out {
+	return m.Do(now, partition.Job{Keys: []string{w.Key}, Make: func(lease.Source) ([]message.Record, any) {
+		return []message.Record{{Key: w.Key, Value: w.Val, Deleted: w.Gone}}, nil
 	}}, func(r partition.Result) {
-		b, _ := placement.OpenServerRecord(message.Rec{Key: w.Key, Val: w.Val, Dead: w.Gone})
+		b, _ := placement.OpenServerRecord(message.Record{Key: w.Key, Value: w.Val, Deleted: w.Gone})
 		m.dirty = true
 		if m.holder == h {
-			h.Wrote(w.Key, b, r.Fate == partition.Done)
+			h.Wrote(w.Key, b, r.Outcome == partition.Done)
 		}
 	})
 }
--- a/control/leader/once.go
+++ b/control/leader/once.go
@@ -36,24 +36,24 @@
 
 // pastCall is a call that was settled, and what its caller was told.
 type pastCall struct {
-	Call string          `json:"call"`
-	Word leadercall.Word `json:"word"`
-	What string          `json:"what,omitempty"` // the order, as long as its caller may send it again
+	Call string              `json:"call"`
+	Word leadercall.Response `json:"word"`
+	What string              `json:"what,omitempty"` // the order, as long as its caller may send it again
 }
 
 // ask is who asks for a job.
 type ask struct {
-	call   string      // names it over all its tries; "" where its daemon's build doesn't
-	on     message.Ver // the mark of what it changes that it was told; none: its daemon's build knows no marks
+	call   string          // names it over all its tries; "" where its daemon's build doesn't
+	on     message.Version // the mark of what it changes that it was told; none: its daemon's build knows no marks
 	orders *orders
 	reads  func() int // the format of plans that all daemons read; none: not known
 }
 
 func askOf(n message.Message, o *orders) ask {
-	if n.Ref == 0 {
+	if n.ResponseTo == 0 {
 		return ask{}
 	}
-	return ask{call: fmt.Sprintf("%s#%d/%d", n.From, n.Epoch, n.Ref), on: n.Ver, orders: o}
+	return ask{call: fmt.Sprintf("%s#%d/%d", n.From, n.Epoch, n.ResponseTo), on: n.Version, orders: o}
 }
 
 // unread tells why a plan can't be taken: there are daemons that couldn't read it.
@@ -68,10 +68,12 @@
 }
 
 // markOf tells a caller what its order is on; never the zero mark.
-func markOf(r message.Rec) message.Ver { return message.Ver{Term: r.Ver.Term, Seq: r.Ver.Seq + 1} }
+func markOf(r message.Record) message.Version {
+	return message.Version{Term: r.Version.Term, Seq: r.Version.Seq + 1}
+}
 
 // behind is the word for a try that is on another version than the one told.
-type behind struct{ on message.Ver }
+type behind struct{ on message.Version }
 
 // orders knows when orders were last taken under this leadership.
 type orders struct {
@@ -103,9 +105,9 @@
 }
 
 // readCalls reads the record of the calls that were settled; absence is none.
-func readCalls(r message.Rec) (list []pastCall, err error) {
-	if !r.Dead && len(r.Val) > 0 {
-		err = json.Unmarshal(r.Val, &list)
+func readCalls(r message.Record) (list []pastCall, err error) {
+	if !r.Deleted && len(r.Value) > 0 {
+		err = json.Unmarshal(r.Value, &list)
 	}
 	return list, err
 }
@@ -130,7 +132,7 @@
 	if a.call == "" {
 		return j
 	}
-	return partition.Job{Keys: append([]string{callsKey}, j.Keys...), Make: func(read lease.Source) ([]message.Rec, any) {
+	return partition.Job{Keys: append([]string{callsKey}, j.Keys...), Make: func(read lease.Source) ([]message.Record, any) {
 		past, err := readCalls(read(callsKey))
 		if err != nil {
 			return nil, notClear(err)
@@ -138,21 +140,21 @@
 		if i := slices.IndexFunc(past, func(p pastCall) bool { return p.Call == a.call }); i >= 0 {
 			return nil, past[i].Word
 		}
-		if on := markOf(read(j.Keys[0])); a.on != (message.Ver{}) && a.on != on {
+		if on := markOf(read(j.Keys[0])); a.on != (message.Version{}) && a.on != on {
 			return nil, behind{on}
 		}
 		past = a.orders.keep(past)
 		recs, word := j.Make(read)
-		if w, ok := word.(leadercall.Word); ok && w.Result == resultNotClear {
+		if w, ok := word.(leadercall.Response); ok && w.Result == resultNotClear {
 			return nil, w // nothing was settled
 		}
 		undone := len(recs) > 0 && slices.ContainsFunc(past, func(p pastCall) bool { return what != "" && p.What == what })
 		if undone || len(past) >= mostCalls {
-			return nil, leadercall.Word{Result: resultNotClear, Why: "the same order was taken a moment ago and undone since; it is carried out again once it can't be a late repeat", After: a.orders.left(what).Milliseconds()}
+			return nil, leadercall.Response{Result: resultNotClear, Why: "the same order was taken a moment ago and undone since; it is carried out again once it can't be a late repeat", After: a.orders.left(what).Milliseconds()}
 		}
 		a.orders.took(what)
-		past = a.orders.keep(append(past, pastCall{Call: a.call, Word: word.(leadercall.Word), What: what}))
-		return append(recs, message.Rec{Key: callsKey, Val: leadercall.Pack(past)}), word
+		past = a.orders.keep(append(past, pastCall{Call: a.call, Word: word.(leadercall.Response), What: what}))
+		return append(recs, message.Record{Key: callsKey, Value: leadercall.Pack(past)}), word
 	}}
 }
 
@@ -168,11 +170,11 @@
 	if err != nil || !slices.ContainsFunc(past, func(p pastCall) bool { return p.What != "" && !m.orders.open(p) }) {
 		return
 	}
-	o.add(m.Do(now, partition.Job{Keys: []string{callsKey}, Make: func(read lease.Source) ([]message.Rec, any) {
+	o.add(m.Do(now, partition.Job{Keys: []string{callsKey}, Make: func(read lease.Source) ([]message.Record, any) {
 		past, err := readCalls(read(callsKey))
 		if err != nil {
 			return nil, nil
 		}
-		return []message.Rec{{Key: callsKey, Val: leadercall.Pack(m.orders.keep(past))}}, nil
+		return []message.Record{{Key: callsKey, Value: leadercall.Pack(m.orders.keep(past))}}, nil
 	}}, nil))
 }
--- a/control/leader/once_test.go
+++ b/control/leader/once_test.go
@@ -23,16 +23,16 @@
 	t       *testing.T
 	m       *Controller
 	now     time.Duration
-	records map[string]message.Rec // what the disk holds
+	records map[string]message.Record // what the disk holds
 	meta    quorum.Meta
 	back    []message.Message
-	last    []message.Rec // of the last save
+	last    []message.Record // of the last save
 }
 
 // open makes a leader out of what the disk of another holds, or of nothing.
 func open(t *testing.T, number int, old *office) *office {
 	t.Helper()
-	a := &office{t: t, records: map[string]message.Rec{}, meta: quorum.Meta{Group: message.Group{Num: 1, Replicas: []message.Replica{self}}}}
+	a := &office{t: t, records: map[string]message.Record{}, meta: quorum.Meta{Group: message.Group{Number: 1, Replicas: []message.Replica{self}}}}
 	held := digest.NewRecords()
 	if old != nil {
 		a.meta = old.meta
@@ -41,8 +41,8 @@
 			held.Put(r)
 		}
 	}
-	quorumConfig := quorum.Config{LeaderLease: time.Second, Drift: 0.02, Margin: 20 * time.Millisecond, Beat: 333 * time.Millisecond}
-	tree := lease.Config{Vol: 800 * time.Millisecond, Obj: time.Minute, Drift: 0.02, Margin: 20 * time.Millisecond, Beat: 266 * time.Millisecond}
+	quorumConfig := quorum.Config{LeaderLease: time.Second, Drift: 0.02, Margin: 20 * time.Millisecond, HeartbeatInterval: 333 * time.Millisecond}
+	tree := lease.Config{VolumeLease: 800 * time.Millisecond, ObjectLease: time.Minute, Drift: 0.02, Margin: 20 * time.Millisecond, RenewInterval: 266 * time.Millisecond}
 	a.m = New(Config{Works: placement.Config{Share: time.Second}, Keep: time.Hour}, number, self,
 		partition.New(number, self, 1, quorum.New(quorumConfig, number, self, nil, a.meta, held, 0, true), lease.New(tree, number, self, 1)))
 	for a.step(); !a.m.Leader(a.now); a.step() {
@@ -61,14 +61,14 @@
 func (a *office) carry(o Out) {
 	for _, s := range o.Saves {
 		a.meta = s.Meta
-		a.last = s.Recs
-		for _, r := range s.Recs {
+		a.last = s.Records
+		for _, r := range s.Records {
 			a.records[r.Key] = r
 		}
 		a.carry(a.m.Saved(a.now, s.Ticket))
 	}
 	for _, m := range o.Sends {
-		if m.Message.Kind == message.Back {
+		if m.Message.Kind == message.KindCallResult {
 			a.back = append(a.back, m.Message)
 		}
 	}
@@ -79,18 +79,18 @@
 func (a *office) call(from string, ref, no uint64, op string, body []byte) (int, string) {
 	a.t.Helper()
 	a.back = nil
-	a.carry(a.m.Hear(a.now, message.Message{Kind: message.Call, Partition: a.m.partition, From: from, Epoch: 1, Addr: "10.0.0.9:1", Ref: ref, No: no, Op: op, Body: body}))
-	if len(a.back) != 1 || a.back[0].Ref != no {
+	a.carry(a.m.Step(a.now, message.Message{Kind: message.KindCall, Partition: a.m.partition, From: from, Epoch: 1, Addr: "10.0.0.9:1", ResponseTo: ref, RequestID: no, Op: op, Body: body}))
+	if len(a.back) != 1 || a.back[0].ResponseTo != no {
 		a.t.Fatalf("%s: answers %+v", op, a.back)
 	}
-	var w leadercall.Word
+	var w leadercall.Response
 	if err := json.Unmarshal(a.back[0].Body, &w); err != nil {
 		a.t.Fatal(err)
 	}
-	return a.back[0].Code, w.Result
+	return a.back[0].Status, w.Result
 }
 
-func (a *office) read(key string) message.Rec {
+func (a *office) read(key string) message.Record {
 	r, ok := a.m.Partition().Node.Get(a.now, key)
 	if !ok {
 		a.t.Fatalf("%s is not served", key)
@@ -150,8 +150,8 @@
 func TestALateReplicaOrListUndoesNothing(t *testing.T) {
 	a := open(t, 0, nil)
 	replicas := []message.Replica{self, {Ident: "b", Addr: "10.0.0.2:1"}, {Ident: "c", Addr: "10.0.0.3:1"}}
-	a.carry(a.m.Do(a.now, partition.Job{Keys: []string{fleetconfig.ReplicaKey}, Make: func(lease.Source) ([]message.Rec, any) {
-		return []message.Rec{{Key: fleetconfig.ReplicaKey, Val: leadercall.Pack(replicas)}}, nil
+	a.carry(a.m.Do(a.now, partition.Job{Keys: []string{fleetconfig.ReplicaKey}, Make: func(lease.Source) ([]message.Record, any) {
+		return []message.Record{{Key: fleetconfig.ReplicaKey, Value: leadercall.Pack(replicas)}}, nil
 	}}, func(partition.Result) {}))
 	move := func(out, in string) []byte {
 		return leadercall.Pack(ReplicaCall{Out: out, Ident: in, Addr: "10.0.0.4:1"})
@@ -234,8 +234,8 @@
 	a.m.holder = placement.New(placement.Config{Share: time.Second}, 1, 0)
 	want := func(ref uint64, epoch uint64) int {
 		a.back = nil
-		a.carry(a.m.Hear(a.now, message.Message{Kind: message.Call, Partition: 1, From: "p", Epoch: epoch, Ref: ref, No: ref, Op: "want", Body: leadercall.Pack(placement.Want{Service: "m"})}))
-		return a.back[0].Code
+		a.carry(a.m.Step(a.now, message.Message{Kind: message.KindCall, Partition: 1, From: "p", Epoch: epoch, ResponseTo: ref, RequestID: ref, Op: "want", Body: leadercall.Pack(placement.Want{Service: "m"})}))
+		return a.back[0].Status
 	}
 	for i, x := range []struct {
 		ref, epoch uint64
@@ -253,19 +253,19 @@
 	a := open(t, 1, nil)
 	a.m.holder = placement.New(placement.Config{Share: time.Second}, 1, 0)
 	calm := a.now + time.Second
-	a.m.Partition().Calm = func() time.Duration { return calm }
+	a.m.Partition().WritesFrom = func() time.Duration { return calm }
 	for ref, want := range []int{leadercall.Other, 200} {
 		a.back = nil
-		a.carry(a.m.Hear(a.now, message.Message{Kind: message.Call, Partition: 1, From: "p", Epoch: 1, Ref: uint64(ref + 1), No: uint64(ref + 1), Op: "want", Body: leadercall.Pack(placement.Want{Service: "m"})}))
-		if a.back[0].Code != want {
-			t.Errorf("%v before the calm: %d", calm-a.now, a.back[0].Code)
+		a.carry(a.m.Step(a.now, message.Message{Kind: message.KindCall, Partition: 1, From: "p", Epoch: 1, ResponseTo: uint64(ref + 1), RequestID: uint64(ref + 1), Op: "want", Body: leadercall.Pack(placement.Want{Service: "m"})}))
+		if a.back[0].Status != want {
+			t.Errorf("%v before the calm: %d", calm-a.now, a.back[0].Status)
 		}
 		calm = a.now
 	}
 }
 
 // kept counts the calls of a record, which must be one that can be read.
-func kept(t *testing.T, r message.Rec) int {
+func kept(t *testing.T, r message.Record) int {
 	t.Helper()
 	list, err := readCalls(r)
 	if err != nil {
--- a/control/leader/orders_test.go
+++ b/control/leader/orders_test.go
@@ -35,23 +35,23 @@
 func (d *keeper) pass(long time.Duration) {
 	for end := d.now + long; d.now < end; {
 		d.step()
-		d.carry(d.m.Works(d.now, Sight{}))
+		d.carry(d.m.Reconcile(d.now, ClusterView{}))
 	}
 }
 
 // try sends one try of a call, on a mark.
-func (d *keeper) try(from string, ref uint64, op, zone string, on message.Ver) (code int, mark message.Ver) {
+func (d *keeper) try(from string, ref uint64, op, zone string, on message.Version) (code int, mark message.Version) {
 	d.t.Helper()
 	d.no++
 	d.back = nil
-	d.carry(d.m.Hear(d.now, message.Message{Kind: message.Call, From: from, Epoch: 1, Addr: "10.0.0.9:1", Ref: ref, No: d.no, Op: op, Body: []byte(zone), Ver: on}))
+	d.carry(d.m.Step(d.now, message.Message{Kind: message.KindCall, From: from, Epoch: 1, Addr: "10.0.0.9:1", ResponseTo: ref, RequestID: d.no, Op: op, Body: []byte(zone), Version: on}))
 	if len(d.back) != 1 {
 		d.t.Fatalf("%s: answers %+v", op, d.back)
 	}
-	return d.back[0].Code, d.back[0].Ver
+	return d.back[0].Status, d.back[0].Version
 }
 
-var unknown = message.Ver{Seq: 1 << 60}
+var unknown = message.Version{Seq: 1 << 60}
 
 // order sends a call until it is not behind.
 func (d *keeper) order(from string, ref uint64, op, zone string) int {
@@ -122,7 +122,7 @@
 func TestATryOnOlderZonesDoesNothing(t *testing.T) {
 	d := openKeeper(t, nil)
 	code, mark := d.try("p", 1, "evacuate", "north", unknown)
-	if code != leadercall.Behind || mark == (message.Ver{}) {
+	if code != leadercall.Behind || mark == (message.Version{}) {
 		t.Fatalf("%d %v", code, mark)
 	}
 	// Its second try is held up; the same order comes through another daemon.
--- a/control/leader/plan_test.go
+++ b/control/leader/plan_test.go
@@ -17,12 +17,12 @@
 		Routes: []fleetconfig.Route{{Name: "r", Host: "h", Prefix: "/", Kind: fleetconfig.Safe, GiveUp: 5, Services: []fleetconfig.Share{{Service: "m", Weight: 1}}}},
 	}
 	drop := fleetconfig.Changes{ID: "c", Base: 4, Number: 9, Changes: []fleetconfig.Change{{Op: "drop-route", Name: "r"}}}
-	held := map[string]message.Rec{}
-	read := func(key string) message.Rec {
+	held := map[string]message.Record{}
+	read := func(key string) message.Record {
 		if r, ok := held[key]; ok {
 			return r
 		}
-		return message.Rec{Key: key, Dead: true}
+		return message.Record{Key: key, Deleted: true}
 	}
 	do := func(op string, body []byte) (fleetconfig.Verdict, string) {
 		j, fault := job(new(fleetconfig.PlanReader), ask{}, op, body)
@@ -58,7 +58,7 @@
 
 // A plan that some daemon of the fleet couldn't read isn't taken, and nothing is written.
 func TestAPlanThatNotAllDaemonsRead(t *testing.T) {
-	none := func(key string) message.Rec { return message.Rec{Key: key, Dead: true} }
+	none := func(key string) message.Record { return message.Record{Key: key, Deleted: true} }
 	plan := fleetconfig.Plan{ID: "p", Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}, Needs: 3}
 	for reads, taken := range map[int]bool{0: true, 1: false, 2: false, 3: true, 4: true} {
 		j, fault := job(new(fleetconfig.PlanReader), ask{reads: func() int { return reads }}, "plan", leadercall.Pack(plan))
@@ -66,7 +66,7 @@
 			t.Fatal(fault)
 		}
 		recs, word := j.Make(none)
-		w, refused := word.(leadercall.Word)
+		w, refused := word.(leadercall.Response)
 		if (len(recs) > 0) != taken || refused == taken || refused && (w.Result != "not done" || !strings.Contains(w.Why, "format 3")) {
 			t.Errorf("daemons read up to %d: %d records, %+v", reads, len(recs), word)
 		}
--- a/control/leader/readable.go
+++ b/control/leader/readable.go
@@ -15,10 +15,10 @@
 // nothing, and is not the absence of one either.
 //
 // Example: if err := leader.Readable(&plans, rec); err != nil { serveNothing() }
-func Readable(plans *fleetconfig.PlanReader, r message.Rec) (err error) {
+func Readable(plans *fleetconfig.PlanReader, r message.Record) (err error) {
 	kind, _, _ := strings.Cut(r.Key, "/")
 	switch {
-	case r.Dead:
+	case r.Deleted:
 	case r.Key == fleetconfig.PlanKey:
 		_, err = plans.Read(r)
 	case r.Key == fleetconfig.ZoneKey:
@@ -32,7 +32,7 @@
 	case kind == "berth":
 		_, _, err = placement.ReadServerRecord(r)
 	case kind == "once":
-		err = json.Unmarshal(r.Val, new(leadercall.Claim))
+		err = json.Unmarshal(r.Value, new(leadercall.Claim))
 	}
 	return err
 }
--- a/control/leader/replicas.go
+++ b/control/leader/replicas.go
@@ -20,16 +20,16 @@
 // a replica whose daemon is gone, or was told to end, goes to a standby that holds
 // a copy. Each partition sees to its own group. It is safe to be wrong about who is
 // gone, since a step takes both majorities and a whole copy; it costs a copy.
-func (m *Controller) regroup(now time.Duration, s Sight, o *Out) {
+func (m *Controller) regroup(now time.Duration, s ClusterView, o *Out) {
 	replica := m.sec.Replica
 	g := replica.Group()
-	if g.Num != m.group {
-		m.group = g.Num
-		o.say("replicas", "partition %d: group %d is %v next %v", m.partition, g.Num, g.Replicas, g.Next)
+	if g.Number != m.group {
+		m.group = g.Number
+		o.say("replicas", "partition %d: group %d is %v next %v", m.partition, g.Number, g.Replicas, g.Next)
 	}
-	o.add(m.wrap(m.sec.Learn(now, standbys(s.Core, g))))
+	o.add(m.wrap(m.sec.SetLearners(now, standbys(s.Core, g))))
 	if len(g.Next) > 0 {
-		o.add(m.wrap(m.sec.Proceed(now)))
+		o.add(m.wrap(m.sec.ContinueChange(now)))
 		return
 	}
 	c := change{now: now, replica: replica, group: g, core: s.Core, me: m.me.Ident}
@@ -37,7 +37,7 @@
 		c.wanted, _ = readReplicas(s.Replicas) // what can't be read is no wish
 	}
 	if out, in := c.pick(); in.Ident != "" {
-		o.add(m.wrap(m.sec.Replace(now, out, in)))
+		o.add(m.wrap(m.sec.ReplaceReplica(now, out, in)))
 	}
 }
 
@@ -53,11 +53,11 @@
 
 // copies tells how the daemons that hold copies are; a partition's replica knows.
 type copies interface {
-	AtHand(now time.Duration, id string) bool
-	Missing(now time.Duration, id string) bool
-	Gone(now time.Duration, id string) bool
-	Parting(id string) bool
-	Spared(now time.Duration, id string) bool
+	LearnerReady(now time.Duration, id string) bool
+	MissedHeartbeats(now time.Duration, id string) bool
+	IsLost(now time.Duration, id string) bool
+	IsTerminating(id string) bool
+	MayLeave(now time.Duration, id string) bool
 }
 
 var _ copies = (*quorum.Replica)(nil)
@@ -93,24 +93,24 @@
 // dead tells whether another daemon has come at a replica's address, so that the
 // one that had it is known to be gone.
 func (c change) dead(s message.Replica) bool {
-	if !c.replica.Missing(c.now, s.Ident) || slices.ContainsFunc(c.core, func(m message.Member) bool { return m.Ident == s.Ident }) {
+	if !c.replica.MissedHeartbeats(c.now, s.Ident) || slices.ContainsFunc(c.core, func(m message.Member) bool { return m.Ident == s.Ident }) {
 		return false
 	}
 	return slices.ContainsFunc(c.core, func(m message.Member) bool { return m.Addr == s.Addr })
 }
 
-func (c change) gone(s message.Replica) bool { return c.replica.Gone(c.now, s.Ident) }
+func (c change) gone(s message.Replica) bool { return c.replica.IsLost(c.now, s.Ident) }
 
 // missed tells whether a replica is missing while another one's daemon was told to
 // end: soon two would be away, and the one that ends has a disk that is whole.
 func (c change) missed(s message.Replica) bool {
-	return c.replica.Missing(c.now, s.Ident) && c.another(s, func(o message.Replica) bool { return c.replica.Parting(o.Ident) })
+	return c.replica.MissedHeartbeats(c.now, s.Ident) && c.another(s, func(o message.Replica) bool { return c.replica.IsTerminating(o.Ident) })
 }
 
 // parting tells whether a replica's daemon was told to end, and it can be spared: a
 // standby is kept for one that may be gone, whose disk isn't coming back.
 func (c change) parting(s message.Replica) bool {
-	return c.replica.Parting(s.Ident) && c.replica.Spared(c.now, s.Ident)
+	return c.replica.IsTerminating(s.Ident) && c.replica.MayLeave(c.now, s.Ident)
 }
 
 // another tells whether something is true of another replica of the group.
@@ -133,7 +133,7 @@
 func (c change) standby(out string) (in message.Replica) {
 	taken, zone := c.taken(out), ""
 	for _, m := range c.core {
-		if !c.group.Has(m.Ident) && c.replica.AtHand(c.now, m.Ident) && (in.Ident == "" || taken[m.Zone] < taken[zone]) {
+		if !c.group.Has(m.Ident) && c.replica.LearnerReady(c.now, m.Ident) && (in.Ident == "" || taken[m.Zone] < taken[zone]) {
 			in, zone = m.Replica(), m.Zone
 		}
 	}
@@ -147,7 +147,7 @@
 		if c.group.Has(s.Ident) {
 			continue
 		}
-		if in.Ident != "" || !c.replica.AtHand(c.now, s.Ident) {
+		if in.Ident != "" || !c.replica.LearnerReady(c.now, s.Ident) {
 			return "", message.Replica{}
 		}
 		in = s
@@ -169,7 +169,7 @@
 			continue
 		}
 		for _, next := range c.core {
-			if !c.group.Has(next.Ident) && c.replica.AtHand(c.now, next.Ident) && taken[next.Zone]+2 <= taken[m.Zone] {
+			if !c.group.Has(next.Ident) && c.replica.LearnerReady(c.now, next.Ident) && taken[next.Zone]+2 <= taken[m.Zone] {
 				return m.Ident, next.Replica()
 			}
 		}
--- a/control/leader/replicas_test.go
+++ b/control/leader/replicas_test.go
@@ -11,18 +11,21 @@
 // told is what a partition's replica says of those that hold copies.
 type told struct{ ready, silent, missing, gone, parting []string }
 
-func (t told) AtHand(_ time.Duration, id string) bool  { return slices.Contains(t.ready, id) }
-func (t told) Missing(_ time.Duration, id string) bool { return slices.Contains(t.missing, id) }
-func (t told) Gone(_ time.Duration, id string) bool    { return slices.Contains(t.gone, id) }
-func (t told) Parting(id string) bool                  { return slices.Contains(t.parting, id) }
-func (t told) Spared(_ time.Duration, id string) bool {
+func (t told) LearnerReady(_ time.Duration, id string) bool { return slices.Contains(t.ready, id) }
+func (t told) MissedHeartbeats(_ time.Duration, id string) bool {
+	return slices.Contains(t.missing, id)
+}
+func (t told) IsLost(_ time.Duration, id string) bool { return slices.Contains(t.gone, id) }
+func (t told) IsTerminating(id string) bool           { return slices.Contains(t.parting, id) }
+
+func (t told) MayLeave(_ time.Duration, id string) bool {
 	return len(t.silent)+len(t.missing)+len(t.gone) == 0 || slices.Equal(slices.Concat(t.silent, t.missing, t.gone), []string{id})
 }
 
 // core lists daemons named after their zone and number, at an address each.
 func core(ids ...string) (out []message.Member) {
 	for _, id := range ids {
-		out = append(out, message.Member{Ident: id, Addr: "at-" + id, Zone: id[:1], Disk: true})
+		out = append(out, message.Member{Ident: id, Addr: "at-" + id, Zone: id[:1], HasDisk: true})
 	}
 	return out
 }
@@ -38,7 +41,7 @@
 // or was told to end: in the zone with the fewest replicas, never in its own place,
 // and only one that is at hand. Else nothing is done.
 func TestWhoIsReplacedByWhom(t *testing.T) {
-	successor := append(core("a1", "b1", "x9"), message.Member{Ident: "n", Addr: "at-c1", Zone: "c", Disk: true})
+	successor := append(core("a1", "b1", "x9"), message.Member{Ident: "n", Addr: "at-c1", Zone: "c", HasDisk: true})
 	for what, x := range map[string]struct {
 		replicas []string
 		core     []message.Member
@@ -68,7 +71,7 @@
 		"a wish long overtaken":             {replicas: []string{"a1", "b1", "c1"}, core: core("a1", "b1", "c1", "c2", "b2"), told: told{ready: []string{"c2", "b2"}}, wanted: []string{"a1", "b2", "c2"}},
 		"a wish against itself":             {replicas: []string{"a1", "b1", "c1"}, core: core("a1", "b1", "c1", "a2"), told: told{ready: []string{"a2"}}, wanted: []string{"a2", "b1", "c1"}},
 	} {
-		c := change{replica: x.told, group: message.Group{Num: 1, Replicas: placed(x.replicas...)}, core: x.core, wanted: placed(x.wanted...), me: "a1"}
+		c := change{replica: x.told, group: message.Group{Number: 1, Replicas: placed(x.replicas...)}, core: x.core, wanted: placed(x.wanted...), me: "a1"}
 		if out, in := c.pick(); in.Ident != x.in || x.in != "" && out != x.out {
 			t.Errorf("%s: %q is replaced by %q, expected %q by %q", what, out, in.Ident, x.out, x.in)
 		}
--- a/control/leader/stored_test.go
+++ b/control/leader/stored_test.go
@@ -28,19 +28,19 @@
 	golden.Check(t, "servers-call.json", ServersCall{Service: "timetable", List: list}, golden.JSON[ServersCall]())
 	golden.Check(t, "replica-call.json", ReplicaCall{Out: "c", Ident: "d", Addr: "10.0.0.4:1"}, golden.JSON[ReplicaCall]())
 	golden.Check(t, "claim-call.json", ClaimCall{Key: "express/k-17", Claim: claim}, golden.JSON[ClaimCall]())
-	golden.Check(t, "past-calls.json", []pastCall{{Call: "p#1/7", Word: leadercall.Word{
+	golden.Check(t, "past-calls.json", []pastCall{{Call: "p#1/7", Word: leadercall.Response{
 		Result: "not done", Why: "why", Faults: []string{"body"}, After: 1500, Claim: &claim, Plan: "plan-12", Version: 12,
 	}, What: "evacuate/north"}}, golden.Encoding[[]pastCall]{
 		Encode: golden.JSON[[]pastCall]().Encode,
-		Decode: func(value []byte) ([]pastCall, error) { return readCalls(message.Rec{Key: callsKey, Val: value}) },
+		Decode: func(value []byte) ([]pastCall, error) { return readCalls(message.Record{Key: callsKey, Value: value}) },
 	})
 	golden.Check(t, "replicas.json", completeReplicas(), golden.Encoding[[]message.Replica]{
 		Encode: golden.JSON[[]message.Replica]().Encode,
 		Decode: func(value []byte) ([]message.Replica, error) {
-			return readReplicas(message.Rec{Key: fleetconfig.ReplicaKey, Val: value})
+			return readReplicas(message.Record{Key: fleetconfig.ReplicaKey, Value: value})
 		},
 	})
-	golden.Check(t, "floor.json", message.Ver{Term: 4, Seq: 900}, golden.JSON[message.Ver]())
+	golden.Check(t, "floor.json", message.Version{Term: 4, Seq: 900}, golden.JSON[message.Version]())
 }
 
 // Keys of records that only a leader writes stay.
@@ -57,9 +57,9 @@
 	var out strings.Builder
 	for _, r := range a.last {
 		if r.Key == fleetconfig.PlanKey {
-			r.Val = []byte(fmt.Sprintf("version %d", fleetconfig.Open(r).Version))
+			r.Value = []byte(fmt.Sprintf("version %d", fleetconfig.Open(r).Version))
 		}
-		fmt.Fprintf(&out, "  %s %s %q deleted=%v\n", r.Key, r.Ver, r.Val, r.Dead)
+		fmt.Fprintf(&out, "  %s %s %q deleted=%v\n", r.Key, r.Version, r.Value, r.Deleted)
 	}
 	return out.String()
 }
@@ -74,8 +74,8 @@
 func (c *transcript) call(ref uint64, op string, body []byte) {
 	c.no++
 	c.back, c.last = nil, nil
-	c.carry(c.m.Hear(c.now, message.Message{
-		Kind: message.Call, Partition: c.m.partition, From: "p", Epoch: 1, Addr: "10.0.0.9:1", Ref: ref, No: c.no, Op: op, Body: body,
+	c.carry(c.m.Step(c.now, message.Message{
+		Kind: message.KindCall, Partition: c.m.partition, From: "p", Epoch: 1, Addr: "10.0.0.9:1", ResponseTo: ref, RequestID: c.no, Op: op, Body: body,
 	}))
 	fmt.Fprintf(&c.text, "%s %q\n", op, body)
 	for _, m := range c.back {
@@ -83,7 +83,7 @@
 		if err != nil {
 			c.t.Fatal(err)
 		}
-		fmt.Fprintf(&c.text, "  code %d %s in frame %x\n", m.Code, m.Body, encoded)
+		fmt.Fprintf(&c.text, "  code %d %s in frame %x\n", m.Status, m.Body, encoded)
 	}
 	c.text.WriteString(c.storedRecords())
 }
@@ -162,10 +162,10 @@
 	golden.Bytes(t, "calls-service.txt", []byte(service.text.String()))
 
 	follower := &transcript{office: open(t, 0, nil)}
-	follower.now = follower.m.Partition().Replica.Lease()
+	follower.now = follower.m.Partition().Replica.LeaseEnd()
 	follower.call(1, "plan", leadercall.Pack(plan))
-	if follower.back[0].Code != http.StatusMisdirectedRequest {
-		t.Errorf("a lapsed leader answers %d", follower.back[0].Code)
+	if follower.back[0].Status != http.StatusMisdirectedRequest {
+		t.Errorf("a lapsed leader answers %d", follower.back[0].Status)
 	}
 	golden.Bytes(t, "calls-lapsed.txt", []byte(follower.text.String()))
 }
@@ -176,7 +176,7 @@
 	a.m.cfg.Keep = time.Second
 	for a.now < 4*time.Second && len(a.records) == 0 {
 		a.step()
-		a.carry(a.m.Works(a.now, Sight{}))
+		a.carry(a.m.Reconcile(a.now, ClusterView{}))
 	}
 	golden.Bytes(t, "floor-records.txt", []byte(a.storedRecords()))
 }
--- a/control/leader/unreadable_test.go
+++ b/control/leader/unreadable_test.go
@@ -19,9 +19,9 @@
 		fleetconfig.ListKey("m"): []byte(`["10.0.0.1:1"]`),
 		OnceKey("t/k"):           []byte(`7`),
 	}
-	read := func(key string) message.Rec {
+	read := func(key string) message.Record {
 		val, ok := held[key]
-		return message.Rec{Key: key, Val: val, Dead: !ok, Ver: message.Ver{Term: 3, Seq: 9}}
+		return message.Record{Key: key, Value: val, Deleted: !ok, Version: message.Version{Term: 3, Seq: 9}}
 	}
 	plan := fleetconfig.Plan{ID: "p", Base: 4, Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}
 	for op, body := range map[string][]byte{
@@ -34,13 +34,13 @@
 		"unclaim":  leadercall.Pack(ClaimCall{Key: "t/k", Claim: leadercall.Claim{Request: "r", State: "shed"}}),
 	} {
 		recs, word, fault := carriedOut(op, body, read)
-		if w, ok := word.(leadercall.Word); fault != nil || !ok || w.Result != "not clear" || len(recs) > 0 {
+		if w, ok := word.(leadercall.Response); fault != nil || !ok || w.Result != "not clear" || len(recs) > 0 {
 			t.Errorf("%s: wrote %d records, said %+v, ended by %v", op, len(recs), word, fault)
 		}
 	}
 	list := ServersCall{"m", fleetconfig.List{Version: 2, Servers: []fleetconfig.Server{{Addr: "10.0.0.1:1", Zone: "a", Capacity: 8}}}}
 	recs, word, fault := carriedOut("servers", leadercall.Pack(list), read)
-	if w, ok := word.(leadercall.Word); fault != nil || len(recs) != 1 || !ok || w.Result != done.Result {
+	if w, ok := word.(leadercall.Response); fault != nil || len(recs) != 1 || !ok || w.Result != done.Result {
 		t.Errorf("a list: wrote %d records, said %+v, ended by %v", len(recs), word, fault)
 	}
 }
@@ -48,18 +48,18 @@
 // The record of orders that were carried out can't be read: none is carried out,
 // as nobody knows whether it was before.
 func TestAnOrderWhoseRecordCanNotBeRead(t *testing.T) {
-	read := func(key string) message.Rec {
-		return message.Rec{Key: key, Val: []byte("{}"), Dead: key != callsKey, Ver: message.Ver{Term: 3, Seq: 9}}
+	read := func(key string) message.Record {
+		return message.Record{Key: key, Value: []byte("{}"), Deleted: key != callsKey, Version: message.Version{Term: 3, Seq: 9}}
 	}
 	recs, word, fault := carriedOut("evacuate", []byte("south"), read)
-	if w, ok := word.(leadercall.Word); fault != nil || !ok || w.Result != "not clear" || len(recs) > 0 {
+	if w, ok := word.(leadercall.Response); fault != nil || !ok || w.Result != "not clear" || len(recs) > 0 {
 		t.Errorf("wrote %d records, said %+v, ended by %v", len(recs), word, fault)
 	}
 }
 
 // carriedOut runs a call's write on some records; fault is what stopped it, if
 // anything did.
-func carriedOut(op string, body []byte, read func(string) message.Rec) (recs []message.Rec, word, fault any) {
+func carriedOut(op string, body []byte, read func(string) message.Record) (recs []message.Record, word, fault any) {
 	defer func() { fault = recover() }()
 	j, broken := job(new(fleetconfig.PlanReader), ask{call: "d#1/1", orders: &orders{}}, op, body)
 	if broken != "" {
--- a/control/leader/wants.go
+++ b/control/leader/wants.go
@@ -16,24 +16,24 @@
 	var w placement.Want
 	switch err := json.Unmarshal(n.Body, &w); {
 	case err != nil:
-		m.back(n, http.StatusBadRequest, leadercall.Pack(leadercall.Word{Result: "broken", Faults: []string{err.Error()}}))
-	case !m.sec.Leader(now) || m.holder == nil || now < m.sec.Calm(): // an earlier leader's shares may stand
+		m.back(n, http.StatusBadRequest, leadercall.Pack(leadercall.Response{Result: "broken", Faults: []string{err.Error()}}))
+	case !m.sec.Leader(now) || m.holder == nil || now < m.sec.WritesFrom(): // an earlier leader's shares may stand
 		m.back(n, leadercall.Other, nil)
 	case m.overtaken(n, w.Service):
 		m.back(n, leadercall.Other, nil)
 	default:
-		m.back(n, http.StatusOK, leadercall.Pack(m.holder.Asked(now, n.From, w, m.sec.Replica.Lease()-now)))
+		m.back(n, http.StatusOK, leadercall.Pack(m.holder.Asked(now, n.From, w, m.sec.Replica.LeaseEnd()-now)))
 	}
 }
 
 // overtaken tells whether a later report of the same daemon came before this
 // one: what it says is in flight is no longer so.
 func (m *Controller) overtaken(n message.Message, service string) bool {
-	if n.Ref == 0 { // a build that doesn't number its calls
+	if n.ResponseTo == 0 { // a build that doesn't number its calls
 		return false
 	}
 	id := service + "/" + n.From
-	last, now := m.wants[id], [2]uint64{n.Epoch, n.Ref}
+	last, now := m.wants[id], [2]uint64{n.Epoch, n.ResponseTo}
 	if slices.Compare(now[:], last[:]) <= 0 {
 		return true
 	}
--- a/control/leadercall/leadercall.go
+++ b/control/leadercall/leadercall.go
@@ -25,7 +25,7 @@
 
 // nowhere is the mark of a call that hasn't heard yet what its order is on: no
 // leader has it.
-var nowhere = message.Ver{Seq: math.MaxUint64}
+var nowhere = message.Version{Seq: math.MaxUint64}
 
 // Config holds the bounds of a call.
 type Config struct {
@@ -43,7 +43,7 @@
 
 // Out is what a step asks for.
 type Out struct {
-	Sends []message.Send
+	Sends []message.Envelope
 	Done  []Done
 }
 
@@ -54,9 +54,9 @@
 	until     time.Duration
 	once      bool // one try only
 	due       time.Duration
-	ref       uint64      // of the message that is out, if any
-	on        message.Ver // the leader's mark of what it changes, as told to this call
-	lost      bool        // a try was sent and had no word
+	ref       uint64          // of the message that is out, if any
+	on        message.Version // the leader's mark of what it changes, as told to this call
+	lost      bool            // a try was sent and had no word
 }
 
 // try is one message of a call: only the daemon that it went to may answer to it.
@@ -110,43 +110,43 @@
 	e.no++
 	c.ref, c.due = e.no, now+e.cfg.Try
 	e.tries[e.no] = try{no, own.Ident}
-	n := message.Message{Kind: message.Call, Partition: c.partition, To: own.Ident, No: e.no, Ref: no, Op: c.op, Body: c.body}
+	n := message.Message{Kind: message.KindCall, Partition: c.partition, To: own.Ident, RequestID: e.no, ResponseTo: no, Op: c.op, Body: c.body}
 	if !c.once {
-		n.Ver = c.on
+		n.Version = c.on
 	}
-	o.Sends = append(o.Sends, message.Send{Addr: own.Addr, Message: n})
+	o.Sends = append(o.Sends, message.Envelope{Addr: own.Addr, Message: n})
 }
 
-// Hear takes a leader's word.
+// Step takes a leader's word.
 //
-// Example: out := e.Hear(now, message)
-func (e *Calls) Hear(now time.Duration, n message.Message) (o Out) {
-	t, ok := e.tries[n.Ref]
+// Example: out := e.Step(now, message)
+func (e *Calls) Step(now time.Duration, n message.Message) (o Out) {
+	t, ok := e.tries[n.ResponseTo]
 	no, c := t.call, e.calls[t.call]
 	if !ok || c == nil || n.From != t.to {
 		return o
 	}
-	delete(e.tries, n.Ref)
-	if c.ref == n.Ref {
+	delete(e.tries, n.ResponseTo)
+	if c.ref == n.ResponseTo {
 		c.ref = 0
 	}
 	switch {
-	case n.Code == Behind && !c.once: // its caller waits still: it may be done on what is there now
+	case n.Status == Behind && !c.once: // its caller waits still: it may be done on what is there now
 		if c.ref == 0 {
-			c.on, c.due = n.Ver, now
+			c.on, c.due = n.Version, now
 		}
-	case n.Code == Other && !c.once:
+	case n.Status == Other && !c.once:
 		if c.ref == 0 {
 			c.due = now + e.cfg.Pause
 		}
-	case n.Code == Uncertain && c.ref != 0: // a later try is out, and knows the call by its number
+	case n.Status == Uncertain && c.ref != 0: // a later try is out, and knows the call by its number
 		c.lost = true
-	case n.Code == Other || n.Code == Uncertain:
-		c.lost = c.lost || n.Code == Uncertain
+	case n.Status == Other || n.Status == Uncertain:
+		c.lost = c.lost || n.Status == Uncertain
 		e.end(no, c, &o)
 	default:
 		e.drop(no, c)
-		o.Done = append(o.Done, Done{no, n.Code, n.Body})
+		o.Done = append(o.Done, Done{no, n.Status, n.Body})
 	}
 	return o
 }
@@ -172,9 +172,9 @@
 // end gives a call up with what is known of it.
 func (e *Calls) end(no uint64, c *call, o *Out) {
 	e.drop(no, c)
-	w, code := Word{Result: "not done", Why: "part " + strconv.Itoa(c.partition) + " has no leader now", After: e.cfg.After.Milliseconds()}, NotDone
+	w, code := Response{Result: "not done", Why: "part " + strconv.Itoa(c.partition) + " has no leader now", After: e.cfg.After.Milliseconds()}, NotDone
 	if c.lost || c.ref != 0 {
-		w, code = Word{Result: "uncertain", Why: "no word from the leader of part " + strconv.Itoa(c.partition) + "; ask again with the same id", After: e.cfg.After.Milliseconds()}, Uncertain
+		w, code = Response{Result: "uncertain", Why: "no word from the leader of part " + strconv.Itoa(c.partition) + "; ask again with the same id", After: e.cfg.After.Milliseconds()}, Uncertain
 	}
 	o.Done = append(o.Done, Done{no, code, Pack(w)})
 }
--- a/control/leadercall/leadercall_test.go
+++ b/control/leadercall/leadercall_test.go
@@ -13,9 +13,9 @@
 	own = message.Replica{Ident: "o", Addr: "10.0.0.1:1"}
 )
 
-func word(t *testing.T, d []Done) Word {
+func word(t *testing.T, d []Done) Response {
 	t.Helper()
-	var w Word
+	var w Response
 	if len(d) != 1 || json.Unmarshal(d[0].Body, &w) != nil {
 		t.Fatalf("ends: %+v", d)
 	}
@@ -42,7 +42,7 @@
 		for ; now < 4*time.Second && len(done) == 0; now += 10 * time.Millisecond {
 			for _, m := range o.Sends {
 				if x.back != 0 {
-					done = append(done, e.Hear(now, message.Message{From: own.Ident, Ref: m.Message.No, Code: x.back}).Done...)
+					done = append(done, e.Step(now, message.Message{From: own.Ident, ResponseTo: m.Message.RequestID, Status: x.back}).Done...)
 				}
 			}
 			o = e.Tick(now, func(int) message.Replica { return x.own })
@@ -58,17 +58,17 @@
 func TestLateAndStrayResponses(t *testing.T) {
 	e := New(cfg, 1)
 	no, o := e.Start(0, own, 0, "plan", nil, 4*time.Second, false)
-	first := o.Sends[0].Message.No
+	first := o.Sends[0].Message.RequestID
 	if o = e.Tick(500*time.Millisecond, func(int) message.Replica { return own }); len(o.Sends) != 1 {
 		t.Fatalf("not sent again: %+v", o)
 	}
-	if d := e.Hear(time.Second, message.Message{From: own.Ident, Ref: 999, Code: 200}).Done; len(d) > 0 {
+	if d := e.Step(time.Second, message.Message{From: own.Ident, ResponseTo: 999, Status: 200}).Done; len(d) > 0 {
 		t.Errorf("a stray answer ended %+v", d)
 	}
-	if d := e.Hear(time.Second, message.Message{From: own.Ident, Ref: first, Code: 200}).Done; len(d) != 1 || d[0].No != no {
+	if d := e.Step(time.Second, message.Message{From: own.Ident, ResponseTo: first, Status: 200}).Done; len(d) != 1 || d[0].No != no {
 		t.Errorf("a late answer ended %+v", d)
 	}
-	if d := e.Hear(time.Second, message.Message{From: own.Ident, Ref: o.Sends[0].Message.No, Code: 409}).Done; len(d) > 0 {
+	if d := e.Step(time.Second, message.Message{From: own.Ident, ResponseTo: o.Sends[0].Message.RequestID, Status: 409}).Done; len(d) > 0 {
 		t.Errorf("a second answer ended %+v", d)
 	}
 }
@@ -84,8 +84,8 @@
 		t.Fatalf("%+v", again)
 	}
 	a, b, c := first.Sends[0].Message, again.Sends[0].Message, other.Sends[0].Message
-	if a.Ref == 0 || a.Ref != b.Ref || a.No == b.No || a.Ref == c.Ref {
-		t.Errorf("tries go as %d/%d and %d/%d, another call as %d/%d", a.Ref, a.No, b.Ref, b.No, c.Ref, c.No)
+	if a.ResponseTo == 0 || a.ResponseTo != b.ResponseTo || a.RequestID == b.RequestID || a.ResponseTo == c.ResponseTo {
+		t.Errorf("tries go as %d/%d and %d/%d, another call as %d/%d", a.ResponseTo, a.RequestID, b.ResponseTo, b.RequestID, c.ResponseTo, c.RequestID)
 	}
 }
 
@@ -96,24 +96,24 @@
 	e := New(cfg, 1)
 	to := func(int) message.Replica { return own }
 	_, o := e.Start(0, own, 0, "evacuate", nil, 4*time.Second, false)
-	first, mark := o.Sends[0].Message, message.Ver{Term: 3, Seq: 8}
-	if first.Ver == (message.Ver{}) || first.Ver == mark {
-		t.Errorf("the first try is on %v", first.Ver)
+	first, mark := o.Sends[0].Message, message.Version{Term: 3, Seq: 8}
+	if first.Version == (message.Version{}) || first.Version == mark {
+		t.Errorf("the first try is on %v", first.Version)
 	}
-	if o = e.Hear(time.Millisecond, message.Message{From: own.Ident, Ref: first.No, Code: Behind, Ver: mark}); len(o.Done) > 0 {
+	if o = e.Step(time.Millisecond, message.Message{From: own.Ident, ResponseTo: first.RequestID, Status: Behind, Version: mark}); len(o.Done) > 0 {
 		t.Fatalf("ended: %+v", o.Done)
 	}
 	o = e.Tick(2*time.Millisecond, to)
-	if len(o.Sends) != 1 || o.Sends[0].Message.Ver != mark || o.Sends[0].Message.Ref != first.Ref {
+	if len(o.Sends) != 1 || o.Sends[0].Message.Version != mark || o.Sends[0].Message.ResponseTo != first.ResponseTo {
 		t.Fatalf("the second try: %+v", o.Sends)
 	}
-	second := o.Sends[0].Message.No
-	third := e.Tick(500*time.Millisecond, to).Sends[0].Message.No
-	e.Hear(501*time.Millisecond, message.Message{From: own.Ident, Ref: second, Code: Behind, Ver: message.Ver{Term: 1, Seq: 1}}) // late, while the third is out
+	second := o.Sends[0].Message.RequestID
+	third := e.Tick(500*time.Millisecond, to).Sends[0].Message.RequestID
+	e.Step(501*time.Millisecond, message.Message{From: own.Ident, ResponseTo: second, Status: Behind, Version: message.Version{Term: 1, Seq: 1}}) // late, while the third is out
 	if o = e.Tick(502*time.Millisecond, to); len(o.Sends) > 0 {
 		t.Errorf("a late answer sent %+v", o.Sends)
 	}
-	if d := e.Hear(time.Second, message.Message{From: own.Ident, Ref: third, Code: 200}).Done; len(d) != 1 || d[0].Code != 200 {
+	if d := e.Step(time.Second, message.Message{From: own.Ident, ResponseTo: third, Status: 200}).Done; len(d) != 1 || d[0].Code != 200 {
 		t.Errorf("%+v", d)
 	}
 }
@@ -126,16 +126,16 @@
 	e := New(cfg, 4)
 	no, o := e.Start(0, own, 0, "plan", []byte("two"), 4*time.Second, false)
 	late, mine := old.Sends[0].Message, o.Sends[0].Message
-	if late.Ref == mine.Ref {
-		t.Errorf("calls of two lives both go under %d", mine.Ref)
+	if late.ResponseTo == mine.ResponseTo {
+		t.Errorf("calls of two lives both go under %d", mine.ResponseTo)
 	}
-	if d := e.Hear(time.Second, message.Message{From: own.Ident, Ref: late.No, Code: 200}).Done; len(d) > 0 {
+	if d := e.Step(time.Second, message.Message{From: own.Ident, ResponseTo: late.RequestID, Status: 200}).Done; len(d) > 0 {
 		t.Errorf("the answer to an earlier life ended %+v", d)
 	}
-	if d := e.Hear(time.Second, message.Message{From: "p", Ref: mine.No, Code: 200}).Done; len(d) > 0 {
+	if d := e.Step(time.Second, message.Message{From: "p", ResponseTo: mine.RequestID, Status: 200}).Done; len(d) > 0 {
 		t.Errorf("the answer of another daemon ended %+v", d)
 	}
-	if d := e.Hear(time.Second, message.Message{From: own.Ident, Ref: mine.No, Code: 200}).Done; len(d) != 1 || d[0].No != no {
+	if d := e.Step(time.Second, message.Message{From: own.Ident, ResponseTo: mine.RequestID, Status: 200}).Done; len(d) != 1 || d[0].No != no {
 		t.Errorf("its own answer ended %+v", d)
 	}
 }
@@ -145,22 +145,22 @@
 func TestAnEarlierTrysUncertaintyWaitsForTheLaterTry(t *testing.T) {
 	e := New(cfg, 1)
 	no, o := e.Start(0, own, 0, "plan", nil, 4*time.Second, false)
-	first := o.Sends[0].Message.No
+	first := o.Sends[0].Message.RequestID
 	next := message.Replica{Ident: "p", Addr: "10.0.0.2:1"}
 	o = e.Tick(500*time.Millisecond, func(int) message.Replica { return next })
 	if len(o.Sends) != 1 {
 		t.Fatalf("not sent again: %+v", o)
 	}
-	if d := e.Hear(600*time.Millisecond, message.Message{From: own.Ident, Ref: first, Code: Uncertain}).Done; len(d) > 0 {
+	if d := e.Step(600*time.Millisecond, message.Message{From: own.Ident, ResponseTo: first, Status: Uncertain}).Done; len(d) > 0 {
 		t.Errorf("the earlier try ended %+v", d)
 	}
-	if d := e.Hear(700*time.Millisecond, message.Message{From: next.Ident, Ref: o.Sends[0].Message.No, Code: 200}).Done; len(d) != 1 || d[0].No != no || d[0].Code != 200 {
+	if d := e.Step(700*time.Millisecond, message.Message{From: next.Ident, ResponseTo: o.Sends[0].Message.RequestID, Status: 200}).Done; len(d) != 1 || d[0].No != no || d[0].Code != 200 {
 		t.Errorf("the later try ended %+v", d)
 	}
 	_, o = e.Start(0, own, 0, "plan", nil, 4*time.Second, false) // and without a word from that, it is uncertain
-	first = o.Sends[0].Message.No
+	first = o.Sends[0].Message.RequestID
 	e.Tick(500*time.Millisecond, func(int) message.Replica { return next })
-	e.Hear(600*time.Millisecond, message.Message{From: own.Ident, Ref: first, Code: Uncertain})
+	e.Step(600*time.Millisecond, message.Message{From: own.Ident, ResponseTo: first, Status: Uncertain})
 	if w := word(t, e.Tick(5*time.Second, func(int) message.Replica { return next }).Done); w.Result != "uncertain" {
 		t.Errorf("without a later word: %+v", w)
 	}
--- a/control/leadercall/stored_test.go
+++ b/control/leadercall/stored_test.go
@@ -12,10 +12,10 @@
 func TestStoredJSONKeepsItsBytes(t *testing.T) {
 	claim := Claim{Request: "request-1", Daemon: "d", State: "claimed", Past: []string{"request-0"}}
 	golden.Check(t, "once-key.json", claim, golden.JSON[Claim]())
-	golden.Check(t, "response.json", Word{
+	golden.Check(t, "response.json", Response{
 		Result: "duplicate", Why: "why", Faults: []string{"body"}, After: 1500, Claim: &claim, Plan: "plan-12", Version: 12,
-	}, golden.JSON[Word]())
-	golden.Bytes(t, "empty-response.json", Pack(Word{}))
+	}, golden.JSON[Response]())
+	golden.Bytes(t, "empty-response.json", Pack(Response{}))
 }
 
 // The status codes that daemons of other builds understand stay.
@@ -30,9 +30,9 @@
 // A call's message is the frame that other builds read: its fields and numbers, at first and when it is sent again.
 func TestFrameOfACallKeepsItsBytes(t *testing.T) {
 	calls := New(cfg, 3)
-	frame := func(name string, sends []message.Send) message.Message {
+	frame := func(name string, sends []message.Envelope) message.Message {
 		t.Helper()
-		if len(sends) != 1 || sends[0].Addr != own.Addr || sends[0].Exact {
+		if len(sends) != 1 || sends[0].Addr != own.Addr || sends[0].ExactAddr {
 			t.Fatalf("%s: sent %+v", name, sends)
 		}
 		encoded, err := sends[0].Message.MarshalMsg(nil)
@@ -48,7 +48,7 @@
 	leader := func(int) message.Replica { return own }
 	_, out := calls.Start(0, own, 5, "servers", []byte(`{"body":1}`), time.Hour, false)
 	first := frame("call.msgp", out.Sends)
-	calls.Hear(time.Millisecond, message.Message{Kind: message.Back, From: own.Ident, Ref: first.No, Code: 425, Ver: message.Ver{Term: 2, Seq: 9}})
+	calls.Step(time.Millisecond, message.Message{Kind: message.KindCallResult, From: own.Ident, ResponseTo: first.RequestID, Status: 425, Version: message.Version{Term: 2, Seq: 9}})
 	frame("call-again.msgp", calls.Tick(2*time.Millisecond, leader).Sends)
 	_, out = calls.Start(0, own, 5, "want", []byte(`{}`), time.Hour, true)
 	frame("call-once.msgp", out.Sends)
--- a/control/leadercall/word.go
+++ b/control/leadercall/word.go
@@ -10,8 +10,8 @@
 	Past    []string `json:"past,omitempty"` // requests that gave the key back, kept with the record only
 }
 
-// Word is a control answer that is not a verdict.
-type Word struct {
+// Response is a control answer that is not a verdict.
+type Response struct {
 	Result  string   `json:"result"`
 	Why     string   `json:"why,omitempty"`
 	Faults  []string `json:"faults,omitempty"`
@@ -23,7 +23,7 @@
 
 // Pack makes JSON of one of our own types.
 //
-// Example: body := leadercall.Pack(leadercall.Word{Result: "done"})
+// Example: body := leadercall.Pack(leadercall.Response{Result: "done"})
 func Pack(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
--- a/control/lease/child.go
+++ b/control/lease/child.go
@@ -7,15 +7,15 @@
 	"mulleinmast/wire/message"
 )
 
-// Adopt sets the parent. The old one's lease goes on being honoured until the
+// SetParent sets the parent. The old one's lease goes on being honoured until the
 // new one has confirmed our records.
 //
-// Example: out := n.Adopt(now, replica)
-func (n *Node) Adopt(now time.Duration, p message.Replica) (o Out) {
+// Example: out := n.SetParent(now, replica)
+func (n *Node) SetParent(now time.Duration, p message.Replica) (o Out) {
 	if n.root || p.Ident == n.me.Ident || p == n.parent {
 		return o
 	}
-	n.parent, n.pmark = p, message.Mark{}
+	n.parent, n.pmark = p, message.VolumeEpoch{}
 	n.reqs, n.listAt = map[uint64]ask{}, 0
 	n.backAt, n.stale = now, true
 	n.unask()
@@ -34,7 +34,7 @@
 // hurry asks for what is wanted at once, but for what comes in a row only
 // once, a little later: each renewal is a message up and a message down.
 func (n *Node) hurry(now time.Duration, o *Out) {
-	if now-n.sentAt < n.cfg.Beat/16 {
+	if now-n.sentAt < n.cfg.RenewInterval/16 {
 		n.late = true
 		return
 	}
@@ -52,7 +52,7 @@
 	var keys []string
 	for k, w := range n.want {
 		// A parent that doesn't know us yet has us reconnect and looks at no key.
-		if n.pmark.Ident == n.parent.Ident && w.due(now, n.cfg.Beat) {
+		if n.pmark.Ident == n.parent.Ident && w.due(now, n.cfg.RenewInterval) {
 			keys = append(keys, k)
 			n.want[k] = wanted{first: w.first, last: now, asks: w.asks + 1}
 		}
@@ -69,7 +69,7 @@
 	if n.sentAt = now; n.vain == 0 {
 		n.vain = now
 	}
-	o.Sends = append(o.Sends, message.Send{Addr: n.parent.Addr, Message: message.Message{Kind: message.Renew, Partition: n.partition, No: n.no, Mark: n.pmark, Keys: keys, Recs: n.heldVersions(keys), To: n.parent.Ident, Cost: int64(n.cost)}})
+	o.Sends = append(o.Sends, message.Envelope{Addr: n.parent.Addr, Message: message.Message{Kind: message.KindRenewLease, Partition: n.partition, RequestID: n.no, VolumeEpoch: n.pmark, Keys: keys, Records: n.heldVersions(keys), To: n.parent.Ident, RenewCost: int64(n.cost)}})
 }
 
 // unask has everything wanted asked for again: whoever was asked won't say.
@@ -80,69 +80,69 @@
 }
 
 func (n *Node) fromParent(now time.Duration, m message.Message, o *Out) {
-	if m.Mark.Ident != m.From {
+	if m.VolumeEpoch.Ident != m.From {
 		return
 	}
-	if m.Kind == message.Steer && m.Why == "return" {
-		o.Steer = m.Hint
+	if m.Kind == message.KindRedirect && m.Reason == "return" {
+		o.Redirect = m.Hint
 		return
 	}
-	if m.Num != n.epoch {
+	if m.Term != n.epoch {
 		return // meant for an earlier life of ours: the granter messages it there
 	}
-	if m.Kind == message.Invalidate {
+	if m.Kind == message.KindInvalidate {
 		// Whoever says so, dropping a record is safe; the number makes a grant
 		// that was overtaken by this invalidation come too late.
-		n.heard[m.Mark] = max(n.heard[m.Mark], m.No)
-		n.sweep(now, m.Key, &back{replica: message.Replica{Ident: m.From, Addr: m.Addr}, ref: m.Ref, mark: m.Mark}, 0, o)
+		n.heard[m.VolumeEpoch] = max(n.heard[m.VolumeEpoch], m.RequestID)
+		n.sweep(now, m.Key, &back{replica: message.Replica{Ident: m.From, Addr: m.Addr}, ref: m.ResponseTo, mark: m.VolumeEpoch}, 0, o)
 		return
 	}
-	if n.root || m.From != n.parent.Ident || m.No <= n.heard[m.Mark] {
+	if n.root || m.From != n.parent.Ident || m.RequestID <= n.heard[m.VolumeEpoch] {
 		return
 	}
-	n.heard[m.Mark] = m.No
+	n.heard[m.VolumeEpoch] = m.RequestID
 	n.backAt = now
 	switch m.Kind {
-	case message.Reconnect:
+	case message.KindReconnect:
 		// One at a time: two that overlap would undo one another for ever.
-		if n.listAt > 0 && now-n.listAt < n.cfg.Beat/2 {
+		if n.listAt > 0 && now-n.listAt < n.cfg.RenewInterval/2 {
 			return
 		}
 		n.listAt = now
 		n.no++
 		n.reqs[n.no] = ask{at: now}
-		list := message.Message{Kind: message.Listing, Partition: n.partition, No: n.no, Mark: m.Mark, To: n.parent.Ident}
+		list := message.Message{Kind: message.KindLeaseList, Partition: n.partition, RequestID: n.no, VolumeEpoch: m.VolumeEpoch, To: n.parent.Ident}
 		for key, c := range n.objs {
 			if now < c.till {
-				list.Recs = append(list.Recs, message.Rec{Key: key, Ver: c.rec.Ver, Dead: c.rec.Dead})
+				list.Records = append(list.Records, message.Record{Key: key, Version: c.rec.Version, Deleted: c.rec.Deleted})
 			}
 		}
-		sort.Slice(list.Recs, func(i, j int) bool { return list.Recs[i].Key < list.Recs[j].Key })
-		o.Sends = append(o.Sends, message.Send{Addr: n.parent.Addr, Message: list})
-	case message.Synced:
-		req, ok := n.reqs[m.Ref]
+		sort.Slice(list.Records, func(i, j int) bool { return list.Records[i].Key < list.Records[j].Key })
+		o.Sends = append(o.Sends, message.Envelope{Addr: n.parent.Addr, Message: list})
+	case message.KindReconciled:
+		req, ok := n.reqs[m.ResponseTo]
 		if !ok {
 			return
 		}
-		delete(n.reqs, m.Ref)
+		delete(n.reqs, m.ResponseTo)
 		n.vain = 0
 		n.costed(now - req.at)
-		keep := map[string]message.Rec{}
-		for _, r := range m.Recs {
+		keep := map[string]message.Record{}
+		for _, r := range m.Records {
 			keep[r.Key] = r
 		}
 		for _, key := range sorted(n.objs) {
 			c := n.objs[key]
-			if r, ok := keep[key]; ok && r.Ver == c.rec.Ver && r.Dead == c.rec.Dead {
-				c.till = req.at + time.Duration(m.Long)
+			if r, ok := keep[key]; ok && r.Version == c.rec.Version && r.Deleted == c.rec.Deleted {
+				c.till = req.at + time.Duration(m.ObjectLease)
 				n.objs[key] = c
 				continue
 			}
 			n.sweep(now, key, nil, 0, o)
 		}
-		n.pmark = m.Mark
-		n.till = req.at + time.Duration(m.Len)
-		o.Sends = append(o.Sends, message.Send{Addr: n.parent.Addr, Message: message.Message{Kind: message.Connect, Partition: n.partition, Ref: m.No, Mark: m.Mark, To: n.parent.Ident}})
+		n.pmark = m.VolumeEpoch
+		n.till = req.at + time.Duration(m.Length)
+		o.Sends = append(o.Sends, message.Envelope{Addr: n.parent.Addr, Message: message.Message{Kind: message.KindReconnectDone, Partition: n.partition, ResponseTo: m.RequestID, VolumeEpoch: m.VolumeEpoch, To: n.parent.Ident}})
 		for key := range n.pins {
 			if _, ok := n.Get(now, key); !ok {
 				n.fetch(now, key)
@@ -153,17 +153,17 @@
 			n.renew(now, o)
 		}
 		n.answerChildren(now, o)
-	case message.Grant:
-		if m.Mark != n.pmark {
+	case message.KindGrantLease:
+		if m.VolumeEpoch != n.pmark {
 			return
 		}
-		if req, ok := n.reqs[m.Ref]; ok && m.Len > 0 {
-			n.till = max(n.till, req.at+time.Duration(m.Len))
-			delete(n.reqs, m.Ref)
+		if req, ok := n.reqs[m.ResponseTo]; ok && m.Length > 0 {
+			n.till = max(n.till, req.at+time.Duration(m.Length))
+			delete(n.reqs, m.ResponseTo)
 			n.vain = 0
 			n.costed(now - req.at)
 		}
-		for _, r := range m.Recs {
+		for _, r := range m.Records {
 			w, ok := n.want[r.Key]
 			if !ok || n.sweeps[r.Key] != nil {
 				continue
@@ -175,15 +175,15 @@
 				continue
 			}
 			delete(n.want, r.Key)
-			n.objs[r.Key] = cached{rec: rec, till: w.first + time.Duration(m.Long)}
+			n.objs[r.Key] = cached{rec: rec, till: w.first + time.Duration(m.ObjectLease)}
 			n.gen++
-			o.Fresh = append(o.Fresh, r.Key)
+			o.Readable = append(o.Readable, r.Key)
 			n.serve(now, r.Key, o)
 		}
 		n.answerChildren(now, o)
-	case message.Deny:
-		o.Orphan = true
-	case message.Steer:
-		o.Steer = m.Hint
+	case message.KindDenyLease:
+		o.Orphaned = true
+	case message.KindRedirect:
+		o.Redirect = m.Hint
 	}
 }
--- a/control/lease/delta.go
+++ b/control/lease/delta.go
@@ -38,15 +38,15 @@
 	codec Codec // none: all is sent whole
 	least int
 	bases map[string]base
-	links map[string][]message.Link
-	whole map[string]message.Rec // as they go to those who hold none
+	links map[string][]message.Patch
+	whole map[string]message.Record // as they go to those who hold none
 
 	SentChanges, SentWhole int // records that went to children as what changed, and whole
 }
 
 // base is a value that isn't served any more.
 type base struct {
-	rec message.Rec
+	rec message.Record
 	at  time.Duration
 }
 
@@ -55,12 +55,12 @@
 // Example: node.UseCodec(fleetconfig.Codec{}, lease.LeastDelta)
 func (n *Node) UseCodec(c Codec, least int) {
 	n.least = least
-	n.codec, n.bases, n.links, n.whole = c, map[string]base{}, map[string][]message.Link{}, map[string]message.Rec{}
+	n.codec, n.bases, n.links, n.whole = c, map[string]base{}, map[string][]message.Patch{}, map[string]message.Record{}
 }
 
 // retire keeps a value that is withdrawn, to take the next one as what changed.
-func (n *Node) retire(now time.Duration, rec message.Rec) {
-	if n.codec != nil && !rec.Dead && len(rec.Val) >= n.least {
+func (n *Node) retire(now time.Duration, rec message.Record) {
+	if n.codec != nil && !rec.Deleted && len(rec.Value) >= n.least {
 		n.bases[rec.Key] = base{rec, now}
 	}
 }
@@ -68,7 +68,7 @@
 // forgetBases drops the values that were withdrawn long ago.
 func (n *Node) forgetBases(now time.Duration) {
 	for key, b := range n.bases {
-		if now-b.at > n.cfg.Obj {
+		if now-b.at > n.cfg.ObjectLease {
 			delete(n.bases, key)
 			delete(n.links, key)
 			delete(n.whole, key)
@@ -77,21 +77,21 @@
 }
 
 // heldVersion is the version of a record that this node can take a patch from.
-func (n *Node) heldVersion(key string) (v message.Ver) {
+func (n *Node) heldVersion(key string) (v message.Version) {
 	if n.codec == nil {
 		return v
 	}
-	if c, ok := n.objs[key]; ok && !c.rec.Dead && len(c.rec.Val) >= n.least {
-		return c.rec.Ver
+	if c, ok := n.objs[key]; ok && !c.rec.Deleted && len(c.rec.Value) >= n.least {
+		return c.rec.Version
 	}
-	return n.bases[key].rec.Ver
+	return n.bases[key].rec.Version
 }
 
 // heldVersions are those of the records that are asked for.
-func (n *Node) heldVersions(keys []string) (list []message.Rec) {
+func (n *Node) heldVersions(keys []string) (list []message.Record) {
 	for _, key := range keys {
-		if v := n.heldVersion(key); v != (message.Ver{}) {
-			list = append(list, message.Rec{Key: key, Ver: v})
+		if v := n.heldVersion(key); v != (message.Version{}) {
+			list = append(list, message.Record{Key: key, Version: v})
 		}
 	}
 	return list
@@ -99,49 +99,49 @@
 
 // reach extends the links by the one that leads to a record that is served now,
 // from the one before.
-func (n *Node) reach(rec message.Rec) {
+func (n *Node) reach(rec message.Record) {
 	b, ok := n.bases[rec.Key]
-	if !ok || rec.Dead || b.rec.Ver == rec.Ver || len(n.kids) == 0 {
+	if !ok || rec.Deleted || b.rec.Version == rec.Version || len(n.kids) == 0 {
 		return
 	}
 	list := n.links[rec.Key]
-	if len(list) > 0 && list[len(list)-1].To == rec.Ver {
+	if len(list) > 0 && list[len(list)-1].To == rec.Version {
 		return
 	}
-	if len(list) > 0 && list[len(list)-1].To != b.rec.Ver {
+	if len(list) > 0 && list[len(list)-1].To != b.rec.Version {
 		list = nil
 	}
-	if patch := n.codec.Patch(b.rec.Val, rec.Val); patch != nil {
-		n.extend(rec.Key, list, message.Link{From: b.rec.Ver, To: rec.Ver, Patch: patch})
+	if patch := n.codec.Patch(b.rec.Value, rec.Value); patch != nil {
+		n.extend(rec.Key, list, message.Patch{From: b.rec.Version, To: rec.Version, Delta: patch})
 	} else {
 		delete(n.links, rec.Key)
 	}
 }
 
-func (n *Node) extend(key string, list []message.Link, more ...message.Link) {
+func (n *Node) extend(key string, list []message.Patch, more ...message.Patch) {
 	list = append(slices.Clone(list), more...)
 	n.links[key] = list[max(0, len(list)-mostLinks):]
 }
 
 // sent is a record as it goes to a child that holds a version of it, or none.
-func (n *Node) sent(rec message.Rec, holds message.Ver) message.Rec {
-	if n.codec == nil || rec.Dead || len(rec.Val) < n.least {
+func (n *Node) sent(rec message.Record, holds message.Version) message.Record {
+	if n.codec == nil || rec.Deleted || len(rec.Value) < n.least {
 		return rec
 	}
-	if holds == rec.Ver {
+	if holds == rec.Version {
 		n.SentChanges++
-		return message.Rec{Key: rec.Key, Ver: rec.Ver, Held: true}
+		return message.Record{Key: rec.Key, Version: rec.Version, Patched: true}
 	}
-	if holds != (message.Ver{}) {
+	if holds != (message.Version{}) {
 		n.reach(rec)
-		if list := n.between(rec.Key, holds, rec.Ver); list != nil {
+		if list := n.between(rec.Key, holds, rec.Version); list != nil {
 			n.SentChanges++
-			return message.Rec{Key: rec.Key, Ver: rec.Ver, Held: true, Links: list}
+			return message.Record{Key: rec.Key, Version: rec.Version, Patched: true, Patches: list}
 		}
 	}
 	n.SentWhole++
-	if w, ok := n.whole[rec.Key]; !ok || w.Ver != rec.Ver {
-		rec.Val = n.codec.Whole(rec.Val)
+	if w, ok := n.whole[rec.Key]; !ok || w.Version != rec.Version {
+		rec.Value = n.codec.Whole(rec.Value)
 		n.whole[rec.Key] = rec
 	}
 	return n.whole[rec.Key]
@@ -149,53 +149,53 @@
 
 // between are the links from one version to another, if they are all there and
 // shorter than the whole would be.
-func (n *Node) between(key string, from, to message.Ver) []message.Link {
+func (n *Node) between(key string, from, to message.Version) []message.Patch {
 	list := n.links[key]
-	first := slices.IndexFunc(list, func(l message.Link) bool { return l.From == from })
+	first := slices.IndexFunc(list, func(l message.Patch) bool { return l.From == from })
 	if first < 0 || list[len(list)-1].To != to {
 		return nil
 	}
 	list = list[first:]
 	size := 0
 	for _, l := range list {
-		size += len(l.Patch)
+		size += len(l.Delta)
 	}
-	if w, ok := n.whole[key]; ok && size >= len(w.Val) {
+	if w, ok := n.whole[key]; ok && size >= len(w.Value) {
 		return nil
 	}
 	return list
 }
 
 // received gives a record whole that a parent sent as what changed.
-func (n *Node) received(now time.Duration, r message.Rec) (rec message.Rec, ok bool) {
-	if !r.Held {
+func (n *Node) received(now time.Duration, r message.Record) (rec message.Record, ok bool) {
+	if !r.Patched {
 		return r, true
 	}
 	from := n.bases[r.Key].rec
 	if c, ok := n.objs[r.Key]; ok {
 		from = c.rec
 	}
-	if n.codec == nil || from.Ver == (message.Ver{}) {
+	if n.codec == nil || from.Version == (message.Version{}) {
 		return rec, false
 	}
 	kept := n.links[r.Key]
-	for _, l := range r.Links {
-		val, err := n.codec.Apply(from.Val, l.Patch)
-		if err != nil || l.From != from.Ver {
+	for _, l := range r.Patches {
+		val, err := n.codec.Apply(from.Value, l.Delta)
+		if err != nil || l.From != from.Version {
 			delete(n.bases, r.Key)
 			delete(n.links, r.Key)
 			return rec, false
 		}
-		from.Val, from.Ver = val, l.To
+		from.Value, from.Version = val, l.To
 		if len(kept) > 0 && kept[len(kept)-1].To != l.From {
 			kept = nil
 		}
 		kept = append(slices.Clone(kept), l)
 	}
-	if from.Ver != r.Ver {
+	if from.Version != r.Version {
 		return rec, false
 	}
 	n.extend(r.Key, kept)
-	from.Held, from.Links = false, nil
+	from.Patched, from.Patches = false, nil
 	return from, true
 }
--- a/control/lease/delta_test.go
+++ b/control/lease/delta_test.go
@@ -14,14 +14,14 @@
 	"mulleinmast/wire/message"
 )
 
-var bounds = lease.Config{Vol: 800 * time.Millisecond, Obj: 48 * time.Second, Drift: 0.02, Margin: 20 * time.Millisecond, Beat: 266 * time.Millisecond, Span: 4 * time.Second, Most: 2000}
+var bounds = lease.Config{VolumeLease: 800 * time.Millisecond, ObjectLease: 48 * time.Second, Drift: 0.02, Margin: 20 * time.Millisecond, RenewInterval: 266 * time.Millisecond, Span: 4 * time.Second, Most: 2000}
 
 // forest is a root, relays below it and leaves below these; messages arrive at once.
 type forest struct {
 	t     *testing.T
 	now   time.Duration
 	nodes map[string]*lease.Node
-	rec   message.Rec // what the root holds
+	rec   message.Record // what the root holds
 	tag   uint64
 	bytes map[string]int // that a node was sent in grants, of records
 	whole map[string]int // records that a node was sent whole
@@ -48,16 +48,16 @@
 		}
 		f.nodes[name] = n
 	}
-	f.nodes["root"].Crown(1, func(key string) message.Rec {
+	f.nodes["root"].BecomeRoot(1, func(key string) message.Record {
 		if key == watched {
 			return f.rec
 		}
-		return message.Rec{Key: key, Dead: true}
+		return message.Record{Key: key, Deleted: true}
 	}, func() time.Duration { return f.now + time.Hour })
 	for _, name := range names {
 		if parents[name] != "" {
 			f.carry(name, f.nodes[name].Pin(f.now, watched))
-			f.carry(name, f.nodes[name].Adopt(f.now, replica(parents[name])))
+			f.carry(name, f.nodes[name].SetParent(f.now, replica(parents[name])))
 		}
 	}
 	return f
@@ -75,19 +75,19 @@
 		if f.spoil != nil {
 			f.spoil(n.To, &n)
 		}
-		if len(n.Recs) > 0 && n.Kind == message.Grant {
+		if len(n.Records) > 0 && n.Kind == message.KindGrantLease {
 			b, err := n.MarshalMsg(nil)
 			if err != nil {
 				f.t.Fatal(err)
 			}
 			f.bytes[n.To] += len(b)
-			for _, r := range n.Recs {
-				if !r.Held && !r.Dead {
+			for _, r := range n.Records {
+				if !r.Patched && !r.Deleted {
 					f.whole[n.To]++
 				}
 			}
 		}
-		f.carry(n.To, to.Hear(f.now, n))
+		f.carry(n.To, to.Step(f.now, n))
 	}
 }
 
@@ -105,15 +105,15 @@
 	f.t.Helper()
 	f.tag++
 	root := f.nodes["root"]
-	f.carry("root", root.Hold(f.now, watched, f.tag))
+	f.carry("root", root.Suspend(f.now, watched, f.tag))
 	for n := 0; n < 400 && !slices.Contains(f.done, f.tag); n++ {
 		f.pass(10 * time.Millisecond)
 	}
 	if !slices.Contains(f.done, f.tag) {
 		f.t.Fatal("the invalidation is never complete")
 	}
-	f.rec = message.Rec{Key: watched, Ver: message.Ver{Term: 1, Seq: f.tag}, Val: val}
-	f.carry("root", root.Free(f.now, watched))
+	f.rec = message.Record{Key: watched, Version: message.Version{Term: 1, Seq: f.tag}, Value: val}
+	f.carry("root", root.Resume(f.now, watched))
 }
 
 // serves looks whether all nodes serve what the root holds.
@@ -121,15 +121,15 @@
 	f.t.Helper()
 	for name, n := range f.nodes {
 		got, ok := n.Get(f.now, watched)
-		if !ok || got.Ver != f.rec.Ver || !bytes.Equal(plain(f.t, got.Val), plain(f.t, f.rec.Val)) {
-			f.t.Errorf("%s: %s serves %v %v, the root %v", what, name, got.Ver, ok, f.rec.Ver)
+		if !ok || got.Version != f.rec.Version || !bytes.Equal(plain(f.t, got.Value), plain(f.t, f.rec.Value)) {
+			f.t.Errorf("%s: %s serves %v %v, the root %v", what, name, got.Version, ok, f.rec.Version)
 		}
 	}
 }
 
 func plain(t *testing.T, val []byte) []byte {
 	t.Helper()
-	p, err := fleetconfig.ReadPlan(message.Rec{Key: watched, Val: val})
+	p, err := fleetconfig.ReadPlan(message.Record{Key: watched, Value: val})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -221,7 +221,7 @@
 		f.pass(time.Second)
 		away := f.nodes["leaf-1"]
 		delete(f.nodes, "leaf-1")
-		f.pass(2 * bounds.Vol)
+		f.pass(2 * bounds.VolumeLease)
 		for n := 1; n <= x.missed; n++ {
 			f.write(routes(t, 300, n))
 			f.pass(20 * time.Millisecond)
@@ -242,22 +242,22 @@
 	f := plant(t, all(fleetconfig.Codec{}, "root", "relay", "leaf-1", "leaf-2", "leaf-3"), lease.LeastDelta, zone)
 	f.write(routes(t, 300, 0))
 	f.pass(time.Second)
-	for n, spoil := range []func(l *message.Link){
-		func(l *message.Link) { l.Patch = l.Patch[:len(l.Patch)/2] },
-		func(l *message.Link) { l.Patch[len(l.Patch)-1] ^= 1 },
-		func(l *message.Link) { l.From.Seq += 7 },
-		func(l *message.Link) { l.To.Seq += 7 },
+	for n, spoil := range []func(l *message.Patch){
+		func(l *message.Patch) { l.Delta = l.Delta[:len(l.Delta)/2] },
+		func(l *message.Patch) { l.Delta[len(l.Delta)-1] ^= 1 },
+		func(l *message.Patch) { l.From.Seq += 7 },
+		func(l *message.Patch) { l.To.Seq += 7 },
 	} {
 		hit := 0
 		f.spoil = func(to string, m *message.Message) {
-			for i := range m.Recs {
-				if to == "leaf-1" && len(m.Recs[i].Links) > 0 && hit == 0 {
+			for i := range m.Records {
+				if to == "leaf-1" && len(m.Records[i].Patches) > 0 && hit == 0 {
 					hit++
-					m.Recs = slices.Clone(m.Recs)
-					list := slices.Clone(m.Recs[i].Links)
-					list[0].Patch = bytes.Clone(list[0].Patch)
+					m.Records = slices.Clone(m.Records)
+					list := slices.Clone(m.Records[i].Patches)
+					list[0].Delta = bytes.Clone(list[0].Delta)
 					spoil(&list[0])
-					m.Recs[i].Links = list
+					m.Records[i].Patches = list
 				}
 			}
 		}
@@ -292,7 +292,7 @@
 	f.write(routes(t, 300, 0))
 	f.pass(time.Second)
 	clear(f.bytes)
-	f.pass(bounds.Obj)
+	f.pass(bounds.ObjectLease)
 	f.serves("an object lease later")
 	for name, n := range f.bytes {
 		if n > 600 {
--- a/control/lease/golden_test.go
+++ b/control/lease/golden_test.go
@@ -25,8 +25,8 @@
 
 // goldenBounds are the leases' bounds of the recorded scenes.
 var goldenBounds = lease.Config{
-	Vol: 800 * time.Millisecond, Obj: 3 * time.Second, Drift: 0.02,
-	Margin: 20 * time.Millisecond, Beat: 266 * time.Millisecond,
+	VolumeLease: 800 * time.Millisecond, ObjectLease: 3 * time.Second, Drift: 0.02,
+	Margin: 20 * time.Millisecond, RenewInterval: 266 * time.Millisecond,
 }
 
 // prefixCodec patches a value by what follows a common prefix; the first four bytes
@@ -80,8 +80,8 @@
 	now      time.Duration
 	nodes    map[string]*lease.Node
 	epochs   map[string]uint64
-	records  map[string]message.Rec // the root's
-	rootEnds time.Duration          // of the leader lease
+	records  map[string]message.Record // the root's
+	rootEnds time.Duration             // of the leader lease
 	frames   []recordedFrame
 	delay    func(from, to string) time.Duration
 	lost     func(from, to string, m *message.Message) bool
@@ -91,7 +91,7 @@
 
 func newRecorder(t *testing.T, cfg lease.Config, log *strings.Builder) *recorder {
 	r := &recorder{t: t, cfg: cfg, now: time.Second, log: log}
-	r.nodes, r.epochs, r.records = map[string]*lease.Node{}, map[string]uint64{}, map[string]message.Rec{}
+	r.nodes, r.epochs, r.records = map[string]*lease.Node{}, map[string]uint64{}, map[string]message.Record{}
 	r.delay = func(string, string) time.Duration { return 2 * time.Millisecond }
 	r.lost = func(string, string, *message.Message) bool { return false }
 	return r
@@ -117,17 +117,17 @@
 
 // lead makes a node the root.
 func (r *recorder) lead(name string, term uint64) {
-	r.rootEnds = r.now + 2*r.cfg.Vol
-	r.nodes[name].Crown(term, func(key string) message.Rec {
+	r.rootEnds = r.now + 2*r.cfg.VolumeLease
+	r.nodes[name].BecomeRoot(term, func(key string) message.Record {
 		if rec, ok := r.records[key]; ok {
 			return rec
 		}
-		return message.Rec{Key: key, Dead: true}
+		return message.Record{Key: key, Deleted: true}
 	}, func() time.Duration { return r.rootEnds })
 }
 
 func (r *recorder) adopt(name, parent string) {
-	r.take(name, r.nodes[name].Adopt(r.now, goldenReplica(parent)))
+	r.take(name, r.nodes[name].SetParent(r.now, goldenReplica(parent)))
 }
 
 // take writes down what a step asks for and sends it.
@@ -143,7 +143,7 @@
 		if _, err := msgp.UnmarshalAsJSON(&text, b); err != nil {
 			r.t.Fatal(err)
 		}
-		fmt.Fprintf(r.log, "%v %s>%s %v %s %08x\n", r.now, from, s.Addr, s.Exact, text.String(), crc32.ChecksumIEEE(b))
+		fmt.Fprintf(r.log, "%v %s>%s %v %s %08x\n", r.now, from, s.Addr, s.ExactAddr, text.String(), crc32.ChecksumIEEE(b))
 		to := strings.TrimSuffix(s.Addr, ":7")
 		if r.lost(from, to, &m) {
 			continue
@@ -153,9 +153,9 @@
 		}
 		r.frames = append(r.frames, recordedFrame{r.now + r.delay(from, to), from, to, b})
 	}
-	if len(o.Fresh)+len(o.Gone)+len(o.Invalidated) > 0 || o.Orphan || o.Steer.Ident != "" {
+	if len(o.Readable)+len(o.Withdrawn)+len(o.Invalidated) > 0 || o.Orphaned || o.Redirect.Ident != "" {
 		fmt.Fprintf(r.log, "%v %s: readable %q, withdrawn %q, invalidated %v, orphaned %v, redirected to %q %q\n",
-			r.now, from, o.Fresh, o.Gone, o.Invalidated, o.Orphan, o.Steer.Ident, o.Steer.Addr)
+			r.now, from, o.Readable, o.Withdrawn, o.Invalidated, o.Orphaned, o.Redirect.Ident, o.Redirect.Addr)
 	}
 	r.complete = append(r.complete, o.Invalidated...)
 }
@@ -174,7 +174,7 @@
 			r.t.Fatal(err)
 		}
 		if n := r.nodes[f.to]; n != nil {
-			r.take(f.to, n.Hear(r.now, m))
+			r.take(f.to, n.Step(r.now, m))
 		}
 	}
 }
@@ -187,8 +187,8 @@
 			continue
 		}
 		for _, name := range slices.Sorted(maps.Keys(r.nodes)) {
-			if r.nodes[name].Root() {
-				r.rootEnds = max(r.rootEnds, r.now+2*r.cfg.Vol)
+			if r.nodes[name].IsRoot() {
+				r.rootEnds = max(r.rootEnds, r.now+2*r.cfg.VolumeLease)
 			}
 			r.take(name, r.nodes[name].Tick(r.now))
 		}
@@ -197,12 +197,12 @@
 
 // write changes a record at the root: all of it, or as much as is complete in a time.
 func (r *recorder) write(root, key, value string, tag uint64, most time.Duration) {
-	r.take(root, r.nodes[root].Hold(r.now, key, tag))
+	r.take(root, r.nodes[root].Suspend(r.now, key, tag))
 	for end := r.now + most; r.now < end && !slices.Contains(r.complete, tag); {
 		r.pass(time.Millisecond)
 	}
-	r.records[key] = message.Rec{Key: key, Ver: message.Ver{Term: 1, Seq: tag}, Val: []byte(value)}
-	r.take(root, r.nodes[root].Free(r.now, key))
+	r.records[key] = message.Record{Key: key, Version: message.Version{Term: 1, Seq: tag}, Value: []byte(value)}
+	r.take(root, r.nodes[root].Resume(r.now, key))
 }
 
 // show writes down what the nodes would answer.
@@ -215,11 +215,11 @@
 		}
 		lapsed, lasts := n.Lapsed(r.now)
 		fmt.Fprintf(r.log, "%v %s: %s parent %q cost %v till %v until %v lapsed %v %v changes %d whole %d\n", r.now, name, view,
-			n.Parent().Ident, n.Cost(), n.Till()-r.now, n.Until()-r.now, lapsed, lasts, n.SentChanges, n.SentWhole)
+			n.Parent().Ident, n.Cost(), n.VolumeExpiry()-r.now, n.ValidUntil()-r.now, lapsed, lasts, n.SentChanges, n.SentWhole)
 		for _, key := range keys {
 			rec, ok := n.Get(r.now, key)
 			last, at, lasts := n.Last(r.now, key)
-			fmt.Fprintf(r.log, "  %s: %v %v %v %.20q, last %v %v %v\n", key, ok, rec.Ver, rec.Dead, rec.Val, lasts, last.Ver, at)
+			fmt.Fprintf(r.log, "  %s: %v %v %v %.20q, last %v %v %v\n", key, ok, rec.Version, rec.Deleted, rec.Value, lasts, last.Version, at)
 		}
 	}
 }
@@ -227,7 +227,7 @@
 // zoneOfTwo is a root, a relay and two children below it.
 func zoneOfTwo(t *testing.T, cfg lease.Config, log *strings.Builder) *recorder {
 	r := newRecorder(t, cfg, log)
-	r.records["k"] = message.Rec{Key: "k", Ver: message.Ver{Term: 1, Seq: 1}, Val: longValue(0)}
+	r.records["k"] = message.Record{Key: "k", Version: message.Version{Term: 1, Seq: 1}, Value: longValue(0)}
 	r.start("root")
 	r.start("relay", "k")
 	r.start("a", "k", "absent")
@@ -255,10 +255,10 @@
 
 	r.scene("a patch is spoilt on its way")
 	r.lost = func(_, to string, m *message.Message) bool {
-		if to == "a" && len(m.Recs) > 0 && len(m.Recs[0].Links) > 0 {
-			m.Recs = slices.Clone(m.Recs)
-			m.Recs[0].Links = slices.Clone(m.Recs[0].Links)
-			m.Recs[0].Links[0].Patch = []byte("spoilt, and of another base")
+		if to == "a" && len(m.Records) > 0 && len(m.Records[0].Patches) > 0 {
+			m.Records = slices.Clone(m.Records)
+			m.Records[0].Patches = slices.Clone(m.Records[0].Patches)
+			m.Records[0].Patches[0].Delta = []byte("spoilt, and of another base")
 		}
 		return false
 	}
@@ -290,8 +290,8 @@
 	r.show("k")
 
 	r.scene("another leader")
-	r.take("root", r.nodes["root"].Hold(r.now, "absent", 9))
-	r.nodes["root"].Uncrown()
+	r.take("root", r.nodes["root"].Suspend(r.now, "absent", 9))
+	r.nodes["root"].ResignRoot()
 	r.pass(60 * time.Millisecond)
 	r.show("k")
 	r.lead("relay", 2)
@@ -308,57 +308,57 @@
 	r.pass(500 * time.Millisecond)
 	r.scene("messages that are late, repeated or from others")
 	n := r.nodes["relay"]
-	root, mine := r.nodes["root"].Mark(), n.Mark()
-	older, stranger := root, message.Mark{Ident: "x", Epoch: 1}
+	root, mine := r.nodes["root"].VolumeEpoch(), n.VolumeEpoch()
+	older, stranger := root, message.VolumeEpoch{Ident: "x", Epoch: 1}
 	older.Term--
-	ver := message.Ver{Term: 1, Seq: 1}
-	long := []message.Rec{{Key: "k", Ver: ver}}
+	ver := message.Version{Term: 1, Seq: 1}
+	long := []message.Record{{Key: "k", Version: ver}}
 	for i, m := range []message.Message{
-		{Kind: message.Grant, From: "root", Mark: root, No: 1, Num: 1, Ref: 1, Len: 9e9, Recs: long, Long: 9e9},
-		{Kind: message.Grant, From: "root", Mark: older, No: 900, Num: 1, Ref: 1, Len: 9e9, Recs: long, Long: 9e9},
-		{Kind: message.Grant, From: "root", Mark: root, No: 901, Num: 7, Len: 9e9},
-		{Kind: message.Grant, From: "x", Mark: stranger, No: 901, Num: 1, Len: 9e9},
-		{Kind: message.Grant, From: "root", Mark: stranger, No: 901, Num: 1, Len: 9e9},
-		{Kind: message.Grant, From: "root", Mark: root, No: 901, Num: 1, Ref: 800, Len: 9e9, Recs: long, Long: 9e9},
-		{Kind: message.Synced, From: "root", Mark: root, No: 902, Num: 1, Ref: 800, Len: 9e9, Recs: long},
-		{Kind: message.Reconnect, From: "root", Mark: root, No: 903, Num: 1},
-		{Kind: message.Reconnect, From: "root", Mark: root, No: 904, Num: 1},
-		{Kind: message.Deny, From: "root", Mark: root, No: 905, Num: 1, Why: "no lease"},
-		{Kind: message.Steer, From: "root", Mark: root, No: 906, Num: 1, Hint: goldenReplica("a"), Why: "join"},
-		{Kind: message.Steer, From: "root", Mark: root, No: 906, Num: 1, Hint: goldenReplica("a"), Why: "split"},
-		{Kind: message.Steer, From: "x", Mark: stranger, Hint: goldenReplica("b"), Why: "return"},
-		{Kind: message.Steer, From: "y", Mark: stranger, Hint: goldenReplica("b"), Why: "return"},
-		{Kind: message.Steer, From: "x", Mark: stranger, No: 5, Num: 1, Hint: goldenReplica("b"), Why: "join"},
-		{Kind: message.Connect, From: "a", Epoch: 1, Mark: mine, Ref: 99},
-		{Kind: message.Connect, From: "zz", Epoch: 1, Mark: mine, Ref: 99},
-		{Kind: message.Listing, From: "a", Epoch: 1, Mark: root, No: 70},
-		{Kind: message.Listing, From: "a", Epoch: 1, Mark: mine, No: 71, Recs: []message.Rec{{Key: "k", Ver: ver}, {Key: "absent", Dead: true}, {Key: "q"}}},
-		{Kind: message.Renew, From: "a", Epoch: 1, Mark: mine, No: 72, Keys: []string{"k"}},
-		{Kind: message.Renew, From: "a", Epoch: 2, Mark: mine, No: 1, Keys: []string{"k"}, Cost: 5e6},
-		{Kind: message.Listing, From: "a", Epoch: 2, Mark: mine, No: 2},
-		{Kind: message.Renew, From: "b", Epoch: 1, Mark: mine, No: 73, Keys: []string{"k", "new"}, Recs: long, Cost: 7e6},
-		{Kind: message.Renew, From: "b", Epoch: 1, Mark: stranger, No: 74},
-		{Kind: message.Invalidate, From: "x", Mark: stranger, No: 4, Num: 1, Key: "k", Ref: 6},
-		{Kind: message.Invalidate, From: "root", Mark: root, No: 990, Num: 1, Key: "k", Ref: 7},
-		{Kind: message.Invalidate, From: "root", Mark: root, No: 991, Num: 9, Key: "k", Ref: 8},
-		{Kind: message.Grant, From: "root", Mark: root, No: 989, Num: 1, Recs: long, Long: 9e9},
-		{Kind: message.Renew, From: "a", Epoch: 1, Mark: mine, No: 75, Keys: []string{"k"}},
-		{Kind: message.Listing, From: "b", Epoch: 1, Mark: mine, No: 76},
-		{Kind: message.Invalidated, From: "a", Epoch: 1, Key: "k", Ref: 700},
-		{Kind: message.Invalidated, From: "a", Epoch: 1, Key: "k", Ref: 1},
-		{Kind: message.Invalidated, From: "b", Epoch: 1, Key: "k", Ref: 1},
-		{Kind: message.Invalidated, From: "b", Epoch: 1, Key: "k", Ref: 1},
-		{Kind: message.Hello, From: "b", Epoch: 1},
+		{Kind: message.KindGrantLease, From: "root", VolumeEpoch: root, RequestID: 1, Term: 1, ResponseTo: 1, Length: 9e9, Records: long, ObjectLease: 9e9},
+		{Kind: message.KindGrantLease, From: "root", VolumeEpoch: older, RequestID: 900, Term: 1, ResponseTo: 1, Length: 9e9, Records: long, ObjectLease: 9e9},
+		{Kind: message.KindGrantLease, From: "root", VolumeEpoch: root, RequestID: 901, Term: 7, Length: 9e9},
+		{Kind: message.KindGrantLease, From: "x", VolumeEpoch: stranger, RequestID: 901, Term: 1, Length: 9e9},
+		{Kind: message.KindGrantLease, From: "root", VolumeEpoch: stranger, RequestID: 901, Term: 1, Length: 9e9},
+		{Kind: message.KindGrantLease, From: "root", VolumeEpoch: root, RequestID: 901, Term: 1, ResponseTo: 800, Length: 9e9, Records: long, ObjectLease: 9e9},
+		{Kind: message.KindReconciled, From: "root", VolumeEpoch: root, RequestID: 902, Term: 1, ResponseTo: 800, Length: 9e9, Records: long},
+		{Kind: message.KindReconnect, From: "root", VolumeEpoch: root, RequestID: 903, Term: 1},
+		{Kind: message.KindReconnect, From: "root", VolumeEpoch: root, RequestID: 904, Term: 1},
+		{Kind: message.KindDenyLease, From: "root", VolumeEpoch: root, RequestID: 905, Term: 1, Reason: "no lease"},
+		{Kind: message.KindRedirect, From: "root", VolumeEpoch: root, RequestID: 906, Term: 1, Hint: goldenReplica("a"), Reason: "join"},
+		{Kind: message.KindRedirect, From: "root", VolumeEpoch: root, RequestID: 906, Term: 1, Hint: goldenReplica("a"), Reason: "split"},
+		{Kind: message.KindRedirect, From: "x", VolumeEpoch: stranger, Hint: goldenReplica("b"), Reason: "return"},
+		{Kind: message.KindRedirect, From: "y", VolumeEpoch: stranger, Hint: goldenReplica("b"), Reason: "return"},
+		{Kind: message.KindRedirect, From: "x", VolumeEpoch: stranger, RequestID: 5, Term: 1, Hint: goldenReplica("b"), Reason: "join"},
+		{Kind: message.KindReconnectDone, From: "a", Epoch: 1, VolumeEpoch: mine, ResponseTo: 99},
+		{Kind: message.KindReconnectDone, From: "zz", Epoch: 1, VolumeEpoch: mine, ResponseTo: 99},
+		{Kind: message.KindLeaseList, From: "a", Epoch: 1, VolumeEpoch: root, RequestID: 70},
+		{Kind: message.KindLeaseList, From: "a", Epoch: 1, VolumeEpoch: mine, RequestID: 71, Records: []message.Record{{Key: "k", Version: ver}, {Key: "absent", Deleted: true}, {Key: "q"}}},
+		{Kind: message.KindRenewLease, From: "a", Epoch: 1, VolumeEpoch: mine, RequestID: 72, Keys: []string{"k"}},
+		{Kind: message.KindRenewLease, From: "a", Epoch: 2, VolumeEpoch: mine, RequestID: 1, Keys: []string{"k"}, RenewCost: 5e6},
+		{Kind: message.KindLeaseList, From: "a", Epoch: 2, VolumeEpoch: mine, RequestID: 2},
+		{Kind: message.KindRenewLease, From: "b", Epoch: 1, VolumeEpoch: mine, RequestID: 73, Keys: []string{"k", "new"}, Records: long, RenewCost: 7e6},
+		{Kind: message.KindRenewLease, From: "b", Epoch: 1, VolumeEpoch: stranger, RequestID: 74},
+		{Kind: message.KindInvalidate, From: "x", VolumeEpoch: stranger, RequestID: 4, Term: 1, Key: "k", ResponseTo: 6},
+		{Kind: message.KindInvalidate, From: "root", VolumeEpoch: root, RequestID: 990, Term: 1, Key: "k", ResponseTo: 7},
+		{Kind: message.KindInvalidate, From: "root", VolumeEpoch: root, RequestID: 991, Term: 9, Key: "k", ResponseTo: 8},
+		{Kind: message.KindGrantLease, From: "root", VolumeEpoch: root, RequestID: 989, Term: 1, Records: long, ObjectLease: 9e9},
+		{Kind: message.KindRenewLease, From: "a", Epoch: 1, VolumeEpoch: mine, RequestID: 75, Keys: []string{"k"}},
+		{Kind: message.KindLeaseList, From: "b", Epoch: 1, VolumeEpoch: mine, RequestID: 76},
+		{Kind: message.KindInvalidated, From: "a", Epoch: 1, Key: "k", ResponseTo: 700},
+		{Kind: message.KindInvalidated, From: "a", Epoch: 1, Key: "k", ResponseTo: 1},
+		{Kind: message.KindInvalidated, From: "b", Epoch: 1, Key: "k", ResponseTo: 1},
+		{Kind: message.KindInvalidated, From: "b", Epoch: 1, Key: "k", ResponseTo: 1},
+		{Kind: message.KindHello, From: "b", Epoch: 1},
 	} {
 		m.Partition, m.Addr = 3, m.From+":7"
 		fmt.Fprintf(r.log, "message %d, %v\n", i, m.Kind)
-		r.take("relay", n.Hear(r.now, m))
+		r.take("relay", n.Step(r.now, m))
 		r.now++
 	}
 	r.show("k")
 	r.now -= r.now % time.Millisecond
 	r.pass(200 * time.Millisecond)
-	r.take("a", r.nodes["a"].Adopt(r.now, message.Replica{}))
+	r.take("a", r.nodes["a"].SetParent(r.now, message.Replica{}))
 	r.pass(1200 * time.Millisecond)
 	r.show("k", "absent")
 }
@@ -412,7 +412,7 @@
 	rng := rand.New(rand.NewSource(seed))
 	names, keys := []string{"a", "b", "c", "d", "relay", "root"}, []string{"k", "l", "m"}
 	for i, key := range keys {
-		r.records[key] = message.Rec{Key: key, Ver: message.Ver{Term: 1, Seq: 1}, Val: longValue(i)}
+		r.records[key] = message.Record{Key: key, Version: message.Version{Term: 1, Seq: 1}, Value: longValue(i)}
 	}
 	for _, name := range names {
 		r.start(name, keys[rng.Intn(3)], keys[rng.Intn(3)])
@@ -458,7 +458,7 @@
 				r.adopt(name, names[rng.Intn(len(names))])
 			}
 		case 8:
-			r.nodes[leader].Uncrown()
+			r.nodes[leader].ResignRoot()
 			if rng.Intn(2) == 0 {
 				r.pass(r.rootEnds - r.now)
 			}
@@ -475,15 +475,15 @@
 			if suspended[key] == 0 {
 				tag++
 				suspended[key] = tag
-				r.take(leader, r.nodes[leader].Hold(r.now, key, tag))
+				r.take(leader, r.nodes[leader].Suspend(r.now, key, tag))
 			}
 		}
 		r.pass(100 * time.Millisecond)
 		for _, key := range keys {
 			if at := suspended[key]; at > 0 && slices.Contains(r.complete, at) {
 				delete(suspended, key)
-				r.records[key] = message.Rec{Key: key, Ver: message.Ver{Term: term, Seq: at}, Val: longValue(int(at)), Dead: at%5 == 0}
-				r.take(leader, r.nodes[leader].Free(r.now, key))
+				r.records[key] = message.Record{Key: key, Version: message.Version{Term: term, Seq: at}, Value: longValue(int(at)), Deleted: at%5 == 0}
+				r.take(leader, r.nodes[leader].Resume(r.now, key))
 			}
 		}
 		if step%10 == 9 {
--- a/control/lease/lease.go
+++ b/control/lease/lease.go
@@ -19,14 +19,14 @@
 
 // Config holds the bounds of the leases.
 type Config struct {
-	Vol    time.Duration // volume lease
-	Obj    time.Duration // object lease
-	Drift  float64
-	Margin time.Duration
-	Beat   time.Duration // renew and resend interval
-	Gain   time.Duration // what a join or split must save
-	Span   time.Duration // interval over which hits are counted
-	Most   int           // renewals in a Span above which a parent is loaded
+	VolumeLease   time.Duration // volume lease
+	ObjectLease   time.Duration // object lease
+	Drift         float64
+	Margin        time.Duration
+	RenewInterval time.Duration // renew and resend interval
+	Gain          time.Duration // what a join or split must save
+	Span          time.Duration // interval over which hits are counted
+	Most          int           // renewals in a Span above which a parent is loaded
 }
 
 func (c Config) wait(d time.Duration) time.Duration {
@@ -34,25 +34,25 @@
 }
 
 // Source reads the root's committed records.
-type Source func(key string) message.Rec
+type Source func(key string) message.Record
 
 // Out is what a step asks for.
 type Out struct {
-	Sends       []message.Send
-	Fresh       []string // records that became servable
-	Gone        []string // records that were withdrawn
+	Sends       []message.Envelope
+	Readable    []string // records that became servable
+	Withdrawn   []string // records that were withdrawn
 	Invalidated []uint64 // tags of holds whose invalidation is complete
-	Orphan      bool     // the parent said no or is silent: find another
-	Steer       message.Replica
+	Orphaned    bool     // the parent said no or is silent: find another
+	Redirect    message.Replica
 }
 
 type hold struct {
-	ver  message.Ver
+	ver  message.Version
 	till time.Duration
 }
 
 type cached struct {
-	rec  message.Rec
+	rec  message.Record
 	till time.Duration
 }
 
@@ -86,8 +86,8 @@
 	held  map[string]int
 
 	parent message.Replica
-	pmark  message.Mark
-	heard  map[message.Mark]uint64 // highest number heard from each granter
+	pmark  message.VolumeEpoch
+	heard  map[message.VolumeEpoch]uint64 // highest number heard from each granter
 	till   time.Duration
 	no     uint64
 	passes uint64 // numbers sweeps
@@ -109,7 +109,7 @@
 	tickAt time.Duration // when time was last let pass
 
 	kids   map[string]*kid
-	needs  map[string]map[string]message.Ver // key -> children waiting for it, and what they hold of it
+	needs  map[string]map[string]message.Version // key -> children waiting for it, and what they hold of it
 	sweeps map[string]*sweep
 
 	delta
@@ -120,41 +120,41 @@
 //
 // Example: n := lease.New(cfg, 0, me, epoch)
 func New(cfg Config, partition int, me message.Replica, epoch uint64) *Node {
-	n := &Node{cfg: cfg, partition: partition, me: me, epoch: epoch, held: map[string]int{}, heard: map[message.Mark]uint64{}, pins: map[string]bool{}}
+	n := &Node{cfg: cfg, partition: partition, me: me, epoch: epoch, held: map[string]int{}, heard: map[message.VolumeEpoch]uint64{}, pins: map[string]bool{}}
 	n.clear()
 	n.objs, n.want, n.reqs = map[string]cached{}, map[string]wanted{}, map[uint64]ask{}
 	return n
 }
 
 func (n *Node) clear() {
-	n.kids, n.needs, n.sweeps = map[string]*kid{}, map[string]map[string]message.Ver{}, map[string]*sweep{}
+	n.kids, n.needs, n.sweeps = map[string]*kid{}, map[string]map[string]message.Version{}, map[string]*sweep{}
 	n.Shape = n.Shape.fresh()
 }
 
-// Crown makes this node the root: src reads its records, lease is the leader lease.
+// BecomeRoot makes this node the root: src reads its records, lease is the leader lease.
 //
-// Example: n.Crown(replica.Num(), src, replica.Lease)
-func (n *Node) Crown(term uint64, src Source, lease func() time.Duration) {
+// Example: n.BecomeRoot(replica.Term(), src, replica.LeaseEnd)
+func (n *Node) BecomeRoot(term uint64, src Source, lease func() time.Duration) {
 	n.clear()
 	n.gen++
 	n.root, n.term, n.src, n.lease = true, term, src, lease
 	n.held = map[string]int{}
 	n.objs, n.want, n.reqs = map[string]cached{}, map[string]wanted{}, map[uint64]ask{}
-	n.parent, n.pmark, n.till, n.stale, n.vain = message.Replica{}, message.Mark{}, 0, true, 0
+	n.parent, n.pmark, n.till, n.stale, n.vain = message.Replica{}, message.VolumeEpoch{}, 0, true, 0
 }
 
-// Uncrown ends the root's partition; everything it granted lapsed with its lease.
+// ResignRoot ends the root's partition; everything it granted lapsed with its lease.
 //
-// Example: n.Uncrown()
-func (n *Node) Uncrown() {
+// Example: n.ResignRoot()
+func (n *Node) ResignRoot() {
 	n.clear()
 	n.gen++
 	if n.root { // what it read from its own records is the last that it knows
 		n.reign = n.lease()
 		for key := range n.pins {
 			// A later leader may have brought its own records before we knew of it.
-			if rec := n.src(key); n.held[key] == 0 && rec.Ver.Term <= n.term {
-				n.objs[key] = cached{rec: rec, till: n.reign + n.cfg.Obj}
+			if rec := n.src(key); n.held[key] == 0 && rec.Version.Term <= n.term {
+				n.objs[key] = cached{rec: rec, till: n.reign + n.cfg.ObjectLease}
 			}
 		}
 	}
@@ -162,27 +162,27 @@
 	n.held = map[string]int{}
 }
 
-// Root tells whether this node is the root.
+// IsRoot tells whether this node is the root.
 //
-// Example: if n.Root() { ... }
-func (n *Node) Root() bool { return n.root }
+// Example: if n.IsRoot() { ... }
+func (n *Node) IsRoot() bool { return n.root }
 
 // Parent is the replica this node renews at.
 //
 // Example: p := n.Parent()
 func (n *Node) Parent() message.Replica { return n.parent }
 
-// Mark is this node's volume epoch towards its children.
+// VolumeEpoch is this node's volume epoch towards its children.
 //
-// Example: message.Mark == n.Mark()
-func (n *Node) Mark() message.Mark {
-	return message.Mark{Ident: n.me.Ident, Epoch: n.epoch, Term: n.term}
+// Example: message.VolumeEpoch == n.VolumeEpoch()
+func (n *Node) VolumeEpoch() message.VolumeEpoch {
+	return message.VolumeEpoch{Ident: n.me.Ident, Epoch: n.epoch, Term: n.term}
 }
 
-// Till is when this node's own volume lease ends.
+// VolumeExpiry is when this node's own volume lease ends.
 //
-// Example: if now < n.Till() { serve() }
-func (n *Node) Till() time.Duration {
+// Example: if now < n.VolumeExpiry() { serve() }
+func (n *Node) VolumeExpiry() time.Duration {
 	if n.root {
 		return n.lease()
 	}
@@ -195,7 +195,7 @@
 // its user's to bound.
 //
 // Example: if rec, at, ok := n.Last(now, "plan/now"); ok && now-at < bound { route(rec) }
-func (n *Node) Last(now time.Duration, key string) (rec message.Rec, lapsed time.Duration, ok bool) {
+func (n *Node) Last(now time.Duration, key string) (rec message.Record, lapsed time.Duration, ok bool) {
 	c, held := n.objs[key]
 	lapsed, ok = n.Lapsed(now)
 	return c.rec, lapsed, ok && held && c.till >= lapsed && n.sweeps[key] == nil
@@ -207,51 +207,51 @@
 //
 // Example: if at, ok := n.Lapsed(now); ok { goOnUntil(at + bound) }
 func (n *Node) Lapsed(now time.Duration) (at time.Duration, ok bool) {
-	patience := n.cfg.Beat / 2
-	return max(n.till, n.reign), !n.root && !n.Live(now) && n.vain > 0 && now-n.vain >= patience && now-n.tickAt <= patience
+	patience := n.cfg.RenewInterval / 2
+	return max(n.till, n.reign), !n.root && !n.HasVolumeLease(now) && n.vain > 0 && now-n.vain >= patience && now-n.tickAt <= patience
 }
 
-// Gen counts the changes of what this node serves: what was read stands as long
-// as Gen is the same and Until has not passed. At the root a held record is not
+// Generation counts the changes of what this node serves: what was read stands as long
+// as Generation is the same and Until has not passed. At the root a held record is not
 // served either, so holding and freeing count.
 //
-// Example: gen := n.Gen(); read(); if n.Gen() != gen { readAgain() }
-func (n *Node) Gen() uint64 { return n.gen }
+// Example: gen := n.Generation(); read(); if n.Generation() != gen { readAgain() }
+func (n *Node) Generation() uint64 { return n.gen }
 
-// Until is when the first lease lapses, the volume's or an object's, under
+// ValidUntil is when the first lease lapses, the volume's or an object's, under
 // which this node serves what it holds.
 //
-// Example: if now < n.Until() { serveFromSnapshot() }
-func (n *Node) Until() time.Duration {
-	till := n.Till()
+// Example: if now < n.ValidUntil() { serveFromSnapshot() }
+func (n *Node) ValidUntil() time.Duration {
+	till := n.VolumeExpiry()
 	for _, c := range n.objs {
 		till = min(till, c.till)
 	}
 	return till
 }
 
-// Live tells whether the volume lease is valid.
+// HasVolumeLease tells whether the volume lease is valid.
 //
-// Example: ready := n.Live(now)
-func (n *Node) Live(now time.Duration) bool { return now < n.Till() }
+// Example: ready := n.HasVolumeLease(now)
+func (n *Node) HasVolumeLease(now time.Duration) bool { return now < n.VolumeExpiry() }
 
 // Get serves a record if both leases are valid. A Dead record with ok true is
 // known absence.
 //
 // Example: rec, ok := n.Get(now, "plan/now")
-func (n *Node) Get(now time.Duration, key string) (message.Rec, bool) {
-	if !n.Live(now) {
-		return message.Rec{}, false
+func (n *Node) Get(now time.Duration, key string) (message.Record, bool) {
+	if !n.HasVolumeLease(now) {
+		return message.Record{}, false
 	}
 	if n.root {
 		if n.held[key] > 0 {
-			return message.Rec{}, false
+			return message.Record{}, false
 		}
 		return n.src(key), true
 	}
 	c, ok := n.objs[key]
 	if !ok || now >= c.till {
-		return message.Rec{}, false
+		return message.Record{}, false
 	}
 	return c.rec, true
 }
@@ -271,22 +271,22 @@
 	return o
 }
 
-// Hear takes a message from a parent or a child.
+// Step takes a message from a parent or a child.
 //
-// Example: out := n.Hear(now, message)
-func (n *Node) Hear(now time.Duration, m message.Message) (o Out) {
+// Example: out := n.Step(now, message)
+func (n *Node) Step(now time.Duration, m message.Message) (o Out) {
 	switch m.Kind {
-	case message.Renew:
+	case message.KindRenewLease:
 		n.renewed(now, m, &o)
-	case message.Listing:
+	case message.KindLeaseList:
 		n.listing(now, m, &o)
-	case message.Connect:
-		if k := n.kids[kidID(m)]; k != nil && m.Mark == n.Mark() && m.Ref == k.sync {
+	case message.KindReconnectDone:
+		if k := n.kids[kidID(m)]; k != nil && m.VolumeEpoch == n.VolumeEpoch() && m.ResponseTo == k.sync {
 			k.listed = false
 		}
-	case message.Invalidated:
-		n.invalidated(now, kidID(m), m.Key, m.Ref, &o)
-	case message.Grant, message.Reconnect, message.Synced, message.Invalidate, message.Deny, message.Steer:
+	case message.KindInvalidated:
+		n.invalidated(now, kidID(m), m.Key, m.ResponseTo, &o)
+	case message.KindGrantLease, message.KindReconnect, message.KindReconciled, message.KindInvalidate, message.KindDenyLease, message.KindRedirect:
 		n.fromParent(now, m, &o)
 	}
 	return o
@@ -298,10 +298,10 @@
 //
 // Example: out := n.Tick(now)
 func (n *Node) Tick(now time.Duration) (o Out) {
-	if now-n.tickAt > n.cfg.Beat/2 { // it stood still, and may not have heard the answer yet
+	if now-n.tickAt > n.cfg.RenewInterval/2 { // it stood still, and may not have heard the answer yet
 		n.vain = 0
 	}
-	if n.tickAt = now; n.vain == 0 && !n.Live(now) { // nobody may be there to ask
+	if n.tickAt = now; n.vain == 0 && !n.HasVolumeLease(now) { // nobody may be there to ask
 		n.vain = now
 	}
 	for _, key := range sorted(n.sweeps) {
@@ -317,14 +317,14 @@
 			case now >= k.till:
 				k.list()
 				delete(s.wait, id)
-			case now-at >= n.cfg.Beat:
+			case now-at >= n.cfg.RenewInterval:
 				s.wait[id] = now
-				n.tell(k, message.Message{Kind: message.Invalidate, Key: key, Ref: s.no}, &o)
+				n.tell(k, message.Message{Kind: message.KindInvalidate, Key: key, ResponseTo: s.no}, &o)
 			}
 		}
 		n.swept(now, s, &o)
 	}
-	if now-n.lookAt >= n.cfg.Beat/4 { // the tables are long, and nothing here is urgent
+	if now-n.lookAt >= n.cfg.RenewInterval/4 { // the tables are long, and nothing here is urgent
 		n.lookAt = now
 		n.lapse(now, &o)
 	}
@@ -332,18 +332,18 @@
 	if n.root || n.parent.Ident == "" {
 		return o
 	}
-	if n.stale || now-n.readAt >= n.cfg.Obj/64 || now-n.readAt >= 4*n.cfg.Beat {
+	if n.stale || now-n.readAt >= n.cfg.ObjectLease/64 || now-n.readAt >= 4*n.cfg.RenewInterval {
 		n.stale, n.readAt = false, now
 		n.refresh(now, &o)
 	}
 	switch {
-	case now-n.sentAt >= n.cfg.Beat:
+	case now-n.sentAt >= n.cfg.RenewInterval:
 		n.renew(now, &o)
 	case n.late:
 		n.hurry(now, &o)
 	}
-	if now-n.backAt > n.cfg.Vol {
-		o.Orphan = true
+	if now-n.backAt > n.cfg.VolumeLease {
+		o.Orphaned = true
 		n.backAt = now
 	}
 	return o
@@ -353,11 +353,11 @@
 func (n *Node) lapse(now time.Duration, o *Out) {
 	for _, id := range sorted(n.kids) {
 		k := n.kids[id]
-		if k.ask != nil && now-k.askAt > n.cfg.Vol {
+		if k.ask != nil && now-k.askAt > n.cfg.VolumeLease {
 			k.ask = nil
-			n.tell(k, message.Message{Kind: message.Deny, Why: "lease lapsed"}, o)
+			n.tell(k, message.Message{Kind: message.KindDenyLease, Reason: "lease lapsed"}, o)
 		}
-		if now-k.seen > 8*n.cfg.Vol && now >= k.till && !n.owes(id) {
+		if now-k.seen > 8*n.cfg.VolumeLease && now >= k.till && !n.owes(id) {
 			delete(n.kids, id)
 		}
 	}
@@ -366,7 +366,7 @@
 // refresh looks through the records for those that lapsed or soon will.
 func (n *Node) refresh(now time.Duration, o *Out) {
 	for key := range n.pins {
-		if c, ok := n.objs[key]; (!ok || now >= c.till-n.cfg.Obj/4) && n.sweeps[key] == nil {
+		if c, ok := n.objs[key]; (!ok || now >= c.till-n.cfg.ObjectLease/4) && n.sweeps[key] == nil {
 			n.fetch(now, key)
 		}
 	}
--- a/control/lease/lease_test.go
+++ b/control/lease/lease_test.go
@@ -7,47 +7,47 @@
 	"mulleinmast/wire/message"
 )
 
-var cfg = Config{Vol: 800 * time.Millisecond, Obj: 48 * time.Second, Drift: 0.02, Margin: 20 * time.Millisecond, Beat: 266 * time.Millisecond}
+var cfg = Config{VolumeLease: 800 * time.Millisecond, ObjectLease: 48 * time.Second, Drift: 0.02, Margin: 20 * time.Millisecond, RenewInterval: 266 * time.Millisecond}
 
 // Reconnects that overlap each drop what came by a grant since the other's
 // list went out, and once did so for ever with the lease valid all the while:
 // one list at a time, and the record is fetched again.
 func TestOverlappingReconnects(t *testing.T) {
 	child := New(cfg, 0, message.Replica{Ident: "c", Addr: "c"}, 1)
-	mark := message.Mark{Ident: "p", Epoch: 1}
+	mark := message.VolumeEpoch{Ident: "p", Epoch: 1}
 	no := uint64(0)
-	hear := func(now time.Duration, n message.Message) []message.Send {
+	hear := func(now time.Duration, n message.Message) []message.Envelope {
 		no++
-		n.From, n.Addr, n.Mark, n.No, n.Num = "p", "p", mark, no, 1
-		return child.Hear(now, n).Sends
+		n.From, n.Addr, n.VolumeEpoch, n.RequestID, n.Term = "p", "p", mark, no, 1
+		return child.Step(now, n).Sends
 	}
 	now := time.Second
 	child.Pin(now, "k")
-	child.Adopt(now, message.Replica{Ident: "p", Addr: "p"})
-	list := hear(now, message.Message{Kind: message.Reconnect})[0].Message
-	if more := hear(now+1, message.Message{Kind: message.Reconnect}); len(more) != 0 {
+	child.SetParent(now, message.Replica{Ident: "p", Addr: "p"})
+	list := hear(now, message.Message{Kind: message.KindReconnect})[0].Message
+	if more := hear(now+1, message.Message{Kind: message.KindReconnect}); len(more) != 0 {
 		t.Errorf("a second list right after the first: %v", more)
 	}
-	out := hear(now+2, message.Message{Kind: message.Synced, Ref: list.No, Len: int64(cfg.Vol), Long: int64(cfg.Obj)})
-	if len(out) != 2 || out[0].Message.Kind != message.Connect || out[1].Message.Kind != message.Renew || out[1].Message.Mark != mark {
+	out := hear(now+2, message.Message{Kind: message.KindReconciled, ResponseTo: list.RequestID, Length: int64(cfg.VolumeLease), ObjectLease: int64(cfg.ObjectLease)})
+	if len(out) != 2 || out[0].Message.Kind != message.KindReconnectDone || out[1].Message.Kind != message.KindRenewLease || out[1].Message.VolumeEpoch != mark {
 		t.Fatalf("after the sync: %+v", out)
 	}
-	rec := message.Rec{Key: "k", Ver: message.Ver{Term: 1, Seq: 1}}
-	hear(now+3, message.Message{Kind: message.Grant, Recs: []message.Rec{rec}, Long: int64(cfg.Obj)})
-	if more := hear(now+4, message.Message{Kind: message.Reconnect}); len(more) != 0 {
+	rec := message.Record{Key: "k", Version: message.Version{Term: 1, Seq: 1}}
+	hear(now+3, message.Message{Kind: message.KindGrantLease, Records: []message.Record{rec}, ObjectLease: int64(cfg.ObjectLease)})
+	if more := hear(now+4, message.Message{Kind: message.KindReconnect}); len(more) != 0 {
 		t.Errorf("a late reconnect was followed: %v", more)
 	}
-	if got, ok := child.Get(now+5, "k"); !ok || got.Ver != rec.Ver {
+	if got, ok := child.Get(now+5, "k"); !ok || got.Version != rec.Version {
 		t.Error("the record is not served")
 	}
 	// A later one is followed, and what it does not confirm is dropped.
-	mark = message.Mark{Ident: "p", Epoch: 2}
-	now += cfg.Beat
-	list = hear(now, message.Message{Kind: message.Reconnect})[0].Message
-	if len(list.Recs) != 1 {
+	mark = message.VolumeEpoch{Ident: "p", Epoch: 2}
+	now += cfg.RenewInterval
+	list = hear(now, message.Message{Kind: message.KindReconnect})[0].Message
+	if len(list.Records) != 1 {
 		t.Fatalf("%+v", list)
 	}
-	hear(now, message.Message{Kind: message.Synced, Ref: list.No, Len: int64(cfg.Vol), Long: int64(cfg.Obj)})
+	hear(now, message.Message{Kind: message.KindReconciled, ResponseTo: list.RequestID, Length: int64(cfg.VolumeLease), ObjectLease: int64(cfg.ObjectLease)})
 	if _, ok := child.Get(now, "k"); ok {
 		t.Error("an unconfirmed record was kept")
 	}
@@ -58,16 +58,16 @@
 func TestGrantForAnEarlierLife(t *testing.T) {
 	for epoch, want := range map[uint64]bool{1: false, 2: true} {
 		child := New(cfg, 0, message.Replica{Ident: "c", Addr: "c"}, 2)
-		mark := message.Mark{Ident: "p", Epoch: 1}
-		hear := func(no, num uint64, n message.Message) []message.Send {
-			n.From, n.Addr, n.Mark, n.No, n.Num = "p", "p", mark, no, num
-			return child.Hear(time.Second, n).Sends
+		mark := message.VolumeEpoch{Ident: "p", Epoch: 1}
+		hear := func(no, num uint64, n message.Message) []message.Envelope {
+			n.From, n.Addr, n.VolumeEpoch, n.RequestID, n.Term = "p", "p", mark, no, num
+			return child.Step(time.Second, n).Sends
 		}
 		child.Pin(time.Second, "k")
-		child.Adopt(time.Second, message.Replica{Ident: "p", Addr: "p"})
-		list := hear(1, 2, message.Message{Kind: message.Reconnect})[0].Message
-		hear(2, 2, message.Message{Kind: message.Synced, Ref: list.No, Len: int64(cfg.Vol), Long: int64(cfg.Obj)})
-		hear(3, epoch, message.Message{Kind: message.Grant, Recs: []message.Rec{{Key: "k"}}, Long: int64(cfg.Obj)})
+		child.SetParent(time.Second, message.Replica{Ident: "p", Addr: "p"})
+		list := hear(1, 2, message.Message{Kind: message.KindReconnect})[0].Message
+		hear(2, 2, message.Message{Kind: message.KindReconciled, ResponseTo: list.RequestID, Length: int64(cfg.VolumeLease), ObjectLease: int64(cfg.ObjectLease)})
+		hear(3, epoch, message.Message{Kind: message.KindGrantLease, Records: []message.Record{{Key: "k"}}, ObjectLease: int64(cfg.ObjectLease)})
 		if _, ok := child.Get(time.Second, "k"); ok != want {
 			t.Errorf("grant for life %d taken by life 2: %v", epoch, ok)
 		}
--- a/control/lease/parent.go
+++ b/control/lease/parent.go
@@ -29,8 +29,8 @@
 
 func (n *Node) tell(k *kid, msg message.Message, o *Out) {
 	n.out++
-	msg.Partition, msg.No, msg.Num, msg.Mark, msg.To = n.partition, n.out, k.epoch, n.Mark(), k.replica.Ident
-	o.Sends = append(o.Sends, message.Send{Addr: k.replica.Addr, Message: msg})
+	msg.Partition, msg.RequestID, msg.Term, msg.VolumeEpoch, msg.To = n.partition, n.out, k.epoch, n.VolumeEpoch(), k.replica.Ident
+	o.Sends = append(o.Sends, message.Envelope{Addr: k.replica.Addr, Message: msg})
 }
 
 // kidID tells one life of a child from another: a relay that starts anew can't
@@ -50,18 +50,18 @@
 
 func (n *Node) renewed(now time.Duration, m message.Message, o *Out) {
 	k := n.child(m)
-	k.seen, k.cost = now, time.Duration(m.Cost)
-	n.counted(now, k, n.Live(now) && n.holds(now, m.Keys))
-	if !n.Live(now) {
+	k.seen, k.cost = now, time.Duration(m.RenewCost)
+	n.counted(now, k, n.HasVolumeLease(now) && n.holds(now, m.Keys))
+	if !n.HasVolumeLease(now) {
 		if n.root || n.parent.Ident == "" || n.parent.Ident == m.From {
-			n.tell(k, message.Message{Kind: message.Deny, Ref: m.No, Why: "no lease"}, o)
+			n.tell(k, message.Message{Kind: message.KindDenyLease, ResponseTo: m.RequestID, Reason: "no lease"}, o)
 			return
 		}
 		if k.ask == nil {
 			k.askAt = now
 		}
 		k.ask = &m
-		if now-n.sentAt > n.cfg.Beat/2 {
+		if now-n.sentAt > n.cfg.RenewInterval/2 {
 			n.renew(now, o)
 		}
 		return
@@ -72,24 +72,24 @@
 		if _, ok := s.wait[k.id]; ok {
 			// Not renewed while it owes us an invalidation; told again only if the first
 			// may be lost, since its acknowledgement may just have been overtaken.
-			if now-s.wait[k.id] < n.cfg.Beat/4 {
+			if now-s.wait[k.id] < n.cfg.RenewInterval/4 {
 				continue
 			}
 			s.wait[k.id] = now
-			n.tell(k, message.Message{Kind: message.Invalidate, Key: key, Ref: s.no}, o)
+			n.tell(k, message.Message{Kind: message.KindInvalidate, Key: key, ResponseTo: s.no}, o)
 		}
 	}
 	// Who owes an invalidation is renewed for a little while longer: a relay that waits
 	// for a child which is gone would else lose its whole zone's leases. The
 	// bound keeps a write from waiting for ever.
-	if n.owesSince(k.id, now) > n.cfg.Vol/2 {
+	if n.owesSince(k.id, now) > n.cfg.VolumeLease/2 {
 		return
 	}
-	if !k.known || k.listed || m.Mark != n.Mark() {
-		n.tell(k, message.Message{Kind: message.Reconnect, Ref: m.No}, o)
+	if !k.known || k.listed || m.VolumeEpoch != n.VolumeEpoch() {
+		n.tell(k, message.Message{Kind: message.KindReconnect, ResponseTo: m.RequestID}, o)
 		return
 	}
-	n.grant(now, k, m.No, m.Keys, m.Recs, true, o)
+	n.grant(now, k, m.RequestID, m.Keys, m.Records, true, o)
 }
 
 func (n *Node) holds(now time.Duration, keys []string) bool {
@@ -122,43 +122,43 @@
 
 // volLen is the longest volume lease that may be granted now.
 func (n *Node) volLen(now time.Duration) time.Duration {
-	return max(0, min(n.cfg.Vol, n.Till()-now))
+	return max(0, min(n.cfg.VolumeLease, n.VolumeExpiry()-now))
 }
 
 // grant sends what is held; what is not is asked for and sent when it comes.
 // holds are the versions that the child can take a change from.
-func (n *Node) grant(now time.Duration, k *kid, ref uint64, keys []string, holds []message.Rec, vol bool, o *Out) {
-	g := message.Message{Kind: message.Grant, Ref: ref}
+func (n *Node) grant(now time.Duration, k *kid, ref uint64, keys []string, holds []message.Record, vol bool, o *Out) {
+	g := message.Message{Kind: message.KindGrantLease, ResponseTo: ref}
 	if vol {
 		d := n.volLen(now)
-		withinOwn.Hold(d == 0 || now+d <= n.Till(), "partition %d: %v are granted, and the own lease ends in %v", n.partition, d, n.Till()-now)
-		g.Len = int64(d)
+		withinOwn.Hold(d == 0 || now+d <= n.VolumeExpiry(), "partition %d: %v are granted, and the own lease ends in %v", n.partition, d, n.VolumeExpiry()-now)
+		g.Length = int64(d)
 		k.till = max(k.till, now+n.cfg.wait(d))
 	}
 	for _, key := range keys {
-		var holding message.Ver
-		if i := slices.IndexFunc(holds, func(r message.Rec) bool { return r.Key == key }); i >= 0 {
-			holding = holds[i].Ver
+		var holding message.Version
+		if i := slices.IndexFunc(holds, func(r message.Record) bool { return r.Key == key }); i >= 0 {
+			holding = holds[i].Version
 		}
 		rec, ok := n.Get(now, key)
 		if s := n.sweeps[key]; !ok || s != nil {
 			n.need(now, key, k.id, holding, o)
 			continue
 		}
-		g.Recs = append(g.Recs, n.sent(rec, holding))
-		k.objs[key] = hold{ver: rec.Ver, till: now + n.cfg.wait(n.cfg.Obj)}
+		g.Records = append(g.Records, n.sent(rec, holding))
+		k.objs[key] = hold{ver: rec.Version, till: now + n.cfg.wait(n.cfg.ObjectLease)}
 	}
-	if len(g.Recs) > 0 {
-		g.Long = int64(n.cfg.Obj)
+	if len(g.Records) > 0 {
+		g.ObjectLease = int64(n.cfg.ObjectLease)
 	}
-	if vol || len(g.Recs) > 0 {
+	if vol || len(g.Records) > 0 {
 		n.tell(k, g, o)
 	}
 }
 
-func (n *Node) need(now time.Duration, key, id string, holds message.Ver, o *Out) {
+func (n *Node) need(now time.Duration, key, id string, holds message.Version, o *Out) {
 	if n.needs[key] == nil {
-		n.needs[key] = map[string]message.Ver{}
+		n.needs[key] = map[string]message.Version{}
 	}
 	n.needs[key][id] = holds
 	if !n.root {
@@ -184,7 +184,7 @@
 	delete(n.needs, key)
 	for _, id := range sorted(ids) {
 		if k := n.kids[id]; k != nil && k.known && !k.listed && now < k.till && !n.owes(id) {
-			n.grant(now, k, 0, []string{key}, []message.Rec{{Key: key, Ver: ids[id]}}, false, o)
+			n.grant(now, k, 0, []string{key}, []message.Record{{Key: key, Version: ids[id]}}, false, o)
 		}
 	}
 }
@@ -193,22 +193,22 @@
 // the rest invalidated, and the volume lease granted, in one message.
 func (n *Node) listing(now time.Duration, m message.Message, o *Out) {
 	k := n.child(m)
-	if !n.Live(now) || n.owes(k.id) || m.Mark != n.Mark() {
+	if !n.HasVolumeLease(now) || n.owes(k.id) || m.VolumeEpoch != n.VolumeEpoch() {
 		return
 	}
 	// Listed until its Connect; object leases noted earlier stay noted, since a
 	// late Listing must not make us forget what the child got meanwhile.
 	k.listed, k.known = true, true
-	s := message.Message{Kind: message.Synced, Ref: m.No, Long: int64(n.cfg.Obj)}
-	for _, r := range m.Recs {
+	s := message.Message{Kind: message.KindReconciled, ResponseTo: m.RequestID, ObjectLease: int64(n.cfg.ObjectLease)}
+	for _, r := range m.Records {
 		cur, ok := n.Get(now, r.Key)
-		if ok && n.sweeps[r.Key] == nil && cur.Ver == r.Ver && cur.Dead == r.Dead {
-			s.Recs = append(s.Recs, message.Rec{Key: r.Key, Ver: r.Ver, Dead: r.Dead})
-			k.objs[r.Key] = hold{ver: r.Ver, till: now + n.cfg.wait(n.cfg.Obj)}
+		if ok && n.sweeps[r.Key] == nil && cur.Version == r.Version && cur.Deleted == r.Deleted {
+			s.Records = append(s.Records, message.Record{Key: r.Key, Version: r.Version, Deleted: r.Deleted})
+			k.objs[r.Key] = hold{ver: r.Version, till: now + n.cfg.wait(n.cfg.ObjectLease)}
 		}
 	}
 	d := n.volLen(now)
-	s.Len = int64(d)
+	s.Length = int64(d)
 	k.till = max(k.till, now+n.cfg.wait(d))
 	n.tell(k, s, o)
 	k.sync = n.out
@@ -216,7 +216,7 @@
 
 // answerChildren serves the renewals that waited for our own lease.
 func (n *Node) answerChildren(now time.Duration, o *Out) {
-	if !n.Live(now) {
+	if !n.HasVolumeLease(now) {
 		return
 	}
 	for _, id := range sorted(n.kids) {
--- a/control/lease/shape.go
+++ b/control/lease/shape.go
@@ -71,7 +71,7 @@
 	if now < g.till {
 		g.hits++
 	}
-	g.till = now + n.cfg.Vol
+	g.till = now + n.cfg.VolumeLease
 }
 
 // wide is the most children that a join may send to our parent: where there are
@@ -98,7 +98,7 @@
 		if through > n.cost+n.cfg.Gain && n.asked < n.cfg.Most/2 && len(n.kids) <= wide {
 			n.moved = now
 			for _, id := range sorted(n.kids) {
-				n.tell(n.kids[id], message.Message{Kind: message.Steer, Hint: n.parent, Why: "join"}, o)
+				n.tell(n.kids[id], message.Message{Kind: message.KindRedirect, Hint: n.parent, Reason: "join"}, o)
 			}
 		}
 	}
@@ -115,7 +115,7 @@
 			n.moved = now
 			for _, id := range sorted(g.kids) {
 				if k := n.kids[id]; k != nil {
-					n.tell(k, message.Message{Kind: message.Steer, Hint: to, Why: "split"}, o)
+					n.tell(k, message.Message{Kind: message.KindRedirect, Hint: to, Reason: "split"}, o)
 				}
 			}
 		}
--- a/control/lease/sweep.go
+++ b/control/lease/sweep.go
@@ -9,7 +9,7 @@
 type back struct {
 	replica message.Replica
 	ref     uint64
-	mark    message.Mark
+	mark    message.VolumeEpoch
 }
 
 type sweep struct {
@@ -21,11 +21,11 @@
 	tags []uint64
 }
 
-// Hold stops serving a record at the root and withdraws it from the tree;
+// Suspend stops serving a record at the root and withdraws it from the tree;
 // Out.Invalidated carries the tag when no valid lease on it is left below.
 //
-// Example: out := n.Hold(now, "plan/now", 17)
-func (n *Node) Hold(now time.Duration, key string, tag uint64) (o Out) {
+// Example: out := n.Suspend(now, "plan/now", 17)
+func (n *Node) Suspend(now time.Duration, key string, tag uint64) (o Out) {
 	if n.held[key]++; n.root && n.held[key] == 1 {
 		n.reach(n.src(key)) // nobody may have asked for it since it was written
 		n.retire(now, n.src(key))
@@ -35,10 +35,10 @@
 	return o
 }
 
-// Free serves a held record again, in its new version.
+// Resume serves a held record again, in its new version.
 //
-// Example: out := n.Free(now, "plan/now")
-func (n *Node) Free(now time.Duration, key string) (o Out) {
+// Example: out := n.Resume(now, "plan/now")
+func (n *Node) Resume(now time.Duration, key string) (o Out) {
 	n.gen++
 	if n.held[key]--; n.held[key] <= 0 {
 		delete(n.held, key)
@@ -55,7 +55,7 @@
 		n.retire(now, c.rec)
 		delete(n.objs, key)
 		n.gen++
-		o.Gone = append(o.Gone, key)
+		o.Withdrawn = append(o.Withdrawn, key)
 	}
 	s := n.sweeps[key]
 	if s == nil {
@@ -76,7 +76,7 @@
 				continue
 			}
 			s.wait[id] = now
-			n.tell(k, message.Message{Kind: message.Invalidate, Key: key, Ref: s.no}, o)
+			n.tell(k, message.Message{Kind: message.KindInvalidate, Key: key, ResponseTo: s.no}, o)
 		}
 		n.sweeps[key] = s
 	}
@@ -105,7 +105,7 @@
 	}
 	delete(n.sweeps, s.key)
 	for _, up := range s.ups {
-		o.Sends = append(o.Sends, message.Send{Addr: up.replica.Addr, Message: message.Message{Kind: message.Invalidated, Partition: n.partition, Key: s.key, Ref: up.ref, Mark: up.mark, To: up.replica.Ident}})
+		o.Sends = append(o.Sends, message.Envelope{Addr: up.replica.Addr, Message: message.Message{Kind: message.KindInvalidated, Partition: n.partition, Key: s.key, ResponseTo: up.ref, VolumeEpoch: up.mark, To: up.replica.Ident}})
 	}
 	o.Invalidated = append(o.Invalidated, s.tags...)
 	if !n.root && n.pins[s.key] {
--- a/control/lease/view.go
+++ b/control/lease/view.go
@@ -29,9 +29,9 @@
 //
 // Example: json.Marshal(n.View(now))
 func (n *Node) View(now time.Duration) View {
-	v := View{Partition: n.partition, Root: n.root, Parent: n.parent, Left: (n.Till() - now).Milliseconds(), Objs: map[string]string{}, Sweeps: sorted(n.sweeps)}
+	v := View{Partition: n.partition, Root: n.root, Parent: n.parent, Left: (n.VolumeExpiry() - now).Milliseconds(), Objs: map[string]string{}, Sweeps: sorted(n.sweeps)}
 	for key, c := range n.objs {
-		v.Objs[key] = c.rec.Ver.String()
+		v.Objs[key] = c.rec.Version.String()
 	}
 	for _, id := range sorted(n.kids) {
 		k := n.kids[id]
