--- a/control/membership/found.go
+++ b/control/membership/found.go
@@ -35,15 +35,15 @@
 
 // fresh tells whether this daemon knows of no group, of its own or another's.
 func (r *Table) fresh() bool {
-	return !r.Formed && len(r.owns) == 0 && (!r.me.Disk || r.me.Empty)
+	return !r.Formed && len(r.owns) == 0 && (!r.me.HasDisk || r.me.Empty)
 }
 
 // meet keeps the address of a control daemon; it tells whether it is new here.
 func (r *Table) meet(m message.Member) bool {
-	if !m.Disk || m.Addr == "" || m.Addr == r.me.Addr || len(r.other) >= 64 || slices.Contains(r.other, m.Addr) {
+	if !m.HasDisk || m.Addr == "" || m.Addr == r.me.Addr || len(r.other) >= 64 || slices.Contains(r.other, m.Addr) {
 		return false
 	}
-	r.Know(m.Addr)
+	r.AddControlAddrs(m.Addr)
 	return true
 }
 
@@ -51,7 +51,7 @@
 // seed without a disk holds no session, but knows who can.
 func (r *Table) refer(to message.Member, o *Out) {
 	if list := r.disks(); len(list) > 0 {
-		o.Sends = append(o.Sends, message.Send{Addr: to.Addr, Message: message.Message{Kind: message.Welcome, Op: refer, Members: list}})
+		o.Sends = append(o.Sends, message.Envelope{Addr: to.Addr, Message: message.Message{Kind: message.KindWelcome, Op: refer, Members: list}})
 	}
 }
 
@@ -67,14 +67,14 @@
 // disks lists the members with a disk that are known here, by address.
 func (r *Table) disks() (out []message.Member) {
 	list := r.view
-	if !r.me.Disk && !r.live {
+	if !r.me.HasDisk && !r.live {
 		list = nil
 		for _, h := range r.heard {
 			list = append(list, h.list...)
 		}
 	}
 	for _, m := range list {
-		if m.Disk {
+		if m.HasDisk {
 			out = append(out, m)
 		}
 	}
@@ -99,7 +99,7 @@
 		f.told, r.Formed = true, true
 		r.tell(o)
 		if (message.Group{Replicas: f.bound}).Has(r.me.Ident) {
-			o.Found = f.bound
+			o.Bootstrap = f.bound
 		}
 		return
 	}
@@ -108,11 +108,11 @@
 	}
 	for _, a := range r.seeds {
 		if a != r.me.Addr {
-			n := message.Message{Kind: message.Census, No: f.round, Self: r.me}
+			n := message.Message{Kind: message.KindCensus, RequestID: f.round, Self: r.me}
 			if f.proposed {
-				n.Group = message.Group{Num: 1, Replicas: f.bound}
+				n.Group = message.Group{Number: 1, Replicas: f.bound}
 			}
-			o.Sends = append(o.Sends, message.Send{Addr: a, Message: n})
+			o.Sends = append(o.Sends, message.Envelope{Addr: a, Message: n})
 		}
 	}
 }
@@ -120,7 +120,7 @@
 func (r *Table) tell(o *Out) {
 	for _, s := range r.founding.bound {
 		if s.Ident != r.me.Ident {
-			o.Sends = append(o.Sends, message.Send{Addr: s.Addr, Message: message.Message{Kind: message.Found, To: s.Ident, Group: message.Group{Num: 1, Replicas: r.founding.bound}}})
+			o.Sends = append(o.Sends, message.Envelope{Addr: s.Addr, Message: message.Message{Kind: message.KindBootstrap, To: s.Ident, Group: message.Group{Number: 1, Replicas: r.founding.bound}}})
 		}
 	}
 }
@@ -145,14 +145,14 @@
 			continue
 		}
 		n, ok := f.responses[a]
-		if !ok || n.Ref+late <= f.round || !n.Self.Empty || n.Op == firstLife && a < r.me.Addr {
+		if !ok || n.ResponseTo+late <= f.round || !n.Self.Empty || n.Op == firstLife && a < r.me.Addr {
 			calm = false // silent, or knows of a group, or is itself the founder
 			continue
 		}
 		put(n.Members)
 		if n.Op == firstLife && !slices.Equal(n.Group.Replicas, f.bound) {
 			bound = false
-			if n.Group.Num > 0 && (f.bound == nil || f.own) { // an earlier founder's
+			if n.Group.Number > 0 && (f.bound == nil || f.own) { // an earlier founder's
 				f.bound, f.own = n.Group.Replicas, false
 			}
 		}
@@ -171,7 +171,7 @@
 		f.set, f.since, f.proposed = s, now, false
 		return false
 	}
-	if want := 2*r.cfg.Losses + 1; now-f.since < r.cfg.Session || len(list) < want && f.bound == nil {
+	if want := 2*r.cfg.Losses + 1; now-f.since < r.cfg.SessionTimeout || len(list) < want && f.bound == nil {
 		return false
 	} else if f.bound == nil {
 		f.bound, f.own = Spread(list, r.seeds, want), true
@@ -185,17 +185,17 @@
 	f := &r.founding
 	me := r.me
 	me.Empty = r.fresh()
-	rep := message.Message{Kind: message.Count, Ref: n.No, Self: me, Members: r.disks()}
+	rep := message.Message{Kind: message.KindCensusAnswer, ResponseTo: n.RequestID, Self: me, Members: r.disks()}
 	if r.cfg.First {
 		rep.Op = firstLife
-		if f.bound == nil && n.Group.Num > 0 && r.fresh() && slices.Contains(r.seeds, n.Addr) && r.knows(n.Group.Replicas) {
+		if f.bound == nil && n.Group.Number > 0 && r.fresh() && slices.Contains(r.seeds, n.Addr) && r.knows(n.Group.Replicas) {
 			f.bound = n.Group.Replicas
 		}
 		if f.bound != nil {
-			rep.Group = message.Group{Num: 1, Replicas: f.bound}
+			rep.Group = message.Group{Number: 1, Replicas: f.bound}
 		}
 	}
-	o.Sends = append(o.Sends, message.Send{Addr: n.Addr, Message: rep})
+	o.Sends = append(o.Sends, message.Envelope{Addr: n.Addr, Message: rep})
 }
 
 // knows tells whether all these replicas are disks known here.
@@ -210,7 +210,7 @@
 }
 
 func (r *Table) count(n message.Message) {
-	if f := &r.founding; f.responses != nil && n.Ref <= f.round && n.Ref+late > f.round && slices.Contains(r.seeds, n.Addr) {
+	if f := &r.founding; f.responses != nil && n.ResponseTo <= f.round && n.ResponseTo+late > f.round && slices.Contains(r.seeds, n.Addr) {
 		f.responses[n.Addr] = n
 	}
 }
--- a/control/membership/found_test.go
+++ b/control/membership/found_test.go
@@ -49,7 +49,7 @@
 	y.cfg.Losses, y.cfg.First = losses, true
 	for c, word := range zones {
 		for i, kind := range word {
-			m := &machine{m: message.Member{Addr: fmt.Sprintf("10.%d.0.%d:1", c+1, i+1), Zone: fmt.Sprint("c", c), Disk: kind == 'd' || kind == 'D'}}
+			m := &machine{m: message.Member{Addr: fmt.Sprintf("10.%d.0.%d:1", c+1, i+1), Zone: fmt.Sprint("c", c), HasDisk: kind == 'd' || kind == 'D'}}
 			if kind == 'D' || kind == '+' {
 				y.seeds = append(y.seeds, m.m.Addr)
 			}
@@ -70,10 +70,10 @@
 	m.lives++
 	m.m.Epoch++
 	m.m.Ident = fmt.Sprintf("%s-%d", m.m.Addr, m.lives)
-	if m.m.Disk {
+	if m.m.HasDisk {
 		m.m.Ident = m.m.Addr
 	}
-	m.m.Empty = m.m.Disk && m.group == nil
+	m.m.Empty = m.m.HasDisk && m.group == nil
 	m.r, m.down = New(c, m.m, y.seeds), false
 }
 
@@ -84,8 +84,8 @@
 			y.mail = append(y.mail, p)
 		}
 	}
-	if o.Found != nil {
-		y.take(m, o.Found)
+	if o.Bootstrap != nil {
+		y.take(m, o.Bootstrap)
 	}
 }
 
@@ -102,14 +102,14 @@
 			if m.down {
 				continue
 			}
-			m.m.Empty = m.m.Disk && m.group == nil
-			var owns []message.Own
+			m.m.Empty = m.m.HasDisk && m.group == nil
+			var owns []message.Leadership
 			if m.group != nil && y.leader() == m {
-				owns = append(owns, message.Own{Num: y.termOf(m), Replica: message.Replica{Ident: m.m.Ident, Addr: m.m.Addr}})
+				owns = append(owns, message.Leadership{Term: y.termOf(m), Leader: message.Replica{Ident: m.m.Ident, Addr: m.m.Addr}})
 			}
 			y.carry(m, m.r.Tick(y.now, m.m, owns))
 			for _, s := range m.group { // a replica tells the others of its group, as control/quorum does
-				if to := y.by[s.Addr]; !to.down && !y.lose(parcel{y.now, m.m.Addr, s.Addr, message.Message{Kind: message.Ask}}) {
+				if to := y.by[s.Addr]; !to.down && !y.lose(parcel{y.now, m.m.Addr, s.Addr, message.Message{Kind: message.KindRequestVote}}) {
 					y.take(to, m.group)
 				}
 			}
@@ -124,7 +124,7 @@
 				case p.at > y.now:
 					rest = append(rest, p)
 				case to != nil && !to.down && (p.msg.To == "" || p.msg.To == to.m.Ident):
-					y.carry(to, to.r.Hear(y.now, p.msg))
+					y.carry(to, to.r.Step(y.now, p.msg))
 				}
 			}
 			y.mail = append(y.mail, rest...)
@@ -138,8 +138,8 @@
 		if m.group == nil || m.down {
 			continue
 		}
-		g := message.Group{Num: 1, Replicas: m.group}
-		if g.Quorum(func(id string) bool {
+		g := message.Group{Number: 1, Replicas: m.group}
+		if g.HasQuorum(func(id string) bool {
 			at := y.by[id] // a disk's identity is its address here
 			return at != nil && !at.down && slices.Equal(at.group, m.group)
 		}) {
@@ -168,8 +168,8 @@
 		return fmt.Errorf("no leader in a group of %d: %v", replicas, y.founded)
 	}
 	for _, m := range y.list {
-		if v := m.r.View(); !m.down && (!v.Live || v.Owns[0].Num == 0 || len(v.Members) < len(y.list)) {
-			return fmt.Errorf("%s: live %v, leader %v, %d members of %d", m.m.Addr, v.Live, v.Owns[0], len(v.Members), len(y.list))
+		if v := m.r.View(); !m.down && (!v.Live || v.Leaderships[0].Term == 0 || len(v.Members) < len(y.list)) {
+			return fmt.Errorf("%s: live %v, leader %v, %d members of %d", m.m.Addr, v.Live, v.Leaderships[0], len(v.Members), len(y.list))
 		}
 	}
 	return nil
@@ -246,7 +246,7 @@
 				y := newWorld(1, zones...)
 				y.lose = func(p parcel) bool {
 					bit := 1 << (int(p.to[3]-'1') % 3)
-					return p.msg.Kind == message.Found && p.from == y.seeds[0] && lost&bit != 0 && y.now < at+2*time.Second
+					return p.msg.Kind == message.KindBootstrap && p.from == y.seeds[0] && lost&bit != 0 && y.now < at+2*time.Second
 				}
 				y.run(at)
 				y.start(y.by[y.seeds[0]])
@@ -306,7 +306,7 @@
 	make := func(zones ...int) (out []message.Member) {
 		for c, n := range zones {
 			for i := 0; i < n; i++ {
-				out = append(out, message.Member{Ident: fmt.Sprintf("%d.%d", c, i), Addr: fmt.Sprintf("10.%d.0.%d:1", c, i), Zone: fmt.Sprint(c), Disk: true})
+				out = append(out, message.Member{Ident: fmt.Sprintf("%d.%d", c, i), Addr: fmt.Sprintf("10.%d.0.%d:1", c, i), Zone: fmt.Sprint(c), HasDisk: true})
 			}
 		}
 		rand.New(rand.NewSource(int64(len(out)))).Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
--- a/control/membership/golden_test.go
+++ b/control/membership/golden_test.go
@@ -21,7 +21,7 @@
 var writeGolden = flag.Bool("write-golden", false, "write testdata/messages.golden anew instead of comparing with it")
 
 // goldenBounds are the bounds of the recorded scenes' sessions.
-var goldenBounds = Config{Session: 600 * time.Millisecond, Beat: 200 * time.Millisecond, Small: 2, Losses: 1, First: true}
+var goldenBounds = Config{SessionTimeout: 600 * time.Millisecond, HeartbeatInterval: 200 * time.Millisecond, Small: 2, Losses: 1, First: true}
 
 type recordedFrame struct {
 	at       time.Duration
@@ -34,7 +34,7 @@
 	self  message.Member
 	table *Table
 	group []message.Replica
-	owns  []message.Own
+	owns  []message.Leadership
 }
 
 // recorder runs the tables of a fleet, carries their messages as bytes, and writes down
@@ -65,7 +65,7 @@
 func (r *recorder) start(addr, zone string, disk bool, seeds []string, first bool) {
 	d := r.daemons[addr]
 	if d == nil {
-		d = &recordedDaemon{self: message.Member{Addr: addr, Zone: zone, Disk: disk, Build: "1"}}
+		d = &recordedDaemon{self: message.Member{Addr: addr, Zone: zone, HasDisk: disk, Build: "1"}}
 		r.daemons[addr] = d
 	}
 	d.self.Epoch++
@@ -87,15 +87,15 @@
 		if err != nil {
 			r.t.Fatal(err)
 		}
-		r.note(fmt.Sprintf("%v %s>%s %v", r.now.Truncate(time.Millisecond), from, s.Addr, s.Exact), b)
+		r.note(fmt.Sprintf("%v %s>%s %v", r.now.Truncate(time.Millisecond), from, s.Addr, s.ExactAddr), b)
 		if !r.lost(from, s.Addr) {
 			r.frames = append(r.frames, recordedFrame{r.now + r.delay(), from, s.Addr, b})
 		}
 	}
-	if o.Found != nil {
-		fmt.Fprintf(r.log, "%v %s: the first group is %v\n", r.now.Truncate(time.Millisecond), from, o.Found)
+	if o.Bootstrap != nil {
+		fmt.Fprintf(r.log, "%v %s: the first group is %v\n", r.now.Truncate(time.Millisecond), from, o.Bootstrap)
 		if d.group == nil {
-			d.group = o.Found
+			d.group = o.Bootstrap
 		}
 	}
 }
@@ -129,7 +129,7 @@
 		}
 		if d := r.daemons[f.to]; d != nil && (m.To == "" || m.To == d.self.Ident) {
 			r.now++
-			r.take(f.to, d.table.Hear(r.now, m))
+			r.take(f.to, d.table.Step(r.now, m))
 		}
 	}
 }
@@ -143,7 +143,7 @@
 		}
 		for _, addr := range slices.Sorted(maps.Keys(r.daemons)) {
 			d := r.daemons[addr]
-			d.self.Empty = d.self.Disk && d.group == nil
+			d.self.Empty = d.self.HasDisk && d.group == nil
 			d.self.Ready = d.group != nil
 			r.now++
 			r.take(addr, d.table.Tick(r.now, d.self, d.owns))
@@ -166,14 +166,14 @@
 		for _, l := range v.Torn() {
 			fmt.Fprintf(r.log, "  cut off from %s\n", l.Addr)
 		}
-		for _, p := range slices.Sorted(maps.Keys(v.Owns)) {
-			fmt.Fprintf(r.log, "  partition %d: %d %v\n", p, v.Owns[p].Num, v.Owns[p].Replica)
+		for _, p := range slices.Sorted(maps.Keys(v.Leaderships)) {
+			fmt.Fprintf(r.log, "  partition %d: %d %v\n", p, v.Leaderships[p].Term, v.Leaderships[p].Leader)
 		}
 		for p := range 3 {
-			group := message.Group{Num: 1, Replicas: d.group}
+			group := message.Group{Number: 1, Replicas: d.group}
 			fmt.Fprintf(r.log, "  partition %d: relay %v, parent %v, hands over %v\n", p, v.Relay(p, d.self.Zone), v.Parent(p), v.HandsOver(group))
 		}
-		fmt.Fprintf(r.log, "  %d of the core\n", len(v.Core()))
+		fmt.Fprintf(r.log, "  %d of the core\n", len(v.ControlDaemons()))
 	}
 }
 
@@ -188,7 +188,7 @@
 // hear gives a daemon a message as from another.
 func (r *recorder) hear(to string, m message.Message) {
 	r.now++
-	r.take(to, r.daemons[to].table.Hear(r.now, m))
+	r.take(to, r.daemons[to].table.Step(r.now, m))
 }
 
 func recordScenes(t *testing.T, log *strings.Builder) {
@@ -204,8 +204,8 @@
 	r.show()
 
 	r.scene("leaders, and a daemon that knows one seed")
-	r.daemons["a:1"].owns = []message.Own{{Partition: 0, Num: 4, Replica: r.daemons["a:1"].self.Replica()}, {Partition: 2, Num: 5, Replica: r.daemons["a:1"].self.Replica()}}
-	r.daemons["b:1"].owns = []message.Own{{Partition: 1, Num: 2, Replica: r.daemons["b:1"].self.Replica()}}
+	r.daemons["a:1"].owns = []message.Leadership{{Partition: 0, Term: 4, Leader: r.daemons["a:1"].self.Replica()}, {Partition: 2, Term: 5, Leader: r.daemons["a:1"].self.Replica()}}
+	r.daemons["b:1"].owns = []message.Leadership{{Partition: 1, Term: 2, Leader: r.daemons["b:1"].self.Replica()}}
 	r.start("n:1", "north", false, []string{"s:1"}, false)
 	r.pass(900 * time.Millisecond)
 	r.show()
@@ -216,11 +216,11 @@
 
 	r.scene("a control daemon is cut off")
 	r.lost = func(from, to string) bool {
-		return (from == "a:1" || to == "a:1") && r.daemons[from].self.Disk && r.daemons[to].self.Disk
+		return (from == "a:1" || to == "a:1") && r.daemons[from].self.HasDisk && r.daemons[to].self.HasDisk
 	}
 	r.pass(1300 * time.Millisecond)
 	r.show()
-	r.daemons["b:1"].owns = []message.Own{{Partition: 0, Num: 6, Replica: r.daemons["b:1"].self.Replica()}}
+	r.daemons["b:1"].owns = []message.Leadership{{Partition: 0, Term: 6, Leader: r.daemons["b:1"].self.Replica()}}
 	r.daemons["a:1"].owns = nil
 	r.pass(500 * time.Millisecond)
 	r.show()
@@ -235,41 +235,41 @@
 func recordOddMessages(r *recorder) {
 	r.scene("messages that are late, odd or from strangers")
 	a, m, s := r.daemons["a:1"].self, r.daemons["m:1"].self, r.daemons["s:1"].self
-	other := message.Member{Ident: "x", Addr: "x:1", Disk: true, Epoch: 3}
+	other := message.Member{Ident: "x", Addr: "x:1", HasDisk: true, Epoch: 3}
 	plain := message.Member{Ident: "y", Addr: "y:1", Epoch: 3}
-	group := message.Group{Num: 1, Replicas: []message.Replica{a.Replica(), {Ident: "x", Addr: "x:1"}}}
+	group := message.Group{Number: 1, Replicas: []message.Replica{a.Replica(), {Ident: "x", Addr: "x:1"}}}
 	for i, c := range []struct {
 		to string
 		m  message.Message
 	}{
-		{"a:1", message.Message{Kind: message.Hello}},
-		{"a:1", message.Message{Kind: message.Hello, Self: plain}},
-		{"a:1", message.Message{Kind: message.Hello, Self: plain, Op: "differ", Num: 12}},
-		{"a:1", message.Message{Kind: message.Hello, Self: message.Member{Ident: "z", Addr: "y:1"}, Op: "differ"}},
-		{"s:1", message.Message{Kind: message.Hello, Self: plain}},
-		{"s:1", message.Message{Kind: message.Hello}},
-		{"m:1", message.Message{Kind: message.Welcome, Op: "refer", Members: []message.Member{other, plain}}},
-		{"m:1", message.Message{Kind: message.Welcome, Op: "differ", Num: 5, Members: []message.Member{other}, Keys: []string{"b:1"}}},
-		{"m:1", message.Message{Kind: message.Welcome, Op: "unknown", Members: []message.Member{other}}},
-		{"m:1", message.Message{Kind: message.Welcome, Addr: "a:1", Len: 1, Owns: []message.Own{{Partition: 1, Num: 9, Replica: other.Replica()}}}},
-		{"m:1", message.Message{Kind: message.Welcome, Addr: "b:1", Len: 9}},
-		{"a:1", message.Message{Kind: message.Gossip, Self: other, Op: "same", LastComplete: 77, Ref: 3}},
-		{"a:1", message.Message{Kind: message.Gossip, Self: other, Members: []message.Member{plain}, LastComplete: 77, Ref: 3}},
-		{"a:1", message.Message{Kind: message.Gossip, Self: other, Op: "same", LastComplete: 77}},
-		{"s:1", message.Message{Kind: message.Gossip, Self: other}},
-		{"s:1", message.Message{Kind: message.Gossip}},
-		{"a:1", message.Message{Kind: message.Census, Addr: "x:1", Self: other, No: 4, Group: group}},
-		{"s:1", message.Message{Kind: message.Census, Addr: "a:1", Self: a, No: 4, Group: group}},
-		{"a:1", message.Message{Kind: message.Count, Addr: "b:1", Ref: 9, Self: other}},
-		{"a:1", message.Message{Kind: message.Found, Addr: "b:1", Group: group}},
-		{"d:1", message.Message{Kind: message.Found, Addr: "x:1", Group: group}},
-		{"a:1", message.Message{Kind: message.Renew, Addr: "b:1", Self: s}},
+		{"a:1", message.Message{Kind: message.KindHello}},
+		{"a:1", message.Message{Kind: message.KindHello, Self: plain}},
+		{"a:1", message.Message{Kind: message.KindHello, Self: plain, Op: "differ", Term: 12}},
+		{"a:1", message.Message{Kind: message.KindHello, Self: message.Member{Ident: "z", Addr: "y:1"}, Op: "differ"}},
+		{"s:1", message.Message{Kind: message.KindHello, Self: plain}},
+		{"s:1", message.Message{Kind: message.KindHello}},
+		{"m:1", message.Message{Kind: message.KindWelcome, Op: "refer", Members: []message.Member{other, plain}}},
+		{"m:1", message.Message{Kind: message.KindWelcome, Op: "differ", Term: 5, Members: []message.Member{other}, Keys: []string{"b:1"}}},
+		{"m:1", message.Message{Kind: message.KindWelcome, Op: "unknown", Members: []message.Member{other}}},
+		{"m:1", message.Message{Kind: message.KindWelcome, Addr: "a:1", Length: 1, Leaderships: []message.Leadership{{Partition: 1, Term: 9, Leader: other.Replica()}}}},
+		{"m:1", message.Message{Kind: message.KindWelcome, Addr: "b:1", Length: 9}},
+		{"a:1", message.Message{Kind: message.KindGossip, Self: other, Op: "same", LastComplete: 77, ResponseTo: 3}},
+		{"a:1", message.Message{Kind: message.KindGossip, Self: other, Members: []message.Member{plain}, LastComplete: 77, ResponseTo: 3}},
+		{"a:1", message.Message{Kind: message.KindGossip, Self: other, Op: "same", LastComplete: 77}},
+		{"s:1", message.Message{Kind: message.KindGossip, Self: other}},
+		{"s:1", message.Message{Kind: message.KindGossip}},
+		{"a:1", message.Message{Kind: message.KindCensus, Addr: "x:1", Self: other, RequestID: 4, Group: group}},
+		{"s:1", message.Message{Kind: message.KindCensus, Addr: "a:1", Self: a, RequestID: 4, Group: group}},
+		{"a:1", message.Message{Kind: message.KindCensusAnswer, Addr: "b:1", ResponseTo: 9, Self: other}},
+		{"a:1", message.Message{Kind: message.KindBootstrap, Addr: "b:1", Group: group}},
+		{"d:1", message.Message{Kind: message.KindBootstrap, Addr: "x:1", Group: group}},
+		{"a:1", message.Message{Kind: message.KindRenewLease, Addr: "b:1", Self: s}},
 	} {
 		fmt.Fprintf(r.log, "message %d to %s, %v\n", i, c.to, c.m.Kind)
 		r.hear(c.to, c.m)
 	}
 	r.show()
-	r.daemons["a:1"].table.Know("x:1", "a:1", "x:1")
+	r.daemons["a:1"].table.AddControlAddrs("x:1", "a:1", "x:1")
 	r.daemons["m:1"].self = m
 	r.pass(1300 * time.Millisecond)
 	r.show()
@@ -280,19 +280,19 @@
 	r.scene("parents")
 	for _, addr := range []string{"m:1", "n:1", "a:1"} {
 		v := r.daemons[addr].table.View()
-		g := Guide{Partition: 0, Vol: time.Second}
+		g := ParentChooser{Partition: 0, Vol: time.Second}
 		show := func(now time.Duration) { fmt.Fprintf(r.log, "%s at %v: %v\n", addr, now, g.Parent(now, v)) }
 		show(0)
 		g.Orphaned(time.Second)
 		show(2 * time.Second)
 		show(7 * time.Second)
-		for i, to := range []message.Replica{v.Owns[0].Replica, v.Relay(0, "north"), {Ident: "x", Addr: "x:1"}} {
+		for i, to := range []message.Replica{v.Leaderships[0].Leader, v.Relay(0, "north"), {Ident: "x", Addr: "x:1"}} {
 			g.Steered(time.Duration(i*50)*time.Second, to)
 			show(time.Duration(i*50+10) * time.Second)
 			show(time.Duration(i*50+45) * time.Second)
 		}
 		for _, live := range []bool{true, true, false, true} {
-			for _, s := range g.Hints(live, message.Mark{Ident: v.Me.Ident, Epoch: 2}, v) {
+			for _, s := range g.Hints(live, message.VolumeEpoch{Ident: v.Me.Ident, Epoch: 2}, v) {
 				b, err := s.Message.MarshalMsg(nil)
 				if err != nil {
 					r.t.Fatal(err)
@@ -342,10 +342,10 @@
 				for _, other := range r.daemons {
 					other.owns = nil
 				}
-				d.owns = []message.Own{{Partition: rng.Intn(3), Num: term, Replica: d.self.Replica()}}
+				d.owns = []message.Leadership{{Partition: rng.Intn(3), Term: term, Leader: d.self.Replica()}}
 			}
 		case 10:
-			d.table.Know(addrs[rng.Intn(len(addrs))])
+			d.table.AddControlAddrs(addrs[rng.Intn(len(addrs))])
 		}
 		r.pass(100 * time.Millisecond)
 		if step%20 == 19 {
--- a/control/membership/gossip.go
+++ b/control/membership/gossip.go
@@ -34,31 +34,31 @@
 		others = append(others, r.astray()...)
 	}
 	for _, to := range others {
-		n := message.Message{Kind: message.Gossip, Self: r.me, Members: list, Owns: owns, Num: kept, LastComplete: sum, Ref: theirs[to].sum}
+		n := message.Message{Kind: message.KindGossip, Self: r.me, Members: list, Leaderships: owns, Term: kept, LastComplete: sum, ResponseTo: theirs[to].sum}
 		if r.acked[to] == sum {
-			n.Op, n.Members, n.Owns = same, nil, nil
+			n.Op, n.Members, n.Leaderships = same, nil, nil
 		}
-		o.Sends = append(o.Sends, message.Send{Addr: to, Message: n})
+		o.Sends = append(o.Sends, message.Envelope{Addr: to, Message: n})
 	}
 }
 
 // digest is of what a gossip or a welcome tells.
-func digest(list []message.Member, owns []message.Own) uint64 {
+func digest(list []message.Member, owns []message.Leadership) uint64 {
 	h := fnv.New64a()
 	for _, m := range list {
 		_, _ = fmt.Fprint(h, m)
 	}
 	var b []byte
 	for _, o := range owns {
-		b = binary.AppendUvarint(binary.AppendUvarint(b[:0], uint64(o.Partition)), o.Num)
-		_, _ = h.Write(append(append(b, o.Replica.Ident...), o.Replica.Addr...))
+		b = binary.AppendUvarint(binary.AppendUvarint(b[:0], uint64(o.Partition)), o.Term)
+		_, _ = h.Write(append(append(b, o.Leader.Ident...), o.Leader.Addr...))
 	}
 	return h.Sum64() | 1 // 0 is none
 }
 
 // told takes another control daemon's gossip.
 func (r *Table) told(now time.Duration, n message.Message) {
-	r.acked[n.Self.Addr] = n.Ref
+	r.acked[n.Self.Addr] = n.ResponseTo
 	old, ok := r.heard[n.Self.Ident]
 	next := rumour{append(n.Members, n.Self), now, n.LastComplete}
 	if n.Op == same {
@@ -126,7 +126,7 @@
 	}
 	list := slices.SortedFunc(maps.Values(at), func(a, b message.Member) int { return strings.Compare(a.Addr, b.Addr) })
 	r.see(list)
-	if r.print() != n.Num {
+	if r.print() != n.Term {
 		r.sum = unlike // the whole is asked for
 	}
 }
--- a/control/membership/guide.go
+++ b/control/membership/guide.go
@@ -6,9 +6,9 @@
 	"mulleinmast/wire/message"
 )
 
-// Guide chooses a daemon's parent for one partition: where it was steered, the
+// ParentChooser chooses a daemon's parent for one partition: where it was steered, the
 // leader while the relay can't serve, else the static parent.
-type Guide struct {
+type ParentChooser struct {
 	Partition int
 	Vol       time.Duration
 
@@ -21,22 +21,22 @@
 // Orphaned makes the guide fall back to the leader for a while.
 //
 // Example: if out.Orphan { g.Orphaned(now) }
-func (g *Guide) Orphaned(now time.Duration) {
+func (g *ParentChooser) Orphaned(now time.Duration) {
 	g.fallTill, g.steer = now+5*g.Vol, message.Replica{}
 }
 
 // Steered follows a hint: join, split, or return to a relay that is back.
 //
 // Example: g.Steered(now, out.Steer)
-func (g *Guide) Steered(now time.Duration, to message.Replica) {
+func (g *ParentChooser) Steered(now time.Duration, to message.Replica) {
 	g.steer, g.steerTill, g.fallTill = to, now+40*g.Vol, 0
 }
 
 // Parent is the replica to renew at now; none for the leader itself.
 //
 // Example: p := g.Parent(now, view)
-func (g *Guide) Parent(now time.Duration, v *View) message.Replica {
-	own := v.Owns[g.Partition].Replica
+func (g *ParentChooser) Parent(now time.Duration, v *View) message.Replica {
+	own := v.Leaderships[g.Partition].Leader
 	if own.Ident == v.Me.Ident {
 		return message.Replica{}
 	}
@@ -54,13 +54,13 @@
 
 // Hints are the return hints a relay sends when its lease is valid again.
 //
-// Example: for _, m := range g.Hints(node.Live(now), node.Mark(), view) { send(m) }
-func (g *Guide) Hints(live bool, mark message.Mark, v *View) (out []message.Send) {
+// Example: for _, m := range g.Hints(node.Live(now), node.VolumeEpoch(), view) { send(m) }
+func (g *ParentChooser) Hints(live bool, mark message.VolumeEpoch, v *View) (out []message.Envelope) {
 	me := message.Replica{Ident: v.Me.Ident, Addr: v.Me.Addr}
 	if live && !g.live && v.Relay(g.Partition, v.Me.Zone).Ident == me.Ident {
 		for m := range v.In(v.Me.Zone) {
-			if m.Ident != me.Ident && m.Ident != v.Owns[g.Partition].Replica.Ident {
-				out = append(out, message.Send{Addr: m.Addr, Message: message.Message{Kind: message.Steer, Partition: g.Partition, To: m.Ident, Mark: mark, Hint: me, Why: "return"}})
+			if m.Ident != me.Ident && m.Ident != v.Leaderships[g.Partition].Leader.Ident {
+				out = append(out, message.Envelope{Addr: m.Addr, Message: message.Message{Kind: message.KindRedirect, Partition: g.Partition, To: m.Ident, VolumeEpoch: mark, Hint: me, Reason: "return"}})
 			}
 		}
 	}
--- a/control/membership/hello.go
+++ b/control/membership/hello.go
@@ -15,7 +15,7 @@
 	if !r.live {
 		list = append(list, r.astray()...)
 	}
-	if now-r.backAt <= r.cfg.Session/2 && slices.Contains(list, r.home) && !r.alone {
+	if now-r.backAt <= r.cfg.SessionTimeout/2 && slices.Contains(list, r.home) && !r.alone {
 		list = []string{r.home}
 	}
 	for range min(wide, len(list)) {
@@ -25,7 +25,7 @@
 }
 
 func (r *Table) greet(addr string, o *Out) {
-	o.Sends = append(o.Sends, message.Send{Addr: addr, Message: message.Message{Kind: message.Hello, Self: r.me, Num: r.print(), LastComplete: digest(nil, r.known()), Op: differ}})
+	o.Sends = append(o.Sends, message.Envelope{Addr: addr, Message: message.Message{Kind: message.KindHello, Self: r.me, Term: r.print(), LastComplete: digest(nil, r.known()), Op: differ}})
 }
 
 // near is the number of control daemons that this one heard of just now, and
@@ -33,7 +33,7 @@
 func (r *Table) near(now time.Duration) int64 {
 	n := int64(1)
 	for _, h := range r.heard {
-		if now-h.at <= r.cfg.Session {
+		if now-h.at <= r.cfg.SessionTimeout {
 			n++
 		}
 	}
--- a/control/membership/invariants_test.go
+++ b/control/membership/invariants_test.go
@@ -8,11 +8,11 @@
 
 // Two leaders of one term are counted, whoever tells of them.
 func TestTwoLeadersOfATermAreCounted(t *testing.T) {
-	r := &Table{owns: map[int]message.Own{}}
-	own := func(term uint64, ident string) message.Own {
-		return message.Own{Partition: 3, Num: term, Replica: message.Replica{Ident: ident}}
+	r := &Table{owns: map[int]message.Leadership{}}
+	own := func(term uint64, ident string) message.Leadership {
+		return message.Leadership{Partition: 3, Term: term, Leader: message.Replica{Ident: ident}}
 	}
-	for _, o := range []message.Own{own(4, "a"), own(4, "a"), own(5, "b"), own(4, "a")} {
+	for _, o := range []message.Leadership{own(4, "a"), own(4, "a"), own(5, "b"), own(4, "a")} {
 		r.claim(o)
 	}
 	before := oneLeader.Count()
--- a/control/membership/lost.go
+++ b/control/membership/lost.go
@@ -34,7 +34,7 @@
 		delete(r.lost, m.Addr)
 	}
 	for _, m := range r.view {
-		if m.Disk && !here[m.Addr] {
+		if m.HasDisk && !here[m.Addr] {
 			r.lost[m.Addr] = Lost{m, r.now}
 		}
 	}
@@ -44,7 +44,7 @@
 func (r *Table) forget() {
 	list := r.missed()
 	for i, l := range list {
-		if i >= mostLost || r.now-l.At > remember*r.cfg.Session {
+		if i >= mostLost || r.now-l.At > remember*r.cfg.SessionTimeout {
 			delete(r.lost, l.Addr)
 		}
 	}
@@ -93,9 +93,9 @@
 
 // strand names the lost to a daemon that may know nobody else.
 func (r *Table) strand(to message.Member, o *Out) {
-	n := message.Message{Kind: message.Welcome, Op: refer}
+	n := message.Message{Kind: message.KindWelcome, Op: refer}
 	for _, l := range r.View().Torn() {
 		n.Members = append(n.Members, l.Member)
 	}
-	o.Sends = append(o.Sends, message.Send{Addr: to.Addr, Message: n})
+	o.Sends = append(o.Sends, message.Envelope{Addr: to.Addr, Message: n})
 }
--- a/control/membership/lost_test.go
+++ b/control/membership/lost_test.go
@@ -14,11 +14,11 @@
 	all  map[string]*Table // by address
 	self map[string]message.Member
 	away map[string]bool // cut off from the rest
-	owns map[string][]message.Own
+	owns map[string][]message.Leadership
 }
 
 func newNet(seeds func(i int) []string, members ...message.Member) *net {
-	n := &net{all: map[string]*Table{}, self: map[string]message.Member{}, away: map[string]bool{}, owns: map[string][]message.Own{}}
+	n := &net{all: map[string]*Table{}, self: map[string]message.Member{}, away: map[string]bool{}, owns: map[string][]message.Leadership{}}
 	for i, m := range members {
 		n.join(m, seeds(i))
 	}
@@ -31,22 +31,22 @@
 	n.all[m.Addr], n.self[m.Addr] = New(c, m, seeds), m
 }
 
-func (n *net) carry(from message.Member, list []message.Send) {
+func (n *net) carry(from message.Member, list []message.Envelope) {
 	for _, s := range list {
 		to := n.all[s.Addr]
 		if to == nil || n.away[from.Addr] != n.away[s.Addr] && !n.under(from.Addr, s.Addr) {
 			continue
 		}
 		s.Message.From, s.Message.Addr = from.Ident, from.Addr
-		n.carry(n.self[s.Addr], to.Hear(n.now, s.Message).Sends)
+		n.carry(n.self[s.Addr], to.Step(n.now, s.Message).Sends)
 	}
 }
 
 // under tells whether one of two has no disk: the cut is within the core.
-func (n *net) under(a, b string) bool { return !n.self[a].Disk || !n.self[b].Disk }
+func (n *net) under(a, b string) bool { return !n.self[a].HasDisk || !n.self[b].HasDisk }
 
 func (n *net) run(d time.Duration) {
-	for end := n.now + d; n.now < end; n.now += cfg.Beat / 4 {
+	for end := n.now + d; n.now < end; n.now += cfg.HeartbeatInterval / 4 {
 		for i := 1; i <= len(n.self); i++ {
 			if a := at(i); n.all[a] != nil {
 				n.carry(n.self[a], n.all[a].Tick(n.now, n.self[a], n.owns[a]).Sends)
@@ -69,18 +69,18 @@
 // have by now.
 func TestSeedsThatNameOnlyOneThatIsCutOff(t *testing.T) {
 	n := newNet(func(int) []string { return []string{at(1), at(2), at(3)} }, core(3)...)
-	own := message.Own{Partition: 0, Num: 7, Replica: message.Replica{Ident: "a", Addr: at(1)}}
-	n.owns[at(1)] = []message.Own{own}
+	own := message.Leadership{Partition: 0, Term: 7, Leader: message.Replica{Ident: "a", Addr: at(1)}}
+	n.owns[at(1)] = []message.Leadership{own}
 	n.run(5 * time.Second)
 	n.away[at(1)], n.owns[at(1)] = true, nil
 	n.run(5 * time.Second)
-	n.owns[at(2)] = []message.Own{{Partition: 0, Num: 8, Replica: message.Replica{Ident: "b", Addr: at(2)}}}
+	n.owns[at(2)] = []message.Leadership{{Partition: 0, Term: 8, Leader: message.Replica{Ident: "b", Addr: at(2)}}}
 	n.run(time.Second)
 	n.join(message.Member{Ident: "m", Epoch: 1, Addr: at(4)}, []string{at(1)})
 	n.run(2 * time.Second)
 	v := n.all[at(4)].View()
-	if !v.Live || v.Owns[0].Num != 8 {
-		t.Errorf("live %v, leader %v", v.Live, v.Owns[0])
+	if !v.Live || v.Leaderships[0].Term != 8 {
+		t.Errorf("live %v, leader %v", v.Live, v.Leaderships[0])
 	}
 	for _, id := range []string{"b", "c"} {
 		if _, ok := v.Find(id); !ok {
@@ -113,7 +113,7 @@
 		t.Fatal("the cut cuts nothing")
 	}
 	n.away[at(1)] = false
-	n.run(seldom*cfg.Beat + cfg.Session)
+	n.run(seldom*cfg.HeartbeatInterval + cfg.SessionTimeout)
 	for i := 1; i <= 3; i++ {
 		if v := n.all[at(i)].View(); len(v.Members) != 3 || len(v.Lost) > 0 {
 			t.Errorf("%s knows %v, lost %v", at(i), v.Members, v.Lost)
@@ -134,7 +134,7 @@
 			t.Fatalf("%d are lost: told %v, remembered %d", i-1, torn, len(v.Lost))
 		}
 	}
-	n.run((remember + 1) * cfg.Session)
+	n.run((remember + 1) * cfg.SessionTimeout)
 	if v := n.all[at(1)].View(); len(v.Lost) > 0 {
 		t.Errorf("remembered for ever: %v", v.Lost)
 	}
--- a/control/membership/membership.go
+++ b/control/membership/membership.go
@@ -15,9 +15,9 @@
 
 // Config holds the bounds of sessions.
 type Config struct {
-	Session time.Duration
-	Beat    time.Duration
-	Small   int // zones with fewer members than this get no relay
+	SessionTimeout    time.Duration
+	HeartbeatInterval time.Duration
+	Small             int // zones with fewer members than this get no relay
 
 	Losses int  // machines that may be lost at once: a group has twice as many replicas, and one
 	First  bool // the fleet starts for the first time, and so does this daemon
@@ -43,7 +43,7 @@
 	mine   map[string]session // sessions with us, if we are a control daemon
 	heard  map[string]rumour  // what other control daemons told
 	view   []message.Member
-	owns   map[int]message.Own
+	owns   map[int]message.Leadership
 	other  []string          // control addresses from elsewhere, such as our own groups
 	lost   map[string]Lost   // by address: control daemons that the view had and has no more
 	acked  map[string]uint64 // by address: digest of our gossip that a control daemon has
@@ -70,16 +70,16 @@
 // Example: r := membership.New(cfg, me, seeds)
 func New(cfg Config, me message.Member, seeds []string) *Table {
 	return &Table{
-		cfg: cfg, me: me, seeds: seeds, mine: map[string]session{}, heard: map[string]rumour{}, owns: map[int]message.Own{},
-		lost: map[string]Lost{}, acked: map[string]uint64{}, backAt: -cfg.Session, ctl: int(weight(0, me.Addr) % 97),
+		cfg: cfg, me: me, seeds: seeds, mine: map[string]session{}, heard: map[string]rumour{}, owns: map[int]message.Leadership{},
+		lost: map[string]Lost{}, acked: map[string]uint64{}, backAt: -cfg.SessionTimeout, ctl: int(weight(0, me.Addr) % 97),
 	}
 }
 
-// Know adds addresses of control daemons that were learnt elsewhere: seeds may
+// AddControlAddrs adds addresses of control daemons that were learnt elsewhere: seeds may
 // all have been exchanged since the config was written.
 //
-// Example: r.Know("10.0.0.7:7000")
-func (r *Table) Know(addrs ...string) {
+// Example: r.AddControlAddrs("10.0.0.7:7000")
+func (r *Table) AddControlAddrs(addrs ...string) {
 	for _, a := range addrs {
 		if !slices.Contains(r.other, a) {
 			r.other = append(r.other, a)
@@ -89,45 +89,45 @@
 
 // Out is what a step asks for.
 type Out struct {
-	Sends []message.Send
-	Found []message.Replica // these make the first group, and we are one of them
+	Sends     []message.Envelope
+	Bootstrap []message.Replica // these make the first group, and we are one of them
 }
 
 // Tick sends what is due. me is this daemon as of now, owns its leaderships.
 //
 // Example: out := r.Tick(now, me, owns)
-func (r *Table) Tick(now time.Duration, me message.Member, owns []message.Own) (o Out) {
+func (r *Table) Tick(now time.Duration, me message.Member, owns []message.Leadership) (o Out) {
 	r.me, r.now = me, now
 	r.forget()
 	for _, own := range owns {
 		r.claim(own)
 	}
 	for id, h := range r.heard {
-		if now-h.at > 2*r.cfg.Session {
+		if now-h.at > 2*r.cfg.SessionTimeout {
 			delete(r.heard, id)
 		}
 	}
-	if me.Disk {
+	if me.HasDisk {
 		r.live = true
 		gone := false
 		for id, s := range r.mine {
-			if now-s.at > r.cfg.Session {
+			if now-s.at > r.cfg.SessionTimeout {
 				delete(r.mine, id)
 				gone = true
 			}
 		}
-		if gone || now-r.madeAt >= r.cfg.Beat || r.view == nil {
+		if gone || now-r.madeAt >= r.cfg.HeartbeatInterval || r.view == nil {
 			r.rebuild(now)
 		}
 	} else {
-		r.live = now-r.backAt <= r.cfg.Session
+		r.live = now-r.backAt <= r.cfg.SessionTimeout
 	}
-	if now-r.askAt < r.cfg.Beat {
+	if now-r.askAt < r.cfg.HeartbeatInterval {
 		return o
 	}
 	r.askAt = now
 	r.beats++
-	if me.Disk {
+	if me.HasDisk {
 		r.gossip(&o)
 	} else {
 		r.hello(now, &o)
@@ -140,7 +140,7 @@
 func (r *Table) controls() []string {
 	set := map[string]bool{}
 	for _, m := range r.view {
-		if m.Disk {
+		if m.HasDisk {
 			set[m.Addr] = true
 		}
 	}
@@ -151,7 +151,7 @@
 		set[a] = true
 	}
 	for _, m := range r.view { // a seed may be one that holds no sessions
-		if !m.Disk {
+		if !m.HasDisk {
 			delete(set, m.Addr)
 		}
 	}
@@ -164,17 +164,17 @@
 	return out
 }
 
-func (r *Table) claim(own message.Own) {
+func (r *Table) claim(own message.Leadership) {
 	known := r.owns[own.Partition]
-	oneLeader.Hold(own.Num == 0 || known.Num != own.Num || known.Replica.Ident == own.Replica.Ident,
-		"partition %d, term %d: %s and %s", own.Partition, own.Num, known.Replica.Ident, own.Replica.Ident)
-	if own.Num > r.owns[own.Partition].Num {
+	oneLeader.Hold(own.Term == 0 || known.Term != own.Term || known.Leader.Ident == own.Leader.Ident,
+		"partition %d, term %d: %s and %s", own.Partition, own.Term, known.Leader.Ident, own.Leader.Ident)
+	if own.Term > r.owns[own.Partition].Term {
 		r.owns[own.Partition] = own
 	}
 }
 
-func (r *Table) known() []message.Own {
-	out := make([]message.Own, 0, len(r.owns))
+func (r *Table) known() []message.Leadership {
+	out := make([]message.Leadership, 0, len(r.owns))
 	for _, o := range r.owns {
 		out = append(out, o)
 	}
@@ -192,14 +192,14 @@
 // refer marks a Welcome that opens no session and only names control daemons.
 const refer = "refer"
 
-// Hear takes a message.
+// Step takes a message.
 //
-// Example: out := r.Hear(now, message)
-func (r *Table) Hear(now time.Duration, n message.Message) (o Out) {
+// Example: out := r.Step(now, message)
+func (r *Table) Step(now time.Duration, n message.Message) (o Out) {
 	r.now = now
 	switch n.Kind {
-	case message.Hello:
-		if r.me.Disk && n.Self.Ident != "" {
+	case message.KindHello:
+		if r.me.HasDisk && n.Self.Ident != "" {
 			if s, ok := r.mine[n.Self.Ident]; ok && s.m == n.Self {
 				r.mine[n.Self.Ident] = session{n.Self, now}
 			} else {
@@ -209,28 +209,28 @@
 					}
 				}
 				r.mine[n.Self.Ident] = session{n.Self, now}
-				if now-r.madeAt >= r.cfg.Beat/4 { // many may come at once
+				if now-r.madeAt >= r.cfg.HeartbeatInterval/4 { // many may come at once
 					r.rebuild(now)
 				}
 			}
-			rep := message.Message{Kind: message.Welcome, Owns: r.known(), Num: r.print(), Len: r.near(now)}
-			if n.LastComplete == digest(nil, rep.Owns) {
-				rep.Owns = nil
+			rep := message.Message{Kind: message.KindWelcome, Leaderships: r.known(), Term: r.print(), Length: r.near(now)}
+			if n.LastComplete == digest(nil, rep.Leaderships) {
+				rep.Leaderships = nil
 			}
-			if rep.Num != n.Num {
+			if rep.Term != n.Term {
 				rep.Members = r.view
 				if n.Op == differ {
-					r.since(n.Num, &rep)
+					r.since(n.Term, &rep)
 				}
 			}
-			o.Sends = append(o.Sends, message.Send{Addr: n.Self.Addr, Message: rep})
+			o.Sends = append(o.Sends, message.Envelope{Addr: n.Self.Addr, Message: rep})
 			if r.cutOff(now) { // its session here may be all that it has
 				r.strand(n.Self, &o)
 			}
 		} else if n.Self.Ident != "" {
 			r.refer(n.Self, &o)
 		}
-	case message.Welcome:
+	case message.KindWelcome:
 		if n.Op == refer {
 			for _, m := range n.Members {
 				if r.meet(m) && !r.live && len(o.Sends) < wide {
@@ -239,8 +239,8 @@
 			}
 			return o
 		}
-		alone := n.Len > 0 && int(n.Len)*2 <= len(r.controls())
-		if now-r.backAt > r.cfg.Session/2 || !slices.Contains(r.controls(), r.home) || r.alone && !alone {
+		alone := n.Length > 0 && int(n.Length)*2 <= len(r.controls())
+		if now-r.backAt > r.cfg.SessionTimeout/2 || !slices.Contains(r.controls(), r.home) || r.alone && !alone {
 			r.home = n.Addr
 		}
 		if n.Addr == r.home {
@@ -252,11 +252,11 @@
 		} else if n.Op == "" && len(n.Members) > 0 {
 			r.see(n.Members)
 		}
-		for _, own := range n.Owns {
+		for _, own := range n.Leaderships {
 			r.claim(own)
 		}
-	case message.Gossip:
-		if r.me.Disk {
+	case message.KindGossip:
+		if r.me.HasDisk {
 			r.told(now, n)
 		} else if n.Self.Ident != "" {
 			for id, h := range r.heard {
@@ -267,19 +267,19 @@
 			r.heard[n.Self.Ident] = rumour{list: []message.Member{n.Self}, at: now}
 			r.meet(n.Self)
 		}
-		if n.Num != r.kept() && n.Self.Ident != "" { // one of us can't find the others yet
+		if n.Term != r.kept() && n.Self.Ident != "" { // one of us can't find the others yet
 			r.refer(n.Self, &o)
 		}
-		for _, own := range n.Owns {
+		for _, own := range n.Leaderships {
 			r.claim(own)
 		}
-	case message.Census:
+	case message.KindCensus:
 		r.counted(n, &o)
-	case message.Count:
+	case message.KindCensusAnswer:
 		r.count(n)
-	case message.Found:
-		if r.me.Disk && r.fresh() && len(n.Group.Replicas) > 0 && n.Group.Has(r.me.Ident) && slices.Contains(r.seeds, n.Addr) {
-			o.Found, r.Formed = n.Group.Replicas, true
+	case message.KindBootstrap:
+		if r.me.HasDisk && r.fresh() && len(n.Group.Replicas) > 0 && n.Group.Has(r.me.Ident) && slices.Contains(r.seeds, n.Addr) {
+			o.Bootstrap, r.Formed = n.Group.Replicas, true
 		}
 	}
 	return o
@@ -314,7 +314,7 @@
 // see takes a view, if it is another one than before.
 func (r *Table) see(list []message.Member) {
 	if r.view == nil || r.sum == unlike || !slices.Equal(list, r.view) {
-		if r.me.Disk && r.view != nil { // for those who have it still
+		if r.me.HasDisk && r.view != nil { // for those who have it still
 			r.past = append(r.past[max(0, len(r.past)-remembered+1):], shown{r.print(), r.view})
 		}
 		r.miss(list)
@@ -329,7 +329,7 @@
 	}
 	h := fnv.New64a()
 	for _, m := range r.view {
-		for _, w := range []string{m.Ident, m.Addr, m.Web, m.Zone} {
+		for _, w := range []string{m.Ident, m.Addr, m.HTTPAddr, m.Zone} {
 			_, _ = h.Write([]byte(w))
 		}
 		f := byte(m.Epoch)
@@ -346,15 +346,15 @@
 //
 // Example: v := r.View()
 func (r *Table) View() *View {
-	if v := r.last; v != nil && v.Me == r.me && v.Live == r.live && slices.Equal(v.Members, r.view) && slices.Equal(v.Lost, r.missed()) && maps.Equal(v.Owns, r.owns) {
+	if v := r.last; v != nil && v.Me == r.me && v.Live == r.live && slices.Equal(v.Members, r.view) && slices.Equal(v.Lost, r.missed()) && maps.Equal(v.Leaderships, r.owns) {
 		return v
 	}
-	v := &View{Lost: r.missed(), torn: together * r.cfg.Session, Me: r.me, Members: append([]message.Member(nil), r.view...), Owns: map[int]message.Own{}, Live: r.live, small: r.cfg.Small, by: map[string]message.Member{}}
+	v := &View{Lost: r.missed(), torn: together * r.cfg.SessionTimeout, Me: r.me, Members: append([]message.Member(nil), r.view...), Leaderships: map[int]message.Leadership{}, Live: r.live, small: r.cfg.Small, by: map[string]message.Member{}}
 	for _, m := range v.Members {
 		v.by[m.Ident] = m
 	}
 	for p, o := range r.owns {
-		v.Owns[p] = o
+		v.Leaderships[p] = o
 	}
 	r.last = v
 	return v
--- a/control/membership/membership_test.go
+++ b/control/membership/membership_test.go
@@ -8,10 +8,10 @@
 	"mulleinmast/wire/message"
 )
 
-var cfg = Config{Session: 1200 * time.Millisecond, Beat: 200 * time.Millisecond, Small: 3}
+var cfg = Config{SessionTimeout: 1200 * time.Millisecond, HeartbeatInterval: 200 * time.Millisecond, Small: 3}
 
 func disk(id, addr string) message.Member {
-	return message.Member{Ident: id, Epoch: 1, Addr: addr, Disk: true}
+	return message.Member{Ident: id, Epoch: 1, Addr: addr, HasDisk: true}
 }
 
 // A machine that restarts under a new identity is known by it at once, here
@@ -19,13 +19,13 @@
 func TestAnEarlierLifeIsForgotten(t *testing.T) {
 	for try := 0; try < 20; try++ {
 		a, b := New(cfg, disk("a", "10.0.0.1:1"), nil), New(cfg, disk("b", "10.0.0.2:1"), nil)
-		a.Know("10.0.0.2:1")
+		a.AddControlAddrs("10.0.0.2:1")
 		for i, id := range []string{"old", "new"} {
-			a.Hear(time.Duration(i)*100*time.Millisecond, message.Message{Kind: message.Hello, Self: message.Member{Ident: id, Epoch: 1, Addr: "10.0.0.9:1"}})
+			a.Step(time.Duration(i)*100*time.Millisecond, message.Message{Kind: message.KindHello, Self: message.Member{Ident: id, Epoch: 1, Addr: "10.0.0.9:1"}})
 		}
 		for _, m := range a.Tick(time.Second, disk("a", "10.0.0.1:1"), nil).Sends {
-			if m.Message.Kind == message.Gossip {
-				b.Hear(time.Second, m.Message)
+			if m.Message.Kind == message.KindGossip {
+				b.Step(time.Second, m.Message)
 			}
 		}
 		for who, r := range map[string]*Table{"a": a, "b": b} {
@@ -45,11 +45,11 @@
 	for range 20 {
 		a := New(cfg, disk("a", "10.0.0.1:1"), nil)
 		for i, id := range []string{"old", "new"} {
-			a.Hear(time.Duration(i)*100*time.Millisecond, message.Message{Kind: message.Gossip, Self: disk(id, "10.0.0.2:1"), LastComplete: uint64(i + 5)})
+			a.Step(time.Duration(i)*100*time.Millisecond, message.Message{Kind: message.KindGossip, Self: disk(id, "10.0.0.2:1"), LastComplete: uint64(i + 5)})
 		}
 		for _, m := range a.Tick(time.Second, disk("a", "10.0.0.1:1"), nil).Sends {
-			if m.Message.Kind == message.Gossip && m.Addr == "10.0.0.2:1" && m.Message.Ref != 6 {
-				t.Fatalf("names the digest %d", m.Message.Ref)
+			if m.Message.Kind == message.KindGossip && m.Addr == "10.0.0.2:1" && m.Message.ResponseTo != 6 {
+				t.Fatalf("names the digest %d", m.Message.ResponseTo)
 			}
 		}
 	}
@@ -58,11 +58,11 @@
 // A seed without a disk holds no session and says who can.
 func TestSeeds(t *testing.T) {
 	near := New(cfg, message.Member{Ident: "n", Addr: "10.0.0.5:1"}, []string{"10.0.0.1:1"})
-	near.Hear(0, message.Message{Kind: message.Welcome, Members: []message.Member{disk("a", "10.0.0.1:1"), {Ident: "n", Addr: "10.0.0.5:1"}}})
+	near.Step(0, message.Message{Kind: message.KindWelcome, Members: []message.Member{disk("a", "10.0.0.1:1"), {Ident: "n", Addr: "10.0.0.5:1"}}})
 	me := message.Member{Ident: "m", Addr: "10.0.0.6:1"}
 	lost := New(cfg, me, []string{"10.0.0.5:1"})
-	for _, m := range near.Hear(0, message.Message{Kind: message.Hello, Self: me}).Sends {
-		lost.Hear(0, m.Message)
+	for _, m := range near.Step(0, message.Message{Kind: message.KindHello, Self: me}).Sends {
+		lost.Step(0, m.Message)
 	}
 	if lost.View().Live {
 		t.Error("a referral is no session")
@@ -81,18 +81,18 @@
 // Who was steered to a leader goes back to its static parent when another
 // daemon is leader; who was steered to a relay, when another is relay.
 func TestASteerEndsWithItsTarget(t *testing.T) {
-	v := &View{Me: message.Member{Ident: "m", Zone: "c"}, Owns: map[int]message.Own{0: {Num: 4, Replica: message.Replica{Ident: "a", Addr: "a"}}}, small: 2, by: map[string]message.Member{}}
+	v := &View{Me: message.Member{Ident: "m", Zone: "c"}, Leaderships: map[int]message.Leadership{0: {Term: 4, Leader: message.Replica{Ident: "a", Addr: "a"}}}, small: 2, by: map[string]message.Member{}}
 	for _, id := range []string{"a", "b", "m", "r"} {
 		v.Members = append(v.Members, message.Member{Ident: id, Addr: id, Zone: map[bool]string{true: "c", false: "d"}[id == "m" || id == "r"]})
 		v.by[id] = v.Members[len(v.Members)-1]
 	}
-	g := Guide{Vol: time.Second}
+	g := ParentChooser{Vol: time.Second}
 	static := g.Parent(0, v)
 	g.Steered(time.Second, message.Replica{Ident: "a", Addr: "a"})
 	if p := g.Parent(2*time.Second, v); p.Ident != "a" {
 		t.Fatalf("not steered: %v, static %v", p, static)
 	}
-	v.Owns = map[int]message.Own{0: {Num: 5, Replica: message.Replica{Ident: "b", Addr: "b"}}}
+	v.Leaderships = map[int]message.Leadership{0: {Term: 5, Leader: message.Replica{Ident: "b", Addr: "b"}}}
 	if p := g.Parent(3*time.Second, v); p.Ident == "a" {
 		t.Error("still at the old leader")
 	}
@@ -120,11 +120,11 @@
 // A control daemon that hears of half or fewer of the others may not know the
 // leaders: its members leave it for one that does.
 func TestAMemberLeavesAControlDaemonThatIsCutOff(t *testing.T) {
-	cfg := Config{Session: time.Second, Beat: 100 * time.Millisecond, Small: 3}
+	cfg := Config{SessionTimeout: time.Second, HeartbeatInterval: 100 * time.Millisecond, Small: 3}
 	seeds := []string{"10.0.0.1:1", "10.0.1.1:1", "10.0.2.1:1"}
 	var all []*Table
 	for i, a := range append(seeds, "10.0.0.2:1") {
-		me := message.Member{Ident: a, Addr: a, Zone: "c", Epoch: 1, Disk: i < 3}
+		me := message.Member{Ident: a, Addr: a, Zone: "c", Epoch: 1, HasDisk: i < 3}
 		all = append(all, New(cfg, me, seeds))
 	}
 	member, home, cut := all[3], "", ""
@@ -136,10 +136,10 @@
 		for now := from; now < to; now += 10 * time.Millisecond {
 			for i, r := range all {
 				me := r.me
-				me.Disk = i < 3
-				var owns []message.Own
+				me.HasDisk = i < 3
+				var owns []message.Leadership
 				if cut != "" && me.Addr == newLeader(seeds, cut) {
-					owns = []message.Own{{Partition: 0, Num: 2, Replica: message.Replica{Ident: me.Addr, Addr: me.Addr}}}
+					owns = []message.Leadership{{Partition: 0, Term: 2, Leader: message.Replica{Ident: me.Addr, Addr: me.Addr}}}
 				}
 				queue := r.Tick(now, me, owns).Sends
 				for len(queue) > 0 {
@@ -149,11 +149,11 @@
 					if m.Message.From != "" {
 						from = m.Message.From
 					}
-					if to == nil || m.Addr == from || to.me.Disk && at[from].me.Disk && (m.Addr == cut || from == cut) {
+					if to == nil || m.Addr == from || to.me.HasDisk && at[from].me.HasDisk && (m.Addr == cut || from == cut) {
 						continue
 					}
 					m.Message.From, m.Message.Addr = from, from
-					for _, back := range to.Hear(now, m.Message).Sends {
+					for _, back := range to.Step(now, m.Message).Sends {
 						back.Message.From = m.Addr
 						queue = append(queue, back)
 					}
@@ -167,7 +167,7 @@
 	}
 	cut = home
 	run(2*time.Second, 6*time.Second)
-	if member.home == cut || member.owns[0].Num != 2 {
+	if member.home == cut || member.owns[0].Term != 2 {
 		t.Errorf("still with %s, knows leader %+v", member.home, member.owns[0])
 	}
 }
@@ -175,10 +175,10 @@
 // What a welcome of an unknown kind holds may be a part of the members: it is not
 // taken for all of them, or a daemon would forget whom to ask.
 func TestAWelcomeOfAnUnknownKindIsNotTheWholeTable(t *testing.T) {
-	r := New(Config{Session: time.Second, Beat: 100 * time.Millisecond}, message.Member{Ident: "me", Addr: "me:1"}, []string{"seed:1"})
-	whole := []message.Member{{Ident: "a", Addr: "a:1", Disk: true}, {Ident: "b", Addr: "b:1", Disk: true}, {Ident: "me", Addr: "me:1"}}
-	r.Hear(time.Second, message.Message{Kind: message.Welcome, Addr: "a:1", Members: whole})
-	r.Hear(time.Second, message.Message{Kind: message.Welcome, Addr: "a:1", Op: differ + "x", Members: whole[2:]})
+	r := New(Config{SessionTimeout: time.Second, HeartbeatInterval: 100 * time.Millisecond}, message.Member{Ident: "me", Addr: "me:1"}, []string{"seed:1"})
+	whole := []message.Member{{Ident: "a", Addr: "a:1", HasDisk: true}, {Ident: "b", Addr: "b:1", HasDisk: true}, {Ident: "me", Addr: "me:1"}}
+	r.Step(time.Second, message.Message{Kind: message.KindWelcome, Addr: "a:1", Members: whole})
+	r.Step(time.Second, message.Message{Kind: message.KindWelcome, Addr: "a:1", Op: differ + "x", Members: whole[2:]})
 	if n := len(r.View().Members); n != 3 || !slices.Contains(r.controls(), "b:1") {
 		t.Errorf("%d members, control daemons %v", n, r.controls())
 	}
--- a/control/membership/view.go
+++ b/control/membership/view.go
@@ -12,10 +12,10 @@
 
 // View is a snapshot of the fleet; it is never changed once published.
 type View struct {
-	Me      message.Member
-	Members []message.Member
-	Owns    map[int]message.Own
-	Live    bool // our own session stands
+	Me          message.Member
+	Members     []message.Member
+	Leaderships map[int]message.Leadership
+	Live        bool // our own session stands
 	// Lost are control daemons that the view had and has no more, the last ones
 	// first: of a machine that is cut off the others, of the others those that
 	// are gone.
@@ -38,13 +38,13 @@
 // Example: m, ok := v.Find(m.From)
 func (v *View) Find(id string) (message.Member, bool) { m, ok := v.by[id]; return m, ok }
 
-// Core lists the members with a disk.
+// ControlDaemons lists the members with a disk.
 //
-// Example: standbys := v.Core()
-func (v *View) Core() []message.Member {
+// Example: standbys := v.ControlDaemons()
+func (v *View) ControlDaemons() []message.Member {
 	var out []message.Member
 	for _, m := range v.Members {
-		if m.Disk {
+		if m.HasDisk {
 			out = append(out, m)
 		}
 	}
@@ -64,7 +64,7 @@
 // a group.
 func (v *View) standby(g message.Group) bool {
 	return slices.ContainsFunc(v.Members, func(m message.Member) bool {
-		return m.Disk && m.Ident != v.Me.Ident && !g.Has(m.Ident)
+		return m.HasDisk && m.Ident != v.Me.Ident && !g.Has(m.Ident)
 	})
 }
 
@@ -100,7 +100,7 @@
 const crowd = 12
 
 func (v *View) relay(partition int, zone string) message.Replica {
-	own := v.Owns[partition].Replica.Ident
+	own := v.Leaderships[partition].Leader.Ident
 	var best, wide chosen
 	n := 0
 	for m := range v.In(zone) {
@@ -109,7 +109,7 @@
 		}
 		n++
 		best.offer(partition, m)
-		if m.Disk {
+		if m.HasDisk {
 			wide.offer(partition, m)
 		}
 	}
@@ -139,7 +139,7 @@
 //
 // Example: replica := v.Parent(3)
 func (v *View) Parent(partition int) message.Replica {
-	own := v.Owns[partition].Replica
+	own := v.Leaderships[partition].Leader
 	if own.Ident == v.Me.Ident {
 		return message.Replica{}
 	}
--- a/control/membership/view_test.go
+++ b/control/membership/view_test.go
@@ -9,10 +9,10 @@
 
 // zoneOf is a view of one zone: control daemons first, then the others.
 func zoneOf(control, others int) *View {
-	v := &View{Owns: map[int]message.Own{0: {Num: 1, Replica: message.Replica{Ident: "far", Addr: "far"}}}, small: 3, by: map[string]message.Member{}}
+	v := &View{Leaderships: map[int]message.Leadership{0: {Term: 1, Leader: message.Replica{Ident: "far", Addr: "far"}}}, small: 3, by: map[string]message.Member{}}
 	for i := range control + others {
 		id := fmt.Sprintf("10.0.0.%d:1", i)
-		v.Members = append(v.Members, message.Member{Ident: id, Addr: id, Zone: "c", Disk: i < control})
+		v.Members = append(v.Members, message.Member{Ident: id, Addr: id, Zone: "c", HasDisk: i < control})
 	}
 	return v
 }
@@ -28,7 +28,7 @@
 		v, byWeight := zoneOf(c.control, c.others), 0
 		control := map[string]bool{}
 		for _, m := range v.Members {
-			control[m.Ident] = m.Disk
+			control[m.Ident] = m.HasDisk
 		}
 		if got := control[v.Relay(0, "c").Ident]; c.wide && !got {
 			t.Errorf("%d control daemons of %d: the configuration's relay is %v", c.control, len(v.Members), v.Relay(0, "c"))
@@ -48,7 +48,7 @@
 	}
 	v := zoneOf(2, 40)
 	leader := v.Relay(0, "c")
-	v.Owns[0] = message.Own{Num: 2, Replica: leader}
+	v.Leaderships[0] = message.Leadership{Term: 2, Leader: leader}
 	v.memo.Clear()
 	if next := v.Relay(0, "c"); next == leader || next.Ident == "" {
 		t.Errorf("the leader's zone has %v", next)
@@ -59,7 +59,7 @@
 // place, and also while one is about to: as long as the group changes, a majority of
 // the replicas before the change is needed.
 func TestAChangingGroupIsWaitedFor(t *testing.T) {
-	me := message.Member{Ident: "a", Disk: true}
+	me := message.Member{Ident: "a", HasDisk: true}
 	of := func(idents ...string) (list []message.Replica) {
 		for _, id := range idents {
 			list = append(list, message.Replica{Ident: id})
@@ -71,14 +71,14 @@
 		waits bool
 	}{
 		"no group":                          {message.Group{}, false},
-		"nobody to take its place":          {message.Group{Num: 1, Replicas: of("a", "b", "c", "d")}, false},
-		"a standby":                         {message.Group{Num: 1, Replicas: of("a", "b", "c")}, true},
-		"the only standby takes its place":  {message.Group{Num: 2, Replicas: of("a", "b", "c"), Next: of("d", "b", "c")}, true},
-		"the only standby takes another's":  {message.Group{Num: 2, Replicas: of("a", "b", "c"), Next: of("a", "b", "d")}, true},
-		"its place was taken":               {message.Group{Num: 3, Replicas: of("d", "b", "c")}, false},
-		"others change and it has no place": {message.Group{Num: 4, Replicas: of("d", "b", "c"), Next: of("d", "b", "e")}, false},
+		"nobody to take its place":          {message.Group{Number: 1, Replicas: of("a", "b", "c", "d")}, false},
+		"a standby":                         {message.Group{Number: 1, Replicas: of("a", "b", "c")}, true},
+		"the only standby takes its place":  {message.Group{Number: 2, Replicas: of("a", "b", "c"), Next: of("d", "b", "c")}, true},
+		"the only standby takes another's":  {message.Group{Number: 2, Replicas: of("a", "b", "c"), Next: of("a", "b", "d")}, true},
+		"its place was taken":               {message.Group{Number: 3, Replicas: of("d", "b", "c")}, false},
+		"others change and it has no place": {message.Group{Number: 4, Replicas: of("d", "b", "c"), Next: of("d", "b", "e")}, false},
 	} {
-		v := &View{Me: me, Members: []message.Member{me, {Ident: "b", Disk: true}, {Ident: "c", Disk: true}, {Ident: "d", Disk: true}, {Ident: "e"}}}
+		v := &View{Me: me, Members: []message.Member{me, {Ident: "b", HasDisk: true}, {Ident: "c", HasDisk: true}, {Ident: "d", HasDisk: true}, {Ident: "e"}}}
 		if got := v.HandsOver(x.group); got != x.waits {
 			t.Errorf("%s: hands over %v, expected %v", what, got, x.waits)
 		}
--- a/control/partition/batch.go
+++ b/control/partition/batch.go
@@ -18,7 +18,7 @@
 type Job struct {
 	Keys  []string
 	Joins bool
-	Make  func(read lease.Source) (recs []message.Rec, word any)
+	Make  func(read lease.Source) (recs []message.Record, word any)
 }
 
 type job struct {
@@ -32,19 +32,19 @@
 type batch struct {
 	jobs []*job
 	due  int // holds not yet invalidated
-	recs []message.Rec
+	recs []message.Record
 }
 
 // results tells the fate of a batch's jobs. Those that wrote nothing judged by what
 // was about to be written: that counts only once it is.
-func (b *batch) results(f Fate) (out []Result) {
+func (b *batch) results(f Outcome) (out []Result) {
 	for _, j := range b.jobs {
-		r := Result{Tag: j.tag, Fate: f, Word: j.word}
+		r := Result{Tag: j.tag, Outcome: f, Word: j.word}
 		switch {
 		case j.none && f == Done:
-			r.Fate = Unchanged
+			r.Outcome = Unchanged
 		case j.none:
-			r = Result{Tag: j.tag, Fate: NotLeader}
+			r = Result{Tag: j.tag, Outcome: NotLeader}
 		case f == NotLeader:
 			r.Word = nil
 		}
@@ -62,7 +62,7 @@
 const abreast = 32
 
 func (s *Partition) start(now time.Duration, o *Out) {
-	if len(s.queue) == 0 || !s.Leader(now) || now < s.Calm() {
+	if len(s.queue) == 0 || !s.Leader(now) || now < s.WritesFrom() {
 		return
 	}
 	var rest []*job
@@ -83,7 +83,7 @@
 		b := &batch{}
 		s.join(b, j)
 		if len(b.recs) == 0 {
-			o.Results = append(o.Results, Result{Tag: j.tag, Fate: Unchanged, Word: j.word})
+			o.Results = append(o.Results, Result{Tag: j.tag, Outcome: Unchanged, Word: j.word})
 			continue
 		}
 		s.runs[j.tag] = b
@@ -104,7 +104,7 @@
 
 // join makes a job's records over those that its batch is about to write.
 func (s *Partition) join(b *batch, j *job) {
-	recs, word := j.Make(func(key string) message.Rec {
+	recs, word := j.Make(func(key string) message.Record {
 		for _, r := range b.recs {
 			if r.Key == key {
 				return r
@@ -115,7 +115,7 @@
 	j.word, j.none = word, len(recs) == 0
 	b.jobs = append(b.jobs, j)
 	for _, r := range recs {
-		if i := slices.IndexFunc(b.recs, func(x message.Rec) bool { return x.Key == r.Key }); i >= 0 {
+		if i := slices.IndexFunc(b.recs, func(x message.Record) bool { return x.Key == r.Key }); i >= 0 {
 			b.recs[i] = r
 		} else {
 			b.recs = append(b.recs, r)
@@ -132,7 +132,7 @@
 		}
 		b.due = len(b.recs)
 		for _, r := range slices.Clone(b.recs) {
-			s.fromNode(now, s.Node.Hold(now, r.Key, tag), o)
+			s.fromNode(now, s.Node.Suspend(now, r.Key, tag), o)
 		}
 	}
 }
--- a/control/partition/batch_test.go
+++ b/control/partition/batch_test.go
@@ -10,12 +10,12 @@
 
 // appends is a job that adds a letter to a record if that is as long as its base.
 func appends(letter byte, base int) Job {
-	return Job{Keys: []string{"k"}, Joins: true, Make: func(read lease.Source) ([]message.Rec, any) {
-		cur := read("k").Val
+	return Job{Keys: []string{"k"}, Joins: true, Make: func(read lease.Source) ([]message.Record, any) {
+		cur := read("k").Value
 		if len(cur) != base {
 			return nil, "conflict"
 		}
-		return []message.Rec{{Key: "k", Val: append(append([]byte(nil), cur...), letter)}}, "taken"
+		return []message.Record{{Key: "k", Value: append(append([]byte(nil), cur...), letter)}}, "taken"
 	}}
 }
 
@@ -24,7 +24,7 @@
 // answer with it, also if it is refused.
 func TestJobsThatWaitAreWrittenTogether(t *testing.T) {
 	s, sync := leader(t)
-	now := s.Replica.Lease() - 900*time.Millisecond
+	now := s.Replica.LeaseEnd() - 900*time.Millisecond
 	first := s.Do(now, 1, appends('a', 0)) // its disk isn't asked yet
 	if len(first.Saves) != 1 || len(first.Results) != 0 {
 		t.Fatalf("%+v", first)
@@ -35,10 +35,10 @@
 		}
 	}
 	o := s.Saved(now, first.Saves[0].Ticket)
-	if len(o.Saves) != 1 || len(o.Saves[0].Recs) != 1 || string(o.Saves[0].Recs[0].Val) != "abc" {
+	if len(o.Saves) != 1 || len(o.Saves[0].Records) != 1 || string(o.Saves[0].Records[0].Value) != "abc" {
 		t.Fatalf("the three that waited: %+v", o.Saves)
 	}
-	if len(o.Results) != 1 || o.Results[0].Tag != 1 || o.Results[0].Fate != Done {
+	if len(o.Results) != 1 || o.Results[0].Tag != 1 || o.Results[0].Outcome != Done {
 		t.Errorf("told before it is on disk: %+v", o.Results)
 	}
 	o = sync(s.Saved(now, o.Saves[0].Ticket))
@@ -57,16 +57,16 @@
 // and what was refused by it isn't refused.
 func TestWhatWasJoinedIsLostTogether(t *testing.T) {
 	s, _ := leader(t)
-	now := s.Replica.Lease() - 900*time.Millisecond
+	now := s.Replica.LeaseEnd() - 900*time.Millisecond
 	first := s.Do(now, 1, appends('a', 0))
 	s.Do(now, 2, appends('b', 1))
 	s.Do(now, 3, appends('x', 1))
 	s.Saved(now, first.Saves[0].Ticket)
-	o := s.Tick(s.Replica.Lease() + time.Millisecond)
-	want := map[uint64]Fate{2: Uncertain, 3: NotLeader}
+	o := s.Tick(s.Replica.LeaseEnd() + time.Millisecond)
+	want := map[uint64]Outcome{2: Uncertain, 3: NotLeader}
 	for _, r := range o.Results {
-		if r.Fate != want[r.Tag] {
-			t.Errorf("job %d: %v", r.Tag, r.Fate)
+		if r.Outcome != want[r.Tag] {
+			t.Errorf("job %d: %v", r.Tag, r.Outcome)
 		}
 	}
 	if !o.Lost || len(o.Results) != 2 {
@@ -78,18 +78,18 @@
 // came after it isn't written before it.
 func TestWhatDoesNotJoin(t *testing.T) {
 	s, _ := leader(t)
-	now := s.Replica.Lease() - 900*time.Millisecond
+	now := s.Replica.LeaseEnd() - 900*time.Millisecond
 	first := s.Do(now, 1, appends('a', 0))
 	both := appends('b', 1)
 	both.Keys = []string{"k", "other"}
 	s.Do(now, 2, both)
 	s.Do(now, 3, appends('c', 2))
 	o := s.Saved(now, first.Saves[0].Ticket)
-	if len(o.Saves) != 1 || string(o.Saves[0].Recs[0].Val) != "ab" {
+	if len(o.Saves) != 1 || string(o.Saves[0].Records[0].Value) != "ab" {
 		t.Fatalf("%+v", o.Saves)
 	}
 	o = s.Saved(now, o.Saves[0].Ticket)
-	if len(o.Saves) != 1 || string(o.Saves[0].Recs[0].Val) != "abc" {
+	if len(o.Saves) != 1 || string(o.Saves[0].Records[0].Value) != "abc" {
 		t.Fatalf("%+v", o.Saves)
 	}
 }
--- a/control/partition/partition.go
+++ b/control/partition/partition.go
@@ -16,42 +16,42 @@
 	"mulleinmast/wire/message"
 )
 
-// Fate is what became of a job.
-type Fate uint8
+// Outcome is what became of a job.
+type Outcome uint8
 
 // The fates of a job.
 const (
-	Done      Fate = iota + 1 // invalidated, committed and in force
-	Unchanged                 // Make wrote nothing
-	Uncertain                 // may or may not be in force
-	NotLeader                 // nothing was done
+	Done      Outcome = iota + 1 // invalidated, committed and in force
+	Unchanged                    // Make wrote nothing
+	Uncertain                    // may or may not be in force
+	NotLeader                    // nothing was done
 )
 
 // String names a fate.
 //
 // Example: partition.Done.String() == "done"
-func (f Fate) String() string {
+func (f Outcome) String() string {
 	return [...]string{"none", "done", "unchanged", "uncertain", "not leader"}[f]
 }
 
 // Result is a job's fate.
 type Result struct {
-	Tag  uint64
-	Fate Fate
-	Word any
+	Tag     uint64
+	Outcome Outcome
+	Word    any
 }
 
 // Out is what a step asks for.
 type Out struct {
-	Sends   []message.Send
-	Saves   []quorum.Save
-	Results []Result
-	Fresh   []string
-	Gone    []string
-	Won     bool
-	Lost    bool
-	Orphan  bool
-	Steer   message.Replica
+	Sends     []message.Envelope
+	Saves     []quorum.Save
+	Results   []Result
+	Readable  []string
+	Withdrawn []string
+	Won       bool
+	Lost      bool
+	Orphaned  bool
+	Redirect  message.Replica
 	// Superseded says why this daemon's copy has no voice any more, if it lost it.
 	Superseded string
 }
@@ -63,9 +63,9 @@
 	epoch     uint64
 	Replica   *quorum.Replica // nil on a daemon without a disk
 	Node      *lease.Node
-	// Calm is when a leader may begin to write: the replica's unless a proof says
+	// WritesFrom is when a leader may begin to write: the replica's unless a proof says
 	// otherwise.
-	Calm func() time.Duration
+	WritesFrom func() time.Duration
 
 	queue []*job
 	busy  map[string]bool
@@ -78,7 +78,7 @@
 func New(partition int, me message.Replica, epoch uint64, replica *quorum.Replica, node *lease.Node) *Partition {
 	s := &Partition{partition: partition, me: me, epoch: epoch, Replica: replica, Node: node, busy: map[string]bool{}, runs: map[uint64]*batch{}}
 	if replica != nil {
-		s.Calm = replica.Calm
+		s.WritesFrom = replica.WritesFrom
 	}
 	return s
 }
@@ -88,30 +88,30 @@
 // Example: if !s.Leader(now) { passOn() }
 func (s *Partition) Leader(now time.Duration) bool { return s.Replica != nil && s.Replica.Leader(now) }
 
-func (s *Partition) read(key string) message.Rec {
+func (s *Partition) read(key string) message.Record {
 	if r, ok := s.Replica.Records().Get(key); ok {
 		return r
 	}
-	return message.Rec{Key: key, Dead: true}
+	return message.Record{Key: key, Deleted: true}
 }
 
-// Hear takes a message.
+// Step takes a message.
 //
-// Example: out := s.Hear(now, message)
-func (s *Partition) Hear(now time.Duration, n message.Message) (o Out) {
+// Example: out := s.Step(now, message)
+func (s *Partition) Step(now time.Duration, n message.Message) (o Out) {
 	s.hear(now, n, &o)
 	s.turn(now, &o)
 	return o
 }
 
 func (s *Partition) hear(now time.Duration, n message.Message, o *Out) {
-	if n.Kind >= message.Ask && n.Kind <= message.Supported || n.Kind == message.Incarnation {
+	if n.Kind >= message.KindRequestVote && n.Kind <= message.KindHeartbeatAck || n.Kind == message.KindIncarnation {
 		if s.Replica != nil {
-			s.fromReplica(now, s.Replica.Hear(now, n), o)
+			s.fromReplica(now, s.Replica.Step(now, n), o)
 		}
 		return
 	}
-	s.fromNode(now, s.Node.Hear(now, n), o)
+	s.fromNode(now, s.Node.Step(now, n), o)
 }
 
 // Saved tells that a save is on disk.
@@ -135,42 +135,42 @@
 	return o
 }
 
-// Found makes the first group.
+// Bootstrap makes the first group.
 //
-// Example: out := s.Found(now, group)
-func (s *Partition) Found(now time.Duration, g message.Group) (o Out) {
-	s.fromReplica(now, s.Replica.Found(now, g), &o)
+// Example: out := s.Bootstrap(now, group)
+func (s *Partition) Bootstrap(now time.Duration, g message.Group) (o Out) {
+	s.fromReplica(now, s.Replica.Bootstrap(now, g), &o)
 	s.turn(now, &o)
 	return o
 }
 
-// Learn names the standbys of the partition, if we own it.
+// SetLearners names the standbys of the partition, if we own it.
 //
-// Example: out := s.Learn(now, standbys)
-func (s *Partition) Learn(now time.Duration, list []message.Replica) (o Out) {
-	s.fromReplica(now, s.Replica.Learn(now, list), &o)
+// Example: out := s.SetLearners(now, standbys)
+func (s *Partition) SetLearners(now time.Duration, list []message.Replica) (o Out) {
+	s.fromReplica(now, s.Replica.SetLearners(now, list), &o)
 	s.turn(now, &o)
 	return o
 }
 
-// Replace begins to put a standby in a replica's place, if we own the partition.
+// ReplaceReplica begins to put a standby in a replica's place, if we own the partition.
 //
-// Example: out := s.Replace(now, "c", standby)
-func (s *Partition) Replace(now time.Duration, out string, in message.Replica) (o Out) {
-	if s.Leader(now) && now >= s.Calm() {
-		step, _ := s.Replica.Replace(now, 0, out, in)
+// Example: out := s.ReplaceReplica(now, "c", standby)
+func (s *Partition) ReplaceReplica(now time.Duration, out string, in message.Replica) (o Out) {
+	if s.Leader(now) && now >= s.WritesFrom() {
+		step, _ := s.Replica.ReplaceReplica(now, 0, out, in)
 		s.fromReplica(now, step, &o)
 		s.turn(now, &o)
 	}
 	return o
 }
 
-// Proceed goes on with a change of the group, if we own the partition.
+// ContinueChange goes on with a change of the group, if we own the partition.
 //
-// Example: out := s.Proceed(now)
-func (s *Partition) Proceed(now time.Duration) (o Out) {
-	if s.Leader(now) && now >= s.Calm() {
-		s.fromReplica(now, s.Replica.Proceed(now, 0), &o)
+// Example: out := s.ContinueChange(now)
+func (s *Partition) ContinueChange(now time.Duration) (o Out) {
+	if s.Leader(now) && now >= s.WritesFrom() {
+		s.fromReplica(now, s.Replica.ContinueChange(now, 0), &o)
 		s.turn(now, &o)
 	}
 	return o
@@ -192,7 +192,7 @@
 // Example: out := s.Do(now, 17, job)
 func (s *Partition) Do(now time.Duration, tag uint64, j Job) (o Out) {
 	if !s.Leader(now) {
-		o.Results = append(o.Results, Result{Tag: tag, Fate: NotLeader})
+		o.Results = append(o.Results, Result{Tag: tag, Outcome: NotLeader})
 		return o
 	}
 	s.queue = append(s.queue, &job{Job: j, tag: tag})
@@ -200,11 +200,11 @@
 	return o
 }
 
-// Adopt sets the node's parent.
+// SetParent sets the node's parent.
 //
-// Example: out := s.Adopt(now, replica)
-func (s *Partition) Adopt(now time.Duration, p message.Replica) (o Out) {
-	s.fromNode(now, s.Node.Adopt(now, p), &o)
+// Example: out := s.SetParent(now, replica)
+func (s *Partition) SetParent(now time.Duration, p message.Replica) (o Out) {
+	s.fromNode(now, s.Node.SetParent(now, p), &o)
 	return o
 }
 
@@ -243,11 +243,11 @@
 
 func (s *Partition) fromNode(now time.Duration, p lease.Out, o *Out) {
 	o.Sends = append(o.Sends, p.Sends...)
-	o.Fresh = append(o.Fresh, p.Fresh...)
-	o.Gone = append(o.Gone, p.Gone...)
-	o.Orphan = o.Orphan || p.Orphan
-	if p.Steer.Ident != "" {
-		o.Steer = p.Steer
+	o.Readable = append(o.Readable, p.Readable...)
+	o.Withdrawn = append(o.Withdrawn, p.Withdrawn...)
+	o.Orphaned = o.Orphaned || p.Orphaned
+	if p.Redirect.Ident != "" {
+		o.Redirect = p.Redirect
 	}
 	for _, tag := range p.Invalidated {
 		b := s.runs[tag]
@@ -275,20 +275,20 @@
 	if n.Superseded != "" {
 		o.Superseded = n.Superseded
 	}
-	for _, d := range n.Done {
+	for _, d := range n.Results {
 		b := s.runs[d.Tag]
 		if b == nil {
 			continue
 		}
 		delete(s.runs, d.Tag)
 		fate := Uncertain
-		if d.Fate == quorum.Written {
+		if d.Outcome == quorum.Committed {
 			fate = Done
 			for _, k := range b.jobs[0].Keys {
 				delete(s.busy, k)
 			}
 			for _, r := range b.recs {
-				s.fromNode(now, s.Node.Free(now, r.Key), o)
+				s.fromNode(now, s.Node.Resume(now, r.Key), o)
 			}
 		}
 		o.Results = append(o.Results, b.results(fate)...)
@@ -298,15 +298,15 @@
 	}
 	if n.Won {
 		o.Won = true
-		s.Node.Crown(s.Replica.Num(), s.read, s.Replica.Lease)
+		s.Node.BecomeRoot(s.Replica.Term(), s.read, s.Replica.LeaseEnd)
 	}
 }
 
 func (s *Partition) lose(o *Out) {
 	o.Lost = true
-	s.Node.Uncrown()
+	s.Node.ResignRoot()
 	for _, j := range s.queue {
-		o.Results = append(o.Results, Result{Tag: j.tag, Fate: NotLeader})
+		o.Results = append(o.Results, Result{Tag: j.tag, Outcome: NotLeader})
 	}
 	for _, tag := range slices.Sorted(maps.Keys(s.runs)) { // invalidating, not yet committed
 		o.Results = append(o.Results, s.runs[tag].results(NotLeader)...)
@@ -314,12 +314,12 @@
 	s.queue, s.busy, s.runs = nil, map[string]bool{}, map[uint64]*batch{}
 }
 
-// Digs is the digest of every range of this replica's records.
+// Digests is the digest of every range of this replica's records.
 //
-// Example: digest.Differ(a.Digs(), b.Digs())
-func (s *Partition) Digs() []uint64 {
+// Example: digest.DifferingRanges(a.Digests(), b.Digests())
+func (s *Partition) Digests() []uint64 {
 	if s.Replica == nil {
-		return make([]uint64, digest.Spans)
+		return make([]uint64, digest.Ranges)
 	}
-	return s.Replica.Records().Digs()
+	return s.Replica.Records().Digests()
 }
--- a/control/partition/partition_test.go
+++ b/control/partition/partition_test.go
@@ -17,9 +17,9 @@
 // leader is a partition that owns its partition alone, with its disk at hand.
 func leader(t *testing.T) (*Partition, func(Out) Out) {
 	t.Helper()
-	cfg := quorum.Config{LeaderLease: time.Second, Drift: 0.02, Margin: 20 * time.Millisecond, Beat: 333 * time.Millisecond}
-	replica := quorum.New(cfg, 1, me, nil, quorum.Meta{Group: message.Group{Num: 1, Replicas: []message.Replica{me}}}, digest.NewRecords(), 0, true)
-	node := lease.New(lease.Config{Vol: vol, Obj: time.Minute, Drift: 0.02, Margin: 20 * time.Millisecond, Beat: vol / 3}, 1, me, 1)
+	cfg := quorum.Config{LeaderLease: time.Second, Drift: 0.02, Margin: 20 * time.Millisecond, HeartbeatInterval: 333 * time.Millisecond}
+	replica := quorum.New(cfg, 1, me, nil, quorum.Meta{Group: message.Group{Number: 1, Replicas: []message.Replica{me}}}, digest.NewRecords(), 0, true)
+	node := lease.New(lease.Config{VolumeLease: vol, ObjectLease: time.Minute, Drift: 0.02, Margin: 20 * time.Millisecond, RenewInterval: vol / 3}, 1, me, 1)
 	s := New(1, me, 1, replica, node)
 	var now time.Duration
 	sync := func(o Out) Out {
@@ -46,27 +46,27 @@
 func TestNoYesBeforeTheInvalidation(t *testing.T) {
 	for _, acks := range []bool{true, false} {
 		s, sync := leader(t)
-		now := s.Replica.Lease() - 900*time.Millisecond
+		now := s.Replica.LeaseEnd() - 900*time.Millisecond
 		kid := func(n message.Message) message.Message {
 			n.Partition, n.From, n.Epoch, n.Addr = 1, "kid", 1, "10.0.0.2:1"
 			return n
 		}
-		sync(s.Hear(now, kid(message.Message{Kind: message.Renew, No: 1})))
-		synced := sync(s.Hear(now, kid(message.Message{Kind: message.Listing, No: 2, Mark: s.Node.Mark()})))
-		sync(s.Hear(now, kid(message.Message{Kind: message.Connect, Ref: synced.Sends[0].Message.No, Mark: s.Node.Mark()})))
-		sync(s.Hear(now, kid(message.Message{Kind: message.Renew, No: 3, Mark: s.Node.Mark(), Keys: []string{"k"}})))
+		sync(s.Step(now, kid(message.Message{Kind: message.KindRenewLease, RequestID: 1})))
+		synced := sync(s.Step(now, kid(message.Message{Kind: message.KindLeaseList, RequestID: 2, VolumeEpoch: s.Node.VolumeEpoch()})))
+		sync(s.Step(now, kid(message.Message{Kind: message.KindReconnectDone, ResponseTo: synced.Sends[0].Message.RequestID, VolumeEpoch: s.Node.VolumeEpoch()})))
+		sync(s.Step(now, kid(message.Message{Kind: message.KindRenewLease, RequestID: 3, VolumeEpoch: s.Node.VolumeEpoch(), Keys: []string{"k"}})))
 		asked := now
-		o := sync(s.Do(now, 7, Job{Keys: []string{"k"}, Make: func(lease.Source) ([]message.Rec, any) {
-			return []message.Rec{{Key: "k", Val: []byte("new")}}, nil
+		o := sync(s.Do(now, 7, Job{Keys: []string{"k"}, Make: func(lease.Source) ([]message.Record, any) {
+			return []message.Record{{Key: "k", Value: []byte("new")}}, nil
 		}}))
-		if len(o.Results) > 0 || len(o.Sends) != 1 || o.Sends[0].Message.Kind != message.Invalidate {
+		if len(o.Results) > 0 || len(o.Sends) != 1 || o.Sends[0].Message.Kind != message.KindInvalidate {
 			t.Fatalf("acks %v: before the invalidation: %+v", acks, o)
 		}
 		if _, ok := s.Node.Get(now, "k"); ok {
 			t.Error("the leader serves a record that is being invalidated")
 		}
 		if acks {
-			o = sync(s.Hear(now, kid(message.Message{Kind: message.Invalidated, Key: "k", Ref: o.Sends[0].Message.Ref})))
+			o = sync(s.Step(now, kid(message.Message{Kind: message.KindInvalidated, Key: "k", ResponseTo: o.Sends[0].Message.ResponseTo})))
 		} else {
 			for o.Results = nil; len(o.Results) == 0 && now < asked+3*vol; now += 10 * time.Millisecond {
 				o = sync(s.Tick(now))
@@ -75,11 +75,11 @@
 				t.Errorf("a silent child's lease of %v was waited for only %v", vol, now-asked)
 			}
 		}
-		if len(o.Results) != 1 || o.Results[0].Fate != Done {
+		if len(o.Results) != 1 || o.Results[0].Outcome != Done {
 			t.Fatalf("acks %v: %+v", acks, o.Results)
 		}
-		if r, ok := s.Node.Get(now, "k"); !ok || string(r.Val) != "new" {
-			t.Errorf("acks %v: serves %q %v", acks, r.Val, ok)
+		if r, ok := s.Node.Get(now, "k"); !ok || string(r.Value) != "new" {
+			t.Errorf("acks %v: serves %q %v", acks, r.Value, ok)
 		}
 	}
 }
@@ -88,11 +88,11 @@
 // other job touches either meanwhile.
 func TestOnlyWhatIsWrittenIsWithdrawn(t *testing.T) {
 	s, sync := leader(t)
-	now := s.Replica.Lease() - 900*time.Millisecond
+	now := s.Replica.LeaseEnd() - 900*time.Millisecond
 	write := func(keys ...string) Job {
-		return Job{Keys: []string{"a", "b"}, Make: func(lease.Source) (recs []message.Rec, _ any) {
+		return Job{Keys: []string{"a", "b"}, Make: func(lease.Source) (recs []message.Record, _ any) {
 			for _, k := range keys {
-				recs = append(recs, message.Rec{Key: k, Val: []byte("new")})
+				recs = append(recs, message.Record{Key: k, Value: []byte("new")})
 			}
 			return recs, nil
 		}}
@@ -107,12 +107,12 @@
 	if o := s.Do(now, 2, write("b")); len(o.Results)+len(o.Saves) > 0 {
 		t.Errorf("a second job ran beside the first: %+v", o)
 	}
-	if o := sync(first); len(o.Results) != 2 || o.Results[0].Fate != Done || o.Results[1].Fate != Done {
+	if o := sync(first); len(o.Results) != 2 || o.Results[0].Outcome != Done || o.Results[1].Outcome != Done {
 		t.Errorf("%+v", o.Results)
 	}
 	for _, k := range []string{"a", "b"} {
-		if r, ok := s.Node.Get(now, k); !ok || string(r.Val) != "new" {
-			t.Errorf("%s: %q %v", k, r.Val, ok)
+		if r, ok := s.Node.Get(now, k); !ok || string(r.Value) != "new" {
+			t.Errorf("%s: %q %v", k, r.Value, ok)
 		}
 	}
 }
--- a/control/placement/balance.go
+++ b/control/placement/balance.go
@@ -6,7 +6,7 @@
 )
 
 // listed tells whether the platform lists the parts of these servers.
-func (h *Holder) listed(keys []string) bool {
+func (h *Controller) listed(keys []string) bool {
 	for _, k := range keys {
 		if h.servers[k].told != "" {
 			return true
@@ -18,7 +18,7 @@
 // enter gives a server that the platform lists with a part its first record. A
 // new one takes the part that keeps the share of prefill servers: it isn't used while
 // it warms up, so a change costs least now.
-func (h *Holder) enter(now time.Duration, key string, s *server, count map[string]int, o *Out) {
+func (h *Controller) enter(now time.Duration, key string, s *server, count map[string]int, o *Out) {
 	part := s.told
 	if s.ordered != "" {
 		part = s.ordered
@@ -46,7 +46,7 @@
 }
 
 // odd orders again what the platform's list goes on denying.
-func (h *Holder) odd(now time.Duration, key string, s *server, o *Out) {
+func (h *Controller) odd(now time.Duration, key string, s *server, o *Out) {
 	if s.told == s.Part || s.leaving() {
 		s.oddAt = 0
 		return
@@ -63,7 +63,7 @@
 // balance shifts a server of a listed service from the side that is at ease to
 // the one that has been pressed, never the last, never below the plan; and to one
 // that has none left.
-func (h *Holder) balance(now time.Duration, svc string, keys []string, o *Out) {
+func (h *Controller) balance(now time.Duration, svc string, keys []string, o *Out) {
 	if h.Strain == nil || !h.listed(keys) {
 		return
 	}
@@ -137,7 +137,7 @@
 }
 
 // easiest is the server with the least to do, of the zone that has most of them.
-func (h *Holder) easiest(keys []string) (best string) {
+func (h *Controller) easiest(keys []string) (best string) {
 	zones := map[string]int{}
 	for _, k := range keys {
 		zones[h.servers[k].Zone]++
--- a/control/placement/balance_test.go
+++ b/control/placement/balance_test.go
@@ -13,7 +13,7 @@
 // what it lists follows an order a second later, cold for a second more.
 type site struct {
 	t             *testing.T
-	h             *Holder
+	h             *Controller
 	cfg           Config
 	now           time.Duration
 	list          []fleetconfig.Server
@@ -75,7 +75,7 @@
 		o := s.h.Tick(s.now)
 		s.polls += len(o.Polls)
 		for _, w := range o.Writes {
-			b, _ := OpenServerRecord(message.Rec{Key: w.Key, Val: w.Val, Dead: w.Gone})
+			b, _ := OpenServerRecord(message.Record{Key: w.Key, Value: w.Val, Deleted: w.Gone})
 			if b.To != "" && s.serverRecords[w.Key].To == "" {
 				s.shifts = append(s.shifts, s.now)
 			}
--- a/control/placement/pairs.go
+++ b/control/placement/pairs.go
@@ -10,7 +10,7 @@
 // first, fast links only, at least two where there are two. Servers whose parts
 // the platform tells are paired by the daemons, for each request: a record
 // that names all decode servers would be written anew for each that comes or goes.
-func (h *Holder) pairs(keys []string, o *Out) {
+func (h *Controller) pairs(keys []string, o *Out) {
 	var decodeServers []*server
 	for _, k := range keys {
 		if s := h.servers[k]; s.listed && s.Part == Decode && s.To == "" && s.Status != Dark && !s.leaving() {
--- a/control/placement/placement.go
+++ b/control/placement/placement.go
@@ -73,8 +73,8 @@
 // leaving: nothing new goes there, whoever said so.
 func (s *server) leaving() bool { return s.out || s.seen && s.usage.Leaving }
 
-// Holder is the state machine for the services of one part.
-type Holder struct {
+// Controller is the state machine for the services of one part.
+type Controller struct {
 	cfg     Config
 	term    uint64
 	since   time.Duration
@@ -92,9 +92,9 @@
 
 // New makes the holder of a new term; since is when no older one could act.
 //
-// Example: h := placement.New(cfg, replica.Num(), replica.Since())
-func New(cfg Config, term uint64, since time.Duration) *Holder {
-	return &Holder{
+// Example: h := placement.New(cfg, replica.Term(), replica.LeaderSince())
+func New(cfg Config, term uint64, since time.Duration) *Controller {
+	return &Controller{
 		cfg: cfg, term: term, since: since, servers: map[string]*server{}, daemons: map[string]*daemon{},
 		share: map[string]float64{}, moved: map[string]time.Duration{}, short: map[string]time.Duration{}, plan: map[string]fleetconfig.Service{}, out: map[string]bool{},
 	}
@@ -103,7 +103,7 @@
 // Plan tells the holder of the plan and the evacuated zones in force.
 //
 // Example: h.Plan(plan, zones)
-func (h *Holder) Plan(p fleetconfig.Plan, out map[string]bool) {
+func (h *Controller) Plan(p fleetconfig.Plan, out map[string]bool) {
 	h.plan = map[string]fleetconfig.Service{}
 	for _, s := range p.Services {
 		h.plan[s.Name] = s
@@ -114,7 +114,7 @@
 // Load tells the holder a service's list and server records as they are committed.
 //
 // Example: h.Load(now, "timetable", list, server records)
-func (h *Holder) Load(now time.Duration, svc string, list fleetconfig.List, serverRecords map[string]ServerRecord) {
+func (h *Controller) Load(now time.Duration, svc string, list fleetconfig.List, serverRecords map[string]ServerRecord) {
 	skip := map[string]bool{}
 	for _, a := range h.plan[svc].Exclude {
 		skip[a] = true
@@ -153,7 +153,7 @@
 // Wrote takes the fate of a write.
 //
 // Example: h.Wrote(key, server record, true)
-func (h *Holder) Wrote(key string, b ServerRecord, ok bool) {
+func (h *Controller) Wrote(key string, b ServerRecord, ok bool) {
 	if s := h.servers[key]; s != nil {
 		s.writing = false
 		if ok {
@@ -165,7 +165,7 @@
 	}
 }
 
-func (h *Holder) write(o *Out, key string, s *server, b ServerRecord, why string) {
+func (h *Controller) write(o *Out, key string, s *server, b ServerRecord, why string) {
 	s.writing = true
 	val, _ := json.Marshal(b)
 	o.Writes = append(o.Writes, Write{Key: key, Val: val})
@@ -175,7 +175,7 @@
 // Tick runs the systems over the tables.
 //
 // Example: out := h.Tick(now)
-func (h *Holder) Tick(now time.Duration) (o Out) {
+func (h *Controller) Tick(now time.Duration) (o Out) {
 	by := map[string][]string{}
 	for key, s := range h.servers {
 		by[s.svc] = append(by[s.svc], key)
--- a/control/placement/placement_test.go
+++ b/control/placement/placement_test.go
@@ -16,7 +16,7 @@
 	Dwell: 10 * time.Second, Window: 2400 * time.Millisecond, Drain: 24 * time.Second, Slow: 100 * time.Millisecond, Dark: 3, High: 0.9, Low: 0.6,
 }
 
-func fleet(n int) (*Holder, fleetconfig.List) {
+func fleet(n int) (*Controller, fleetconfig.List) {
 	h := New(cfg, 1, 0)
 	h.Plan(fleetconfig.Plan{Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}, nil)
 	var l fleetconfig.List
@@ -27,7 +27,7 @@
 }
 
 // drive runs the holder against perfect servers and returns the orders seen.
-func drive(h *Holder, l fleetconfig.List, from, to time.Duration, serverRecords map[string]ServerRecord, active func(string) int) (orders []Order, at []time.Duration) {
+func drive(h *Controller, l fleetconfig.List, from, to time.Duration, serverRecords map[string]ServerRecord, active func(string) int) (orders []Order, at []time.Duration) {
 	for now := from; now < to; now += 50 * time.Millisecond {
 		h.Load(now, "m", l, serverRecords)
 		o := h.Tick(now)
@@ -39,7 +39,7 @@
 			h.Ordered(now, x.Key, x, true)
 		}
 		for _, w := range o.Writes {
-			b, _ := OpenServerRecord(message.Rec{Key: w.Key, Val: w.Val, Dead: w.Gone})
+			b, _ := OpenServerRecord(message.Record{Key: w.Key, Value: w.Val, Deleted: w.Gone})
 			serverRecords[w.Key] = b
 			h.Wrote(w.Key, b, true)
 		}
@@ -289,7 +289,7 @@
 				h.Ordered(now, x.Key, x, true)
 			}
 			for _, w := range o.Writes {
-				b, _ := OpenServerRecord(message.Rec{Key: w.Key, Val: w.Val})
+				b, _ := OpenServerRecord(message.Record{Key: w.Key, Value: w.Val})
 				serverRecords[w.Key] = b
 				h.Wrote(w.Key, b, true)
 			}
--- a/control/placement/roles.go
+++ b/control/placement/roles.go
@@ -6,9 +6,9 @@
 )
 
 // mayOrder: a new holder waits until the older one surely stopped.
-func (h *Holder) mayOrder(now time.Duration) bool { return now-h.since >= h.cfg.Swap }
+func (h *Controller) mayOrder(now time.Duration) bool { return now-h.since >= h.cfg.Swap }
 
-func (h *Holder) order(now time.Duration, key string, s *server, part, why string, o *Out) {
+func (h *Controller) order(now time.Duration, key string, s *server, part, why string, o *Out) {
 	if !h.mayOrder(now) || s.ordering || now-s.orderAt < h.cfg.Poll {
 		return
 	}
@@ -21,7 +21,7 @@
 // Ordered takes a server's answer to an order.
 //
 // Example: h.Ordered(now, key, order, true)
-func (h *Holder) Ordered(now time.Duration, key string, o Order, ok bool) {
+func (h *Controller) Ordered(now time.Duration, key string, o Order, ok bool) {
 	if s := h.servers[key]; s != nil {
 		s.ordering = false
 		if ok {
@@ -31,7 +31,7 @@
 }
 
 // parts gives new servers a part and shifts servers between the sides.
-func (h *Holder) parts(now time.Duration, svc string, keys []string, o *Out) {
+func (h *Controller) parts(now time.Duration, svc string, keys []string, o *Out) {
 	count := map[string]int{}
 	busy := map[string]float64{}
 	moving := false
@@ -94,7 +94,7 @@
 	h.shift(now, svc, keys, count, busy, moving, o)
 }
 
-func (h *Holder) held(svc, addr string) int {
+func (h *Controller) held(svc, addr string) int {
 	n := 0
 	for id, d := range h.daemons {
 		if d.want.Service == svc && id != "" {
@@ -105,7 +105,7 @@
 }
 
 // demand is what waits for or holds each side, over all daemons.
-func (h *Holder) demand(svc string) (read, mk int) {
+func (h *Controller) demand(svc string) (read, mk int) {
 	for _, d := range h.daemons {
 		if d.want.Service == svc {
 			for p := range d.want.Read {
@@ -119,7 +119,7 @@
 
 // shift moves one server from the side that can spare it to the one that has
 // been short for a whole window; never the last, never below the plan.
-func (h *Holder) shift(now time.Duration, svc string, keys []string, count map[string]int, busy map[string]float64, moving bool, o *Out) {
+func (h *Controller) shift(now time.Duration, svc string, keys []string, count map[string]int, busy map[string]float64, moving bool, o *Out) {
 	if moving || h.listed(keys) || now-h.moved[svc] < h.cfg.Dwell || now-h.since < h.cfg.Swap {
 		return
 	}
--- a/control/placement/rows.go
+++ b/control/placement/rows.go
@@ -19,7 +19,7 @@
 // Rows snapshots the table of servers.
 //
 // Example: for _, r := range h.Rows(now) { ... }
-func (h *Holder) Rows(now time.Duration) []Row {
+func (h *Controller) Rows(now time.Duration) []Row {
 	var out []Row
 	for _, key := range sorted(h.servers) {
 		s := h.servers[key]
--- a/control/placement/shape.go
+++ b/control/placement/shape.go
@@ -36,11 +36,11 @@
 // error is of one that this build can't read.
 //
 // Example: b, ok, err := placement.ReadServerRecord(rec)
-func ReadServerRecord(r message.Rec) (b ServerRecord, ok bool, err error) {
-	if r.Dead || len(r.Val) == 0 {
+func ReadServerRecord(r message.Record) (b ServerRecord, ok bool, err error) {
+	if r.Deleted || len(r.Value) == 0 {
 		return b, false, nil
 	}
-	if err := json.Unmarshal(r.Val, &b); err != nil {
+	if err := json.Unmarshal(r.Value, &b); err != nil {
 		return ServerRecord{}, false, fmt.Errorf("server record %q can't be read: %w", r.Key, err)
 	}
 	return b, true, nil
@@ -50,7 +50,7 @@
 // before.
 //
 // Example: b, ok := placement.OpenServerRecord(rec)
-func OpenServerRecord(r message.Rec) (ServerRecord, bool) {
+func OpenServerRecord(r message.Record) (ServerRecord, bool) {
 	b, ok, err := ReadServerRecord(r)
 	if err != nil {
 		panic(err)
--- a/control/placement/shares.go
+++ b/control/placement/shares.go
@@ -21,7 +21,7 @@
 }
 
 // total is how many slots of a server may be out at daemons now.
-func (h *Holder) total(now time.Duration, s *server) int {
+func (h *Controller) total(now time.Duration, s *server) int {
 	if !s.listed || s.leaving() || s.To != "" || s.Status == Dark || !s.seen || s.anew || s.fails >= h.cfg.Dark || s.Part == "" {
 		return 0
 	}
@@ -51,7 +51,7 @@
 // urgent demand over the whole fleet leaves it, never more than are free.
 //
 // Example: share := h.Asked(now, ident, want, left)
-func (h *Holder) Asked(now time.Duration, ident string, w Want, left time.Duration) Share {
+func (h *Controller) Asked(now time.Duration, ident string, w Want, left time.Duration) Share {
 	id := w.Service + "/" + ident
 	d := h.daemons[id]
 	if d == nil {
@@ -90,7 +90,7 @@
 // by demand, and half of what nobody needs in equal parts. The other half is
 // kept so that new demand finds something at once. What doesn't divide evenly
 // goes round among the daemons, so that none waits for ever.
-func (h *Holder) quota(now time.Duration, svc, id, part string, n int) int {
+func (h *Controller) quota(now time.Duration, svc, id, part string, n int) int {
 	var ids []string
 	for k, d := range h.daemons {
 		if d.want.Service == svc {
@@ -146,7 +146,7 @@
 	return mine
 }
 
-func (h *Holder) divide(now time.Duration, id string, d *daemon, svc, part string, slots map[string]int) {
+func (h *Controller) divide(now time.Duration, id string, d *daemon, svc, part string, slots map[string]int) {
 	type row struct {
 		addr string
 		free int
--- a/control/placement/status.go
+++ b/control/placement/status.go
@@ -10,7 +10,7 @@
 // Polled takes a server's answer to a poll, or its silence.
 //
 // Example: h.Polled(now, key, usage, true)
-func (h *Holder) Polled(now time.Duration, key string, u Usage, ok bool) {
+func (h *Controller) Polled(now time.Duration, key string, u Usage, ok bool) {
 	s := h.servers[key]
 	if s == nil {
 		return
@@ -39,14 +39,14 @@
 }
 
 // young tells whether a server is warming up, by its own word or its uptime.
-func (h *Holder) young(s *server) bool {
+func (h *Controller) young(s *server) bool {
 	if s.told != "" {
 		return s.cold
 	}
 	return s.seen && (s.usage.Warming || s.usage.Uptime > 0 && time.Duration(s.usage.Uptime)*time.Millisecond < h.cfg.Warm)
 }
 
-func (h *Holder) poll(now time.Duration, keys []string, o *Out) {
+func (h *Controller) poll(now time.Duration, keys []string, o *Out) {
 	for _, key := range keys {
 		s := h.servers[key]
 		if s.listed && s.told == "" && !s.polling && now-s.pollAt >= h.cfg.Poll {
@@ -57,7 +57,7 @@
 }
 
 // status writes what the polls and the list say, and removes what left.
-func (h *Holder) status(now time.Duration, keys []string, o *Out) {
+func (h *Controller) status(now time.Duration, keys []string, o *Out) {
 	for _, key := range keys {
 		s := h.servers[key]
 		if s.writing {
@@ -114,7 +114,7 @@
 // listing takes what the platform's list says of a server beside its place.
 // A part named there counts as ordered until this holder orders another; it
 // lags behind an order, so a changed word is followed, a standing one is not.
-func (h *Holder) listing(s *server, e fleetconfig.Server) {
+func (h *Controller) listing(s *server, e fleetconfig.Server) {
 	if e.Part == "" {
 		return
 	}
--- a/control/placement/stored_test.go
+++ b/control/placement/stored_test.go
@@ -16,7 +16,7 @@
 	golden.Check(t, "server-record.json", completeServerRecord(), golden.Encoding[ServerRecord]{
 		Encode: golden.JSON[ServerRecord]().Encode,
 		Decode: func(value []byte) (ServerRecord, error) {
-			record, _, err := ReadServerRecord(message.Rec{Key: "k", Val: value})
+			record, _, err := ReadServerRecord(message.Record{Key: "k", Value: value})
 			return record, err
 		},
 	})
--- a/control/placement/vacant.go
+++ b/control/placement/vacant.go
@@ -17,7 +17,7 @@
 // the last prefill server goes, too: a decode server reads prompts itself.
 // Without a prefill server the decode servers read on, at a slower pace, so
 // their last one stays, and there is time to see whether another comes.
-func (h *Holder) fillVacant(now time.Duration, svc string, s sides, o *Out) bool {
+func (h *Controller) fillVacant(now time.Duration, svc string, s sides, o *Out) bool {
 	key := svc + "/no " + Prefill
 	switch {
 	case s.present[Decode] == 0 && len(s.inUse[Prefill]) > 0:
@@ -39,13 +39,13 @@
 }
 
 // shiftTo begins the shift of the server of a side that has the least to do.
-func (h *Holder) shiftTo(now time.Duration, svc, to string, from []string, why string, o *Out) {
+func (h *Controller) shiftTo(now time.Duration, svc, to string, from []string, why string, o *Out) {
 	h.beginShift(now, svc, h.easiest(from), to, why, o)
 }
 
 // beginShift has a server leave its part for another; the order follows once
 // nothing of the old part is under way there.
-func (h *Holder) beginShift(now time.Duration, svc, at, to, why string, o *Out) {
+func (h *Controller) beginShift(now time.Duration, svc, at, to, why string, o *Out) {
 	pick := h.servers[at]
 	h.moved[svc], pick.leftAt = now, now
 	b := pick.ServerRecord
--- a/control/quorum/crowd_test.go
+++ b/control/quorum/crowd_test.go
@@ -19,8 +19,8 @@
 	replicas map[string]*Replica
 	down     map[string]bool
 	lose     func(to string, n message.Message) bool
-	done     []Done
-	queue    []message.Send
+	done     []WriteResult
+	queue    []message.Envelope
 }
 
 func replicaOf(id string) message.Replica { return message.Replica{Ident: id, Addr: id} }
@@ -36,7 +36,7 @@
 func newCrowd(t *testing.T, members, others []string) *crowd {
 	c := &crowd{t: t, replicas: map[string]*Replica{}, down: map[string]bool{}, lose: func(string, message.Message) bool { return false }}
 	for _, id := range members {
-		c.replicas[id] = New(timed, 1, replicaOf(id), nil, Meta{Group: message.Group{Num: 1, Replicas: replicasOf(members...)}}, digest.NewRecords(), 0, true)
+		c.replicas[id] = New(timed, 1, replicaOf(id), nil, Meta{Group: message.Group{Number: 1, Replicas: replicasOf(members...)}}, digest.NewRecords(), 0, true)
 	}
 	for _, id := range others {
 		c.replicas[id] = New(timed, 1, replicaOf(id), nil, Meta{}, digest.NewRecords(), 0, true)
@@ -44,10 +44,10 @@
 	return c
 }
 
-var timed = Config{LeaderLease: cfg.LeaderLease, Drift: cfg.Drift, Margin: cfg.Margin, Beat: cfg.Beat, Gone: 2 * time.Second}
+var timed = Config{LeaderLease: cfg.LeaderLease, Drift: cfg.Drift, Margin: cfg.Margin, HeartbeatInterval: cfg.HeartbeatInterval, LostAfter: 2 * time.Second}
 
 func (c *crowd) carry(id string, o Out) {
-	c.done = append(c.done, o.Done...)
+	c.done = append(c.done, o.Results...)
 	for _, m := range o.Sends {
 		m.Message.From, m.Message.Addr, m.Message.Epoch, m.Message.Partition = id, id, 1, 1
 		c.queue = append(c.queue, m)
@@ -66,7 +66,7 @@
 		if s == nil || c.down[m.Message.To] || c.down[m.Message.From] || c.lose(m.Message.To, m.Message) {
 			continue
 		}
-		c.carry(m.Message.To, s.Hear(c.now, m.Message))
+		c.carry(m.Message.To, s.Step(c.now, m.Message))
 	}
 }
 
@@ -102,10 +102,10 @@
 func (c *crowd) write(key string) bool {
 	id, s := c.leader()
 	c.done = nil
-	o, _ := s.Write(c.now, 9, []message.Rec{{Key: key, Val: []byte(key)}})
+	o, _ := s.Write(c.now, 9, []message.Record{{Key: key, Value: []byte(key)}})
 	c.carry(id, o)
 	c.run()
-	return slices.Contains(c.done, Done{9, Written})
+	return slices.Contains(c.done, WriteResult{9, Committed})
 }
 
 // learn has the leader keep copies at standbys, and go on with a step.
@@ -113,8 +113,8 @@
 	return func() {
 		for id, s := range c.replicas {
 			if !c.down[id] && s.Leader(c.now) {
-				c.carry(id, s.Learn(c.now, replicasOf(ids...)))
-				c.carry(id, s.Proceed(c.now, 0))
+				c.carry(id, s.SetLearners(c.now, replicasOf(ids...)))
+				c.carry(id, s.ContinueChange(c.now, 0))
 			}
 		}
 	}
@@ -124,9 +124,9 @@
 func (c *crowd) replace(out, in string) {
 	c.t.Helper()
 	id, s := c.leader()
-	o, ok := s.Replace(c.now, 0, out, replicaOf(in))
+	o, ok := s.ReplaceReplica(c.now, 0, out, replicaOf(in))
 	if !ok {
-		c.t.Fatalf("%v: %s doesn't begin to replace %s by %s: group %+v, at hand %v", c.now, id, out, in, s.Group(), s.AtHand(c.now, in))
+		c.t.Fatalf("%v: %s doesn't begin to replace %s by %s: group %+v, at hand %v", c.now, id, out, in, s.Group(), s.LearnerReady(c.now, in))
 	}
 	c.carry(id, o)
 }
--- a/control/quorum/early_test.go
+++ b/control/quorum/early_test.go
@@ -10,7 +10,7 @@
 )
 
 var (
-	three = message.Group{Num: 1, Replicas: []message.Replica{{Ident: "a", Addr: "a"}, {Ident: "b", Addr: "b"}, {Ident: "x", Addr: "x"}}}
+	three = message.Group{Number: 1, Replicas: []message.Replica{{Ident: "a", Addr: "a"}, {Ident: "b", Addr: "b"}, {Ident: "x", Addr: "x"}}}
 	whole = cfg.Wait(cfg.LeaderLease) // how long a voter waits for a lease that it may have supported
 )
 
@@ -33,11 +33,11 @@
 // hear gives the replica a message from one life of another and returns its answers.
 func (v *voter) hear(now time.Duration, from string, epoch uint64, n message.Message) []message.Message {
 	n.From, n.Addr, n.Epoch, n.Partition = from, from, epoch, 1
-	if n.Kind == message.Ask {
+	if n.Kind == message.KindRequestVote {
 		n.Group = v.s.Group()
 	}
 	v.sent = nil
-	v.carry(v.s.Hear(now, n))
+	v.carry(v.s.Step(now, n))
 	return v.sent
 }
 
@@ -45,12 +45,12 @@
 // how long leases may stand by the replica's promise, or how long it is bound.
 func (v *voter) ask(now time.Duration, from string, epoch, num uint64) (promised bool, left time.Duration) {
 	v.t.Helper()
-	out := v.hear(now, from, epoch, message.Message{Kind: message.Ask, Num: num, Len: int64(whole)})
+	out := v.hear(now, from, epoch, message.Message{Kind: message.KindRequestVote, Term: num, Length: int64(whole)})
 	if len(out) == 0 {
 		v.t.Fatalf("term %d of %s: no answer", num, from)
 	}
 	last := out[len(out)-1]
-	return last.Kind == message.Promise, time.Duration(last.Len)
+	return last.Kind == message.KindGrantVote, time.Duration(last.Length)
 }
 
 // restarted is a voter that starts at 0 and was bound to term 5 of x's life 3.
@@ -62,7 +62,7 @@
 func running(t *testing.T) *voter {
 	v := restarted(t)
 	for at := 9 * time.Second; at <= 10*time.Second; at += 250 * time.Millisecond {
-		if out := v.hear(at, "x", 3, message.Message{Kind: message.Support, Num: 5, No: uint64(at)}); len(out) != 1 || out[0].Kind != message.Supported {
+		if out := v.hear(at, "x", 3, message.Message{Kind: message.KindHeartbeat, Term: 5, RequestID: uint64(at)}); len(out) != 1 || out[0].Kind != message.KindHeartbeatAck {
 			t.Fatalf("%+v", out)
 		}
 	}
@@ -74,8 +74,8 @@
 // of anybody else's new one, a sign that it is gone.
 func TestARestartedVoterWaits(t *testing.T) {
 	v := restarted(t)
-	v.hear(10*time.Millisecond, "x", 3, message.Message{Kind: message.Refuse})
-	v.hear(20*time.Millisecond, "b", 9, message.Message{Kind: message.Refuse})
+	v.hear(10*time.Millisecond, "x", 3, message.Message{Kind: message.KindRejectVote})
+	v.hear(20*time.Millisecond, "b", 9, message.Message{Kind: message.KindRejectVote})
 	for _, at := range []time.Duration{30 * time.Millisecond, whole / 2, whole - 1} {
 		if ok, left := v.ask(at, "b", 9, 6); ok || left != whole-at {
 			t.Errorf("at %v: promised %v, %v left", at, ok, left)
@@ -99,7 +99,7 @@
 		till time.Duration
 	}{"restarted": {restarted, 300 * time.Millisecond, whole}, "running": {running, last + 300*time.Millisecond, last + whole}} {
 		v := x.make(t)
-		v.hear(x.at, "x", 4, message.Message{Kind: message.Refuse})
+		v.hear(x.at, "x", 4, message.Message{Kind: message.KindRejectVote})
 		if ok, left := v.ask(x.at+time.Millisecond, "b", 1, 6); !ok || left != x.till-x.at-time.Millisecond {
 			t.Errorf("%s: asked by another: promised %v, leases may stand for %v", what, ok, left)
 		}
@@ -108,8 +108,8 @@
 			t.Errorf("%s: asked by the new life itself: promised %v, leases may stand for %v", what, ok, left)
 		}
 		v = x.make(t) // and a probe finds it free, and it stands itself
-		v.hear(x.at, "x", 4, message.Message{Kind: message.Refuse})
-		if out := v.hear(x.at, "b", 1, message.Message{Kind: message.Ask, Op: probe, Num: 6, Len: int64(whole)}); len(out) != 1 || out[0].Kind != message.Promise {
+		v.hear(x.at, "x", 4, message.Message{Kind: message.KindRejectVote})
+		if out := v.hear(x.at, "b", 1, message.Message{Kind: message.KindRequestVote, Op: probe, Term: 6, Length: int64(whole)}); len(out) != 1 || out[0].Kind != message.KindGrantVote {
 			t.Errorf("%s: probed: %+v", what, out)
 		}
 		if n := len(v.s.Tick(x.at + cfg.LeaderLease/4).Sends); n == 0 {
@@ -122,13 +122,13 @@
 func TestNoEarlyPromiseToAnOlderBuild(t *testing.T) {
 	v := running(t)
 	at := 10*time.Second + 300*time.Millisecond
-	v.hear(at, "x", 4, message.Message{Kind: message.Refuse})
+	v.hear(at, "x", 4, message.Message{Kind: message.KindRejectVote})
 	for _, op := range []string{probe, ""} {
-		if out := v.hear(at, "b", 1, message.Message{Kind: message.Ask, Op: op, Num: 6}); len(out) != 1 || out[0].Kind != message.Refuse || out[0].Len != int64(10*time.Second+whole-at) {
+		if out := v.hear(at, "b", 1, message.Message{Kind: message.KindRequestVote, Op: op, Term: 6}); len(out) != 1 || out[0].Kind != message.KindRejectVote || out[0].Length != int64(10*time.Second+whole-at) {
 			t.Errorf("%q: %+v", op, out)
 		}
 	}
-	if out := v.hear(10*time.Second+whole, "b", 1, message.Message{Kind: message.Ask, Num: 6}); len(out) != 1 || out[0].Kind != message.Promise {
+	if out := v.hear(10*time.Second+whole, "b", 1, message.Message{Kind: message.KindRequestVote, Term: 6}); len(out) != 1 || out[0].Kind != message.KindGrantVote {
 		t.Errorf("after the lease: %+v", out)
 	}
 }
@@ -146,7 +146,7 @@
 	for _, to := range []string{"x", "a"} { // bound to another, or to itself
 		m.To = to
 		v := &voter{t: t, s: New(cfg, 1, three.Replicas[0], nil, m, digest.NewRecords(), 0, false)}
-		v.hear(time.Millisecond, "x", 99, message.Message{Kind: message.Refuse})
+		v.hear(time.Millisecond, "x", 99, message.Message{Kind: message.KindRejectVote})
 		if ok, left := v.ask(2*time.Millisecond, "b", 1, 6); ok || left != whole-2*time.Millisecond {
 			t.Errorf("bound to %s: promised %v, %v left", to, ok, left)
 		}
@@ -165,16 +165,16 @@
 			v.t.Fatal("it does not stand")
 		}
 		for _, n := range v.tick(now) {
-			if n.Kind == message.Ask && n.Op == probe && n.To == "b" {
-				if n.Len != int64(whole) {
-					v.t.Errorf("a probe that promises to write nothing for %v", time.Duration(n.Len))
+			if n.Kind == message.KindRequestVote && n.Op == probe && n.To == "b" {
+				if n.Length != int64(whole) {
+					v.t.Errorf("a probe that promises to write nothing for %v", time.Duration(n.Length))
 				}
-				v.self(now, v.hear(now, "b", 1, message.Message{Kind: message.Promise, Op: probe, Num: v.s.Num(), Group: message.Group{Num: 1}}))
+				v.self(now, v.hear(now, "b", 1, message.Message{Kind: message.KindGrantVote, Op: probe, Term: v.s.Term(), Group: message.Group{Number: 1}}))
 			}
 		}
 	}
-	v.self(now, v.hear(now, "b", 1, message.Message{Kind: message.Promise, Num: v.s.Num(), Digs: v.s.Records().Digs(), Len: int64(stand), Group: message.Group{Num: 1}}))
-	v.self(now, v.hear(now, "b", 1, message.Message{Kind: message.Filled, Num: v.s.Num()}))
+	v.self(now, v.hear(now, "b", 1, message.Message{Kind: message.KindGrantVote, Term: v.s.Term(), Digests: v.s.Records().Digests(), Length: int64(stand), Group: message.Group{Number: 1}}))
+	v.self(now, v.hear(now, "b", 1, message.Message{Kind: message.KindStateInstalled, Term: v.s.Term()}))
 	if !v.s.Leader(now) {
 		v.t.Fatalf("no leader at %v", now)
 	}
@@ -194,7 +194,7 @@
 		if n.To == "a" {
 			n.From, n.Addr, n.Epoch, n.Partition = "a", "a", 1, 1
 			v.sent = nil
-			v.carry(v.s.Hear(now, n))
+			v.carry(v.s.Step(now, n))
 			v.self(now, v.sent)
 		}
 	}
@@ -206,15 +206,15 @@
 	for stand, want := range map[time.Duration]time.Duration{0: 0, 700 * time.Millisecond: cfg.Wait(700 * time.Millisecond), 1 << 62: cfg.Wait(whole), -time.Hour: 0} {
 		v := restarted(t)
 		v.elect(10*time.Second, stand)
-		if calm := v.s.Calm(); want == 0 && calm != 0 || want > 0 && (calm < 10*time.Second+want || calm > 10*time.Second+want+cfg.LeaderLease) {
+		if calm := v.s.WritesFrom(); want == 0 && calm != 0 || want > 0 && (calm < 10*time.Second+want || calm > 10*time.Second+want+cfg.LeaderLease) {
 			t.Errorf("leases stand for %v: calm at %v", stand, calm)
 		}
 	}
 	// Its own voice counts like another's: it was bound to x until 11.04 s.
 	v := running(t)
-	v.hear(10*time.Second+100*time.Millisecond, "x", 4, message.Message{Kind: message.Refuse})
+	v.hear(10*time.Second+100*time.Millisecond, "x", 4, message.Message{Kind: message.KindRejectVote})
 	v.elect(10*time.Second+110*time.Millisecond, 0)
-	if calm := v.s.Calm(); calm < 10*time.Second+whole {
+	if calm := v.s.WritesFrom(); calm < 10*time.Second+whole {
 		t.Errorf("calm at %v, though its own voter knew of leases until %v", calm, 10*time.Second+whole)
 	}
 }
@@ -224,7 +224,7 @@
 func TestTheQuietTimeIsPassedOn(t *testing.T) {
 	start := func() (*voter, time.Duration) { // b is promised early, for leases under x
 		v := running(t)
-		v.hear(10*time.Second+100*time.Millisecond, "x", 4, message.Message{Kind: message.Refuse})
+		v.hear(10*time.Second+100*time.Millisecond, "x", 4, message.Message{Kind: message.KindRejectVote})
 		if ok, _ := v.ask(10*time.Second+200*time.Millisecond, "b", 1, 6); !ok {
 			t.Fatal("not promised")
 		}
@@ -240,7 +240,7 @@
 		t.Error("promised to another while the early leader's lease stands")
 	}
 	v, at = start() // b may have granted until its own lease ends, 1.04 s after the promise
-	v.hear(at, "b", 2, message.Message{Kind: message.Refuse})
+	v.hear(at, "b", 2, message.Message{Kind: message.KindRejectVote})
 	if ok, left := v.ask(at, "x", 4, 7); !ok || left != 10*time.Second+200*time.Millisecond+whole-at {
 		t.Errorf("the early leader started anew: promised %v, leases may stand for %v", ok, left)
 	}
@@ -251,12 +251,12 @@
 func TestAVoidBindsAsBefore(t *testing.T) {
 	at := 10*time.Second + 100*time.Millisecond
 	v := running(t)
-	v.hear(at, "x", 4, message.Message{Kind: message.Refuse})
+	v.hear(at, "x", 4, message.Message{Kind: message.KindRejectVote})
 	before := v.s.Meta()
 	if ok, _ := v.ask(at, "b", 1, 6); !ok {
 		t.Fatal("not promised")
 	}
-	v.hear(at, "b", 1, message.Message{Kind: message.Void, Num: 6})
+	v.hear(at, "b", 1, message.Message{Kind: message.KindAbandonTerm, Term: 6})
 	if m := v.s.Meta(); m.Promised != 5 || m.To != "x" || m.ToEpoch != 3 || m.LastComplete != before.LastComplete {
 		t.Errorf("bound to %+v", m)
 	}
@@ -268,8 +268,8 @@
 	v = running(t)
 	at = 10*time.Second + whole
 	v.ask(at, "b", 1, 6)
-	v.hear(at, "b", 1, message.Message{Kind: message.Void, Num: 6})
-	if out := v.hear(at, "x", 3, message.Message{Kind: message.Support, Num: 5, No: 1}); len(out) != 1 || out[0].Kind != message.Supported {
+	v.hear(at, "b", 1, message.Message{Kind: message.KindAbandonTerm, Term: 6})
+	if out := v.hear(at, "x", 3, message.Message{Kind: message.KindHeartbeat, Term: 5, RequestID: 1}); len(out) != 1 || out[0].Kind != message.KindHeartbeatAck {
 		t.Errorf("after the void: %+v", out)
 	}
 
@@ -278,7 +278,7 @@
 	v = running(t)
 	v.ask(at, "b", 1, 6)
 	v.s = New(cfg, 1, three.Replicas[0], nil, v.s.Meta(), digest.NewRecords(), at, false)
-	v.hear(at, "b", 1, message.Message{Kind: message.Void, Num: 6})
+	v.hear(at, "b", 1, message.Message{Kind: message.KindAbandonTerm, Term: 6})
 	if m := v.s.Meta(); m.Promised != 6 || m.To != "b" {
 		t.Errorf("after a restart and a void: bound to %+v", m)
 	}
--- a/control/quorum/fill.go
+++ b/control/quorum/fill.go
@@ -17,31 +17,31 @@
 	s.fillAt[to.Ident] = now
 	var spans []int
 	if digs != nil { // without them this only asks for them
-		spans = digest.Differ(s.records.Digs(), digs)
+		spans = digest.DifferingRanges(s.records.Digests(), digs)
 	}
-	o.send(to, message.Message{Kind: message.Fill, Partition: s.partition, Num: s.num, LastComplete: s.records.Sum(), Digs: digs, Spans: spans, Recs: s.records.Within(spans), Group: s.meta.Group})
+	o.send(to, message.Message{Kind: message.KindInstallState, Partition: s.partition, Term: s.num, LastComplete: s.records.Sum(), Digests: digs, Ranges: spans, Records: s.records.RecordsIn(spans), Group: s.meta.Group})
 }
 
 // fill makes this replica's records equal to the leader's. Ranges are replaced whole
 // only when the records are still those the leader saw and was not yet brought
 // to this term; later fills only add what is newer.
 func (s *Replica) fill(from message.Replica, n message.Message, o *Out) {
-	if !n.Group.Has(n.From) || n.From == s.me.Ident || n.Group.Num < s.meta.Group.Num {
+	if !n.Group.Has(n.From) || n.From == s.me.Ident || n.Group.Number < s.meta.Group.Number {
 		return
 	}
 	out := s.meta.Group.Has(s.me.Ident) && !n.Group.Has(s.me.Ident) // of the group: then no promise stands
-	if !out && (s.meta.Promised > n.Num || s.meta.Promised == n.Num && s.meta.To != n.From) {
+	if !out && (s.meta.Promised > n.Term || s.meta.Promised == n.Term && s.meta.To != n.From) {
 		return
 	}
 	s.adopt(n.Group)
-	if s.meta.Promised < n.Num {
+	if s.meta.Promised < n.Term {
 		// A replica that missed the term joins it: a majority has settled it.
-		s.meta.Promised, s.meta.To, s.meta.ToEpoch = n.Num, n.From, n.Epoch
+		s.meta.Promised, s.meta.To, s.meta.ToEpoch = n.Term, n.From, n.Epoch
 		s.drop(o)
 		s.bound = s.tick + 1 // with the next save
 	}
-	done := message.Send{Addr: from.Addr, Message: message.Message{Kind: message.Filled, Partition: s.partition, Num: n.Num, To: from.Ident}}
-	held := s.meta.LastComplete == n.Num && !s.meta.Short
+	done := message.Envelope{Addr: from.Addr, Message: message.Message{Kind: message.KindStateInstalled, Partition: s.partition, Term: n.Term, To: from.Ident}}
+	held := s.meta.LastComplete == n.Term && !s.meta.Short
 	if held && n.Op == compare {
 		s.compared(from, n, o)
 		return
@@ -51,9 +51,9 @@
 		return
 	}
 	if held {
-		var recs []message.Rec
-		for _, r := range n.Recs {
-			if s.records.Take(r) {
+		var recs []message.Record
+		for _, r := range n.Records {
+			if s.records.PutNewer(r) {
 				recs = append(recs, r)
 			}
 		}
@@ -62,35 +62,35 @@
 	}
 	// What it would make of these records must be the leader's: a copy that was cut
 	// short is none. A build that doesn't tell its sum is believed.
-	if len(digest.Differ(s.records.Digs(), n.Digs)) > 0 || n.LastComplete != 0 && n.LastComplete != s.records.After(n.Spans, n.Recs) {
-		o.send(from, message.Message{Kind: message.Unfit, Partition: s.partition, Num: n.Num, Digs: s.records.Digs()})
+	if len(digest.DifferingRanges(s.records.Digests(), n.Digests)) > 0 || n.LastComplete != 0 && n.LastComplete != s.records.SumAfterInstall(n.Ranges, n.Records) {
+		o.send(from, message.Message{Kind: message.KindStateMismatch, Partition: s.partition, Term: n.Term, Digests: s.records.Digests()})
 		return
 	}
-	for _, sp := range n.Spans {
+	for _, sp := range n.Ranges {
 		var gone []string
-		for r := range s.records.In(sp) {
+		for r := range s.records.InRange(sp) {
 			gone = append(gone, r.Key)
 		}
 		for _, k := range gone {
 			s.records.Drop(k)
 		}
 	}
-	for _, r := range n.Recs {
+	for _, r := range n.Records {
 		s.records.Put(r)
 	}
-	s.meta.LastComplete, s.meta.Short = n.Num, false
-	s.save(o, n.Spans, n.Recs, done)
+	s.meta.LastComplete, s.meta.Short = n.Term, false
+	s.save(o, n.Ranges, n.Records, done)
 }
 
 // prune drops what is below the floor, if the floor is among the new records.
-func (s *Replica) prune(recs []message.Rec) (gone []string) {
+func (s *Replica) prune(recs []message.Record) (gone []string) {
 	for _, r := range recs {
 		if r.Key != FloorKey {
 			continue
 		}
 		floor := floorOf(s.records)
 		for x := range s.records.All() {
-			if strings.HasPrefix(x.Key, FloorOf) && x.Ver.Less(floor) {
+			if strings.HasPrefix(x.Key, FloorOf) && x.Version.Less(floor) {
 				gone = append(gone, x.Key)
 			}
 		}
@@ -101,12 +101,12 @@
 	return gone
 }
 
-func (s *Replica) save(o *Out, wipe []int, recs []message.Rec, then ...message.Send) {
-	s.put(o, Save{Wipe: wipe, Recs: recs, Drop: s.prune(recs)}, then...)
+func (s *Replica) save(o *Out, wipe []int, recs []message.Record, then ...message.Envelope) {
+	s.put(o, Save{Wipe: wipe, Records: recs, Delete: s.prune(recs)}, then...)
 }
 
 // put gives the disk a save; then goes out once it is there.
-func (s *Replica) put(o *Out, v Save, then ...message.Send) {
+func (s *Replica) put(o *Out, v Save, then ...message.Envelope) {
 	s.tick++
 	if s.folder != nil {
 		s.meta.State, s.meta.History = s.folder.stamp(), s.folder.past
@@ -138,9 +138,9 @@
 }
 
 // floorOf is the version below which once keys are no longer kept.
-func floorOf(b *digest.Records) (v message.Ver) {
-	if r, ok := b.Get(FloorKey); ok && json.Unmarshal(r.Val, &v) != nil {
-		return message.Ver{}
+func floorOf(b *digest.Records) (v message.Version) {
+	if r, ok := b.Get(FloorKey); ok && json.Unmarshal(r.Value, &v) != nil {
+		return message.Version{}
 	}
 	return v
 }
--- a/control/quorum/folder.go
+++ b/control/quorum/folder.go
@@ -17,10 +17,10 @@
 // older for all partitions as soon as one of them saved something since.
 type Folder struct {
 	epoch  uint64
-	base   message.Stamp   // the state that this incarnation started from
-	past   []message.Stamp // the last state of each earlier incarnation, the latest at the end
-	saves  atomic.Uint64   // of this incarnation
-	synced atomic.Uint64   // the latest of them that is known to be on disk
+	base   message.SavePoint   // the state that this incarnation started from
+	past   []message.SavePoint // the last state of each earlier incarnation, the latest at the end
+	saves  atomic.Uint64       // of this incarnation
+	synced atomic.Uint64       // the latest of them that is known to be on disk
 }
 
 // OpenFolder begins an incarnation over what a folder's replicas held.
@@ -37,9 +37,9 @@
 		}
 	}
 	for epoch, saves := range last {
-		f.past = append(f.past, message.Stamp{Epoch: epoch, Saves: saves})
+		f.past = append(f.past, message.SavePoint{Epoch: epoch, Saves: saves})
 	}
-	slices.SortFunc(f.past, func(a, b message.Stamp) int { return cmp.Compare(a.Epoch, b.Epoch) })
+	slices.SortFunc(f.past, func(a, b message.SavePoint) int { return cmp.Compare(a.Epoch, b.Epoch) })
 	f.past = f.past[max(0, len(f.past)-history):]
 	if len(f.past) > 0 {
 		f.base = f.past[len(f.past)-1]
@@ -48,7 +48,9 @@
 }
 
 // stamp numbers a save.
-func (f *Folder) stamp() message.Stamp { return message.Stamp{Epoch: f.epoch, Saves: f.saves.Add(1)} }
+func (f *Folder) stamp() message.SavePoint {
+	return message.SavePoint{Epoch: f.epoch, Saves: f.saves.Add(1)}
+}
 
 // onDisk notes that a save is on disk.
 func (f *Folder) onDisk(saves uint64) {
@@ -63,7 +65,7 @@
 // descends tells whether a state is in the folder's past. A folder that a build
 // which doesn't count wrote last claims nothing, nor does one whose past reaches
 // back less far.
-func (f *Folder) descends(from message.Stamp) bool {
+func (f *Folder) descends(from message.SavePoint) bool {
 	if from.Epoch == 0 || f.base.Epoch == 0 {
 		return true
 	}
--- a/control/quorum/group.go
+++ b/control/quorum/group.go
@@ -26,20 +26,20 @@
 // made them: no two leaders use one number, and a later leader's is the higher.
 const groupShift = 16
 
-// Found makes the first group of a fleet; only a replica without a group takes it.
+// Bootstrap makes the first group of a fleet; only a replica without a group takes it.
 //
-// Example: out := s.Found(now, message.Group{Num: 1, Replicas: three})
-func (s *Replica) Found(now time.Duration, g message.Group) (o Out) {
+// Example: out := s.Bootstrap(now, message.Group{Num: 1, Replicas: three})
+func (s *Replica) Bootstrap(now time.Duration, g message.Group) (o Out) {
 	s.now = now
 	defer func() { s.sign(&o) }()
-	if s.meta.Group.Num == 0 && g.Has(s.me.Ident) {
+	if s.meta.Group.Number == 0 && g.Has(s.me.Ident) {
 		s.join(now, g)
 		s.save(&o, nil, nil)
 		// Tell the others of the group, so that each stands for the partitions where
 		// it comes first and the leaderships are spread from the start.
 		for _, replica := range g.Replicas {
 			if replica.Ident != s.me.Ident {
-				o.send(replica, message.Message{Kind: message.Ask, Op: probe, Partition: s.partition, Group: g})
+				o.send(replica, message.Message{Kind: message.KindRequestVote, Op: probe, Partition: s.partition, Group: g})
 			}
 		}
 	}
@@ -47,7 +47,7 @@
 }
 
 func (s *Replica) join(now time.Duration, g message.Group) {
-	first := s.meta.Group.Num == 0
+	first := s.meta.Group.Number == 0
 	s.meta.Group = g
 	if first {
 		s.next = max(s.next, now+s.delay())
@@ -58,7 +58,7 @@
 // promise: the step that took its vote was committed by a majority that bound
 // every later candidate to the new group.
 func (s *Replica) adopt(g message.Group) {
-	if g.Num <= s.meta.Group.Num {
+	if g.Number <= s.meta.Group.Number {
 		return
 	}
 	if s.meta.Group.Has(s.me.Ident) && !g.Has(s.me.Ident) {
@@ -72,12 +72,12 @@
 // replicas have one, and standbys where they report on their copies.
 func (s *Replica) audible(n message.Message) bool {
 	switch g := s.meta.Group; {
-	case g.Num == 0 || g.Has(n.From):
+	case g.Number == 0 || g.Has(n.From):
 		return true
-	case n.Kind == message.Filled, n.Kind == message.Unfit, n.Kind == message.Accepted, n.Kind == message.Supported:
-		return s.standing(n.Num) && has(s.learn, n.From)
+	case n.Kind == message.KindStateInstalled, n.Kind == message.KindStateMismatch, n.Kind == message.KindReplicated, n.Kind == message.KindHeartbeatAck:
+		return s.standing(n.Term) && has(s.learn, n.From)
 	}
-	return n.Kind == message.Ask || n.Kind == message.Fill || n.Kind == message.Accept || n.Kind == message.Support
+	return n.Kind == message.KindRequestVote || n.Kind == message.KindInstallState || n.Kind == message.KindReplicate || n.Kind == message.KindHeartbeat
 }
 
 // peers lists whom the leader keeps up: the replicas and the standbys.
@@ -101,7 +101,7 @@
 		s.heard[replica.Ident] = s.askAt
 		if _, voted := s.votes[replica.Ident]; voted {
 			s.heard[replica.Ident] = now
-		} else if replica.Ident == s.hint.Replica.Ident {
+		} else if replica.Ident == s.hint.Leader.Ident {
 			s.heard[replica.Ident] = s.backed
 		}
 	}
@@ -109,27 +109,27 @@
 
 // replied records that a replica or standby answered to us as candidate or leader.
 func (s *Replica) replied(now time.Duration, n message.Message) {
-	if s.heard == nil || n.Num != s.num {
+	if s.heard == nil || n.Term != s.num {
 		return
 	}
 	switch n.Kind {
-	case message.Supported:
+	case message.KindHeartbeatAck:
 		if _, known := s.ending[n.From]; n.Op != parting {
 			delete(s.ending, n.From)
 		} else if !known {
 			s.ending[n.From] = now
 		}
-	case message.Filled, message.Unfit, message.Accepted, message.Refuse:
+	case message.KindStateInstalled, message.KindStateMismatch, message.KindReplicated, message.KindRejectVote:
 	default:
 		return
 	}
 	s.heard[n.From] = now
 }
 
-// Learn names the standbys; each is sent a copy and every write, and has no vote.
+// SetLearners names the standbys; each is sent a copy and every write, and has no vote.
 //
-// Example: out := s.Learn(now, standbys)
-func (s *Replica) Learn(now time.Duration, list []message.Replica) (o Out) {
+// Example: out := s.SetLearners(now, standbys)
+func (s *Replica) SetLearners(now time.Duration, list []message.Replica) (o Out) {
 	if !s.Leader(now) {
 		return o
 	}
@@ -171,62 +171,62 @@
 	delete(s.behind, id)
 }
 
-// AtHand tells whether a standby holds a copy, answered of late and stays.
+// LearnerReady tells whether a standby holds a copy, answered of late and stays.
 //
-// Example: if s.AtHand(now, "d") { out, _ := s.Replace(now, 0, "c", d) }
-func (s *Replica) AtHand(now time.Duration, id string) bool {
+// Example: if s.LearnerReady(now, "d") { out, _ := s.Replace(now, 0, "c", d) }
+func (s *Replica) LearnerReady(now time.Duration, id string) bool {
 	at, ok := s.heard[id]
-	return s.Leader(now) && has(s.learn, id) && s.filled[id] && ok && now-at < s.cfg.LeaderLease && !s.Parting(id)
+	return s.Leader(now) && has(s.learn, id) && s.filled[id] && ok && now-at < s.cfg.LeaderLease && !s.IsTerminating(id)
 }
 
-// Silent is for how long a replica has not answered to this leader.
+// SilentFor is for how long a replica has not answered to this leader.
 //
-// Example: if s.Silent(now, "c") > limit { replace() }
-func (s *Replica) Silent(now time.Duration, id string) time.Duration { return now - s.heard[id] }
+// Example: if s.SilentFor(now, "c") > limit { replace() }
+func (s *Replica) SilentFor(now time.Duration, id string) time.Duration { return now - s.heard[id] }
 
-// Missing tells whether a replica left two renewals without an answer.
+// MissedHeartbeats tells whether a replica left two renewals without an answer.
 //
-// Example: if s.Missing(now, "c") && another.Addr == c.Addr { replace() }
-func (s *Replica) Missing(now time.Duration, id string) bool {
-	return id != s.me.Ident && s.Silent(now, id) >= 2*s.cfg.Beat
+// Example: if s.MissedHeartbeats(now, "c") && another.Addr == c.Addr { replace() }
+func (s *Replica) MissedHeartbeats(now time.Duration, id string) bool {
+	return id != s.me.Ident && s.SilentFor(now, id) >= 2*s.cfg.HeartbeatInterval
 }
 
-// Gone tells whether a replica was silent for so long that a standby takes its place.
+// IsLost tells whether a replica was silent for so long that a standby takes its place.
 //
-// Example: if s.Gone(now, "c") { replace() }
-func (s *Replica) Gone(now time.Duration, id string) bool {
-	return id != s.me.Ident && s.Silent(now, id) >= s.cfg.Gone
+// Example: if s.IsLost(now, "c") { replace() }
+func (s *Replica) IsLost(now time.Duration, id string) bool {
+	return id != s.me.Ident && s.SilentFor(now, id) >= s.cfg.LostAfter
 }
 
-// Parting tells whether a replica's daemon was told to end.
+// IsTerminating tells whether a replica's daemon was told to end.
 //
-// Example: if s.Parting("c") { replace() }
-func (s *Replica) Parting(id string) bool {
+// Example: if s.IsTerminating("c") { replace() }
+func (s *Replica) IsTerminating(id string) bool {
 	_, ending := s.ending[id]
 	return ending
 }
 
-// Spared tells whether a replica whose daemon was told to end may go at once: each
+// MayLeave tells whether a replica whose daemon was told to end may go at once: each
 // other one has answered a renewal that was sent since that was known. One that
 // has not may be gone for good, and a standby is kept for it.
 //
-// Example: if s.Parting("c") && s.Spared(now, "c") { replace() }
-func (s *Replica) Spared(now time.Duration, id string) bool {
+// Example: if s.IsTerminating("c") && s.MayLeave(now, "c") { replace() }
+func (s *Replica) MayLeave(now time.Duration, id string) bool {
 	for _, r := range s.meta.Group.Replicas {
-		if r.Ident != id && r.Ident != s.me.Ident && (s.Missing(now, r.Ident) || s.heard[r.Ident] < s.ending[id]+s.cfg.Beat) {
+		if r.Ident != id && r.Ident != s.me.Ident && (s.MissedHeartbeats(now, r.Ident) || s.heard[r.Ident] < s.ending[id]+s.cfg.HeartbeatInterval) {
 			return false
 		}
 	}
 	return true
 }
 
-// Replace begins a step: a standby takes a replica's place. A leader doesn't take
+// ReplaceReplica begins a step: a standby takes a replica's place. A leader doesn't take
 // itself out, and no step begins while another is under way.
 //
-// Example: out, ok := s.Replace(now, 0, "c", d)
-func (s *Replica) Replace(now time.Duration, tag uint64, out string, in message.Replica) (o Out, ok bool) {
+// Example: out, ok := s.ReplaceReplica(now, 0, "c", d)
+func (s *Replica) ReplaceReplica(now time.Duration, tag uint64, out string, in message.Replica) (o Out, ok bool) {
 	g := s.meta.Group
-	if s.quit || s.changing() || out == s.me.Ident || !has(g.Replicas, out) || !s.AtHand(now, in.Ident) {
+	if s.quit || s.changing() || out == s.me.Ident || !has(g.Replicas, out) || !s.LearnerReady(now, in.Ident) {
 		return o, false
 	}
 	next := append([]message.Replica(nil), g.Replicas...)
@@ -246,14 +246,14 @@
 	return len(s.meta.Group.Next) > 0 || s.writes[s.step] != nil
 }
 
-// Proceed goes on with the step that is under way, this leader's or an earlier
+// ContinueChange goes on with the step that is under way, this leader's or an earlier
 // one's: it asks the newcomer again, finishes, or undoes the step if the
 // newcomer is silent or the leader would take itself out. It finishes only under
 // a lease that a majority of the next group supports: that majority need know
 // of no leader else, and two steps in a row would let it elect another.
 //
-// Example: out := s.Proceed(now, 0)
-func (s *Replica) Proceed(now time.Duration, tag uint64) (o Out) {
+// Example: out := s.ContinueChange(now, 0)
+func (s *Replica) ContinueChange(now time.Duration, tag uint64) (o Out) {
 	g := s.meta.Group
 	if !s.Leader(now) || len(g.Next) == 0 {
 		return o
@@ -267,8 +267,8 @@
 		if s.holdsWhole(replica.Ident) {
 			continue
 		}
-		ready, undo = false, undo || s.Gone(now, replica.Ident)
-		if now-s.fillAt[replica.Ident] >= s.cfg.Beat/4 {
+		ready, undo = false, undo || s.IsLost(now, replica.Ident)
+		if now-s.fillAt[replica.Ident] >= s.cfg.HeartbeatInterval/4 {
 			s.inquire(now, replica, &o)
 		}
 	}
@@ -295,7 +295,7 @@
 // regroup makes a group and has its majority, or both, take it.
 func (s *Replica) regroup(now time.Duration, tag uint64, replicas, next []message.Replica, o *Out) {
 	s.now = now
-	s.meta.Group = message.Group{Num: max(s.meta.Group.Num+1, s.num<<groupShift), Replicas: replicas, Next: next}
+	s.meta.Group = message.Group{Number: max(s.meta.Group.Number+1, s.num<<groupShift), Replicas: replicas, Next: next}
 	s.save(o, nil, nil)
 	for _, replica := range s.meta.Group.All() {
 		if !s.filled[replica.Ident] {
@@ -315,36 +315,36 @@
 // inquire asks a newcomer whether it holds all that is in our records now.
 func (s *Replica) inquire(now time.Duration, to message.Replica, o *Out) {
 	s.fillAt[to.Ident] = now
-	o.send(to, message.Message{Kind: message.Fill, Op: wholeCopy, Partition: s.partition, Num: s.num, No: s.meta.Group.Num, Digs: s.records.Digs(), Group: s.meta.Group})
+	o.send(to, message.Message{Kind: message.KindInstallState, Op: wholeCopy, Partition: s.partition, Term: s.num, RequestID: s.meta.Group.Number, Digests: s.records.Digests(), Group: s.meta.Group})
 }
 
 // complete sends a newcomer what it lacks.
 func (s *Replica) complete(to message.Replica, n message.Message, o *Out) {
-	spans := digest.Differ(s.records.Digs(), n.Digs)
-	o.send(to, message.Message{Kind: message.Fill, Op: wholeCopy, Partition: s.partition, Num: s.num, No: n.Ref, Digs: n.Digs, Spans: spans, Recs: s.records.Within(spans), Group: s.meta.Group})
+	spans := digest.DifferingRanges(s.records.Digests(), n.Digests)
+	o.send(to, message.Message{Kind: message.KindInstallState, Op: wholeCopy, Partition: s.partition, Term: s.num, RequestID: n.ResponseTo, Digests: n.Digests, Ranges: spans, Records: s.records.RecordsIn(spans), Group: s.meta.Group})
 }
 
 // completed is a newcomer's side: it says that it holds all, once it does and
 // that is on disk, or what it has.
 func (s *Replica) completed(from message.Replica, n message.Message, o *Out) {
-	if n.Spans == nil && len(digest.Differ(s.records.Digs(), n.Digs)) > 0 {
-		o.send(from, message.Message{Kind: message.Unfit, Op: wholeCopy, Partition: s.partition, Num: n.Num, Ref: n.No, Digs: s.records.Digs()})
+	if n.Ranges == nil && len(digest.DifferingRanges(s.records.Digests(), n.Digests)) > 0 {
+		o.send(from, message.Message{Kind: message.KindStateMismatch, Op: wholeCopy, Partition: s.partition, Term: n.Term, ResponseTo: n.RequestID, Digests: s.records.Digests()})
 		return
 	}
-	var recs []message.Rec
-	for _, r := range n.Recs {
-		if own, ok := s.records.Get(r.Key); !ok || own.Ver.Less(r.Ver) || own.Ver == r.Ver && digest.Print(own) != digest.Print(r) {
+	var recs []message.Record
+	for _, r := range n.Records {
+		if own, ok := s.records.Get(r.Key); !ok || own.Version.Less(r.Version) || own.Version == r.Version && digest.Fingerprint(own) != digest.Fingerprint(r) {
 			s.records.Put(r)
 			recs = append(recs, r)
 		}
 	}
-	s.save(o, nil, recs, message.Send{Addr: from.Addr, Message: message.Message{Kind: message.Filled, Op: wholeCopy, Partition: s.partition, Num: n.Num, Ref: n.No, To: from.Ident}})
+	s.save(o, nil, recs, message.Envelope{Addr: from.Addr, Message: message.Message{Kind: message.KindStateInstalled, Op: wholeCopy, Partition: s.partition, Term: n.Term, ResponseTo: n.RequestID, To: from.Ident}})
 }
 
 // holdsAll takes a newcomer's word; one that was given before this step began
 // counts for nothing.
 func (s *Replica) holdsAll(n message.Message) {
-	if len(s.meta.Group.Next) > 0 && n.Ref == s.meta.Group.Num {
+	if len(s.meta.Group.Next) > 0 && n.ResponseTo == s.meta.Group.Number {
 		s.whole[n.From], s.filled[n.From] = true, true
 	}
 }
--- a/control/quorum/group_test.go
+++ b/control/quorum/group_test.go
@@ -21,13 +21,13 @@
 	c.replace(out, "d")
 	c.wait(time.Second, c.learn())
 	c.lose = func(to string, n message.Message) bool {
-		return to == out || to == keep && n.Kind == message.Accept && len(n.Recs) > 0
+		return to == out || to == keep && n.Kind == message.KindReplicate && len(n.Records) > 0
 	}
 	if !c.write("k") || c.has(keep, "k") || c.has(out, "k") || !c.has("d", "k") {
 		t.Fatalf("group %s: %s has it: %v, %s: %v, d: %v", c.group(), keep, c.has(keep, "k"), out, c.has(out, "k"), c.has("d", "k"))
 	}
 	c.lose = func(to string, n message.Message) bool {
-		return to == out && n.Kind == message.Accept || to == keep && n.Kind == message.Accept && len(n.Recs) > 0
+		return to == out && n.Kind == message.KindReplicate || to == keep && n.Kind == message.KindReplicate && len(n.Records) > 0
 	}
 	c.wait(time.Second, c.learn(out))
 	c.replace("d", out)
@@ -83,7 +83,9 @@
 		first, one, two := c.others()
 		c.wait(time.Second, c.learn("d"))
 		c.replace(one, "d")
-		c.lose = func(to string, n message.Message) bool { return n.Op == wholeCopy || n.Kind == message.Filled } // the step stands, and no word that d holds all
+		c.lose = func(to string, n message.Message) bool {
+			return n.Op == wholeCopy || n.Kind == message.KindStateInstalled
+		} // the step stands, and no word that d holds all
 		c.run()
 		if _, s := c.leader(); len(s.Group().Next) == 0 || len(c.replicas[two].Group().Next) == 0 {
 			t.Fatalf("no step: %+v, %s has %+v", s.Group(), two, c.replicas[two].Group())
@@ -116,7 +118,7 @@
 	s := c.replicas[own]
 	refused := func(what, out, in string) {
 		t.Helper()
-		if o, ok := s.Replace(c.now, 0, out, replicaOf(in)); ok || len(o.Sends)+len(o.Saves) > 0 {
+		if o, ok := s.ReplaceReplica(c.now, 0, out, replicaOf(in)); ok || len(o.Sends)+len(o.Saves) > 0 {
 			t.Errorf("%s: %s is replaced by %s", what, out, in)
 		}
 	}
@@ -125,16 +127,16 @@
 	refused("itself", own, "d")
 	refused("no replica", "e", "d")
 	c.down["d"] = true
-	c.wait(timed.LeaderLease+timed.Beat, c.learn("d", "e", "f"))
+	c.wait(timed.LeaderLease+timed.HeartbeatInterval, c.learn("d", "e", "f"))
 	refused("a standby that is silent", one, "d")
 	c.down["d"] = false
 	c.wait(time.Second, c.learn("d", "e", "f"))
 	c.replicas["d"].Resign()
-	c.wait(timed.Beat*2, c.learn("d", "e", "f"))
+	c.wait(timed.HeartbeatInterval*2, c.learn("d", "e", "f"))
 	refused("a standby that ends", one, "d")
 	c.replace(one, "e")
 	refused("two at once", two, "f")
-	if !s.AtHand(c.now, "f") {
+	if !s.LearnerReady(c.now, "f") {
 		t.Error("f is not at hand")
 	}
 	c.wait(time.Second, c.learn("d", "e", "f"))
@@ -159,7 +161,7 @@
 	c.down[one] = false
 	c.wait(2*time.Second, c.learn(one))
 	id, s := c.leader()
-	if !s.AtHand(c.now, one) || c.replicas[one].Group().Has(one) || c.replicas[one].Meta().Tried != 40 {
+	if !s.LearnerReady(c.now, one) || c.replicas[one].Group().Has(one) || c.replicas[one].Meta().Tried != 40 {
 		t.Fatalf("%s is no standby of %s: %+v", one, id, c.replicas[one].Meta())
 	}
 	c.replace(map[bool]string{true: two, false: "d"}[id != two], one)
@@ -177,13 +179,13 @@
 	s := c.replicas[own]
 	c.replicas[one].Resign()
 	c.down[two] = true
-	c.wait(timed.Gone - 2*timed.Beat)
-	if !s.Parting(one) || s.Gone(c.now, one) || s.Missing(c.now, one) || s.Parting(two) || s.Gone(c.now, two) || !s.Missing(c.now, two) {
-		t.Errorf("early: %s parting %v; %s gone %v missing %v", one, s.Parting(one), two, s.Gone(c.now, two), s.Missing(c.now, two))
+	c.wait(timed.LostAfter - 2*timed.HeartbeatInterval)
+	if !s.IsTerminating(one) || s.IsLost(c.now, one) || s.MissedHeartbeats(c.now, one) || s.IsTerminating(two) || s.IsLost(c.now, two) || !s.MissedHeartbeats(c.now, two) {
+		t.Errorf("early: %s parting %v; %s gone %v missing %v", one, s.IsTerminating(one), two, s.IsLost(c.now, two), s.MissedHeartbeats(c.now, two))
 	}
-	c.wait(3 * timed.Beat)
-	if s.Gone(c.now, one) || !s.Gone(c.now, two) || s.Gone(c.now, own) {
-		t.Errorf("late: %s gone %v; %s gone %v; the leader itself %v", one, s.Gone(c.now, one), two, s.Gone(c.now, two), s.Gone(c.now, own))
+	c.wait(3 * timed.HeartbeatInterval)
+	if s.IsLost(c.now, one) || !s.IsLost(c.now, two) || s.IsLost(c.now, own) {
+		t.Errorf("late: %s gone %v; %s gone %v; the leader itself %v", one, s.IsLost(c.now, one), two, s.IsLost(c.now, two), s.IsLost(c.now, own))
 	}
 }
 
@@ -199,13 +201,13 @@
 		c.down[two] = lost
 		c.replicas[one].Resign()
 		early := false
-		c.wait(timed.Beat, func() { early = early || s.Parting(one) && s.Spared(c.now, one) })
+		c.wait(timed.HeartbeatInterval, func() { early = early || s.IsTerminating(one) && s.MayLeave(c.now, one) })
 		if early {
 			t.Errorf("another lost %v: spared before a renewal was answered", lost)
 		}
-		c.wait(3 * timed.Beat)
-		if !s.Parting(one) || s.Spared(c.now, one) == lost {
-			t.Errorf("another lost %v: parting %v, spared %v", lost, s.Parting(one), s.Spared(c.now, one))
+		c.wait(3 * timed.HeartbeatInterval)
+		if !s.IsTerminating(one) || s.MayLeave(c.now, one) == lost {
+			t.Errorf("another lost %v: parting %v, spared %v", lost, s.IsTerminating(one), s.MayLeave(c.now, one))
 		}
 	}
 }
@@ -218,17 +220,17 @@
 	first, _, _ := c.others()
 	lost := c.now
 	c.down[first] = true
-	c.wait(timed.Gone - 2*timed.Beat)
-	if _, s := c.leader(); s.Gone(c.now, first) || !s.Missing(c.now, first) {
-		t.Errorf("%v after the loss: gone %v, missing %v", c.now-lost, s.Gone(c.now, first), s.Missing(c.now, first))
+	c.wait(timed.LostAfter - 2*timed.HeartbeatInterval)
+	if _, s := c.leader(); s.IsLost(c.now, first) || !s.MissedHeartbeats(c.now, first) {
+		t.Errorf("%v after the loss: gone %v, missing %v", c.now-lost, s.IsLost(c.now, first), s.MissedHeartbeats(c.now, first))
 	}
-	c.wait(2*timed.Beat + 20*time.Millisecond)
+	c.wait(2*timed.HeartbeatInterval + 20*time.Millisecond)
 	_, s := c.leader()
-	if !s.Gone(c.now, first) {
+	if !s.IsLost(c.now, first) {
 		t.Errorf("%v after the loss it is not gone", c.now-lost)
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		if id != first && s.Missing(c.now, id) {
+		if id != first && s.MissedHeartbeats(c.now, id) {
 			t.Errorf("%s is missing", id)
 		}
 	}
@@ -242,19 +244,19 @@
 	own, keep, out := c.others()
 	c.wait(time.Second, c.learn("d"))
 	c.lose = func(to string, n message.Message) bool {
-		return to != own && to != "d" && n.Kind == message.Accept && len(n.Recs) > 0
+		return to != own && to != "d" && n.Kind == message.KindReplicate && len(n.Records) > 0
 	}
 	if c.write("k") {
 		t.Fatal("written without a majority")
 	}
 	c.replace(out, "d")
 	c.run()
-	if g := c.replicas[own].Group(); len(g.Next) == 0 || slices.Contains(c.done, Done{9, Written}) {
+	if g := c.replicas[own].Group(); len(g.Next) == 0 || slices.Contains(c.done, WriteResult{9, Committed}) {
 		t.Fatalf("written %v by one of the old group and one more of the new: %+v", c.done, g)
 	}
 	c.lose = func(string, message.Message) bool { return false }
 	c.wait(time.Second, c.learn("d"))
-	if !slices.Contains(c.done, Done{9, Written}) || !c.has(keep, "k") || !c.has("d", "k") || c.replicas[own].Group().Has(out) {
+	if !slices.Contains(c.done, WriteResult{9, Committed}) || !c.has(keep, "k") || !c.has("d", "k") || c.replicas[own].Group().Has(out) {
 		t.Errorf("done %v, %s has it: %v, d: %v, group %s", c.done, keep, c.has(keep, "k"), c.has("d", "k"), c.group())
 	}
 }
@@ -270,16 +272,16 @@
 	c.lose = func(to string, n message.Message) bool { return n.Op == wholeCopy }
 	c.replace(one, "d")
 	c.run()
-	step := s.Group().Num
+	step := s.Group().Number
 	for what, n := range map[string]message.Message{
-		"an earlier step's": {From: "d", Kind: message.Filled, Op: wholeCopy, Num: s.Num(), Ref: step - 1},
-		"an earlier term's": {From: "d", Kind: message.Filled, Op: wholeCopy, Num: s.Num() - 1, Ref: step},
-		"a stranger's":      {From: "z", Kind: message.Filled, Op: wholeCopy, Num: s.Num(), Ref: step},
-		"a plain copy's":    {From: "d", Kind: message.Filled, Num: s.Num()},
+		"an earlier step's": {From: "d", Kind: message.KindStateInstalled, Op: wholeCopy, Term: s.Term(), ResponseTo: step - 1},
+		"an earlier term's": {From: "d", Kind: message.KindStateInstalled, Op: wholeCopy, Term: s.Term() - 1, ResponseTo: step},
+		"a stranger's":      {From: "z", Kind: message.KindStateInstalled, Op: wholeCopy, Term: s.Term(), ResponseTo: step},
+		"a plain copy's":    {From: "d", Kind: message.KindStateInstalled, Term: s.Term()},
 	} {
 		n.Addr, n.Partition = n.From, 1
-		c.carry(own, s.Hear(c.now, n))
-		c.carry(own, s.Proceed(c.now, 0))
+		c.carry(own, s.Step(c.now, n))
+		c.carry(own, s.ContinueChange(c.now, 0))
 		c.run()
 		if len(s.Group().Next) == 0 {
 			t.Fatalf("%s word ends the step", what)
@@ -289,8 +291,8 @@
 	if c.wait(time.Second, c.learn("d")); len(s.Group().Next) > 0 || !s.Group().Has("d") {
 		t.Errorf("the step doesn't end: %+v", s.Group())
 	}
-	high := s.Num() + 100 // one of whom we don't hear is no reason to give up
-	c.carry(own, s.Hear(c.now, message.Message{From: one, Addr: one, Kind: message.Refuse, Partition: 1, Num: s.Num(), LastComplete: high}))
+	high := s.Term() + 100 // one of whom we don't hear is no reason to give up
+	c.carry(own, s.Step(c.now, message.Message{From: one, Addr: one, Kind: message.KindRejectVote, Partition: 1, Term: s.Term(), LastComplete: high}))
 	c.wait(every*timed.LeaderLease+time.Second, c.learn(one))
 	if !s.Leader(c.now) {
 		t.Error("a standby's refusal ended the leadership")
@@ -314,16 +316,16 @@
 		if leaders > 1 {
 			t.Fatalf("%v: %d lead; %s has %+v, %s has %+v", c.now, leaders, own, c.replicas[own].Group(), keep, c.replicas[keep].Group())
 		}
-		if s := c.replicas[own]; !begun && s.Silent(c.now, "d") > timed.LeaderLease-30*time.Millisecond {
+		if s := c.replicas[own]; !begun && s.SilentFor(c.now, "d") > timed.LeaderLease-30*time.Millisecond {
 			c.replace(out, "d")
 			begun = true
 		}
 	}
 	c.wait(time.Second, c.learn("d"))
-	c.lose = func(to string, n message.Message) bool { return n.Kind == message.Support && to == keep }
+	c.lose = func(to string, n message.Message) bool { return n.Kind == message.KindHeartbeat && to == keep }
 	c.wait(time.Second, c.learn("d"))
 	c.lose = func(to string, n message.Message) bool {
-		return n.Kind == message.Support && (to == keep || to == "d") || to == own && n.From == keep
+		return n.Kind == message.KindHeartbeat && (to == keep || to == "d") || to == own && n.From == keep
 	}
 	c.wait(3*time.Second, step, c.learn("d"))
 	c.lose = func(string, message.Message) bool { return false }
@@ -352,7 +354,7 @@
 		}
 		s := c.replicas[own]
 		c.lose = func(to string, n message.Message) bool {
-			return to != own && to != "d" && (n.Kind == message.Accept || n.Kind == message.Fill)
+			return to != own && to != "d" && (n.Kind == message.KindReplicate || n.Kind == message.KindInstallState)
 		}
 		if !learned {
 			c.replace(one, "d")
--- a/control/quorum/incarnation.go
+++ b/control/quorum/incarnation.go
@@ -59,8 +59,8 @@
 }
 
 // knows is what this replica knows of another.
-func (s *Replica) knows(ident string) (p message.Peer) {
-	if i := slices.IndexFunc(s.meta.Peers, func(p message.Peer) bool { return p.Ident == ident }); i >= 0 {
+func (s *Replica) knows(ident string) (p message.PeerIncarnation) {
+	if i := slices.IndexFunc(s.meta.Peers, func(p message.PeerIncarnation) bool { return p.Ident == ident }); i >= 0 {
 		return s.meta.Peers[i]
 	}
 	return p
@@ -68,14 +68,14 @@
 
 // note records what is known of another replica. The list is never changed in place:
 // saves that wait for the disk hold it. Daemons that are no replicas go from it.
-func (s *Replica) note(p message.Peer) {
+func (s *Replica) note(p message.PeerIncarnation) {
 	was := s.knows(p.Ident)
 	if was == p {
 		return
 	}
 	g := s.meta.Group
-	list := slices.DeleteFunc(slices.Clone(s.meta.Peers), func(o message.Peer) bool {
-		return o.Ident == p.Ident || g.Num > 0 && !g.Has(o.Ident) && !has(s.learn, o.Ident)
+	list := slices.DeleteFunc(slices.Clone(s.meta.Peers), func(o message.PeerIncarnation) bool {
+		return o.Ident == p.Ident || g.Number > 0 && !g.Has(o.Ident) && !has(s.learn, o.Ident)
 	})
 	s.meta.Peers = append(list, p)
 	s.changes++
@@ -85,7 +85,7 @@
 // trusted tells whether what a message says of us is a replica's word.
 func (s *Replica) trusted(n message.Message) bool {
 	g := s.meta.Group
-	return g.Num > 0 && (g.Has(n.From) || n.Group.Num > g.Num && n.Group.Has(n.From) && n.Group.Has(s.me.Ident))
+	return g.Number > 0 && (g.Has(n.From) || n.Group.Number > g.Number && n.Group.Has(n.From) && n.Group.Has(s.me.Ident))
 }
 
 // counts judges a message by the incarnations that it tells of, its sender's and
@@ -97,20 +97,20 @@
 	if s.superseded != "" {
 		return false
 	}
-	if n.Known != 0 && s.trusted(n) && !s.admittedBy(n, o) {
+	if n.KnownEpoch != 0 && s.trusted(n) && !s.admittedBy(n, o) {
 		return false
 	}
 	if incarnation.Starts(n.Epoch) == 0 { // of a build that tells nothing
-		return n.Kind != message.Incarnation
+		return n.Kind != message.KindIncarnation
 	}
-	return s.admit(now, n, o) && n.Kind != message.Incarnation
+	return s.admit(now, n, o) && n.Kind != message.KindIncarnation
 }
 
 // admittedBy judges what a peer knows of this replica. One that goes by an earlier
 // incarnation is told of this one first: until then what it says may be meant for
 // a state that this replica has forgotten.
 func (s *Replica) admittedBy(n message.Message, o *Out) bool {
-	switch incarnation.Compare(n.Known, s.folder.epoch) {
+	switch incarnation.Compare(n.KnownEpoch, s.folder.epoch) {
 	case incarnation.Same:
 		s.admitted[n.From] = true
 		return true
@@ -126,7 +126,7 @@
 		return false
 	}
 	delete(s.admitted, n.From)
-	if n.Kind == message.Incarnation { // it is answered once its own is judged
+	if n.Kind == message.KindIncarnation { // it is answered once its own is judged
 		return true
 	}
 	s.introduce(message.Replica{Ident: n.From, Addr: n.Addr}, o)
@@ -136,7 +136,7 @@
 // concerns tells whether a message's sender is one whose incarnations are kept:
 // a replica or a standby.
 func (s *Replica) concerns(n message.Message) bool {
-	return s.meta.Group.Num == 0 || s.meta.Group.Has(n.From) || has(s.learn, n.From) || s.trusted(n)
+	return s.meta.Group.Number == 0 || s.meta.Group.Has(n.From) || has(s.learn, n.From) || s.trusted(n)
 }
 
 // admit judges a message's sender, and takes in what it tells of itself and, as
@@ -146,9 +146,9 @@
 		return true
 	}
 	known := s.knows(n.From)
-	next := message.Peer{Ident: n.From, Epoch: n.Epoch, State: known.State}
+	next := message.PeerIncarnation{Ident: n.From, Epoch: n.Epoch, State: known.State}
 	if n.Saves > 0 {
-		next.State = message.Stamp{Epoch: n.Epoch, Saves: n.Saves}
+		next.State = message.SavePoint{Epoch: n.Epoch, Saves: n.Saves}
 	}
 	switch incarnation.Compare(n.Epoch, known.Epoch) {
 	case incarnation.Same:
@@ -171,14 +171,14 @@
 	for _, p := range n.Peers {
 		s.relayed(p)
 	}
-	if n.State.Epoch != 0 || n.Kind == message.Incarnation && n.Known != s.folder.epoch {
+	if n.State.Epoch != 0 || n.Kind == message.KindIncarnation && n.KnownEpoch != s.folder.epoch {
 		s.answer(now, message.Replica{Ident: n.From, Addr: n.Addr}, o)
 	}
 	return true
 }
 
 // precedes tells whether a state can't have come after another one.
-func precedes(a, b message.Stamp) bool {
+func precedes(a, b message.SavePoint) bool {
 	if b.Epoch == 0 {
 		return false
 	}
@@ -192,7 +192,7 @@
 }
 
 // relayed takes in what a leader knows of another replica.
-func (s *Replica) relayed(p message.Peer) {
+func (s *Replica) relayed(p message.PeerIncarnation) {
 	known := s.knows(p.Ident)
 	if p.Ident == s.me.Ident || known.Ident == "" && !s.meta.Group.Has(p.Ident) {
 		return
@@ -209,13 +209,13 @@
 
 // refuseIncarnation tells an incarnation that isn't counted what is known. It goes
 // to where the message came from: its identity may be known elsewhere.
-func (s *Replica) refuseIncarnation(n message.Message, known message.Peer, o *Out) {
-	o.Sends = append(o.Sends, message.Send{Addr: n.Addr, Exact: true, Message: message.Message{Kind: message.Incarnation, Partition: s.partition, To: n.From, Known: known.Epoch, KnownState: known.State, Group: s.meta.Group}})
+func (s *Replica) refuseIncarnation(n message.Message, known message.PeerIncarnation, o *Out) {
+	o.Sends = append(o.Sends, message.Envelope{Addr: n.Addr, ExactAddr: true, Message: message.Message{Kind: message.KindIncarnation, Partition: s.partition, To: n.From, KnownEpoch: known.Epoch, KnownState: known.State, Group: s.meta.Group}})
 }
 
 // introduce tells a peer which incarnation this is.
 func (s *Replica) introduce(to message.Replica, o *Out) {
-	o.send(to, message.Message{Kind: message.Incarnation, Partition: s.partition, Group: s.meta.Group})
+	o.send(to, message.Message{Kind: message.KindIncarnation, Partition: s.partition, Group: s.meta.Group})
 }
 
 // answer tells an incarnation that it is gone by now, and what was asked of it
@@ -256,9 +256,9 @@
 		if !s.admitted[n.To] {
 			n.State = s.folder.base
 		}
-		if n.Known == 0 {
+		if n.KnownEpoch == 0 {
 			known := s.knows(n.To)
-			if n.Known = known.Epoch; n.Kind == message.Incarnation {
+			if n.KnownEpoch = known.Epoch; n.Kind == message.KindIncarnation {
 				n.KnownState = known.State
 			}
 		}
@@ -281,7 +281,7 @@
 
 // heardPeers takes a peer's answer to a support.
 func (s *Replica) heardPeers(n message.Message) {
-	if t, ok := s.telling[n.From]; ok && n.Ref >= t.round {
+	if t, ok := s.telling[n.From]; ok && n.ResponseTo >= t.round {
 		s.told[n.From] = t.changes
 		delete(s.telling, n.From)
 	}
@@ -290,7 +290,7 @@
 // notePeers saves what is known of the others once it says of another incarnation;
 // how far each came goes to the disk with the next save.
 func (s *Replica) notePeers(now time.Duration, o *Out) {
-	if s.unsaved && now-s.noted >= s.cfg.Beat && s.meta.Group.Num > 0 {
+	if s.unsaved && now-s.noted >= s.cfg.HeartbeatInterval && s.meta.Group.Number > 0 {
 		s.noted = now
 		s.save(o, nil, nil)
 	}
--- a/control/quorum/incarnation_test.go
+++ b/control/quorum/incarnation_test.go
@@ -33,7 +33,7 @@
 func (g *guarded) hear(n message.Message) (out []message.Message) {
 	n.From, n.Addr, n.To, n.Partition = "b", "b", "a", 1
 	g.now += time.Millisecond
-	o := g.s.Hear(g.now, n)
+	o := g.s.Step(g.now, n)
 	for _, v := range o.Saves {
 		g.meta = v.Meta
 		saved := g.s.Saved(v.Ticket)
@@ -57,38 +57,38 @@
 	return n
 }
 
-func askOf(epoch, known uint64, base message.Stamp) message.Message {
-	return message.Message{Kind: message.Ask, Op: probe, Epoch: epoch, Num: 9, Group: three, Known: known, State: base, Saves: 0}
+func askOf(epoch, known uint64, base message.SavePoint) message.Message {
+	return message.Message{Kind: message.KindRequestVote, Op: probe, Epoch: epoch, Term: 9, Group: three, KnownEpoch: known, State: base, Saves: 0}
 }
 
 // What counts of an incarnation, and what it is told that doesn't.
 func TestWhichIncarnationsCount(t *testing.T) {
 	const me = 7<<32 + 1
-	heard := message.Stamp{Epoch: first, Saves: 5}
+	heard := message.SavePoint{Epoch: first, Saves: 5}
 	for _, x := range []struct {
 		what   string
 		epoch  uint64
-		base   message.Stamp
+		base   message.SavePoint
 		counts bool
 	}{
-		{"the one that is known", first, message.Stamp{}, true},
-		{"another one of as many starts", twin, message.Stamp{}, false},
-		{"an earlier one", 0<<32 + 3, message.Stamp{}, true}, // of a build that tells nothing: it is judged as before
+		{"the one that is known", first, message.SavePoint{}, true},
+		{"another one of as many starts", twin, message.SavePoint{}, false},
+		{"an earlier one", 0<<32 + 3, message.SavePoint{}, true}, // of a build that tells nothing: it is judged as before
 		{"a later one from the latest state", second, heard, true},
-		{"a later one from a later state", second, message.Stamp{Epoch: first, Saves: 9}, true},
-		{"a later one from an earlier state", second, message.Stamp{Epoch: first, Saves: 4}, false},
-		{"a later one from a copy's state", second, message.Stamp{Epoch: twin, Saves: 50}, false},
-		{"a later one that an older build wrote last", second, message.Stamp{}, true},
+		{"a later one from a later state", second, message.SavePoint{Epoch: first, Saves: 9}, true},
+		{"a later one from an earlier state", second, message.SavePoint{Epoch: first, Saves: 4}, false},
+		{"a later one from a copy's state", second, message.SavePoint{Epoch: twin, Saves: 50}, false},
+		{"a later one that an older build wrote last", second, message.SavePoint{}, true},
 	} {
-		g := openGuarded(t, me, Meta{Peers: []message.Peer{{Ident: "b", Epoch: first, State: heard}}})
+		g := openGuarded(t, me, Meta{Peers: []message.PeerIncarnation{{Ident: "b", Epoch: first, State: heard}}})
 		out := g.hear(askOf(x.epoch, me, x.base))
-		if got := answers(out, message.Promise)+answers(out, message.Refuse) > 0; got != x.counts {
+		if got := answers(out, message.KindGrantVote)+answers(out, message.KindRejectVote) > 0; got != x.counts {
 			t.Errorf("%s: counted %v: %+v", x.what, got, out)
 		}
 		if x.counts {
 			continue
 		}
-		if answers(out, message.Incarnation) != 1 || out[0].Known != first || out[0].KnownState != heard {
+		if answers(out, message.KindIncarnation) != 1 || out[0].KnownEpoch != first || out[0].KnownState != heard {
 			t.Errorf("%s: isn't told what is known: %+v", x.what, out)
 		}
 	}
@@ -97,23 +97,23 @@
 // What takes a replica its voice, and what doesn't.
 func TestWhatSupersedes(t *testing.T) {
 	const me = 7<<32 + 1
-	past := Meta{State: message.Stamp{Epoch: 6<<32 + 4, Saves: 20}, History: []message.Stamp{{Epoch: 4<<32 + 9, Saves: 3}}}
+	past := Meta{State: message.SavePoint{Epoch: 6<<32 + 4, Saves: 20}, History: []message.SavePoint{{Epoch: 4<<32 + 9, Saves: 3}}}
 	for _, x := range []struct {
 		what string
 		n    message.Message
 		why  string
 	}{
-		{"it is known", message.Message{Known: me}, ""},
+		{"it is known", message.Message{KnownEpoch: me}, ""},
 		{"nothing is known", message.Message{}, ""},
-		{"a later start is known", message.Message{Known: 8<<32 + 1}, "later start"},
-		{"another one of as many starts", message.Message{Known: 7<<32 + 2}, "another process"},
-		{"the last state of the start before", message.Message{Known: 6<<32 + 4, KnownState: message.Stamp{Epoch: 6<<32 + 4, Saves: 20}}, ""},
-		{"a state beyond what the folder holds", message.Message{Known: 6<<32 + 4, KnownState: message.Stamp{Epoch: 6<<32 + 4, Saves: 21}}, "older copy"},
-		{"a start that isn't in the folder's past", message.Message{Known: 5<<32 + 1, KnownState: message.Stamp{Epoch: 5<<32 + 1, Saves: 1}}, "older copy"},
-		{"an early one that is", message.Message{Known: 4<<32 + 9, KnownState: message.Stamp{Epoch: 4<<32 + 9, Saves: 3}}, ""},
+		{"a later start is known", message.Message{KnownEpoch: 8<<32 + 1}, "later start"},
+		{"another one of as many starts", message.Message{KnownEpoch: 7<<32 + 2}, "another process"},
+		{"the last state of the start before", message.Message{KnownEpoch: 6<<32 + 4, KnownState: message.SavePoint{Epoch: 6<<32 + 4, Saves: 20}}, ""},
+		{"a state beyond what the folder holds", message.Message{KnownEpoch: 6<<32 + 4, KnownState: message.SavePoint{Epoch: 6<<32 + 4, Saves: 21}}, "older copy"},
+		{"a start that isn't in the folder's past", message.Message{KnownEpoch: 5<<32 + 1, KnownState: message.SavePoint{Epoch: 5<<32 + 1, Saves: 1}}, "older copy"},
+		{"an early one that is", message.Message{KnownEpoch: 4<<32 + 9, KnownState: message.SavePoint{Epoch: 4<<32 + 9, Saves: 3}}, ""},
 	} {
 		g := openGuarded(t, me, past)
-		x.n.Kind, x.n.Epoch = message.Incarnation, first
+		x.n.Kind, x.n.Epoch = message.KindIncarnation, first
 		g.hear(x.n)
 		if why := g.s.Superseded(); (why == "") != (x.why == "") || !strings.Contains(why, x.why) {
 			t.Errorf("%s: %q", x.what, why)
@@ -121,7 +121,7 @@
 		if x.why == "" {
 			continue
 		}
-		if out := g.hear(askOf(first, me, message.Stamp{})); len(out) > 0 {
+		if out := g.hear(askOf(first, me, message.SavePoint{})); len(out) > 0 {
 			t.Errorf("%s: and it says %+v", x.what, out)
 		}
 		if o := g.s.Tick(time.Hour); len(o.Sends)+len(o.Saves) > 0 {
@@ -133,8 +133,8 @@
 // Nobody but a replica of its group takes a replica its voice.
 func TestAStrangerSupersedesNobody(t *testing.T) {
 	g := openGuarded(t, 7<<32+1, Meta{})
-	n := message.Message{Kind: message.Incarnation, From: "stranger", Addr: "s", To: "a", Epoch: first, Known: 9 << 32, Group: three}
-	g.s.Hear(g.now, n)
+	n := message.Message{Kind: message.KindIncarnation, From: "stranger", Addr: "s", To: "a", Epoch: first, KnownEpoch: 9 << 32, Group: three}
+	g.s.Step(g.now, n)
 	if why := g.s.Superseded(); why != "" {
 		t.Errorf("superseded: %s", why)
 	}
@@ -145,13 +145,13 @@
 // asked meanwhile is asked again.
 func TestAPeerIsToldBeforeItIsHeard(t *testing.T) {
 	const was, me = 6<<32 + 4, 7<<32 + 1
-	base := message.Stamp{Epoch: was, Saves: 20}
+	base := message.SavePoint{Epoch: was, Saves: 20}
 	g := openGuarded(t, me, Meta{State: base})
-	out := g.hear(askOf(first, was, message.Stamp{}))
-	if len(out) != 1 || out[0].Kind != message.Incarnation || out[0].State != base {
+	out := g.hear(askOf(first, was, message.SavePoint{}))
+	if len(out) != 1 || out[0].Kind != message.KindIncarnation || out[0].State != base {
 		t.Fatalf("asked of an earlier incarnation: %+v", out)
 	}
-	if out = g.hear(askOf(first, me, message.Stamp{})); answers(out, message.Refuse)+answers(out, message.Promise) != 1 {
+	if out = g.hear(askOf(first, me, message.SavePoint{})); answers(out, message.KindRejectVote)+answers(out, message.KindGrantVote) != 1 {
 		t.Errorf("asked of this one: %+v", out)
 	}
 }
@@ -159,17 +159,17 @@
 // A candidate asks anew whom it hears to have started meanwhile.
 func TestAQuestionGoesToTheNextIncarnation(t *testing.T) {
 	const me = 7<<32 + 1
-	g := openGuarded(t, me, Meta{Peers: []message.Peer{{Ident: "b", Epoch: first}}})
+	g := openGuarded(t, me, Meta{Peers: []message.PeerIncarnation{{Ident: "b", Epoch: first}}})
 	var asked int
 	for ; asked == 0 && g.now < 10*whole; g.now += 20 * time.Millisecond {
 		for _, s := range g.s.Tick(g.now).Sends {
-			if s.Message.To == "b" && s.Message.Kind == message.Ask {
+			if s.Message.To == "b" && s.Message.Kind == message.KindRequestVote {
 				asked++
 			}
 		}
 	}
-	out := g.hear(message.Message{Kind: message.Incarnation, Epoch: second, Known: first, State: message.Stamp{Epoch: first, Saves: 2}})
-	if answers(out, message.Incarnation) != 1 || answers(out, message.Ask) != 1 || out[0].Known != second {
+	out := g.hear(message.Message{Kind: message.KindIncarnation, Epoch: second, KnownEpoch: first, State: message.SavePoint{Epoch: first, Saves: 2}})
+	if answers(out, message.KindIncarnation) != 1 || answers(out, message.KindRequestVote) != 1 || out[0].KnownEpoch != second {
 		t.Errorf("a peer that started anew while it was asked: %+v", out)
 	}
 }
@@ -178,17 +178,17 @@
 // saved, and of no daemon that is no replica.
 func TestWhatIsKnownOfOthersIsSaved(t *testing.T) {
 	g := openGuarded(t, 7<<32+1, Meta{})
-	g.hear(message.Message{Kind: message.Refuse, Epoch: first, Known: 7<<32 + 1, Saves: 4})
-	g.s.Hear(g.now, message.Message{Kind: message.Refuse, From: "stranger", Addr: "s", To: "a", Epoch: first})
-	o := g.s.Tick(g.now + cfg.Beat)
+	g.hear(message.Message{Kind: message.KindRejectVote, Epoch: first, KnownEpoch: 7<<32 + 1, Saves: 4})
+	g.s.Step(g.now, message.Message{Kind: message.KindRejectVote, From: "stranger", Addr: "s", To: "a", Epoch: first})
+	o := g.s.Tick(g.now + cfg.HeartbeatInterval)
 	if len(o.Saves) != 1 {
 		t.Fatalf("%d saves", len(o.Saves))
 	}
 	m := o.Saves[0].Meta
-	if len(m.Peers) != 1 || m.Peers[0] != (message.Peer{Ident: "b", Epoch: first, State: message.Stamp{Epoch: first, Saves: 4}}) {
+	if len(m.Peers) != 1 || m.Peers[0] != (message.PeerIncarnation{Ident: "b", Epoch: first, State: message.SavePoint{Epoch: first, Saves: 4}}) {
 		t.Errorf("saved: %+v", m.Peers)
 	}
-	if o = g.s.Tick(g.now + 3*cfg.Beat); len(o.Saves) != 0 {
+	if o = g.s.Tick(g.now + 3*cfg.HeartbeatInterval); len(o.Saves) != 0 {
 		t.Errorf("saved again: %+v", o.Saves)
 	}
 }
@@ -225,21 +225,21 @@
 func TestAFoldersPast(t *testing.T) {
 	var held []Meta
 	for n := uint64(1); n <= history+3; n++ {
-		held = append(held, Meta{State: message.Stamp{Epoch: n << 32, Saves: n}, History: []message.Stamp{{Epoch: 1 << 32, Saves: 99}}})
+		held = append(held, Meta{State: message.SavePoint{Epoch: n << 32, Saves: n}, History: []message.SavePoint{{Epoch: 1 << 32, Saves: 99}}})
 	}
 	f := OpenFolder(50<<32, held...)
-	if len(f.past) != history || f.base != (message.Stamp{Epoch: (history + 3) << 32, Saves: history + 3}) {
+	if len(f.past) != history || f.base != (message.SavePoint{Epoch: (history + 3) << 32, Saves: history + 3}) {
 		t.Fatalf("past %v, base %v", f.past, f.base)
 	}
 	for _, x := range []struct {
-		state message.Stamp
+		state message.SavePoint
 		is    bool
 	}{
-		{message.Stamp{Epoch: 1 << 32, Saves: 99}, true},
-		{message.Stamp{Epoch: 5 << 32, Saves: 5}, true},
-		{message.Stamp{Epoch: 5 << 32, Saves: 6}, false},
-		{message.Stamp{Epoch: 5<<32 + 1, Saves: 1}, false},
-		{message.Stamp{}, true},
+		{message.SavePoint{Epoch: 1 << 32, Saves: 99}, true},
+		{message.SavePoint{Epoch: 5 << 32, Saves: 5}, true},
+		{message.SavePoint{Epoch: 5 << 32, Saves: 6}, false},
+		{message.SavePoint{Epoch: 5<<32 + 1, Saves: 1}, false},
+		{message.SavePoint{}, true},
 	} {
 		if f.descends(x.state) != x.is {
 			t.Errorf("%v is in its past: %v", x.state, !x.is)
--- a/control/quorum/lease.go
+++ b/control/quorum/lease.go
@@ -9,26 +9,26 @@
 )
 
 func (s *Replica) supported(now time.Duration, n message.Message) {
-	if n.Num == s.num {
+	if n.Term == s.num {
 		delete(s.stuck, n.From)
 		s.heardPeers(n)
 	}
-	at, ok := s.rounds[n.Ref]
-	if !ok || n.Num != s.num {
+	at, ok := s.rounds[n.ResponseTo]
+	if !ok || n.Term != s.num {
 		return
 	}
-	if s.yes[n.Ref] == nil {
-		s.yes[n.Ref] = map[string]bool{}
+	if s.yes[n.ResponseTo] == nil {
+		s.yes[n.ResponseTo] = map[string]bool{}
 	}
-	s.yes[n.Ref][n.From] = true
-	if s.meta.Group.Quorum(func(id string) bool { return s.yes[n.Ref][id] }) {
+	s.yes[n.ResponseTo][n.From] = true
+	if s.meta.Group.HasQuorum(func(id string) bool { return s.yes[n.ResponseTo][id] }) {
 		// A lease that has lapsed is not revived: others may have been promised since.
 		if now < s.lease {
 			s.lease = max(s.lease, at+s.cfg.LeaderLease)
-			s.leased = s.leased || n.Ref > s.stepRound
+			s.leased = s.leased || n.ResponseTo > s.stepRound
 		}
-		delete(s.rounds, n.Ref)
-		delete(s.yes, n.Ref)
+		delete(s.rounds, n.ResponseTo)
+		delete(s.yes, n.ResponseTo)
 	}
 }
 
@@ -42,7 +42,7 @@
 		o.send(from, n)
 		return
 	}
-	s.after[s.bound] = append(s.after[s.bound], message.Send{Addr: from.Addr, Message: n})
+	s.after[s.bound] = append(s.after[s.bound], message.Envelope{Addr: from.Addr, Message: n})
 }
 
 func (s *Replica) beat(now time.Duration, o *Out) {
@@ -62,7 +62,7 @@
 
 // askSupport asks a peer to support the present round of the leader's lease.
 func (s *Replica) askSupport(to message.Replica, o *Out) {
-	n := message.Message{Kind: message.Support, Partition: s.partition, Num: s.num, No: s.round, To: to.Ident}
+	n := message.Message{Kind: message.KindHeartbeat, Partition: s.partition, Term: s.num, RequestID: s.round, To: to.Ident}
 	s.tellPeers(&n)
 	o.send(to, n)
 }
@@ -105,14 +105,14 @@
 	case probing, asking:
 		if now-s.askAt > s.cfg.LeaderLease/2 {
 			s.drop(&o)
-			s.next = max(s.next, now+s.delay()+s.cfg.Beat)
+			s.next = max(s.next, now+s.delay()+s.cfg.HeartbeatInterval)
 		}
 	case filling, owning:
-		if now-s.beatAt >= s.cfg.Beat {
+		if now-s.beatAt >= s.cfg.HeartbeatInterval {
 			s.beat(now, &o)
 		}
 		for _, replica := range s.peers() {
-			if !s.filled[replica.Ident] && now-s.fillAt[replica.Ident] >= 2*s.cfg.Beat {
+			if !s.filled[replica.Ident] && now-s.fillAt[replica.Ident] >= 2*s.cfg.HeartbeatInterval {
 				s.sendFill(now, replica, nil, &o)
 			}
 		}
@@ -120,7 +120,7 @@
 		s.chase(now, &o)
 		for _, no := range slices.Sorted(maps.Keys(s.writes)) {
 			w := s.writes[no]
-			if now-w.sent >= s.cfg.Beat {
+			if now-w.sent >= s.cfg.HeartbeatInterval {
 				w.sent = now
 				s.sendWrite(no, w, &o)
 			}
--- a/control/quorum/lives_test.go
+++ b/control/quorum/lives_test.go
@@ -29,11 +29,11 @@
 				n.From, n.Addr, n.Epoch = "a", "a", 2
 				switch {
 				case n.To == "a":
-					carry(s.Hear(now, n))
-				case n.To == "b" && n.Kind == message.Ask && n.Op == probe:
-					carry(s.Hear(now, message.Message{Kind: message.Promise, Op: probe, From: "b", Addr: "b", Epoch: 1, Num: n.Num, Group: message.Group{Num: three.Num}}))
-				case n.To == "b" && n.Kind == message.Ask:
-					carry(s.Hear(now, message.Message{Kind: message.Promise, From: "b", Addr: "b", Epoch: 1, Num: n.Num, Ref: x.life, LastComplete: 5, Digs: digest.NewRecords().Digs(), Group: three}))
+					carry(s.Step(now, n))
+				case n.To == "b" && n.Kind == message.KindRequestVote && n.Op == probe:
+					carry(s.Step(now, message.Message{Kind: message.KindGrantVote, Op: probe, From: "b", Addr: "b", Epoch: 1, Term: n.Term, Group: message.Group{Number: three.Number}}))
+				case n.To == "b" && n.Kind == message.KindRequestVote:
+					carry(s.Step(now, message.Message{Kind: message.KindGrantVote, From: "b", Addr: "b", Epoch: 1, Term: n.Term, ResponseTo: x.life, LastComplete: 5, Digests: digest.NewRecords().Digests(), Group: three}))
 				}
 			}
 		}
@@ -50,8 +50,8 @@
 func TestAPromiseNamesTheLifeThatAsked(t *testing.T) {
 	v := running(t)
 	at := 10*time.Second + whole
-	out := v.hear(at, "b", 7, message.Message{Kind: message.Ask, Num: 6, Len: int64(whole)})
-	if n := len(out); n == 0 || out[n-1].Kind != message.Promise || out[n-1].Ref != 7 {
+	out := v.hear(at, "b", 7, message.Message{Kind: message.KindRequestVote, Term: 6, Length: int64(whole)})
+	if n := len(out); n == 0 || out[n-1].Kind != message.KindGrantVote || out[n-1].ResponseTo != 7 {
 		t.Errorf("asked by life 7: %+v", out)
 	}
 }
@@ -65,7 +65,7 @@
 	if ok, _ := v.ask(at, "b", 2, 6); !ok {
 		t.Fatal("not promised to the next life")
 	}
-	v.hear(at, "b", 1, message.Message{Kind: message.Void, Num: 6})
+	v.hear(at, "b", 1, message.Message{Kind: message.KindAbandonTerm, Term: 6})
 	if m := v.s.Meta(); m.Promised != 6 || m.To != "b" || m.ToEpoch != 2 {
 		t.Errorf("after a void of life 1: bound to %+v", m)
 	}
--- a/control/quorum/quorum.go
+++ b/control/quorum/quorum.go
@@ -18,11 +18,11 @@
 
 // Config holds the bounds a replica works by.
 type Config struct {
-	LeaderLease time.Duration // length of a leader lease
-	Drift       float64       // most by which one clock runs faster than another
-	Margin      time.Duration // added to every wait on another's clock
-	Beat        time.Duration // renew and resend interval
-	Gone        time.Duration // a replica that is silent for so long counts as gone where a standby is at hand
+	LeaderLease       time.Duration // length of a leader lease
+	Drift             float64       // most by which one clock runs faster than another
+	Margin            time.Duration // added to every wait on another's clock
+	HeartbeatInterval time.Duration // renew and resend interval
+	LostAfter         time.Duration // a replica that is silent for so long counts as gone where a standby is at hand
 }
 
 // Wait is how long a granter waits out a lease of the given length.
@@ -38,8 +38,8 @@
 	Partition int
 	Meta      Meta
 	Wipe      []int // ranges whose other records are to be deleted
-	Recs      []message.Rec
-	Drop      []string // records below the floor; after Recs
+	Records   []message.Record
+	Delete    []string // records below the floor; after Recs
 	Sum       uint64   // of the whole state, this included; 0: not told
 }
 
@@ -61,40 +61,40 @@
 	Group        message.Group
 	Short        bool `json:",omitempty"` // the disk lost some of the records: no vote before they are filled
 
-	State   message.Stamp   `json:",omitzero"`  // the stamp of this state
-	History []message.Stamp `json:",omitempty"` // the last of each earlier incarnation, the latest at the end
-	Peers   []message.Peer  `json:",omitempty"` // what is known of the other replicas
+	State   message.SavePoint         `json:",omitzero"`  // the stamp of this state
+	History []message.SavePoint       `json:",omitempty"` // the last of each earlier incarnation, the latest at the end
+	Peers   []message.PeerIncarnation `json:",omitempty"` // what is known of the other replicas
 }
 
-// Fate is what became of a write.
-type Fate uint8
+// Outcome is what became of a write.
+type Outcome uint8
 
 // The fates of a write.
 const (
-	Written   Fate = iota + 1
-	Uncertain      // may or may not be found by the next leader
+	Committed Outcome = iota + 1
+	Uncertain         // may or may not be found by the next leader
 )
 
-// Done tells the fate of the write with this tag.
-type Done struct {
-	Tag  uint64
-	Fate Fate
+// WriteResult tells the fate of the write with this tag.
+type WriteResult struct {
+	Tag     uint64
+	Outcome Outcome
 }
 
 // Out is what a step asks for.
 type Out struct {
-	Sends []message.Send
-	Saves []Save
-	Done  []Done
-	Won   bool // became leader
-	Lost  bool // is no longer leader
+	Sends   []message.Envelope
+	Saves   []Save
+	Results []WriteResult
+	Won     bool // became leader
+	Lost    bool // is no longer leader
 	// Superseded says why this replica has no voice from now on, if it just lost it.
 	Superseded string
 }
 
 func (o *Out) send(to message.Replica, n message.Message) {
 	n.To = to.Ident
-	o.Sends = append(o.Sends, message.Send{Addr: to.Addr, Message: n})
+	o.Sends = append(o.Sends, message.Envelope{Addr: to.Addr, Message: n})
 }
 
 type mode uint8
@@ -110,12 +110,12 @@
 type vote struct {
 	lastComplete uint64
 	digs         []uint64
-	recs         []message.Rec
+	recs         []message.Record
 }
 
 type write struct {
 	tag  uint64
-	recs []message.Rec
+	recs []message.Record
 	acks map[string]bool
 	sent time.Duration
 }
@@ -135,14 +135,14 @@
 	quiet   time.Duration     // until when leases under an earlier leader may stand
 	lives   map[string]uint64 // the latest life of each replica that was heard
 	calm    time.Duration     // as leader: nothing is written before this
-	hint    message.Own
+	hint    message.Leadership
 	backed  time.Duration // when we last supported it
 	before  Meta          // what our vote was bound to before its last promise
 	undo    uint64        // the term of that promise; none since the start
 
 	tick      uint64
-	bound     uint64                    // the ticket with which our present vote is on disk
-	after     map[uint64][]message.Send // sends held until the ticket is synced
+	bound     uint64                        // the ticket with which our present vote is on disk
+	after     map[uint64][]message.Envelope // sends held until the ticket is synced
 	mode      mode
 	num       uint64
 	high      uint64
@@ -185,7 +185,7 @@
 // Example: s := quorum.New(cfg, 0, me, folder, meta, records, now, false)
 func New(cfg Config, partition int, me message.Replica, folder *Folder, meta Meta, records *digest.Records, now time.Duration, fresh bool) *Replica {
 	s := &Replica{
-		cfg: cfg, partition: partition, me: me, meta: meta, records: records, born: now, after: map[uint64][]message.Send{}, lives: map[string]uint64{},
+		cfg: cfg, partition: partition, me: me, meta: meta, records: records, born: now, after: map[uint64][]message.Envelope{}, lives: map[string]uint64{},
 		rounds: map[uint64]time.Duration{}, yes: map[uint64]map[string]bool{}, writes: map[uint64]*write{}, few: map[uint64]*write{},
 	}
 	s.guard = guard{folder: folder, admitted: map[string]bool{}}
@@ -227,40 +227,40 @@
 	}
 }
 
-// Calm is when a leader may begin to write: leases that stood under an earlier
+// WritesFrom is when a leader may begin to write: leases that stood under an earlier
 // one whose daemon is gone have lapsed by then.
 //
-// Example: if now >= s.Calm() { write() }
-func (s *Replica) Calm() time.Duration { return s.calm }
+// Example: if now >= s.WritesFrom() { write() }
+func (s *Replica) WritesFrom() time.Duration { return s.calm }
 
 // Leader tells whether the leadership is held and its lease valid now.
 //
 // Example: if s.Leader(now) { grant() }
 func (s *Replica) Leader(now time.Duration) bool { return s.mode == owning && now < s.lease }
 
-// Num is the term under which this replica is leader or candidate.
+// Term is the term under which this replica is leader or candidate.
 //
-// Example: mark.Term = s.Num()
-func (s *Replica) Num() uint64 { return s.num }
+// Example: mark.Term = s.Term()
+func (s *Replica) Term() uint64 { return s.num }
 
-// Lease is when the leader lease ends.
+// LeaseEnd is when the leader lease ends.
 //
-// Example: left := s.Lease() - now
-func (s *Replica) Lease() time.Duration { return s.lease }
+// Example: left := s.LeaseEnd() - now
+func (s *Replica) LeaseEnd() time.Duration { return s.lease }
 
-// Since is when this replica knew that no older leader could act.
+// LeaderSince is when this replica knew that no older leader could act.
 //
-// Example: if now-s.Since() < swap { holdOrders() }
-func (s *Replica) Since() time.Duration { return s.wonAt }
+// Example: if now-s.LeaderSince() < swap { holdOrders() }
+func (s *Replica) LeaderSince() time.Duration { return s.wonAt }
 
-// Hint is the leader that this replica last supported.
+// KnownLeader is the leader that this replica last supported.
 //
-// Example: own := s.Hint()
-func (s *Replica) Hint() message.Own { return s.hint }
+// Example: own := s.KnownLeader()
+func (s *Replica) KnownLeader() message.Leadership { return s.hint }
 
 // Group is the partition's voters as this replica knows them.
 //
-// Example: if s.Group().Num == 0 { standby() }
+// Example: if s.Group().Number == 0 { standby() }
 func (s *Replica) Group() message.Group { return s.meta.Group }
 
 // Records is the replica's records; read it only while the replica is leader.
@@ -270,13 +270,13 @@
 
 // Meta is the durable state beside the records.
 //
-// Example: s.Meta().Set
+// Example: s.Meta().LastComplete
 func (s *Replica) Meta() Meta { return s.meta }
 
-// Hear takes a message from another replica (or from itself).
+// Step takes a message from another replica (or from itself).
 //
-// Example: out := s.Hear(now, message)
-func (s *Replica) Hear(now time.Duration, n message.Message) (o Out) {
+// Example: out := s.Step(now, message)
+func (s *Replica) Step(now time.Duration, n message.Message) (o Out) {
 	from := message.Replica{Ident: n.From, Addr: n.Addr}
 	s.now = now
 	defer func() { s.sign(&o) }()
@@ -286,64 +286,64 @@
 	s.live(now, n)
 	s.replied(now, n)
 	switch n.Kind {
-	case message.Ask:
+	case message.KindRequestVote:
 		s.asked(now, from, n, &o)
-	case message.Promise:
+	case message.KindGrantVote:
 		s.promise(now, n, &o)
-	case message.Refuse:
+	case message.KindRejectVote:
 		s.refuseBy(now, n, &o)
-	case message.Fill:
+	case message.KindInstallState:
 		s.fill(from, n, &o)
-	case message.Filled:
-		if s.standing(n.Num) && n.Op == compare {
+	case message.KindStateInstalled:
+		if s.standing(n.Term) && n.Op == compare {
 			if s.meta.Group.Has(n.From) {
 				s.reported(n, &o)
 			}
 			s.caughtUp(n)
-		} else if s.standing(n.Num) && n.Op == wholeCopy {
+		} else if s.standing(n.Term) && n.Op == wholeCopy {
 			s.holdsAll(n)
-		} else if s.standing(n.Num) {
+		} else if s.standing(n.Term) {
 			s.filled[n.From] = true
 			s.settle(now, &o)
 		}
-	case message.Unfit:
-		if s.standing(n.Num) && n.Op == compare {
-			s.mend(from, n.Digs, &o)
-		} else if s.standing(n.Num) && n.Op == wholeCopy {
+	case message.KindStateMismatch:
+		if s.standing(n.Term) && n.Op == compare {
+			s.mend(from, n.Digests, &o)
+		} else if s.standing(n.Term) && n.Op == wholeCopy {
 			s.complete(from, n, &o)
-		} else if s.standing(n.Num) {
+		} else if s.standing(n.Term) {
 			delete(s.filled, n.From)
-			s.sendFill(now, from, n.Digs, &o)
+			s.sendFill(now, from, n.Digests, &o)
 		}
-	case message.Accept:
+	case message.KindReplicate:
 		s.accept(now, from, n, &o)
-	case message.Accepted:
+	case message.KindReplicated:
 		s.accepted(now, n, &o)
-	case message.Support:
-		if s.meta.Promised == n.Num && s.meta.To == n.From {
+	case message.KindHeartbeat:
+		if s.meta.Promised == n.Term && s.meta.To == n.From {
 			s.support, s.till = n.From, max(s.till, now+s.cfg.Wait(s.cfg.LeaderLease))
-			s.hint, s.backed = message.Own{Partition: s.partition, Num: n.Num, Replica: from}, now
-			rep := message.Message{Kind: message.Supported, Partition: s.partition, Num: n.Num, Ref: n.No}
+			s.hint, s.backed = message.Leadership{Partition: s.partition, Term: n.Term, Leader: from}, now
+			rep := message.Message{Kind: message.KindHeartbeatAck, Partition: s.partition, Term: n.Term, ResponseTo: n.RequestID}
 			if s.quit {
 				rep.Op = parting
 			}
 			s.uphold(from, rep, &o)
 			if s.meta.Short { // the leader may take this for a whole copy
-				o.send(from, message.Message{Kind: message.Unfit, Partition: s.partition, Num: n.Num, Digs: s.records.Digs()})
+				o.send(from, message.Message{Kind: message.KindStateMismatch, Partition: s.partition, Term: n.Term, Digests: s.records.Digests()})
 			}
 		} else {
 			s.refuse(now, from, n, &o)
 		}
-	case message.Void:
+	case message.KindAbandonTerm:
 		// Nobody can ever be leader under a term that its candidate gave up, so
 		// the vote need not stay bound to it. A later life of that candidate may
 		// have asked for it again.
-		if s.meta.Promised == n.Num && s.meta.To == n.From && s.meta.ToEpoch == n.Epoch && s.undo == n.Num {
+		if s.meta.Promised == n.Term && s.meta.To == n.From && s.meta.ToEpoch == n.Epoch && s.undo == n.Term {
 			s.meta.Promised, s.meta.To, s.meta.ToEpoch = s.before.Promised, s.before.To, s.before.ToEpoch
 			s.save(&o, nil, nil)
 			s.bound = s.tick
 		}
-	case message.Supported:
+	case message.KindHeartbeatAck:
 		s.supported(now, n)
 	}
 	return o
--- a/control/quorum/quorum_test.go
+++ b/control/quorum/quorum_test.go
@@ -9,31 +9,31 @@
 	"mulleinmast/wire/message"
 )
 
-var cfg = Config{LeaderLease: time.Second, Drift: 0.02, Margin: 20 * time.Millisecond, Beat: 333 * time.Millisecond}
+var cfg = Config{LeaderLease: time.Second, Drift: 0.02, Margin: 20 * time.Millisecond, HeartbeatInterval: 333 * time.Millisecond}
 
 // alone is a group of one, with messages to itself and saves carried out at once.
 type alone struct {
 	s    *Replica
 	now  time.Duration
-	done []Done
+	done []WriteResult
 	drop []string
 }
 
 func (a *alone) carry(o Out) {
-	a.done = append(a.done, o.Done...)
+	a.done = append(a.done, o.Results...)
 	for _, v := range o.Saves {
-		a.drop = append(a.drop, v.Drop...)
+		a.drop = append(a.drop, v.Delete...)
 		a.carry(a.s.Saved(v.Ticket))
 	}
 	for _, m := range o.Sends {
 		m.Message.From, m.Message.Addr = "a", "x"
-		a.carry(a.s.Hear(a.now, m.Message))
+		a.carry(a.s.Step(a.now, m.Message))
 	}
 }
 
 func leader(t *testing.T) *alone {
 	a := &alone{}
-	g := message.Group{Num: 1, Replicas: []message.Replica{{Ident: "a", Addr: "x"}}}
+	g := message.Group{Number: 1, Replicas: []message.Replica{{Ident: "a", Addr: "x"}}}
 	a.s = New(cfg, 1, g.Replicas[0], nil, Meta{Group: g}, digest.NewRecords(), 0, false)
 	for ; a.now < 3*time.Second; a.now += 20 * time.Millisecond {
 		a.carry(a.s.Tick(a.now))
@@ -50,7 +50,7 @@
 func TestFloorLetsOldRecordsGo(t *testing.T) {
 	a := leader(t)
 	put := func(key string, val []byte) {
-		o, _ := a.s.Write(a.now, 1, []message.Rec{{Key: key, Val: val}})
+		o, _ := a.s.Write(a.now, 1, []message.Record{{Key: key, Value: val}})
 		a.carry(o)
 	}
 	put("once/old", nil)
@@ -72,19 +72,19 @@
 // of a write that it does not know.
 func TestLapsedLeaderDoesNotKnow(t *testing.T) {
 	a := leader(t)
-	o, _ := a.s.Write(a.now, 7, []message.Rec{{Key: "k"}})
-	lease := a.s.Lease()
+	o, _ := a.s.Write(a.now, 7, []message.Record{{Key: "k"}})
+	lease := a.s.LeaseEnd()
 	if a.s.Leader(lease) {
 		t.Error("leader at the instant its lease ends")
 	}
 	out := a.s.Tick(lease)
-	if !out.Lost || len(out.Done) != 1 || out.Done[0] != (Done{7, Uncertain}) {
+	if !out.Lost || len(out.Results) != 1 || out.Results[0] != (WriteResult{7, Uncertain}) {
 		t.Errorf("%+v", out)
 	}
 	a.now = lease
 	a.carry(o) // the write's own messages come late
 	for _, d := range a.done {
-		if d.Tag == 7 && d.Fate == Written {
+		if d.Tag == 7 && d.Outcome == Committed {
 			t.Error("acknowledged after the lease")
 		}
 	}
--- a/control/quorum/repair.go
+++ b/control/quorum/repair.go
@@ -34,41 +34,41 @@
 		} else if s.seenAt[replica.Ident] = now; !ok {
 			continue // it was filled just now
 		}
-		o.send(replica, message.Message{Kind: message.Fill, Op: compare, Partition: s.partition, Num: s.num, Digs: s.records.Digs(), Group: s.meta.Group})
+		o.send(replica, message.Message{Kind: message.KindInstallState, Op: compare, Partition: s.partition, Term: s.num, Digests: s.records.Digests(), Group: s.meta.Group})
 	}
 }
 
 // compared is a replica's side: its digests, or what the leader sent taken in.
 func (s *Replica) compared(from message.Replica, n message.Message, o *Out) {
-	if n.Spans == nil {
-		if len(digest.Differ(s.records.Digs(), n.Digs)) > 0 {
-			o.send(from, message.Message{Kind: message.Unfit, Op: compare, Partition: s.partition, Num: n.Num, Digs: s.records.Digs()})
-		} else if n.No > 0 { // the leader waits for this copy
-			s.put(o, Save{}, message.Send{Addr: from.Addr, Message: message.Message{Kind: message.Filled, Op: compare, Partition: s.partition, Num: n.Num, Ref: n.No, To: from.Ident}})
+	if n.Ranges == nil {
+		if len(digest.DifferingRanges(s.records.Digests(), n.Digests)) > 0 {
+			o.send(from, message.Message{Kind: message.KindStateMismatch, Op: compare, Partition: s.partition, Term: n.Term, Digests: s.records.Digests()})
+		} else if n.RequestID > 0 { // the leader waits for this copy
+			s.put(o, Save{}, message.Envelope{Addr: from.Addr, Message: message.Message{Kind: message.KindStateInstalled, Op: compare, Partition: s.partition, Term: n.Term, ResponseTo: n.RequestID, To: from.Ident}})
 		}
 		return
 	}
-	theirs := map[string]message.Rec{}
-	var recs, newer []message.Rec
-	for _, r := range n.Recs {
+	theirs := map[string]message.Record{}
+	var recs, newer []message.Record
+	for _, r := range n.Records {
 		theirs[r.Key] = r
 		own, ok := s.records.Get(r.Key)
 		switch {
-		case !ok || own.Ver.Less(r.Ver) || own.Ver.Term > n.Num || own.Ver == r.Ver && digest.Print(own) != digest.Print(r):
+		case !ok || own.Version.Less(r.Version) || own.Version.Term > n.Term || own.Version == r.Version && digest.Fingerprint(own) != digest.Fingerprint(r):
 			s.records.Put(r)
 			recs = append(recs, r)
-		case r.Ver.Less(own.Ver):
+		case r.Version.Less(own.Version):
 			newer = append(newer, own)
 		}
 	}
 	var gone []string
 	floor := floorOf(s.records)
-	for _, sp := range n.Spans {
-		for own := range s.records.In(sp) {
+	for _, sp := range n.Ranges {
+		for own := range s.records.InRange(sp) {
 			if _, ok := theirs[own.Key]; ok {
 				continue
 			}
-			if strings.HasPrefix(own.Key, FloorOf) && own.Ver.Less(floor) || own.Ver.Term > n.Num {
+			if strings.HasPrefix(own.Key, FloorOf) && own.Version.Less(floor) || own.Version.Term > n.Term {
 				gone = append(gone, own.Key)
 			} else {
 				newer = append(newer, own)
@@ -78,26 +78,26 @@
 	for _, k := range gone {
 		s.records.Drop(k)
 	}
-	s.put(o, Save{Recs: recs, Drop: gone}, message.Send{Addr: from.Addr, Message: message.Message{Kind: message.Filled, Op: compare, Partition: s.partition, Num: n.Num, Ref: n.No, Recs: newer, To: from.Ident}})
+	s.put(o, Save{Records: recs, Delete: gone}, message.Envelope{Addr: from.Addr, Message: message.Message{Kind: message.KindStateInstalled, Op: compare, Partition: s.partition, Term: n.Term, ResponseTo: n.RequestID, Records: newer, To: from.Ident}})
 }
 
 // mend sends a replica what the leader has in the ranges that differ.
 func (s *Replica) mend(to message.Replica, digs []uint64, o *Out) {
-	spans := digest.Differ(s.records.Digs(), digs)
+	spans := digest.DifferingRanges(s.records.Digests(), digs)
 	if s.mode != owning || len(s.writes) > 0 && s.behind[to.Ident] == nil || len(spans) == 0 {
 		return
 	}
 	s.Mended++
-	o.send(to, message.Message{Kind: message.Fill, Op: compare, Partition: s.partition, Num: s.num, No: s.seq, Spans: spans, Recs: s.records.Within(spans), Group: s.meta.Group})
+	o.send(to, message.Message{Kind: message.KindInstallState, Op: compare, Partition: s.partition, Term: s.num, RequestID: s.seq, Ranges: spans, Records: s.records.RecordsIn(spans), Group: s.meta.Group})
 }
 
 // reported looks at what a replica has that is newer than the leader's copy was.
 // What the leader wrote since explains it; else its own copy is the bad one: it
 // gives the leadership up, and the next term takes the newest of a majority.
 func (s *Replica) reported(n message.Message, o *Out) {
-	for _, r := range n.Recs {
+	for _, r := range n.Records {
 		cur, ok := s.records.Get(r.Key)
-		if s.mode == owning && r.Ver.Term <= s.num && (!ok || cur.Ver.Less(r.Ver)) && !(strings.HasPrefix(r.Key, FloorOf) && r.Ver.Less(floorOf(s.records))) {
+		if s.mode == owning && r.Version.Term <= s.num && (!ok || cur.Version.Less(r.Version)) && !(strings.HasPrefix(r.Key, FloorOf) && r.Version.Less(floorOf(s.records))) {
 			s.drop(o)
 			return
 		}
--- a/control/quorum/step_test.go
+++ b/control/quorum/step_test.go
@@ -16,7 +16,7 @@
 	_, out, _ := c.others()
 	c.wait(time.Second, c.learn("d"))
 	c.lose = func(_ string, n message.Message) bool {
-		return n.Kind == message.Support || n.Kind == message.Supported
+		return n.Kind == message.KindHeartbeat || n.Kind == message.KindHeartbeatAck
 	}
 	c.replace(out, "d")
 	c.run()
@@ -28,7 +28,7 @@
 		t.Errorf("the old group is gone at once, and nobody of the next supports the lease: %s", c.group())
 	}
 	c.lose = func(string, message.Message) bool { return false }
-	c.wait(100*time.Millisecond+cfg.Beat, c.learn("d"))
+	c.wait(100*time.Millisecond+cfg.HeartbeatInterval, c.learn("d"))
 	if _, s := c.leader(); len(s.Group().Next) > 0 || s.Group().Has(out) {
 		t.Errorf("the step isn't finished a beat later: %s", c.group())
 	}
@@ -39,27 +39,27 @@
 // one has restarted as well, promise itself to another while the lease stands.
 func TestAVoteIsOnDiskBeforeItSupports(t *testing.T) {
 	for what, bind := range map[string]message.Message{
-		"it joined the term by a fill": {Kind: message.Fill, Num: 6, Group: three},
-		"it promised":                  {Kind: message.Ask, Num: 6, Group: three, Len: int64(whole)},
+		"it joined the term by a fill": {Kind: message.KindInstallState, Term: 6, Group: three},
+		"it promised":                  {Kind: message.KindRequestVote, Term: 6, Group: three, Length: int64(whole)},
 	} {
 		v := restarted(t)
 		at := 2 * whole
 		hear := func(n message.Message) Out {
 			n.From, n.Addr, n.Epoch, n.Partition = "b", "b", 1, 1
-			return v.s.Hear(at, n)
+			return v.s.Step(at, n)
 		}
 		saves := hear(bind).Saves
-		support := hear(message.Message{Kind: message.Support, Num: 6, No: 1})
+		support := hear(message.Message{Kind: message.KindHeartbeat, Term: 6, RequestID: 1})
 		early := support.Sends
 		saves = append(saves, support.Saves...)
 		if len(early) > 0 || len(saves) == 0 || saves[len(saves)-1].Meta.Promised != 6 {
 			t.Errorf("%s: it supports with %+v, to be saved is %+v", what, early, saves)
 		}
-		var late []message.Send
+		var late []message.Envelope
 		for _, s := range saves {
 			late = append(late, v.s.Saved(s.Ticket).Sends...)
 		}
-		if len(late) == 0 || late[len(late)-1].Message.Kind != message.Supported {
+		if len(late) == 0 || late[len(late)-1].Message.Kind != message.KindHeartbeatAck {
 			t.Errorf("%s: once that is on disk: %+v", what, late)
 		}
 	}
@@ -70,8 +70,8 @@
 // would bind the vote to a life that is over.
 func TestMessagesOfAnEarlierLifeAreNobodys(t *testing.T) {
 	for what, late := range map[string]message.Message{
-		"void": {Kind: message.Void, Num: 6},
-		"ask":  {Kind: message.Ask, Num: 6, Len: int64(whole)},
+		"void": {Kind: message.KindAbandonTerm, Term: 6},
+		"ask":  {Kind: message.KindRequestVote, Term: 6, Length: int64(whole)},
 	} {
 		v := restarted(t)
 		at := 2 * whole
@@ -103,7 +103,7 @@
 		t.Fatalf("no step: %+v, the newcomer has %+v", s.Group(), c.replicas["d"].Group())
 	}
 	c.replicas[first].Resign()
-	others := func(n message.Message) bool { return n.Kind == message.Ask && n.From != "d" } // nobody else stands
+	others := func(n message.Message) bool { return n.Kind == message.KindRequestVote && n.From != "d" } // nobody else stands
 	c.lose = func(_ string, n message.Message) bool { return n.Op == wholeCopy || others(n) }
 	c.wait(3 * time.Second)
 	c.lose = func(_ string, n message.Message) bool { return others(n) }
--- a/control/quorum/stored_test.go
+++ b/control/quorum/stored_test.go
@@ -15,14 +15,14 @@
 	return Meta{
 		Promised: 11, To: "b", ToEpoch: 2<<32 + 5, Tried: 12, LastComplete: 10,
 		Group: message.Group{
-			Num:      3<<16 + 1,
+			Number:   3<<16 + 1,
 			Replicas: []message.Replica{{Ident: "a", Addr: "10.0.0.1:7"}, {Ident: "b", Addr: "10.0.0.2:7"}},
 			Next:     []message.Replica{{Ident: "a", Addr: "10.0.0.1:7"}, {Ident: "c", Addr: "10.0.0.3:7"}},
 		},
 		Short:   true,
-		State:   message.Stamp{Epoch: 4<<32 + 1, Saves: 20},
-		History: []message.Stamp{{Epoch: 2<<32 + 9, Saves: 3}, {Epoch: 3<<32 + 8, Saves: 7}},
-		Peers:   []message.Peer{{Ident: "b", Epoch: 2<<32 + 5, State: message.Stamp{Epoch: 2<<32 + 5, Saves: 41}}, {Ident: "c", Epoch: 1<<32 + 6}},
+		State:   message.SavePoint{Epoch: 4<<32 + 1, Saves: 20},
+		History: []message.SavePoint{{Epoch: 2<<32 + 9, Saves: 3}, {Epoch: 3<<32 + 8, Saves: 7}},
+		Peers:   []message.PeerIncarnation{{Ident: "b", Epoch: 2<<32 + 5, State: message.SavePoint{Epoch: 2<<32 + 5, Saves: 41}}, {Ident: "c", Epoch: 1<<32 + 6}},
 	}
 }
 
@@ -67,8 +67,8 @@
 // makes a whole copy look damaged.
 func TestMetaChecksumsAreThoseOfEarlierBuilds(t *testing.T) {
 	records := digest.NewRecords()
-	records.Put(message.Rec{Key: "plan/now", Ver: message.Ver{Term: 9, Seq: 4}, Val: []byte("value")})
-	records.Put(message.Rec{Key: "server/7", Ver: message.Ver{Term: 10, Seq: 1}, Dead: true})
+	records.Put(message.Record{Key: "plan/now", Version: message.Version{Term: 9, Seq: 4}, Value: []byte("value")})
+	records.Put(message.Record{Key: "server/7", Version: message.Version{Term: 10, Seq: 1}, Deleted: true})
 	votable := fullMeta()
 	votable.Short = false
 	for name, c := range map[string]struct {
