--- a/control/quorum/term.go
+++ b/control/quorum/term.go
@@ -16,48 +16,48 @@
 	case !n.Group.Has(n.From) || s.meta.Short: // only a replica stands, and what its disk lost may be all that a majority has
 		s.refuse(now, from, n, o)
 		return
-	case n.Group.Num > own.Num && n.Group.Has(s.me.Ident):
+	case n.Group.Number > own.Number && n.Group.Has(s.me.Ident):
 		s.join(now, n.Group)
 		own = n.Group
-	case own.Num == 0 || own.Num > n.Group.Num || !own.Has(s.me.Ident) || !sameReplicas(own, n.Group):
+	case own.Number == 0 || own.Number > n.Group.Number || !own.Has(s.me.Ident) || !sameReplicas(own, n.Group):
 		s.refuse(now, from, n, o)
 		return
 	}
-	again := n.Num == s.meta.Promised && n.From == s.meta.To
+	again := n.Term == s.meta.Promised && n.From == s.meta.To
 	if n.Op == probe {
-		if s.may(now, n) && n.Num > s.meta.Promised {
-			o.send(from, message.Message{Kind: message.Promise, Op: probe, Partition: s.partition, Num: n.Num, Group: message.Group{Num: own.Num}})
+		if s.may(now, n) && n.Term > s.meta.Promised {
+			o.send(from, message.Message{Kind: message.KindGrantVote, Op: probe, Partition: s.partition, Term: n.Term, Group: message.Group{Number: own.Number}})
 		} else {
 			s.refuse(now, from, n, o)
 		}
 		return
 	}
-	if !s.may(now, n) || n.Num <= s.meta.Promised && !again {
+	if !s.may(now, n) || n.Term <= s.meta.Promised && !again {
 		s.refuse(now, from, n, o)
 		return
 	}
 	if !again {
-		s.before, s.undo = s.meta, n.Num
+		s.before, s.undo = s.meta, n.Term
 	}
 	if n.From == s.me.Ident {
-		s.meta.Tried = n.Num
+		s.meta.Tried = n.Term
 	}
 	if now < s.till && s.support != n.From || now < s.till && s.over() {
 		s.quiet = max(s.quiet, s.till)
 	}
-	s.meta.Promised, s.meta.To, s.meta.ToEpoch = n.Num, n.From, n.Epoch
+	s.meta.Promised, s.meta.To, s.meta.ToEpoch = n.Term, n.From, n.Epoch
 	s.support, s.till = n.From, now+s.cfg.Wait(s.cfg.LeaderLease)
 	if n.From != s.me.Ident {
 		s.drop(o)
 	}
-	recs := s.records.Within(digest.Differ(n.Digs, s.records.Digs()))
-	rep := message.Message{Kind: message.Promise, Partition: s.partition, Num: n.Num, LastComplete: s.meta.LastComplete, Digs: s.records.Digs(), Recs: recs, Group: s.meta.Group, To: from.Ident, Ref: n.Epoch, Len: int64(max(0, s.quiet-now))}
-	s.save(o, nil, nil, message.Send{Addr: from.Addr, Message: rep})
+	recs := s.records.RecordsIn(digest.DifferingRanges(n.Digests, s.records.Digests()))
+	rep := message.Message{Kind: message.KindGrantVote, Partition: s.partition, Term: n.Term, LastComplete: s.meta.LastComplete, Digests: s.records.Digests(), Records: recs, Group: s.meta.Group, To: from.Ident, ResponseTo: n.Epoch, Length: int64(max(0, s.quiet-now))}
+	s.save(o, nil, nil, message.Envelope{Addr: from.Addr, Message: rep})
 	s.bound = s.tick
 }
 
 func sameReplicas(a, b message.Group) bool {
-	if a.Num != b.Num || len(a.Replicas) != len(b.Replicas) || len(a.Next) != len(b.Next) {
+	if a.Number != b.Number || len(a.Replicas) != len(b.Replicas) || len(a.Next) != len(b.Next) {
 		return false
 	}
 	for i := range a.Replicas {
@@ -82,12 +82,12 @@
 	}
 	if s.mode == asking {
 		for _, replica := range s.meta.Group.All() {
-			o.send(replica, message.Message{Kind: message.Void, Partition: s.partition, Num: s.num})
+			o.send(replica, message.Message{Kind: message.KindAbandonTerm, Partition: s.partition, Term: s.num})
 		}
 	}
 	for _, no := range slices.Sorted(maps.Keys(s.writes)) {
 		w := s.writes[no]
-		o.Done = append(o.Done, Done{Tag: w.tag, Fate: Uncertain})
+		o.Results = append(o.Results, WriteResult{Tag: w.tag, Outcome: Uncertain})
 	}
 	s.writes = map[uint64]*write{}
 	s.mode, s.votes, s.filled, s.stuck, s.behind = idle, nil, nil, nil, nil
@@ -96,13 +96,13 @@
 }
 
 func (s *Replica) refuse(now time.Duration, from message.Replica, n message.Message, o *Out) {
-	o.send(from, message.Message{Kind: message.Refuse, Partition: s.partition, Num: n.Num, LastComplete: s.meta.Promised, Group: s.meta.Group, Len: int64(s.left(now, n)), Hint: s.hint.Replica})
+	o.send(from, message.Message{Kind: message.KindRejectVote, Partition: s.partition, Term: n.Term, LastComplete: s.meta.Promised, Group: s.meta.Group, Length: int64(s.left(now, n)), Hint: s.hint.Leader})
 }
 
 // may tells whether a candidate can be promised a term now. One that would
 // not write nothing while leases stand, as an older build's, waits them out.
 func (s *Replica) may(now time.Duration, n message.Message) bool {
-	return now >= s.till || s.support == n.From || s.over() && time.Duration(n.Len) >= s.till-now
+	return now >= s.till || s.support == n.From || s.over() && time.Duration(n.Length) >= s.till-now
 }
 
 // left is how long this replica is bound still, and not to the one that asks.
@@ -115,19 +115,19 @@
 
 func (s *Replica) refuseBy(now time.Duration, n message.Message, o *Out) {
 	s.high = max(s.high, n.LastComplete)
-	if n.Group.Num > s.meta.Group.Num && n.Num == s.num {
+	if n.Group.Number > s.meta.Group.Number && n.Term == s.num {
 		s.adopt(n.Group)
 		s.save(o, nil, nil)
 		if s.mode == asking || s.mode == probing {
 			s.drop(o)
 		}
 	}
-	if n.Num == s.num && (s.mode == asking || s.mode == probing) {
-		s.next = max(s.next, now+min(time.Duration(n.Len), s.cfg.Wait(s.cfg.LeaderLease))+s.delay()/2+s.cfg.Margin)
+	if n.Term == s.num && (s.mode == asking || s.mode == probing) {
+		s.next = max(s.next, now+min(time.Duration(n.Length), s.cfg.Wait(s.cfg.LeaderLease))+s.delay()/2+s.cfg.Margin)
 	}
 	// One voter bound to another term does not end a leadership that a majority
 	// supports; if it stays bound, Tick takes a higher term.
-	if n.Num == s.num && n.LastComplete >= s.num && s.mode == owning {
+	if n.Term == s.num && n.LastComplete >= s.num && s.mode == owning {
 		if _, ok := s.stuck[n.From]; !ok {
 			s.stuck[n.From] = now
 		}
@@ -135,27 +135,27 @@
 }
 
 func (s *Replica) promise(now time.Duration, n message.Message, o *Out) {
-	if n.Num != s.num || n.Group.Num != s.meta.Group.Num {
+	if n.Term != s.num || n.Group.Number != s.meta.Group.Number {
 		return
 	}
 	if s.mode == probing && n.Op == probe {
 		s.probed[n.From] = true
-		if s.meta.Group.Quorum(func(id string) bool { return s.probed[id] }) {
+		if s.meta.Group.HasQuorum(func(id string) bool { return s.probed[id] }) {
 			s.stand(now, o)
 		}
 		return
 	}
 	// A life that ended before its own vote was on disk leaves the same term to
 	// the next. What it was promised holds only the records that its copy lacked.
-	if s.mode != asking || n.Op == probe || n.Ref != 0 && n.Ref != s.lives[s.me.Ident] {
+	if s.mode != asking || n.Op == probe || n.ResponseTo != 0 && n.ResponseTo != s.lives[s.me.Ident] {
 		return
 	}
-	s.votes[n.From] = vote{lastComplete: n.LastComplete, digs: n.Digs, recs: n.Recs}
-	if n.Len > 0 {
-		s.calm = max(s.calm, now+s.cfg.Wait(min(time.Duration(n.Len), s.cfg.Wait(s.cfg.LeaderLease))))
+	s.votes[n.From] = vote{lastComplete: n.LastComplete, digs: n.Digests, recs: n.Records}
+	if n.Length > 0 {
+		s.calm = max(s.calm, now+s.cfg.Wait(min(time.Duration(n.Length), s.cfg.Wait(s.cfg.LeaderLease))))
 	}
 	// Our own voice must be among them: the leader reads from its own records.
-	if _, own := s.votes[s.me.Ident]; !own || !s.meta.Group.Quorum(func(id string) bool { _, ok := s.votes[id]; return ok }) {
+	if _, own := s.votes[s.me.Ident]; !own || !s.meta.Group.HasQuorum(func(id string) bool { _, ok := s.votes[id]; return ok }) {
 		return
 	}
 	// A majority supports nobody else, so no older leader's lease stands.
@@ -177,36 +177,36 @@
 	for _, v := range s.votes {
 		top = max(top, v.lastComplete)
 	}
-	own := s.records.Digs()
+	own := s.records.Digests()
 	fresh := digest.NewRecords()
 	for _, v := range s.votes {
 		if v.lastComplete != top {
 			continue
 		}
 		diff := map[int]bool{}
-		for _, sp := range digest.Differ(own, v.digs) {
+		for _, sp := range digest.DifferingRanges(own, v.digs) {
 			diff[sp] = true
 		}
-		for sp := 0; sp < digest.Spans; sp++ {
+		for sp := 0; sp < digest.Ranges; sp++ {
 			if !diff[sp] {
-				for r := range s.records.In(sp) {
-					fresh.Take(r)
+				for r := range s.records.InRange(sp) {
+					fresh.PutNewer(r)
 				}
 			}
 		}
 		for _, r := range v.recs {
-			if diff[digest.Span(r.Key)] {
-				fresh.Take(r)
+			if diff[digest.RangeOf(r.Key)] {
+				fresh.PutNewer(r)
 			}
 		}
 	}
 	bury(fresh)
-	wipe := digest.Differ(own, fresh.Digs())
+	wipe := digest.DifferingRanges(own, fresh.Digests())
 	s.records = fresh
 	s.meta.LastComplete = s.num
 	s.seq = 0
-	self := message.Message{Kind: message.Filled, Partition: s.partition, Num: s.num, To: s.me.Ident}
-	s.save(o, wipe, fresh.Within(wipe), message.Send{Addr: s.me.Addr, Message: self})
+	self := message.Message{Kind: message.KindStateInstalled, Partition: s.partition, Term: s.num, To: s.me.Ident}
+	s.save(o, wipe, fresh.RecordsIn(wipe), message.Envelope{Addr: s.me.Addr, Message: self})
 }
 
 // bury drops the marks of records that are gone: a new term's copies replace all
@@ -215,7 +215,7 @@
 func bury(fresh *digest.Records) {
 	var gone []string
 	for r := range fresh.All() {
-		if r.Dead && !strings.HasPrefix(r.Key, FloorOf) {
+		if r.Deleted && !strings.HasPrefix(r.Key, FloorOf) {
 			gone = append(gone, r.Key)
 		}
 	}
@@ -226,9 +226,9 @@
 
 // settle turns a candidate into the leader once a majority holds its records.
 func (s *Replica) settle(now time.Duration, o *Out) {
-	if s.mode == filling && s.meta.Group.Quorum(func(id string) bool { return s.filled[id] }) && now < s.lease {
+	if s.mode == filling && s.meta.Group.HasQuorum(func(id string) bool { return s.filled[id] }) && now < s.lease {
 		s.mode = owning
-		s.hint = message.Own{Partition: s.partition, Num: s.num, Replica: s.me}
+		s.hint = message.Leadership{Partition: s.partition, Term: s.num, Leader: s.me}
 		o.Won = true
 	}
 }
@@ -246,7 +246,7 @@
 }
 
 func (s *Replica) askProbe(to message.Replica, o *Out) {
-	o.send(to, message.Message{Kind: message.Ask, Op: probe, Partition: s.partition, Num: s.num, Group: s.meta.Group, Len: s.wait()})
+	o.send(to, message.Message{Kind: message.KindRequestVote, Op: probe, Partition: s.partition, Term: s.num, Group: s.meta.Group, Length: s.wait()})
 }
 
 // wait is for how long at most this replica would write nothing as leader.
@@ -267,7 +267,7 @@
 
 // ask asks a replica for its promise.
 func (s *Replica) ask(to message.Replica, o *Out) {
-	o.send(to, message.Message{Kind: message.Ask, Partition: s.partition, Num: s.num, Digs: s.records.Digs(), Group: s.meta.Group, Len: s.wait()})
+	o.send(to, message.Message{Kind: message.KindRequestVote, Partition: s.partition, Term: s.num, Digests: s.records.Digests(), Group: s.meta.Group, Length: s.wait()})
 }
 
 // delay spaces candidates out: the replica first in this partition's order goes first.
@@ -282,5 +282,5 @@
 }
 
 func score(partition int, addr string) uint64 {
-	return digest.Print(message.Rec{Key: addr, Ver: message.Ver{Term: uint64(partition), Seq: 7}})
+	return digest.Fingerprint(message.Record{Key: addr, Version: message.Version{Term: uint64(partition), Seq: 7}})
 }
--- a/control/quorum/trio_test.go
+++ b/control/quorum/trio_test.go
@@ -27,8 +27,8 @@
 	t    *testing.T
 	now  time.Duration
 	by   map[string]*member
-	wait []message.Send
-	done []Done
+	wait []message.Envelope
+	done []WriteResult
 	tag  uint64
 
 	epochs bool // each replica has an incarnation of its own
@@ -58,7 +58,7 @@
 
 func (w *trio) carry(id string, o Out) {
 	m := w.by[id]
-	w.done = append(w.done, o.Done...)
+	w.done = append(w.done, o.Results...)
 	for _, s := range o.Sends {
 		s.Message.From, s.Message.Addr, s.Message.Epoch, s.Message.Partition = id, id, 1, 1
 		if w.epochs {
@@ -78,14 +78,14 @@
 		m.queue = m.queue[1:]
 		m.meta = v.Meta
 		for _, sp := range v.Wipe {
-			for r := range m.records.In(sp) {
+			for r := range m.records.InRange(sp) {
 				m.records.Drop(r.Key)
 			}
 		}
-		for _, k := range v.Drop {
+		for _, k := range v.Delete {
 			m.records.Drop(k)
 		}
-		for _, r := range v.Recs {
+		for _, r := range v.Records {
 			m.records.Put(r)
 		}
 		w.carry(id, m.s.Saved(v.Ticket))
@@ -101,7 +101,7 @@
 		if to == nil || from != to && (from.cut || to.cut) {
 			continue
 		}
-		w.carry(m.Message.To, to.s.Hear(w.now, m.Message))
+		w.carry(m.Message.To, to.s.Step(w.now, m.Message))
 	}
 }
 
@@ -121,7 +121,7 @@
 
 func (w *trio) write(id string) uint64 {
 	w.tag++
-	o, _ := w.by[id].s.Write(w.now, w.tag, []message.Rec{{Key: fmt.Sprint("k", w.tag%400), Val: []byte(fmt.Sprint(w.tag))}})
+	o, _ := w.by[id].s.Write(w.now, w.tag, []message.Record{{Key: fmt.Sprint("k", w.tag%400), Value: []byte(fmt.Sprint(w.tag))}})
 	w.carry(id, o)
 	return w.tag
 }
@@ -160,8 +160,8 @@
 	w.by[late].cut = false
 	w.pass(3*cfg.LeaderLease/2, true)
 	w.settle()
-	if d := digest.Differ(w.by[own].s.Records().Digs(), w.by[late].s.Records().Digs()); len(d) > 0 {
-		t.Errorf("%d of %d ranges differ", len(d), digest.Spans)
+	if d := digest.DifferingRanges(w.by[own].s.Records().Digests(), w.by[late].s.Records().Digests()); len(d) > 0 {
+		t.Errorf("%d of %d ranges differ", len(d), digest.Ranges)
 	}
 }
 
@@ -187,7 +187,7 @@
 	w.by[late].cut = true // it misses the write
 	tag := w.write(own)
 	w.settle()
-	if !slices.Contains(w.done, Done{tag, Written}) {
+	if !slices.Contains(w.done, WriteResult{tag, Committed}) {
 		t.Fatal("not written")
 	}
 	w.rot(third, fmt.Sprint("k", tag))
@@ -217,15 +217,15 @@
 	w.pass(3*time.Second, true)
 	own, short := w.leader(), w.other()
 	w.rot(short, "k1")
-	if out := w.by[short].s.Hear(w.now, message.Message{Kind: message.Accept, Partition: 1, From: own, Addr: own, Num: w.by[own].s.Num(), No: 1, Group: three}); len(out.Saves) > 0 || len(out.Sends) != 1 || out.Sends[0].Message.Kind != message.Unfit {
+	if out := w.by[short].s.Step(w.now, message.Message{Kind: message.KindReplicate, Partition: 1, From: own, Addr: own, Term: w.by[own].s.Term(), RequestID: 1, Group: three}); len(out.Saves) > 0 || len(out.Sends) != 1 || out.Sends[0].Message.Kind != message.KindStateMismatch {
 		t.Errorf("a short replica takes a write: %+v", out)
 	}
-	w.pass(2*cfg.Beat, false)
+	w.pass(2*cfg.HeartbeatInterval, false)
 	w.settle()
 	if m := w.by[short]; m.s.Meta().Short || m.meta.Short {
 		t.Error("still short")
 	}
-	if d := digest.Differ(w.by[own].s.Records().Digs(), w.by[short].s.Records().Digs()); len(d) > 0 {
+	if d := digest.DifferingRanges(w.by[own].s.Records().Digests(), w.by[short].s.Records().Digests()); len(d) > 0 {
 		t.Errorf("%d ranges differ", len(d))
 	}
 }
@@ -242,10 +242,10 @@
 	from := w.now
 	for w.pass(25*time.Millisecond, true); w.by[own].s.Leader(w.now) && w.now < from+10*time.Second; w.pass(25*time.Millisecond, true) {
 	}
-	if d := w.now - from; d < patience*cfg.LeaderLease || d > patience*cfg.LeaderLease+cfg.Beat {
+	if d := w.now - from; d < patience*cfg.LeaderLease || d > patience*cfg.LeaderLease+cfg.HeartbeatInterval {
 		t.Errorf("gave up after %v", d)
 	}
-	if n := len(w.done); n < int(patience*cfg.LeaderLease/(30*time.Millisecond)) || w.done[n-2].Fate != Written {
+	if n := len(w.done); n < int(patience*cfg.LeaderLease/(30*time.Millisecond)) || w.done[n-2].Outcome != Committed {
 		t.Errorf("%d writes settled meanwhile", n)
 	}
 	w.pass(3*time.Second, true)
@@ -256,7 +256,7 @@
 	w.flush(own)
 	w.pass(cfg.LeaderLease, true)
 	w.settle()
-	if d := digest.Differ(w.by[own].s.Records().Digs(), w.by[w.leader()].s.Records().Digs()); len(d) > 0 {
+	if d := digest.DifferingRanges(w.by[own].s.Records().Digests(), w.by[w.leader()].s.Records().Digests()); len(d) > 0 {
 		t.Errorf("%d ranges differ", len(d))
 	}
 }
@@ -267,15 +267,15 @@
 	w := newTrio(t)
 	w.pass(3*time.Second, true)
 	own := w.leader()
-	put := func(recs ...message.Rec) {
+	put := func(recs ...message.Record) {
 		o, _ := w.by[own].s.Write(w.now, 7, recs)
 		w.carry(own, o)
 		w.settle()
 	}
-	put(message.Rec{Key: "once/old"})
+	put(message.Record{Key: "once/old"})
 	mark, _ := json.Marshal(w.by[own].s.Seq())
-	put(message.Rec{Key: "once/new"})
-	put(message.Rec{Key: FloorKey, Val: mark})
+	put(message.Record{Key: "once/new"})
+	put(message.Record{Key: FloorKey, Value: mark})
 	w.by[w.other()].cut = true
 	w.pass(3*time.Second, true)
 	w.by[own].cut = true
@@ -284,7 +284,7 @@
 	}
 	w.pass(4*time.Second, true)
 	for id, m := range w.by {
-		if d := digest.Differ(m.s.Records().Digs(), m.records.Digs()); len(d) > 0 || m.s.Meta().Sum(m.s.Records()) != m.meta.Sum(m.records) {
+		if d := digest.DifferingRanges(m.s.Records().Digests(), m.records.Digests()); len(d) > 0 || m.s.Meta().Sum(m.s.Records()) != m.meta.Sum(m.records) {
 			t.Errorf("%s: %d ranges of the disk differ", id, len(d))
 		}
 	}
@@ -298,20 +298,20 @@
 	own := w.by[w.leader()].s
 	fresh := New(cfg, 1, three.Replicas[0], nil, Meta{Group: three}, digest.NewRecords(), w.now, false)
 	var o Out
-	own.sendFill(w.now, message.Replica{Ident: "new"}, fresh.Records().Digs(), &o)
+	own.sendFill(w.now, message.Replica{Ident: "new"}, fresh.Records().Digests(), &o)
 	fill := o.Sends[0].Message
 	fill.From, fill.Addr = w.leader(), w.leader()
 	if fill.From == "a" {
 		fresh.me = three.Replicas[1]
 	}
-	for cut := range fill.Recs {
+	for cut := range fill.Records {
 		short := fill
-		short.Recs = fill.Recs[:cut]
-		if out := fresh.Hear(w.now, short); len(out.Saves) > 0 || fresh.Meta().LastComplete == fill.Num || len(out.Sends) != 1 || out.Sends[0].Message.Kind != message.Unfit {
-			t.Fatalf("%d of %d records taken for all: %+v", cut, len(fill.Recs), out)
+		short.Records = fill.Records[:cut]
+		if out := fresh.Step(w.now, short); len(out.Saves) > 0 || fresh.Meta().LastComplete == fill.Term || len(out.Sends) != 1 || out.Sends[0].Message.Kind != message.KindStateMismatch {
+			t.Fatalf("%d of %d records taken for all: %+v", cut, len(fill.Records), out)
 		}
 	}
-	if out := fresh.Hear(w.now, fill); len(out.Saves) != 1 || fresh.Meta().LastComplete != fill.Num || fresh.Records().Sum() != own.Records().Sum() {
+	if out := fresh.Step(w.now, fill); len(out.Saves) != 1 || fresh.Meta().LastComplete != fill.Term || fresh.Records().Sum() != own.Records().Sum() {
 		t.Errorf("the whole copy isn't taken: %+v", out)
 	}
 }
@@ -323,7 +323,7 @@
 	w.pass(3*time.Second, false)
 	own, late := w.leader(), w.other()
 	put := func(i int, dead bool) {
-		o, _ := w.by[own].s.Write(w.now, uint64(1000+i), []message.Rec{{Key: fmt.Sprint("berth/", i), Dead: dead}})
+		o, _ := w.by[own].s.Write(w.now, uint64(1000+i), []message.Record{{Key: fmt.Sprint("berth/", i), Deleted: dead}})
 		w.carry(own, o)
 		w.settle()
 	}
--- a/control/quorum/walk_test.go
+++ b/control/quorum/walk_test.go
@@ -38,12 +38,12 @@
 
 type disk struct {
 	meta Meta
-	recs map[string]message.Rec
+	recs map[string]message.Record
 }
 
 type letter struct {
 	at   time.Duration
-	send message.Send
+	send message.Envelope
 	save *Save
 	from string
 	life uint64
@@ -67,8 +67,8 @@
 		w.synced[id] = max(w.synced[id], w.now+time.Duration(w.rng.Intn(8))*time.Millisecond)
 		w.mail = append(w.mail, letter{at: w.synced[id], save: &o.Saves[i], from: id, life: w.epoch[id]})
 	}
-	for _, d := range o.Done {
-		if d.Fate == Written && d.Tag > 0 {
+	for _, d := range o.Results {
+		if d.Outcome == Committed && d.Tag > 0 {
 			w.acked = append(w.acked, w.asked[d.Tag])
 		}
 		delete(w.asked, d.Tag)
@@ -92,7 +92,7 @@
 		}
 		n := l.send.Message
 		if s := w.up[n.To]; s != nil && (n.To == n.From || w.rng.Intn(60) > 0) {
-			w.carry(n.To, s.Hear(w.now, n))
+			w.carry(n.To, s.Step(w.now, n))
 		}
 	}
 }
@@ -100,12 +100,12 @@
 func (d *disk) sync(s Save) {
 	d.meta = s.Meta
 	for _, sp := range s.Wipe {
-		maps.DeleteFunc(d.recs, func(k string, _ message.Rec) bool { return digest.Span(k) == sp })
+		maps.DeleteFunc(d.recs, func(k string, _ message.Record) bool { return digest.RangeOf(k) == sp })
 	}
-	for _, k := range s.Drop {
+	for _, k := range s.Delete {
 		delete(d.recs, k)
 	}
-	for _, r := range s.Recs {
+	for _, r := range s.Records {
 		d.recs[r.Key] = r
 	}
 }
@@ -113,7 +113,7 @@
 func (w *walk) start(id string) {
 	d := w.disks[id]
 	if d == nil {
-		d = &disk{recs: map[string]message.Rec{}}
+		d = &disk{recs: map[string]message.Record{}}
 		w.disks[id] = d
 	}
 	w.epoch[id] = incarnation.Number(incarnation.Starts(w.epoch[id])+1, uint32(len(id)))
@@ -121,7 +121,7 @@
 	for _, r := range d.recs {
 		records.Put(r)
 	}
-	w.up[id] = New(timed, 1, replicaOf(id), OpenFolder(w.epoch[id], d.meta), d.meta, records, w.now, d.meta.Group.Num == 0)
+	w.up[id] = New(timed, 1, replicaOf(id), OpenFolder(w.epoch[id], d.meta), d.meta, records, w.now, d.meta.Group.Number == 0)
 }
 
 // newcomer starts an empty machine.
@@ -139,14 +139,14 @@
 		if !s.Leader(w.now) {
 			continue
 		}
-		leaders = append(leaders, fmt.Sprintf("%s in term %d", id, s.Num()))
-		if w.led[id] == s.Num() {
+		leaders = append(leaders, fmt.Sprintf("%s in term %d", id, s.Term()))
+		if w.led[id] == s.Term() {
 			continue
 		}
-		w.led[id] = s.Num()
+		w.led[id] = s.Term()
 		for _, k := range w.acked {
 			if _, ok := s.Records().Get(k); !ok {
-				w.Fatalf("seed %d at %v: %s leads in term %d without %s, group %+v", w.seed, w.now, id, s.Num(), k, s.Group())
+				w.Fatalf("seed %d at %v: %s leads in term %d without %s, group %+v", w.seed, w.now, id, s.Term(), k, s.Group())
 			}
 		}
 	}
@@ -164,11 +164,11 @@
 			standbys = append(standbys, replicaOf(other))
 		}
 	}
-	w.carry(id, s.Learn(w.now, standbys))
-	w.carry(id, s.Proceed(w.now, 0))
+	w.carry(id, s.SetLearners(w.now, standbys))
+	w.carry(id, s.ContinueChange(w.now, 0))
 	if g := s.Group(); w.rng.Intn(8) == 0 && len(standbys) > 0 {
 		out := g.Replicas[w.rng.Intn(len(g.Replicas))].Ident
-		if o, ok := s.Replace(w.now, 0, out, standbys[w.rng.Intn(len(standbys))]); ok {
+		if o, ok := s.ReplaceReplica(w.now, 0, out, standbys[w.rng.Intn(len(standbys))]); ok {
 			w.steps++
 			w.carry(id, o)
 		}
@@ -177,7 +177,7 @@
 		w.tags++
 		key := fmt.Sprintf("k%d", w.tags)
 		w.asked[w.tags] = key
-		o, _ := s.Write(w.now, w.tags, []message.Rec{{Key: key}})
+		o, _ := s.Write(w.now, w.tags, []message.Record{{Key: key}})
 		w.carry(id, o)
 	}
 }
@@ -187,7 +187,7 @@
 func (w *walk) spare(id string) bool {
 	for _, s := range w.up {
 		g := s.Group()
-		if g.Num > 0 && !g.Quorum(func(x string) bool { return x != id && w.up[x] != nil }) {
+		if g.Number > 0 && !g.HasQuorum(func(x string) bool { return x != id && w.up[x] != nil }) {
 			return false
 		}
 	}
@@ -218,7 +218,7 @@
 		w := &walk{T: t, seed: seed, rng: rand.New(rand.NewSource(seed)), up: map[string]*Replica{}, epoch: map[string]uint64{}, disks: map[string]*disk{}, asked: map[uint64]string{}, led: map[string]uint64{}, synced: map[string]time.Duration{}}
 		first := replicasOf("a", "b", "c")
 		for _, s := range first {
-			w.disks[s.Ident] = &disk{meta: Meta{Group: message.Group{Num: 1, Replicas: first}}, recs: map[string]message.Rec{}}
+			w.disks[s.Ident] = &disk{meta: Meta{Group: message.Group{Number: 1, Replicas: first}}, recs: map[string]message.Record{}}
 			w.start(s.Ident)
 		}
 		w.newcomer()
@@ -228,7 +228,7 @@
 				s := w.up[id]
 				w.carry(id, s.Tick(w.now))
 				w.deliver()
-				if s.Leader(w.now) && s.Calm() <= w.now && w.rng.Intn(10) == 0 {
+				if s.Leader(w.now) && s.WritesFrom() <= w.now && w.rng.Intn(10) == 0 {
 					w.lead(id, s)
 				}
 				w.deliver()
--- a/control/quorum/whole.go
+++ b/control/quorum/whole.go
@@ -36,12 +36,12 @@
 	if m.Short {
 		short = 1
 	}
-	num(m.Promised, m.ToEpoch, m.Tried, m.LastComplete, short, m.Group.Num, uint64(len(m.Group.Replicas)))
+	num(m.Promised, m.ToEpoch, m.Tried, m.LastComplete, short, m.Group.Number, uint64(len(m.Group.Replicas)))
 	word(m.To)
 	for _, replica := range append(slices.Clone(m.Group.Replicas), m.Group.Next...) {
 		word(replica.Ident)
 	}
-	num(b.Digs()...)
+	num(b.Digests()...)
 	return h.Sum64() | 1 // 0 is none
 }
 
@@ -132,7 +132,7 @@
 func (s *Replica) chase(now time.Duration, o *Out) {
 	for _, no := range slices.Sorted(maps.Keys(s.few)) {
 		w := s.few[no]
-		if now-w.sent < s.cfg.Beat {
+		if now-w.sent < s.cfg.HeartbeatInterval {
 			continue
 		}
 		delete(s.few, no)
@@ -141,13 +141,13 @@
 				continue
 			}
 			if s.behind[replica.Ident] == nil {
-				s.behind[replica.Ident] = &behind{asked: now - 2*s.cfg.Beat}
+				s.behind[replica.Ident] = &behind{asked: now - 2*s.cfg.HeartbeatInterval}
 			}
 			s.behind[replica.Ident].missed = no
 		}
 	}
 	for _, replica := range s.peers() {
-		if b := s.behind[replica.Ident]; b != nil && s.filled[replica.Ident] && now-b.asked >= 2*s.cfg.Beat {
+		if b := s.behind[replica.Ident]; b != nil && s.filled[replica.Ident] && now-b.asked >= 2*s.cfg.HeartbeatInterval {
 			if b.heard {
 				b.asks++
 			}
@@ -156,14 +156,14 @@
 				continue
 			}
 			b.asked = now
-			o.send(replica, message.Message{Kind: message.Fill, Op: compare, Partition: s.partition, Num: s.num, No: s.seq, Digs: s.records.Digs(), Group: s.meta.Group})
+			o.send(replica, message.Message{Kind: message.KindInstallState, Op: compare, Partition: s.partition, Term: s.num, RequestID: s.seq, Digests: s.records.Digests(), Group: s.meta.Group})
 		}
 	}
 }
 
 // caughtUp takes a replica's word that its disk has all up to a write.
 func (s *Replica) caughtUp(n message.Message) {
-	if b := s.behind[n.From]; b != nil && n.Ref >= b.missed {
+	if b := s.behind[n.From]; b != nil && n.ResponseTo >= b.missed {
 		delete(s.behind, n.From)
 	}
 }
--- a/control/storage/aside.go
+++ b/control/storage/aside.go
@@ -91,7 +91,7 @@
 func (a *Store) disown() error {
 	var saves []quorum.Save
 	for partition, h := range a.Partitions {
-		h.Meta.State, h.Meta.History, h.Meta.Peers = message.Stamp{}, nil, nil
+		h.Meta.State, h.Meta.History, h.Meta.Peers = message.SavePoint{}, nil, nil
 		a.Partitions[partition] = h
 		saves = append(saves, quorum.Save{Partition: partition, Meta: h.Meta, Sum: h.Meta.Sum(h.Records)})
 	}
--- a/control/storage/aside_test.go
+++ b/control/storage/aside_test.go
@@ -48,7 +48,7 @@
 func TestAStateThatIsLeftClaimsNothing(t *testing.T) {
 	dir := t.TempDir()
 	a := open(t, dir)
-	past := quorum.Meta{Group: message.Group{Num: 1}, State: message.Stamp{Epoch: a.Epoch, Saves: 4}, Peers: []message.Peer{{Ident: "b", Epoch: 9 << 32}}, History: []message.Stamp{{Epoch: 1 << 32, Saves: 2}}}
+	past := quorum.Meta{Group: message.Group{Number: 1}, State: message.SavePoint{Epoch: a.Epoch, Saves: 4}, Peers: []message.PeerIncarnation{{Ident: "b", Epoch: 9 << 32}}, History: []message.SavePoint{{Epoch: 1 << 32, Saves: 2}}}
 	if err := a.Write([]quorum.Save{{Partition: 1, Meta: past}}); err != nil {
 		t.Fatal(err)
 	}
@@ -64,7 +64,7 @@
 	a.Close()
 	a = open(t, dir) // and on disk
 	defer a.Close()
-	if m := a.Partitions[1].Meta; m.State.Epoch != 0 || len(m.Peers)+len(m.History) > 0 || m.Group.Num != 1 {
+	if m := a.Partitions[1].Meta; m.State.Epoch != 0 || len(m.Peers)+len(m.History) > 0 || m.Group.Number != 1 {
 		t.Errorf("%+v", m)
 	}
 }
@@ -74,7 +74,7 @@
 func TestASpoiltPastClaimsNothing(t *testing.T) {
 	dir := t.TempDir()
 	a := open(t, dir)
-	meta := quorum.Meta{Promised: 4, Group: message.Group{Num: 1}, State: message.Stamp{Epoch: a.Epoch, Saves: 4}, Peers: []message.Peer{{Ident: "b", Epoch: 9 << 32}}}
+	meta := quorum.Meta{Promised: 4, Group: message.Group{Number: 1}, State: message.SavePoint{Epoch: a.Epoch, Saves: 4}, Peers: []message.PeerIncarnation{{Ident: "b", Epoch: 9 << 32}}}
 	if err := a.Write([]quorum.Save{{Partition: 1, Meta: meta}}); err != nil {
 		t.Fatal(err)
 	}
--- a/control/storage/batch.go
+++ b/control/storage/batch.go
@@ -31,7 +31,7 @@
 type pending struct {
 	quorum.Save
 	wipe map[int]bool
-	recs map[string]message.Rec
+	recs map[string]message.Record
 	drop map[string]bool
 }
 
@@ -54,20 +54,20 @@
 	}
 	p := b.parts[s.Partition]
 	if p == nil {
-		p = &pending{wipe: map[int]bool{}, recs: map[string]message.Rec{}, drop: map[string]bool{}}
+		p = &pending{wipe: map[int]bool{}, recs: map[string]message.Record{}, drop: map[string]bool{}}
 		b.parts[s.Partition] = p
 	}
 	p.Partition, p.Meta, p.Sum = s.Partition, s.Meta, s.Sum
 	for _, span := range s.Wipe {
 		p.wipe[span] = true
-		maps.DeleteFunc(p.recs, func(k string, _ message.Rec) bool { return digest.Span(k) == span })
-		maps.DeleteFunc(p.drop, func(k string, _ bool) bool { return digest.Span(k) == span })
+		maps.DeleteFunc(p.recs, func(k string, _ message.Record) bool { return digest.RangeOf(k) == span })
+		maps.DeleteFunc(p.drop, func(k string, _ bool) bool { return digest.RangeOf(k) == span })
 	}
-	for _, r := range s.Recs {
+	for _, r := range s.Records {
 		p.recs[r.Key] = r
 		delete(p.drop, r.Key)
 	}
-	for _, k := range s.Drop {
+	for _, k := range s.Delete {
 		p.drop[k] = true
 		delete(p.recs, k)
 	}
@@ -91,9 +91,9 @@
 	for _, partition := range slices.Sorted(maps.Keys(b.parts)) {
 		p := b.parts[partition]
 		s := p.Save
-		s.Wipe, s.Drop = slices.Sorted(maps.Keys(p.wipe)), slices.Sorted(maps.Keys(p.drop))
+		s.Wipe, s.Delete = slices.Sorted(maps.Keys(p.wipe)), slices.Sorted(maps.Keys(p.drop))
 		for _, k := range slices.Sorted(maps.Keys(p.recs)) {
-			s.Recs = append(s.Recs, p.recs[k])
+			s.Records = append(s.Records, p.recs[k])
 		}
 		out = append(out, s)
 	}
--- a/control/storage/batch_test.go
+++ b/control/storage/batch_test.go
@@ -14,14 +14,14 @@
 // apply is what a save leaves behind.
 func apply(b *digest.Records, s quorum.Save) {
 	for _, span := range s.Wipe {
-		for r := range b.In(span) {
+		for r := range b.InRange(span) {
 			b.Drop(r.Key)
 		}
 	}
-	for _, r := range s.Recs {
+	for _, r := range s.Records {
 		b.Put(r)
 	}
-	for _, k := range s.Drop {
+	for _, k := range s.Delete {
 		b.Drop(k)
 	}
 }
@@ -38,11 +38,11 @@
 			s := quorum.Save{Ticket: uint64(i + 1), Partition: 3, Meta: quorum.Meta{Promised: uint64(i)}, Sum: uint64(i)}
 			key := rapid.Custom(func(t *rapid.T) string { return fmt.Sprint("k", rapid.IntRange(0, 12).Draw(t, "key")) })
 			for _, k := range rapid.SliceOfN(key, 0, 3).Draw(t, "recs") {
-				s.Recs = append(s.Recs, message.Rec{Key: k, Ver: message.Ver{Term: 1, Seq: uint64(i)}})
+				s.Records = append(s.Records, message.Record{Key: k, Version: message.Version{Term: 1, Seq: uint64(i)}})
 			}
-			s.Drop = rapid.SliceOfN(key, 0, 2).Draw(t, "drop")
+			s.Delete = rapid.SliceOfN(key, 0, 2).Draw(t, "drop")
 			for _, k := range rapid.SliceOfN(key, 0, 2).Draw(t, "wipe") {
-				s.Wipe = append(s.Wipe, digest.Span(k))
+				s.Wipe = append(s.Wipe, digest.RangeOf(k))
 			}
 			apply(one, s)
 			if i < cut {
@@ -67,9 +67,9 @@
 func TestWhatWaitsIsBoundedByTheState(t *testing.T) {
 	var b Batch
 	for i := range 2000 {
-		b.Add(quorum.Save{Ticket: uint64(i + 1), Recs: []message.Rec{{Key: "plan/now", Ver: message.Ver{Term: 1, Seq: uint64(i)}, Val: make([]byte, 1000)}}})
+		b.Add(quorum.Save{Ticket: uint64(i + 1), Records: []message.Record{{Key: "plan/now", Version: message.Version{Term: 1, Seq: uint64(i)}, Value: make([]byte, 1000)}}})
 	}
-	if s := b.Saves(); len(s) != 1 || len(s[0].Recs) != 1 || s[0].Recs[0].Ver.Seq != 1999 {
-		t.Errorf("%d saves, %d records", len(s), len(s[0].Recs))
+	if s := b.Saves(); len(s) != 1 || len(s[0].Records) != 1 || s[0].Records[0].Version.Seq != 1999 {
+		t.Errorf("%d saves, %d records", len(s), len(s[0].Records))
 	}
 }
--- a/control/storage/crash_test.go
+++ b/control/storage/crash_test.go
@@ -95,20 +95,20 @@
 		b := s.records[p]
 		v := quorum.Save{Partition: p, Meta: quorum.Meta{Promised: s.n, LastComplete: s.n}}
 		if s.rng.Intn(2) == 0 {
-			v.Wipe = []int{s.rng.Intn(digest.Spans)}
-			for r := range b.In(v.Wipe[0]) {
+			v.Wipe = []int{s.rng.Intn(digest.Ranges)}
+			for r := range b.InRange(v.Wipe[0]) {
 				b.Drop(r.Key)
 			}
 		}
 		for range 4 {
-			r := message.Rec{Key: fmt.Sprint("k", s.rng.Intn(40)), Ver: message.Ver{Term: 1, Seq: s.n}, Val: make([]byte, s.rng.Intn(3*page))}
-			s.rng.Read(r.Val)
+			r := message.Record{Key: fmt.Sprint("k", s.rng.Intn(40)), Version: message.Version{Term: 1, Seq: s.n}, Value: make([]byte, s.rng.Intn(3*page))}
+			s.rng.Read(r.Value)
 			b.Put(r)
-			v.Recs = append(v.Recs, r)
+			v.Records = append(v.Records, r)
 		}
 		if k := fmt.Sprint("k", s.rng.Intn(40)); s.rng.Intn(2) == 0 {
 			b.Drop(k)
-			v.Drop = []string{k}
+			v.Delete = []string{k}
 		}
 		v.Sum = v.Meta.Sum(b)
 		list = append(list, v)
--- a/control/storage/golden_test.go
+++ b/control/storage/golden_test.go
@@ -43,28 +43,28 @@
 			Meta: quorum.Meta{
 				Promised: 7, To: "b", ToEpoch: incarnation.Number(3, 21), Tried: 6, LastComplete: 5,
 				Group: message.Group{
-					Num: 4, Replicas: goldenReplicas(goldenIdent + " b c"), Next: goldenReplicas(goldenIdent + " b d"),
+					Number: 4, Replicas: goldenReplicas(goldenIdent + " b c"), Next: goldenReplicas(goldenIdent + " b d"),
 				},
-				State:   message.Stamp{Epoch: incarnation.Number(1, 17), Saves: 12},
-				History: []message.Stamp{{Epoch: incarnation.Number(1, 3), Saves: 2}, {Epoch: incarnation.Number(1, 4), Saves: 9}},
-				Peers: []message.Peer{
-					{Ident: "b", Epoch: incarnation.Number(3, 21), State: message.Stamp{Epoch: incarnation.Number(3, 21), Saves: 40}},
+				State:   message.SavePoint{Epoch: incarnation.Number(1, 17), Saves: 12},
+				History: []message.SavePoint{{Epoch: incarnation.Number(1, 3), Saves: 2}, {Epoch: incarnation.Number(1, 4), Saves: 9}},
+				Peers: []message.PeerIncarnation{
+					{Ident: "b", Epoch: incarnation.Number(3, 21), State: message.SavePoint{Epoch: incarnation.Number(3, 21), Saves: 40}},
 					{Ident: "c", Epoch: incarnation.Number(9, 2)},
 				},
 			},
-			Recs: []message.Rec{
-				{Key: "plan/now", Ver: message.Ver{Term: 5, Seq: 1}, Val: []byte("the plan")},
-				{Key: "once/dead", Ver: message.Ver{Term: 4, Seq: 2}, Dead: true},
-				{Key: "once/empty", Ver: message.Ver{Term: 4, Seq: 3}},
-				{Key: "server/s1", Ver: message.Ver{Term: 5, Seq: 1 << 40}, Val: []byte{0, 1, 0xff, '\''}},
+			Records: []message.Record{
+				{Key: "plan/now", Version: message.Version{Term: 5, Seq: 1}, Value: []byte("the plan")},
+				{Key: "once/dead", Version: message.Version{Term: 4, Seq: 2}, Deleted: true},
+				{Key: "once/empty", Version: message.Version{Term: 4, Seq: 3}},
+				{Key: "server/s1", Version: message.Version{Term: 5, Seq: 1 << 40}, Value: []byte{0, 1, 0xff, '\''}},
 			},
 		},
 		{
 			Partition: 2,
-			Meta:      quorum.Meta{Promised: 2, To: "c", LastComplete: 1, Group: message.Group{Num: 1, Replicas: goldenReplicas("c " + goldenIdent)}, Short: true},
-			Recs:      []message.Rec{{Key: "plan/now", Ver: message.Ver{Term: 1, Seq: 1}, Val: []byte("old")}},
+			Meta:      quorum.Meta{Promised: 2, To: "c", LastComplete: 1, Group: message.Group{Number: 1, Replicas: goldenReplicas("c " + goldenIdent)}, Short: true},
+			Records:   []message.Record{{Key: "plan/now", Version: message.Version{Term: 1, Seq: 1}, Value: []byte("old")}},
 		},
-		{Partition: 5, Meta: quorum.Meta{Group: message.Group{Num: 1, Replicas: goldenReplicas(goldenIdent)}}},
+		{Partition: 5, Meta: quorum.Meta{Group: message.Group{Number: 1, Replicas: goldenReplicas(goldenIdent)}}},
 	}
 	for i, s := range saves {
 		saves[i].Sum = s.Meta.Sum(recordsOf(s))
@@ -74,7 +74,7 @@
 
 func recordsOf(s quorum.Save) *digest.Records {
 	records := digest.NewRecords()
-	for _, r := range s.Recs {
+	for _, r := range s.Records {
 		records.Put(r)
 	}
 	return records
@@ -149,11 +149,11 @@
 		if !reflect.DeepEqual(got.Meta, s.Meta) {
 			t.Errorf("partition %d: %+v\nexpected %+v", s.Partition, got.Meta, s.Meta)
 		}
-		if got.Records.Size() != len(s.Recs) || got.Records.Sum() != recordsOf(s).Sum() {
+		if got.Records.Size() != len(s.Records) || got.Records.Sum() != recordsOf(s).Sum() {
 			t.Errorf("partition %d: other records", s.Partition)
 		}
-		for _, r := range s.Recs {
-			if held, ok := got.Records.Get(r.Key); !ok || held.Ver != r.Ver || held.Dead != r.Dead || string(held.Val) != string(r.Val) {
+		for _, r := range s.Records {
+			if held, ok := got.Records.Get(r.Key); !ok || held.Version != r.Version || held.Deleted != r.Deleted || string(held.Value) != string(r.Value) {
 				t.Errorf("partition %d: %+v instead of %+v", s.Partition, held, r)
 			}
 		}
@@ -169,9 +169,9 @@
 	if starts := incarnation.Starts(a.Epoch); starts != goldenStarts+1 {
 		t.Errorf("start %d, expected %d", starts, goldenStarts+1)
 	}
-	next := quorum.Save{Partition: 2, Meta: want[1].Meta, Drop: []string{"plan/now"}}
+	next := quorum.Save{Partition: 2, Meta: want[1].Meta, Delete: []string{"plan/now"}}
 	next.Meta.Short, next.Meta.Promised = false, 8
-	next.Recs = []message.Rec{{Key: "plan/next", Ver: message.Ver{Term: 8, Seq: 1}, Val: []byte("new")}}
+	next.Records = []message.Record{{Key: "plan/next", Version: message.Version{Term: 8, Seq: 1}, Value: []byte("new")}}
 	next.Sum = next.Meta.Sum(recordsOf(next))
 	if err := a.Write([]quorum.Save{next}); err != nil {
 		t.Fatal(err)
@@ -179,7 +179,7 @@
 	a.Close()
 	a = open(t, dir)
 	defer a.Close()
-	next.Drop, want[1] = nil, next
+	next.Delete, want[1] = nil, next
 	expectGolden(t, a, want)
 	if starts := incarnation.Starts(a.Epoch); starts != goldenStarts+2 {
 		t.Errorf("start %d, expected %d", starts, goldenStarts+2)
@@ -222,7 +222,7 @@
 			t.Fatal(err)
 		}
 		for i := range want {
-			want[i].Meta.State, want[i].Meta.History, want[i].Meta.Peers = message.Stamp{}, nil, nil
+			want[i].Meta.State, want[i].Meta.History, want[i].Meta.Peers = message.SavePoint{}, nil, nil
 		}
 		const restored = goldenStarts + 1<<16 + 1
 		for start := range uint64(2) {
--- a/control/storage/load.go
+++ b/control/storage/load.go
@@ -48,7 +48,7 @@
 			return damage{Error.Wrap(err)}
 		}
 		if r.Past != r.PastSum() { // it claims nothing rather than what was never written
-			r.State, r.History, r.Peers = message.Stamp{}, nil, nil
+			r.State, r.History, r.Peers = message.SavePoint{}, nil, nil
 		}
 		a.Partitions[partition], sums[partition] = Held{Meta: r.Meta, Records: digest.NewRecords()}, r.Sum
 		return nil
@@ -68,7 +68,7 @@
 		h.Meta.Short = true
 		a.Partitions[partition] = h
 		a.Short = append(a.Short, partition)
-		mark = append(mark, quorum.Save{Partition: partition, Meta: h.Meta, Drop: spoilt[partition], Sum: h.Meta.Sum(h.Records)})
+		mark = append(mark, quorum.Save{Partition: partition, Meta: h.Meta, Delete: spoilt[partition], Sum: h.Meta.Sum(h.Records)})
 	}
 	slices.Sort(a.Short)
 	if len(mark) == 0 {
@@ -84,16 +84,16 @@
 	const query = "select r.part, r.key, r.term, r.seq, r.dead, r.val, s.sum from rec r left join sums s on s.part=r.part and s.key=r.key and s.term=r.term and s.seq=r.seq"
 	err = a.each(query, func(scan func(...any) error) error {
 		var partition int
-		var r message.Rec
+		var r message.Record
 		var sum sql.NullInt64 // a build before this one writes none
-		if err := scan(&partition, &r.Key, &r.Ver.Term, &r.Ver.Seq, &r.Dead, &r.Val, &sum); err != nil {
+		if err := scan(&partition, &r.Key, &r.Version.Term, &r.Version.Seq, &r.Deleted, &r.Value, &sum); err != nil {
 			return Error.Wrap(err)
 		}
 		h, ok := a.Partitions[partition]
 		if !ok {
 			return damage{Error.New("record %q of partition %d, which has no replica", r.Key, partition)}
 		}
-		if sum.Valid && sum.Int64 != int64(digest.Print(r)) {
+		if sum.Valid && sum.Int64 != int64(digest.Fingerprint(r)) {
 			a.Spoilt++
 			spoilt[partition] = append(spoilt[partition], r.Key)
 			return nil
--- a/control/storage/storage.go
+++ b/control/storage/storage.go
@@ -251,15 +251,15 @@
 					return err
 				}
 			}
-			for _, r := range s.Recs {
-				if _, err := tx.Exec("insert or replace into rec values(?,?,?,?,?,?,?)", s.Partition, r.Key, digest.Span(r.Key), r.Ver.Term, r.Ver.Seq, r.Dead, r.Val); err != nil {
+			for _, r := range s.Records {
+				if _, err := tx.Exec("insert or replace into rec values(?,?,?,?,?,?,?)", s.Partition, r.Key, digest.RangeOf(r.Key), r.Version.Term, r.Version.Seq, r.Deleted, r.Value); err != nil {
 					return err
 				}
-				if _, err := tx.Exec("insert or replace into sums values(?,?,?,?,?)", s.Partition, r.Key, r.Ver.Term, r.Ver.Seq, int64(digest.Print(r))); err != nil {
+				if _, err := tx.Exec("insert or replace into sums values(?,?,?,?,?)", s.Partition, r.Key, r.Version.Term, r.Version.Seq, int64(digest.Fingerprint(r))); err != nil {
 					return err
 				}
 			}
-			for _, k := range s.Drop {
+			for _, k := range s.Delete {
 				for _, from := range []string{"rec", "sums"} {
 					if _, err := tx.Exec("delete from "+from+" where part=? and key=?", s.Partition, k); err != nil {
 						return err
--- a/control/storage/storage_test.go
+++ b/control/storage/storage_test.go
@@ -33,9 +33,9 @@
 	if !a.Empty || incarnation.Starts(a.Epoch) != 1 {
 		t.Fatalf("%+v", a)
 	}
-	meta := quorum.Meta{Promised: 4, To: id, LastComplete: 3, Group: message.Group{Num: 1, Replicas: []message.Replica{{Ident: id}}}}
-	recs := []message.Rec{{Key: "plan/now", Ver: message.Ver{Term: 3, Seq: 1}, Val: []byte("p")}, {Key: "once/k", Ver: message.Ver{Term: 3, Seq: 2}, Dead: true}}
-	if err := a.Write([]quorum.Save{{Partition: 2, Meta: meta, Recs: recs}}); err != nil {
+	meta := quorum.Meta{Promised: 4, To: id, LastComplete: 3, Group: message.Group{Number: 1, Replicas: []message.Replica{{Ident: id}}}}
+	recs := []message.Record{{Key: "plan/now", Version: message.Version{Term: 3, Seq: 1}, Value: []byte("p")}, {Key: "once/k", Version: message.Version{Term: 3, Seq: 2}, Deleted: true}}
+	if err := a.Write([]quorum.Save{{Partition: 2, Meta: meta, Records: recs}}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open(dir, "f"); err == nil || !strings.Contains(err.Error(), "another daemon") {
@@ -47,7 +47,7 @@
 		t.Errorf("%+v", a)
 	}
 	// A wipe of a range takes only what is in it.
-	if err := a.Write([]quorum.Save{{Partition: 2, Meta: meta, Wipe: []int{digest.Span("plan/now")}}}); err != nil {
+	if err := a.Write([]quorum.Save{{Partition: 2, Meta: meta, Wipe: []int{digest.RangeOf("plan/now")}}}); err != nil {
 		t.Fatal(err)
 	}
 	a.Close()
@@ -97,7 +97,7 @@
 func TestAFullDiskTakesNothing(t *testing.T) {
 	dir := t.TempDir()
 	a := open(t, dir)
-	meta := quorum.Meta{Promised: 1, Group: message.Group{Num: 1, Replicas: []message.Replica{{Ident: a.Ident}}}}
+	meta := quorum.Meta{Promised: 1, Group: message.Group{Number: 1, Replicas: []message.Replica{{Ident: a.Ident}}}}
 	if err := a.Write([]quorum.Save{{Partition: 0, Meta: meta}}); err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 	}
 	next := meta
 	next.Promised = 2
-	big := []quorum.Save{{Partition: 0, Meta: next}, {Partition: 1, Meta: next, Recs: []message.Rec{{Key: "k", Ver: message.Ver{Term: 1, Seq: 1}, Val: make([]byte, 1<<20)}}}}
+	big := []quorum.Save{{Partition: 0, Meta: next}, {Partition: 1, Meta: next, Records: []message.Record{{Key: "k", Version: message.Version{Term: 1, Seq: 1}, Value: make([]byte, 1<<20)}}}}
 	if err := a.Write(big); err == nil || !strings.Contains(err.Error(), "full") {
 		t.Fatalf("a full disk said %v", err)
 	}
@@ -125,8 +125,8 @@
 func TestASpoiltValueIsMissing(t *testing.T) {
 	dir := t.TempDir()
 	a := open(t, dir)
-	recs := []message.Rec{{Key: "a", Ver: message.Ver{Term: 1, Seq: 1}, Val: []byte("x")}, {Key: "b", Ver: message.Ver{Term: 1, Seq: 2}, Dead: true}, {Key: "c", Ver: message.Ver{Term: 1, Seq: 3}}}
-	if err := a.Write([]quorum.Save{{Partition: 0, Recs: recs}}); err != nil {
+	recs := []message.Record{{Key: "a", Version: message.Version{Term: 1, Seq: 1}, Value: []byte("x")}, {Key: "b", Version: message.Version{Term: 1, Seq: 2}, Deleted: true}, {Key: "c", Version: message.Version{Term: 1, Seq: 3}}}
+	if err := a.Write([]quorum.Save{{Partition: 0, Records: recs}}); err != nil {
 		t.Fatal(err)
 	}
 	a.Close()
@@ -188,8 +188,8 @@
 	dir := t.TempDir()
 	a := open(t, dir)
 	id := a.Ident
-	rec := message.Rec{Key: "k", Ver: message.Ver{Term: 1, Seq: 1}, Val: make([]byte, 1<<16)}
-	if err := a.Write([]quorum.Save{{Partition: 0, Recs: []message.Rec{rec}}}); err != nil {
+	rec := message.Record{Key: "k", Version: message.Version{Term: 1, Seq: 1}, Value: make([]byte, 1<<16)}
+	if err := a.Write([]quorum.Save{{Partition: 0, Records: []message.Record{rec}}}); err != nil {
 		t.Fatal(err)
 	}
 	a.Close()
--- a/proof/hollow/client.go
+++ b/proof/hollow/client.go
@@ -15,15 +15,15 @@
 )
 
 // records are the records of one model, under leases that last.
-type records map[string]message.Rec
+type records map[string]message.Record
 
 // Read serves a record.
 //
 // Example: rec, ok := r.Read(1, key)
-func (r records) Read(_ int, key string) (message.Rec, bool) {
+func (r records) Read(_ int, key string) (message.Record, bool) {
 	rec, ok := r[key]
 	if !ok {
-		return message.Rec{Key: key, Dead: true}, true
+		return message.Record{Key: key, Deleted: true}, true
 	}
 	return rec, true
 }
@@ -107,9 +107,9 @@
 		s := fleetconfig.Server{ID: fmt.Sprintf("srv-%05d-0", i), Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, 1+i%250), Zone: fmt.Sprintf("zone-%d", i%o.Zones), Capacity: 16, Part: part}
 		list.Servers = append(list.Servers, s)
 		key := fleetconfig.ServerRecordKey(model(0), s.Key())
-		r[key] = message.Rec{Key: key, Ver: message.Ver{Term: 1, Seq: 1}, Val: leadercall.Pack(placement.ServerRecord{Addr: s.Addr, Zone: s.Zone, Cap: 16, Part: part, Status: placement.Up})}
+		r[key] = message.Record{Key: key, Version: message.Version{Term: 1, Seq: 1}, Value: leadercall.Pack(placement.ServerRecord{Addr: s.Addr, Zone: s.Zone, Cap: 16, Part: part, Status: placement.Up})}
 	}
-	r[fleetconfig.ListKey(model(0))] = message.Rec{Key: fleetconfig.ListKey(model(0)), Ver: message.Ver{Term: 1, Seq: 1}, Val: leadercall.Pack(list)}
+	r[fleetconfig.ListKey(model(0))] = message.Record{Key: fleetconfig.ListKey(model(0)), Version: message.Version{Term: 1, Seq: 1}, Value: leadercall.Pack(list)}
 	l := forward.New(gateway.Config(daemon.Default()), model(0), 1, r, hints{board.New(gateway.BoardConfig(daemon.Default()))})
 	type trip struct {
 		id   string
--- a/proof/hollow/daemon.go
+++ b/proof/hollow/daemon.go
@@ -83,7 +83,7 @@
 	v := d.c.View()
 	s := Snap{Index: d.Index, Zone: d.Zone, Core: d.Core, Members: len(v.Members), Ready: d.c.Ready(), Lost: d.c.Line.Lost.Load(), Counts: d.c.Line.Counts(), At: d.c.Now()}
 	for p := range d.Config.Partitions + 1 {
-		if v.Owns[p].Replica.Ident == d.c.Ident() {
+		if v.Leaderships[p].Leader.Ident == d.c.Ident() {
 			s.Owns = append(s.Owns, p)
 		}
 		if v.Relay(p, d.Config.Zone).Ident == d.c.Ident() {
@@ -101,14 +101,14 @@
 		if !ok {
 			continue
 		}
-		if d.lists[i].ver != rec.Ver { // a list is long: it is read once a version
-			d.lists[i] = listed{ver: rec.Ver}
+		if d.lists[i].ver != rec.Version { // a list is long: it is read once a version
+			d.lists[i] = listed{ver: rec.Version}
 			for _, s := range fleetconfig.OpenList(rec).Servers {
 				d.lists[i].keys = append(d.lists[i].keys, fleetconfig.ServerRecordKey(model(i), s.Key()))
 			}
 		}
 		for _, key := range d.lists[i].keys {
-			if rec, ok := d.c.Read(partition, key); ok && !rec.Dead {
+			if rec, ok := d.c.Read(partition, key); ok && !rec.Deleted {
 				n++
 			}
 		}
@@ -118,7 +118,7 @@
 
 // listed is a list of servers as it was read last.
 type listed struct {
-	ver  message.Ver
+	ver  message.Version
 	keys []string
 }
 
@@ -127,7 +127,7 @@
 func (d *hollowDaemon) reached(lost int) bool {
 	v := d.c.View()
 	for p := range d.Config.Partitions + 1 {
-		if zoneOf(v.Owns[p].Replica.Addr) == lost || d.c.Until(p) <= d.c.Now() {
+		if zoneOf(v.Leaderships[p].Leader.Addr) == lost || d.c.Until(p) <= d.c.Now() {
 			return false
 		}
 	}
--- a/proof/hollow/worker.go
+++ b/proof/hollow/worker.go
@@ -74,12 +74,12 @@
 }
 
 // version of a configuration: it is long, and read once for all daemons here.
-func (w *worker) version(rec message.Rec) uint64 {
-	if v, ok := w.plan.Load(rec.Ver); ok {
+func (w *worker) version(rec message.Record) uint64 {
+	if v, ok := w.plan.Load(rec.Version); ok {
 		return v.(uint64)
 	}
 	v := fleetconfig.Open(rec).Version
-	w.plan.Store(rec.Ver, v)
+	w.plan.Store(rec.Version, v)
 	return v
 }
 
@@ -226,18 +226,18 @@
 
 // names tells whether a list of servers has this one in it; a list is long,
 // and read once for all daemons here.
-func (w *worker) names(model string, rec message.Rec, id string) bool {
+func (w *worker) names(model string, rec message.Record, id string) bool {
 	type place struct {
 		model string
-		ver   message.Ver
+		ver   message.Version
 	}
-	ids, ok := w.plan.Load(place{model, rec.Ver})
+	ids, ok := w.plan.Load(place{model, rec.Version})
 	if !ok {
 		set := map[string]bool{}
 		for _, s := range fleetconfig.OpenList(rec).Servers {
 			set[s.ID] = true
 		}
-		ids, _ = w.plan.LoadOrStore(place{model, rec.Ver}, set)
+		ids, _ = w.plan.LoadOrStore(place{model, rec.Version}, set)
 	}
 	return ids.(map[string]bool)[id]
 }
--- a/proof/modelcheck/check.go
+++ b/proof/modelcheck/check.go
@@ -24,8 +24,8 @@
 // won: one leader a term.
 func (w *world) won(i int) {
 	d := w.daemons[i]
-	term, life := d.sec.Replica.Num(), fmt.Sprintf("%s#%d", d.me.Ident, d.epoch)
-	w.say("%s leads under term %d with group %d %s", life, term, d.sec.Replica.Group().Num, names(d.sec.Replica.Group()))
+	term, life := d.sec.Replica.Term(), fmt.Sprintf("%s#%d", d.me.Ident, d.epoch)
+	w.say("%s leads under term %d with group %d %s", life, term, d.sec.Replica.Group().Number, names(d.sec.Replica.Group()))
 	if other, ok := w.leads[term]; ok && other != life {
 		w.breaks("one leader a term: %s and %s both led under term %d", other, life, term)
 	}
@@ -37,9 +37,9 @@
 func (w *world) told(i int, r partition.Result) {
 	d := w.daemons[i]
 	c := &w.changes[r.Tag-1]
-	c.fate = r.Fate
-	w.say("change %c: %v", c.tag, r.Fate)
-	if r.Fate != partition.Done {
+	c.fate = r.Outcome
+	w.say("change %c: %v", c.tag, r.Outcome)
+	if r.Outcome != partition.Done {
 		return
 	}
 	for k, o := range w.changes {
@@ -48,16 +48,16 @@
 		}
 	}
 	for _, g := range w.grants {
-		if g.end > w.now && (g.daemon != i || g.epoch != d.epoch || g.term != d.sec.Replica.Num()) {
-			w.breaks("no old read: change %c is acknowledged under term %d while leases of term %d stand for %v", c.tag, d.sec.Replica.Num(), g.term, g.end-w.now)
+		if g.end > w.now && (g.daemon != i || g.epoch != d.epoch || g.term != d.sec.Replica.Term()) {
+			w.breaks("no old read: change %c is acknowledged under term %d while leases of term %d stand for %v", c.tag, d.sec.Replica.Term(), g.term, g.end-w.now)
 		}
 	}
 	rec, _ := d.sec.Replica.Records().Get(key)
-	at := strings.IndexByte(string(rec.Val), c.tag)
+	at := strings.IndexByte(string(rec.Value), c.tag)
 	if at < 0 {
-		w.breaks("no write lost: change %c is acknowledged, its leader holds %q", c.tag, rec.Val)
+		w.breaks("no write lost: change %c is acknowledged, its leader holds %q", c.tag, rec.Value)
 	} else if at >= len(w.seen) { // what follows may be the next change, under way
-		w.seen = string(rec.Val[:at+1])
+		w.seen = string(rec.Value[:at+1])
 	}
 }
 
@@ -77,7 +77,7 @@
 		}
 		if last >= 0 {
 			o := w.daemons[last]
-			w.breaks("one leader: %s under term %d and %s under term %d both have valid leases", o.me.Ident, o.sec.Replica.Num(), d.me.Ident, d.sec.Replica.Num())
+			w.breaks("one leader: %s under term %d and %s under term %d both have valid leases", o.me.Ident, o.sec.Replica.Term(), d.me.Ident, d.sec.Replica.Term())
 		}
 		last = i
 		if !w.setup.Tree {
@@ -89,8 +89,8 @@
 // granted notes for how long leases below a leader may stand.
 func (w *world) granted(i int) {
 	d := w.daemons[i]
-	end := w.now + min(tree.Vol, d.sec.Replica.Lease()-d.local(w.now))
-	g := grant{i, d.epoch, d.sec.Replica.Num(), end}
+	end := w.now + min(tree.VolumeLease, d.sec.Replica.LeaseEnd()-d.local(w.now))
+	g := grant{i, d.epoch, d.sec.Replica.Term(), end}
 	for k, o := range w.grants {
 		if o.daemon == g.daemon && o.epoch == g.epoch && o.term == g.term {
 			w.grants[k].end = max(o.end, end)
@@ -111,11 +111,11 @@
 		if !ok {
 			continue
 		}
-		if !strings.HasPrefix(string(rec.Val), w.seen) {
-			w.breaks("no old read: %s serves %q after %q", d.me.Ident, rec.Val, w.seen)
+		if !strings.HasPrefix(string(rec.Value), w.seen) {
+			w.breaks("no old read: %s serves %q after %q", d.me.Ident, rec.Value, w.seen)
 		}
-		if len(rec.Val) > len(w.seen) {
-			w.seen = string(rec.Val)
+		if len(rec.Value) > len(w.seen) {
+			w.seen = string(rec.Value)
 		}
 	}
 	for _, c := range w.changes {
@@ -131,11 +131,11 @@
 	group message.Group
 	set   uint64
 	val   string
-	ver   message.Ver
+	ver   message.Version
 
 	epoch uint64
-	base  message.Stamp
-	peers []message.Peer
+	base  message.SavePoint
+	peers []message.PeerIncarnation
 }
 
 // held: whatever majority comes together next, under any group that a replica
@@ -155,14 +155,14 @@
 		c := copyOf{ident: d.me.Ident, group: d.disk.meta.Group, set: d.disk.meta.LastComplete, peers: d.disk.meta.Peers}
 		c.epoch, c.base = d.startsAs()
 		if r, ok := d.disk.recs[key]; ok {
-			c.val, c.ver = string(r.Val), r.Ver
+			c.val, c.ver = string(r.Value), r.Version
 		}
 		disks = append(disks, c)
 		if d.up {
 			m := d.sec.Replica.Meta()
-			c.group, c.set, c.peers, c.val, c.ver = m.Group, m.LastComplete, m.Peers, "", message.Ver{}
+			c.group, c.set, c.peers, c.val, c.ver = m.Group, m.LastComplete, m.Peers, "", message.Version{}
 			if r, ok := d.sec.Replica.Records().Get(key); ok {
-				c.val, c.ver = string(r.Val), r.Ver
+				c.val, c.ver = string(r.Value), r.Version
 			}
 		}
 		mems = append(mems, c)
@@ -178,11 +178,11 @@
 			return k >= 0 && mask>>k&1 == 1
 		}
 		for k, c := range copies {
-			if mask>>k&1 == 0 || !c.group.Has(c.ident) || !c.group.Quorum(in) {
+			if mask>>k&1 == 0 || !c.group.Has(c.ident) || !c.group.HasQuorum(in) {
 				continue
 			}
 			if val, ok := elect(copies, mask, c.group); ok && !strings.HasPrefix(val, w.seen) {
-				w.breaks("a majority holds all: %q was acknowledged or read, but %s with group %d %s may be elected by %s, %s, and finds %q", w.seen, c.ident, c.group.Num, names(c.group), members(copies, mask), how, val)
+				w.breaks("a majority holds all: %q was acknowledged or read, but %s with group %d %s may be elected by %s, %s, and finds %q", w.seen, c.ident, c.group.Number, names(c.group), members(copies, mask), how, val)
 				return
 			}
 		}
@@ -193,7 +193,7 @@
 // tells whether all of them are members and would vote for it.
 func elect(copies []copyOf, mask int, g message.Group) (val string, ok bool) {
 	var set uint64
-	var ver message.Ver
+	var ver message.Version
 	for k, c := range copies {
 		if mask>>k&1 == 0 {
 			continue
@@ -203,11 +203,11 @@
 				return "", false
 			}
 		}
-		if !g.Has(c.ident) || c.group.Num > g.Num || c.group.Num == g.Num && names(c.group) != names(g) {
+		if !g.Has(c.ident) || c.group.Number > g.Number || c.group.Number == g.Number && names(c.group) != names(g) {
 			return "", false
 		}
 		if c.set > set {
-			set, ver, val = c.set, message.Ver{}, ""
+			set, ver, val = c.set, message.Version{}, ""
 		}
 		if c.set == set && ver.Less(c.ver) {
 			ver, val = c.ver, c.val
--- a/proof/modelcheck/copy.go
+++ b/proof/modelcheck/copy.go
@@ -19,17 +19,17 @@
 
 // shared are the types whose values copies share: nobody changes them in place.
 var shared = map[reflect.Type]bool{
-	reflect.TypeFor[message.Message](): true,
-	reflect.TypeFor[message.Send]():    true,
-	reflect.TypeFor[message.Rec]():     true,
-	reflect.TypeFor[message.Group]():   true,
-	reflect.TypeFor[message.Replica](): true,
-	reflect.TypeFor[message.Own]():     true,
-	reflect.TypeFor[message.Mark]():    true,
-	reflect.TypeFor[message.Ver]():     true,
-	reflect.TypeFor[quorum.Meta]():     true,
-	reflect.TypeFor[quorum.Config]():   true,
-	reflect.TypeFor[lease.Config]():    true,
+	reflect.TypeFor[message.Message]():     true,
+	reflect.TypeFor[message.Envelope]():    true,
+	reflect.TypeFor[message.Record]():      true,
+	reflect.TypeFor[message.Group]():       true,
+	reflect.TypeFor[message.Replica]():     true,
+	reflect.TypeFor[message.Leadership]():  true,
+	reflect.TypeFor[message.VolumeEpoch](): true,
+	reflect.TypeFor[message.Version]():     true,
+	reflect.TypeFor[quorum.Meta]():         true,
+	reflect.TypeFor[quorum.Config]():       true,
+	reflect.TypeFor[lease.Config]():        true,
 }
 
 // copier copies one object graph; what two pointers share stays shared.
@@ -48,19 +48,19 @@
 	if s.Replica == nil {
 		return
 	}
-	s.Calm = s.Replica.Calm
-	if !s.Node.Root() {
+	s.WritesFrom = s.Replica.WritesFrom
+	if !s.Node.IsRoot() {
 		return
 	}
 	node := reflect.ValueOf(s.Node).Elem()
-	read := lease.Source(func(key string) message.Rec {
+	read := lease.Source(func(key string) message.Record {
 		if r, ok := s.Replica.Records().Get(key); ok {
 			return r
 		}
-		return message.Rec{Key: key, Dead: true}
+		return message.Record{Key: key, Deleted: true}
 	})
 	settable(node.FieldByName("src")).Set(reflect.ValueOf(read))
-	settable(node.FieldByName("lease")).Set(reflect.ValueOf(s.Replica.Lease))
+	settable(node.FieldByName("lease")).Set(reflect.ValueOf(s.Replica.LeaseEnd))
 }
 
 // settable makes a field that may be unexported one that can be read and set.
@@ -139,7 +139,7 @@
 	}
 }
 
-var span = digest.Span(key)
+var span = digest.RangeOf(key)
 
 var deep sync.Map // reflect.Type of a struct -> []int
 
--- a/proof/modelcheck/folders.go
+++ b/proof/modelcheck/folders.go
@@ -15,7 +15,7 @@
 
 // precedes tells whether a state lies before another one, or beside it. It is
 // written here anew: the machines' own judgement is what is looked at.
-func precedes(a, b message.Stamp) bool {
+func precedes(a, b message.SavePoint) bool {
 	if b.Epoch == 0 {
 		return false
 	}
@@ -26,8 +26,8 @@
 }
 
 // heardOf is what a disk has of another replica.
-func (d disk) heardOf(ident string) (p message.Peer) {
-	if i := slices.IndexFunc(d.meta.Peers, func(p message.Peer) bool { return p.Ident == ident }); i >= 0 {
+func (d disk) heardOf(ident string) (p message.PeerIncarnation) {
+	if i := slices.IndexFunc(d.meta.Peers, func(p message.PeerIncarnation) bool { return p.Ident == ident }); i >= 0 {
 		p = d.meta.Peers[i]
 	}
 	return p
@@ -37,7 +37,7 @@
 // voters know of a later state, and no other disk is lost.
 func (w *world) older(i int) bool {
 	d := w.daemons[i]
-	if !d.store || d.copied == nil || d.copied.meta.Group.Num == 0 || !w.maywipe(i) || w.find(d.me.Ident) != i {
+	if !d.store || d.copied == nil || d.copied.meta.Group.Number == 0 || !w.maywipe(i) || w.find(d.me.Ident) != i {
 		return false
 	}
 	if w.setup.Plant == unguarded { // nobody hears of anything
@@ -93,7 +93,7 @@
 // admits tells whether a replica that holds one copy counts what one with another
 // copy says.
 func admits(by, of copyOf) bool {
-	i := slices.IndexFunc(by.peers, func(p message.Peer) bool { return p.Ident == of.ident })
+	i := slices.IndexFunc(by.peers, func(p message.PeerIncarnation) bool { return p.Ident == of.ident })
 	if i < 0 {
 		return true
 	}
@@ -109,7 +109,7 @@
 
 // startsAs is the incarnation that a daemon has, or will have at its next start,
 // and the state that it starts from.
-func (d *daemon) startsAs() (epoch uint64, base message.Stamp) {
+func (d *daemon) startsAs() (epoch uint64, base message.SavePoint) {
 	if !d.up {
 		return incarnation.Number(incarnation.Starts(d.epoch)+1, 0), d.disk.meta.State
 	}
--- a/proof/modelcheck/net.go
+++ b/proof/modelcheck/net.go
@@ -10,7 +10,7 @@
 )
 
 // emit puts a message on the line, unless that is cut.
-func (w *world) emit(from int, m message.Send) {
+func (w *world) emit(from int, m message.Envelope) {
 	d := w.daemons[from]
 	m.Message.From, m.Message.Epoch, m.Message.Addr = d.me.Ident, d.epoch, d.me.Addr
 	for to, o := range w.daemons { // where two bear one identity each hears what is meant for either
@@ -29,7 +29,7 @@
 	p := w.net[k]
 	w.net = slices.Delete(w.net, k, k+1)
 	if d := w.daemons[p.to]; d.up && d.me.Ident == p.note.To {
-		w.do(p.to, func(d *daemon, now time.Duration) partition.Out { return d.sec.Hear(now, p.note) })
+		w.do(p.to, func(d *daemon, now time.Duration) partition.Out { return d.sec.Step(now, p.note) })
 	}
 }
 
@@ -44,13 +44,13 @@
 	if n.Op != "" {
 		extra = " " + n.Op
 	}
-	if n.Group.Num > 0 {
-		extra += fmt.Sprintf(" group %d %s", n.Group.Num, names(n.Group))
+	if n.Group.Number > 0 {
+		extra += fmt.Sprintf(" group %d %s", n.Group.Number, names(n.Group))
 	}
-	if len(n.Recs) > 0 {
-		extra += fmt.Sprintf(" %q", n.Recs[0].Val)
+	if len(n.Records) > 0 {
+		extra += fmt.Sprintf(" %q", n.Records[0].Value)
 	}
-	return fmt.Sprintf("%s#%d -> %s: %s term %d%s", n.From, n.Epoch, n.To, n.Kind, n.Num, extra)
+	return fmt.Sprintf("%s#%d -> %s: %s term %d%s", n.From, n.Epoch, n.To, n.Kind, n.Term, extra)
 }
 
 func names(g message.Group) (s string) {
--- a/proof/modelcheck/plant.go
+++ b/proof/modelcheck/plant.go
@@ -44,7 +44,7 @@
 	if p == forgets {
 		m.Promised, m.To, m.ToEpoch = 0, "", 0
 	}
-	return m, m.Group.Num == 0 || p == hasty
+	return m, m.Group.Number == 0 || p == hasty
 }
 
 // guard is the folder that a replica is told of: none where the fault is one that
@@ -64,7 +64,7 @@
 
 func (p plant) calm(s *partition.Partition) {
 	if p == uncalm {
-		s.Calm = func() time.Duration { return 0 }
+		s.WritesFrom = func() time.Duration { return 0 }
 	}
 }
 
@@ -91,16 +91,16 @@
 // message is what becomes of a message on the line.
 func (p plant) message(w *world, to int, n message.Message) []message.Message {
 	switch {
-	case p == unasked && n.Kind == message.Unfit && n.Op != "compare":
-		n.Kind = message.Filled
+	case p == unasked && n.Kind == message.KindStateMismatch && n.Op != "compare":
+		n.Kind = message.KindStateInstalled
 		if g := w.daemons[to].group(); len(g.Next) > 0 && !(message.Group{Replicas: g.Replicas}).Has(n.From) {
-			n.Op, n.Ref = "whole", g.Num
+			n.Op, n.ResponseTo = "whole", g.Number
 		}
-	case p == blankVote && n.Kind == message.Promise && n.Op == "":
-		n.LastComplete, n.Digs, n.Recs = n.Num, digest.NewRecords().Digs(), nil
-	case p == laterLife && n.Kind == message.Support && len(w.changes)%4 == 3:
-		return []message.Message{n, {Kind: message.Refuse, Partition: part, From: n.From, Epoch: incarnation.Number(incarnation.Starts(n.Epoch)+1, 0), To: n.To}}
-	case p == twoVoices && n.Kind == message.Accepted:
+	case p == blankVote && n.Kind == message.KindGrantVote && n.Op == "":
+		n.LastComplete, n.Digests, n.Records = n.Term, digest.NewRecords().Digests(), nil
+	case p == laterLife && n.Kind == message.KindHeartbeat && len(w.changes)%4 == 3:
+		return []message.Message{n, {Kind: message.KindRejectVote, Partition: part, From: n.From, Epoch: incarnation.Number(incarnation.Starts(n.Epoch)+1, 0), To: n.To}}
+	case p == twoVoices && n.Kind == message.KindReplicated:
 		other := n
 		for _, r := range w.want {
 			if r.Ident != n.From && r.Ident != n.To {
@@ -108,13 +108,13 @@
 			}
 		}
 		return []message.Message{n, other}
-	case p == unheard && n.Kind == message.Invalidate:
-		w.forge(to, n, message.Message{Kind: message.Invalidated, Key: n.Key, Ref: n.Ref, Mark: n.Mark})
+	case p == unheard && n.Kind == message.KindInvalidate:
+		w.forge(to, n, message.Message{Kind: message.KindInvalidated, Key: n.Key, ResponseTo: n.ResponseTo, VolumeEpoch: n.VolumeEpoch})
 		return nil
-	case p == emptyFill && n.Kind == message.Fill:
-		n.Recs, n.LastComplete = nil, 0 // and the sum by which that is noticed
-	case p == voidedWon && n.Kind == message.Fill && n.Op == "":
-		void := message.Message{Kind: message.Void, Partition: part, Num: n.Num, From: n.From, Epoch: n.Epoch, Addr: n.Addr, To: n.To}
+	case p == emptyFill && n.Kind == message.KindInstallState:
+		n.Records, n.LastComplete = nil, 0 // and the sum by which that is noticed
+	case p == voidedWon && n.Kind == message.KindInstallState && n.Op == "":
+		void := message.Message{Kind: message.KindAbandonTerm, Partition: part, Term: n.Term, From: n.From, Epoch: n.Epoch, Addr: n.Addr, To: n.To}
 		return []message.Message{n, void}
 	}
 	return []message.Message{n}
--- a/proof/modelcheck/world.go
+++ b/proof/modelcheck/world.go
@@ -26,8 +26,8 @@
 )
 
 var (
-	votes = quorum.Config{LeaderLease: lead, Drift: 0.02, Margin: lead / 50, Beat: lead / 3, Gone: 3 * lead}
-	tree  = lease.Config{Vol: lead * 4 / 5, Obj: 60 * lead, Drift: votes.Drift, Margin: votes.Margin, Beat: lead * 4 / 15}
+	votes = quorum.Config{LeaderLease: lead, Drift: 0.02, Margin: lead / 50, HeartbeatInterval: lead / 3, LostAfter: 3 * lead}
+	tree  = lease.Config{VolumeLease: lead * 4 / 5, ObjectLease: 60 * lead, Drift: votes.Drift, Margin: votes.Margin, RenewInterval: lead * 4 / 15}
 )
 
 // Setup is what a model consists of.
@@ -45,17 +45,17 @@
 // disk is what a daemon's disk holds, synced; it is never changed in place.
 type disk struct {
 	meta quorum.Meta
-	recs map[string]message.Rec
+	recs map[string]message.Record
 }
 
 func (d disk) with(s quorum.Save) disk {
-	out := disk{meta: s.Meta, recs: map[string]message.Rec{}}
+	out := disk{meta: s.Meta, recs: map[string]message.Record{}}
 	for k, r := range d.recs {
-		if !slices.Contains(s.Wipe, digest.Span(k)) && !slices.Contains(s.Drop, k) {
+		if !slices.Contains(s.Wipe, digest.RangeOf(k)) && !slices.Contains(s.Delete, k) {
 			out.recs[k] = r
 		}
 	}
-	for _, r := range s.Recs {
+	for _, r := range s.Records {
 		out.recs[r.Key] = r
 	}
 	return out
@@ -99,7 +99,7 @@
 type change struct {
 	tag  byte
 	base int
-	fate partition.Fate // 0: open
+	fate partition.Outcome // 0: open
 }
 
 // grant is how long leases handed out by one leader's term may stand.
@@ -151,7 +151,7 @@
 	w.want = members
 	for i := range members {
 		w.do(i, func(d *daemon, now time.Duration) partition.Out {
-			return d.sec.Found(now, message.Group{Num: 1, Replicas: members})
+			return d.sec.Bootstrap(now, message.Group{Number: 1, Replicas: members})
 		})
 	}
 	for n := 0; n < 2000 && !w.settled(); n++ {
@@ -180,7 +180,7 @@
 		whole := len(g.Next) == 0 && len(w.net) == 0
 		for _, s := range g.Replicas {
 			m := w.find(s.Ident)
-			whole = whole && m >= 0 && w.daemons[m].disk.meta.LastComplete == d.sec.Replica.Num()
+			whole = whole && m >= 0 && w.daemons[m].disk.meta.LastComplete == d.sec.Replica.Term()
 		}
 		return whole
 	}
@@ -324,13 +324,13 @@
 			standbys = append(standbys, d.me)
 		}
 	}
-	w.run(i, func(d *daemon, now time.Duration) partition.Out { return d.sec.Learn(now, standbys) })
-	w.run(i, func(d *daemon, now time.Duration) partition.Out { return d.sec.Proceed(now) })
+	w.run(i, func(d *daemon, now time.Duration) partition.Out { return d.sec.SetLearners(now, standbys) })
+	w.run(i, func(d *daemon, now time.Duration) partition.Out { return d.sec.ContinueChange(now) })
 	g := w.daemons[i].sec.Replica.Group()
 	for _, out := range g.Replicas {
 		for _, in := range w.want {
 			if !(message.Group{Replicas: w.want}).Has(out.Ident) && !g.Has(in.Ident) {
-				w.run(i, func(d *daemon, now time.Duration) partition.Out { return d.sec.Replace(now, out.Ident, in) })
+				w.run(i, func(d *daemon, now time.Duration) partition.Out { return d.sec.ReplaceReplica(now, out.Ident, in) })
 				return
 			}
 		}
@@ -341,12 +341,12 @@
 func (w *world) adopt(i int) {
 	best, term := -1, uint64(0)
 	for k, d := range w.daemons {
-		if d.leads(w.now) && d.sec.Replica.Num() > term {
-			best, term = k, d.sec.Replica.Num()
+		if d.leads(w.now) && d.sec.Replica.Term() > term {
+			best, term = k, d.sec.Replica.Term()
 		}
 	}
-	if d := w.daemons[i]; best >= 0 && best != i && !d.sec.Node.Root() && d.sec.Node.Parent() != w.daemons[best].me {
-		w.run(i, func(d *daemon, now time.Duration) partition.Out { return d.sec.Adopt(now, w.daemons[best].me) })
+	if d := w.daemons[i]; best >= 0 && best != i && !d.sec.Node.IsRoot() && d.sec.Node.Parent() != w.daemons[best].me {
+		w.run(i, func(d *daemon, now time.Duration) partition.Out { return d.sec.SetParent(now, w.daemons[best].me) })
 	}
 }
 
--- a/proof/overload/front.go
+++ b/proof/overload/front.go
@@ -38,13 +38,13 @@
 // Read serves a record under valid leases.
 //
 // Example: rec, ok := f.Read(1, fleetconfig.ListKey("models"))
-func (f *front) Read(partition int, key string) (message.Rec, bool) {
+func (f *front) Read(partition int, key string) (message.Record, bool) {
 	if f.w.now < f.blind {
-		return message.Rec{}, false
+		return message.Record{}, false
 	}
-	ver := message.Ver{Term: 1, Seq: f.w.gen}
+	ver := message.Version{Term: 1, Seq: f.w.gen}
 	if partition == 0 {
-		return message.Rec{Key: key, Ver: ver, Val: fleetconfig.PackZones(map[string]bool{})}, true
+		return message.Record{Key: key, Version: ver, Value: fleetconfig.PackZones(map[string]bool{})}, true
 	}
 	if key == fleetconfig.ListKey(service) {
 		var l fleetconfig.List
@@ -53,14 +53,14 @@
 				l.Servers = append(l.Servers, fleetconfig.Server{ID: s.key, Addr: s.key, Zone: s.zone, Capacity: slots})
 			}
 		}
-		return message.Rec{Key: key, Ver: ver, Val: pack(l)}, true
+		return message.Record{Key: key, Version: ver, Value: pack(l)}, true
 	}
 	for _, s := range f.w.servers {
 		if s.up && key == fleetconfig.ServerRecordKey(service, s.key) {
-			return message.Rec{Key: key, Ver: ver, Val: pack(placement.ServerRecord{Addr: s.key, Zone: s.zone, Cap: slots, Part: s.part, Status: placement.Up})}, true
+			return message.Record{Key: key, Version: ver, Value: pack(placement.ServerRecord{Addr: s.key, Zone: s.zone, Cap: slots, Part: s.part, Status: placement.Up})}, true
 		}
 	}
-	return message.Rec{Key: key, Ver: ver, Dead: true}, true
+	return message.Record{Key: key, Version: ver, Deleted: true}, true
 }
 
 func pack(x any) []byte {
--- a/proof/sim/copies.go
+++ b/proof/sim/copies.go
@@ -15,7 +15,7 @@
 
 // clone is a folder as it is now.
 func (f *folder) clone() *folder {
-	out := &folder{ident: f.ident, epoch: f.epoch, meta: maps.Clone(f.meta), recs: map[int]map[string]message.Rec{}, sums: maps.Clone(f.sums), sum: maps.Clone(f.sum), rot: f.rot}
+	out := &folder{ident: f.ident, epoch: f.epoch, meta: maps.Clone(f.meta), recs: map[int]map[string]message.Record{}, sums: maps.Clone(f.sums), sum: maps.Clone(f.sum), rot: f.rot}
 	for p, recs := range f.recs {
 		out.recs[p] = maps.Clone(recs)
 	}
@@ -23,7 +23,7 @@
 }
 
 // latest is the stamp of a folder's state.
-func (f *folder) latest() (s message.Stamp) {
+func (f *folder) latest() (s message.SavePoint) {
 	for _, m := range f.meta {
 		if later(m.State, s) {
 			s = m.State
@@ -33,7 +33,7 @@
 }
 
 // later tells whether one state of a folder came after another.
-func later(a, b message.Stamp) bool {
+func later(a, b message.SavePoint) bool {
 	return incarnation.Starts(a.Epoch) > incarnation.Starts(b.Epoch) || a.Epoch == b.Epoch && a.Saves > b.Saves
 }
 
@@ -93,7 +93,7 @@
 }
 
 // heardOf tells whether a voter's disk has a later state of another one.
-func (w *world) heardOf(voter string, p int, of string, than message.Stamp) bool {
+func (w *world) heardOf(voter string, p int, of string, than message.SavePoint) bool {
 	for _, n := range w.nodes {
 		if n.disk == nil || n.disk.ident != voter {
 			continue
--- a/proof/sim/cutoff.go
+++ b/proof/sim/cutoff.go
@@ -30,7 +30,7 @@
 	w := n.w
 	rec, ok := n.planBack()
 	switch {
-	case ok && !rec.Dead:
+	case ok && !rec.Deleted:
 		p := fleetconfig.Open(rec)
 		w.at(w.lag(), func() {
 			w.res.Plans["read back"]++
@@ -44,7 +44,7 @@
 }
 
 // planBack is the plan under leases, unless sabotaged.
-func (n *node) planBack() (message.Rec, bool) {
+func (n *node) planBack() (message.Record, bool) {
 	sec, now := n.sec(0), n.local()
 	rec, ok := sec.Node.Get(now, fleetconfig.PlanKey)
 	switch {
@@ -78,7 +78,7 @@
 // answersFromCache is the sabotage of a daemon that isn't the leader and refuses
 // a change by the plan that it knows.
 func (w *world) answersFromCache(to *node, m message.Message) bool {
-	if w.o.Sabotage != "cachedno" || m.Kind != message.Call || m.Op != "changes" || to.parts[0].Leader(to.local()) || !to.led() {
+	if w.o.Sabotage != "cachedno" || m.Kind != message.KindCall || m.Op != "changes" || to.parts[0].Leader(to.local()) || !to.led() {
 		return false
 	}
 	rec, ok := to.sec(0).Replica.Records().Get(fleetconfig.PlanKey)
@@ -86,7 +86,7 @@
 		return false
 	}
 	rep := leadercall.Pack(fleetconfig.Verdict{Result: "beaten", Version: fleetconfig.Open(rec).Version})
-	to.send(message.Send{Addr: m.Addr, Message: message.Message{Kind: message.Back, To: m.From, Ref: m.No, Code: 409, Body: rep}})
+	to.send(message.Envelope{Addr: m.Addr, Message: message.Message{Kind: message.KindCallResult, To: m.From, ResponseTo: m.RequestID, Status: 409, Body: rep}})
 	return true
 }
 
--- a/proof/sim/fault.go
+++ b/proof/sim/fault.go
@@ -60,7 +60,7 @@
 			for _, s := range g.Replicas {
 				found := false
 				for _, m := range w.nodes {
-					found = found || m.up && m.ident == s.Ident && m.disk != nil && m.disk.meta[p].LastComplete == n.sec(p).Replica.Num()
+					found = found || m.up && m.ident == s.Ident && m.disk != nil && m.disk.meta[p].LastComplete == n.sec(p).Replica.Term()
 				}
 				whole = whole && found
 			}
@@ -248,7 +248,7 @@
 	if w.rng.Intn(2) == 0 {
 		delete(n.disk.recs[p], k)
 	} else {
-		rec.Val = []byte("[]")
+		rec.Value = []byte("[]")
 		n.disk.recs[p][k] = rec
 	}
 	w.res.Faults["rotten"]++
@@ -268,7 +268,7 @@
 			}
 			g := own.sec(p).Replica.Group()
 			for _, n := range w.nodes {
-				if n.up && g.Has(n.ident) && len(digest.Differ(own.sec(p).Digs(), n.sec(p).Digs())) > 0 {
+				if n.up && g.Has(n.ident) && len(digest.DifferingRanges(own.sec(p).Digests(), n.sec(p).Digests())) > 0 {
 					list = append(list, fmt.Sprintf("%s of partition %d", n.name, p))
 				}
 			}
--- a/proof/sim/folder.go
+++ b/proof/sim/folder.go
@@ -14,7 +14,7 @@
 	ident string
 	epoch uint64
 	meta  map[int]quorum.Meta
-	recs  map[int]map[string]message.Rec
+	recs  map[int]map[string]message.Record
 	sums  map[string]uint64 // by part and key, as control/storage keeps them
 	sum   map[int]uint64    // of each partition, too
 	rot   bool              // what it holds isn't what was written
@@ -26,7 +26,7 @@
 	records := digest.NewRecords()
 	spoilt := false
 	for k, r := range n.disk.recs[p] {
-		if n.disk.sums[sumKey(p, k)] == digest.Print(r) { // else it is spoilt and counts as missing
+		if n.disk.sums[sumKey(p, k)] == digest.Fingerprint(r) { // else it is spoilt and counts as missing
 			records.Put(r)
 		} else {
 			spoilt = true
@@ -100,20 +100,20 @@
 	for _, s := range list {
 		f.meta[s.Partition] = s.Meta
 		if f.recs[s.Partition] == nil {
-			f.recs[s.Partition] = map[string]message.Rec{}
+			f.recs[s.Partition] = map[string]message.Record{}
 		}
 		for _, sp := range s.Wipe {
 			for k := range f.recs[s.Partition] {
-				if digest.Span(k) == sp {
+				if digest.RangeOf(k) == sp {
 					delete(f.recs[s.Partition], k)
 				}
 			}
 		}
-		for _, r := range s.Recs {
+		for _, r := range s.Records {
 			f.recs[s.Partition][r.Key] = r
-			f.sums[sumKey(s.Partition, r.Key)] = digest.Print(r)
+			f.sums[sumKey(s.Partition, r.Key)] = digest.Fingerprint(r)
 		}
-		for _, k := range s.Drop {
+		for _, k := range s.Delete {
 			delete(f.recs[s.Partition], k)
 		}
 		f.sum[s.Partition] = s.Sum
--- a/proof/sim/losses.go
+++ b/proof/sim/losses.go
@@ -171,5 +171,5 @@
 
 // noCopies is the sabotage that keeps no copies at standbys.
 func (w *world) noCopies(to *node, m message.Message) bool {
-	return w.o.Sabotage == "nocopies" && m.Kind == message.Fill && !m.Group.Has(to.ident)
+	return w.o.Sabotage == "nocopies" && m.Kind == message.KindInstallState && !m.Group.Has(to.ident)
 }
--- a/proof/sim/many.go
+++ b/proof/sim/many.go
@@ -186,7 +186,7 @@
 				}
 			}
 			if missing > 0 {
-				bad(n, "misses %d of the changes of partition %d, %d of %d ranges", missing, p, len(digest.Differ(n.sec(p).Digs(), make([]uint64, digest.Spans))), digest.Spans)
+				bad(n, "misses %d of the changes of partition %d, %d of %d ranges", missing, p, len(digest.DifferingRanges(n.sec(p).Digests(), make([]uint64, digest.Ranges))), digest.Ranges)
 			}
 		}
 	}
--- a/proof/sim/net.go
+++ b/proof/sim/net.go
@@ -6,7 +6,7 @@
 	"mulleinmast/wire/message"
 )
 
-func (n *node) send(m message.Send) {
+func (n *node) send(m message.Envelope) {
 	w := n.w
 	m.Message.From, m.Message.Epoch, m.Message.Addr = n.ident, n.epoch, n.addr
 	if m.Message.To == n.ident {
@@ -14,16 +14,16 @@
 		return
 	}
 	w.res.Messages++
-	if m.Message.Kind == message.Grant {
-		for _, r := range m.Message.Recs {
-			if r.Held {
+	if m.Message.Kind == message.KindGrantLease {
+		for _, r := range m.Message.Records {
+			if r.Patched {
 				w.res.Patched++
-			} else if !r.Dead {
+			} else if !r.Deleted {
 				w.res.Whole++
 			}
 		}
 	}
-	if m.Message.Kind == message.Invalidate {
+	if m.Message.Kind == message.KindInvalidate {
 		w.res.Invalidations++
 	}
 	for _, to := range w.nodes {
@@ -40,33 +40,33 @@
 		}
 		return
 	}
-	if w.o.Sabotage == "ackpurge" && m.Kind == message.Invalidate {
-		w.carry(to, from, message.Message{Kind: message.Invalidated, Partition: m.Partition, Key: m.Key, Ref: m.Ref, From: to.ident, Epoch: to.epoch, Addr: to.addr, To: from.ident})
+	if w.o.Sabotage == "ackpurge" && m.Kind == message.KindInvalidate {
+		w.carry(to, from, message.Message{Kind: message.KindInvalidated, Partition: m.Partition, Key: m.Key, ResponseTo: m.ResponseTo, From: to.ident, Epoch: to.epoch, Addr: to.addr, To: from.ident})
 		return
 	}
 	if w.noCopies(to, m) {
 		return
 	}
-	if m.Kind == message.Steer {
-		w.res.Steers[m.Why]++
+	if m.Kind == message.KindRedirect {
+		w.res.Steers[m.Reason]++
 	}
-	if w.o.Sabotage == "nomend" && m.Kind == message.Fill && m.Op != "" {
+	if w.o.Sabotage == "nomend" && m.Kind == message.KindInstallState && m.Op != "" {
 		return
 	}
-	if w.o.Sabotage == "nochase" && m.Kind == message.Fill && m.Op == "compare" && m.No > 0 {
+	if w.o.Sabotage == "nochase" && m.Kind == message.KindInstallState && m.Op == "compare" && m.RequestID > 0 {
 		return
 	}
-	if w.o.Sabotage == "cutshort" && m.Kind == message.Fill && len(m.Recs) > 1 {
-		m.LastComplete, m.Recs = 0, m.Recs[:len(m.Recs)/2] // and no sum to tell
+	if w.o.Sabotage == "cutshort" && m.Kind == message.KindInstallState && len(m.Records) > 1 {
+		m.LastComplete, m.Records = 0, m.Records[:len(m.Records)/2] // and no sum to tell
 	}
-	if w.o.Sabotage == "oldset" && m.Kind == message.Promise && m.Op == "" && from != to {
-		m.LastComplete, m.Digs, m.Recs = 0, nil, nil // the candidate reads its own copy only
+	if w.o.Sabotage == "oldset" && m.Kind == message.KindGrantVote && m.Op == "" && from != to {
+		m.LastComplete, m.Digests, m.Records = 0, nil, nil // the candidate reads its own copy only
 	}
 	if w.o.Mutate > 0 && w.rng.Float64() < w.o.Mutate {
 		w.at(w.exp(time.Millisecond), func() { w.land(to, w.mutated(m)) })
 	}
 	// An evacuation that came again would hide what a late end of one undid.
-	if w.o.Late > 0 && m.Kind == message.Call && m.Op != "evacuate" && w.rng.Float64() < w.o.Late {
+	if w.o.Late > 0 && m.Kind == message.KindCall && m.Op != "evacuate" && w.rng.Float64() < w.o.Late {
 		w.at(w.exp(3*time.Second), func() { w.land(to, m) })
 	}
 	if w.o.Responses > 0 && responses[m.Kind] && w.rng.Float64() < w.o.Responses {
@@ -94,8 +94,8 @@
 
 // responses are the kinds that respond to another message.
 var responses = map[message.Kind]bool{
-	message.Back: true, message.Promise: true, message.Refuse: true, message.Filled: true, message.Unfit: true, message.Accepted: true,
-	message.Supported: true, message.Void: true, message.Grant: true, message.Reconnect: true, message.Synced: true, message.Invalidated: true, message.Deny: true, message.Welcome: true,
+	message.KindCallResult: true, message.KindGrantVote: true, message.KindRejectVote: true, message.KindStateInstalled: true, message.KindStateMismatch: true, message.KindReplicated: true,
+	message.KindHeartbeatAck: true, message.KindAbandonTerm: true, message.KindGrantLease: true, message.KindReconnect: true, message.KindReconciled: true, message.KindInvalidated: true, message.KindDenyLease: true, message.KindWelcome: true,
 }
 
 // land hands a message over; one that waits at a frozen node is read on waking.
@@ -110,35 +110,35 @@
 func (w *world) hear(to *node, m message.Message) {
 	now := to.local()
 	switch {
-	case m.Kind >= message.Hello && m.Kind <= message.Count, m.Kind == message.Found:
-		o := to.rost.Hear(now, m)
+	case m.Kind >= message.KindHello && m.Kind <= message.KindCensusAnswer, m.Kind == message.KindBootstrap:
+		o := to.rost.Step(now, m)
 		for _, s := range o.Sends {
 			to.send(s)
 		}
-		to.found(now, o.Found)
+		to.found(now, o.Bootstrap)
 		return
-	case m.Kind == message.Back:
-		to.carryCalls(to.runs.Hear(now, m))
+	case m.Kind == message.KindCallResult:
+		to.carryCalls(to.runs.Step(now, m))
 		return
 	}
 	if w.answersFromCache(to, m) {
 		return
 	}
 	p := to.parts[m.Partition]
-	if w.o.Trace != nil && m.Kind < message.Ask {
-		w.trace("  %s<-%s partition %d %s key=%s no=%d ref=%d len=%v mark=%v keys=%v recs=%d", to.name, m.From, m.Partition, m.Kind, m.Key, m.No, m.Ref, time.Duration(m.Len), m.Mark, m.Keys, len(m.Recs))
+	if w.o.Trace != nil && m.Kind < message.KindRequestVote {
+		w.trace("  %s<-%s partition %d %s key=%s no=%d ref=%d len=%v mark=%v keys=%v recs=%d", to.name, m.From, m.Partition, m.Kind, m.Key, m.RequestID, m.ResponseTo, time.Duration(m.Length), m.VolumeEpoch, m.Keys, len(m.Records))
 	}
-	if w.o.Trace != nil && m.Kind >= message.Ask && m.Kind < message.Hello {
-		w.trace("  %s<-%s partition %d %s num=%d set=%d no=%d ref=%d group=%d recs=%d len=%v", to.name, m.From, m.Partition, m.Kind, m.Num, m.LastComplete, m.No, m.Ref, m.Group.Num, len(m.Recs), time.Duration(m.Len))
+	if w.o.Trace != nil && m.Kind >= message.KindRequestVote && m.Kind < message.KindHello {
+		w.trace("  %s<-%s partition %d %s num=%d set=%d no=%d ref=%d group=%d recs=%d len=%v", to.name, m.From, m.Partition, m.Kind, m.Term, m.LastComplete, m.RequestID, m.ResponseTo, m.Group.Number, len(m.Records), time.Duration(m.Length))
 	}
-	if p.Partition().Node.Root() {
+	if p.Partition().Node.IsRoot() {
 		w.res.RootMessages++
 	}
-	if w.o.Sabotage == "nonumber" && m.Kind == message.Call {
-		m.Ref = 0
+	if w.o.Sabotage == "nonumber" && m.Kind == message.KindCall {
+		m.ResponseTo = 0
 	}
 	w.spoilCall(to, &m)
-	to.carry(m.Partition, p.Hear(now, m))
+	to.carry(m.Partition, p.Step(now, m))
 }
 
 // lame tells whether a daemon's machine is slow now: the last zone's relays.
@@ -161,33 +161,33 @@
 	n := uint64(w.rng.Int63())
 	switch w.rng.Intn(16) {
 	case 0:
-		m.No = n
+		m.RequestID = n
 	case 1:
-		m.Ref = n
+		m.ResponseTo = n
 	case 2:
-		m.Num += 1 + n%3
+		m.Term += 1 + n%3
 	case 3:
 		m.LastComplete = n
 	case 4:
-		m.Mark.Ident = "stranger"
+		m.VolumeEpoch.Ident = "stranger"
 	case 5:
-		m.Mark.Term++
+		m.VolumeEpoch.Term++
 	case 6:
 		m.Key += "x"
 	case 7:
-		m.Ver.Seq = n
+		m.Version.Seq = n
 	case 8:
-		m.Len = -m.Len
+		m.Length = -m.Length
 	case 9:
-		m.Long = int64(n)
+		m.ObjectLease = int64(n)
 	case 10:
-		m.Recs = nil
+		m.Records = nil
 	case 11:
-		m.Digs = []uint64{n}
+		m.Digests = []uint64{n}
 	case 12:
 		m.Group = message.Group{}
 	case 13:
-		m.Spans = nil
+		m.Ranges = nil
 	case 14:
 		m.Op += "x"
 	case 15:
--- a/proof/sim/node.go
+++ b/proof/sim/node.go
@@ -43,7 +43,7 @@
 	ident  string
 	epoch  uint64
 	parts  []*leader.Controller
-	guides []membership.Guide
+	guides []membership.ParentChooser
 	rost   *membership.Table
 	view   *membership.View
 	ticks  int
@@ -52,8 +52,8 @@
 	asks  map[uint64]func(leadercall.Done)
 	lanes map[string]*lane
 	rides map[string]*ride
-	early map[int]*caller        // requests that wait for the plan
-	past  map[string]message.Rec // what a sabotaged daemon goes on reading
+	early map[int]*caller           // requests that wait for the plan
+	past  map[string]message.Record // what a sabotaged daemon goes on reading
 
 	recalls uint64 // the term at whose beginning a sabotaged leader forgot
 }
@@ -105,7 +105,7 @@
 	now := n.local()
 	if n.hasDisk {
 		if n.disk == nil {
-			n.disk = &folder{ident: n.ident, meta: map[int]quorum.Meta{}, recs: map[int]map[string]message.Rec{}, sums: map[string]uint64{}, sum: map[int]uint64{}}
+			n.disk = &folder{ident: n.ident, meta: map[int]quorum.Meta{}, recs: map[int]map[string]message.Record{}, sums: map[string]uint64{}, sum: map[int]uint64{}}
 			if w.o.Sabotage == "samename" {
 				n.disk.ident = n.name
 			}
@@ -114,7 +114,7 @@
 		n.ident, n.epoch = n.disk.ident, incarnation.Number(n.disk.epoch, uint32(w.ids))
 	}
 	n.parts, n.guides, n.asks = nil, nil, map[uint64]func(leadercall.Done){}
-	n.lanes, n.rides, n.early, n.past = map[string]*lane{}, map[string]*ride{}, map[int]*caller{}, map[string]message.Rec{}
+	n.lanes, n.rides, n.early, n.past = map[string]*lane{}, map[string]*ride{}, map[int]*caller{}, map[string]message.Record{}
 	life := incarnation.Starts(n.epoch)
 	if w.o.Sabotage == "samenumbers" {
 		life = 0
@@ -148,9 +148,9 @@
 			}
 			leadership := w.cfg.QuorumConfig()
 			if w.o.Sabotage == "lategone" {
-				leadership.Gone = w.cfg.Bounds.Recover * 3 / 2
+				leadership.LostAfter = w.cfg.Bounds.Recover * 3 / 2
 			}
-			replica = quorum.New(leadership, p, me, disk, meta, records, now, meta.Group.Num == 0 || w.o.Sabotage == "nowaitvote")
+			replica = quorum.New(leadership, p, me, disk, meta, records, now, meta.Group.Number == 0 || w.o.Sabotage == "nowaitvote")
 		}
 		tree := lease.New(leases, p, me, n.epoch)
 		if codec := w.codec(); codec != nil {
@@ -165,11 +165,11 @@
 		}
 		sec := partition.New(p, me, n.epoch, replica, tree)
 		if w.o.Sabotage == "nocalm" {
-			sec.Calm = func() time.Duration { return 0 }
+			sec.WritesFrom = func() time.Duration { return 0 }
 		}
 		s := leader.New(leader.Config{Works: w.works(), Keep: w.cfg.Keep(), Again: w.cfg.Again()}, p, me, sec)
 		n.parts = append(n.parts, s)
-		n.guides = append(n.guides, membership.Guide{Partition: p, Vol: w.cfg.Vol()})
+		n.guides = append(n.guides, membership.ParentChooser{Partition: p, Vol: w.cfg.Vol()})
 		for k := 0; k < w.o.Keys; k++ {
 			n.carry(p, s.Pin(now, key(k)))
 		}
@@ -191,18 +191,18 @@
 func (n *node) member() message.Member {
 	empty := n.hasDisk
 	for p := range n.parts {
-		if s := n.sec(p); s.Replica != nil && s.Replica.Group().Num > 0 {
+		if s := n.sec(p); s.Replica != nil && s.Replica.Group().Number > 0 {
 			empty = false
 		}
 	}
 	if n.parts == nil && n.disk != nil {
 		for _, m := range n.disk.meta {
-			if m.Group.Num > 0 {
+			if m.Group.Number > 0 {
 				empty = false
 			}
 		}
 	}
-	return message.Member{Ident: n.ident, Epoch: n.epoch, Addr: n.addr, Zone: n.zone, Disk: n.hasDisk, Ready: true, Empty: empty}
+	return message.Member{Ident: n.ident, Epoch: n.epoch, Addr: n.addr, Zone: n.zone, HasDisk: n.hasDisk, Ready: true, Empty: empty}
 }
 
 // tick lets time pass at a node, as the daemon's tickers do.
@@ -213,21 +213,21 @@
 	for p, m := range n.parts {
 		n.carry(p, m.Tick(now))
 		tree := m.Partition().Node
-		if to := n.guides[p].Parent(now, n.view); to != tree.Parent() && !tree.Root() {
-			n.carry(p, m.Adopt(now, to))
+		if to := n.guides[p].Parent(now, n.view); to != tree.Parent() && !tree.IsRoot() {
+			n.carry(p, m.SetParent(now, to))
 		}
-		for _, m := range n.guides[p].Hints(tree.Live(now), tree.Mark(), n.view) {
+		for _, m := range n.guides[p].Hints(tree.HasVolumeLease(now), tree.VolumeEpoch(), n.view) {
 			n.send(m)
 		}
 	}
-	n.carryCalls(n.runs.Tick(now, func(p int) message.Replica { return n.view.Owns[p].Replica }))
+	n.carryCalls(n.runs.Tick(now, func(p int) message.Replica { return n.view.Leaderships[p].Leader }))
 	if n.ticks%4 == 0 {
-		var owns []message.Own
+		var owns []message.Leadership
 		for p, m := range n.parts {
 			if s := m.Partition(); m.Leader(now) {
-				owns = append(owns, message.Own{Partition: p, Num: s.Replica.Num(), Replica: message.Replica{Ident: n.ident, Addr: n.addr}})
-			} else if s.Replica != nil && s.Replica.Hint().Num > 0 {
-				owns = append(owns, s.Replica.Hint())
+				owns = append(owns, message.Leadership{Partition: p, Term: s.Replica.Term(), Leader: message.Replica{Ident: n.ident, Addr: n.addr}})
+			} else if s.Replica != nil && s.Replica.KnownLeader().Term > 0 {
+				owns = append(owns, s.Replica.KnownLeader())
 			}
 		}
 		o := n.rost.Tick(now, n.member(), owns)
@@ -235,7 +235,7 @@
 		for _, m := range o.Sends {
 			n.send(m)
 		}
-		n.found(now, o.Found)
+		n.found(now, o.Bootstrap)
 		n.works(now)
 	}
 	n.in(15*time.Millisecond+time.Duration(w.rng.Intn(int(10*time.Millisecond))), n.tick)
@@ -249,7 +249,7 @@
 	n.w.trace("%s takes the founding", n.name)
 	var all []quorum.Save
 	for _, m := range n.parts {
-		out := m.Found(now, message.Group{Num: 1, Replicas: replicas})
+		out := m.Bootstrap(now, message.Group{Number: 1, Replicas: replicas})
 		all = append(all, out.Saves...)
 		for _, m := range out.Sends {
 			n.send(m)
@@ -260,20 +260,20 @@
 
 // works runs the leaders' systems, as the daemon does.
 func (n *node) works(now time.Duration) {
-	get := func(key string) (message.Rec, bool) { return n.sec(0).Node.Get(now, key) }
-	var s leader.Sight
+	get := func(key string) (message.Record, bool) { return n.sec(0).Node.Get(now, key) }
+	var s leader.ClusterView
 	s.Plan, s.OkPlan = get(fleetconfig.PlanKey)
 	s.Zones, s.OkZones = get(fleetconfig.ZoneKey)
 	if n.hasDisk {
 		s.Replicas, s.OkReplicas = get(fleetconfig.ReplicaKey)
 	}
-	s.Core = n.view.Core()
+	s.Core = n.view.ControlDaemons()
 	for p, m := range n.parts {
 		if !m.Leader(now) {
-			m.Works(now, s)
+			m.Reconcile(now, s)
 			continue
 		}
-		o := m.Works(now, s)
+		o := m.Reconcile(now, s)
 		term := m.Term()
 		n.carry(p, o)
 		for _, key := range o.Polls {
@@ -293,11 +293,11 @@
 		n.send(m)
 	}
 	now := n.local()
-	if o.Orphan {
+	if o.Orphaned {
 		n.guides[p].Orphaned(now)
 	}
-	if o.Steer.Ident != "" {
-		n.guides[p].Steered(now, o.Steer)
+	if o.Redirect.Ident != "" {
+		n.guides[p].Steered(now, o.Redirect)
 	}
 	if o.Superseded != "" {
 		n.superseded(o.Superseded)
@@ -331,10 +331,10 @@
 	n.in(w.exp(w.o.Reads), n.read)
 }
 
-func tags(r message.Rec) []string {
+func tags(r message.Record) []string {
 	var out []string
-	if !r.Dead && len(r.Val) > 0 {
-		if err := json.Unmarshal(r.Val, &out); err != nil {
+	if !r.Deleted && len(r.Value) > 0 {
+		if err := json.Unmarshal(r.Value, &out); err != nil {
 			panic(err)
 		}
 	}
--- a/proof/sim/operator.go
+++ b/proof/sim/operator.go
@@ -16,7 +16,7 @@
 func sortedKeys[T any](m map[string]T) []string { return slices.Sorted(maps.Keys(m)) }
 
 // read is a record as a daemon has it, whatever its leases.
-func (w *world) read(n *node, key string) message.Rec {
+func (w *world) read(n *node, key string) message.Record {
 	r, _ := n.sec(0).Node.Get(n.local(), key)
 	return r
 }
--- a/proof/sim/races.go
+++ b/proof/sim/races.go
@@ -129,10 +129,10 @@
 // with each new leader.
 func (w *world) forget(n *node, always bool) {
 	replica := n.sec(0).Replica
-	if replica == nil || !n.parts[0].Leader(n.local()) || !always && n.recalls == replica.Num() {
+	if replica == nil || !n.parts[0].Leader(n.local()) || !always && n.recalls == replica.Term() {
 		return
 	}
-	n.recalls = replica.Num()
+	n.recalls = replica.Term()
 	var keys []string
 	for r := range replica.Records().All() {
 		if strings.HasPrefix(r.Key, "taken/") {
@@ -146,7 +146,7 @@
 
 // spoilCall is what the sabotages of the calls of plans do to one.
 func (w *world) spoilCall(to *node, m *message.Message) {
-	if m.Kind != message.Call || m.Partition != 0 {
+	if m.Kind != message.KindCall || m.Partition != 0 {
 		return
 	}
 	now := fleetconfig.Open(w.read(to, fleetconfig.PlanKey)).Version
--- a/proof/sim/traffic.go
+++ b/proof/sim/traffic.go
@@ -52,18 +52,18 @@
 }
 
 // source reads as traffic does, under valid leases.
-func (n *node) source(part int, key string) (message.Rec, bool) {
+func (n *node) source(part int, key string) (message.Record, bool) {
 	r, ok := n.sec(part).Node.Get(n.local(), key)
 	switch n.w.o.Sabotage {
 	case "stale", "evacuatelate", "fallback":
 		// What was read once is believed for ever: of the servers, of the zones,
 		// and now and then of the plan.
 		old, had := n.past[key]
-		if had && !old.Dead && (n.w.o.Sabotage == "stale" && part > 0 || n.w.o.Sabotage == "evacuatelate" && (part > 0 || key == fleetconfig.ZoneKey) ||
+		if had && !old.Deleted && (n.w.o.Sabotage == "stale" && part > 0 || n.w.o.Sabotage == "evacuatelate" && (part > 0 || key == fleetconfig.ZoneKey) ||
 			n.w.o.Sabotage == "fallback" && key == fleetconfig.PlanKey && n.w.rng.Intn(4) == 0) {
 			return old, true
 		}
-		if had && !old.Dead && n.w.o.Sabotage == "fallback" {
+		if had && !old.Deleted && n.w.o.Sabotage == "fallback" {
 			return r, ok
 		}
 	case "lapsed": // leases are never looked at
@@ -93,7 +93,7 @@
 // ask calls the leader of a part.
 func (n *node) ask(part int, op string, body []byte, timeout time.Duration, then func(leadercall.Done)) {
 	now := n.local()
-	no, o := n.runs.Start(now, n.view.Owns[part].Replica, part, op, body, now+timeout, op == "want")
+	no, o := n.runs.Start(now, n.view.Leaderships[part].Leader, part, op, body, now+timeout, op == "want")
 	if then != nil {
 		n.asks[no] = then
 	}
@@ -113,7 +113,7 @@
 	}
 	p := fleetconfig.PartitionOf(svc, n.w.o.Partitions)
 	l := &lane{part: p, pins: map[string]bool{}}
-	l.Lane = scheduler.New(cfg, svc, p, n.source, func() uint64 { return n.view.Owns[p].Num })
+	l.Lane = scheduler.New(cfg, svc, p, n.source, func() uint64 { return n.view.Leaderships[p].Term })
 	n.lanes[svc] = l
 	n.beat(l)
 	return l
--- a/proof/sim/write.go
+++ b/proof/sim/write.go
@@ -33,7 +33,7 @@
 	w.note(Event{Kind: Asked, Node: n.name, Partition: p, Key: name, Tag: tag})
 	then := func(r partition.Result) {
 		e := Event{Node: n.name, Partition: p, Key: name, Tag: tag}
-		switch r.Fate {
+		switch r.Outcome {
 		case partition.Done:
 			e.Kind = Yes
 			w.res.Yes++
@@ -51,8 +51,8 @@
 		}
 		w.note(e)
 	}
-	n.carry(p, n.parts[p].Do(n.local(), partition.Job{Keys: []string{k}, Joins: true, Make: func(read lease.Source) ([]message.Rec, any) {
+	n.carry(p, n.parts[p].Do(n.local(), partition.Job{Keys: []string{k}, Joins: true, Make: func(read lease.Source) ([]message.Record, any) {
 		val, _ := json.Marshal(append(tags(read(k)), tag))
-		return []message.Rec{{Key: k, Val: val}}, nil
+		return []message.Record{{Key: k, Value: val}}, nil
 	}}, then))
 }
--- a/proof/standin/mutants/answers.sh
+++ b/proof/standin/mutants/answers.sh
@@ -18,7 +18,7 @@
 		return nil, "", err' 'a.whole = err == io.EOF
 		return nil, "", io.EOF'
 mutant id-twice platform TestAnAnswerToAnEarlierSendOfTheSameRequest platform/conn.go ' && !c.carried(n.id)' ''
-mutant shared-order platform TestAnOrderTakesNoOtherAnswer platform/engine.go 'need{own: true}' 'need{}'
+mutant shared-order platform TestAnOrderTakesNoOtherAnswer platform/order.go 'need{own: true}' 'need{}'
 mutant forgets-again platform TestAServerThatForgetsIdleConnections $exchange 'if c.used && ctx.Err() == nil' 'if c.used && ctx.Err() != nil'
 mutant held-by-its-body platform TestAnAnswerBeforeTheBodyIsRead $exchange 'if len(b) <= atOnce {
 		write()' 'if len(b) > 0 {
@@ -27,6 +27,6 @@
 mutant hop-by-hop platform TestHeadersThatClientsMayNotSet platform/engine.go '!strings.HasPrefix(k, ours)' 'k != ours'
 mutant same-numbers control/leadercall TestResponsesToAnEarlierLife control/leadercall/leadercall.go 'no: life << lifeBits' 'no: 0 * life'
 mutant anybodys-response control/leadercall TestResponsesToAnEarlierLife control/leadercall/leadercall.go ' || n.From != t.to' ''
-mutant earlier-promise control/quorum TestPromisesToAnEarlierLife control/quorum/term.go ' || n.Ref != 0 && n.Ref != s.lives[s.me.Ident]' ''
+mutant earlier-promise control/quorum TestPromisesToAnEarlierLife control/quorum/term.go ' || n.ResponseTo != 0 && n.ResponseTo != s.lives[s.me.Ident]' ''
 mutant earlier-void control/quorum TestAVoidOfAnEarlierLife control/quorum/quorum.go 's.meta.ToEpoch == n.Epoch && ' ''
 exit $missed
--- a/proof/standin/mutants/mutants_test.go
+++ b/proof/standin/mutants/mutants_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestEachMutantStillHasItsPlace(t *testing.T) {
-	for _, script := range []string{"mutants.sh", "invariants.sh"} {
+	for _, script := range []string{"mutants.sh", "invariants.sh", "answers.sh", "rules.sh"} {
 		out, err := exec.Command("bash", script, "-places").CombinedOutput()
 		if err != nil || len(out) > 0 {
 			t.Errorf("%s: %v:\n%s", script, err, out)
--- a/proof/standin/mutants/rules.sh
+++ b/proof/standin/mutants/rules.sh
@@ -21,7 +21,7 @@
 # incarnations
 mutant any-incarnation control/quorum TestWhichIncarnationsCount $guard 'if n.State.Epoch != 0 && precedes(n.State, known.State) {' 'if n.State.Epoch != 0 && false {'
 mutant blind-to-itself control/quorum TestWhatSupersedes $guard 'if !s.folder.descends(n.KnownState) {' 'if s.folder.descends(n.KnownState) && false {'
-mutant strangers-count control/quorum TestAStrangerSupersedesNobody $guard 'n.Known != 0 && s.trusted(n) &&' 'n.Known != 0 &&'
+mutant strangers-count control/quorum TestAStrangerSupersedesNobody $guard 'n.KnownEpoch != 0 && s.trusted(n) &&' 'n.KnownEpoch != 0 &&'
 mutant heard-too-early control/quorum TestAPeerIsToldBeforeItIsHeard $guard 'Addr: n.Addr}, o)
 	return false
 }' 'Addr: n.Addr}, o)
--- a/proof/standin/mutants/unit.sh
+++ b/proof/standin/mutants/unit.sh
@@ -1,13 +1,30 @@
 # Sourced by the scripts beside it that have one test of a package name a fault: it
-# sets work, a folder that goes with the script, wanted and missed.
-work=$(mktemp -d)
-trap 'rm -rf "$work"' EXIT
+# sets work, a folder that goes with the script, places if only the faults' places
+# and tests are looked for, wanted and missed.
+places=""
+if [ "${1:-}" = -places ]; then
+	places=yes
+	shift
+else
+	work=$(mktemp -d)
+	trap 'rm -rf "$work"' EXIT
+fi
 wanted=" $* " missed=0
 
+# present NAME PACKAGE TEST FILE OLD: the place is there, and so is the test.
+present() {
+	OLD=$5 perl -0ne '$n = () = /\Q$ENV{OLD}\E/g; exit($n ? 0 : 1)' "$4" || { echo "$1: no place in $4 says: $5"; missed=1; }
+	grep -qE "^func ($3)" "$2"/*_test.go || { echo "$1: no test $3 in $2"; missed=1; }
+}
+
 # mutant NAME PACKAGE TEST FILE OLD NEW
 mutant() {
-	local name=$1 package=$2 test=$3 file=$4 src="$work/$1" out="$work/$1.txt"
+	local name=$1 package=$2 test=$3 file=$4 src="${work:-}/$1" out="${work:-}/$1.txt"
 	[ "$wanted" = "  " ] || [[ "$wanted" == *" $name "* ]] || return 0
+	if [ -n "$places" ]; then
+		present "$name" "$package" "$test" "$file" "$5"
+		return 0
+	fi
 	mkdir -p "$src" && git archive HEAD | tar x -C "$src"
 	OLD=$5 NEW=$6 perl -0pi -e 's/\Q$ENV{OLD}\E/$ENV{NEW}/ or die "no such place\n"' "$src/$file" 2>"$out" || { echo "$name: does not apply to $file"; missed=1; return 0; }
 	(cd "$src" && go vet "./$package") >"$out" 2>&1 || { echo "$name: does not build: $(tail -1 "$out")"; missed=1; return 0; }
--- a/proof/track/scenario.go
+++ b/proof/track/scenario.go
@@ -263,7 +263,7 @@
 		for ctx.Err() == nil {
 			asked := time.Now().UnixNano()
 			code, b := f.Call("GET", p.Addr, "/readyz", nil)
-			var w leadercall.Word
+			var w leadercall.Response
 			if code == 200 && json.Unmarshal(b, &w) == nil && w.Plan != "" {
 				looks.Add(1)
 				f.Recorder.Put(history.Event{At: asked, Who: p.Name, Ev: "serves", Plan: w.Plan, Ver: w.Version})
--- a/traffic/board/flow_test.go
+++ b/traffic/board/flow_test.go
@@ -186,7 +186,7 @@
 		if Head(z.members, "north").Ident == z.members[wide].Ident {
 			wide = 4
 		}
-		z.members[wide].Disk = true
+		z.members[wide].HasDisk = true
 		if got := Head(z.members, "north").Ident == z.members[wide].Ident; got != (n >= crowd) {
 			t.Errorf("%d members: the control daemon is the head: %v", n, got)
 		}
--- a/traffic/board/tell.go
+++ b/traffic/board/tell.go
@@ -25,7 +25,7 @@
 		}
 		n++
 		any.offer(m)
-		if m.Disk {
+		if m.HasDisk {
 			wide.offer(m)
 		}
 	}
@@ -50,7 +50,7 @@
 // Tick tells what is due.
 //
 // Example: for _, s := range b.Tick(now, view.Me, view.Members) { send(s) }
-func (b *Board) Tick(now time.Duration, me message.Member, members []message.Member) (out []message.Send) {
+func (b *Board) Tick(now time.Duration, me message.Member, members []message.Member) (out []message.Envelope) {
 	if now < b.next {
 		return nil
 	}
@@ -128,12 +128,12 @@
 	return out[:min(len(out), b.cfg.Most)]
 }
 
-func (b *Board) sheet(to message.Member, s Sheet) message.Send {
+func (b *Board) sheet(to message.Member, s Sheet) message.Envelope {
 	body, err := s.MarshalMsg(nil)
 	if err != nil {
 		panic(err) // our own types always pack
 	}
-	return message.Send{Addr: to.Addr, Message: message.Message{Kind: message.Board, To: to.Ident, Body: body}}
+	return message.Envelope{Addr: to.Addr, Message: message.Message{Kind: message.KindLoadReport, To: to.Ident, Body: body}}
 }
 
 func flat(m map[uint64]Use) []Use {
--- a/traffic/forward/lane.go
+++ b/traffic/forward/lane.go
@@ -39,7 +39,7 @@
 	keys    []string // of the list of this version
 	servers []fleetconfig.Server
 	records map[string]record
-	listed  message.Ver
+	listed  message.Version
 	stats   map[string]*stat
 	pace    float64       // tokens read in a ms, measured
 	aim     time.Duration // the shortest aim of any request
@@ -100,10 +100,10 @@
 }
 
 // list reads a list of servers, once a version.
-func (l *Lane) list(rec message.Rec) []fleetconfig.Server {
-	if l.keys == nil || l.listed != rec.Ver {
+func (l *Lane) list(rec message.Record) []fleetconfig.Server {
+	if l.keys == nil || l.listed != rec.Version {
 		l.servers = fleetconfig.OpenList(rec).Servers
-		l.keys, l.listed = []string{rec.Key}, rec.Ver
+		l.keys, l.listed = []string{rec.Key}, rec.Version
 		known := make(map[string]record, len(l.servers))
 		for _, s := range l.servers {
 			key := fleetconfig.ServerRecordKey(l.svc, s.Key())
@@ -119,16 +119,16 @@
 
 // record is a server's record as it was read.
 type record struct {
-	ver message.Ver
+	ver message.Version
 	placement.ServerRecord
 	ok bool
 }
 
 // record reads a server's record, once a version.
-func (l *Lane) record(rec message.Rec) record {
+func (l *Lane) record(rec message.Record) record {
 	r, known := l.records[rec.Key]
-	if !known || r.ver != rec.Ver || rec.Dead == r.ok {
-		r = record{ver: rec.Ver}
+	if !known || r.ver != rec.Version || rec.Deleted == r.ok {
+		r = record{ver: rec.Version}
 		r.ServerRecord, r.ok = placement.OpenServerRecord(rec)
 		l.records[rec.Key] = r
 	}
--- a/traffic/forward/model_test.go
+++ b/traffic/forward/model_test.go
@@ -29,25 +29,25 @@
 func (r *records) Gen(int) uint64          { return r.gen }
 func (r *records) Until(int) time.Duration { return r.until }
 
-func (r *records) Read(partition int, key string) (message.Rec, bool) {
+func (r *records) Read(partition int, key string) (message.Record, bool) {
 	if *r.now >= r.until {
-		return message.Rec{}, false
+		return message.Record{}, false
 	}
-	pack := func(v any) (message.Rec, bool) {
+	pack := func(v any) (message.Record, bool) {
 		b, err := json.Marshal(v)
 		if err != nil {
 			panic(err)
 		}
 		h := fnv.New64a() // as in the fleet, no two values of a record share a version
 		_, _ = h.Write(b)
-		return message.Rec{Key: key, Ver: message.Ver{Term: 1, Seq: h.Sum64()}, Val: b}, true
+		return message.Record{Key: key, Version: message.Version{Term: 1, Seq: h.Sum64()}, Value: b}, true
 	}
 	switch {
 	case partition == 0 && key == fleetconfig.ZoneKey:
-		return message.Rec{Key: key, Val: fleetconfig.PackZones(r.out)}, true
+		return message.Record{Key: key, Value: fleetconfig.PackZones(r.out)}, true
 	case key == fleetconfig.ListKey("s"):
 		if r.held {
-			return message.Rec{}, false
+			return message.Record{}, false
 		}
 		return pack(fleetconfig.List{Servers: r.list})
 	}
@@ -56,7 +56,7 @@
 			return pack(placement.ServerRecord{Addr: s.Addr, Zone: s.Zone, Cap: s.Capacity, Part: r.part[s.ID], Status: placement.Up})
 		}
 	}
-	return message.Rec{Key: key, Dead: true}, true
+	return message.Record{Key: key, Deleted: true}, true
 }
 
 // may tells whether a request may be sent there now.
--- a/traffic/forward/shape.go
+++ b/traffic/forward/shape.go
@@ -54,7 +54,7 @@
 // Source reads records under valid leases.
 type Source interface {
 	// Read serves a record of a part.
-	Read(partition int, key string) (message.Rec, bool)
+	Read(partition int, key string) (message.Record, bool)
 	// Gen counts the changes of what a part serves.
 	Gen(partition int) uint64
 	// Until is when the first of a part's leases lapses.
--- a/traffic/gateway/gateway.go
+++ b/traffic/gateway/gateway.go
@@ -29,7 +29,7 @@
 type sheet struct {
 	gen   uint64
 	until time.Duration
-	ver   message.Ver
+	ver   message.Version
 	table *route.Table
 	plan  fleetconfig.Plan
 	least int             // the urgency of the least urgent route
@@ -88,7 +88,7 @@
 // Read serves a record under valid leases, or for a while after they lapsed.
 //
 // Example: rec, ok := source.Read(0, fleetconfig.PlanKey)
-func (s source) Read(partition int, key string) (message.Rec, bool) { return s.Last(partition, key) }
+func (s source) Read(partition int, key string) (message.Record, bool) { return s.Last(partition, key) }
 
 // Until is when that ends.
 //
@@ -255,10 +255,10 @@
 	}
 	until := g.c.LastUntil(0)
 	rec, ok := g.c.Last(0, fleetconfig.PlanKey)
-	if !ok || rec.Dead {
+	if !ok || rec.Deleted {
 		return nil, false
 	}
-	if s != nil && s.ver == rec.Ver {
+	if s != nil && s.ver == rec.Version {
 		n := *s
 		n.gen, n.until = gen, until
 		g.plan.Store(&n)
@@ -268,7 +268,7 @@
 	if s != nil {
 		planGoesOn.Hold(p.Version >= s.plan.Version, "version %d after version %d", p.Version, s.plan.Version)
 	}
-	n := &sheet{gen: gen, until: until, ver: rec.Ver, plan: p, table: route.New(p), split: map[string]bool{}}
+	n := &sheet{gen: gen, until: until, ver: rec.Version, plan: p, table: route.New(p), split: map[string]bool{}}
 	for _, v := range p.Services {
 		n.split[v.Name] = v.TokenBytes > 0
 	}
@@ -298,11 +298,11 @@
 // the last plan too, for a while; what ends one for good needs this.
 func (g *Gateway) leased() (*sheet, bool) {
 	rec, ok := g.c.Read(0, fleetconfig.PlanKey)
-	if !ok || rec.Dead {
+	if !ok || rec.Deleted {
 		return nil, false
 	}
 	s, ok := g.sheet()
-	return s, ok && s.ver == rec.Ver
+	return s, ok && s.ver == rec.Version
 }
 
 // match finds a request's route. That there is none is certain only by a plan
--- a/traffic/gateway/gateway_test.go
+++ b/traffic/gateway/gateway_test.go
@@ -80,7 +80,7 @@
 	for {
 		n := 0
 		for _, x := range list.Servers {
-			if rec, ok := c.Last(c.Partition("one"), fleetconfig.ServerRecordKey("one", x.ID)); ok && !rec.Dead {
+			if rec, ok := c.Last(c.Partition("one"), fleetconfig.ServerRecordKey("one", x.ID)); ok && !rec.Deleted {
 				n++
 			}
 		}
--- a/traffic/nativeapi/nativeapi.go
+++ b/traffic/nativeapi/nativeapi.go
@@ -165,8 +165,8 @@
 }
 
 // sheet reads the plan in force; it is parsed once a version.
-func (d *API) sheet(rec message.Rec) *scheduler.Sheet {
-	if s := d.plan.Load(); s != nil && s.Ver == rec.Ver {
+func (d *API) sheet(rec message.Record) *scheduler.Sheet {
+	if s := d.plan.Load(); s != nil && s.Ver == rec.Version {
 		return s
 	}
 	s := scheduler.NewSheet(rec)
@@ -214,12 +214,12 @@
 	if q.Once != "" {
 		result, why = "uncertain", why+"; this request was not run, whether its once key ran before is not known: ask again with the same key"
 	}
-	daemon.Respond(w, 503, leadercall.Word{Result: result, Why: why, After: after.Milliseconds()})
+	daemon.Respond(w, 503, leadercall.Response{Result: result, Why: why, After: after.Milliseconds()})
 }
 
 func (d *API) broken(w http.ResponseWriter, code int, faults ...string) {
 	d.bad.Add(1)
-	daemon.Respond(w, code, leadercall.Word{Result: "broken", Faults: faults})
+	daemon.Respond(w, code, leadercall.Response{Result: "broken", Faults: faults})
 }
 
 func (d *API) generate(w http.ResponseWriter, r *http.Request) {
--- a/traffic/scheduler/lane.go
+++ b/traffic/scheduler/lane.go
@@ -36,14 +36,14 @@
 }
 
 type parsed struct {
-	ver          message.Ver
+	ver          message.Version
 	serverRecord placement.ServerRecord
 	ok           bool
 }
 
 // roll is a service's list made ready for look-ups.
 type roll struct {
-	ver message.Ver
+	ver message.Version
 	by  map[string]fleetconfig.Server
 }
 
@@ -152,9 +152,9 @@
 	}
 }
 
-func (l *Lane) listed(rec message.Rec) roll {
-	if l.list.by == nil || l.list.ver != rec.Ver {
-		l.list = roll{ver: rec.Ver, by: map[string]fleetconfig.Server{}}
+func (l *Lane) listed(rec message.Record) roll {
+	if l.list.by == nil || l.list.ver != rec.Version {
+		l.list = roll{ver: rec.Version, by: map[string]fleetconfig.Server{}}
 		for _, s := range fleetconfig.OpenList(rec).Servers {
 			l.list.by[s.Addr] = s
 		}
@@ -170,8 +170,8 @@
 		return b, false
 	}
 	p, known := l.serverRecords[addr]
-	if !known || p.ver != rec.Ver {
-		p.ver = rec.Ver
+	if !known || p.ver != rec.Version {
+		p.ver = rec.Version
 		p.serverRecord, p.ok = placement.OpenServerRecord(rec)
 		l.serverRecords[addr] = p
 	}
@@ -186,10 +186,10 @@
 	in, ok := l.listed(list).by[addr]
 	zones, okZones := l.src(0, fleetconfig.ZoneKey)
 	plan, okPlan := l.src(0, fleetconfig.PlanKey)
-	if !ok || in.Leaving || !okZones || !okPlan || !zones.Dead && fleetconfig.Zones(zones)[b.Zone] {
+	if !ok || in.Leaving || !okZones || !okPlan || !zones.Deleted && fleetconfig.Zones(zones)[b.Zone] {
 		return b, false
 	}
-	if l.sheet == nil || l.sheet.Ver != plan.Ver {
+	if l.sheet == nil || l.sheet.Ver != plan.Version {
 		l.sheet = NewSheet(plan)
 	}
 	return b, !l.sheet.out[l.svc][addr]
--- a/traffic/scheduler/scheduler_test.go
+++ b/traffic/scheduler/scheduler_test.go
@@ -20,21 +20,21 @@
 // world is a lane over records that a test may change.
 type world struct {
 	*Lane
-	recs map[string]message.Rec
+	recs map[string]message.Record
 	now  time.Duration
 }
 
 func fresh() *world {
-	w := &world{recs: map[string]message.Rec{}, now: time.Minute}
+	w := &world{recs: map[string]message.Record{}, now: time.Minute}
 	put := func(key string, v any) {
-		w.recs[key] = message.Rec{Key: key, Ver: message.Ver{Term: 1, Seq: 1}, Val: leadercall.Pack(v)}
+		w.recs[key] = message.Record{Key: key, Version: message.Version{Term: 1, Seq: 1}, Value: leadercall.Pack(v)}
 	}
 	put(fleetconfig.PlanKey, fleetconfig.Plan{Version: 1, Services: []fleetconfig.Service{{Name: "m"}}, Tenants: []fleetconfig.Tenant{{Name: "t", Timeout: 10000, Queue: 1}}})
 	put(fleetconfig.ZoneKey, []string{})
 	put(fleetconfig.ListKey("m"), fleetconfig.List{Servers: []fleetconfig.Server{{Addr: prefill, Zone: "a", Capacity: 2}, {Addr: decode, Zone: "a", Capacity: 2}}})
 	put(fleetconfig.ServerRecordKey("m", prefill), placement.ServerRecord{Addr: prefill, Zone: "a", Part: placement.Prefill, Status: placement.Up, Pairs: []string{decode}})
 	put(fleetconfig.ServerRecordKey("m", decode), placement.ServerRecord{Addr: decode, Zone: "a", Part: placement.Decode, Status: placement.Up})
-	src := func(_ int, key string) (message.Rec, bool) { r, ok := w.recs[key]; return r, ok }
+	src := func(_ int, key string) (message.Record, bool) { r, ok := w.recs[key]; return r, ok }
 	cfg := Config{
 		Queue: slots.Config{Most: 8, Floor: time.Second, Ceil: time.Minute}, Retry: 0.2, Window: 16 * time.Second, Most: 3, Patience: time.Second,
 		Shy: time.Second, Turned: time.Second, Stall: 2 * time.Second, Ahead: 4, Back: time.Second, Prefixes: 100,
@@ -95,7 +95,7 @@
 		"plan invalidated":          func(w *world) { delete(w.recs, fleetconfig.PlanKey) },
 		"zones invalidated":         func(w *world) { delete(w.recs, fleetconfig.ZoneKey) },
 		"evacuated": func(w *world) {
-			w.recs[fleetconfig.ZoneKey] = message.Rec{Ver: message.Ver{Term: 1, Seq: 2}, Val: []byte(`["a"]`)}
+			w.recs[fleetconfig.ZoneKey] = message.Record{Version: message.Version{Term: 1, Seq: 2}, Value: []byte(`["a"]`)}
 		},
 		"share lapsed":   func(w *world) { w.now += time.Hour },
 		"deadline over":  func(w *world) { w.now += 10 * time.Second },
@@ -115,11 +115,11 @@
 }
 
 func (w *world) plan(s fleetconfig.Service) {
-	w.recs[fleetconfig.PlanKey] = message.Rec{Ver: message.Ver{Term: 1, Seq: 9}, Val: leadercall.Pack(fleetconfig.Plan{Version: 2, Services: []fleetconfig.Service{s}})}
+	w.recs[fleetconfig.PlanKey] = message.Record{Version: message.Version{Term: 1, Seq: 9}, Value: leadercall.Pack(fleetconfig.Plan{Version: 2, Services: []fleetconfig.Service{s}})}
 }
 
 func (w *world) list(s fleetconfig.Server) {
-	w.recs[fleetconfig.ListKey("m")] = message.Rec{Ver: message.Ver{Term: 1, Seq: 9}, Val: leadercall.Pack(fleetconfig.List{Servers: []fleetconfig.Server{s}})}
+	w.recs[fleetconfig.ListKey("m")] = message.Record{Version: message.Version{Term: 1, Seq: 9}, Value: leadercall.Pack(fleetconfig.List{Servers: []fleetconfig.Server{s}})}
 }
 
 // A once request whose decode was sent and lost is told "uncertain", its key
--- a/traffic/scheduler/shape.go
+++ b/traffic/scheduler/shape.go
@@ -30,7 +30,7 @@
 }
 
 // Source reads a record under valid leases.
-type Source func(partition int, key string) (message.Rec, bool)
+type Source func(partition int, key string) (message.Record, bool)
 
 // Request is one request as the plan lets it in.
 type Request struct {
--- a/traffic/scheduler/sheet.go
+++ b/traffic/scheduler/sheet.go
@@ -12,7 +12,7 @@
 
 // Sheet is a plan made ready for look-ups.
 type Sheet struct {
-	Ver     message.Ver
+	Ver     message.Version
 	plan    uint64
 	tenants map[string]fleetconfig.Tenant
 	out     map[string]map[string]bool // service -> servers that it excludes
@@ -21,9 +21,9 @@
 // NewSheet reads the plan in force; do it once a version.
 //
 // Example: s := scheduler.NewSheet(rec)
-func NewSheet(rec message.Rec) *Sheet {
+func NewSheet(rec message.Record) *Sheet {
 	p := fleetconfig.Open(rec)
-	s := &Sheet{Ver: rec.Ver, plan: p.Version, tenants: map[string]fleetconfig.Tenant{}, out: map[string]map[string]bool{}}
+	s := &Sheet{Ver: rec.Version, plan: p.Version, tenants: map[string]fleetconfig.Tenant{}, out: map[string]map[string]bool{}}
 	for _, t := range p.Tenants {
 		s.tenants[t.Name] = t
 	}
--- a/wire/message/json_test.go
+++ b/wire/message/json_test.go
@@ -10,7 +10,7 @@
 // answers to operators and in dumps. The literals of Go name no field, so that each
 // field must be there.
 func TestJSONIsThatOfEarlierBuilds(t *testing.T) {
-	ver := Ver{7, 9}
+	ver := Version{7, 9}
 	replica := Replica{"a", "10.0.0.1:7"}
 	const (
 		verJSON     = `{"Term":7,"Seq":9}`
@@ -30,19 +30,19 @@
 			`{"Num":3,"Seats":[` + replicaJSON + `,` + replicaJSON + `],"Next":[` + replicaJSON + `]}`,
 		},
 		{"group without a change", Group{3, []Replica{replica}, nil}, `{"Num":3,"Seats":[` + replicaJSON + `],"Next":null}`},
-		{"save point", Stamp{5, 6}, savedJSON},
-		{"incarnation of a peer", Peer{"b", 8, Stamp{5, 6}}, `{"Ident":"b","Epoch":8,"State":` + savedJSON + `}`},
-		{"incarnation of a peer without a save point", Peer{"b", 8, Stamp{}}, `{"Ident":"b","Epoch":8}`},
+		{"save point", SavePoint{5, 6}, savedJSON},
+		{"incarnation of a peer", PeerIncarnation{"b", 8, SavePoint{5, 6}}, `{"Ident":"b","Epoch":8,"State":` + savedJSON + `}`},
+		{"incarnation of a peer without a save point", PeerIncarnation{"b", 8, SavePoint{}}, `{"Ident":"b","Epoch":8}`},
 		{
 			"member",
 			Member{"a", 2, "10.0.0.1:7", "10.0.0.1:80", "z", true, true, true, "26498f9"},
 			`{"ident":"a","epoch":2,"addr":"10.0.0.1:7","web":"10.0.0.1:80","cell":"z","disk":true,"ready":true,"empty":true,"build":"26498f9"}`,
 		},
-		{"leadership", Own{3, 4, replica}, `{"part":3,"num":4,"seat":` + replicaJSON + `}`},
-		{"volume epoch", Mark{"a", 2, 7}, `{"Ident":"a","Epoch":2,"Term":7}`},
+		{"leadership", Leadership{3, 4, replica}, `{"part":3,"num":4,"seat":` + replicaJSON + `}`},
+		{"volume epoch", VolumeEpoch{"a", 2, 7}, `{"Ident":"a","Epoch":2,"Term":7}`},
 		{
 			"record",
-			Rec{"k", ver, []byte("v"), true, true, []Link{{ver, ver, []byte("p")}}},
+			Record{"k", ver, []byte("v"), true, true, []Patch{{ver, ver, []byte("p")}}},
 			`{"Key":"k","Ver":` + verJSON + `,"Val":"dg==","Dead":true,"Held":true,"Links":[{"From":` + verJSON + `,"To":` + verJSON + `,"Patch":"cA=="}]}`,
 		},
 	} {
--- a/wire/message/message.go
+++ b/wire/message/message.go
@@ -6,12 +6,12 @@
 
 //go:generate go tool msgp -tests=false
 
-// Version is the version of the wire format; a frame says it in its first byte.
-// A frame of version Short leaves out what the frames before it on its
+// FrameVersion is the version of the wire format; a frame says it in its first byte.
+// A frame of version CompactFrameVersion leaves out what the frames before it on its
 // connection said already; it goes only to those who said that they read it.
 const (
-	Version = 1
-	Short   = 2
+	FrameVersion        = 1
+	CompactFrameVersion = 2
 )
 
 // Kind says what a Message is.
@@ -21,43 +21,43 @@
 const (
 	KindNone Kind = iota
 	// leases
-	Renew       // child asks for a volume lease and for records
-	Grant       // parent grants them
-	Reconnect   // parent asks for the child's list
-	Listing     // child sends keys and versions
-	Synced      // parent confirms the matching ones and grants the volume lease
-	Connect     // child is done
-	Invalidate  // parent withdraws a record
-	Invalidated // child (and all below it) dropped it
-	Deny        // parent can't serve; look elsewhere
-	Steer       // parent names a better parent (join, split, return)
+	KindRenewLease    // child asks for a volume lease and for records
+	KindGrantLease    // parent grants them
+	KindReconnect     // parent asks for the child's list
+	KindLeaseList     // child sends keys and versions
+	KindReconciled    // parent confirms the matching ones and grants the volume lease
+	KindReconnectDone // child is done
+	KindInvalidate    // parent withdraws a record
+	KindInvalidated   // child (and all below it) dropped it
+	KindDenyLease     // parent can't serve; look elsewhere
+	KindRedirect      // parent names a better parent (join, split, return)
 	// terms and writes
-	Ask
-	Promise
-	Refuse
-	Fill
-	Filled
-	Unfit // voter isn't at this term's state: here are its digests
-	Accept
-	Accepted
-	Support
-	Void // a candidate gave this term up before it was won
-	Supported
+	KindRequestVote
+	KindGrantVote
+	KindRejectVote
+	KindInstallState
+	KindStateInstalled
+	KindStateMismatch // voter isn't at this term's state: here are its digests
+	KindReplicate
+	KindReplicated
+	KindHeartbeat
+	KindAbandonTerm // a candidate gave this term up before it was won
+	KindHeartbeatAck
 	// membership table
-	Hello
-	Welcome
-	Gossip
-	Census
-	Count
+	KindHello
+	KindWelcome
+	KindGossip
+	KindCensus
+	KindCensusAnswer
 	// calls
-	Call
-	Back
+	KindCall
+	KindCallResult
 	// formation
-	Found // these replicas make the first group
+	KindBootstrap // these replicas make the first group
 	// hints
-	Board // what is under way at servers, and what they keep
+	KindLoadReport // what is under way at servers, and what they keep
 	// incarnations
-	Incarnation // which incarnation of the other a replica goes by, and what it is itself
+	KindIncarnation // which incarnation of the other a replica goes by, and what it is itself
 	kindEnd
 )
 
@@ -69,7 +69,7 @@
 
 // String names a kind.
 //
-// Example: message.Invalidate.String() == "invalidate"
+// Example: message.KindInvalidate.String() == "invalidate"
 func (k Kind) String() string {
 	if int(k) < len(kindNames) {
 		return kindNames[k]
@@ -82,40 +82,40 @@
 // Example: message.Kind(200).Known() == false
 func (k Kind) Known() bool { return k > KindNone && k < kindEnd }
 
-// Ver is a record's version: the term of the leader that wrote it and a
+// Version is a record's version: the term of the leader that wrote it and a
 // number that leader counts up. No two writes share one.
-type Ver struct {
+type Version struct {
 	Term uint64 `msg:"t" json:"Term"`
 	Seq  uint64 `msg:"s" json:"Seq"`
 }
 
 // Less orders versions.
 //
-// Example: Ver{1, 9}.Less(Ver{2, 1}) == true
-func (v Ver) Less(w Ver) bool { return v.Term < w.Term || v.Term == w.Term && v.Seq < w.Seq }
+// Example: Version{1, 9}.Less(Version{2, 1}) == true
+func (v Version) Less(w Version) bool { return v.Term < w.Term || v.Term == w.Term && v.Seq < w.Seq }
 
 // String prints a version as term.seq.
 //
-// Example: Ver{3, 7}.String() == "3.7"
-func (v Ver) String() string { return fmt.Sprintf("%d.%d", v.Term, v.Seq) }
-
-// Rec is one record of a partition. A Dead record is cached absence.
-type Rec struct {
-	Key  string `msg:"k" json:"Key"`
-	Ver  Ver    `msg:"v" json:"Ver"`
-	Val  []byte `msg:"b,omitempty" json:"Val"`
-	Dead bool   `msg:"d,omitempty" json:"Dead"`
-
-	// Held says that the value is the one that the addressee holds, after Links.
-	Held  bool   `msg:"h,omitempty" json:"Held"`
-	Links []Link `msg:"l,omitempty" json:"Links"`
+// Example: Version{3, 7}.String() == "3.7"
+func (v Version) String() string { return fmt.Sprintf("%d.%d", v.Term, v.Seq) }
+
+// Record is one record of a partition. A Dead record is cached absence.
+type Record struct {
+	Key     string  `msg:"k" json:"Key"`
+	Version Version `msg:"v" json:"Ver"`
+	Value   []byte  `msg:"b,omitempty" json:"Val"`
+	Deleted bool    `msg:"d,omitempty" json:"Dead"`
+
+	// Patched says that the value is the one that the addressee holds, after Links.
+	Patched bool    `msg:"h,omitempty" json:"Held"`
+	Patches []Patch `msg:"l,omitempty" json:"Links"`
 }
 
-// Link is what turns one version of a record's value into a later one.
-type Link struct {
-	From  Ver    `msg:"f" json:"From"`
-	To    Ver    `msg:"t" json:"To"`
-	Patch []byte `msg:"p" json:"Patch"`
+// Patch is what turns one version of a record's value into a later one.
+type Patch struct {
+	From  Version `msg:"f" json:"From"`
+	To    Version `msg:"t" json:"To"`
+	Delta []byte  `msg:"p" json:"Patch"`
 }
 
 // Replica is a daemon's identity and wire address.
@@ -126,7 +126,7 @@
 
 // Group is a partition's voters; while Next is set a majority of both is needed.
 type Group struct {
-	Num      uint64    `msg:"n" json:"Num"`
+	Number   uint64    `msg:"n" json:"Num"`
 	Replicas []Replica `msg:"s" json:"Seats"`
 	Next     []Replica `msg:"x,omitempty" json:"Next"`
 }
@@ -158,11 +158,11 @@
 	return out
 }
 
-// Quorum tells whether the identities that said yes make a majority (of both
+// HasQuorum tells whether the identities that said yes make a majority (of both
 // groups while the group changes).
 //
-// Example: g.Quorum(func(id string) bool { return id != "c" })
-func (g Group) Quorum(yes func(string) bool) bool {
+// Example: g.HasQuorum(func(id string) bool { return id != "c" })
+func (g Group) HasQuorum(yes func(string) bool) bool {
 	return most(g.Replicas, yes) && (len(g.Next) == 0 || most(g.Next, yes))
 }
 
@@ -176,40 +176,40 @@
 	return n*2 > len(list)
 }
 
-// Mark is the volume epoch: the granter's identity, its epoch and, for an
+// VolumeEpoch is the volume epoch: the granter's identity, its epoch and, for an
 // leader, its term.
-type Mark struct {
+type VolumeEpoch struct {
 	Ident string `msg:"i" json:"Ident"`
 	Epoch uint64 `msg:"e" json:"Epoch"`
 	Term  uint64 `msg:"t" json:"Term"`
 }
 
-// Stamp names a state of a replica: as of so many saves of one incarnation of its
+// SavePoint names a state of a replica: as of so many saves of one incarnation of its
 // daemon, counted from 1. None is told by builds that don't count.
-type Stamp struct {
+type SavePoint struct {
 	Epoch uint64 `msg:"e" json:"Epoch"`
 	Saves uint64 `msg:"n" json:"Saves"`
 }
 
-// Peer is what one replica knows of another: the incarnation that it goes by, and
+// PeerIncarnation is what one replica knows of another: the incarnation that it goes by, and
 // the latest state of that which is known to be on its disk.
-type Peer struct {
-	Ident string `msg:"i" json:"Ident"`
-	Epoch uint64 `msg:"e" json:"Epoch"`
-	State Stamp  `msg:"s" json:"State,omitzero"`
+type PeerIncarnation struct {
+	Ident string    `msg:"i" json:"Ident"`
+	Epoch uint64    `msg:"e" json:"Epoch"`
+	State SavePoint `msg:"s" json:"State,omitzero"`
 }
 
 // Member is one daemon as the fleet sees it.
 type Member struct {
-	Ident string `msg:"i" json:"ident"`
-	Epoch uint64 `msg:"e" json:"epoch"`
-	Addr  string `msg:"a" json:"addr"`
-	Web   string `msg:"w" json:"web"`
-	Zone  string `msg:"c" json:"cell"`
-	Disk  bool   `msg:"d" json:"disk"`
-	Ready bool   `msg:"r" json:"ready"`
-	Empty bool   `msg:"m" json:"empty"`
-	Build string `msg:"b" json:"build"`
+	Ident    string `msg:"i" json:"ident"`
+	Epoch    uint64 `msg:"e" json:"epoch"`
+	Addr     string `msg:"a" json:"addr"`
+	HTTPAddr string `msg:"w" json:"web"`
+	Zone     string `msg:"c" json:"cell"`
+	HasDisk  bool   `msg:"d" json:"disk"`
+	Ready    bool   `msg:"r" json:"ready"`
+	Empty    bool   `msg:"m" json:"empty"`
+	Build    string `msg:"b" json:"build"`
 }
 
 // Replica is the member's identity and address.
@@ -217,11 +217,11 @@
 // Example: Member{Ident: "a", Addr: "10.0.0.1:7"}.Replica() == Replica{"a", "10.0.0.1:7"}
 func (m Member) Replica() Replica { return Replica{Ident: m.Ident, Addr: m.Addr} }
 
-// Own says that a daemon claims the leadership of a partition.
-type Own struct {
+// Leadership says that a daemon claims the leadership of a partition.
+type Leadership struct {
 	Partition int     `msg:"p" json:"part"`
-	Num       uint64  `msg:"n" json:"num"`
-	Replica   Replica `msg:"s" json:"seat"`
+	Term      uint64  `msg:"n" json:"num"`
+	Leader    Replica `msg:"s" json:"seat"`
 }
 
 // Message is everything one daemon can say to another.
@@ -234,47 +234,47 @@
 	Addr      string `msg:"a,omitempty"`
 	To        string `msg:"to,omitempty"`
 
-	No           uint64 `msg:"n,omitempty"`
-	Ref          uint64 `msg:"r,omitempty"`
-	Num          uint64 `msg:"u,omitempty"`
+	RequestID    uint64 `msg:"n,omitempty"`
+	ResponseTo   uint64 `msg:"r,omitempty"`
+	Term         uint64 `msg:"u,omitempty"`
 	LastComplete uint64 `msg:"st,omitempty"`
 
-	Mark Mark   `msg:"m,omitempty"`
-	Key  string `msg:"ky,omitempty"`
-	Ver  Ver    `msg:"v,omitempty"`
-	Len  int64  `msg:"l,omitempty"`
-	Long int64  `msg:"lo,omitempty"`
-	Cost int64  `msg:"co,omitempty"`
+	VolumeEpoch VolumeEpoch `msg:"m,omitempty"`
+	Key         string      `msg:"ky,omitempty"`
+	Version     Version     `msg:"v,omitempty"`
+	Length      int64       `msg:"l,omitempty"`
+	ObjectLease int64       `msg:"lo,omitempty"`
+	RenewCost   int64       `msg:"co,omitempty"`
 
-	Recs  []Rec    `msg:"rs,omitempty"`
-	Keys  []string `msg:"ks,omitempty"`
-	Group Group    `msg:"g,omitempty"`
-	Digs  []uint64 `msg:"dg,omitempty"`
-	Spans []int    `msg:"sp,omitempty"`
-	Hint  Replica  `msg:"h,omitempty"`
+	Records []Record `msg:"rs,omitempty"`
+	Keys    []string `msg:"ks,omitempty"`
+	Group   Group    `msg:"g,omitempty"`
+	Digests []uint64 `msg:"dg,omitempty"`
+	Ranges  []int    `msg:"sp,omitempty"`
+	Hint    Replica  `msg:"h,omitempty"`
 
 	// What replicas tell one another of their incarnations (control/quorum).
-	State      Stamp  `msg:"sa,omitempty"` // of the sender when it started, until the addressee is known to go by this incarnation
-	Saves      uint64 `msg:"sv,omitempty"` // of this incarnation that are on the sender's disk
-	Known      uint64 `msg:"kn,omitempty"` // the incarnation of the addressee that the sender goes by
-	KnownState Stamp  `msg:"kt,omitempty"` // and its state, where the addressee is another one
-	Peers      []Peer `msg:"pe,omitempty"` // what the leader knows of the other replicas
-
-	Self    Member   `msg:"me,omitempty"`
-	Members []Member `msg:"ms,omitempty"`
-	Owns    []Own    `msg:"ow,omitempty"`
-
-	Op   string `msg:"op,omitempty"`
-	Code int    `msg:"cd,omitempty"`
-	Body []byte `msg:"bd,omitempty"`
-	Why  string `msg:"y,omitempty"`
-
-	Wire int `msg:"wv,omitempty"` // highest version of frames that the sender reads; none: 1
+	State      SavePoint         `msg:"sa,omitempty"` // of the sender when it started, until the addressee is known to go by this incarnation
+	Saves      uint64            `msg:"sv,omitempty"` // of this incarnation that are on the sender's disk
+	KnownEpoch uint64            `msg:"kn,omitempty"` // the incarnation of the addressee that the sender goes by
+	KnownState SavePoint         `msg:"kt,omitempty"` // and its state, where the addressee is another one
+	Peers      []PeerIncarnation `msg:"pe,omitempty"` // what the leader knows of the other replicas
+
+	Self        Member       `msg:"me,omitempty"`
+	Members     []Member     `msg:"ms,omitempty"`
+	Leaderships []Leadership `msg:"ow,omitempty"`
+
+	Op     string `msg:"op,omitempty"`
+	Status int    `msg:"cd,omitempty"`
+	Body   []byte `msg:"bd,omitempty"`
+	Reason string `msg:"y,omitempty"`
+
+	MaxFrameVersion int `msg:"wv,omitempty"` // highest version of frames that the sender reads; none: 1
 }
 
-// Send is a message and the address it goes to.
-type Send struct {
-	Addr    string
-	Exact   bool // to that address, also where the addressee is known to be at another one
-	Message Message
+// Envelope is a message and the address it goes to.
+type Envelope struct {
+	Addr      string
+	ExactAddr bool // to that address, also where the addressee is known to be at another one
+	Message   Message
 }
