--- a/wire/message/message_gen.go
+++ b/wire/message/message_gen.go
@@ -6,6 +6,163 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
+// DecodeMsg implements msgp.Decodable
+func (z *Envelope) DecodeMsg(dc *msgp.Reader) (err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, err = dc.ReadMapHeader()
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, err = dc.ReadMapKeyPtr()
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "Addr":
+			z.Addr, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "Addr")
+				return
+			}
+		case "ExactAddr":
+			z.ExactAddr, err = dc.ReadBool()
+			if err != nil {
+				err = msgp.WrapError(err, "ExactAddr")
+				return
+			}
+		case "Message":
+			err = z.Message.DecodeMsg(dc)
+			if err != nil {
+				err = msgp.WrapError(err, "Message")
+				return
+			}
+		default:
+			err = dc.Skip()
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z *Envelope) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 3
+	// write "Addr"
+	err = en.Append(0x83, 0xa4, 0x41, 0x64, 0x64, 0x72)
+	if err != nil {
+		return
+	}
+	err = en.WriteString(z.Addr)
+	if err != nil {
+		err = msgp.WrapError(err, "Addr")
+		return
+	}
+	// write "ExactAddr"
+	err = en.Append(0xa9, 0x45, 0x78, 0x61, 0x63, 0x74, 0x41, 0x64, 0x64, 0x72)
+	if err != nil {
+		return
+	}
+	err = en.WriteBool(z.ExactAddr)
+	if err != nil {
+		err = msgp.WrapError(err, "ExactAddr")
+		return
+	}
+	// write "Message"
+	err = en.Append(0xa7, 0x4d, 0x65, 0x73, 0x73, 0x61, 0x67, 0x65)
+	if err != nil {
+		return
+	}
+	err = z.Message.EncodeMsg(en)
+	if err != nil {
+		err = msgp.WrapError(err, "Message")
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *Envelope) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 3
+	// string "Addr"
+	o = append(o, 0x83, 0xa4, 0x41, 0x64, 0x64, 0x72)
+	o = msgp.AppendString(o, z.Addr)
+	// string "ExactAddr"
+	o = append(o, 0xa9, 0x45, 0x78, 0x61, 0x63, 0x74, 0x41, 0x64, 0x64, 0x72)
+	o = msgp.AppendBool(o, z.ExactAddr)
+	// string "Message"
+	o = append(o, 0xa7, 0x4d, 0x65, 0x73, 0x73, 0x61, 0x67, 0x65)
+	o, err = z.Message.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Message")
+		return
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *Envelope) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "Addr":
+			z.Addr, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Addr")
+				return
+			}
+		case "ExactAddr":
+			z.ExactAddr, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "ExactAddr")
+				return
+			}
+		case "Message":
+			bts, err = z.Message.UnmarshalMsg(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Message")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *Envelope) Msgsize() (s int) {
+	s = 1 + 5 + msgp.StringPrefixSize + len(z.Addr) + 10 + msgp.BoolSize + 8 + z.Message.Msgsize()
+	return
+}
+
 // DecodeMsg implements msgp.Decodable
 func (z *Group) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
@@ -25,9 +182,9 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "n":
-			z.Num, err = dc.ReadUint64()
+			z.Number, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Num")
+				err = msgp.WrapError(err, "Number")
 				return
 			}
 		case "s":
@@ -160,9 +317,9 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteUint64(z.Num)
+		err = en.WriteUint64(z.Number)
 		if err != nil {
-			err = msgp.WrapError(err, "Num")
+			err = msgp.WrapError(err, "Number")
 			return
 		}
 		// write "s"
@@ -255,7 +412,7 @@
 	if zb0001Len != 0 {
 		// string "n"
 		o = append(o, 0xa1, 0x6e)
-		o = msgp.AppendUint64(o, z.Num)
+		o = msgp.AppendUint64(o, z.Number)
 		// string "s"
 		o = append(o, 0xa1, 0x73)
 		o = msgp.AppendArrayHeader(o, uint32(len(z.Replicas)))
@@ -305,9 +462,9 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "n":
-			z.Num, bts, err = msgp.ReadUint64Bytes(bts)
+			z.Number, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Num")
+				err = msgp.WrapError(err, "Number")
 				return
 			}
 		case "s":
@@ -484,7 +641,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Link) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Leadership) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -501,336 +658,52 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "f":
-			var zb0002 uint32
-			zb0002, err = dc.ReadMapHeader()
-			if err != nil {
-				err = msgp.WrapError(err, "From")
-				return
-			}
-			for zb0002 > 0 {
-				zb0002--
-				field, err = dc.ReadMapKeyPtr()
-				if err != nil {
-					err = msgp.WrapError(err, "From")
-					return
-				}
-				switch msgp.UnsafeString(field) {
-				case "t":
-					z.From.Term, err = dc.ReadUint64()
-					if err != nil {
-						err = msgp.WrapError(err, "From", "Term")
-						return
-					}
-				case "s":
-					z.From.Seq, err = dc.ReadUint64()
-					if err != nil {
-						err = msgp.WrapError(err, "From", "Seq")
-						return
-					}
-				default:
-					err = dc.Skip()
-					if err != nil {
-						err = msgp.WrapError(err, "From")
-						return
-					}
-				}
-			}
-		case "t":
-			var zb0003 uint32
-			zb0003, err = dc.ReadMapHeader()
-			if err != nil {
-				err = msgp.WrapError(err, "To")
-				return
-			}
-			for zb0003 > 0 {
-				zb0003--
-				field, err = dc.ReadMapKeyPtr()
-				if err != nil {
-					err = msgp.WrapError(err, "To")
-					return
-				}
-				switch msgp.UnsafeString(field) {
-				case "t":
-					z.To.Term, err = dc.ReadUint64()
-					if err != nil {
-						err = msgp.WrapError(err, "To", "Term")
-						return
-					}
-				case "s":
-					z.To.Seq, err = dc.ReadUint64()
-					if err != nil {
-						err = msgp.WrapError(err, "To", "Seq")
-						return
-					}
-				default:
-					err = dc.Skip()
-					if err != nil {
-						err = msgp.WrapError(err, "To")
-						return
-					}
-				}
-			}
 		case "p":
-			z.Patch, err = dc.ReadBytes(z.Patch)
+			z.Partition, err = dc.ReadInt()
 			if err != nil {
-				err = msgp.WrapError(err, "Patch")
+				err = msgp.WrapError(err, "Partition")
 				return
 			}
-		default:
-			err = dc.Skip()
+		case "n":
+			z.Term, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err)
+				err = msgp.WrapError(err, "Term")
 				return
 			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *Link) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 3
-	// write "f"
-	err = en.Append(0x83, 0xa1, 0x66)
-	if err != nil {
-		return
-	}
-	// map header, size 2
-	// write "t"
-	err = en.Append(0x82, 0xa1, 0x74)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.From.Term)
-	if err != nil {
-		err = msgp.WrapError(err, "From", "Term")
-		return
-	}
-	// write "s"
-	err = en.Append(0xa1, 0x73)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.From.Seq)
-	if err != nil {
-		err = msgp.WrapError(err, "From", "Seq")
-		return
-	}
-	// write "t"
-	err = en.Append(0xa1, 0x74)
-	if err != nil {
-		return
-	}
-	// map header, size 2
-	// write "t"
-	err = en.Append(0x82, 0xa1, 0x74)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.To.Term)
-	if err != nil {
-		err = msgp.WrapError(err, "To", "Term")
-		return
-	}
-	// write "s"
-	err = en.Append(0xa1, 0x73)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.To.Seq)
-	if err != nil {
-		err = msgp.WrapError(err, "To", "Seq")
-		return
-	}
-	// write "p"
-	err = en.Append(0xa1, 0x70)
-	if err != nil {
-		return
-	}
-	err = en.WriteBytes(z.Patch)
-	if err != nil {
-		err = msgp.WrapError(err, "Patch")
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Link) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 3
-	// string "f"
-	o = append(o, 0x83, 0xa1, 0x66)
-	// map header, size 2
-	// string "t"
-	o = append(o, 0x82, 0xa1, 0x74)
-	o = msgp.AppendUint64(o, z.From.Term)
-	// string "s"
-	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendUint64(o, z.From.Seq)
-	// string "t"
-	o = append(o, 0xa1, 0x74)
-	// map header, size 2
-	// string "t"
-	o = append(o, 0x82, 0xa1, 0x74)
-	o = msgp.AppendUint64(o, z.To.Term)
-	// string "s"
-	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendUint64(o, z.To.Seq)
-	// string "p"
-	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendBytes(o, z.Patch)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Link) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "f":
+		case "s":
 			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
+			zb0002, err = dc.ReadMapHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "From")
+				err = msgp.WrapError(err, "Leader")
 				return
 			}
 			for zb0002 > 0 {
 				zb0002--
-				field, bts, err = msgp.ReadMapKeyZC(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "From")
-					return
-				}
-				switch msgp.UnsafeString(field) {
-				case "t":
-					z.From.Term, bts, err = msgp.ReadUint64Bytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "From", "Term")
-						return
-					}
-				case "s":
-					z.From.Seq, bts, err = msgp.ReadUint64Bytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "From", "Seq")
-						return
-					}
-				default:
-					bts, err = msgp.Skip(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "From")
-						return
-					}
-				}
-			}
-		case "t":
-			var zb0003 uint32
-			zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "To")
-				return
-			}
-			for zb0003 > 0 {
-				zb0003--
-				field, bts, err = msgp.ReadMapKeyZC(bts)
+				field, err = dc.ReadMapKeyPtr()
 				if err != nil {
-					err = msgp.WrapError(err, "To")
+					err = msgp.WrapError(err, "Leader")
 					return
 				}
 				switch msgp.UnsafeString(field) {
-				case "t":
-					z.To.Term, bts, err = msgp.ReadUint64Bytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "To", "Term")
-						return
-					}
-				case "s":
-					z.To.Seq, bts, err = msgp.ReadUint64Bytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "To", "Seq")
-						return
-					}
-				default:
-					bts, err = msgp.Skip(bts)
+				case "i":
+					z.Leader.Ident, err = dc.ReadString()
 					if err != nil {
-						err = msgp.WrapError(err, "To")
+						err = msgp.WrapError(err, "Leader", "Ident")
 						return
 					}
-				}
-			}
-		case "p":
-			z.Patch, bts, err = msgp.ReadBytesBytes(bts, z.Patch)
-			if err != nil {
-				err = msgp.WrapError(err, "Patch")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Link) Msgsize() (s int) {
-	s = 1 + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.BytesPrefixSize + len(z.Patch)
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *Mark) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "i":
-			z.Ident, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Ident")
-				return
-			}
-		case "e":
-			z.Epoch, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
-				return
-			}
-		case "t":
-			z.Term, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "Term")
-				return
+				case "a":
+					z.Leader.Addr, err = dc.ReadString()
+					if err != nil {
+						err = msgp.WrapError(err, "Leader", "Addr")
+						return
+					}
+				default:
+					err = dc.Skip()
+					if err != nil {
+						err = msgp.WrapError(err, "Leader")
+						return
+					}
+				}
 			}
 		default:
 			err = dc.Skip()
@@ -844,59 +717,81 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z Mark) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *Leadership) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 3
-	// write "i"
-	err = en.Append(0x83, 0xa1, 0x69)
+	// write "p"
+	err = en.Append(0x83, 0xa1, 0x70)
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Ident)
+	err = en.WriteInt(z.Partition)
 	if err != nil {
-		err = msgp.WrapError(err, "Ident")
+		err = msgp.WrapError(err, "Partition")
 		return
 	}
-	// write "e"
-	err = en.Append(0xa1, 0x65)
+	// write "n"
+	err = en.Append(0xa1, 0x6e)
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Epoch)
+	err = en.WriteUint64(z.Term)
 	if err != nil {
-		err = msgp.WrapError(err, "Epoch")
+		err = msgp.WrapError(err, "Term")
 		return
 	}
-	// write "t"
-	err = en.Append(0xa1, 0x74)
+	// write "s"
+	err = en.Append(0xa1, 0x73)
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Term)
+	// map header, size 2
+	// write "i"
+	err = en.Append(0x82, 0xa1, 0x69)
 	if err != nil {
-		err = msgp.WrapError(err, "Term")
+		return
+	}
+	err = en.WriteString(z.Leader.Ident)
+	if err != nil {
+		err = msgp.WrapError(err, "Leader", "Ident")
+		return
+	}
+	// write "a"
+	err = en.Append(0xa1, 0x61)
+	if err != nil {
+		return
+	}
+	err = en.WriteString(z.Leader.Addr)
+	if err != nil {
+		err = msgp.WrapError(err, "Leader", "Addr")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Mark) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Leadership) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 3
-	// string "i"
-	o = append(o, 0x83, 0xa1, 0x69)
-	o = msgp.AppendString(o, z.Ident)
-	// string "e"
-	o = append(o, 0xa1, 0x65)
-	o = msgp.AppendUint64(o, z.Epoch)
-	// string "t"
-	o = append(o, 0xa1, 0x74)
+	// string "p"
+	o = append(o, 0x83, 0xa1, 0x70)
+	o = msgp.AppendInt(o, z.Partition)
+	// string "n"
+	o = append(o, 0xa1, 0x6e)
 	o = msgp.AppendUint64(o, z.Term)
+	// string "s"
+	o = append(o, 0xa1, 0x73)
+	// map header, size 2
+	// string "i"
+	o = append(o, 0x82, 0xa1, 0x69)
+	o = msgp.AppendString(o, z.Leader.Ident)
+	// string "a"
+	o = append(o, 0xa1, 0x61)
+	o = msgp.AppendString(o, z.Leader.Addr)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Mark) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Leadership) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -913,24 +808,53 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "i":
-			z.Ident, bts, err = msgp.ReadStringBytes(bts)
+		case "p":
+			z.Partition, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Ident")
+				err = msgp.WrapError(err, "Partition")
 				return
 			}
-		case "e":
-			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+		case "n":
+			z.Term, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
+				err = msgp.WrapError(err, "Term")
 				return
 			}
-		case "t":
-			z.Term, bts, err = msgp.ReadUint64Bytes(bts)
+		case "s":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Term")
+				err = msgp.WrapError(err, "Leader")
 				return
 			}
+			for zb0002 > 0 {
+				zb0002--
+				field, bts, err = msgp.ReadMapKeyZC(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Leader")
+					return
+				}
+				switch msgp.UnsafeString(field) {
+				case "i":
+					z.Leader.Ident, bts, err = msgp.ReadStringBytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Leader", "Ident")
+						return
+					}
+				case "a":
+					z.Leader.Addr, bts, err = msgp.ReadStringBytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Leader", "Addr")
+						return
+					}
+				default:
+					bts, err = msgp.Skip(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Leader")
+						return
+					}
+				}
+			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -944,8 +868,8 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Mark) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Ident) + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size
+func (z *Leadership) Msgsize() (s int) {
+	s = 1 + 2 + msgp.IntSize + 2 + msgp.Uint64Size + 2 + 1 + 2 + msgp.StringPrefixSize + len(z.Leader.Ident) + 2 + msgp.StringPrefixSize + len(z.Leader.Addr)
 	return
 }
 
@@ -986,9 +910,9 @@
 				return
 			}
 		case "w":
-			z.Web, err = dc.ReadString()
+			z.HTTPAddr, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Web")
+				err = msgp.WrapError(err, "HTTPAddr")
 				return
 			}
 		case "c":
@@ -998,9 +922,9 @@
 				return
 			}
 		case "d":
-			z.Disk, err = dc.ReadBool()
+			z.HasDisk, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "Disk")
+				err = msgp.WrapError(err, "HasDisk")
 				return
 			}
 		case "r":
@@ -1070,9 +994,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Web)
+	err = en.WriteString(z.HTTPAddr)
 	if err != nil {
-		err = msgp.WrapError(err, "Web")
+		err = msgp.WrapError(err, "HTTPAddr")
 		return
 	}
 	// write "c"
@@ -1090,9 +1014,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteBool(z.Disk)
+	err = en.WriteBool(z.HasDisk)
 	if err != nil {
-		err = msgp.WrapError(err, "Disk")
+		err = msgp.WrapError(err, "HasDisk")
 		return
 	}
 	// write "r"
@@ -1143,13 +1067,13 @@
 	o = msgp.AppendString(o, z.Addr)
 	// string "w"
 	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendString(o, z.Web)
+	o = msgp.AppendString(o, z.HTTPAddr)
 	// string "c"
 	o = append(o, 0xa1, 0x63)
 	o = msgp.AppendString(o, z.Zone)
 	// string "d"
 	o = append(o, 0xa1, 0x64)
-	o = msgp.AppendBool(o, z.Disk)
+	o = msgp.AppendBool(o, z.HasDisk)
 	// string "r"
 	o = append(o, 0xa1, 0x72)
 	o = msgp.AppendBool(o, z.Ready)
@@ -1199,9 +1123,9 @@
 				return
 			}
 		case "w":
-			z.Web, bts, err = msgp.ReadStringBytes(bts)
+			z.HTTPAddr, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Web")
+				err = msgp.WrapError(err, "HTTPAddr")
 				return
 			}
 		case "c":
@@ -1211,9 +1135,9 @@
 				return
 			}
 		case "d":
-			z.Disk, bts, err = msgp.ReadBoolBytes(bts)
+			z.HasDisk, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Disk")
+				err = msgp.WrapError(err, "HasDisk")
 				return
 			}
 		case "r":
@@ -1248,7 +1172,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Member) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Ident) + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Addr) + 2 + msgp.StringPrefixSize + len(z.Web) + 2 + msgp.StringPrefixSize + len(z.Zone) + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + msgp.StringPrefixSize + len(z.Build)
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Ident) + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Addr) + 2 + msgp.StringPrefixSize + len(z.HTTPAddr) + 2 + msgp.StringPrefixSize + len(z.Zone) + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + msgp.StringPrefixSize + len(z.Build)
 	return
 }
 
@@ -1317,21 +1241,21 @@
 				return
 			}
 		case "n":
-			z.No, err = dc.ReadUint64()
+			z.RequestID, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "No")
+				err = msgp.WrapError(err, "RequestID")
 				return
 			}
 		case "r":
-			z.Ref, err = dc.ReadUint64()
+			z.ResponseTo, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Ref")
+				err = msgp.WrapError(err, "ResponseTo")
 				return
 			}
 		case "u":
-			z.Num, err = dc.ReadUint64()
+			z.Term, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Num")
+				err = msgp.WrapError(err, "Term")
 				return
 			}
 		case "st":
@@ -1344,39 +1268,39 @@
 			var zb0003 uint32
 			zb0003, err = dc.ReadMapHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Mark")
+				err = msgp.WrapError(err, "VolumeEpoch")
 				return
 			}
 			for zb0003 > 0 {
 				zb0003--
 				field, err = dc.ReadMapKeyPtr()
 				if err != nil {
-					err = msgp.WrapError(err, "Mark")
+					err = msgp.WrapError(err, "VolumeEpoch")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "i":
-					z.Mark.Ident, err = dc.ReadString()
+					z.VolumeEpoch.Ident, err = dc.ReadString()
 					if err != nil {
-						err = msgp.WrapError(err, "Mark", "Ident")
+						err = msgp.WrapError(err, "VolumeEpoch", "Ident")
 						return
 					}
 				case "e":
-					z.Mark.Epoch, err = dc.ReadUint64()
+					z.VolumeEpoch.Epoch, err = dc.ReadUint64()
 					if err != nil {
-						err = msgp.WrapError(err, "Mark", "Epoch")
+						err = msgp.WrapError(err, "VolumeEpoch", "Epoch")
 						return
 					}
 				case "t":
-					z.Mark.Term, err = dc.ReadUint64()
+					z.VolumeEpoch.Term, err = dc.ReadUint64()
 					if err != nil {
-						err = msgp.WrapError(err, "Mark", "Term")
+						err = msgp.WrapError(err, "VolumeEpoch", "Term")
 						return
 					}
 				default:
 					err = dc.Skip()
 					if err != nil {
-						err = msgp.WrapError(err, "Mark")
+						err = msgp.WrapError(err, "VolumeEpoch")
 						return
 					}
 				}
@@ -1391,71 +1315,71 @@
 			var zb0004 uint32
 			zb0004, err = dc.ReadMapHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Ver")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
 			for zb0004 > 0 {
 				zb0004--
 				field, err = dc.ReadMapKeyPtr()
 				if err != nil {
-					err = msgp.WrapError(err, "Ver")
+					err = msgp.WrapError(err, "Version")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "t":
-					z.Ver.Term, err = dc.ReadUint64()
+					z.Version.Term, err = dc.ReadUint64()
 					if err != nil {
-						err = msgp.WrapError(err, "Ver", "Term")
+						err = msgp.WrapError(err, "Version", "Term")
 						return
 					}
 				case "s":
-					z.Ver.Seq, err = dc.ReadUint64()
+					z.Version.Seq, err = dc.ReadUint64()
 					if err != nil {
-						err = msgp.WrapError(err, "Ver", "Seq")
+						err = msgp.WrapError(err, "Version", "Seq")
 						return
 					}
 				default:
 					err = dc.Skip()
 					if err != nil {
-						err = msgp.WrapError(err, "Ver")
+						err = msgp.WrapError(err, "Version")
 						return
 					}
 				}
 			}
 		case "l":
-			z.Len, err = dc.ReadInt64()
+			z.Length, err = dc.ReadInt64()
 			if err != nil {
-				err = msgp.WrapError(err, "Len")
+				err = msgp.WrapError(err, "Length")
 				return
 			}
 		case "lo":
-			z.Long, err = dc.ReadInt64()
+			z.ObjectLease, err = dc.ReadInt64()
 			if err != nil {
-				err = msgp.WrapError(err, "Long")
+				err = msgp.WrapError(err, "ObjectLease")
 				return
 			}
 		case "co":
-			z.Cost, err = dc.ReadInt64()
+			z.RenewCost, err = dc.ReadInt64()
 			if err != nil {
-				err = msgp.WrapError(err, "Cost")
+				err = msgp.WrapError(err, "RenewCost")
 				return
 			}
 		case "rs":
 			var zb0005 uint32
 			zb0005, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Recs")
+				err = msgp.WrapError(err, "Records")
 				return
 			}
-			if cap(z.Recs) >= int(zb0005) {
-				z.Recs = (z.Recs)[:zb0005]
+			if cap(z.Records) >= int(zb0005) {
+				z.Records = (z.Records)[:zb0005]
 			} else {
-				z.Recs = make([]Rec, zb0005)
+				z.Records = make([]Record, zb0005)
 			}
-			for za0001 := range z.Recs {
-				err = z.Recs[za0001].DecodeMsg(dc)
+			for za0001 := range z.Records {
+				err = z.Records[za0001].DecodeMsg(dc)
 				if err != nil {
-					err = msgp.WrapError(err, "Recs", za0001)
+					err = msgp.WrapError(err, "Records", za0001)
 					return
 				}
 			}
@@ -1488,18 +1412,18 @@
 			var zb0007 uint32
 			zb0007, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Digs")
+				err = msgp.WrapError(err, "Digests")
 				return
 			}
-			if cap(z.Digs) >= int(zb0007) {
-				z.Digs = (z.Digs)[:zb0007]
+			if cap(z.Digests) >= int(zb0007) {
+				z.Digests = (z.Digests)[:zb0007]
 			} else {
-				z.Digs = make([]uint64, zb0007)
+				z.Digests = make([]uint64, zb0007)
 			}
-			for za0003 := range z.Digs {
-				z.Digs[za0003], err = dc.ReadUint64()
+			for za0003 := range z.Digests {
+				z.Digests[za0003], err = dc.ReadUint64()
 				if err != nil {
-					err = msgp.WrapError(err, "Digs", za0003)
+					err = msgp.WrapError(err, "Digests", za0003)
 					return
 				}
 			}
@@ -1507,18 +1431,18 @@
 			var zb0008 uint32
 			zb0008, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Spans")
+				err = msgp.WrapError(err, "Ranges")
 				return
 			}
-			if cap(z.Spans) >= int(zb0008) {
-				z.Spans = (z.Spans)[:zb0008]
+			if cap(z.Ranges) >= int(zb0008) {
+				z.Ranges = (z.Ranges)[:zb0008]
 			} else {
-				z.Spans = make([]int, zb0008)
+				z.Ranges = make([]int, zb0008)
 			}
-			for za0004 := range z.Spans {
-				z.Spans[za0004], err = dc.ReadInt()
+			for za0004 := range z.Ranges {
+				z.Ranges[za0004], err = dc.ReadInt()
 				if err != nil {
-					err = msgp.WrapError(err, "Spans", za0004)
+					err = msgp.WrapError(err, "Ranges", za0004)
 					return
 				}
 			}
@@ -1599,9 +1523,9 @@
 				return
 			}
 		case "kn":
-			z.Known, err = dc.ReadUint64()
+			z.KnownEpoch, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Known")
+				err = msgp.WrapError(err, "KnownEpoch")
 				return
 			}
 		case "kt":
@@ -1649,7 +1573,7 @@
 			if cap(z.Peers) >= int(zb0012) {
 				z.Peers = (z.Peers)[:zb0012]
 			} else {
-				z.Peers = make([]Peer, zb0012)
+				z.Peers = make([]PeerIncarnation, zb0012)
 			}
 			for za0005 := range z.Peers {
 				err = z.Peers[za0005].DecodeMsg(dc)
@@ -1687,18 +1611,18 @@
 			var zb0014 uint32
 			zb0014, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Owns")
+				err = msgp.WrapError(err, "Leaderships")
 				return
 			}
-			if cap(z.Owns) >= int(zb0014) {
-				z.Owns = (z.Owns)[:zb0014]
+			if cap(z.Leaderships) >= int(zb0014) {
+				z.Leaderships = (z.Leaderships)[:zb0014]
 			} else {
-				z.Owns = make([]Own, zb0014)
+				z.Leaderships = make([]Leadership, zb0014)
 			}
-			for za0007 := range z.Owns {
-				err = z.Owns[za0007].DecodeMsg(dc)
+			for za0007 := range z.Leaderships {
+				err = z.Leaderships[za0007].DecodeMsg(dc)
 				if err != nil {
-					err = msgp.WrapError(err, "Owns", za0007)
+					err = msgp.WrapError(err, "Leaderships", za0007)
 					return
 				}
 			}
@@ -1709,9 +1633,9 @@
 				return
 			}
 		case "cd":
-			z.Code, err = dc.ReadInt()
+			z.Status, err = dc.ReadInt()
 			if err != nil {
-				err = msgp.WrapError(err, "Code")
+				err = msgp.WrapError(err, "Status")
 				return
 			}
 		case "bd":
@@ -1721,15 +1645,15 @@
 				return
 			}
 		case "y":
-			z.Why, err = dc.ReadString()
+			z.Reason, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Why")
+				err = msgp.WrapError(err, "Reason")
 				return
 			}
 		case "wv":
-			z.Wire, err = dc.ReadInt()
+			z.MaxFrameVersion, err = dc.ReadInt()
 			if err != nil {
-				err = msgp.WrapError(err, "Wire")
+				err = msgp.WrapError(err, "MaxFrameVersion")
 				return
 			}
 		default:
@@ -1773,15 +1697,15 @@
 		zb0001Len--
 		zb0001Mask |= 0x40
 	}
-	if z.No == 0 {
+	if z.RequestID == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x80
 	}
-	if z.Ref == 0 {
+	if z.ResponseTo == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x100
 	}
-	if z.Num == 0 {
+	if z.Term == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x200
 	}
@@ -1789,7 +1713,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x400
 	}
-	if z.Mark == (Mark{}) {
+	if z.VolumeEpoch == (VolumeEpoch{}) {
 		zb0001Len--
 		zb0001Mask |= 0x800
 	}
@@ -1797,23 +1721,23 @@
 		zb0001Len--
 		zb0001Mask |= 0x1000
 	}
-	if z.Ver == (Ver{}) {
+	if z.Version == (Version{}) {
 		zb0001Len--
 		zb0001Mask |= 0x2000
 	}
-	if z.Len == 0 {
+	if z.Length == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x4000
 	}
-	if z.Long == 0 {
+	if z.ObjectLease == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x8000
 	}
-	if z.Cost == 0 {
+	if z.RenewCost == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x10000
 	}
-	if z.Recs == nil {
+	if z.Records == nil {
 		zb0001Len--
 		zb0001Mask |= 0x20000
 	}
@@ -1821,11 +1745,11 @@
 		zb0001Len--
 		zb0001Mask |= 0x40000
 	}
-	if z.Digs == nil {
+	if z.Digests == nil {
 		zb0001Len--
 		zb0001Mask |= 0x100000
 	}
-	if z.Spans == nil {
+	if z.Ranges == nil {
 		zb0001Len--
 		zb0001Mask |= 0x200000
 	}
@@ -1833,7 +1757,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x400000
 	}
-	if z.State == (Stamp{}) {
+	if z.State == (SavePoint{}) {
 		zb0001Len--
 		zb0001Mask |= 0x800000
 	}
@@ -1841,11 +1765,11 @@
 		zb0001Len--
 		zb0001Mask |= 0x1000000
 	}
-	if z.Known == 0 {
+	if z.KnownEpoch == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x2000000
 	}
-	if z.KnownState == (Stamp{}) {
+	if z.KnownState == (SavePoint{}) {
 		zb0001Len--
 		zb0001Mask |= 0x4000000
 	}
@@ -1857,7 +1781,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x20000000
 	}
-	if z.Owns == nil {
+	if z.Leaderships == nil {
 		zb0001Len--
 		zb0001Mask |= 0x40000000
 	}
@@ -1865,7 +1789,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x80000000
 	}
-	if z.Code == 0 {
+	if z.Status == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x100000000
 	}
@@ -1873,11 +1797,11 @@
 		zb0001Len--
 		zb0001Mask |= 0x200000000
 	}
-	if z.Why == "" {
+	if z.Reason == "" {
 		zb0001Len--
 		zb0001Mask |= 0x400000000
 	}
-	if z.Wire == 0 {
+	if z.MaxFrameVersion == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x800000000
 	}
@@ -1977,9 +1901,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteUint64(z.No)
+			err = en.WriteUint64(z.RequestID)
 			if err != nil {
-				err = msgp.WrapError(err, "No")
+				err = msgp.WrapError(err, "RequestID")
 				return
 			}
 		}
@@ -1989,9 +1913,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteUint64(z.Ref)
+			err = en.WriteUint64(z.ResponseTo)
 			if err != nil {
-				err = msgp.WrapError(err, "Ref")
+				err = msgp.WrapError(err, "ResponseTo")
 				return
 			}
 		}
@@ -2001,9 +1925,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteUint64(z.Num)
+			err = en.WriteUint64(z.Term)
 			if err != nil {
-				err = msgp.WrapError(err, "Num")
+				err = msgp.WrapError(err, "Term")
 				return
 			}
 		}
@@ -2031,9 +1955,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteString(z.Mark.Ident)
+			err = en.WriteString(z.VolumeEpoch.Ident)
 			if err != nil {
-				err = msgp.WrapError(err, "Mark", "Ident")
+				err = msgp.WrapError(err, "VolumeEpoch", "Ident")
 				return
 			}
 			// write "e"
@@ -2041,9 +1965,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteUint64(z.Mark.Epoch)
+			err = en.WriteUint64(z.VolumeEpoch.Epoch)
 			if err != nil {
-				err = msgp.WrapError(err, "Mark", "Epoch")
+				err = msgp.WrapError(err, "VolumeEpoch", "Epoch")
 				return
 			}
 			// write "t"
@@ -2051,9 +1975,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteUint64(z.Mark.Term)
+			err = en.WriteUint64(z.VolumeEpoch.Term)
 			if err != nil {
-				err = msgp.WrapError(err, "Mark", "Term")
+				err = msgp.WrapError(err, "VolumeEpoch", "Term")
 				return
 			}
 		}
@@ -2081,9 +2005,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteUint64(z.Ver.Term)
+			err = en.WriteUint64(z.Version.Term)
 			if err != nil {
-				err = msgp.WrapError(err, "Ver", "Term")
+				err = msgp.WrapError(err, "Version", "Term")
 				return
 			}
 			// write "s"
@@ -2091,9 +2015,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteUint64(z.Ver.Seq)
+			err = en.WriteUint64(z.Version.Seq)
 			if err != nil {
-				err = msgp.WrapError(err, "Ver", "Seq")
+				err = msgp.WrapError(err, "Version", "Seq")
 				return
 			}
 		}
@@ -2103,9 +2027,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteInt64(z.Len)
+			err = en.WriteInt64(z.Length)
 			if err != nil {
-				err = msgp.WrapError(err, "Len")
+				err = msgp.WrapError(err, "Length")
 				return
 			}
 		}
@@ -2115,9 +2039,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteInt64(z.Long)
+			err = en.WriteInt64(z.ObjectLease)
 			if err != nil {
-				err = msgp.WrapError(err, "Long")
+				err = msgp.WrapError(err, "ObjectLease")
 				return
 			}
 		}
@@ -2127,9 +2051,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteInt64(z.Cost)
+			err = en.WriteInt64(z.RenewCost)
 			if err != nil {
-				err = msgp.WrapError(err, "Cost")
+				err = msgp.WrapError(err, "RenewCost")
 				return
 			}
 		}
@@ -2139,15 +2063,15 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteArrayHeader(uint32(len(z.Recs)))
+			err = en.WriteArrayHeader(uint32(len(z.Records)))
 			if err != nil {
-				err = msgp.WrapError(err, "Recs")
+				err = msgp.WrapError(err, "Records")
 				return
 			}
-			for za0001 := range z.Recs {
-				err = z.Recs[za0001].EncodeMsg(en)
+			for za0001 := range z.Records {
+				err = z.Records[za0001].EncodeMsg(en)
 				if err != nil {
-					err = msgp.WrapError(err, "Recs", za0001)
+					err = msgp.WrapError(err, "Records", za0001)
 					return
 				}
 			}
@@ -2187,15 +2111,15 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteArrayHeader(uint32(len(z.Digs)))
+			err = en.WriteArrayHeader(uint32(len(z.Digests)))
 			if err != nil {
-				err = msgp.WrapError(err, "Digs")
+				err = msgp.WrapError(err, "Digests")
 				return
 			}
-			for za0003 := range z.Digs {
-				err = en.WriteUint64(z.Digs[za0003])
+			for za0003 := range z.Digests {
+				err = en.WriteUint64(z.Digests[za0003])
 				if err != nil {
-					err = msgp.WrapError(err, "Digs", za0003)
+					err = msgp.WrapError(err, "Digests", za0003)
 					return
 				}
 			}
@@ -2206,15 +2130,15 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteArrayHeader(uint32(len(z.Spans)))
+			err = en.WriteArrayHeader(uint32(len(z.Ranges)))
 			if err != nil {
-				err = msgp.WrapError(err, "Spans")
+				err = msgp.WrapError(err, "Ranges")
 				return
 			}
-			for za0004 := range z.Spans {
-				err = en.WriteInt(z.Spans[za0004])
+			for za0004 := range z.Ranges {
+				err = en.WriteInt(z.Ranges[za0004])
 				if err != nil {
-					err = msgp.WrapError(err, "Spans", za0004)
+					err = msgp.WrapError(err, "Ranges", za0004)
 					return
 				}
 			}
@@ -2293,9 +2217,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteUint64(z.Known)
+			err = en.WriteUint64(z.KnownEpoch)
 			if err != nil {
-				err = msgp.WrapError(err, "Known")
+				err = msgp.WrapError(err, "KnownEpoch")
 				return
 			}
 		}
@@ -2381,15 +2305,15 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteArrayHeader(uint32(len(z.Owns)))
+			err = en.WriteArrayHeader(uint32(len(z.Leaderships)))
 			if err != nil {
-				err = msgp.WrapError(err, "Owns")
+				err = msgp.WrapError(err, "Leaderships")
 				return
 			}
-			for za0007 := range z.Owns {
-				err = z.Owns[za0007].EncodeMsg(en)
+			for za0007 := range z.Leaderships {
+				err = z.Leaderships[za0007].EncodeMsg(en)
 				if err != nil {
-					err = msgp.WrapError(err, "Owns", za0007)
+					err = msgp.WrapError(err, "Leaderships", za0007)
 					return
 				}
 			}
@@ -2412,9 +2336,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteInt(z.Code)
+			err = en.WriteInt(z.Status)
 			if err != nil {
-				err = msgp.WrapError(err, "Code")
+				err = msgp.WrapError(err, "Status")
 				return
 			}
 		}
@@ -2436,9 +2360,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteString(z.Why)
+			err = en.WriteString(z.Reason)
 			if err != nil {
-				err = msgp.WrapError(err, "Why")
+				err = msgp.WrapError(err, "Reason")
 				return
 			}
 		}
@@ -2448,9 +2372,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteInt(z.Wire)
+			err = en.WriteInt(z.MaxFrameVersion)
 			if err != nil {
-				err = msgp.WrapError(err, "Wire")
+				err = msgp.WrapError(err, "MaxFrameVersion")
 				return
 			}
 		}
@@ -2489,15 +2413,15 @@
 		zb0001Len--
 		zb0001Mask |= 0x40
 	}
-	if z.No == 0 {
+	if z.RequestID == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x80
 	}
-	if z.Ref == 0 {
+	if z.ResponseTo == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x100
 	}
-	if z.Num == 0 {
+	if z.Term == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x200
 	}
@@ -2505,7 +2429,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x400
 	}
-	if z.Mark == (Mark{}) {
+	if z.VolumeEpoch == (VolumeEpoch{}) {
 		zb0001Len--
 		zb0001Mask |= 0x800
 	}
@@ -2513,23 +2437,23 @@
 		zb0001Len--
 		zb0001Mask |= 0x1000
 	}
-	if z.Ver == (Ver{}) {
+	if z.Version == (Version{}) {
 		zb0001Len--
 		zb0001Mask |= 0x2000
 	}
-	if z.Len == 0 {
+	if z.Length == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x4000
 	}
-	if z.Long == 0 {
+	if z.ObjectLease == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x8000
 	}
-	if z.Cost == 0 {
+	if z.RenewCost == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x10000
 	}
-	if z.Recs == nil {
+	if z.Records == nil {
 		zb0001Len--
 		zb0001Mask |= 0x20000
 	}
@@ -2537,11 +2461,11 @@
 		zb0001Len--
 		zb0001Mask |= 0x40000
 	}
-	if z.Digs == nil {
+	if z.Digests == nil {
 		zb0001Len--
 		zb0001Mask |= 0x100000
 	}
-	if z.Spans == nil {
+	if z.Ranges == nil {
 		zb0001Len--
 		zb0001Mask |= 0x200000
 	}
@@ -2549,7 +2473,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x400000
 	}
-	if z.State == (Stamp{}) {
+	if z.State == (SavePoint{}) {
 		zb0001Len--
 		zb0001Mask |= 0x800000
 	}
@@ -2557,11 +2481,11 @@
 		zb0001Len--
 		zb0001Mask |= 0x1000000
 	}
-	if z.Known == 0 {
+	if z.KnownEpoch == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x2000000
 	}
-	if z.KnownState == (Stamp{}) {
+	if z.KnownState == (SavePoint{}) {
 		zb0001Len--
 		zb0001Mask |= 0x4000000
 	}
@@ -2573,7 +2497,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x20000000
 	}
-	if z.Owns == nil {
+	if z.Leaderships == nil {
 		zb0001Len--
 		zb0001Mask |= 0x40000000
 	}
@@ -2581,7 +2505,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x80000000
 	}
-	if z.Code == 0 {
+	if z.Status == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x100000000
 	}
@@ -2589,11 +2513,11 @@
 		zb0001Len--
 		zb0001Mask |= 0x200000000
 	}
-	if z.Why == "" {
+	if z.Reason == "" {
 		zb0001Len--
 		zb0001Mask |= 0x400000000
 	}
-	if z.Wire == 0 {
+	if z.MaxFrameVersion == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x800000000
 	}
@@ -2638,17 +2562,17 @@
 		if (zb0001Mask & 0x80) == 0 { // if not omitted
 			// string "n"
 			o = append(o, 0xa1, 0x6e)
-			o = msgp.AppendUint64(o, z.No)
+			o = msgp.AppendUint64(o, z.RequestID)
 		}
 		if (zb0001Mask & 0x100) == 0 { // if not omitted
 			// string "r"
 			o = append(o, 0xa1, 0x72)
-			o = msgp.AppendUint64(o, z.Ref)
+			o = msgp.AppendUint64(o, z.ResponseTo)
 		}
 		if (zb0001Mask & 0x200) == 0 { // if not omitted
 			// string "u"
 			o = append(o, 0xa1, 0x75)
-			o = msgp.AppendUint64(o, z.Num)
+			o = msgp.AppendUint64(o, z.Term)
 		}
 		if (zb0001Mask & 0x400) == 0 { // if not omitted
 			// string "st"
@@ -2661,13 +2585,13 @@
 			// map header, size 3
 			// string "i"
 			o = append(o, 0x83, 0xa1, 0x69)
-			o = msgp.AppendString(o, z.Mark.Ident)
+			o = msgp.AppendString(o, z.VolumeEpoch.Ident)
 			// string "e"
 			o = append(o, 0xa1, 0x65)
-			o = msgp.AppendUint64(o, z.Mark.Epoch)
+			o = msgp.AppendUint64(o, z.VolumeEpoch.Epoch)
 			// string "t"
 			o = append(o, 0xa1, 0x74)
-			o = msgp.AppendUint64(o, z.Mark.Term)
+			o = msgp.AppendUint64(o, z.VolumeEpoch.Term)
 		}
 		if (zb0001Mask & 0x1000) == 0 { // if not omitted
 			// string "ky"
@@ -2680,34 +2604,34 @@
 			// map header, size 2
 			// string "t"
 			o = append(o, 0x82, 0xa1, 0x74)
-			o = msgp.AppendUint64(o, z.Ver.Term)
+			o = msgp.AppendUint64(o, z.Version.Term)
 			// string "s"
 			o = append(o, 0xa1, 0x73)
-			o = msgp.AppendUint64(o, z.Ver.Seq)
+			o = msgp.AppendUint64(o, z.Version.Seq)
 		}
 		if (zb0001Mask & 0x4000) == 0 { // if not omitted
 			// string "l"
 			o = append(o, 0xa1, 0x6c)
-			o = msgp.AppendInt64(o, z.Len)
+			o = msgp.AppendInt64(o, z.Length)
 		}
 		if (zb0001Mask & 0x8000) == 0 { // if not omitted
 			// string "lo"
 			o = append(o, 0xa2, 0x6c, 0x6f)
-			o = msgp.AppendInt64(o, z.Long)
+			o = msgp.AppendInt64(o, z.ObjectLease)
 		}
 		if (zb0001Mask & 0x10000) == 0 { // if not omitted
 			// string "co"
 			o = append(o, 0xa2, 0x63, 0x6f)
-			o = msgp.AppendInt64(o, z.Cost)
+			o = msgp.AppendInt64(o, z.RenewCost)
 		}
 		if (zb0001Mask & 0x20000) == 0 { // if not omitted
 			// string "rs"
 			o = append(o, 0xa2, 0x72, 0x73)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Recs)))
-			for za0001 := range z.Recs {
-				o, err = z.Recs[za0001].MarshalMsg(o)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.Records)))
+			for za0001 := range z.Records {
+				o, err = z.Records[za0001].MarshalMsg(o)
 				if err != nil {
-					err = msgp.WrapError(err, "Recs", za0001)
+					err = msgp.WrapError(err, "Records", za0001)
 					return
 				}
 			}
@@ -2730,17 +2654,17 @@
 		if (zb0001Mask & 0x100000) == 0 { // if not omitted
 			// string "dg"
 			o = append(o, 0xa2, 0x64, 0x67)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Digs)))
-			for za0003 := range z.Digs {
-				o = msgp.AppendUint64(o, z.Digs[za0003])
+			o = msgp.AppendArrayHeader(o, uint32(len(z.Digests)))
+			for za0003 := range z.Digests {
+				o = msgp.AppendUint64(o, z.Digests[za0003])
 			}
 		}
 		if (zb0001Mask & 0x200000) == 0 { // if not omitted
 			// string "sp"
 			o = append(o, 0xa2, 0x73, 0x70)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Spans)))
-			for za0004 := range z.Spans {
-				o = msgp.AppendInt(o, z.Spans[za0004])
+			o = msgp.AppendArrayHeader(o, uint32(len(z.Ranges)))
+			for za0004 := range z.Ranges {
+				o = msgp.AppendInt(o, z.Ranges[za0004])
 			}
 		}
 		if (zb0001Mask & 0x400000) == 0 { // if not omitted
@@ -2773,7 +2697,7 @@
 		if (zb0001Mask & 0x2000000) == 0 { // if not omitted
 			// string "kn"
 			o = append(o, 0xa2, 0x6b, 0x6e)
-			o = msgp.AppendUint64(o, z.Known)
+			o = msgp.AppendUint64(o, z.KnownEpoch)
 		}
 		if (zb0001Mask & 0x4000000) == 0 { // if not omitted
 			// string "kt"
@@ -2820,11 +2744,11 @@
 		if (zb0001Mask & 0x40000000) == 0 { // if not omitted
 			// string "ow"
 			o = append(o, 0xa2, 0x6f, 0x77)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Owns)))
-			for za0007 := range z.Owns {
-				o, err = z.Owns[za0007].MarshalMsg(o)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.Leaderships)))
+			for za0007 := range z.Leaderships {
+				o, err = z.Leaderships[za0007].MarshalMsg(o)
 				if err != nil {
-					err = msgp.WrapError(err, "Owns", za0007)
+					err = msgp.WrapError(err, "Leaderships", za0007)
 					return
 				}
 			}
@@ -2837,7 +2761,7 @@
 		if (zb0001Mask & 0x100000000) == 0 { // if not omitted
 			// string "cd"
 			o = append(o, 0xa2, 0x63, 0x64)
-			o = msgp.AppendInt(o, z.Code)
+			o = msgp.AppendInt(o, z.Status)
 		}
 		if (zb0001Mask & 0x200000000) == 0 { // if not omitted
 			// string "bd"
@@ -2847,12 +2771,12 @@
 		if (zb0001Mask & 0x400000000) == 0 { // if not omitted
 			// string "y"
 			o = append(o, 0xa1, 0x79)
-			o = msgp.AppendString(o, z.Why)
+			o = msgp.AppendString(o, z.Reason)
 		}
 		if (zb0001Mask & 0x800000000) == 0 { // if not omitted
 			// string "wv"
 			o = append(o, 0xa2, 0x77, 0x76)
-			o = msgp.AppendInt(o, z.Wire)
+			o = msgp.AppendInt(o, z.MaxFrameVersion)
 		}
 	}
 	return
@@ -2923,21 +2847,21 @@
 				return
 			}
 		case "n":
-			z.No, bts, err = msgp.ReadUint64Bytes(bts)
+			z.RequestID, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "No")
+				err = msgp.WrapError(err, "RequestID")
 				return
 			}
 		case "r":
-			z.Ref, bts, err = msgp.ReadUint64Bytes(bts)
+			z.ResponseTo, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Ref")
+				err = msgp.WrapError(err, "ResponseTo")
 				return
 			}
 		case "u":
-			z.Num, bts, err = msgp.ReadUint64Bytes(bts)
+			z.Term, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Num")
+				err = msgp.WrapError(err, "Term")
 				return
 			}
 		case "st":
@@ -2950,39 +2874,39 @@
 			var zb0003 uint32
 			zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Mark")
+				err = msgp.WrapError(err, "VolumeEpoch")
 				return
 			}
 			for zb0003 > 0 {
 				zb0003--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Mark")
+					err = msgp.WrapError(err, "VolumeEpoch")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "i":
-					z.Mark.Ident, bts, err = msgp.ReadStringBytes(bts)
+					z.VolumeEpoch.Ident, bts, err = msgp.ReadStringBytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Mark", "Ident")
+						err = msgp.WrapError(err, "VolumeEpoch", "Ident")
 						return
 					}
 				case "e":
-					z.Mark.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+					z.VolumeEpoch.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Mark", "Epoch")
+						err = msgp.WrapError(err, "VolumeEpoch", "Epoch")
 						return
 					}
 				case "t":
-					z.Mark.Term, bts, err = msgp.ReadUint64Bytes(bts)
+					z.VolumeEpoch.Term, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Mark", "Term")
+						err = msgp.WrapError(err, "VolumeEpoch", "Term")
 						return
 					}
 				default:
 					bts, err = msgp.Skip(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Mark")
+						err = msgp.WrapError(err, "VolumeEpoch")
 						return
 					}
 				}
@@ -2997,71 +2921,71 @@
 			var zb0004 uint32
 			zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Ver")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
 			for zb0004 > 0 {
 				zb0004--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Ver")
+					err = msgp.WrapError(err, "Version")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "t":
-					z.Ver.Term, bts, err = msgp.ReadUint64Bytes(bts)
+					z.Version.Term, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Ver", "Term")
+						err = msgp.WrapError(err, "Version", "Term")
 						return
 					}
 				case "s":
-					z.Ver.Seq, bts, err = msgp.ReadUint64Bytes(bts)
+					z.Version.Seq, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Ver", "Seq")
+						err = msgp.WrapError(err, "Version", "Seq")
 						return
 					}
 				default:
 					bts, err = msgp.Skip(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Ver")
+						err = msgp.WrapError(err, "Version")
 						return
 					}
 				}
 			}
 		case "l":
-			z.Len, bts, err = msgp.ReadInt64Bytes(bts)
+			z.Length, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Len")
+				err = msgp.WrapError(err, "Length")
 				return
 			}
 		case "lo":
-			z.Long, bts, err = msgp.ReadInt64Bytes(bts)
+			z.ObjectLease, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Long")
+				err = msgp.WrapError(err, "ObjectLease")
 				return
 			}
 		case "co":
-			z.Cost, bts, err = msgp.ReadInt64Bytes(bts)
+			z.RenewCost, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Cost")
+				err = msgp.WrapError(err, "RenewCost")
 				return
 			}
 		case "rs":
 			var zb0005 uint32
 			zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Recs")
+				err = msgp.WrapError(err, "Records")
 				return
 			}
-			if cap(z.Recs) >= int(zb0005) {
-				z.Recs = (z.Recs)[:zb0005]
+			if cap(z.Records) >= int(zb0005) {
+				z.Records = (z.Records)[:zb0005]
 			} else {
-				z.Recs = make([]Rec, zb0005)
+				z.Records = make([]Record, zb0005)
 			}
-			for za0001 := range z.Recs {
-				bts, err = z.Recs[za0001].UnmarshalMsg(bts)
+			for za0001 := range z.Records {
+				bts, err = z.Records[za0001].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Recs", za0001)
+					err = msgp.WrapError(err, "Records", za0001)
 					return
 				}
 			}
@@ -3094,18 +3018,18 @@
 			var zb0007 uint32
 			zb0007, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Digs")
+				err = msgp.WrapError(err, "Digests")
 				return
 			}
-			if cap(z.Digs) >= int(zb0007) {
-				z.Digs = (z.Digs)[:zb0007]
+			if cap(z.Digests) >= int(zb0007) {
+				z.Digests = (z.Digests)[:zb0007]
 			} else {
-				z.Digs = make([]uint64, zb0007)
+				z.Digests = make([]uint64, zb0007)
 			}
-			for za0003 := range z.Digs {
-				z.Digs[za0003], bts, err = msgp.ReadUint64Bytes(bts)
+			for za0003 := range z.Digests {
+				z.Digests[za0003], bts, err = msgp.ReadUint64Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Digs", za0003)
+					err = msgp.WrapError(err, "Digests", za0003)
 					return
 				}
 			}
@@ -3113,18 +3037,18 @@
 			var zb0008 uint32
 			zb0008, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Spans")
+				err = msgp.WrapError(err, "Ranges")
 				return
 			}
-			if cap(z.Spans) >= int(zb0008) {
-				z.Spans = (z.Spans)[:zb0008]
+			if cap(z.Ranges) >= int(zb0008) {
+				z.Ranges = (z.Ranges)[:zb0008]
 			} else {
-				z.Spans = make([]int, zb0008)
+				z.Ranges = make([]int, zb0008)
 			}
-			for za0004 := range z.Spans {
-				z.Spans[za0004], bts, err = msgp.ReadIntBytes(bts)
+			for za0004 := range z.Ranges {
+				z.Ranges[za0004], bts, err = msgp.ReadIntBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Spans", za0004)
+					err = msgp.WrapError(err, "Ranges", za0004)
 					return
 				}
 			}
@@ -3205,9 +3129,9 @@
 				return
 			}
 		case "kn":
-			z.Known, bts, err = msgp.ReadUint64Bytes(bts)
+			z.KnownEpoch, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Known")
+				err = msgp.WrapError(err, "KnownEpoch")
 				return
 			}
 		case "kt":
@@ -3255,7 +3179,7 @@
 			if cap(z.Peers) >= int(zb0012) {
 				z.Peers = (z.Peers)[:zb0012]
 			} else {
-				z.Peers = make([]Peer, zb0012)
+				z.Peers = make([]PeerIncarnation, zb0012)
 			}
 			for za0005 := range z.Peers {
 				bts, err = z.Peers[za0005].UnmarshalMsg(bts)
@@ -3293,18 +3217,18 @@
 			var zb0014 uint32
 			zb0014, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Owns")
+				err = msgp.WrapError(err, "Leaderships")
 				return
 			}
-			if cap(z.Owns) >= int(zb0014) {
-				z.Owns = (z.Owns)[:zb0014]
+			if cap(z.Leaderships) >= int(zb0014) {
+				z.Leaderships = (z.Leaderships)[:zb0014]
 			} else {
-				z.Owns = make([]Own, zb0014)
+				z.Leaderships = make([]Leadership, zb0014)
 			}
-			for za0007 := range z.Owns {
-				bts, err = z.Owns[za0007].UnmarshalMsg(bts)
+			for za0007 := range z.Leaderships {
+				bts, err = z.Leaderships[za0007].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Owns", za0007)
+					err = msgp.WrapError(err, "Leaderships", za0007)
 					return
 				}
 			}
@@ -3315,9 +3239,9 @@
 				return
 			}
 		case "cd":
-			z.Code, bts, err = msgp.ReadIntBytes(bts)
+			z.Status, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Code")
+				err = msgp.WrapError(err, "Status")
 				return
 			}
 		case "bd":
@@ -3327,15 +3251,15 @@
 				return
 			}
 		case "y":
-			z.Why, bts, err = msgp.ReadStringBytes(bts)
+			z.Reason, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Why")
+				err = msgp.WrapError(err, "Reason")
 				return
 			}
 		case "wv":
-			z.Wire, bts, err = msgp.ReadIntBytes(bts)
+			z.MaxFrameVersion, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Wire")
+				err = msgp.WrapError(err, "MaxFrameVersion")
 				return
 			}
 		default:
@@ -3352,15 +3276,15 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Message) Msgsize() (s int) {
-	s = 3 + 2 + msgp.Uint8Size + 3 + msgp.StringPrefixSize + len(z.Fleet) + 2 + msgp.IntSize + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Addr) + 3 + msgp.StringPrefixSize + len(z.To) + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 3 + msgp.Uint64Size + 2 + 1 + 2 + msgp.StringPrefixSize + len(z.Mark.Ident) + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 3 + msgp.StringPrefixSize + len(z.Key) + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Int64Size + 3 + msgp.Int64Size + 3 + msgp.Int64Size + 3 + msgp.ArrayHeaderSize
-	for za0001 := range z.Recs {
-		s += z.Recs[za0001].Msgsize()
+	s = 3 + 2 + msgp.Uint8Size + 3 + msgp.StringPrefixSize + len(z.Fleet) + 2 + msgp.IntSize + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Addr) + 3 + msgp.StringPrefixSize + len(z.To) + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 3 + msgp.Uint64Size + 2 + 1 + 2 + msgp.StringPrefixSize + len(z.VolumeEpoch.Ident) + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 3 + msgp.StringPrefixSize + len(z.Key) + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Int64Size + 3 + msgp.Int64Size + 3 + msgp.Int64Size + 3 + msgp.ArrayHeaderSize
+	for za0001 := range z.Records {
+		s += z.Records[za0001].Msgsize()
 	}
 	s += 3 + msgp.ArrayHeaderSize
 	for za0002 := range z.Keys {
 		s += msgp.StringPrefixSize + len(z.Keys[za0002])
 	}
-	s += 2 + z.Group.Msgsize() + 3 + msgp.ArrayHeaderSize + (len(z.Digs) * (msgp.Uint64Size)) + 3 + msgp.ArrayHeaderSize + (len(z.Spans) * (msgp.IntSize)) + 2 + 1 + 2 + msgp.StringPrefixSize + len(z.Hint.Ident) + 2 + msgp.StringPrefixSize + len(z.Hint.Addr) + 3 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 3 + msgp.Uint64Size + 3 + msgp.Uint64Size + 3 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 3 + msgp.ArrayHeaderSize
+	s += 2 + z.Group.Msgsize() + 3 + msgp.ArrayHeaderSize + (len(z.Digests) * (msgp.Uint64Size)) + 3 + msgp.ArrayHeaderSize + (len(z.Ranges) * (msgp.IntSize)) + 2 + 1 + 2 + msgp.StringPrefixSize + len(z.Hint.Ident) + 2 + msgp.StringPrefixSize + len(z.Hint.Addr) + 3 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 3 + msgp.Uint64Size + 3 + msgp.Uint64Size + 3 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 3 + msgp.ArrayHeaderSize
 	for za0005 := range z.Peers {
 		s += z.Peers[za0005].Msgsize()
 	}
@@ -3369,15 +3293,15 @@
 		s += z.Members[za0006].Msgsize()
 	}
 	s += 3 + msgp.ArrayHeaderSize
-	for za0007 := range z.Owns {
-		s += z.Owns[za0007].Msgsize()
+	for za0007 := range z.Leaderships {
+		s += z.Leaderships[za0007].Msgsize()
 	}
-	s += 3 + msgp.StringPrefixSize + len(z.Op) + 3 + msgp.IntSize + 3 + msgp.BytesPrefixSize + len(z.Body) + 2 + msgp.StringPrefixSize + len(z.Why) + 3 + msgp.IntSize
+	s += 3 + msgp.StringPrefixSize + len(z.Op) + 3 + msgp.IntSize + 3 + msgp.BytesPrefixSize + len(z.Body) + 2 + msgp.StringPrefixSize + len(z.Reason) + 3 + msgp.IntSize
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Own) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Patch) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -3394,53 +3318,82 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "p":
-			z.Partition, err = dc.ReadInt()
-			if err != nil {
-				err = msgp.WrapError(err, "Partition")
-				return
-			}
-		case "n":
-			z.Num, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "Num")
-				return
-			}
-		case "s":
+		case "f":
 			var zb0002 uint32
 			zb0002, err = dc.ReadMapHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Replica")
+				err = msgp.WrapError(err, "From")
 				return
 			}
 			for zb0002 > 0 {
 				zb0002--
 				field, err = dc.ReadMapKeyPtr()
 				if err != nil {
-					err = msgp.WrapError(err, "Replica")
+					err = msgp.WrapError(err, "From")
 					return
 				}
 				switch msgp.UnsafeString(field) {
-				case "i":
-					z.Replica.Ident, err = dc.ReadString()
+				case "t":
+					z.From.Term, err = dc.ReadUint64()
 					if err != nil {
-						err = msgp.WrapError(err, "Replica", "Ident")
+						err = msgp.WrapError(err, "From", "Term")
 						return
 					}
-				case "a":
-					z.Replica.Addr, err = dc.ReadString()
+				case "s":
+					z.From.Seq, err = dc.ReadUint64()
+					if err != nil {
+						err = msgp.WrapError(err, "From", "Seq")
+						return
+					}
+				default:
+					err = dc.Skip()
+					if err != nil {
+						err = msgp.WrapError(err, "From")
+						return
+					}
+				}
+			}
+		case "t":
+			var zb0003 uint32
+			zb0003, err = dc.ReadMapHeader()
+			if err != nil {
+				err = msgp.WrapError(err, "To")
+				return
+			}
+			for zb0003 > 0 {
+				zb0003--
+				field, err = dc.ReadMapKeyPtr()
+				if err != nil {
+					err = msgp.WrapError(err, "To")
+					return
+				}
+				switch msgp.UnsafeString(field) {
+				case "t":
+					z.To.Term, err = dc.ReadUint64()
+					if err != nil {
+						err = msgp.WrapError(err, "To", "Term")
+						return
+					}
+				case "s":
+					z.To.Seq, err = dc.ReadUint64()
 					if err != nil {
-						err = msgp.WrapError(err, "Replica", "Addr")
+						err = msgp.WrapError(err, "To", "Seq")
 						return
 					}
 				default:
 					err = dc.Skip()
 					if err != nil {
-						err = msgp.WrapError(err, "Replica")
+						err = msgp.WrapError(err, "To")
 						return
 					}
 				}
 			}
+		case "p":
+			z.Delta, err = dc.ReadBytes(z.Delta)
+			if err != nil {
+				err = msgp.WrapError(err, "Delta")
+				return
+			}
 		default:
 			err = dc.Skip()
 			if err != nil {
@@ -3453,81 +3406,103 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Own) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *Patch) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 3
-	// write "p"
-	err = en.Append(0x83, 0xa1, 0x70)
+	// write "f"
+	err = en.Append(0x83, 0xa1, 0x66)
 	if err != nil {
 		return
 	}
-	err = en.WriteInt(z.Partition)
+	// map header, size 2
+	// write "t"
+	err = en.Append(0x82, 0xa1, 0x74)
 	if err != nil {
-		err = msgp.WrapError(err, "Partition")
 		return
 	}
-	// write "n"
-	err = en.Append(0xa1, 0x6e)
+	err = en.WriteUint64(z.From.Term)
 	if err != nil {
+		err = msgp.WrapError(err, "From", "Term")
 		return
 	}
-	err = en.WriteUint64(z.Num)
+	// write "s"
+	err = en.Append(0xa1, 0x73)
 	if err != nil {
-		err = msgp.WrapError(err, "Num")
 		return
 	}
-	// write "s"
-	err = en.Append(0xa1, 0x73)
+	err = en.WriteUint64(z.From.Seq)
+	if err != nil {
+		err = msgp.WrapError(err, "From", "Seq")
+		return
+	}
+	// write "t"
+	err = en.Append(0xa1, 0x74)
 	if err != nil {
 		return
 	}
 	// map header, size 2
-	// write "i"
-	err = en.Append(0x82, 0xa1, 0x69)
+	// write "t"
+	err = en.Append(0x82, 0xa1, 0x74)
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Replica.Ident)
+	err = en.WriteUint64(z.To.Term)
 	if err != nil {
-		err = msgp.WrapError(err, "Replica", "Ident")
+		err = msgp.WrapError(err, "To", "Term")
 		return
 	}
-	// write "a"
-	err = en.Append(0xa1, 0x61)
+	// write "s"
+	err = en.Append(0xa1, 0x73)
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Replica.Addr)
+	err = en.WriteUint64(z.To.Seq)
+	if err != nil {
+		err = msgp.WrapError(err, "To", "Seq")
+		return
+	}
+	// write "p"
+	err = en.Append(0xa1, 0x70)
+	if err != nil {
+		return
+	}
+	err = en.WriteBytes(z.Delta)
 	if err != nil {
-		err = msgp.WrapError(err, "Replica", "Addr")
+		err = msgp.WrapError(err, "Delta")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Own) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Patch) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 3
-	// string "p"
-	o = append(o, 0x83, 0xa1, 0x70)
-	o = msgp.AppendInt(o, z.Partition)
-	// string "n"
-	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendUint64(o, z.Num)
+	// string "f"
+	o = append(o, 0x83, 0xa1, 0x66)
+	// map header, size 2
+	// string "t"
+	o = append(o, 0x82, 0xa1, 0x74)
+	o = msgp.AppendUint64(o, z.From.Term)
 	// string "s"
 	o = append(o, 0xa1, 0x73)
+	o = msgp.AppendUint64(o, z.From.Seq)
+	// string "t"
+	o = append(o, 0xa1, 0x74)
 	// map header, size 2
-	// string "i"
-	o = append(o, 0x82, 0xa1, 0x69)
-	o = msgp.AppendString(o, z.Replica.Ident)
-	// string "a"
-	o = append(o, 0xa1, 0x61)
-	o = msgp.AppendString(o, z.Replica.Addr)
+	// string "t"
+	o = append(o, 0x82, 0xa1, 0x74)
+	o = msgp.AppendUint64(o, z.To.Term)
+	// string "s"
+	o = append(o, 0xa1, 0x73)
+	o = msgp.AppendUint64(o, z.To.Seq)
+	// string "p"
+	o = append(o, 0xa1, 0x70)
+	o = msgp.AppendBytes(o, z.Delta)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Own) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Patch) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -3543,54 +3518,83 @@
 			err = msgp.WrapError(err)
 			return
 		}
-		switch msgp.UnsafeString(field) {
-		case "p":
-			z.Partition, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Partition")
-				return
-			}
-		case "n":
-			z.Num, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Num")
-				return
-			}
-		case "s":
+		switch msgp.UnsafeString(field) {
+		case "f":
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Replica")
+				err = msgp.WrapError(err, "From")
 				return
 			}
 			for zb0002 > 0 {
 				zb0002--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Replica")
+					err = msgp.WrapError(err, "From")
 					return
 				}
 				switch msgp.UnsafeString(field) {
-				case "i":
-					z.Replica.Ident, bts, err = msgp.ReadStringBytes(bts)
+				case "t":
+					z.From.Term, bts, err = msgp.ReadUint64Bytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "From", "Term")
+						return
+					}
+				case "s":
+					z.From.Seq, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Replica", "Ident")
+						err = msgp.WrapError(err, "From", "Seq")
 						return
 					}
-				case "a":
-					z.Replica.Addr, bts, err = msgp.ReadStringBytes(bts)
+				default:
+					bts, err = msgp.Skip(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "From")
+						return
+					}
+				}
+			}
+		case "t":
+			var zb0003 uint32
+			zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "To")
+				return
+			}
+			for zb0003 > 0 {
+				zb0003--
+				field, bts, err = msgp.ReadMapKeyZC(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "To")
+					return
+				}
+				switch msgp.UnsafeString(field) {
+				case "t":
+					z.To.Term, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Replica", "Addr")
+						err = msgp.WrapError(err, "To", "Term")
+						return
+					}
+				case "s":
+					z.To.Seq, bts, err = msgp.ReadUint64Bytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "To", "Seq")
 						return
 					}
 				default:
 					bts, err = msgp.Skip(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Replica")
+						err = msgp.WrapError(err, "To")
 						return
 					}
 				}
 			}
+		case "p":
+			z.Delta, bts, err = msgp.ReadBytesBytes(bts, z.Delta)
+			if err != nil {
+				err = msgp.WrapError(err, "Delta")
+				return
+			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -3604,13 +3608,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Own) Msgsize() (s int) {
-	s = 1 + 2 + msgp.IntSize + 2 + msgp.Uint64Size + 2 + 1 + 2 + msgp.StringPrefixSize + len(z.Replica.Ident) + 2 + msgp.StringPrefixSize + len(z.Replica.Addr)
+func (z *Patch) Msgsize() (s int) {
+	s = 1 + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.BytesPrefixSize + len(z.Delta)
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Peer) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *PeerIncarnation) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -3686,7 +3690,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Peer) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *PeerIncarnation) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 3
 	// write "i"
 	err = en.Append(0x83, 0xa1, 0x69)
@@ -3738,7 +3742,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Peer) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *PeerIncarnation) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 3
 	// string "i"
@@ -3760,7 +3764,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Peer) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *PeerIncarnation) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -3837,13 +3841,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Peer) Msgsize() (s int) {
+func (z *PeerIncarnation) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.Ident) + 2 + msgp.Uint64Size + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Rec) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Record) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -3870,71 +3874,71 @@
 			var zb0002 uint32
 			zb0002, err = dc.ReadMapHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Ver")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
 			for zb0002 > 0 {
 				zb0002--
 				field, err = dc.ReadMapKeyPtr()
 				if err != nil {
-					err = msgp.WrapError(err, "Ver")
+					err = msgp.WrapError(err, "Version")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "t":
-					z.Ver.Term, err = dc.ReadUint64()
+					z.Version.Term, err = dc.ReadUint64()
 					if err != nil {
-						err = msgp.WrapError(err, "Ver", "Term")
+						err = msgp.WrapError(err, "Version", "Term")
 						return
 					}
 				case "s":
-					z.Ver.Seq, err = dc.ReadUint64()
+					z.Version.Seq, err = dc.ReadUint64()
 					if err != nil {
-						err = msgp.WrapError(err, "Ver", "Seq")
+						err = msgp.WrapError(err, "Version", "Seq")
 						return
 					}
 				default:
 					err = dc.Skip()
 					if err != nil {
-						err = msgp.WrapError(err, "Ver")
+						err = msgp.WrapError(err, "Version")
 						return
 					}
 				}
 			}
 		case "b":
-			z.Val, err = dc.ReadBytes(z.Val)
+			z.Value, err = dc.ReadBytes(z.Value)
 			if err != nil {
-				err = msgp.WrapError(err, "Val")
+				err = msgp.WrapError(err, "Value")
 				return
 			}
 		case "d":
-			z.Dead, err = dc.ReadBool()
+			z.Deleted, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "Dead")
+				err = msgp.WrapError(err, "Deleted")
 				return
 			}
 		case "h":
-			z.Held, err = dc.ReadBool()
+			z.Patched, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "Held")
+				err = msgp.WrapError(err, "Patched")
 				return
 			}
 		case "l":
 			var zb0003 uint32
 			zb0003, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Links")
+				err = msgp.WrapError(err, "Patches")
 				return
 			}
-			if cap(z.Links) >= int(zb0003) {
-				z.Links = (z.Links)[:zb0003]
+			if cap(z.Patches) >= int(zb0003) {
+				z.Patches = (z.Patches)[:zb0003]
 			} else {
-				z.Links = make([]Link, zb0003)
+				z.Patches = make([]Patch, zb0003)
 			}
-			for za0001 := range z.Links {
-				err = z.Links[za0001].DecodeMsg(dc)
+			for za0001 := range z.Patches {
+				err = z.Patches[za0001].DecodeMsg(dc)
 				if err != nil {
-					err = msgp.WrapError(err, "Links", za0001)
+					err = msgp.WrapError(err, "Patches", za0001)
 					return
 				}
 			}
@@ -3950,24 +3954,24 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Rec) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *Record) EncodeMsg(en *msgp.Writer) (err error) {
 	// check for omitted fields
 	zb0001Len := uint32(6)
 	var zb0001Mask uint8 /* 6 bits */
 	_ = zb0001Mask
-	if z.Val == nil {
+	if z.Value == nil {
 		zb0001Len--
 		zb0001Mask |= 0x4
 	}
-	if z.Dead == false {
+	if z.Deleted == false {
 		zb0001Len--
 		zb0001Mask |= 0x8
 	}
-	if z.Held == false {
+	if z.Patched == false {
 		zb0001Len--
 		zb0001Mask |= 0x10
 	}
-	if z.Links == nil {
+	if z.Patches == nil {
 		zb0001Len--
 		zb0001Mask |= 0x20
 	}
@@ -4000,9 +4004,9 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteUint64(z.Ver.Term)
+		err = en.WriteUint64(z.Version.Term)
 		if err != nil {
-			err = msgp.WrapError(err, "Ver", "Term")
+			err = msgp.WrapError(err, "Version", "Term")
 			return
 		}
 		// write "s"
@@ -4010,9 +4014,9 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteUint64(z.Ver.Seq)
+		err = en.WriteUint64(z.Version.Seq)
 		if err != nil {
-			err = msgp.WrapError(err, "Ver", "Seq")
+			err = msgp.WrapError(err, "Version", "Seq")
 			return
 		}
 		if (zb0001Mask & 0x4) == 0 { // if not omitted
@@ -4021,9 +4025,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteBytes(z.Val)
+			err = en.WriteBytes(z.Value)
 			if err != nil {
-				err = msgp.WrapError(err, "Val")
+				err = msgp.WrapError(err, "Value")
 				return
 			}
 		}
@@ -4033,9 +4037,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteBool(z.Dead)
+			err = en.WriteBool(z.Deleted)
 			if err != nil {
-				err = msgp.WrapError(err, "Dead")
+				err = msgp.WrapError(err, "Deleted")
 				return
 			}
 		}
@@ -4045,9 +4049,9 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteBool(z.Held)
+			err = en.WriteBool(z.Patched)
 			if err != nil {
-				err = msgp.WrapError(err, "Held")
+				err = msgp.WrapError(err, "Patched")
 				return
 			}
 		}
@@ -4057,15 +4061,15 @@
 			if err != nil {
 				return
 			}
-			err = en.WriteArrayHeader(uint32(len(z.Links)))
+			err = en.WriteArrayHeader(uint32(len(z.Patches)))
 			if err != nil {
-				err = msgp.WrapError(err, "Links")
+				err = msgp.WrapError(err, "Patches")
 				return
 			}
-			for za0001 := range z.Links {
-				err = z.Links[za0001].EncodeMsg(en)
+			for za0001 := range z.Patches {
+				err = z.Patches[za0001].EncodeMsg(en)
 				if err != nil {
-					err = msgp.WrapError(err, "Links", za0001)
+					err = msgp.WrapError(err, "Patches", za0001)
 					return
 				}
 			}
@@ -4075,25 +4079,25 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Rec) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Record) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// check for omitted fields
 	zb0001Len := uint32(6)
 	var zb0001Mask uint8 /* 6 bits */
 	_ = zb0001Mask
-	if z.Val == nil {
+	if z.Value == nil {
 		zb0001Len--
 		zb0001Mask |= 0x4
 	}
-	if z.Dead == false {
+	if z.Deleted == false {
 		zb0001Len--
 		zb0001Mask |= 0x8
 	}
-	if z.Held == false {
+	if z.Patched == false {
 		zb0001Len--
 		zb0001Mask |= 0x10
 	}
-	if z.Links == nil {
+	if z.Patches == nil {
 		zb0001Len--
 		zb0001Mask |= 0x20
 	}
@@ -4110,33 +4114,33 @@
 		// map header, size 2
 		// string "t"
 		o = append(o, 0x82, 0xa1, 0x74)
-		o = msgp.AppendUint64(o, z.Ver.Term)
+		o = msgp.AppendUint64(o, z.Version.Term)
 		// string "s"
 		o = append(o, 0xa1, 0x73)
-		o = msgp.AppendUint64(o, z.Ver.Seq)
+		o = msgp.AppendUint64(o, z.Version.Seq)
 		if (zb0001Mask & 0x4) == 0 { // if not omitted
 			// string "b"
 			o = append(o, 0xa1, 0x62)
-			o = msgp.AppendBytes(o, z.Val)
+			o = msgp.AppendBytes(o, z.Value)
 		}
 		if (zb0001Mask & 0x8) == 0 { // if not omitted
 			// string "d"
 			o = append(o, 0xa1, 0x64)
-			o = msgp.AppendBool(o, z.Dead)
+			o = msgp.AppendBool(o, z.Deleted)
 		}
 		if (zb0001Mask & 0x10) == 0 { // if not omitted
 			// string "h"
 			o = append(o, 0xa1, 0x68)
-			o = msgp.AppendBool(o, z.Held)
+			o = msgp.AppendBool(o, z.Patched)
 		}
 		if (zb0001Mask & 0x20) == 0 { // if not omitted
 			// string "l"
 			o = append(o, 0xa1, 0x6c)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Links)))
-			for za0001 := range z.Links {
-				o, err = z.Links[za0001].MarshalMsg(o)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.Patches)))
+			for za0001 := range z.Patches {
+				o, err = z.Patches[za0001].MarshalMsg(o)
 				if err != nil {
-					err = msgp.WrapError(err, "Links", za0001)
+					err = msgp.WrapError(err, "Patches", za0001)
 					return
 				}
 			}
@@ -4146,7 +4150,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Rec) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Record) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4173,71 +4177,71 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Ver")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
 			for zb0002 > 0 {
 				zb0002--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Ver")
+					err = msgp.WrapError(err, "Version")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "t":
-					z.Ver.Term, bts, err = msgp.ReadUint64Bytes(bts)
+					z.Version.Term, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Ver", "Term")
+						err = msgp.WrapError(err, "Version", "Term")
 						return
 					}
 				case "s":
-					z.Ver.Seq, bts, err = msgp.ReadUint64Bytes(bts)
+					z.Version.Seq, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Ver", "Seq")
+						err = msgp.WrapError(err, "Version", "Seq")
 						return
 					}
 				default:
 					bts, err = msgp.Skip(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Ver")
+						err = msgp.WrapError(err, "Version")
 						return
 					}
 				}
 			}
 		case "b":
-			z.Val, bts, err = msgp.ReadBytesBytes(bts, z.Val)
+			z.Value, bts, err = msgp.ReadBytesBytes(bts, z.Value)
 			if err != nil {
-				err = msgp.WrapError(err, "Val")
+				err = msgp.WrapError(err, "Value")
 				return
 			}
 		case "d":
-			z.Dead, bts, err = msgp.ReadBoolBytes(bts)
+			z.Deleted, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Dead")
+				err = msgp.WrapError(err, "Deleted")
 				return
 			}
 		case "h":
-			z.Held, bts, err = msgp.ReadBoolBytes(bts)
+			z.Patched, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Held")
+				err = msgp.WrapError(err, "Patched")
 				return
 			}
 		case "l":
 			var zb0003 uint32
 			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Links")
+				err = msgp.WrapError(err, "Patches")
 				return
 			}
-			if cap(z.Links) >= int(zb0003) {
-				z.Links = (z.Links)[:zb0003]
+			if cap(z.Patches) >= int(zb0003) {
+				z.Patches = (z.Patches)[:zb0003]
 			} else {
-				z.Links = make([]Link, zb0003)
+				z.Patches = make([]Patch, zb0003)
 			}
-			for za0001 := range z.Links {
-				bts, err = z.Links[za0001].UnmarshalMsg(bts)
+			for za0001 := range z.Patches {
+				bts, err = z.Patches[za0001].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Links", za0001)
+					err = msgp.WrapError(err, "Patches", za0001)
 					return
 				}
 			}
@@ -4254,10 +4258,10 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Rec) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Key) + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.BytesPrefixSize + len(z.Val) + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Links {
-		s += z.Links[za0001].Msgsize()
+func (z *Record) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Key) + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.BytesPrefixSize + len(z.Value) + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Patches {
+		s += z.Patches[za0001].Msgsize()
 	}
 	return
 }
@@ -4391,7 +4395,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Send) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *SavePoint) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4408,22 +4412,16 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "Addr":
-			z.Addr, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Addr")
-				return
-			}
-		case "Exact":
-			z.Exact, err = dc.ReadBool()
+		case "e":
+			z.Epoch, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Exact")
+				err = msgp.WrapError(err, "Epoch")
 				return
 			}
-		case "Message":
-			err = z.Message.DecodeMsg(dc)
+		case "n":
+			z.Saves, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Message")
+				err = msgp.WrapError(err, "Saves")
 				return
 			}
 		default:
@@ -4438,63 +4436,46 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Send) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 3
-	// write "Addr"
-	err = en.Append(0x83, 0xa4, 0x41, 0x64, 0x64, 0x72)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Addr)
-	if err != nil {
-		err = msgp.WrapError(err, "Addr")
-		return
-	}
-	// write "Exact"
-	err = en.Append(0xa5, 0x45, 0x78, 0x61, 0x63, 0x74)
+func (z SavePoint) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 2
+	// write "e"
+	err = en.Append(0x82, 0xa1, 0x65)
 	if err != nil {
 		return
 	}
-	err = en.WriteBool(z.Exact)
+	err = en.WriteUint64(z.Epoch)
 	if err != nil {
-		err = msgp.WrapError(err, "Exact")
+		err = msgp.WrapError(err, "Epoch")
 		return
 	}
-	// write "Message"
-	err = en.Append(0xa7, 0x4d, 0x65, 0x73, 0x73, 0x61, 0x67, 0x65)
+	// write "n"
+	err = en.Append(0xa1, 0x6e)
 	if err != nil {
 		return
 	}
-	err = z.Message.EncodeMsg(en)
+	err = en.WriteUint64(z.Saves)
 	if err != nil {
-		err = msgp.WrapError(err, "Message")
+		err = msgp.WrapError(err, "Saves")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Send) MarshalMsg(b []byte) (o []byte, err error) {
+func (z SavePoint) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 3
-	// string "Addr"
-	o = append(o, 0x83, 0xa4, 0x41, 0x64, 0x64, 0x72)
-	o = msgp.AppendString(o, z.Addr)
-	// string "Exact"
-	o = append(o, 0xa5, 0x45, 0x78, 0x61, 0x63, 0x74)
-	o = msgp.AppendBool(o, z.Exact)
-	// string "Message"
-	o = append(o, 0xa7, 0x4d, 0x65, 0x73, 0x73, 0x61, 0x67, 0x65)
-	o, err = z.Message.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Message")
-		return
-	}
+	// map header, size 2
+	// string "e"
+	o = append(o, 0x82, 0xa1, 0x65)
+	o = msgp.AppendUint64(o, z.Epoch)
+	// string "n"
+	o = append(o, 0xa1, 0x6e)
+	o = msgp.AppendUint64(o, z.Saves)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Send) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *SavePoint) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4511,22 +4492,16 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "Addr":
-			z.Addr, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Addr")
-				return
-			}
-		case "Exact":
-			z.Exact, bts, err = msgp.ReadBoolBytes(bts)
+		case "e":
+			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Exact")
+				err = msgp.WrapError(err, "Epoch")
 				return
 			}
-		case "Message":
-			bts, err = z.Message.UnmarshalMsg(bts)
+		case "n":
+			z.Saves, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Message")
+				err = msgp.WrapError(err, "Saves")
 				return
 			}
 		default:
@@ -4542,13 +4517,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Send) Msgsize() (s int) {
-	s = 1 + 5 + msgp.StringPrefixSize + len(z.Addr) + 6 + msgp.BoolSize + 8 + z.Message.Msgsize()
+func (z SavePoint) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Stamp) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Version) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4565,16 +4540,16 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "e":
-			z.Epoch, err = dc.ReadUint64()
+		case "t":
+			z.Term, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
+				err = msgp.WrapError(err, "Term")
 				return
 			}
-		case "n":
-			z.Saves, err = dc.ReadUint64()
+		case "s":
+			z.Seq, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Saves")
+				err = msgp.WrapError(err, "Seq")
 				return
 			}
 		default:
@@ -4589,46 +4564,46 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z Stamp) EncodeMsg(en *msgp.Writer) (err error) {
+func (z Version) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 2
-	// write "e"
-	err = en.Append(0x82, 0xa1, 0x65)
+	// write "t"
+	err = en.Append(0x82, 0xa1, 0x74)
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Epoch)
+	err = en.WriteUint64(z.Term)
 	if err != nil {
-		err = msgp.WrapError(err, "Epoch")
+		err = msgp.WrapError(err, "Term")
 		return
 	}
-	// write "n"
-	err = en.Append(0xa1, 0x6e)
+	// write "s"
+	err = en.Append(0xa1, 0x73)
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Saves)
+	err = en.WriteUint64(z.Seq)
 	if err != nil {
-		err = msgp.WrapError(err, "Saves")
+		err = msgp.WrapError(err, "Seq")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Stamp) MarshalMsg(b []byte) (o []byte, err error) {
+func (z Version) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
-	// string "e"
-	o = append(o, 0x82, 0xa1, 0x65)
-	o = msgp.AppendUint64(o, z.Epoch)
-	// string "n"
-	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendUint64(o, z.Saves)
+	// string "t"
+	o = append(o, 0x82, 0xa1, 0x74)
+	o = msgp.AppendUint64(o, z.Term)
+	// string "s"
+	o = append(o, 0xa1, 0x73)
+	o = msgp.AppendUint64(o, z.Seq)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Stamp) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Version) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4645,16 +4620,16 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "e":
-			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+		case "t":
+			z.Term, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
+				err = msgp.WrapError(err, "Term")
 				return
 			}
-		case "n":
-			z.Saves, bts, err = msgp.ReadUint64Bytes(bts)
+		case "s":
+			z.Seq, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Saves")
+				err = msgp.WrapError(err, "Seq")
 				return
 			}
 		default:
@@ -4670,13 +4645,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Stamp) Msgsize() (s int) {
+func (z Version) Msgsize() (s int) {
 	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Ver) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *VolumeEpoch) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4693,16 +4668,22 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "t":
-			z.Term, err = dc.ReadUint64()
+		case "i":
+			z.Ident, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Term")
+				err = msgp.WrapError(err, "Ident")
 				return
 			}
-		case "s":
-			z.Seq, err = dc.ReadUint64()
+		case "e":
+			z.Epoch, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Seq")
+				err = msgp.WrapError(err, "Epoch")
+				return
+			}
+		case "t":
+			z.Term, err = dc.ReadUint64()
+			if err != nil {
+				err = msgp.WrapError(err, "Term")
 				return
 			}
 		default:
@@ -4717,46 +4698,59 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z Ver) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 2
-	// write "t"
-	err = en.Append(0x82, 0xa1, 0x74)
+func (z VolumeEpoch) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 3
+	// write "i"
+	err = en.Append(0x83, 0xa1, 0x69)
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Term)
+	err = en.WriteString(z.Ident)
 	if err != nil {
-		err = msgp.WrapError(err, "Term")
+		err = msgp.WrapError(err, "Ident")
 		return
 	}
-	// write "s"
-	err = en.Append(0xa1, 0x73)
+	// write "e"
+	err = en.Append(0xa1, 0x65)
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Seq)
+	err = en.WriteUint64(z.Epoch)
 	if err != nil {
-		err = msgp.WrapError(err, "Seq")
+		err = msgp.WrapError(err, "Epoch")
+		return
+	}
+	// write "t"
+	err = en.Append(0xa1, 0x74)
+	if err != nil {
+		return
+	}
+	err = en.WriteUint64(z.Term)
+	if err != nil {
+		err = msgp.WrapError(err, "Term")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Ver) MarshalMsg(b []byte) (o []byte, err error) {
+func (z VolumeEpoch) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
+	// map header, size 3
+	// string "i"
+	o = append(o, 0x83, 0xa1, 0x69)
+	o = msgp.AppendString(o, z.Ident)
+	// string "e"
+	o = append(o, 0xa1, 0x65)
+	o = msgp.AppendUint64(o, z.Epoch)
 	// string "t"
-	o = append(o, 0x82, 0xa1, 0x74)
+	o = append(o, 0xa1, 0x74)
 	o = msgp.AppendUint64(o, z.Term)
-	// string "s"
-	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendUint64(o, z.Seq)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Ver) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *VolumeEpoch) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4773,16 +4767,22 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "t":
-			z.Term, bts, err = msgp.ReadUint64Bytes(bts)
+		case "i":
+			z.Ident, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Term")
+				err = msgp.WrapError(err, "Ident")
 				return
 			}
-		case "s":
-			z.Seq, bts, err = msgp.ReadUint64Bytes(bts)
+		case "e":
+			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Seq")
+				err = msgp.WrapError(err, "Epoch")
+				return
+			}
+		case "t":
+			z.Term, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Term")
 				return
 			}
 		default:
@@ -4798,7 +4798,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Ver) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size
+func (z VolumeEpoch) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Ident) + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size
 	return
 }
--- a/wire/transport/deaf_test.go
+++ b/wire/transport/deaf_test.go
@@ -68,7 +68,7 @@
 				}
 				return c
 			case <-beat.C:
-				l.Send(message.Send{Addr: ln.Addr().String(), Message: message.Message{Kind: message.Renew, Key: "k"}})
+				l.Send(message.Envelope{Addr: ln.Addr().String(), Message: message.Message{Kind: message.KindRenewLease, Key: "k"}})
 			case <-limit:
 				t.Fatalf("%s: no connection within %v", what, 20*dead)
 			}
--- a/wire/transport/frame.go
+++ b/wire/transport/frame.go
@@ -11,7 +11,7 @@
 // Pack makes a frame of a message.
 //
 // Example: b, err := transport.Pack(message)
-func Pack(n message.Message) ([]byte, error) { return pack(n, message.Version) }
+func Pack(n message.Message) ([]byte, error) { return pack(n, message.FrameVersion) }
 
 func pack(n message.Message, version byte) ([]byte, error) {
 	b := make([]byte, head, head+256+n.Msgsize()/4)
@@ -42,8 +42,8 @@
 	if _, err = io.ReadFull(r, h[:]); err != nil {
 		return n, 0, err
 	}
-	if h[0] != message.Version && h[0] != message.Short {
-		return n, 0, Error.New("frame of wire version %d, expected %d or %d", h[0], message.Version, message.Short)
+	if h[0] != message.FrameVersion && h[0] != message.CompactFrameVersion {
+		return n, 0, Error.New("frame of wire version %d, expected %d or %d", h[0], message.FrameVersion, message.CompactFrameVersion)
 	}
 	size := int(binary.BigEndian.Uint32(h[1:]))
 	if size > Most {
@@ -73,7 +73,7 @@
 	if !n.Kind.Known() {
 		return n, 0, Error.New("note of unknown kind %d", n.Kind)
 	}
-	if h[0] == message.Short {
+	if h[0] == message.CompactFrameVersion {
 		if err := s.lengthen(&n); err != nil {
 			return n, 0, err
 		}
--- a/wire/transport/golden_test.go
+++ b/wire/transport/golden_test.go
@@ -105,7 +105,7 @@
 			if err != nil {
 				t.Fatal(name, err)
 			}
-			m.Wire = message.Short
+			m.MaxFrameVersion = message.CompactFrameVersion
 			add(fmt.Sprint(name, "/", i), b, m)
 		}
 	}
@@ -117,8 +117,8 @@
 	}
 	full := fullMessage(t, 1)
 	ofSender, ofAddressee, toAnother, toNobody := full, full, full, full
-	ofSender.Mark.Ident = full.From
-	ofAddressee.Mark.Ident = full.To
+	ofSender.VolumeEpoch.Ident = full.From
+	ofAddressee.VolumeEpoch.Ident = full.To
 	toAnother.To = "another"
 	toNobody.To = ""
 	onConnection("forms short", true, full, ofSender, ofAddressee, toAnother, toAnother, toNobody, toNobody, full)
@@ -127,12 +127,12 @@
 	otherBase.Epoch++
 	onConnection("forms base", true, full, otherBase, otherBase)
 	noBase := full
-	noBase.Mark.Ident = "-"
+	noBase.VolumeEpoch.Ident = "-"
 	noBase.To = "-"
 	onConnection("forms reserved", true, full, noBase)
-	noBase.Mark.Ident, noBase.To = "f", full.To
+	noBase.VolumeEpoch.Ident, noBase.To = "f", full.To
 	onConnection("forms reserved sender", true, full, noBase)
-	noBase.Mark.Ident = "t"
+	noBase.VolumeEpoch.Ident = "t"
 	onConnection("forms reserved addressee", true, full, noBase)
 	var bare message.Message
 	bare.Kind = 1
--- a/wire/transport/rest_test.go
+++ b/wire/transport/rest_test.go
@@ -18,7 +18,7 @@
 		defer stop()
 		l := &Line{ctx: ctx, outs: map[string]*queue{}, heard: map[string]time.Time{}}
 		send := func(i int) {
-			l.Send(message.Send{Addr: fmt.Sprintf("127.0.0.%d:1", i), Message: message.Message{Kind: message.Renew}})
+			l.Send(message.Envelope{Addr: fmt.Sprintf("127.0.0.%d:1", i), Message: message.Message{Kind: message.KindRenewLease}})
 		}
 		for i := range 40 {
 			send(i + 1)
--- a/wire/transport/spoken.go
+++ b/wire/transport/spoken.go
@@ -29,9 +29,9 @@
 		}
 	}()
 	if !short || !s.any || n.Fleet != s.base.Fleet || n.From != s.base.From || n.Epoch != s.base.Epoch || n.Addr != s.base.Addr ||
-		n.To == nobody || n.Mark.Ident == senders || n.Mark.Ident == addressee {
-		n.Wire = message.Short
-		return pack(n, message.Version)
+		n.To == nobody || n.VolumeEpoch.Ident == senders || n.VolumeEpoch.Ident == addressee {
+		n.MaxFrameVersion = message.CompactFrameVersion
+		return pack(n, message.FrameVersion)
 	}
 	to := n.To
 	switch to {
@@ -40,16 +40,16 @@
 	case "":
 		n.To = nobody
 	}
-	if n.Mark.Ident != "" {
-		switch n.Mark.Ident {
+	if n.VolumeEpoch.Ident != "" {
+		switch n.VolumeEpoch.Ident {
 		case n.From:
-			n.Mark.Ident = senders
+			n.VolumeEpoch.Ident = senders
 		case to:
-			n.Mark.Ident = addressee
+			n.VolumeEpoch.Ident = addressee
 		}
 	}
-	n.Fleet, n.From, n.Epoch, n.Addr, n.Wire = "", "", 0, "", 0
-	return pack(n, message.Short)
+	n.Fleet, n.From, n.Epoch, n.Addr, n.MaxFrameVersion = "", "", 0, "", 0
+	return pack(n, message.CompactFrameVersion)
 }
 
 // lengthen gives a short frame's message what it left out.
@@ -57,18 +57,18 @@
 	if !s.any {
 		return Error.New("a short frame before any whole one")
 	}
-	n.Fleet, n.From, n.Epoch, n.Addr, n.Wire = s.base.Fleet, s.base.From, s.base.Epoch, s.base.Addr, message.Short
+	n.Fleet, n.From, n.Epoch, n.Addr, n.MaxFrameVersion = s.base.Fleet, s.base.From, s.base.Epoch, s.base.Addr, message.CompactFrameVersion
 	switch n.To {
 	case "":
 		n.To = s.base.To
 	case nobody:
 		n.To = ""
 	}
-	switch n.Mark.Ident {
+	switch n.VolumeEpoch.Ident {
 	case senders:
-		n.Mark.Ident = n.From
+		n.VolumeEpoch.Ident = n.From
 	case addressee:
-		n.Mark.Ident = n.To
+		n.VolumeEpoch.Ident = n.To
 	}
 	return nil
 }
--- a/wire/transport/transport.go
+++ b/wire/transport/transport.go
@@ -140,7 +140,7 @@
 }
 
 func (l *Line) take(n message.Message, size int) {
-	if n.Wire >= message.Short {
+	if n.MaxFrameVersion >= message.CompactFrameVersion {
 		l.mu.Lock()
 		l.heard[n.Addr] = time.Now()
 		l.mu.Unlock()
@@ -174,8 +174,8 @@
 
 // Send puts a message on the line to an address.
 //
-// Example: line.Send(message.Send{Addr: "127.0.0.1:7001", Message: message})
-func (l *Line) Send(s message.Send) {
+// Example: line.Send(message.Envelope{Addr: "127.0.0.1:7001", Message: message})
+func (l *Line) Send(s message.Envelope) {
 	if among(&l.Cut, s.Addr) {
 		return
 	}
--- a/wire/transport/transport_test.go
+++ b/wire/transport/transport_test.go
@@ -16,8 +16,8 @@
 
 func sample() message.Message {
 	return message.Message{
-		Kind: message.Listing, Fleet: "f", Partition: 3, From: "a", Epoch: 2, Addr: "10.0.0.1:1", To: "b", No: 7, Mark: message.Mark{Ident: "b", Epoch: 1, Term: 9},
-		Recs: []message.Rec{{Key: "plan/now", Ver: message.Ver{Term: 4, Seq: 2}, Val: []byte("x")}}, Keys: []string{"k"}, Group: message.Group{Num: 1, Replicas: []message.Replica{{Ident: "a", Addr: "q"}}},
+		Kind: message.KindLeaseList, Fleet: "f", Partition: 3, From: "a", Epoch: 2, Addr: "10.0.0.1:1", To: "b", RequestID: 7, VolumeEpoch: message.VolumeEpoch{Ident: "b", Epoch: 1, Term: 9},
+		Records: []message.Record{{Key: "plan/now", Version: message.Version{Term: 4, Seq: 2}, Value: []byte("x")}}, Keys: []string{"k"}, Group: message.Group{Number: 1, Replicas: []message.Replica{{Ident: "a", Addr: "q"}}},
 	}
 }
 
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	n, err := Read(bytes.NewReader(good))
-	if err != nil || n.Recs[0].Key != "plan/now" || n.Mark.Term != 9 {
+	if err != nil || n.Records[0].Key != "plan/now" || n.VolumeEpoch.Term != 9 {
 		t.Fatalf("round trip: %+v %v", n, err)
 	}
 	odd := sample()
