--- a/control/daemon/daemon.go
+++ b/control/daemon/daemon.go
@@ -44,7 +44,7 @@
 type Daemon struct {
 	Cfg    Config
 	Events *eventlog.Log
-	Line   *transport.Line
+	Line   *transport.Transport
 	Mux    *http.ServeMux
 	More   func() map[string]any // what traffic adds to the state dump
 	// Metrics are this daemon's own figures; drivers add theirs.
@@ -127,18 +127,18 @@
 		}
 		c.arch, c.me.Ident, c.epoch = a, a.Ident, a.Epoch
 		switch {
-		case a.Copied:
-			events.Say("disk", "the state here is a back-up: set aside as %s, starting empty as %s; the other disks have what is newer. If a majority of the disks is lost, stop all daemons, put the back-ups back, each with an empty file %s beside it", a.Moved, a.Ident, storage.MajorityLost)
-		case a.Superseded:
-			events.Say("disk", "the state here was superseded; set aside as %s, starting empty as %s", a.Moved, a.Ident)
-		case a.Moved != "":
-			events.Say("disk", "state was damaged; set aside as %s, starting empty as %s", a.Moved, a.Ident)
+		case a.WasBackup:
+			events.Say("disk", "the state here is a back-up: set aside as %s, starting empty as %s; the other disks have what is newer. If a majority of the disks is lost, stop all daemons, put the back-ups back, each with an empty file %s beside it", a.QuarantinePath, a.Ident, storage.MajorityLostFile)
+		case a.WasSuperseded:
+			events.Say("disk", "the state here was superseded; set aside as %s, starting empty as %s", a.QuarantinePath, a.Ident)
+		case a.QuarantinePath != "":
+			events.Say("disk", "state was damaged; set aside as %s, starting empty as %s", a.QuarantinePath, a.Ident)
 		}
-		if a.Spoilt > 0 {
-			events.Say("disk", "%d records are spoilt and count as missing; the other copies have them", a.Spoilt)
+		if a.CorruptRecords > 0 {
+			events.Say("disk", "%d records are spoilt and count as missing; the other copies have them", a.CorruptRecords)
 		}
-		if len(a.Short) > 0 {
-			events.Say("disk", "partitions %v aren't what was written: they have no vote until the other copies have filled them", a.Short)
+		if len(a.IncompletePartitions) > 0 {
+			events.Say("disk", "partitions %v aren't what was written: they have no vote until the other copies have filled them", a.IncompletePartitions)
 		}
 		for p := range a.Partitions {
 			if p > cfg.Partitions {
@@ -147,7 +147,7 @@
 			}
 		}
 	}
-	c.Line = &transport.Line{Dead: cfg.Vol(), Fleet: cfg.Fleet, Me: c.me, Epoch: c.epoch, Hear: c.hear, Bad: func(from string, err error) { c.Events.Trouble("wire", "%s: %v", from, err) }}
+	c.Line = &transport.Transport{PeerTimeout: cfg.Vol(), Fleet: cfg.Fleet, Self: c.me, Epoch: c.epoch, Receive: c.hear, OnError: func(from string, err error) { c.Events.Trouble("wire", "%s: %v", from, err) }}
 	if err := c.Line.Listen(cfg.Wire); err != nil {
 		c.close()
 		return nil, InUse.Wrap(err)
@@ -175,7 +175,7 @@
 		if c.arch != nil {
 			h, ok := c.arch.Partitions[p]
 			if !ok {
-				h = storage.Held{Records: digest.NewRecords()}
+				h = storage.PartitionState{Records: digest.NewRecords()}
 			}
 			replica = quorum.New(cfg.QuorumConfig(), p, c.me, folder, h.Meta, h.Records, now, h.Meta.Group.Number == 0)
 		}
@@ -220,7 +220,7 @@
 func openFolder(cfg Config, events *eventlog.Log) (*storage.Store, error) {
 	for {
 		a, err := storage.Open(cfg.Data, cfg.Fleet)
-		if err == nil || !storage.Passing(err) {
+		if err == nil || !storage.IsTransient(err) {
 			return a, err
 		}
 		events.Trouble("disk", "%v; trying again", err)
--- a/control/daemon/disk.go
+++ b/control/daemon/disk.go
@@ -59,7 +59,7 @@
 		c.Events.Trouble("disk", "%v", err)
 		c.refused.Add(1)
 		c.dmu.Lock()
-		batch.Join(c.dq)
+		batch.Append(c.dq)
 		c.dq = batch
 		c.dmu.Unlock()
 		pause(ctx, c.Cfg.Vol()/4)
@@ -68,10 +68,10 @@
 	if n := c.refused.Swap(0); n > 0 {
 		c.Events.Say("disk", "takes writes again, after it refused %d", n)
 	}
-	for _, x := range batch.Given {
+	for _, x := range batch.Tickets {
 		s := c.shards[x.Partition]
-		s.wrote(x.No)
-		c.step(s, func(s *leader.Controller, now time.Duration) leader.Out { return s.Saved(now, x.No) })
+		s.wrote(x.Number)
+		c.step(s, func(s *leader.Controller, now time.Duration) leader.Out { return s.Saved(now, x.Number) })
 	}
 	return true
 }
--- a/control/daemon/disk_test.go
+++ b/control/daemon/disk_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.arch.Full(true); err != nil {
+	if err := c.arch.SetFull(true); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 300 {
@@ -33,10 +33,10 @@
 			t.Fatal("nothing was tried")
 		}
 	}
-	if s := c.dq.Saves(); len(s) != 1 || len(s[0].Records) != 3 || len(c.dq.Given) != 300 || c.refused.Load() != 3 {
+	if s := c.dq.Saves(); len(s) != 1 || len(s[0].Records) != 3 || len(c.dq.Tickets) != 300 || c.refused.Load() != 3 {
 		t.Errorf("%d saves of %d records wait, %d refused", len(s), len(s[0].Records), c.refused.Load())
 	}
-	if err := c.arch.Full(false); err != nil {
+	if err := c.arch.SetFull(false); err != nil {
 		t.Fatal(err)
 	}
 	for c.flush(t.Context()) {
--- a/control/daemon/operate.go
+++ b/control/daemon/operate.go
@@ -258,7 +258,7 @@
 // Example: json.Marshal(c.State())
 func (c *Daemon) State() State {
 	v := c.View()
-	st := State{Superseded: c.WhySuperseded(), Fleet: c.Cfg.Fleet, Me: v.Me, Members: v.Members, Live: v.Live, Zones: []string{}, Wire: [3]int64{c.Line.Sent.Load(), c.Line.Got.Load(), c.Line.Lost.Load()}}
+	st := State{Superseded: c.WhySuperseded(), Fleet: c.Cfg.Fleet, Me: v.Me, Members: v.Members, Live: v.Live, Zones: []string{}, Wire: [3]int64{c.Line.Sent.Load(), c.Line.Received.Load(), c.Line.Dropped.Load()}}
 	_, st.Plan, st.PlanOK = c.Plan()
 	if r, ok := c.Read(0, fleetconfig.ZoneKey); ok {
 		for zone := range fleetconfig.Zones(r) {
--- a/control/daemon/shard.go
+++ b/control/daemon/shard.go
@@ -262,7 +262,7 @@
 			return ctx.Err()
 		case <-t.C:
 		}
-		c.Line.Together(func() {
+		c.Line.Coalesce(func() {
 			works := c.arch != nil && c.Now()-slow >= c.Cfg.Vol()/16 // only control daemons own anything
 			if works {
 				slow = c.Now()
--- a/control/daemon/switches.go
+++ b/control/daemon/switches.go
@@ -12,9 +12,9 @@
 // switches adds the calls by which tests bring failures about; they are open only
 // where the configuration says so.
 func (c *Daemon) switches(m *http.ServeMux) {
-	m.HandleFunc("POST /test/cut", func(w http.ResponseWriter, r *http.Request) { switchAddresses(w, r, &c.Line.Cut) })
-	m.HandleFunc("POST /test/deaf", func(w http.ResponseWriter, r *http.Request) { switchAddresses(w, r, &c.Line.Deaf) })
-	m.HandleFunc("POST /test/slow", func(w http.ResponseWriter, r *http.Request) { switchTime(w, r, &c.Line.Slow) })
+	m.HandleFunc("POST /test/cut", func(w http.ResponseWriter, r *http.Request) { switchAddresses(w, r, &c.Line.DropPeers) })
+	m.HandleFunc("POST /test/deaf", func(w http.ResponseWriter, r *http.Request) { switchAddresses(w, r, &c.Line.DropSenders) })
+	m.HandleFunc("POST /test/slow", func(w http.ResponseWriter, r *http.Request) { switchTime(w, r, &c.Line.MaxDelay) })
 	m.HandleFunc("POST /test/stall", func(w http.ResponseWriter, r *http.Request) { switchTime(w, r, &c.stall) })
 	m.HandleFunc("POST /test/leap", c.leap)
 	m.HandleFunc("POST /test/full", c.full)
@@ -75,7 +75,7 @@
 		turnedDown(w, "no data folder here")
 		return
 	}
-	if err := c.arch.Full(r.URL.Query().Get("on") == "1"); err != nil {
+	if err := c.arch.SetFull(r.URL.Query().Get("on") == "1"); err != nil {
 		Respond(w, http.StatusInternalServerError, leadercall.Response{Result: "not done", Why: err.Error()})
 		return
 	}
--- a/control/digest/digest.go
+++ b/control/digest/digest.go
@@ -94,10 +94,10 @@
 	return true
 }
 
-// Drop forgets a record.
+// Delete forgets a record.
 //
-// Example: b.Drop("once/x")
-func (b *Records) Drop(key string) {
+// Example: b.Delete("once/x")
+func (b *Records) Delete(key string) {
 	s := RangeOf(key)
 	if old, ok := b.recs[s][key]; ok {
 		b.digs[s] ^= Fingerprint(old)
--- a/control/digest/digest_test.go
+++ b/control/digest/digest_test.go
@@ -25,7 +25,7 @@
 					t.Fatalf("took %v: %v over %v", took, r.Version, old.Version)
 				}
 			case 2:
-				a.Drop(r.Key)
+				a.Delete(r.Key)
 			}
 		}
 		b := NewRecords()
--- a/control/incarnation/incarnation.go
+++ b/control/incarnation/incarnation.go
@@ -9,9 +9,9 @@
 // nonceBits is the length of the nonce, below the count.
 const nonceBits = 32
 
-// Last is the largest nonce. Folders hold it in place of the one that was drawn, so
+// MaxNonce is the largest nonce. Folders hold it in place of the one that was drawn, so
 // that a build that knows of no nonce and adds one to the number counts a start.
-const Last = 1<<nonceBits - 1
+const MaxNonce = 1<<nonceBits - 1
 
 // Number joins a count of starts and a nonce.
 //
@@ -32,7 +32,7 @@
 	if Starts(epoch) == 0 {
 		return fmt.Sprint(epoch)
 	}
-	return fmt.Sprintf("%d-%x", Starts(epoch), epoch&Last)
+	return fmt.Sprintf("%d-%x", Starts(epoch), epoch&MaxNonce)
 }
 
 // Order is how one incarnation stands to another.
--- a/control/incarnation/incarnation_test.go
+++ b/control/incarnation/incarnation_test.go
@@ -15,7 +15,7 @@
 		{"two copies, the other way round", Number(3, 8), Number(3, 7), Conflict},
 		{"starts of a build without nonces", 5, 6, Earlier},
 		{"a build without nonces, and then this one", Number(1, 0), 900, Later},
-		{"one step past what a folder holds", Number(4, Last) + 1, Number(4, 12), Later},
+		{"one step past what a folder holds", Number(4, MaxNonce) + 1, Number(4, 12), Later},
 	} {
 		if got := Compare(x.a, x.b); got != x.want {
 			t.Errorf("%s: %d, expected %d", x.what, got, x.want)
--- a/control/leader/job_test.go
+++ b/control/leader/job_test.go
@@ -25,7 +25,7 @@
 	for op, good := range bodies {
 		if j, fault := job(new(fleetconfig.PlanReader), ask{}, op, good); fault != "" {
 			t.Errorf("%s: %s", op, fault)
-		} else if recs, word := j.Make(none); len(recs) != max(1, writes[op]) && op != "seat" {
+		} else if recs, word := j.Build(none); len(recs) != max(1, writes[op]) && op != "seat" {
 			t.Errorf("%s: wrote %v, said %v", op, recs, word)
 		}
 		broken := 0
@@ -38,7 +38,7 @@
 					broken++
 					continue
 				}
-				recs, word := j.Make(none)
+				recs, word := j.Build(none)
 				if v, ok := word.(fleetconfig.Verdict); ok && v.Result == "broken" {
 					broken++
 				}
@@ -69,7 +69,7 @@
 	}
 	do := func(op string, in any) leadercall.Response {
 		j, _ := job(new(fleetconfig.PlanReader), ask{}, op, leadercall.Pack(in))
-		out, word := j.Make(read)
+		out, word := j.Build(read)
 		for _, r := range out {
 			recs[r.Key] = r
 		}
--- a/control/leader/leader.go
+++ b/control/leader/leader.go
@@ -195,7 +195,7 @@
 func (m *Controller) Do(now time.Duration, j partition.Job, then func(partition.Result)) Out {
 	m.tags++
 	m.acts[m.tags] = then
-	return m.wrap(m.sec.Do(now, m.tags, j))
+	return m.wrap(m.sec.Submit(now, m.tags, j))
 }
 
 func (m *Controller) back(n message.Message, code int, body []byte) {
@@ -231,7 +231,7 @@
 			m.back(n, leadercall.Uncertain, nil)
 			return
 		}
-		switch w := r.Word.(type) {
+		switch w := r.Answer.(type) {
 		case fleetconfig.Verdict:
 			line = Line{"plan", fmt.Sprintf("%s: %s, version %d", n.Op, w.Result, w.Version)}
 			m.back(n, map[string]int{"taken": 200, "beaten": 409, "broken": 400}[w.Result], leadercall.Pack(w))
@@ -344,7 +344,7 @@
 	}
 	val := leadercall.Pack(m.marks[0].ver)
 	m.marks = m.marks[1:]
-	o.add(m.Do(now, partition.Job{Keys: []string{quorum.FloorKey}, Make: func(lease.Source) ([]message.Record, any) {
+	o.add(m.Do(now, partition.Job{Keys: []string{quorum.FloorKey}, Build: func(lease.Source) ([]message.Record, any) {
 		return []message.Record{{Key: quorum.FloorKey, Value: val}}, nil
 	}}, nil))
 }
@@ -384,7 +384,7 @@
 }
 
 func (m *Controller) writeServerRecord(now time.Duration, h *placement.Controller, w placement.Write) Out {
-	return m.Do(now, partition.Job{Keys: []string{w.Key}, Make: func(lease.Source) ([]message.Record, any) {
+	return m.Do(now, partition.Job{Keys: []string{w.Key}, Build: func(lease.Source) ([]message.Record, any) {
 		return []message.Record{{Key: w.Key, Value: w.Val, Deleted: w.Gone}}, nil
 	}}, func(r partition.Result) {
 		b, _ := placement.OpenServerRecord(message.Record{Key: w.Key, Value: w.Val, Deleted: w.Gone})
--- a/control/leader/once.go
+++ b/control/leader/once.go
@@ -132,7 +132,7 @@
 	if a.call == "" {
 		return j
 	}
-	return partition.Job{Keys: append([]string{callsKey}, j.Keys...), Make: func(read lease.Source) ([]message.Record, any) {
+	return partition.Job{Keys: append([]string{callsKey}, j.Keys...), Build: func(read lease.Source) ([]message.Record, any) {
 		past, err := readCalls(read(callsKey))
 		if err != nil {
 			return nil, notClear(err)
@@ -144,7 +144,7 @@
 			return nil, behind{on}
 		}
 		past = a.orders.keep(past)
-		recs, word := j.Make(read)
+		recs, word := j.Build(read)
 		if w, ok := word.(leadercall.Response); ok && w.Result == resultNotClear {
 			return nil, w // nothing was settled
 		}
@@ -170,7 +170,7 @@
 	if err != nil || !slices.ContainsFunc(past, func(p pastCall) bool { return p.What != "" && !m.orders.open(p) }) {
 		return
 	}
-	o.add(m.Do(now, partition.Job{Keys: []string{callsKey}, Make: func(read lease.Source) ([]message.Record, any) {
+	o.add(m.Do(now, partition.Job{Keys: []string{callsKey}, Build: func(read lease.Source) ([]message.Record, any) {
 		past, err := readCalls(read(callsKey))
 		if err != nil {
 			return nil, nil
--- a/control/leader/plan_test.go
+++ b/control/leader/plan_test.go
@@ -29,7 +29,7 @@
 		if fault != "" {
 			return fleetconfig.Verdict{}, fault
 		}
-		recs, word := j.Make(read)
+		recs, word := j.Build(read)
 		for _, r := range recs {
 			held[r.Key] = r
 		}
@@ -65,7 +65,7 @@
 		if fault != "" {
 			t.Fatal(fault)
 		}
-		recs, word := j.Make(none)
+		recs, word := j.Build(none)
 		w, refused := word.(leadercall.Response)
 		if (len(recs) > 0) != taken || refused == taken || refused && (w.Result != "not done" || !strings.Contains(w.Why, "format 3")) {
 			t.Errorf("daemons read up to %d: %d records, %+v", reads, len(recs), word)
--- a/control/leader/unreadable_test.go
+++ b/control/leader/unreadable_test.go
@@ -65,6 +65,6 @@
 	if broken != "" {
 		return nil, broken, nil
 	}
-	recs, word = j.Make(read)
+	recs, word = j.Build(read)
 	return recs, word, nil
 }
--- a/control/partition/batch.go
+++ b/control/partition/batch.go
@@ -11,14 +11,14 @@
 )
 
 // Job is a write: the keys it touches, and what to write given what is there.
-// Make runs when no other write holds the keys; it returns the records of some
+// Build runs when no other write holds the keys; it returns the records of some
 // of them, or none when nothing is to be written, and any word for the caller.
-// Jobs of the same keys that say Joins are written together where they wait for one
-// another: what Make reads may then have no version yet.
+// Jobs of the same keys that are Mergeable are written together where they wait for one
+// another: what Build reads may then have no version yet.
 type Job struct {
-	Keys  []string
-	Joins bool
-	Make  func(read lease.Source) (recs []message.Record, word any)
+	Keys      []string
+	Mergeable bool
+	Build     func(read lease.Source) (recs []message.Record, word any)
 }
 
 type job struct {
@@ -39,14 +39,14 @@
 // was about to be written: that counts only once it is.
 func (b *batch) results(f Outcome) (out []Result) {
 	for _, j := range b.jobs {
-		r := Result{Tag: j.tag, Outcome: f, Word: j.word}
+		r := Result{Tag: j.tag, Outcome: f, Answer: j.word}
 		switch {
 		case j.none && f == Done:
 			r.Outcome = Unchanged
 		case j.none:
 			r = Result{Tag: j.tag, Outcome: NotLeader}
 		case f == NotLeader:
-			r.Word = nil
+			r.Answer = nil
 		}
 		out = append(out, r)
 	}
@@ -69,7 +69,7 @@
 	blocked := map[string]bool{}
 	joining := map[string]*batch{} // begun in this turn, by their keys
 	for _, j := range s.queue {
-		if b := joining[strings.Join(j.Keys, "\n")]; b != nil && j.Joins && !j.blockedBy(blocked) {
+		if b := joining[strings.Join(j.Keys, "\n")]; b != nil && j.Mergeable && !j.blockedBy(blocked) {
 			s.join(b, j)
 			continue
 		}
@@ -83,14 +83,14 @@
 		b := &batch{}
 		s.join(b, j)
 		if len(b.recs) == 0 {
-			o.Results = append(o.Results, Result{Tag: j.tag, Outcome: Unchanged, Word: j.word})
+			o.Results = append(o.Results, Result{Tag: j.tag, Outcome: Unchanged, Answer: j.word})
 			continue
 		}
 		s.runs[j.tag] = b
 		for _, k := range j.Keys {
 			s.busy[k] = true
 		}
-		if j.Joins {
+		if j.Mergeable {
 			joining[strings.Join(j.Keys, "\n")] = b
 		}
 	}
@@ -104,7 +104,7 @@
 
 // join makes a job's records over those that its batch is about to write.
 func (s *Partition) join(b *batch, j *job) {
-	recs, word := j.Make(func(key string) message.Record {
+	recs, word := j.Build(func(key string) message.Record {
 		for _, r := range b.recs {
 			if r.Key == key {
 				return r
--- a/control/partition/batch_test.go
+++ b/control/partition/batch_test.go
@@ -10,7 +10,7 @@
 
 // appends is a job that adds a letter to a record if that is as long as its base.
 func appends(letter byte, base int) Job {
-	return Job{Keys: []string{"k"}, Joins: true, Make: func(read lease.Source) ([]message.Record, any) {
+	return Job{Keys: []string{"k"}, Mergeable: true, Build: func(read lease.Source) ([]message.Record, any) {
 		cur := read("k").Value
 		if len(cur) != base {
 			return nil, "conflict"
@@ -25,12 +25,12 @@
 func TestJobsThatWaitAreWrittenTogether(t *testing.T) {
 	s, sync := leader(t)
 	now := s.Replica.LeaseEnd() - 900*time.Millisecond
-	first := s.Do(now, 1, appends('a', 0)) // its disk isn't asked yet
+	first := s.Submit(now, 1, appends('a', 0)) // its disk isn't asked yet
 	if len(first.Saves) != 1 || len(first.Results) != 0 {
 		t.Fatalf("%+v", first)
 	}
 	for tag, j := range []Job{appends('b', 1), appends('x', 1), appends('c', 2)} {
-		if o := s.Do(now, uint64(tag+2), j); len(o.Results)+len(o.Saves) > 0 {
+		if o := s.Submit(now, uint64(tag+2), j); len(o.Results)+len(o.Saves) > 0 {
 			t.Fatalf("job %d doesn't wait: %+v", tag+2, o)
 		}
 	}
@@ -58,9 +58,9 @@
 func TestWhatWasJoinedIsLostTogether(t *testing.T) {
 	s, _ := leader(t)
 	now := s.Replica.LeaseEnd() - 900*time.Millisecond
-	first := s.Do(now, 1, appends('a', 0))
-	s.Do(now, 2, appends('b', 1))
-	s.Do(now, 3, appends('x', 1))
+	first := s.Submit(now, 1, appends('a', 0))
+	s.Submit(now, 2, appends('b', 1))
+	s.Submit(now, 3, appends('x', 1))
 	s.Saved(now, first.Saves[0].Ticket)
 	o := s.Tick(s.Replica.LeaseEnd() + time.Millisecond)
 	want := map[uint64]Outcome{2: Uncertain, 3: NotLeader}
@@ -79,11 +79,11 @@
 func TestWhatDoesNotJoin(t *testing.T) {
 	s, _ := leader(t)
 	now := s.Replica.LeaseEnd() - 900*time.Millisecond
-	first := s.Do(now, 1, appends('a', 0))
+	first := s.Submit(now, 1, appends('a', 0))
 	both := appends('b', 1)
 	both.Keys = []string{"k", "other"}
-	s.Do(now, 2, both)
-	s.Do(now, 3, appends('c', 2))
+	s.Submit(now, 2, both)
+	s.Submit(now, 3, appends('c', 2))
 	o := s.Saved(now, first.Saves[0].Ticket)
 	if len(o.Saves) != 1 || string(o.Saves[0].Records[0].Value) != "ab" {
 		t.Fatalf("%+v", o.Saves)
--- a/control/partition/partition.go
+++ b/control/partition/partition.go
@@ -22,7 +22,7 @@
 // The fates of a job.
 const (
 	Done      Outcome = iota + 1 // invalidated, committed and in force
-	Unchanged                    // Make wrote nothing
+	Unchanged                    // Build gave no records
 	Uncertain                    // may or may not be in force
 	NotLeader                    // nothing was done
 )
@@ -38,7 +38,7 @@
 type Result struct {
 	Tag     uint64
 	Outcome Outcome
-	Word    any
+	Answer  any
 }
 
 // Out is what a step asks for.
@@ -187,10 +187,10 @@
 	return o
 }
 
-// Do queues a write; its Result carries the tag (which must not be zero).
+// Submit queues a write; its Result carries the tag (which must not be zero).
 //
-// Example: out := s.Do(now, 17, job)
-func (s *Partition) Do(now time.Duration, tag uint64, j Job) (o Out) {
+// Example: out := s.Submit(now, 17, job)
+func (s *Partition) Submit(now time.Duration, tag uint64, j Job) (o Out) {
 	if !s.Leader(now) {
 		o.Results = append(o.Results, Result{Tag: tag, Outcome: NotLeader})
 		return o
--- a/control/partition/partition_test.go
+++ b/control/partition/partition_test.go
@@ -56,7 +56,7 @@
 		sync(s.Step(now, kid(message.Message{Kind: message.KindReconnectDone, ResponseTo: synced.Sends[0].Message.RequestID, VolumeEpoch: s.Node.VolumeEpoch()})))
 		sync(s.Step(now, kid(message.Message{Kind: message.KindRenewLease, RequestID: 3, VolumeEpoch: s.Node.VolumeEpoch(), Keys: []string{"k"}})))
 		asked := now
-		o := sync(s.Do(now, 7, Job{Keys: []string{"k"}, Make: func(lease.Source) ([]message.Record, any) {
+		o := sync(s.Submit(now, 7, Job{Keys: []string{"k"}, Build: func(lease.Source) ([]message.Record, any) {
 			return []message.Record{{Key: "k", Value: []byte("new")}}, nil
 		}}))
 		if len(o.Results) > 0 || len(o.Sends) != 1 || o.Sends[0].Message.Kind != message.KindInvalidate {
@@ -90,21 +90,21 @@
 	s, sync := leader(t)
 	now := s.Replica.LeaseEnd() - 900*time.Millisecond
 	write := func(keys ...string) Job {
-		return Job{Keys: []string{"a", "b"}, Make: func(lease.Source) (recs []message.Record, _ any) {
+		return Job{Keys: []string{"a", "b"}, Build: func(lease.Source) (recs []message.Record, _ any) {
 			for _, k := range keys {
 				recs = append(recs, message.Record{Key: k, Value: []byte("new")})
 			}
 			return recs, nil
 		}}
 	}
-	first := s.Do(now, 1, write("a")) // not on disk yet
+	first := s.Submit(now, 1, write("a")) // not on disk yet
 	if _, ok := s.Node.Get(now, "a"); ok {
 		t.Error("the record that is written is served")
 	}
 	if _, ok := s.Node.Get(now, "b"); !ok {
 		t.Error("the record that was only looked at is withdrawn")
 	}
-	if o := s.Do(now, 2, write("b")); len(o.Results)+len(o.Saves) > 0 {
+	if o := s.Submit(now, 2, write("b")); len(o.Results)+len(o.Saves) > 0 {
 		t.Errorf("a second job ran beside the first: %+v", o)
 	}
 	if o := sync(first); len(o.Results) != 2 || o.Results[0].Outcome != Done || o.Results[1].Outcome != Done {
--- a/control/quorum/fill.go
+++ b/control/quorum/fill.go
@@ -72,7 +72,7 @@
 			gone = append(gone, r.Key)
 		}
 		for _, k := range gone {
-			s.records.Drop(k)
+			s.records.Delete(k)
 		}
 	}
 	for _, r := range n.Records {
@@ -95,7 +95,7 @@
 			}
 		}
 		for _, k := range gone {
-			s.records.Drop(k)
+			s.records.Delete(k)
 		}
 	}
 	return gone
--- a/control/quorum/repair.go
+++ b/control/quorum/repair.go
@@ -76,7 +76,7 @@
 		}
 	}
 	for _, k := range gone {
-		s.records.Drop(k)
+		s.records.Delete(k)
 	}
 	s.put(o, Save{Records: recs, Delete: gone}, message.Envelope{Addr: from.Addr, Message: message.Message{Kind: message.KindStateInstalled, Op: compare, Partition: s.partition, Term: n.Term, ResponseTo: n.RequestID, Records: newer, To: from.Ident}})
 }
--- a/control/quorum/term.go
+++ b/control/quorum/term.go
@@ -220,7 +220,7 @@
 		}
 	}
 	for _, k := range gone {
-		fresh.Drop(k)
+		fresh.Delete(k)
 	}
 }
 
--- a/control/quorum/trio_test.go
+++ b/control/quorum/trio_test.go
@@ -79,11 +79,11 @@
 		m.meta = v.Meta
 		for _, sp := range v.Wipe {
 			for r := range m.records.InRange(sp) {
-				m.records.Drop(r.Key)
+				m.records.Delete(r.Key)
 			}
 		}
 		for _, k := range v.Delete {
-			m.records.Drop(k)
+			m.records.Delete(k)
 		}
 		for _, r := range v.Records {
 			m.records.Put(r)
@@ -169,7 +169,7 @@
 func (w *trio) rot(id, key string) {
 	m := w.by[id]
 	sum := m.meta.Sum(m.records)
-	m.records.Drop(key)
+	m.records.Delete(key)
 	m.meta.Short = m.meta.Short || sum != m.meta.Sum(m.records)
 	w.start(id)
 }
--- a/control/storage/aside.go
+++ b/control/storage/aside.go
@@ -12,21 +12,21 @@
 	"mulleinmast/wire/message"
 )
 
-// MajorityLost is the name of the file by which an operator says that a majority
+// MajorityLostFile is the name of the file by which an operator says that a majority
 // of the disks is lost, so that the back-up beside it is the state that is left.
 // Without it a back-up counts for nothing: the other disks have what was written
 // since, which a vote of the back-up could undo.
-const MajorityLost = "majority-lost"
+const MajorityLostFile = "majority-lost"
 
 // copyMark is the entry of a file's head that tells a back-up from a folder's own
 // state.
 const copyMark = "copy"
 
-var errCopy = errors.New("it is a back-up, and no file " + MajorityLost + " stands beside it")
+var errCopy = errors.New("it is a back-up, and no file " + MajorityLostFile + " stands beside it")
 
-// SupersededMark is the name of the file by which a daemon says that its state is
+// SupersededFile is the name of the file by which a daemon says that its state is
 // superseded: another process, or a later state, bears its identity.
-const SupersededMark = "superseded"
+const SupersededFile = "superseded"
 
 var errSuperseded = errors.New("its identity is another's")
 
@@ -38,7 +38,7 @@
 // openOwn opens the folder's file, unless it was found superseded before. An
 // operator's word that the majority is lost goes before that.
 func (a *Store) openOwn(dir, path, fleet string) error {
-	if exists(filepath.Join(dir, SupersededMark)) && !exists(filepath.Join(dir, MajorityLost)) {
+	if exists(filepath.Join(dir, SupersededFile)) && !exists(filepath.Join(dir, MajorityLostFile)) {
 		return errSuperseded
 	}
 	return a.open(path, fleet)
@@ -49,7 +49,7 @@
 //
 // Example: err := a.MarkSuperseded()
 func (a *Store) MarkSuperseded() error {
-	f, err := os.OpenFile(filepath.Join(a.dir, SupersededMark), os.O_CREATE|os.O_WRONLY, 0o600)
+	f, err := os.OpenFile(filepath.Join(a.dir, SupersededFile), os.O_CREATE|os.O_WRONLY, 0o600)
 	if err != nil {
 		return Error.Wrap(err)
 	}
--- a/control/storage/aside_test.go
+++ b/control/storage/aside_test.go
@@ -20,11 +20,11 @@
 		t.Fatal(err)
 	}
 	a.Close()
-	if err := os.WriteFile(filepath.Join(dir, MajorityLost), nil, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, MajorityLostFile), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	a = open(t, dir)
-	if a.Ident != was || a.Superseded {
+	if a.Ident != was || a.WasSuperseded {
 		t.Errorf("against the operator's word: %+v", a)
 	}
 	if err := a.MarkSuperseded(); err != nil {
@@ -32,12 +32,12 @@
 	}
 	a.Close()
 	a = open(t, dir)
-	if a.Ident == was || !a.Empty || !a.Superseded || a.Moved == "" {
+	if a.Ident == was || !a.Empty || !a.WasSuperseded || a.QuarantinePath == "" {
 		t.Errorf("superseded: %+v", a)
 	}
 	next := a.Ident
 	a.Close()
-	if a = open(t, dir); a.Ident != next || a.Superseded {
+	if a = open(t, dir); a.Ident != next || a.WasSuperseded {
 		t.Errorf("a second time: %+v", a)
 	}
 	a.Close()
@@ -54,7 +54,7 @@
 	}
 	was := a.Epoch
 	a.Close()
-	if err := os.WriteFile(filepath.Join(dir, MajorityLost), nil, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, MajorityLostFile), nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	a = open(t, dir)
@@ -89,7 +89,7 @@
 	a.Close()
 	a = open(t, dir)
 	defer a.Close()
-	if m := a.Partitions[1].Meta; m.State.Epoch != 0 || len(m.Peers) > 0 || m.Promised != 4 || len(a.Short) > 0 {
-		t.Errorf("spoilt: %+v, short %v", m, a.Short)
+	if m := a.Partitions[1].Meta; m.State.Epoch != 0 || len(m.Peers) > 0 || m.Promised != 4 || len(a.IncompletePartitions) > 0 {
+		t.Errorf("spoilt: %+v, short %v", m, a.IncompletePartitions)
 	}
 }
--- a/control/storage/batch.go
+++ b/control/storage/batch.go
@@ -18,14 +18,14 @@
 // however many changes come meanwhile, and one transaction takes it all.
 type Batch struct {
 	parts map[int]*pending
-	// Given are the tickets of the saves in it, in order.
-	Given []Ticket
+	// Tickets are the tickets of the saves in it, in order.
+	Tickets []Ticket
 }
 
 // Ticket names a save of a partition.
 type Ticket struct {
 	Partition int
-	No        uint64
+	Number    uint64
 }
 
 type pending struct {
@@ -38,13 +38,13 @@
 // Empty tells whether nothing waits.
 //
 // Example: if b.Empty() { sleep() }
-func (b *Batch) Empty() bool { return len(b.Given) == 0 }
+func (b *Batch) Empty() bool { return len(b.Tickets) == 0 }
 
 // Add puts a save after those that are in the batch.
 //
 // Example: for _, s := range out.Saves { b.Add(s) }
 func (b *Batch) Add(s quorum.Save) {
-	b.Given = append(b.Given, Ticket{s.Partition, s.Ticket})
+	b.Tickets = append(b.Tickets, Ticket{s.Partition, s.Ticket})
 	b.add(s)
 }
 
@@ -73,11 +73,11 @@
 	}
 }
 
-// Join puts a later batch after this one.
+// Append puts a later batch after this one.
 //
-// Example: failed.Join(came); came = failed
-func (b *Batch) Join(later Batch) {
-	b.Given = append(b.Given, later.Given...)
+// Example: failed.Append(came); came = failed
+func (b *Batch) Append(later Batch) {
+	b.Tickets = append(b.Tickets, later.Tickets...)
 	for _, s := range later.Saves() {
 		b.add(s)
 	}
@@ -100,11 +100,11 @@
 	return out
 }
 
-// Passing tells whether an error is of a disk that is full or in trouble, which
+// IsTransient tells whether an error is of a disk that is full or in trouble, which
 // may pass, and not of what is on it.
 //
-// Example: if storage.Passing(err) { tryAgainLater() }
-func Passing(err error) bool {
+// Example: if storage.IsTransient(err) { tryAgainLater() }
+func IsTransient(err error) bool {
 	var said sqlite3.Error
 	if errors.As(err, &said) {
 		return said.Code == sqlite3.ErrFull || said.Code == sqlite3.ErrIoErr || said.Code == sqlite3.ErrBusy
--- a/control/storage/batch_test.go
+++ b/control/storage/batch_test.go
@@ -15,14 +15,14 @@
 func apply(b *digest.Records, s quorum.Save) {
 	for _, span := range s.Wipe {
 		for r := range b.InRange(span) {
-			b.Drop(r.Key)
+			b.Delete(r.Key)
 		}
 	}
 	for _, r := range s.Records {
 		b.Put(r)
 	}
 	for _, k := range s.Delete {
-		b.Drop(k)
+		b.Delete(k)
 	}
 }
 
@@ -51,10 +51,10 @@
 				b.Add(s)
 			}
 		}
-		a.Join(b)
+		a.Append(b)
 		saves := a.Saves()
-		if len(saves) != 1 || len(a.Given) != n || a.Given[n-1] != (Ticket{3, uint64(n)}) || saves[0].Meta.Promised != uint64(n-1) || saves[0].Sum != uint64(n-1) {
-			t.Fatalf("%d saves, %v given", len(saves), a.Given)
+		if len(saves) != 1 || len(a.Tickets) != n || a.Tickets[n-1] != (Ticket{3, uint64(n)}) || saves[0].Meta.Promised != uint64(n-1) || saves[0].Sum != uint64(n-1) {
+			t.Fatalf("%d saves, %v given", len(saves), a.Tickets)
 		}
 		apply(all, saves[0])
 		if one.Sum() != all.Sum() {
--- a/control/storage/crash_test.go
+++ b/control/storage/crash_test.go
@@ -56,7 +56,7 @@
 }
 
 func (a *Store) state() string {
-	out := fmt.Sprint("set aside ", a.Moved, " short ", a.Short, " empty ", a.Empty)
+	out := fmt.Sprint("set aside ", a.QuarantinePath, " short ", a.IncompletePartitions, " empty ", a.Empty)
 	for p := range 3 {
 		if h, ok := a.Partitions[p]; ok {
 			out += fmt.Sprintf(" partition %d promised %d of %d records %x", p, h.Meta.Promised, h.Records.Size(), h.Records.Sum())
@@ -97,7 +97,7 @@
 		if s.rng.Intn(2) == 0 {
 			v.Wipe = []int{s.rng.Intn(digest.Ranges)}
 			for r := range b.InRange(v.Wipe[0]) {
-				b.Drop(r.Key)
+				b.Delete(r.Key)
 			}
 		}
 		for range 4 {
@@ -107,7 +107,7 @@
 			v.Records = append(v.Records, r)
 		}
 		if k := fmt.Sprint("k", s.rng.Intn(40)); s.rng.Intn(2) == 0 {
-			b.Drop(k)
+			b.Delete(k)
 			v.Delete = []string{k}
 		}
 		v.Sum = v.Meta.Sum(b)
@@ -284,8 +284,8 @@
 		}
 		s.Close()
 		a := open(t, s.dir)
-		if len(a.Short) != 1 || a.Short[0] != 0 || !a.Partitions[0].Meta.Short || a.Partitions[1].Meta.Short {
-			t.Errorf("%s: short %v", what, a.Short)
+		if len(a.IncompletePartitions) != 1 || a.IncompletePartitions[0] != 0 || !a.Partitions[0].Meta.Short || a.Partitions[1].Meta.Short {
+			t.Errorf("%s: short %v", what, a.IncompletePartitions)
 		}
 		a.Close()
 		a = open(t, s.dir) // and it stays so until it is filled
--- a/control/storage/golden_test.go
+++ b/control/storage/golden_test.go
@@ -134,8 +134,8 @@
 // expectGolden checks that an open folder holds what the folders of testdata do.
 func expectGolden(t *testing.T, a *Store, want []quorum.Save) {
 	t.Helper()
-	if a.Empty || a.Moved != "" || a.Spoilt != 0 || len(a.Short) > 0 || a.Ident != goldenIdent {
-		t.Fatalf("empty %v, moved %q, spoilt %d, short %v, identity %s", a.Empty, a.Moved, a.Spoilt, a.Short, a.Ident)
+	if a.Empty || a.QuarantinePath != "" || a.CorruptRecords != 0 || len(a.IncompletePartitions) > 0 || a.Ident != goldenIdent {
+		t.Fatalf("empty %v, moved %q, spoilt %d, short %v, identity %s", a.Empty, a.QuarantinePath, a.CorruptRecords, a.IncompletePartitions, a.Ident)
 	}
 	if len(a.Partitions) != len(want) {
 		t.Errorf("%d partitions instead of %d", len(a.Partitions), len(want))
@@ -191,11 +191,11 @@
 	dir := goldenFolder(t, "superseded")
 	a := open(t, dir)
 	defer a.Close()
-	if !a.Superseded || a.Copied || !a.Empty || a.Ident == goldenIdent || len(a.Partitions) > 0 || incarnation.Starts(a.Epoch) != 1 {
+	if !a.WasSuperseded || a.WasBackup || !a.Empty || a.Ident == goldenIdent || len(a.Partitions) > 0 || incarnation.Starts(a.Epoch) != 1 {
 		t.Errorf("%+v", a)
 	}
-	if !strings.HasPrefix(a.Moved, filepath.Join(dir, "state.db.superseded-")) {
-		t.Errorf("set aside as %s", a.Moved)
+	if !strings.HasPrefix(a.QuarantinePath, filepath.Join(dir, "state.db.superseded-")) {
+		t.Errorf("set aside as %s", a.QuarantinePath)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "superseded")); !os.IsNotExist(err) {
 		t.Errorf("the mark counts for more than one start: %v", err)
@@ -209,11 +209,11 @@
 		dir := goldenFolder(t, "backup")
 		a := open(t, dir)
 		defer a.Close()
-		if !a.Copied || a.Superseded || !a.Empty || a.Ident == goldenIdent || len(a.Partitions) > 0 {
+		if !a.WasBackup || a.WasSuperseded || !a.Empty || a.Ident == goldenIdent || len(a.Partitions) > 0 {
 			t.Errorf("%+v", a)
 		}
-		if !strings.HasPrefix(a.Moved, filepath.Join(dir, "state.db.back-up-")) {
-			t.Errorf("set aside as %s", a.Moved)
+		if !strings.HasPrefix(a.QuarantinePath, filepath.Join(dir, "state.db.back-up-")) {
+			t.Errorf("set aside as %s", a.QuarantinePath)
 		}
 	})
 	t.Run("restored", func(t *testing.T) {
--- a/control/storage/load.go
+++ b/control/storage/load.go
@@ -35,7 +35,7 @@
 // load reads all partitions. What is there and isn't what was written, by its
 // sums, counts as missing, and the partition as short: marked on disk at once.
 func (a *Store) load() error {
-	a.Partitions = map[int]Held{}
+	a.Partitions = map[int]PartitionState{}
 	sums := map[int]uint64{}
 	err := a.each("select part, v from seat", func(scan func(...any) error) error {
 		var partition int
@@ -50,7 +50,7 @@
 		if r.Past != r.PastSum() { // it claims nothing rather than what was never written
 			r.State, r.History, r.Peers = message.SavePoint{}, nil, nil
 		}
-		a.Partitions[partition], sums[partition] = Held{Meta: r.Meta, Records: digest.NewRecords()}, r.Sum
+		a.Partitions[partition], sums[partition] = PartitionState{Meta: r.Meta, Records: digest.NewRecords()}, r.Sum
 		return nil
 	})
 	if err != nil {
@@ -67,10 +67,10 @@
 		}
 		h.Meta.Short = true
 		a.Partitions[partition] = h
-		a.Short = append(a.Short, partition)
+		a.IncompletePartitions = append(a.IncompletePartitions, partition)
 		mark = append(mark, quorum.Save{Partition: partition, Meta: h.Meta, Delete: spoilt[partition], Sum: h.Meta.Sum(h.Records)})
 	}
-	slices.Sort(a.Short)
+	slices.Sort(a.IncompletePartitions)
 	if len(mark) == 0 {
 		return nil
 	}
@@ -94,7 +94,7 @@
 			return damage{Error.New("record %q of partition %d, which has no replica", r.Key, partition)}
 		}
 		if sum.Valid && sum.Int64 != int64(digest.Fingerprint(r)) {
-			a.Spoilt++
+			a.CorruptRecords++
 			spoilt[partition] = append(spoilt[partition], r.Key)
 			return nil
 		}
--- a/control/storage/storage.go
+++ b/control/storage/storage.go
@@ -33,31 +33,31 @@
 // longer; it is copied into the file at about that length.
 const logSize = 4 << 20
 
-// Held is one partition's state as found on disk.
-type Held struct {
+// PartitionState is one partition's state as found on disk.
+type PartitionState struct {
 	Meta    quorum.Meta
 	Records *digest.Records
 }
 
 // Store is an open data folder.
 type Store struct {
-	db         *sql.DB
-	lock       *os.File
-	dir        string
-	Ident      string
-	Epoch      uint64
-	Empty      bool   // nothing was here before
-	Moved      string // where a file that was damaged, or a back-up, was put, if one was found
-	Copied     bool   // what was moved is a back-up
-	Superseded bool   // what was moved is superseded: another process, or a later state, bears its identity
-	Partitions map[int]Held
-	Spoilt     int   // records whose value isn't what was written: they count as missing
-	Short      []int // partitions that are not what was written: they have no vote until they are filled
+	db                   *sql.DB
+	lock                 *os.File
+	dir                  string
+	Ident                string
+	Epoch                uint64
+	Empty                bool   // nothing was here before
+	QuarantinePath       string // where a file that was damaged, or a back-up, was put, if one was found
+	WasBackup            bool   // what was moved is a back-up
+	WasSuperseded        bool   // what was moved is superseded: another process, or a later state, bears its identity
+	Partitions           map[int]PartitionState
+	CorruptRecords       int   // records whose value isn't what was written: they count as missing
+	IncompletePartitions []int // partitions that are not what was written: they have no vote until they are filled
 }
 
 // Open opens or makes the data folder, locks it, counts the epoch up and
 // reads all partitions. A damaged file is set aside and the folder starts empty,
-// with a new identity, and so is a back-up, unless a file MajorityLost stands
+// with a new identity, and so is a back-up, unless a file MajorityLostFile stands
 // beside it, and a state that was found superseded; a file of another fleet or a
 // newer format is refused.
 //
@@ -77,19 +77,19 @@
 	a := &Store{lock: lock, dir: dir}
 	path := filepath.Join(dir, "state.db")
 	if err := a.openOwn(dir, path, fleet); err != nil {
-		a.Copied, a.Superseded = errors.Is(err, errCopy), errors.Is(err, errSuperseded)
-		if !a.Copied && !a.Superseded && !damaged(err) {
+		a.WasBackup, a.WasSuperseded = errors.Is(err, errCopy), errors.Is(err, errSuperseded)
+		if !a.WasBackup && !a.WasSuperseded && !damaged(err) {
 			a.Close()
 			return nil, err
 		}
 		as := "damaged"
 		switch {
-		case a.Copied:
+		case a.WasBackup:
 			as = "back-up"
-		case a.Superseded:
+		case a.WasSuperseded:
 			as = "superseded"
 		}
-		if a.Moved, err = setAside(path, as, err); err != nil {
+		if a.QuarantinePath, err = setAside(path, as, err); err != nil {
 			a.Close()
 			return nil, err
 		}
@@ -98,7 +98,7 @@
 			return nil, err
 		}
 	}
-	for _, once := range []string{MajorityLost, SupersededMark} { // each counts for one start
+	for _, once := range []string{MajorityLostFile, SupersededFile} { // each counts for one start
 		if err := os.Remove(filepath.Join(dir, once)); err != nil && !os.IsNotExist(err) {
 			a.Close()
 			return nil, Error.Wrap(err)
@@ -173,7 +173,7 @@
 	}
 	starts := uint64(1)
 	_, copied := meta[copyMark]
-	restored := len(meta) > 0 && exists(filepath.Join(filepath.Dir(path), MajorityLost))
+	restored := len(meta) > 0 && exists(filepath.Join(filepath.Dir(path), MajorityLostFile))
 	if len(meta) == 0 {
 		a.Empty, a.Ident = true, NewIdent()
 		meta = map[string]string{"format": fmt.Sprint(Format), "fleet": fleet, "ident": a.Ident}
@@ -201,7 +201,7 @@
 		}
 	}
 	a.Epoch = incarnation.Number(starts, newNonce())
-	meta["epoch"] = fmt.Sprint(incarnation.Number(starts, incarnation.Last))
+	meta["epoch"] = fmt.Sprint(incarnation.Number(starts, incarnation.MaxNonce))
 	tx, err := db.Begin()
 	if err != nil {
 		return Error.Wrap(err)
@@ -276,11 +276,11 @@
 	return Error.Wrap(tx.Commit())
 }
 
-// Full is a switch for tests: the disk is as if full, so that SQLite itself
+// SetFull is a switch for tests: the disk is as if full, so that SQLite itself
 // refuses to grow the file.
 //
-// Example: err := a.Full(true)
-func (a *Store) Full(on bool) error {
+// Example: err := a.SetFull(true)
+func (a *Store) SetFull(on bool) error {
 	most := 1 << 30
 	if on {
 		most = 1 // SQLite takes the pages in use as the least
@@ -305,7 +305,7 @@
 	if _, err := rand.Read(b); err != nil {
 		panic(err) // without randomness two copies could be taken for one
 	}
-	return min(binary.BigEndian.Uint32(b), incarnation.Last-1)
+	return min(binary.BigEndian.Uint32(b), incarnation.MaxNonce-1)
 }
 
 // NewIdent makes a fresh random identity.
--- a/control/storage/storage_test.go
+++ b/control/storage/storage_test.go
@@ -87,7 +87,7 @@
 	}
 	a = open(t, hurt)
 	defer a.Close()
-	if a.Moved == "" || !a.Empty || a.Ident == id {
+	if a.QuarantinePath == "" || !a.Empty || a.Ident == id {
 		t.Errorf("damaged: %+v", a)
 	}
 }
@@ -101,7 +101,7 @@
 	if err := a.Write([]quorum.Save{{Partition: 0, Meta: meta}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := a.Full(true); err != nil {
+	if err := a.SetFull(true); err != nil {
 		t.Fatal(err)
 	}
 	next := meta
@@ -130,8 +130,8 @@
 		t.Fatal(err)
 	}
 	a.Close()
-	if a = open(t, dir); a.Spoilt != 0 || a.Partitions[0].Records.Size() != 3 {
-		t.Fatalf("%d spoilt, %d held", a.Spoilt, a.Partitions[0].Records.Size())
+	if a = open(t, dir); a.CorruptRecords != 0 || a.Partitions[0].Records.Size() != 3 {
+		t.Fatalf("%d spoilt, %d held", a.CorruptRecords, a.Partitions[0].Records.Size())
 	}
 	if _, err := a.db.Exec("update rec set val='y' where key='a'"); err != nil {
 		t.Fatal(err)
@@ -139,16 +139,16 @@
 	a.Close()
 	a = open(t, dir)
 	defer a.Close()
-	if _, ok := a.Partitions[0].Records.Get("a"); ok || a.Spoilt != 1 || a.Partitions[0].Records.Size() != 2 {
-		t.Errorf("%d spoilt, %d held", a.Spoilt, a.Partitions[0].Records.Size())
+	if _, ok := a.Partitions[0].Records.Get("a"); ok || a.CorruptRecords != 1 || a.Partitions[0].Records.Size() != 2 {
+		t.Errorf("%d spoilt, %d held", a.CorruptRecords, a.Partitions[0].Records.Size())
 	}
 	// A record written by a build that keeps no sums is taken as it is.
 	if _, err := a.db.Exec("insert or replace into rec values(0,'a',0,2,1,0,'z')"); err != nil {
 		t.Fatal(err)
 	}
 	a.Close()
-	if a = open(t, dir); a.Spoilt != 0 || a.Partitions[0].Records.Size() != 3 {
-		t.Errorf("written by another build: %d spoilt, %d held", a.Spoilt, a.Partitions[0].Records.Size())
+	if a = open(t, dir); a.CorruptRecords != 0 || a.Partitions[0].Records.Size() != 3 {
+		t.Errorf("written by another build: %d spoilt, %d held", a.CorruptRecords, a.Partitions[0].Records.Size())
 	}
 }
 
@@ -164,15 +164,15 @@
 		t.Fatal(err)
 	}
 	if a, err := Open(dir, "f"); err == nil {
-		t.Fatalf("opened as %s, it was %s; set aside as %q", a.Ident, id, a.Moved)
+		t.Fatalf("opened as %s, it was %s; set aside as %q", a.Ident, id, a.QuarantinePath)
 	}
 	if err := os.Remove(wal); err != nil {
 		t.Fatal(err)
 	}
 	a = open(t, dir)
 	defer a.Close()
-	if a.Ident != id || a.Moved != "" {
-		t.Errorf("it was %s, is %s; set aside as %q", id, a.Ident, a.Moved)
+	if a.Ident != id || a.QuarantinePath != "" {
+		t.Errorf("it was %s, is %s; set aside as %q", id, a.Ident, a.QuarantinePath)
 	}
 }
 
@@ -224,7 +224,7 @@
 	}
 	a, err := Open(dir, "f")
 	if err != nil {
-		fmt.Println("may pass:", Passing(err), err)
+		fmt.Println("may pass:", IsTransient(err), err)
 		return
 	}
 	fmt.Println("opened as " + a.Ident)
@@ -271,14 +271,14 @@
 		t.Fatal(err)
 	}
 	s.write(t)
-	said := filepath.Join(dir, MajorityLost)
+	said := filepath.Join(dir, MajorityLostFile)
 	if err := os.WriteFile(said, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for start := range 2 {
 		a := open(t, dir)
-		if a.Ident != s.Ident || len(a.Short) > 0 || a.Copied || a.Moved != "" || a.Partitions[0].Records.Sum() != want {
-			t.Errorf("start %d: %s, short %v, moved %q, %x instead of %x", start, a.Ident, a.Short, a.Moved, a.Partitions[0].Records.Sum(), want)
+		if a.Ident != s.Ident || len(a.IncompletePartitions) > 0 || a.WasBackup || a.QuarantinePath != "" || a.Partitions[0].Records.Sum() != want {
+			t.Errorf("start %d: %s, short %v, moved %q, %x instead of %x", start, a.Ident, a.IncompletePartitions, a.QuarantinePath, a.Partitions[0].Records.Sum(), want)
 		}
 		if _, err := os.Stat(said); !os.IsNotExist(err) {
 			t.Errorf("start %d: what the operator said stands still: %v", start, err)
@@ -297,16 +297,16 @@
 		t.Fatal(err)
 	}
 	a := open(t, dir)
-	if !a.Copied || !a.Empty || a.Ident == s.Ident || len(a.Partitions) > 0 || !strings.HasPrefix(a.Moved, filepath.Join(dir, "state.db.")) {
-		t.Errorf("copied %v, empty %v, %s (the original is %s), %d partitions, moved to %q", a.Copied, a.Empty, a.Ident, s.Ident, len(a.Partitions), a.Moved)
+	if !a.WasBackup || !a.Empty || a.Ident == s.Ident || len(a.Partitions) > 0 || !strings.HasPrefix(a.QuarantinePath, filepath.Join(dir, "state.db.")) {
+		t.Errorf("copied %v, empty %v, %s (the original is %s), %d partitions, moved to %q", a.WasBackup, a.Empty, a.Ident, s.Ident, len(a.Partitions), a.QuarantinePath)
 	}
-	if _, err := os.Stat(a.Moved); err != nil {
+	if _, err := os.Stat(a.QuarantinePath); err != nil {
 		t.Errorf("the back-up is gone: %v", err)
 	}
 	ident := a.Ident
 	a.Close()
-	if a = open(t, dir); a.Ident != ident || a.Copied || a.Moved != "" {
-		t.Errorf("the next start: %s, copied %v, moved to %q", a.Ident, a.Copied, a.Moved)
+	if a = open(t, dir); a.Ident != ident || a.WasBackup || a.QuarantinePath != "" {
+		t.Errorf("the next start: %s, copied %v, moved to %q", a.Ident, a.WasBackup, a.QuarantinePath)
 	}
 	a.Close()
 }
--- a/proof/hollow/daemon.go
+++ b/proof/hollow/daemon.go
@@ -19,16 +19,16 @@
 
 // Snap is one daemon's counters and place at a moment.
 type Snap struct {
-	Index   int                        `json:"index"`
-	Zone    int                        `json:"zone"`
-	Core    bool                       `json:"core"`
-	Owns    []int                      `json:"owns,omitempty"`   // parts
-	Relays  []int                      `json:"relays,omitempty"` // parts that it relays in its zone
-	Members int                        `json:"members"`
-	Ready   bool                       `json:"ready"`
-	Lost    int64                      `json:"lost"`
-	Counts  map[string]transport.Count `json:"counts"`
-	At      time.Duration              `json:"at"`
+	Index   int                            `json:"index"`
+	Zone    int                            `json:"zone"`
+	Core    bool                           `json:"core"`
+	Owns    []int                          `json:"owns,omitempty"`   // parts
+	Relays  []int                          `json:"relays,omitempty"` // parts that it relays in its zone
+	Members int                            `json:"members"`
+	Ready   bool                           `json:"ready"`
+	Lost    int64                          `json:"lost"`
+	Counts  map[string]transport.KindCount `json:"counts"`
+	At      time.Duration                  `json:"at"`
 }
 
 // hollowDaemon is a running one.
@@ -59,7 +59,7 @@
 		c.Source = platform.NewCloud(s.List, s.Config.Bounds.Leave/3)
 	}
 	if s.Far > 0 {
-		c.Line.Far = func(addr string) time.Duration {
+		c.Line.Latency = func(addr string) time.Duration {
 			if region(zoneOf(addr), s.Regions) != s.Region {
 				return s.Far
 			}
@@ -81,7 +81,7 @@
 // snap reads the daemon's counters.
 func (d *hollowDaemon) snap() Snap {
 	v := d.c.View()
-	s := Snap{Index: d.Index, Zone: d.Zone, Core: d.Core, Members: len(v.Members), Ready: d.c.Ready(), Lost: d.c.Line.Lost.Load(), Counts: d.c.Line.Counts(), At: d.c.Now()}
+	s := Snap{Index: d.Index, Zone: d.Zone, Core: d.Core, Members: len(v.Members), Ready: d.c.Ready(), Lost: d.c.Line.Dropped.Load(), Counts: d.c.Line.Counts(), At: d.c.Now()}
 	for p := range d.Config.Partitions + 1 {
 		if v.Leaderships[p].Leader.Ident == d.c.Ident() {
 			s.Owns = append(s.Owns, p)
--- a/proof/hollow/measure.go
+++ b/proof/hollow/measure.go
@@ -168,12 +168,12 @@
 	return out
 }
 
-func (r *Row) add(c, was transport.Count) {
-	r.In += float64(c.Got - was.Got)
+func (r *Row) add(c, was transport.KindCount) {
+	r.In += float64(c.Received - was.Received)
 	r.Out += float64(c.Sent - was.Sent)
-	r.BytesIn += float64(c.GotBytes - was.GotBytes)
+	r.BytesIn += float64(c.ReceivedBytes - was.ReceivedBytes)
 	r.BytesOut += float64(c.SentBytes - was.SentBytes)
-	r.Hearing += (c.Hearing - was.Hearing).Seconds()
+	r.Hearing += (c.HandlingTime - was.HandlingTime).Seconds()
 }
 
 // Steady waits until nothing is withdrawn any more for two seconds.
@@ -187,7 +187,7 @@
 	for range t.C {
 		n := int64(0)
 		for _, s := range f.read().snaps {
-			n += s.Counts["invalidate"].Got + s.Counts["accept"].Got
+			n += s.Counts["invalidate"].Received + s.Counts["accept"].Received
 		}
 		if n != last {
 			last, calm = n, time.Now()
--- a/proof/hollow/worker.go
+++ b/proof/hollow/worker.go
@@ -139,7 +139,7 @@
 			for _, a := range c.Cut[d.Index] {
 				cut[a] = true
 			}
-			d.c.Line.Cut.Store(&cut)
+			d.c.Line.DropPeers.Store(&cut)
 		}
 	case "stop":
 		w.drop(c.Indexes)
--- a/proof/modelcheck/event.go
+++ b/proof/modelcheck/event.go
@@ -275,12 +275,12 @@
 	w.changes = append(w.changes, c)
 	w.say("change %c on base %d is asked of %s", c.tag, c.base, w.daemons[i].me.Ident)
 	base := w.setup.Plant.base(c.base)
-	j := partition.Job{Keys: []string{key}, Joins: true, Make: func(read lease.Source) ([]message.Record, any) {
+	j := partition.Job{Keys: []string{key}, Mergeable: true, Build: func(read lease.Source) ([]message.Record, any) {
 		cur := read(key)
 		if base >= 0 && len(cur.Value) != base {
 			return nil, nil
 		}
 		return []message.Record{{Key: key, Value: append(slices.Clone(cur.Value), c.tag)}}, nil
 	}}
-	w.do(i, func(d *daemon, now time.Duration) partition.Out { return d.sec.Do(now, uint64(len(w.changes)), j) })
+	w.do(i, func(d *daemon, now time.Duration) partition.Out { return d.sec.Submit(now, uint64(len(w.changes)), j) })
 }
--- a/proof/sim/races.go
+++ b/proof/sim/races.go
@@ -140,7 +140,7 @@
 		}
 	}
 	for _, k := range keys {
-		replica.Records().Drop(k)
+		replica.Records().Delete(k)
 	}
 }
 
--- a/traffic/gateway/cut_test.go
+++ b/traffic/gateway/cut_test.go
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	f := &fake{}
-	c.Line.Cut.Store(&map[string]bool{"*": true})
+	c.Line.DropPeers.Store(&map[string]bool{"*": true})
 	out := New(c, f)
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
@@ -83,10 +83,10 @@
 	if got := ask("/none/"); got != "refuse 503" || sure {
 		t.Errorf("before it knew any configuration: %q, limits in force %v", got, sure)
 	}
-	g.c.Line.Cut.Store(nil)
+	g.c.Line.DropPeers.Store(nil)
 	soon(t, g.c, "the first request served", func() bool { return ask("/unsafe/") == "head 200 a" })
 	soon(t, g.c, "in touch, no such route", func() bool { return ask("/none/") == "fail 404" })
-	g.c.Line.Cut.Store(&map[string]bool{"*": true})
+	g.c.Line.DropPeers.Store(&map[string]bool{"*": true})
 	soon(t, g.c, "last records", func() bool {
 		_, leased := g.c.Read(0, fleetconfig.PlanKey)
 		_, last := g.c.Last(0, fleetconfig.PlanKey)
@@ -101,7 +101,7 @@
 	soon(t, g.c, "the end of the overrun", func() bool { return g.c.Now() > until })
 	expect("cut off for long", "/unsafe/", "refuse 503")
 	expect("cut off for long", "/none/", "refuse 503")
-	g.c.Line.Cut.Store(nil)
+	g.c.Line.DropPeers.Store(nil)
 	soon(t, g.c, "back in touch", func() bool { return ask("/unsafe/") == "head 200 a" })
 	soon(t, g.c, "back in touch, no such route", func() bool { return ask("/none/") == "fail 404" })
 }
--- a/wire/transport/deaf_test.go
+++ b/wire/transport/deaf_test.go
@@ -29,7 +29,7 @@
 }
 
 // A peer that is cut off without a word is spoken to on a new connection after
-// Dead, not when the system gives the old one up: that takes as long again as
+// PeerTimeout, not when the system gives the old one up: that takes as long again as
 // the cut did, or a quarter of an hour.
 func TestADeafConnectionIsMadeAnew(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,7 +48,7 @@
 		}
 	}()
 	const dead = 200 * time.Millisecond
-	l := &Line{Fleet: "f", Me: message.Replica{Ident: "a", Addr: "127.0.0.1:1"}, Dead: dead, Hear: func(message.Message) {}}
+	l := &Transport{Fleet: "f", Self: message.Replica{Ident: "a", Addr: "127.0.0.1:1"}, PeerTimeout: dead, Receive: func(message.Message) {}}
 	if err := l.Listen("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 		for {
 			select {
 			case c := <-came:
-				if n, err := Read(c); err != nil || n.Key != "k" {
+				if n, err := ReadFrame(c); err != nil || n.Key != "k" {
 					t.Fatalf("%s: %v %v", what, n, err)
 				}
 				return c
@@ -88,7 +88,7 @@
 // leader needs is lost when the wait ends in vain. So the wait is short.
 func TestAMachineWithoutPowerIsDialledAnewSoon(t *testing.T) {
 	const dead = 800 * time.Millisecond
-	if most := (&Line{Dead: dead}).dialer().Timeout; most > dead/4 || most <= 0 {
+	if most := (&Transport{PeerTimeout: dead}).dialer().Timeout; most > dead/4 || most <= 0 {
 		t.Errorf("a connection is waited for %v where one that is deaf is closed after %v", most, dead)
 	}
 }
--- a/wire/transport/frame.go
+++ b/wire/transport/frame.go
@@ -8,10 +8,10 @@
 	"mulleinmast/wire/message"
 )
 
-// Pack makes a frame of a message.
+// EncodeFrame makes a frame of a message.
 //
-// Example: b, err := transport.Pack(message)
-func Pack(n message.Message) ([]byte, error) { return pack(n, message.FrameVersion) }
+// Example: b, err := transport.EncodeFrame(message)
+func EncodeFrame(n message.Message) ([]byte, error) { return pack(n, message.FrameVersion) }
 
 func pack(n message.Message, version byte) ([]byte, error) {
 	b := make([]byte, head, head+256+n.Msgsize()/4)
@@ -19,18 +19,18 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	if len(b)-head > Most {
-		return nil, Error.New("note of %d bytes, at most %d go in a frame", len(b)-head, Most)
+	if len(b)-head > MaxFrameSize {
+		return nil, Error.New("note of %d bytes, at most %d go in a frame", len(b)-head, MaxFrameSize)
 	}
 	b[0] = version
 	binary.BigEndian.PutUint32(b[1:], uint32(len(b)-head))
 	return b, nil
 }
 
-// Read takes one message off a stream.
+// ReadFrame takes one message off a stream.
 //
-// Example: message, err := transport.Read(conn)
-func Read(r io.Reader) (message.Message, error) {
+// Example: message, err := transport.ReadFrame(conn)
+func ReadFrame(r io.Reader) (message.Message, error) {
 	var s spoken
 	n, _, err := s.read(r)
 	return n, err
@@ -46,8 +46,8 @@
 		return n, 0, Error.New("frame of wire version %d, expected %d or %d", h[0], message.FrameVersion, message.CompactFrameVersion)
 	}
 	size := int(binary.BigEndian.Uint32(h[1:]))
-	if size > Most {
-		return n, 0, Error.New("frame of %d bytes, at most %d are taken", size, Most)
+	if size > MaxFrameSize {
+		return n, 0, Error.New("frame of %d bytes, at most %d are taken", size, MaxFrameSize)
 	}
 	b := make([]byte, min(size, trust))
 	got, err := io.ReadFull(r, b)
--- a/wire/transport/golden_test.go
+++ b/wire/transport/golden_test.go
@@ -84,14 +84,14 @@
 func framesOfThisBuild(t *testing.T) (frames []goldenFrame) {
 	t.Helper()
 	add := func(name string, frame []byte, m message.Message) {
-		whole, err := Pack(m)
+		whole, err := EncodeFrame(m)
 		if err != nil {
 			t.Fatal(name, err)
 		}
 		frames = append(frames, goldenFrame{name, frame, whole})
 	}
 	packed := func(name string, m message.Message) {
-		b, err := Pack(m)
+		b, err := EncodeFrame(m)
 		if err != nil {
 			t.Fatal(name, err)
 		}
@@ -206,7 +206,7 @@
 			t.Errorf("%s: %d bytes read, %v", name, size, err)
 			continue
 		}
-		whole, err := Pack(m)
+		whole, err := EncodeFrame(m)
 		if err != nil || !bytes.Equal(whole, want[name]) {
 			t.Errorf("%s: read as %+v, %v", name, m, err)
 		}
--- a/wire/transport/queue.go
+++ b/wire/transport/queue.go
@@ -45,7 +45,7 @@
 }
 
 // forget takes down an address that nothing waits for.
-func (l *Line) forget(addr string, q *queue) bool {
+func (l *Transport) forget(addr string, q *queue) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	q.mu.Lock()
@@ -62,7 +62,7 @@
 // Addresses is how many addresses have a queue here.
 //
 // Example: line.Addresses() == 3
-func (l *Line) Addresses() int {
+func (l *Transport) Addresses() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.outs)
--- a/wire/transport/rest_test.go
+++ b/wire/transport/rest_test.go
@@ -16,7 +16,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		l := &Line{ctx: ctx, outs: map[string]*queue{}, heard: map[string]time.Time{}}
+		l := &Transport{ctx: ctx, outs: map[string]*queue{}, heard: map[string]time.Time{}}
 		send := func(i int) {
 			l.Send(message.Envelope{Addr: fmt.Sprintf("127.0.0.%d:1", i), Message: message.Message{Kind: message.KindRenewLease}})
 		}
--- a/wire/transport/transport.go
+++ b/wire/transport/transport.go
@@ -22,8 +22,8 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("transport")
 
-// Most is the largest frame taken.
-const Most = 32 << 20
+// MaxFrameSize is the largest frame taken.
+const MaxFrameSize = 32 << 20
 
 const (
 	head   = 5
@@ -36,29 +36,29 @@
 	resting = time.Minute
 )
 
-// Line is this daemon's end of the wire.
-type Line struct {
-	Fleet string
-	Me    message.Replica
-	Epoch uint64
-	Hear  func(message.Message)
-	Bad   func(from string, err error)
-	// Cut is a switch for tests: messages to and from these addresses are lost.
-	Cut atomic.Pointer[map[string]bool]
-	// Deaf is another: messages from these addresses are lost, those to them are not.
-	Deaf atomic.Pointer[map[string]bool]
-	// Slow is another: messages, each for itself, are up to so many nanoseconds on
+// Transport is this daemon's end of the wire.
+type Transport struct {
+	Fleet   string
+	Self    message.Replica
+	Epoch   uint64
+	Receive func(message.Message)
+	OnError func(from string, err error)
+	// DropPeers is a switch for tests: messages to and from these addresses are lost.
+	DropPeers atomic.Pointer[map[string]bool]
+	// DropSenders is another: messages from these addresses are lost, those to them are not.
+	DropSenders atomic.Pointer[map[string]bool]
+	// MaxDelay is another: messages, each for itself, are up to so many nanoseconds on
 	// their way, so that later ones come before earlier ones.
-	Slow atomic.Int64
-	// Far is another: messages to an address are that long on their way.
-	Far func(addr string) time.Duration
-	// Dead is how long a peer's machine may say nothing to what was sent to it:
+	MaxDelay atomic.Int64
+	// Latency is another: messages to an address are that long on their way.
+	Latency func(addr string) time.Duration
+	// PeerTimeout is how long a peer's machine may say nothing to what was sent to it:
 	// its connection is closed then and made anew; 0: as long as the kernel
 	// retries.
-	Dead time.Duration
+	PeerTimeout time.Duration
 
-	Sent, Got, Lost atomic.Int64
-	Tally
+	Sent, Received, Dropped atomic.Int64
+	Counters
 
 	ln    net.Listener
 	mu    sync.Mutex
@@ -71,7 +71,7 @@
 // Listen opens the port.
 //
 // Example: err := line.Listen("127.0.0.1:7000")
-func (l *Line) Listen(addr string) error {
+func (l *Transport) Listen(addr string) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return Error.Wrap(err)
@@ -83,7 +83,7 @@
 // Serve takes connections until the context ends.
 //
 // Example: supervisor.Add(line)
-func (l *Line) Serve(ctx context.Context) error {
+func (l *Transport) Serve(ctx context.Context) error {
 	l.mu.Lock()
 	l.ctx, l.outs, l.heard = ctx, map[string]*queue{}, map[string]time.Time{}
 	l.mu.Unlock()
@@ -102,7 +102,7 @@
 	}
 }
 
-func (l *Line) read(ctx context.Context, c net.Conn) {
+func (l *Transport) read(ctx context.Context, c net.Conn) {
 	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
 	defer stop()
 	defer func() { _ = c.Close() }()
@@ -111,18 +111,18 @@
 	for {
 		n, size, err := s.read(r)
 		if err != nil {
-			if err != io.EOF && ctx.Err() == nil && Error.Has(err) && l.Bad != nil {
-				l.Bad(c.RemoteAddr().String(), err)
+			if err != io.EOF && ctx.Err() == nil && Error.Has(err) && l.OnError != nil {
+				l.OnError(c.RemoteAddr().String(), err)
 			}
 			return
 		}
 		if n.Fleet != l.Fleet {
-			if l.Bad != nil {
-				l.Bad(c.RemoteAddr().String(), Error.New("note of fleet %q, this is %q", n.Fleet, l.Fleet))
+			if l.OnError != nil {
+				l.OnError(c.RemoteAddr().String(), Error.New("note of fleet %q, this is %q", n.Fleet, l.Fleet))
 			}
 			return
 		}
-		l.Together(func() {
+		l.Coalesce(func() {
 			l.take(n, size)
 			for err == nil && whole(r) { // what came together is answered to together
 				if n, size, err = s.read(r); err == nil && n.Fleet == l.Fleet {
@@ -131,27 +131,27 @@
 			}
 		})
 		if err != nil {
-			if l.Bad != nil {
-				l.Bad(c.RemoteAddr().String(), err)
+			if l.OnError != nil {
+				l.OnError(c.RemoteAddr().String(), err)
 			}
 			return
 		}
 	}
 }
 
-func (l *Line) take(n message.Message, size int) {
+func (l *Transport) take(n message.Message, size int) {
 	if n.MaxFrameVersion >= message.CompactFrameVersion {
 		l.mu.Lock()
 		l.heard[n.Addr] = time.Now()
 		l.mu.Unlock()
 	}
-	if n.To != "" && n.To != l.Me.Ident || among(&l.Cut, n.Addr) || among(&l.Deaf, n.Addr) {
+	if n.To != "" && n.To != l.Self.Ident || among(&l.DropPeers, n.Addr) || among(&l.DropSenders, n.Addr) {
 		return
 	}
-	l.Got.Add(1)
+	l.Received.Add(1)
 	l.in(n.Kind, size)
 	at := time.Now()
-	l.Hear(n)
+	l.Receive(n)
 	l.took(n.Kind, time.Since(at))
 }
 
@@ -162,11 +162,11 @@
 }
 
 // late is how long a message to an address is held back, by the switches for tests.
-func (l *Line) late(addr string) (late time.Duration) {
-	if l.Far != nil {
-		late = l.Far(addr)
+func (l *Transport) late(addr string) (late time.Duration) {
+	if l.Latency != nil {
+		late = l.Latency(addr)
 	}
-	if most := l.Slow.Load(); most > 0 {
+	if most := l.MaxDelay.Load(); most > 0 {
 		late += time.Duration(rand.Int64N(most))
 	}
 	return late
@@ -175,11 +175,11 @@
 // Send puts a message on the line to an address.
 //
 // Example: line.Send(message.Envelope{Addr: "127.0.0.1:7001", Message: message})
-func (l *Line) Send(s message.Envelope) {
-	if among(&l.Cut, s.Addr) {
+func (l *Transport) Send(s message.Envelope) {
+	if among(&l.DropPeers, s.Addr) {
 		return
 	}
-	s.Message.Fleet, s.Message.From, s.Message.Epoch, s.Message.Addr = l.Fleet, l.Me.Ident, l.Epoch, l.Me.Addr
+	s.Message.Fleet, s.Message.From, s.Message.Epoch, s.Message.Addr = l.Fleet, l.Self.Ident, l.Epoch, l.Self.Addr
 	l.mu.Lock()
 	if l.ctx == nil {
 		l.mu.Unlock()
@@ -203,7 +203,7 @@
 		return
 	}
 	if !q.put(s.Message) {
-		l.Lost.Add(1)
+		l.Dropped.Add(1)
 		return
 	}
 	l.Sent.Add(1)
@@ -212,10 +212,10 @@
 	}
 }
 
-// Together runs a step whose messages to one address go out in one write.
+// Coalesce runs a step whose messages to one address go out in one write.
 //
-// Example: line.Together(func() { tickAll() })
-func (l *Line) Together(step func()) {
+// Example: line.Coalesce(func() { tickAll() })
+func (l *Transport) Coalesce(step func()) {
 	l.mu.Lock()
 	l.held++
 	l.mu.Unlock()
@@ -237,7 +237,7 @@
 	step()
 }
 
-func (l *Line) write(ctx context.Context, addr string, q *queue) {
+func (l *Transport) write(ctx context.Context, addr string, q *queue) {
 	var conn net.Conn
 	var w *bufio.Writer
 	var s spoken
@@ -271,14 +271,14 @@
 		}
 		if conn == nil {
 			if time.Since(fail) < 50*time.Millisecond {
-				l.Lost.Add(int64(len(list)))
+				l.Dropped.Add(int64(len(list)))
 				continue
 			}
 			dialled = time.Now()
 			c, err := dial.DialContext(ctx, "tcp", addr)
 			if err != nil {
 				fail = time.Now()
-				l.Lost.Add(int64(len(list)))
+				l.Dropped.Add(int64(len(list)))
 				continue
 			}
 			conn, w, s = c, bufio.NewWriterSize(c, buffer), spoken{}
@@ -293,8 +293,8 @@
 		for _, n := range list {
 			var b []byte
 			if b, err = s.pack(n, short); err != nil {
-				if l.Bad != nil {
-					l.Bad(addr, err)
+				if l.OnError != nil {
+					l.OnError(addr, err)
 				}
 				err = nil
 				continue
@@ -308,7 +308,7 @@
 			err = w.Flush()
 		}
 		if err != nil {
-			l.Lost.Add(int64(len(list)))
+			l.Dropped.Add(int64(len(list)))
 			shut()
 		}
 	}
--- a/wire/transport/transport_test.go
+++ b/wire/transport/transport_test.go
@@ -22,25 +22,25 @@
 }
 
 func TestBadFramesAreNamed(t *testing.T) {
-	good, err := Pack(sample())
+	good, err := EncodeFrame(sample())
 	if err != nil {
 		t.Fatal(err)
 	}
-	n, err := Read(bytes.NewReader(good))
+	n, err := ReadFrame(bytes.NewReader(good))
 	if err != nil || n.Records[0].Key != "plan/now" || n.VolumeEpoch.Term != 9 {
 		t.Fatalf("round trip: %+v %v", n, err)
 	}
 	odd := sample()
 	odd.Kind = 99
-	unknown, _ := Pack(odd)
+	unknown, _ := EncodeFrame(odd)
 	version := append([]byte(nil), good...)
 	version[0] = 7
 	long := append([]byte(nil), good...)
-	binary.BigEndian.PutUint32(long[1:], Most+1)
+	binary.BigEndian.PutUint32(long[1:], MaxFrameSize+1)
 	extra := append(append([]byte(nil), good...), 0xc0)
 	binary.BigEndian.PutUint32(extra[1:], uint32(len(extra)-5))
 	for what, b := range map[string][]byte{"cut short": good[:len(good)-4], "unknown kind 99": unknown, "wire version 7": version, "at most": long, "left over": extra} {
-		if _, err := Read(bytes.NewReader(b)); err == nil || !strings.Contains(err.Error(), what) {
+		if _, err := ReadFrame(bytes.NewReader(b)); err == nil || !strings.Contains(err.Error(), what) {
 			t.Errorf("%s: got %v", what, err)
 		}
 	}
@@ -48,14 +48,14 @@
 
 // One byte of a frame is changed at a time: it is read or refused, never more.
 func TestMutatedFrames(t *testing.T) {
-	good, _ := Pack(sample())
+	good, _ := EncodeFrame(sample())
 	rng := rand.New(rand.NewSource(1))
 	refused := 0
 	for i := 5; i < len(good); i++ {
 		for k := 0; k < 8; k++ {
 			b := append([]byte(nil), good...)
 			b[i] ^= byte(1 + rng.Intn(255))
-			if _, err := Read(bytes.NewReader(b)); err != nil {
+			if _, err := ReadFrame(bytes.NewReader(b)); err != nil {
 				refused++
 			}
 		}
@@ -65,7 +65,7 @@
 	}
 }
 
-// A connection whose bytes nobody acknowledges is given up after Dead: the
+// A connection whose bytes nobody acknowledges is given up after PeerTimeout: the
 // kernel doubles its pauses between retries, so that one which outlasted a cut
 // of seven seconds would be mute for six more after it has healed.
 func TestAnUnacknowledgedConnectionIsGivenUp(t *testing.T) {
@@ -75,7 +75,7 @@
 	}
 	defer func() { _ = ln.Close() }()
 	for _, dead := range []time.Duration{0, 1200 * time.Millisecond} {
-		line := &Line{Dead: dead}
+		line := &Transport{PeerTimeout: dead}
 		c, err := line.dialer().Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
