--- a/cmd/mulleinctl/main.go
+++ b/cmd/mulleinctl/main.go
@@ -263,14 +263,14 @@
 					if p.Node.Root {
 						up = "(root)"
 					}
-					for _, k := range p.Node.Kids {
+					for _, k := range p.Node.Children {
 						mark := ""
-						if k.Listed {
+						if k.Unreachable {
 							mark = "!"
 						}
-						kids = append(kids, fmt.Sprintf("%s%s(%d)", k.Replica.Addr, mark, k.Left))
+						kids = append(kids, fmt.Sprintf("%s%s(%d)", k.Replica.Addr, mark, k.LeaseLeft))
 					}
-					rows = append(rows, []any{p.Partition, web, up, p.Node.Left, len(p.Node.Objs), strings.Join(kids, " ")})
+					rows = append(rows, []any{p.Partition, web, up, p.Node.LeaseLeft, len(p.Node.Records), strings.Join(kids, " ")})
 				}
 			}
 		}
--- a/control/clock/clock_test.go
+++ b/control/clock/clock_test.go
@@ -6,7 +6,7 @@
 )
 
 // A suspend shows as a leap: timers stood still, the clock did not.
-func TestTheClockGoesOnInASuspend(t *testing.T) {
+func TestClockRunsOnDuringSuspend(t *testing.T) {
 	c := New()
 	till := c.Now() + time.Second // a lease
 	c.Leap(2 * time.Second)
--- a/control/daemon/call.go
+++ b/control/daemon/call.go
@@ -70,12 +70,12 @@
 	s.mu.Unlock()
 	out.Away = out.Lapsed > c.Cfg.QuorumConfig().LeaderLease
 	v := c.View()
-	for _, l := range v.Torn() {
+	for _, l := range v.PartitionedFrom() {
 		if l.At+2*c.Cfg.Sessions().SessionTimeout >= c.Now()-out.Lapsed { // by the same cut
 			out.Others = append(out.Others, l.Member)
 		}
 	}
-	if len(out.Others) > 0 || v.Live {
+	if len(out.Others) > 0 || v.HasSession {
 		return out // none: nobody has a leader, as far as this daemon knows
 	}
 	for _, m := range v.Members {
--- a/control/daemon/config.go
+++ b/control/daemon/config.go
@@ -320,7 +320,7 @@
 func (c Config) Leases() lease.Config {
 	return lease.Config{
 		VolumeLease: c.Vol(), ObjectLease: 600 * c.Vol(), Drift: c.Drift, Margin: c.margin(), RenewInterval: c.Vol() / 3,
-		Gain: fraction(c.Bounds.Plan, 0.01), Span: 5 * c.Vol(), Most: 2000,
+		MinGain: fraction(c.Bounds.Plan, 0.01), LoadInterval: 5 * c.Vol(), MaxRenewals: 2000,
 	}
 }
 
@@ -352,7 +352,7 @@
 //
 // Example: r := membership.New(c.Sessions(), me, c.Seeds)
 func (c Config) Sessions() membership.Config {
-	return membership.Config{SessionTimeout: fraction(c.Bounds.Plan, 0.6), HeartbeatInterval: fraction(c.Bounds.Plan, 0.1), Small: 3, Losses: c.Losses, First: c.First}
+	return membership.Config{SessionTimeout: fraction(c.Bounds.Plan, 0.6), HeartbeatInterval: fraction(c.Bounds.Plan, 0.1), MinRelayZone: 3, ToleratedLosses: c.Losses, FirstStart: c.First}
 }
 
 // Works is the config of the servers' holder.
--- a/control/daemon/contact_test.go
+++ b/control/daemon/contact_test.go
@@ -25,12 +25,12 @@
 		away bool
 		to   []string
 	}{
-		{"in touch", 0, &membership.View{Live: true, Members: []message.Member{disk("a"), disk("b")}}, false, nil},
-		{"lapsed just now", cfg.Vol() + time.Second, &membership.View{Live: true, Members: []message.Member{disk("a"), disk("b")}}, false, nil},
-		{"nobody has a leader", 2 * cfg.QuorumConfig().LeaderLease, &membership.View{Live: true, Members: []message.Member{disk("a"), disk("b")}}, true, nil},
+		{"in touch", 0, &membership.View{HasSession: true, Members: []message.Member{disk("a"), disk("b")}}, false, nil},
+		{"lapsed just now", cfg.Vol() + time.Second, &membership.View{HasSession: true, Members: []message.Member{disk("a"), disk("b")}}, false, nil},
+		{"nobody has a leader", 2 * cfg.QuorumConfig().LeaderLease, &membership.View{HasSession: true, Members: []message.Member{disk("a"), disk("b")}}, true, nil},
 		{"no session", 0, &membership.View{Members: []message.Member{disk("a"), {Ident: "x", Addr: "x"}, disk("b")}}, true, []string{"a", "b"}},
-		{"others are lost", 0, &membership.View{Live: true, Members: []message.Member{disk("a")}, Lost: []membership.Lost{{Member: disk("c"), At: c.Now() + 3*cfg.Vol()}}}, true, []string{"c"}},
-		{"lost long before", 10 * session, &membership.View{Live: true, Members: []message.Member{disk("a")}, Lost: []membership.Lost{{Member: disk("c"), At: cfg.Vol() - 3*session}}}, true, nil},
+		{"others are lost", 0, &membership.View{HasSession: true, Members: []message.Member{disk("a")}, Lost: []membership.LostDaemon{{Member: disk("c"), At: c.Now() + 3*cfg.Vol()}}}, true, []string{"c"}},
+		{"lost long before", 10 * session, &membership.View{HasSession: true, Members: []message.Member{disk("a")}, Lost: []membership.LostDaemon{{Member: disk("c"), At: cfg.Vol() - 3*session}}}, true, nil},
 	} {
 		c.clock.Leap(x.wait)
 		c.view.Store(x.view)
--- a/control/daemon/daemon.go
+++ b/control/daemon/daemon.go
@@ -180,9 +180,9 @@
 			replica = quorum.New(cfg.QuorumConfig(), p, c.me, folder, h.Meta, h.Records, now, h.Meta.Group.Number == 0)
 		}
 		node := lease.New(cfg.Leases(), p, c.me, c.epoch)
-		node.UseCodec(fleetconfig.Codec{}, lease.LeastDelta)
+		node.UseCodec(fleetconfig.Codec{}, lease.MinPatchedLength)
 		p := p
-		node.Relay = func(id string) message.Replica {
+		node.RelayOf = func(id string) message.Replica {
 			v := c.View()
 			if m, ok := v.Find(id); ok {
 				return v.Relay(p, m.Zone)
@@ -190,7 +190,7 @@
 			return message.Replica{}
 		}
 		m := leader.New(leader.Config{Works: cfg.Works(), Keep: cfg.Keep(), Again: cfg.Again(), Reads: c.formatRead}, p, c.me, partition.New(p, c.me, c.epoch, replica, node))
-		c.shards = append(c.shards, &shard{partition: p, Controller: m, guide: membership.ParentChooser{Partition: p, Vol: cfg.Vol()}})
+		c.shards = append(c.shards, &shard{partition: p, Controller: m, guide: membership.ParentChooser{Partition: p, VolumeLease: cfg.Vol()}})
 	}
 	c.Pin(0, fleetconfig.PlanKey)
 	c.Pin(0, fleetconfig.ZoneKey)
--- a/control/daemon/handover.go
+++ b/control/daemon/handover.go
@@ -20,7 +20,7 @@
 	v := c.View()
 	for _, s := range c.shards {
 		s.mu.Lock()
-		if replica := s.Partition().Replica; replica != nil && v.HandsOver(replica.Group()) {
+		if replica := s.Partition().Replica; replica != nil && v.MustHandOver(replica.Group()) {
 			n++
 		}
 		s.mu.Unlock()
--- a/control/daemon/operate.go
+++ b/control/daemon/operate.go
@@ -89,7 +89,7 @@
 			return
 		}
 		known := false
-		for range c.View().In(zone) {
+		for range c.View().MembersIn(zone) {
 			known = true
 		}
 		if !known { // carried out all the same: it may have servers and no daemon
@@ -180,7 +180,7 @@
 		return "the state in " + c.Cfg.Data + " is superseded: " + why
 	case c.stop.Load():
 		return "stopping"
-	case !c.View().Live:
+	case !c.View().HasSession:
 		return "no session with a control daemon; asked at the seeds " + strings.Join(c.Cfg.Seeds, ", ")
 	}
 	for _, s := range c.shards {
@@ -258,7 +258,7 @@
 // Example: json.Marshal(c.State())
 func (c *Daemon) State() State {
 	v := c.View()
-	st := State{Superseded: c.WhySuperseded(), Fleet: c.Cfg.Fleet, Me: v.Me, Members: v.Members, Live: v.Live, Zones: []string{}, Wire: [3]int64{c.Line.Sent.Load(), c.Line.Received.Load(), c.Line.Dropped.Load()}}
+	st := State{Superseded: c.WhySuperseded(), Fleet: c.Cfg.Fleet, Me: v.Me, Members: v.Members, Live: v.HasSession, Zones: []string{}, Wire: [3]int64{c.Line.Sent.Load(), c.Line.Received.Load(), c.Line.Dropped.Load()}}
 	_, st.Plan, st.PlanOK = c.Plan()
 	if r, ok := c.Read(0, fleetconfig.ZoneKey); ok {
 		for zone := range fleetconfig.Zones(r) {
--- a/control/daemon/shard.go
+++ b/control/daemon/shard.go
@@ -53,11 +53,11 @@
 		tell("leader", "partition %d: leadership lost", s.partition)
 	}
 	if o.Orphaned {
-		s.guide.Orphaned(c.Now())
+		s.guide.FallBackToLeader(c.Now())
 		c.Events.Record("tree", "partition %d: parent %s can't serve", s.partition, s.Partition().Node.Parent().Addr)
 	}
 	if o.Redirect.Ident != "" {
-		s.guide.Steered(c.Now(), o.Redirect)
+		s.guide.FollowRedirect(c.Now(), o.Redirect)
 		c.Events.Record("tree", "partition %d: steered to %s", s.partition, o.Redirect.Addr)
 	}
 	if s.partition == 0 {
@@ -176,7 +176,7 @@
 	if rec, ok := s.Partition().Node.Get(now, key); ok {
 		return rec, c.readable(s, rec)
 	}
-	rec, lapsed, ok := s.Partition().Node.Last(now, key)
+	rec, lapsed, ok := s.Partition().Node.LastKnown(now, key)
 	return rec, ok && now < lapsed+c.Cfg.Overrun() && c.readable(s, rec)
 }
 
@@ -293,7 +293,7 @@
 	if p := s.guide.Parent(now, v); p != s.Partition().Node.Parent() && !s.Partition().Node.IsRoot() {
 		c.carry(s, s.SetParent(now, p))
 	}
-	for _, m := range s.guide.Hints(s.Partition().Node.HasVolumeLease(now), s.Partition().Node.VolumeEpoch(), v) {
+	for _, m := range s.guide.ReturnRedirects(s.Partition().Node.HasVolumeLease(now), s.Partition().Node.VolumeEpoch(), v) {
 		c.Line.Send(m)
 	}
 }
--- a/control/daemon/switches.go
+++ b/control/daemon/switches.go
@@ -62,7 +62,7 @@
 	st := c.State()
 	held := 0
 	for _, p := range st.Partitions {
-		if p.Mine || p.Node.Left > 0 {
+		if p.Mine || p.Node.LeaseLeft > 0 {
 			held++
 		}
 	}
--- a/control/leader/job.go
+++ b/control/leader/job.go
@@ -100,7 +100,7 @@
 		id, base, number = named.ID, named.Base, named.Number
 		next = func(p fleetconfig.Plan) (fleetconfig.Plan, fleetconfig.Faults) { return p.With(named) }
 	}
-	return partition.Job{Keys: []string{fleetconfig.PlanKey}, Mergeable: true, Build: func(read lease.Source) ([]message.Record, any) {
+	return partition.Job{Keys: []string{fleetconfig.PlanKey}, Mergeable: true, Build: func(read lease.RecordSource) ([]message.Record, any) {
 		unread := ""
 		readable := func(p fleetconfig.Plan) (fleetconfig.Plan, fleetconfig.Faults) {
 			out, f := next(p)
@@ -121,7 +121,7 @@
 }
 
 func zoneJob(op, zone string) partition.Job {
-	return partition.Job{Keys: []string{fleetconfig.ZoneKey}, Build: func(read lease.Source) ([]message.Record, any) {
+	return partition.Job{Keys: []string{fleetconfig.ZoneKey}, Build: func(read lease.RecordSource) ([]message.Record, any) {
 		out, err := fleetconfig.ReadZones(read(fleetconfig.ZoneKey))
 		if err != nil {
 			return nil, notClear(err)
@@ -137,7 +137,7 @@
 // replicaJob changes the replicas that an operator wants: those that were wanted
 // before, or as the group has become since.
 func replicaJob(in ReplicaCall, now []message.Replica) partition.Job {
-	return partition.Job{Keys: []string{fleetconfig.ReplicaKey}, Build: func(read lease.Source) ([]message.Record, any) {
+	return partition.Job{Keys: []string{fleetconfig.ReplicaKey}, Build: func(read lease.RecordSource) ([]message.Record, any) {
 		replicas, err := readReplicas(read(fleetconfig.ReplicaKey))
 		if err != nil {
 			return nil, notClear(err)
@@ -164,7 +164,7 @@
 func listJob(in ServersCall) partition.Job {
 	key := fleetconfig.ListKey(in.Service)
 	val := leadercall.Pack(in.List)
-	return partition.Job{Keys: []string{key}, Build: func(read lease.Source) ([]message.Record, any) {
+	return partition.Job{Keys: []string{key}, Build: func(read lease.RecordSource) ([]message.Record, any) {
 		if cur := read(key); !cur.Deleted {
 			if string(cur.Value) == string(val) {
 				return nil, done
@@ -182,7 +182,7 @@
 // other requests had the key since.
 func claimJob(op string, in ClaimCall) partition.Job {
 	key := OnceKey(in.Key)
-	return partition.Job{Keys: []string{key}, Build: func(read lease.Source) ([]message.Record, any) {
+	return partition.Job{Keys: []string{key}, Build: func(read lease.RecordSource) ([]message.Record, any) {
 		var cur leadercall.Claim
 		r := read(key)
 		if !r.Deleted {
--- a/control/leader/leader.go
+++ b/control/leader/leader.go
@@ -344,7 +344,7 @@
 	}
 	val := leadercall.Pack(m.marks[0].ver)
 	m.marks = m.marks[1:]
-	o.add(m.Do(now, partition.Job{Keys: []string{quorum.FloorKey}, Build: func(lease.Source) ([]message.Record, any) {
+	o.add(m.Do(now, partition.Job{Keys: []string{quorum.FloorKey}, Build: func(lease.RecordSource) ([]message.Record, any) {
 		return []message.Record{{Key: quorum.FloorKey, Value: val}}, nil
 	}}, nil))
 }
@@ -384,7 +384,7 @@
 }
 
 func (m *Controller) writeServerRecord(now time.Duration, h *placement.Controller, w placement.Write) Out {
-	return m.Do(now, partition.Job{Keys: []string{w.Key}, Build: func(lease.Source) ([]message.Record, any) {
+	return m.Do(now, partition.Job{Keys: []string{w.Key}, Build: func(lease.RecordSource) ([]message.Record, any) {
 		return []message.Record{{Key: w.Key, Value: w.Val, Deleted: w.Gone}}, nil
 	}}, func(r partition.Result) {
 		b, _ := placement.OpenServerRecord(message.Record{Key: w.Key, Value: w.Val, Deleted: w.Gone})
--- a/control/leader/once.go
+++ b/control/leader/once.go
@@ -132,7 +132,7 @@
 	if a.call == "" {
 		return j
 	}
-	return partition.Job{Keys: append([]string{callsKey}, j.Keys...), Build: func(read lease.Source) ([]message.Record, any) {
+	return partition.Job{Keys: append([]string{callsKey}, j.Keys...), Build: func(read lease.RecordSource) ([]message.Record, any) {
 		past, err := readCalls(read(callsKey))
 		if err != nil {
 			return nil, notClear(err)
@@ -170,7 +170,7 @@
 	if err != nil || !slices.ContainsFunc(past, func(p pastCall) bool { return p.What != "" && !m.orders.open(p) }) {
 		return
 	}
-	o.add(m.Do(now, partition.Job{Keys: []string{callsKey}, Build: func(read lease.Source) ([]message.Record, any) {
+	o.add(m.Do(now, partition.Job{Keys: []string{callsKey}, Build: func(read lease.RecordSource) ([]message.Record, any) {
 		past, err := readCalls(read(callsKey))
 		if err != nil {
 			return nil, nil
--- a/control/leader/once_test.go
+++ b/control/leader/once_test.go
@@ -150,7 +150,7 @@
 func TestALateReplicaOrListUndoesNothing(t *testing.T) {
 	a := open(t, 0, nil)
 	replicas := []message.Replica{self, {Ident: "b", Addr: "10.0.0.2:1"}, {Ident: "c", Addr: "10.0.0.3:1"}}
-	a.carry(a.m.Do(a.now, partition.Job{Keys: []string{fleetconfig.ReplicaKey}, Build: func(lease.Source) ([]message.Record, any) {
+	a.carry(a.m.Do(a.now, partition.Job{Keys: []string{fleetconfig.ReplicaKey}, Build: func(lease.RecordSource) ([]message.Record, any) {
 		return []message.Record{{Key: fleetconfig.ReplicaKey, Value: leadercall.Pack(replicas)}}, nil
 	}}, func(partition.Result) {}))
 	move := func(out, in string) []byte {
--- a/control/lease/cutoff_test.go
+++ b/control/lease/cutoff_test.go
@@ -9,7 +9,7 @@
 
 // A node that goes by last records, and a root whose lease has ended, hand
 // nothing on to those below: no lease, no record and no confirmation of one.
-func TestNothingIsHandedOnWithoutALease(t *testing.T) {
+func TestNothingIsGrantedWithoutALease(t *testing.T) {
 	for _, root := range []bool{false, true} {
 		l := newLeaf("k")
 		if root {
--- a/control/lease/delta.go
+++ b/control/lease/delta.go
@@ -25,9 +25,9 @@
 	Whole(kept []byte) []byte
 }
 
-// LeastDelta is the length below which values are sent whole: a patch has a head,
+// MinPatchedLength is the length below which values are sent whole: a patch has a head,
 // too.
-const LeastDelta = 256
+const MinPatchedLength = 256
 
 // mostLinks is how many changes of a record a parent has patches for.
 const mostLinks = 32
@@ -52,7 +52,7 @@
 
 // UseCodec has changes go down as patches, of values of a length at least.
 //
-// Example: node.UseCodec(fleetconfig.Codec{}, lease.LeastDelta)
+// Example: node.UseCodec(fleetconfig.Codec{}, lease.MinPatchedLength)
 func (n *Node) UseCodec(c Codec, least int) {
 	n.least = least
 	n.codec, n.bases, n.links, n.whole = c, map[string]base{}, map[string][]message.Patch{}, map[string]message.Record{}
--- a/control/lease/delta_test.go
+++ b/control/lease/delta_test.go
@@ -14,7 +14,7 @@
 	"mulleinmast/wire/message"
 )
 
-var bounds = lease.Config{VolumeLease: 800 * time.Millisecond, ObjectLease: 48 * time.Second, Drift: 0.02, Margin: 20 * time.Millisecond, RenewInterval: 266 * time.Millisecond, Span: 4 * time.Second, Most: 2000}
+var bounds = lease.Config{VolumeLease: 800 * time.Millisecond, ObjectLease: 48 * time.Second, Drift: 0.02, Margin: 20 * time.Millisecond, RenewInterval: 266 * time.Millisecond, LoadInterval: 4 * time.Second, MaxRenewals: 2000}
 
 // forest is a root, relays below it and leaves below these; messages arrive at once.
 type forest struct {
@@ -183,10 +183,10 @@
 
 // A change costs each daemon what it changes: at most three times the change and 200
 // bytes, of a plan of 84 routes and of 1,500; made once, at the root.
-func TestAChangeCostsWhatItChanges(t *testing.T) {
+func TestAChangeIsSentAsAPatch(t *testing.T) {
 	for _, count := range []int{84, 1500} {
 		made := 0
-		f := plant(t, all(counting{made: &made}, "root", "relay", "leaf-1", "leaf-2", "leaf-3"), lease.LeastDelta, zone)
+		f := plant(t, all(counting{made: &made}, "root", "relay", "leaf-1", "leaf-2", "leaf-3"), lease.MinPatchedLength, zone)
 		f.write(routes(t, count, 0))
 		f.pass(time.Second)
 		f.serves("at first")
@@ -214,9 +214,9 @@
 
 // A daemon that was away for some changes gets them in a row, one that was away for
 // more than are remembered gets the whole.
-func TestADaemonThatWasAway(t *testing.T) {
+func TestAReturningDaemonGetsPatchesInARow(t *testing.T) {
 	for _, x := range []struct{ missed, whole int }{{1, 0}, {20, 0}, {40, 1}} {
-		f := plant(t, all(fleetconfig.Codec{}, "root", "relay", "leaf-1", "leaf-2", "leaf-3"), lease.LeastDelta, zone)
+		f := plant(t, all(fleetconfig.Codec{}, "root", "relay", "leaf-1", "leaf-2", "leaf-3"), lease.MinPatchedLength, zone)
 		f.write(routes(t, 300, 0))
 		f.pass(time.Second)
 		away := f.nodes["leaf-1"]
@@ -238,8 +238,8 @@
 
 // A patch that is spoilt on its way is no record: the whole is asked for, and nothing
 // else is ever served.
-func TestASpoiltPatchIsNoRecord(t *testing.T) {
-	f := plant(t, all(fleetconfig.Codec{}, "root", "relay", "leaf-1", "leaf-2", "leaf-3"), lease.LeastDelta, zone)
+func TestACorruptPatchIsNotServed(t *testing.T) {
+	f := plant(t, all(fleetconfig.Codec{}, "root", "relay", "leaf-1", "leaf-2", "leaf-3"), lease.MinPatchedLength, zone)
 	f.write(routes(t, 300, 0))
 	f.pass(time.Second)
 	for n, spoil := range []func(l *message.Patch){
@@ -273,11 +273,11 @@
 
 // Parents and children of a build that knows of no patches are sent, and send, what
 // is whole.
-func TestABuildWithoutPatches(t *testing.T) {
+func TestABuildWithoutPatchesGetsWholeRecords(t *testing.T) {
 	for _, old := range []string{"root", "relay", "leaf-1"} {
 		codecs := all(fleetconfig.Codec{}, "root", "relay", "leaf-1", "leaf-2", "leaf-3")
 		delete(codecs, old)
-		f := plant(t, codecs, lease.LeastDelta, zone)
+		f := plant(t, codecs, lease.MinPatchedLength, zone)
 		for n := range 4 {
 			f.write(routes(t, 300, n))
 			f.pass(time.Second)
@@ -288,7 +288,7 @@
 
 // A record that is asked for anew before its lease ends isn't sent again.
 func TestARenewedRecordIsNotSentAgain(t *testing.T) {
-	f := plant(t, all(fleetconfig.Codec{}, "root", "relay", "leaf-1", "leaf-2", "leaf-3"), lease.LeastDelta, zone)
+	f := plant(t, all(fleetconfig.Codec{}, "root", "relay", "leaf-1", "leaf-2", "leaf-3"), lease.MinPatchedLength, zone)
 	f.write(routes(t, 300, 0))
 	f.pass(time.Second)
 	clear(f.bytes)
@@ -308,10 +308,10 @@
 func (broken) Apply(_, _ []byte) ([]byte, error) { return nil, errors.New("can't") }
 
 // A daemon that can't apply any patch serves all the same: it gets the whole each time.
-func TestADaemonThatAppliesNothing(t *testing.T) {
+func TestADaemonThatCannotApplyPatchesGetsWholeRecords(t *testing.T) {
 	codecs := all(fleetconfig.Codec{}, "root", "relay", "leaf-1", "leaf-2", "leaf-3")
 	codecs["leaf-2"], codecs["relay"] = broken{}, broken{}
-	f := plant(t, codecs, lease.LeastDelta, zone)
+	f := plant(t, codecs, lease.MinPatchedLength, zone)
 	for n := range 5 {
 		f.write(routes(t, 300, n))
 		f.pass(time.Second)
--- a/control/lease/gen_test.go
+++ b/control/lease/gen_test.go
@@ -12,7 +12,7 @@
 // A snapshot that was read at the root stands only while Gen is the same, so
 // holding a record must change it, and so must freeing it: the leader's own
 // reads once went on from a list that was being written.
-func TestGenTellsOfARecordThatIsHeldAtTheRoot(t *testing.T) {
+func TestGenerationChangesWhenARootRecordIsSuspended(t *testing.T) {
 	n := New(cfg, 0, message.Replica{Ident: "p", Addr: "p"}, 1)
 	n.BecomeRoot(1, func(key string) message.Record { return message.Record{Key: key} }, func() time.Duration { return time.Hour })
 	before := n.Generation()
@@ -36,7 +36,7 @@
 
 // As long as Gen is the same and Until has not passed, what was read stands;
 // whatever a node goes through.
-func TestWhatWasReadStandsWhileGenIsTheSame(t *testing.T) {
+func TestReadsStayValidWhileGenerationIsUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := map[string]uint64{"a": 1, "b": 1}
 		n := New(cfg, 0, message.Replica{Ident: "c", Addr: "c"}, 1)
--- a/control/lease/golden_test.go
+++ b/control/lease/golden_test.go
@@ -215,10 +215,10 @@
 		}
 		lapsed, lasts := n.Lapsed(r.now)
 		fmt.Fprintf(r.log, "%v %s: %s parent %q cost %v till %v until %v lapsed %v %v changes %d whole %d\n", r.now, name, view,
-			n.Parent().Ident, n.Cost(), n.VolumeExpiry()-r.now, n.ValidUntil()-r.now, lapsed, lasts, n.SentChanges, n.SentWhole)
+			n.Parent().Ident, n.RenewCost(), n.VolumeExpiry()-r.now, n.ValidUntil()-r.now, lapsed, lasts, n.SentChanges, n.SentWhole)
 		for _, key := range keys {
 			rec, ok := n.Get(r.now, key)
-			last, at, lasts := n.Last(r.now, key)
+			last, at, lasts := n.LastKnown(r.now, key)
 			fmt.Fprintf(r.log, "  %s: %v %v %v %.20q, last %v %v %v\n", key, ok, rec.Version, rec.Deleted, rec.Value, lasts, last.Version, at)
 		}
 	}
@@ -367,7 +367,7 @@
 // the children of a relay to it.
 func recordRedirects(t *testing.T, log *strings.Builder) {
 	cfg := goldenBounds
-	cfg.Span, cfg.Most, cfg.Gain = time.Second, 2000, 5*time.Millisecond
+	cfg.LoadInterval, cfg.MaxRenewals, cfg.MinGain = time.Second, 2000, 5*time.Millisecond
 	r := zoneOfTwo(t, cfg, log)
 	r.delay = func(from, to string) time.Duration {
 		if from == "root" || to == "root" {
@@ -380,9 +380,9 @@
 	r.show()
 
 	for _, most := range []int{2000, 3} {
-		cfg.Most = most
+		cfg.MaxRenewals = most
 		r = zoneOfTwo(t, cfg, log)
-		r.nodes["root"].Relay = func(ident string) message.Replica {
+		r.nodes["root"].RelayOf = func(ident string) message.Replica {
 			if ident == "a" || ident == "b" {
 				return goldenReplica("relay")
 			}
@@ -406,7 +406,7 @@
 // changes of the leader and of parents; the log says each second's checksum only.
 func recordRandom(t *testing.T, seed int64, log *strings.Builder) {
 	cfg := goldenBounds
-	cfg.Span, cfg.Most, cfg.Gain = time.Second, 12, 2*time.Millisecond
+	cfg.LoadInterval, cfg.MaxRenewals, cfg.MinGain = time.Second, 12, 2*time.Millisecond
 	var messages strings.Builder
 	r := newRecorder(t, cfg, &messages)
 	rng := rand.New(rand.NewSource(seed))
@@ -416,7 +416,7 @@
 	}
 	for _, name := range names {
 		r.start(name, keys[rng.Intn(3)], keys[rng.Intn(3)])
-		r.nodes[name].Relay = func(ident string) message.Replica { return goldenReplica("relay") }
+		r.nodes[name].RelayOf = func(ident string) message.Replica { return goldenReplica("relay") }
 	}
 	leader, term, tag := "root", uint64(1), uint64(1)
 	r.lead(leader, term)
@@ -450,7 +450,7 @@
 			// A relay with two incarnations has two RenewCosts; which one counts is the map's choice.
 			if name != leader && name != "relay" {
 				r.start(name, key)
-				r.nodes[name].Relay = func(string) message.Replica { return goldenReplica("relay") }
+				r.nodes[name].RelayOf = func(string) message.Replica { return goldenReplica("relay") }
 				r.adopt(name, leader)
 			}
 		case 6, 7:
--- a/control/lease/last_test.go
+++ b/control/lease/last_test.go
@@ -74,14 +74,14 @@
 }
 
 func (l *leaf) last(key string) bool {
-	_, _, ok := l.Last(l.now, key)
+	_, _, ok := l.LastKnown(l.now, key)
 	return ok
 }
 
 // What a node holds is served beyond its leases when renewals were asked for in
 // vain for half a beat, and not before: who runs goes on without a gap, who was
 // frozen asks first. Nothing of it while the leases stand.
-func TestLastOnlyAfterARenewalWasAskedForInVain(t *testing.T) {
+func TestLastKnownOnlyAfterAnUnansweredRenewal(t *testing.T) {
 	l := newLeaf("k")
 	l.mute = true
 	for till := l.VolumeExpiry(); l.now < till; l.run(l.now + 1) {
@@ -92,7 +92,7 @@
 	if _, ok := l.Get(l.now, "k"); ok {
 		t.Fatal("served without a lease")
 	}
-	if r, at, ok := l.Last(l.now, "k"); !ok || at != l.VolumeExpiry() || r.Version != l.recs["k"].Version {
+	if r, at, ok := l.LastKnown(l.now, "k"); !ok || at != l.VolumeExpiry() || r.Version != l.recs["k"].Version {
 		t.Errorf("renewals were in vain since %v, it is %v: %v %v %v", l.asked, l.now, r.Version, at, ok)
 	}
 	l.run(l.now + time.Minute/2)
@@ -125,7 +125,7 @@
 }
 
 // A record that was withdrawn is never served again, in whichever way that was.
-func TestLastNeverServesAWithdrawnRecord(t *testing.T) {
+func TestLastKnownNeverServesAWithdrawnRecord(t *testing.T) {
 	for what, f := range map[string]func(*leaf){
 		"invalidated under leases": func(l *leaf) {
 			l.mute = true
@@ -169,7 +169,7 @@
 
 // The root serves by its leadership alone. When that has ended it knows what it last
 // read, though not what was being written, nor what a later leader brought it.
-func TestLastRecordsOfAFormerLeader(t *testing.T) {
+func TestLastKnownRecordsOfAFormerLeader(t *testing.T) {
 	store := map[string]message.Record{}
 	for _, k := range []string{"k", "held", "later"} {
 		store[k] = message.Record{Key: k, Version: message.Version{Term: 4, Seq: 1}, Value: []byte("old")}
@@ -193,7 +193,7 @@
 		t.Error("it asked nobody yet")
 	}
 	l.run(l.now + cfg.RenewInterval)
-	if r, at, ok := l.Last(l.now, "k"); !ok || string(r.Value) != "old" || at != lease {
+	if r, at, ok := l.LastKnown(l.now, "k"); !ok || string(r.Value) != "old" || at != lease {
 		t.Errorf("a former leader: %q, lapsed at %v, %v", r.Value, at, ok)
 	}
 	for _, k := range []string{"held", "later"} {
@@ -208,7 +208,7 @@
 	l.run(l.now + cfg.RenewInterval)
 	l.mute = true
 	l.run(l.now + 3*cfg.VolumeLease)
-	if r, at, ok := l.Last(l.now, "k"); !ok || r.Version.Seq != 9 || at <= lease {
+	if r, at, ok := l.LastKnown(l.now, "k"); !ok || r.Version.Seq != 9 || at <= lease {
 		t.Errorf("after the next leader: %v, lapsed at %v, %v", r.Version, at, ok)
 	}
 }
--- a/control/lease/lease.go
+++ b/control/lease/lease.go
@@ -24,17 +24,17 @@
 	Drift         float64
 	Margin        time.Duration
 	RenewInterval time.Duration // renew and resend interval
-	Gain          time.Duration // what a join or split must save
-	Span          time.Duration // interval over which hits are counted
-	Most          int           // renewals in a Span above which a parent is loaded
+	MinGain       time.Duration // what a join or split must save
+	LoadInterval  time.Duration // interval over which hits are counted
+	MaxRenewals   int           // renewals in a Span above which a parent is loaded
 }
 
 func (c Config) wait(d time.Duration) time.Duration {
 	return d + time.Duration(float64(d)*c.Drift) + c.Margin
 }
 
-// Source reads the root's committed records.
-type Source func(key string) message.Record
+// RecordSource reads the root's committed records.
+type RecordSource func(key string) message.Record
 
 // Out is what a step asks for.
 type Out struct {
@@ -80,7 +80,7 @@
 	epoch     uint64
 
 	root  bool
-	src   Source
+	src   RecordSource
 	lease func() time.Duration
 	term  uint64
 	held  map[string]int
@@ -134,7 +134,7 @@
 // BecomeRoot makes this node the root: src reads its records, lease is the leader lease.
 //
 // Example: n.BecomeRoot(replica.Term(), src, replica.LeaseEnd)
-func (n *Node) BecomeRoot(term uint64, src Source, lease func() time.Duration) {
+func (n *Node) BecomeRoot(term uint64, src RecordSource, lease func() time.Duration) {
 	n.clear()
 	n.gen++
 	n.root, n.term, n.src, n.lease = true, term, src, lease
@@ -189,13 +189,13 @@
 	return n.till
 }
 
-// Last is a record whose volume lease lapsed, and when, if it was not withdrawn
+// LastKnown is a record whose volume lease lapsed, and when, if it was not withdrawn
 // since: the last that this node knows. It is no lease: only what may go by
 // old records while the leader can't be reached may use it, and for how long is
 // its user's to bound.
 //
-// Example: if rec, at, ok := n.Last(now, "plan/now"); ok && now-at < bound { route(rec) }
-func (n *Node) Last(now time.Duration, key string) (rec message.Record, lapsed time.Duration, ok bool) {
+// Example: if rec, at, ok := n.LastKnown(now, "plan/now"); ok && now-at < bound { route(rec) }
+func (n *Node) LastKnown(now time.Duration, key string) (rec message.Record, lapsed time.Duration, ok bool) {
 	c, held := n.objs[key]
 	lapsed, ok = n.Lapsed(now)
 	return c.rec, lapsed, ok && held && c.till >= lapsed && n.sweeps[key] == nil
--- a/control/lease/lease_test.go
+++ b/control/lease/lease_test.go
@@ -12,7 +12,7 @@
 // Reconnects that overlap each drop what came by a grant since the other's
 // list went out, and once did so for ever with the lease valid all the while:
 // one list at a time, and the record is fetched again.
-func TestOverlappingReconnects(t *testing.T) {
+func TestOverlappingReconnectsKeepGrantedRecords(t *testing.T) {
 	child := New(cfg, 0, message.Replica{Ident: "c", Addr: "c"}, 1)
 	mark := message.VolumeEpoch{Ident: "p", Epoch: 1}
 	no := uint64(0)
@@ -55,7 +55,7 @@
 
 // What was meant for an earlier life of the child is not taken by the next:
 // the granter would invalidation it there.
-func TestGrantForAnEarlierLife(t *testing.T) {
+func TestGrantForAnEarlierIncarnationIsIgnored(t *testing.T) {
 	for epoch, want := range map[uint64]bool{1: false, 2: true} {
 		child := New(cfg, 0, message.Replica{Ident: "c", Addr: "c"}, 2)
 		mark := message.VolumeEpoch{Ident: "p", Epoch: 1}
--- a/control/lease/shape.go
+++ b/control/lease/shape.go
@@ -16,11 +16,11 @@
 	asked int
 	local int
 	from  time.Duration
-	// Relay tells which skipped child (static relay) a child would go through;
+	// RelayOf tells which skipped child (static relay) a child would go through;
 	// set by the daemon from the member list.
-	Relay func(ident string) message.Replica
-	skip  map[message.Replica]*ghost
-	moved time.Duration
+	RelayOf func(ident string) message.Replica
+	skip    map[message.Replica]*ghost
+	moved   time.Duration
 }
 
 // ghost simulates a skipped static child.
@@ -31,13 +31,13 @@
 }
 
 func (s Shape) fresh() Shape {
-	return Shape{cost: s.cost, Relay: s.Relay, skip: map[message.Replica]*ghost{}}
+	return Shape{cost: s.cost, RelayOf: s.RelayOf, skip: map[message.Replica]*ghost{}}
 }
 
-// Cost is RenewCost at the parent, smoothed.
+// RenewCost is RenewCost at the parent, smoothed.
 //
-// Example: if n.Cost() > 20*time.Millisecond { look() }
-func (n *Node) Cost() time.Duration { return n.cost }
+// Example: if n.RenewCost() > 20*time.Millisecond { look() }
+func (n *Node) RenewCost() time.Duration { return n.cost }
 
 // costed records a measured renewal at the parent.
 func (n *Node) costed(d time.Duration) {
@@ -54,10 +54,10 @@
 	if local {
 		n.local++
 	}
-	if n.Relay == nil {
+	if n.RelayOf == nil {
 		return
 	}
-	to := n.Relay(k.replica.Ident)
+	to := n.RelayOf(k.replica.Ident)
 	if to.Ident == "" || to.Ident == n.me.Ident || to.Ident == k.replica.Ident {
 		return
 	}
@@ -80,14 +80,14 @@
 
 // reshape applies the paper's inequalities once a Span, with a dwell.
 func (n *Node) reshape(now time.Duration, o *Out) {
-	if n.cfg.Span == 0 || now-n.from < n.cfg.Span {
+	if n.cfg.LoadInterval == 0 || now-n.from < n.cfg.LoadInterval {
 		return
 	}
 	defer func() {
 		n.asked, n.local, n.from = 0, 0, now
 		n.skip = map[message.Replica]*ghost{}
 	}()
-	if n.from == 0 || now-n.moved < 2*n.cfg.Span {
+	if n.from == 0 || now-n.moved < 2*n.cfg.LoadInterval {
 		return
 	}
 	near := n.kidCost()
@@ -95,7 +95,7 @@
 	if !n.root && n.parent.Ident != "" && n.asked > 0 && near > 0 {
 		f := float64(n.local) / float64(n.asked)
 		through := near + time.Duration((1-f)*float64(n.cost))
-		if through > n.cost+n.cfg.Gain && n.asked < n.cfg.Most/2 && len(n.kids) <= wide {
+		if through > n.cost+n.cfg.MinGain && n.asked < n.cfg.MaxRenewals/2 && len(n.kids) <= wide {
 			n.moved = now
 			for _, id := range sorted(n.kids) {
 				n.tell(n.kids[id], message.Message{Kind: message.KindRedirect, Hint: n.parent, Reason: "join"}, o)
@@ -110,8 +110,8 @@
 		}
 		miss := 1 - float64(g.hits)/float64(g.reqs)
 		at := n.relayCost(to)
-		better := at > 0 && at+time.Duration(miss*float64(near)) < near-n.cfg.Gain
-		if better || n.asked > n.cfg.Most {
+		better := at > 0 && at+time.Duration(miss*float64(near)) < near-n.cfg.MinGain
+		if better || n.asked > n.cfg.MaxRenewals {
 			n.moved = now
 			for _, id := range sorted(g.kids) {
 				if k := n.kids[id]; k != nil {
--- a/control/membership/found.go
+++ b/control/membership/found.go
@@ -85,7 +85,7 @@
 // found takes a seed one step further towards the first group.
 func (r *Table) found(now time.Duration, o *Out) {
 	f := &r.founding
-	if len(r.owns) > 0 || !slices.Contains(r.seeds, r.me.Addr) || !r.cfg.First {
+	if len(r.owns) > 0 || !slices.Contains(r.seeds, r.me.Addr) || !r.cfg.FirstStart {
 		return
 	}
 	if f.told {
@@ -171,7 +171,7 @@
 		f.set, f.since, f.proposed = s, now, false
 		return false
 	}
-	if want := 2*r.cfg.Losses + 1; now-f.since < r.cfg.SessionTimeout || len(list) < want && f.bound == nil {
+	if want := 2*r.cfg.ToleratedLosses + 1; now-f.since < r.cfg.SessionTimeout || len(list) < want && f.bound == nil {
 		return false
 	} else if f.bound == nil {
 		f.bound, f.own = Spread(list, r.seeds, want), true
@@ -186,7 +186,7 @@
 	me := r.me
 	me.Empty = r.fresh()
 	rep := message.Message{Kind: message.KindCensusAnswer, ResponseTo: n.RequestID, Self: me, Members: r.disks()}
-	if r.cfg.First {
+	if r.cfg.FirstStart {
 		rep.Op = firstLife
 		if f.bound == nil && n.Group.Number > 0 && r.fresh() && slices.Contains(r.seeds, n.Addr) && r.knows(n.Group.Replicas) {
 			f.bound = n.Group.Replicas
--- a/control/membership/found_test.go
+++ b/control/membership/found_test.go
@@ -46,7 +46,7 @@
 // and '-' for others, in capitals for seeds ('D', '+').
 func newWorld(losses int, zones ...string) *world {
 	y := &world{cfg: cfg, by: map[string]*machine{}, founded: map[string]bool{}, lose: func(parcel) bool { return false }, late: func() time.Duration { return 0 }}
-	y.cfg.Losses, y.cfg.First = losses, true
+	y.cfg.ToleratedLosses, y.cfg.FirstStart = losses, true
 	for c, word := range zones {
 		for i, kind := range word {
 			m := &machine{m: message.Member{Addr: fmt.Sprintf("10.%d.0.%d:1", c+1, i+1), Zone: fmt.Sprint("c", c), HasDisk: kind == 'd' || kind == 'D'}}
@@ -66,7 +66,7 @@
 // start gives a machine a new life; its disk stays.
 func (y *world) start(m *machine) {
 	c := y.cfg
-	c.First = m.lives == 0 || y.always
+	c.FirstStart = m.lives == 0 || y.always
 	m.lives++
 	m.m.Epoch++
 	m.m.Ident = fmt.Sprintf("%s-%d", m.m.Addr, m.lives)
@@ -168,8 +168,8 @@
 		return fmt.Errorf("no leader in a group of %d: %v", replicas, y.founded)
 	}
 	for _, m := range y.list {
-		if v := m.r.View(); !m.down && (!v.Live || v.Leaderships[0].Term == 0 || len(v.Members) < len(y.list)) {
-			return fmt.Errorf("%s: live %v, leader %v, %d members of %d", m.m.Addr, v.Live, v.Leaderships[0], len(v.Members), len(y.list))
+		if v := m.r.View(); !m.down && (!v.HasSession || v.Leaderships[0].Term == 0 || len(v.Members) < len(y.list)) {
+			return fmt.Errorf("%s: live %v, leader %v, %d members of %d", m.m.Addr, v.HasSession, v.Leaderships[0], len(v.Members), len(y.list))
 		}
 	}
 	return nil
@@ -203,7 +203,7 @@
 	}
 }
 
-func TestNoFoundingWithoutEverySeed(t *testing.T) {
+func TestNoBootstrapWithoutEverySeed(t *testing.T) {
 	y := newWorld(1, "+d-", "+d-", "+d-")
 	silent := y.by[y.seeds[2]]
 	silent.down = true
@@ -220,7 +220,7 @@
 
 // A member that has a group, or a seed that knows of one, stops any founding;
 // too few disks do, too.
-func TestNoFoundingBesideAnother(t *testing.T) {
+func TestNoBootstrapBesideAnotherGroup(t *testing.T) {
 	y := newWorld(1, "+d-", "+d-", "+dd")
 	old := y.list[len(y.list)-1]
 	old.group = []message.Replica{{Ident: "x", Addr: "10.7.0.1:1"}, {Ident: old.m.Ident, Addr: old.m.Addr}, {Ident: "y", Addr: "10.7.0.2:1"}}
--- a/control/membership/golden_test.go
+++ b/control/membership/golden_test.go
@@ -21,7 +21,7 @@
 var writeGolden = flag.Bool("write-golden", false, "write testdata/messages.golden anew instead of comparing with it")
 
 // goldenBounds are the bounds of the recorded scenes' sessions.
-var goldenBounds = Config{SessionTimeout: 600 * time.Millisecond, HeartbeatInterval: 200 * time.Millisecond, Small: 2, Losses: 1, First: true}
+var goldenBounds = Config{SessionTimeout: 600 * time.Millisecond, HeartbeatInterval: 200 * time.Millisecond, MinRelayZone: 2, ToleratedLosses: 1, FirstStart: true}
 
 type recordedFrame struct {
 	at       time.Duration
@@ -74,7 +74,7 @@
 	}
 	d.self.Empty = disk && d.group == nil
 	cfg := r.cfg
-	cfg.First = first
+	cfg.FirstStart = first
 	d.table, d.owns = New(cfg, d.self, seeds), nil
 }
 
@@ -156,14 +156,14 @@
 	for _, addr := range slices.Sorted(maps.Keys(r.daemons)) {
 		d := r.daemons[addr]
 		v := d.table.View()
-		fmt.Fprintf(r.log, "%v %s: live %v, formed %v\n", r.now.Truncate(time.Millisecond), addr, v.Live, d.table.Formed)
+		fmt.Fprintf(r.log, "%v %s: live %v, formed %v\n", r.now.Truncate(time.Millisecond), addr, v.HasSession, d.table.Formed)
 		for _, m := range v.Members {
 			r.member("  member", m)
 		}
 		for _, l := range v.Lost {
 			r.member(fmt.Sprintf("  lost at %v", l.At), l.Member)
 		}
-		for _, l := range v.Torn() {
+		for _, l := range v.PartitionedFrom() {
 			fmt.Fprintf(r.log, "  cut off from %s\n", l.Addr)
 		}
 		for _, p := range slices.Sorted(maps.Keys(v.Leaderships)) {
@@ -171,7 +171,7 @@
 		}
 		for p := range 3 {
 			group := message.Group{Number: 1, Replicas: d.group}
-			fmt.Fprintf(r.log, "  partition %d: relay %v, parent %v, hands over %v\n", p, v.Relay(p, d.self.Zone), v.Parent(p), v.HandsOver(group))
+			fmt.Fprintf(r.log, "  partition %d: relay %v, parent %v, hands over %v\n", p, v.Relay(p, d.self.Zone), v.Parent(p), v.MustHandOver(group))
 		}
 		fmt.Fprintf(r.log, "  %d of the core\n", len(v.ControlDaemons()))
 	}
@@ -280,19 +280,19 @@
 	r.scene("parents")
 	for _, addr := range []string{"m:1", "n:1", "a:1"} {
 		v := r.daemons[addr].table.View()
-		g := ParentChooser{Partition: 0, Vol: time.Second}
+		g := ParentChooser{Partition: 0, VolumeLease: time.Second}
 		show := func(now time.Duration) { fmt.Fprintf(r.log, "%s at %v: %v\n", addr, now, g.Parent(now, v)) }
 		show(0)
-		g.Orphaned(time.Second)
+		g.FallBackToLeader(time.Second)
 		show(2 * time.Second)
 		show(7 * time.Second)
 		for i, to := range []message.Replica{v.Leaderships[0].Leader, v.Relay(0, "north"), {Ident: "x", Addr: "x:1"}} {
-			g.Steered(time.Duration(i*50)*time.Second, to)
+			g.FollowRedirect(time.Duration(i*50)*time.Second, to)
 			show(time.Duration(i*50+10) * time.Second)
 			show(time.Duration(i*50+45) * time.Second)
 		}
 		for _, live := range []bool{true, true, false, true} {
-			for _, s := range g.Hints(live, message.VolumeEpoch{Ident: v.Me.Ident, Epoch: 2}, v) {
+			for _, s := range g.ReturnRedirects(live, message.VolumeEpoch{Ident: v.Me.Ident, Epoch: 2}, v) {
 				b, err := s.Message.MarshalMsg(nil)
 				if err != nil {
 					r.t.Fatal(err)
--- a/control/membership/guide.go
+++ b/control/membership/guide.go
@@ -9,8 +9,8 @@
 // ParentChooser chooses a daemon's parent for one partition: where it was steered, the
 // leader while the relay can't serve, else the static parent.
 type ParentChooser struct {
-	Partition int
-	Vol       time.Duration
+	Partition   int
+	VolumeLease time.Duration
 
 	steer     message.Replica
 	steerTill time.Duration
@@ -18,18 +18,18 @@
 	live      bool
 }
 
-// Orphaned makes the guide fall back to the leader for a while.
+// FallBackToLeader makes the guide fall back to the leader for a while.
 //
-// Example: if out.Orphan { g.Orphaned(now) }
-func (g *ParentChooser) Orphaned(now time.Duration) {
-	g.fallTill, g.steer = now+5*g.Vol, message.Replica{}
+// Example: if out.Orphaned { g.FallBackToLeader(now) }
+func (g *ParentChooser) FallBackToLeader(now time.Duration) {
+	g.fallTill, g.steer = now+5*g.VolumeLease, message.Replica{}
 }
 
-// Steered follows a hint: join, split, or return to a relay that is back.
+// FollowRedirect follows a hint: join, split, or return to a relay that is back.
 //
-// Example: g.Steered(now, out.Steer)
-func (g *ParentChooser) Steered(now time.Duration, to message.Replica) {
-	g.steer, g.steerTill, g.fallTill = to, now+40*g.Vol, 0
+// Example: g.FollowRedirect(now, out.Redirect)
+func (g *ParentChooser) FollowRedirect(now time.Duration, to message.Replica) {
+	g.steer, g.steerTill, g.fallTill = to, now+40*g.VolumeLease, 0
 }
 
 // Parent is the replica to renew at now; none for the leader itself.
@@ -52,13 +52,13 @@
 	return v.Parent(g.Partition)
 }
 
-// Hints are the return hints a relay sends when its lease is valid again.
+// ReturnRedirects are the return hints a relay sends when its lease is valid again.
 //
-// Example: for _, m := range g.Hints(node.Live(now), node.VolumeEpoch(), view) { send(m) }
-func (g *ParentChooser) Hints(live bool, mark message.VolumeEpoch, v *View) (out []message.Envelope) {
+// Example: for _, m := range g.ReturnRedirects(node.Live(now), node.VolumeEpoch(), view) { send(m) }
+func (g *ParentChooser) ReturnRedirects(live bool, mark message.VolumeEpoch, v *View) (out []message.Envelope) {
 	me := message.Replica{Ident: v.Me.Ident, Addr: v.Me.Addr}
 	if live && !g.live && v.Relay(g.Partition, v.Me.Zone).Ident == me.Ident {
-		for m := range v.In(v.Me.Zone) {
+		for m := range v.MembersIn(v.Me.Zone) {
 			if m.Ident != me.Ident && m.Ident != v.Leaderships[g.Partition].Leader.Ident {
 				out = append(out, message.Envelope{Addr: m.Addr, Message: message.Message{Kind: message.KindRedirect, Partition: g.Partition, To: m.Ident, VolumeEpoch: mark, Hint: me, Reason: "return"}})
 			}
--- a/control/membership/lost.go
+++ b/control/membership/lost.go
@@ -20,8 +20,8 @@
 	together = 2 // sessions within which those are lost that one cut takes away
 )
 
-// Lost is a control daemon that the view had, and when it went.
-type Lost struct {
+// LostDaemon is a control daemon that the view had, and when it went.
+type LostDaemon struct {
 	message.Member
 	At time.Duration
 }
@@ -35,7 +35,7 @@
 	}
 	for _, m := range r.view {
 		if m.HasDisk && !here[m.Addr] {
-			r.lost[m.Addr] = Lost{m, r.now}
+			r.lost[m.Addr] = LostDaemon{m, r.now}
 		}
 	}
 }
@@ -51,15 +51,15 @@
 }
 
 // missed lists the lost, the last ones first.
-func (r *Table) missed() []Lost {
+func (r *Table) missed() []LostDaemon {
 	if len(r.lost) == 0 {
 		return nil
 	}
-	out := make([]Lost, 0, len(r.lost))
+	out := make([]LostDaemon, 0, len(r.lost))
 	for _, l := range r.lost {
 		out = append(out, l)
 	}
-	slices.SortFunc(out, func(a, b Lost) int { return cmp.Or(cmp.Compare(b.At, a.At), cmp.Compare(a.Addr, b.Addr)) })
+	slices.SortFunc(out, func(a, b LostDaemon) int { return cmp.Or(cmp.Compare(b.At, a.At), cmp.Compare(a.Addr, b.Addr)) })
 	return out
 }
 
@@ -77,13 +77,13 @@
 // cutOff tells whether this control daemon hears of too few others for any
 // group's majority.
 func (r *Table) cutOff(now time.Duration) bool {
-	return len(r.lost) > 0 && r.near(now) <= int64(r.cfg.Losses)
+	return len(r.lost) > 0 && r.near(now) <= int64(r.cfg.ToleratedLosses)
 }
 
-// Torn lists the control daemons that were lost last, together.
+// PartitionedFrom lists the control daemons that were lost last, together.
 //
-// Example: for _, l := range view.Torn() { sendOnTo(l.Addr) }
-func (v *View) Torn() []Lost {
+// Example: for _, l := range view.PartitionedFrom() { sendOnTo(l.Addr) }
+func (v *View) PartitionedFrom() []LostDaemon {
 	n := 0
 	for n < len(v.Lost) && v.Lost[n].At >= v.Lost[0].At-v.torn {
 		n++
@@ -94,7 +94,7 @@
 // strand names the lost to a daemon that may know nobody else.
 func (r *Table) strand(to message.Member, o *Out) {
 	n := message.Message{Kind: message.KindWelcome, Op: refer}
-	for _, l := range r.View().Torn() {
+	for _, l := range r.View().PartitionedFrom() {
 		n.Members = append(n.Members, l.Member)
 	}
 	o.Sends = append(o.Sends, message.Envelope{Addr: to.Addr, Message: n})
--- a/control/membership/lost_test.go
+++ b/control/membership/lost_test.go
@@ -27,7 +27,7 @@
 
 func (n *net) join(m message.Member, seeds []string) {
 	c := cfg
-	c.Losses = 1
+	c.ToleratedLosses = 1
 	n.all[m.Addr], n.self[m.Addr] = New(c, m, seeds), m
 }
 
@@ -67,7 +67,7 @@
 // A daemon without a disk starts while a core machine is cut off, and its seeds
 // name only that one: it finds the others all the same, and the leader that they
 // have by now.
-func TestSeedsThatNameOnlyOneThatIsCutOff(t *testing.T) {
+func TestSeedsThatNameOnlyAnIsolatedControlDaemon(t *testing.T) {
 	n := newNet(func(int) []string { return []string{at(1), at(2), at(3)} }, core(3)...)
 	own := message.Leadership{Partition: 0, Term: 7, Leader: message.Replica{Ident: "a", Addr: at(1)}}
 	n.owns[at(1)] = []message.Leadership{own}
@@ -79,25 +79,25 @@
 	n.join(message.Member{Ident: "m", Epoch: 1, Addr: at(4)}, []string{at(1)})
 	n.run(2 * time.Second)
 	v := n.all[at(4)].View()
-	if !v.Live || v.Leaderships[0].Term != 8 {
-		t.Errorf("live %v, leader %v", v.Live, v.Leaderships[0])
+	if !v.HasSession || v.Leaderships[0].Term != 8 {
+		t.Errorf("live %v, leader %v", v.HasSession, v.Leaderships[0])
 	}
 	for _, id := range []string{"b", "c"} {
 		if _, ok := v.Find(id); !ok {
 			t.Errorf("it doesn't know %s: %v", id, v.Members)
 		}
 	}
-	if torn := n.all[at(1)].View().Torn(); len(torn) != 2 {
+	if torn := n.all[at(1)].View().PartitionedFrom(); len(torn) != 2 {
 		t.Errorf("the one that is cut off names %v", torn)
 	}
-	if torn := n.all[at(2)].View().Torn(); len(torn) != 1 || torn[0].Addr != at(1) {
+	if torn := n.all[at(2)].View().PartitionedFrom(); len(torn) != 1 || torn[0].Addr != at(1) {
 		t.Errorf("another names %v", torn)
 	}
 }
 
 // Core machines that no seed or group names any more meet again after a cut
 // that outlasted their sessions.
-func TestTheLostMeetAgain(t *testing.T) {
+func TestLostControlDaemonsMeetAgain(t *testing.T) {
 	n := newNet(func(i int) []string { return [][]string{{at(1)}, {at(1)}, {at(2)}}[i] }, core(3)...)
 	n.run(5 * time.Second)
 	if len(n.all[at(3)].View().Members) != 3 {
@@ -123,14 +123,14 @@
 
 // One that was lost for long, or beyond a number of them, is forgotten; those
 // that were lost earlier than the last are not told to callers.
-func TestTheLostAreForgotten(t *testing.T) {
+func TestLostControlDaemonsAreForgotten(t *testing.T) {
 	n := newNet(func(int) []string { return []string{at(1)} }, core(2*mostLost)...)
 	n.run(5 * time.Second)
 	for i := 2; i <= 2*mostLost; i++ {
 		n.all[at(i)] = nil // one after another
 		n.run(4 * time.Second)
 		v := n.all[at(1)].View()
-		if torn := v.Torn(); len(v.Lost) != min(i-1, mostLost) || len(torn) != 1 || torn[0].Addr != at(i) {
+		if torn := v.PartitionedFrom(); len(v.Lost) != min(i-1, mostLost) || len(torn) != 1 || torn[0].Addr != at(i) {
 			t.Fatalf("%d are lost: told %v, remembered %d", i-1, torn, len(v.Lost))
 		}
 	}
--- a/control/membership/membership.go
+++ b/control/membership/membership.go
@@ -17,10 +17,10 @@
 type Config struct {
 	SessionTimeout    time.Duration
 	HeartbeatInterval time.Duration
-	Small             int // zones with fewer members than this get no relay
+	MinRelayZone      int // zones with fewer members than this get no relay
 
-	Losses int  // machines that may be lost at once: a group has twice as many replicas, and one
-	First  bool // the fleet starts for the first time, and so does this daemon
+	ToleratedLosses int  // machines that may be lost at once: a group has twice as many replicas, and one
+	FirstStart      bool // the fleet starts for the first time, and so does this daemon
 }
 
 type session struct {
@@ -44,13 +44,13 @@
 	heard  map[string]rumour  // what other control daemons told
 	view   []message.Member
 	owns   map[int]message.Leadership
-	other  []string          // control addresses from elsewhere, such as our own groups
-	lost   map[string]Lost   // by address: control daemons that the view had and has no more
-	acked  map[string]uint64 // by address: digest of our gossip that a control daemon has
-	last   *View             // as published, while nothing changes
-	sum    uint64            // digest of view
-	past   []shown           // views before this one, oldest first
-	madeAt time.Duration     // when view was made
+	other  []string              // control addresses from elsewhere, such as our own groups
+	lost   map[string]LostDaemon // by address: control daemons that the view had and has no more
+	acked  map[string]uint64     // by address: digest of our gossip that a control daemon has
+	last   *View                 // as published, while nothing changes
+	sum    uint64                // digest of view
+	past   []shown               // views before this one, oldest first
+	madeAt time.Duration         // when view was made
 
 	ctl    int
 	home   string // the control daemon that has our session
@@ -71,7 +71,7 @@
 func New(cfg Config, me message.Member, seeds []string) *Table {
 	return &Table{
 		cfg: cfg, me: me, seeds: seeds, mine: map[string]session{}, heard: map[string]rumour{}, owns: map[int]message.Leadership{},
-		lost: map[string]Lost{}, acked: map[string]uint64{}, backAt: -cfg.SessionTimeout, ctl: int(weight(0, me.Addr) % 97),
+		lost: map[string]LostDaemon{}, acked: map[string]uint64{}, backAt: -cfg.SessionTimeout, ctl: int(weight(0, me.Addr) % 97),
 	}
 }
 
@@ -346,10 +346,10 @@
 //
 // Example: v := r.View()
 func (r *Table) View() *View {
-	if v := r.last; v != nil && v.Me == r.me && v.Live == r.live && slices.Equal(v.Members, r.view) && slices.Equal(v.Lost, r.missed()) && maps.Equal(v.Leaderships, r.owns) {
+	if v := r.last; v != nil && v.Me == r.me && v.HasSession == r.live && slices.Equal(v.Members, r.view) && slices.Equal(v.Lost, r.missed()) && maps.Equal(v.Leaderships, r.owns) {
 		return v
 	}
-	v := &View{Lost: r.missed(), torn: together * r.cfg.SessionTimeout, Me: r.me, Members: append([]message.Member(nil), r.view...), Leaderships: map[int]message.Leadership{}, Live: r.live, small: r.cfg.Small, by: map[string]message.Member{}}
+	v := &View{Lost: r.missed(), torn: together * r.cfg.SessionTimeout, Me: r.me, Members: append([]message.Member(nil), r.view...), Leaderships: map[int]message.Leadership{}, HasSession: r.live, small: r.cfg.MinRelayZone, by: map[string]message.Member{}}
 	for _, m := range v.Members {
 		v.by[m.Ident] = m
 	}
--- a/control/membership/membership_test.go
+++ b/control/membership/membership_test.go
@@ -8,7 +8,7 @@
 	"mulleinmast/wire/message"
 )
 
-var cfg = Config{SessionTimeout: 1200 * time.Millisecond, HeartbeatInterval: 200 * time.Millisecond, Small: 3}
+var cfg = Config{SessionTimeout: 1200 * time.Millisecond, HeartbeatInterval: 200 * time.Millisecond, MinRelayZone: 3}
 
 func disk(id, addr string) message.Member {
 	return message.Member{Ident: id, Epoch: 1, Addr: addr, HasDisk: true}
@@ -16,7 +16,7 @@
 
 // A machine that restarts under a new identity is known by it at once, here
 // and at the control daemons that are told of it.
-func TestAnEarlierLifeIsForgotten(t *testing.T) {
+func TestAnEarlierIncarnationIsForgotten(t *testing.T) {
 	for try := 0; try < 20; try++ {
 		a, b := New(cfg, disk("a", "10.0.0.1:1"), nil), New(cfg, disk("b", "10.0.0.2:1"), nil)
 		a.AddControlAddrs("10.0.0.2:1")
@@ -41,7 +41,7 @@
 
 // A gossip says which of the other's it has: the later life's, whose earlier
 // one is known still.
-func TestAGossipNamesTheLaterLife(t *testing.T) {
+func TestGossipAcknowledgesTheLaterIncarnation(t *testing.T) {
 	for range 20 {
 		a := New(cfg, disk("a", "10.0.0.1:1"), nil)
 		for i, id := range []string{"old", "new"} {
@@ -56,7 +56,7 @@
 }
 
 // A seed without a disk holds no session and says who can.
-func TestSeeds(t *testing.T) {
+func TestASeedWithoutADiskRefersToControlDaemons(t *testing.T) {
 	near := New(cfg, message.Member{Ident: "n", Addr: "10.0.0.5:1"}, []string{"10.0.0.1:1"})
 	near.Step(0, message.Message{Kind: message.KindWelcome, Members: []message.Member{disk("a", "10.0.0.1:1"), {Ident: "n", Addr: "10.0.0.5:1"}}})
 	me := message.Member{Ident: "m", Addr: "10.0.0.6:1"}
@@ -64,7 +64,7 @@
 	for _, m := range near.Step(0, message.Message{Kind: message.KindHello, Self: me}).Sends {
 		lost.Step(0, m.Message)
 	}
-	if lost.View().Live {
+	if lost.View().HasSession {
 		t.Error("a referral is no session")
 	}
 	asked := map[string]bool{}
@@ -80,15 +80,15 @@
 
 // Who was steered to a leader goes back to its static parent when another
 // daemon is leader; who was steered to a relay, when another is relay.
-func TestASteerEndsWithItsTarget(t *testing.T) {
+func TestARedirectEndsWithItsTarget(t *testing.T) {
 	v := &View{Me: message.Member{Ident: "m", Zone: "c"}, Leaderships: map[int]message.Leadership{0: {Term: 4, Leader: message.Replica{Ident: "a", Addr: "a"}}}, small: 2, by: map[string]message.Member{}}
 	for _, id := range []string{"a", "b", "m", "r"} {
 		v.Members = append(v.Members, message.Member{Ident: id, Addr: id, Zone: map[bool]string{true: "c", false: "d"}[id == "m" || id == "r"]})
 		v.by[id] = v.Members[len(v.Members)-1]
 	}
-	g := ParentChooser{Vol: time.Second}
+	g := ParentChooser{VolumeLease: time.Second}
 	static := g.Parent(0, v)
-	g.Steered(time.Second, message.Replica{Ident: "a", Addr: "a"})
+	g.FollowRedirect(time.Second, message.Replica{Ident: "a", Addr: "a"})
 	if p := g.Parent(2*time.Second, v); p.Ident != "a" {
 		t.Fatalf("not steered: %v, static %v", p, static)
 	}
@@ -97,13 +97,13 @@
 		t.Error("still at the old leader")
 	}
 	relay := v.Relay(0, "c")
-	g.Steered(4*time.Second, relay)
+	g.FollowRedirect(4*time.Second, relay)
 	if p := g.Parent(5*time.Second, v); p != relay && relay.Ident != "m" {
 		t.Errorf("not steered to the relay %v: %v", relay, p)
 	}
 	other := message.Replica{Ident: map[bool]string{true: "q", false: "r"}[relay.Ident == "r"], Addr: "q"}
 	v.by[other.Ident] = message.Member{Ident: other.Ident, Zone: "c"}
-	g.Steered(6*time.Second, other)
+	g.FollowRedirect(6*time.Second, other)
 	if p := g.Parent(7*time.Second, v); p == other {
 		t.Errorf("steered to %v, which is no relay", other)
 	}
@@ -119,8 +119,8 @@
 
 // A control daemon that hears of half or fewer of the others may not know the
 // leaders: its members leave it for one that does.
-func TestAMemberLeavesAControlDaemonThatIsCutOff(t *testing.T) {
-	cfg := Config{SessionTimeout: time.Second, HeartbeatInterval: 100 * time.Millisecond, Small: 3}
+func TestAMemberLeavesAnIsolatedControlDaemon(t *testing.T) {
+	cfg := Config{SessionTimeout: time.Second, HeartbeatInterval: 100 * time.Millisecond, MinRelayZone: 3}
 	seeds := []string{"10.0.0.1:1", "10.0.1.1:1", "10.0.2.1:1"}
 	var all []*Table
 	for i, a := range append(seeds, "10.0.0.2:1") {
@@ -174,7 +174,7 @@
 
 // What a welcome of an unknown kind holds may be a part of the members: it is not
 // taken for all of them, or a daemon would forget whom to ask.
-func TestAWelcomeOfAnUnknownKindIsNotTheWholeTable(t *testing.T) {
+func TestAWelcomeOfAnUnknownFormIsNotTheWholeView(t *testing.T) {
 	r := New(Config{SessionTimeout: time.Second, HeartbeatInterval: 100 * time.Millisecond}, message.Member{Ident: "me", Addr: "me:1"}, []string{"seed:1"})
 	whole := []message.Member{{Ident: "a", Addr: "a:1", HasDisk: true}, {Ident: "b", Addr: "b:1", HasDisk: true}, {Ident: "me", Addr: "me:1"}}
 	r.Step(time.Second, message.Message{Kind: message.KindWelcome, Addr: "a:1", Members: whole})
--- a/control/membership/view.go
+++ b/control/membership/view.go
@@ -15,11 +15,11 @@
 	Me          message.Member
 	Members     []message.Member
 	Leaderships map[int]message.Leadership
-	Live        bool // our own session stands
+	HasSession  bool // our own session stands
 	// Lost are control daemons that the view had and has no more, the last ones
 	// first: of a machine that is cut off the others, of the others those that
 	// are gone.
-	Lost []Lost
+	Lost []LostDaemon
 
 	torn  time.Duration // see Torn
 	small int
@@ -51,12 +51,12 @@
 	return out
 }
 
-// HandsOver tells whether a group counts on this daemon's replica though another
+// MustHandOver tells whether a group counts on this daemon's replica though another
 // core daemon could take its place, or is about to: until a change of the group is
 // settled it needs the replicas that it had before.
 //
-// Example: if v.HandsOver(group) { waitForHandOver() }
-func (v *View) HandsOver(g message.Group) bool {
+// Example: if v.MustHandOver(group) { waitForHandOver() }
+func (v *View) MustHandOver(g message.Group) bool {
 	return g.Has(v.Me.Ident) && (len(g.Next) > 0 || v.standby(g))
 }
 
@@ -68,10 +68,10 @@
 	})
 }
 
-// In iterates over the members of a zone.
+// MembersIn iterates over the members of a zone.
 //
-// Example: for m := range v.In("north") { ... }
-func (v *View) In(zone string) iter.Seq[message.Member] {
+// Example: for m := range v.MembersIn("north") { ... }
+func (v *View) MembersIn(zone string) iter.Seq[message.Member] {
 	return func(yield func(message.Member) bool) {
 		for _, m := range v.Members {
 			if m.Zone == zone && !yield(m) {
@@ -103,7 +103,7 @@
 	own := v.Leaderships[partition].Leader.Ident
 	var best, wide chosen
 	n := 0
-	for m := range v.In(zone) {
+	for m := range v.MembersIn(zone) {
 		if m.Ident == own {
 			continue
 		}
--- a/control/membership/view_test.go
+++ b/control/membership/view_test.go
@@ -20,7 +20,7 @@
 // The whole plan goes to each member of a zone over its relay's link: in a
 // crowded zone that is a control daemon's. Other partitions keep to the weights,
 // which spread them, and so does a zone that isn't crowded or has no such daemon.
-func TestACrowdedZoneHasAControlDaemonForTheConfiguration(t *testing.T) {
+func TestACrowdedZoneGetsAControlDaemonAsConfigurationRelay(t *testing.T) {
 	for _, c := range []struct {
 		control, others int
 		wide            bool
@@ -58,7 +58,7 @@
 // A daemon that is told to end hands its replica over where a standby could take its
 // place, and also while one is about to: as long as the group changes, a majority of
 // the replicas before the change is needed.
-func TestAChangingGroupIsWaitedFor(t *testing.T) {
+func TestADaemonHandsOverWhileItsGroupChanges(t *testing.T) {
 	me := message.Member{Ident: "a", HasDisk: true}
 	of := func(idents ...string) (list []message.Replica) {
 		for _, id := range idents {
@@ -79,7 +79,7 @@
 		"others change and it has no place": {message.Group{Number: 4, Replicas: of("d", "b", "c"), Next: of("d", "b", "e")}, false},
 	} {
 		v := &View{Me: me, Members: []message.Member{me, {Ident: "b", HasDisk: true}, {Ident: "c", HasDisk: true}, {Ident: "d", HasDisk: true}, {Ident: "e"}}}
-		if got := v.HandsOver(x.group); got != x.waits {
+		if got := v.MustHandOver(x.group); got != x.waits {
 			t.Errorf("%s: hands over %v, expected %v", what, got, x.waits)
 		}
 	}
--- a/control/partition/batch.go
+++ b/control/partition/batch.go
@@ -18,7 +18,7 @@
 type Job struct {
 	Keys      []string
 	Mergeable bool
-	Build     func(read lease.Source) (recs []message.Record, word any)
+	Build     func(read lease.RecordSource) (recs []message.Record, word any)
 }
 
 type job struct {
--- a/control/partition/batch_test.go
+++ b/control/partition/batch_test.go
@@ -10,7 +10,7 @@
 
 // appends is a job that adds a letter to a record if that is as long as its base.
 func appends(letter byte, base int) Job {
-	return Job{Keys: []string{"k"}, Mergeable: true, Build: func(read lease.Source) ([]message.Record, any) {
+	return Job{Keys: []string{"k"}, Mergeable: true, Build: func(read lease.RecordSource) ([]message.Record, any) {
 		cur := read("k").Value
 		if len(cur) != base {
 			return nil, "conflict"
--- a/control/partition/calm_test.go
+++ b/control/partition/calm_test.go
@@ -55,7 +55,7 @@
 		}
 
 		made := false
-		o := sync(s.Submit(now, 7, Job{Keys: []string{"k"}, Build: func(lease.Source) ([]message.Record, any) {
+		o := sync(s.Submit(now, 7, Job{Keys: []string{"k"}, Build: func(lease.RecordSource) ([]message.Record, any) {
 			made = true
 			return []message.Record{{Key: "k", Value: []byte("new")}}, nil
 		}}))
--- a/control/partition/partition_test.go
+++ b/control/partition/partition_test.go
@@ -56,7 +56,7 @@
 		sync(s.Step(now, kid(message.Message{Kind: message.KindReconnectDone, ResponseTo: synced.Sends[0].Message.RequestID, VolumeEpoch: s.Node.VolumeEpoch()})))
 		sync(s.Step(now, kid(message.Message{Kind: message.KindRenewLease, RequestID: 3, VolumeEpoch: s.Node.VolumeEpoch(), Keys: []string{"k"}})))
 		asked := now
-		o := sync(s.Submit(now, 7, Job{Keys: []string{"k"}, Build: func(lease.Source) ([]message.Record, any) {
+		o := sync(s.Submit(now, 7, Job{Keys: []string{"k"}, Build: func(lease.RecordSource) ([]message.Record, any) {
 			return []message.Record{{Key: "k", Value: []byte("new")}}, nil
 		}}))
 		if len(o.Results) > 0 || len(o.Sends) != 1 || o.Sends[0].Message.Kind != message.KindInvalidate {
@@ -90,7 +90,7 @@
 	s, sync := leader(t)
 	now := s.Replica.LeaseEnd() - 900*time.Millisecond
 	write := func(keys ...string) Job {
-		return Job{Keys: []string{"a", "b"}, Build: func(lease.Source) (recs []message.Record, _ any) {
+		return Job{Keys: []string{"a", "b"}, Build: func(lease.RecordSource) (recs []message.Record, _ any) {
 			for _, k := range keys {
 				recs = append(recs, message.Record{Key: k, Value: []byte("new")})
 			}
--- a/proof/modelcheck/copy.go
+++ b/proof/modelcheck/copy.go
@@ -53,7 +53,7 @@
 		return
 	}
 	node := reflect.ValueOf(s.Node).Elem()
-	read := lease.Source(func(key string) message.Record {
+	read := lease.RecordSource(func(key string) message.Record {
 		if r, ok := s.Replica.Records().Get(key); ok {
 			return r
 		}
--- a/proof/modelcheck/event.go
+++ b/proof/modelcheck/event.go
@@ -275,7 +275,7 @@
 	w.changes = append(w.changes, c)
 	w.say("change %c on base %d is asked of %s", c.tag, c.base, w.daemons[i].me.Ident)
 	base := w.setup.Plant.base(c.base)
-	j := partition.Job{Keys: []string{key}, Mergeable: true, Build: func(read lease.Source) ([]message.Record, any) {
+	j := partition.Job{Keys: []string{key}, Mergeable: true, Build: func(read lease.RecordSource) ([]message.Record, any) {
 		cur := read(key)
 		if base >= 0 && len(cur.Value) != base {
 			return nil, nil
--- a/proof/sim/caller.go
+++ b/proof/sim/caller.go
@@ -230,7 +230,7 @@
 func (w *world) platform() {
 	w.ready = nil
 	for _, n := range w.nodes {
-		if !n.up || n.frozen > w.now || !n.view.Live {
+		if !n.up || n.frozen > w.now || !n.view.HasSession {
 			continue
 		}
 		_, a := n.source(0, fleetconfig.PlanKey)
--- a/proof/sim/cutoff.go
+++ b/proof/sim/cutoff.go
@@ -50,7 +50,7 @@
 	switch {
 	case ok:
 	case n.w.o.Sabotage == "lastread":
-		rec, _, ok = sec.Node.Last(now, fleetconfig.PlanKey)
+		rec, _, ok = sec.Node.LastKnown(now, fleetconfig.PlanKey)
 	case n.w.o.Sabotage == "afterlease" && n.led():
 		rec, ok = sec.Replica.Records().Get(fleetconfig.PlanKey)
 	}
--- a/proof/sim/losses.go
+++ b/proof/sim/losses.go
@@ -148,7 +148,7 @@
 // held counts the parts that a standby could take over and hasn't.
 func (n *node) held() (count int) {
 	for p := range n.parts {
-		if n.view.HandsOver(n.sec(p).Replica.Group()) {
+		if n.view.MustHandOver(n.sec(p).Replica.Group()) {
 			count++
 		}
 	}
--- a/proof/sim/node.go
+++ b/proof/sim/node.go
@@ -126,13 +126,13 @@
 		leases.Drift, leases.Margin = -0.6, 0
 	}
 	if w.o.Static {
-		leases.Span = 0
+		leases.LoadInterval = 0
 	}
 	sess := w.cfg.Sessions()
 	if w.o.Flat {
-		sess.Small = len(w.nodes) + 1
+		sess.MinRelayZone = len(w.nodes) + 1
 	}
-	sess.Losses, sess.First = max(1, w.o.Losses), !w.o.Bare || n.life == 1
+	sess.ToleratedLosses, sess.FirstStart = max(1, w.o.Losses), !w.o.Bare || n.life == 1
 	n.rost = membership.New(sess, n.member(), n.seeds())
 	n.view = n.rost.View()
 	var disk *quorum.Folder
@@ -157,7 +157,7 @@
 			tree.UseCodec(codec, 1)
 		}
 		p := p
-		tree.Relay = func(id string) message.Replica {
+		tree.RelayOf = func(id string) message.Replica {
 			if m, ok := n.view.Find(id); ok {
 				return n.view.Relay(p, m.Zone)
 			}
@@ -169,7 +169,7 @@
 		}
 		s := leader.New(leader.Config{Works: w.works(), Keep: w.cfg.Keep(), Again: w.cfg.Again()}, p, me, sec)
 		n.parts = append(n.parts, s)
-		n.guides = append(n.guides, membership.ParentChooser{Partition: p, Vol: w.cfg.Vol()})
+		n.guides = append(n.guides, membership.ParentChooser{Partition: p, VolumeLease: w.cfg.Vol()})
 		for k := 0; k < w.o.Keys; k++ {
 			n.carry(p, s.Pin(now, key(k)))
 		}
@@ -216,7 +216,7 @@
 		if to := n.guides[p].Parent(now, n.view); to != tree.Parent() && !tree.IsRoot() {
 			n.carry(p, m.SetParent(now, to))
 		}
-		for _, m := range n.guides[p].Hints(tree.HasVolumeLease(now), tree.VolumeEpoch(), n.view) {
+		for _, m := range n.guides[p].ReturnRedirects(tree.HasVolumeLease(now), tree.VolumeEpoch(), n.view) {
 			n.send(m)
 		}
 	}
@@ -294,10 +294,10 @@
 	}
 	now := n.local()
 	if o.Orphaned {
-		n.guides[p].Orphaned(now)
+		n.guides[p].FallBackToLeader(now)
 	}
 	if o.Redirect.Ident != "" {
-		n.guides[p].Steered(now, o.Redirect)
+		n.guides[p].FollowRedirect(now, o.Redirect)
 	}
 	if o.Superseded != "" {
 		n.superseded(o.Superseded)
@@ -325,7 +325,7 @@
 	}
 	w.leaders()
 	if w.o.Lame > 0 && w.now > 25*time.Second && w.now < 55*time.Second && n.zone == w.nodes[len(w.nodes)-1].zone && !w.lame(n) {
-		w.cost += n.sec(p).Node.Cost()
+		w.cost += n.sec(p).Node.RenewCost()
 		w.costs++
 	}
 	n.in(w.exp(w.o.Reads), n.read)
--- a/proof/sim/sim.go
+++ b/proof/sim/sim.go
@@ -165,7 +165,7 @@
 				r, ok := n.sec(p).Node.Get(n.local(), key(k))
 				if !ok {
 					v := n.sec(p).Node.View(n.local())
-					w.note(Event{Kind: Silent, Node: n.name, Tag: fmt.Sprintf("serves no partition %d, %v after the last failure (lease %d ms, parent %s, live %v, leader %v)", p, w.o.Calm, v.Left, v.Parent.Addr, n.view.Live, n.view.Leaderships[p])})
+					w.note(Event{Kind: Silent, Node: n.name, Tag: fmt.Sprintf("serves no partition %d, %v after the last failure (lease %d ms, parent %s, live %v, leader %v)", p, w.o.Calm, v.LeaseLeft, v.Parent.Addr, n.view.HasSession, n.view.Leaderships[p])})
 					continue
 				}
 				w.note(Event{Kind: Served, Node: n.name, Partition: p, Key: fmt.Sprintf("%d/%s", p, key(k)), Tags: tags(r)})
--- a/proof/standin/mutants/rules.sh
+++ b/proof/standin/mutants/rules.sh
@@ -16,7 +16,7 @@
 mutant past-give-up traffic/gateway TestARequestIsGivenUpWhenItsRouteSaysSo traffic/gateway/gateway.go 'c.Due = at + time.Duration(r.GiveUp)*time.Millisecond' 'c.Due = at + time.Hour'
 mutant weights-passed-over traffic/route TestPickFollowsTheWeights traffic/route/route.go 'if at < s.Weight {' 'if at < 50*s.Weight {'
 mutant unready-at-changes control/daemon TestAChangeMakesNoDaemonUnready control/daemon/host.go ' || c.wasReady(c.Cfg.Vol())' ''
-mutant ends-while-it-changes control/membership TestAChangingGroupIsWaitedFor control/membership/view.go 'len(g.Next) > 0 || v.standby(g)' 'v.standby(g)'
+mutant ends-while-it-changes control/membership TestADaemonHandsOverWhileItsGroupChanges control/membership/view.go 'len(g.Next) > 0 || v.standby(g)' 'v.standby(g)'
 mutant prompts-count-as-waiting traffic/forward TestWhoWaitsTooLongIsRefused traffic/forward/admit.go 'may := max(t.Aim-t.took, t.Aim/2)' 'may := t.Aim - t.took'
 # incarnations
 mutant any-incarnation control/quorum TestWhichIncarnationsCount $guard 'if n.State.Epoch != 0 && precedes(n.State, known.State) {' 'if n.State.Epoch != 0 && false {'
@@ -35,8 +35,8 @@
 mutant left-state-claims control/storage TestAStateThatIsLeftClaimsNothing control/storage/storage.go 'starts += restoredStarts' 'starts += 0'
 mutant spoilt-past-counts control/storage TestASpoiltPastClaimsNothing control/storage/load.go 'if r.Past != r.PastSum() {' 'if r.Past == 0 && r.PastSum() != 0 {'
 # what goes down the tree, joined changes, formats
-mutant patch-on-any-base control/lease TestASpoiltPatchIsNoRecord $delta 'err != nil || l.From != from.Ver' 'err != nil && l.From != from.Ver'
-mutant patches-end-at-relays control/lease TestAChangeCostsWhatItChanges $delta '	n.extend(r.Key, kept)
+mutant patch-on-any-base control/lease TestACorruptPatchIsNotServed $delta 'err != nil || l.From != from.Ver' 'err != nil && l.From != from.Ver'
+mutant patches-end-at-relays control/lease TestAChangeIsSentAsAPatch $delta '	n.extend(r.Key, kept)
 ' ''
 mutant patch-without-sum control/fleetconfig TestAPatchFitsOnlyItsBase control/fleetconfig/codec.go 'zstd.WithEncoderLevel(zstd.SpeedFastest),' 'zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderCRC(false),'
 mutant refused-by-what-is-lost control/partition TestWhatWasJoinedIsLostTogether control/partition/batch.go 'case j.none && f == Done:' 'case j.none:'
--- a/proof/track/drive.go
+++ b/proof/track/drive.go
@@ -81,7 +81,7 @@
 				why += fmt.Sprintf("\n%s %s: %d %s", p.Name, p.Wire, code, b)
 				if len(st.Partitions) > 0 {
 					n := st.Partitions[0].Node
-					why += fmt.Sprintf("  members %d, leader of part 0 %v, parent %v, lease %d ms", len(st.Members), st.Partitions[0].Leader, n.Parent, n.Left)
+					why += fmt.Sprintf("  members %d, leader of part 0 %v, parent %v, lease %d ms", len(st.Members), st.Partitions[0].Leader, n.Parent, n.LeaseLeft)
 				}
 			}
 		}
