--- a/control/daemon/disk_test.go
+++ b/control/daemon/disk_test.go
@@ -28,7 +28,7 @@
 	}
 	for i := range 300 {
 		rec := message.Record{Key: fmt.Sprint("k", i%3), Version: message.Version{Term: 1, Seq: uint64(i + 1)}, Value: make([]byte, 1<<18)}
-		c.toDisk([]quorum.Save{{Ticket: uint64(i + 1), Partition: 1, Meta: quorum.Meta{Promised: uint64(i + 1)}, Records: []message.Record{rec}}})
+		c.toDisk([]quorum.Save{{Ticket: uint64(i + 1), Partition: 1, Meta: quorum.Meta{VotedTerm: uint64(i + 1)}, Records: []message.Record{rec}}})
 		if i%100 == 50 && !c.flush(t.Context()) {
 			t.Fatal("nothing was tried")
 		}
@@ -56,8 +56,8 @@
 	defer a.Close()
 	h := a.Partitions[1]
 	for k, seq := range map[string]uint64{"k0": 298, "k1": 299, "k2": 300} {
-		if r, _ := h.Records.Get(k); r.Version.Seq != seq || h.Meta.Promised != 300 {
-			t.Errorf("%s is of change %d, the promise of %d", k, r.Version.Seq, h.Meta.Promised)
+		if r, _ := h.Records.Get(k); r.Version.Seq != seq || h.Meta.VotedTerm != 300 {
+			t.Errorf("%s is of change %d, the promise of %d", k, r.Version.Seq, h.Meta.VotedTerm)
 		}
 	}
 }
--- a/control/leader/leader.go
+++ b/control/leader/leader.go
@@ -337,7 +337,7 @@
 // leader wrote counts as written when this one took over.
 func (m *Controller) floor(now time.Duration, o *Out) {
 	if n := len(m.marks); n == 0 || now-m.marks[n-1].at > m.cfg.Keep/8 {
-		m.marks = append(m.marks, mark{now, m.sec.Replica.Seq()})
+		m.marks = append(m.marks, mark{now, m.sec.Replica.LastWritten()})
 	}
 	if now-m.marks[0].at <= m.cfg.Keep {
 		return
--- a/control/partition/calm_test.go
+++ b/control/partition/calm_test.go
@@ -19,7 +19,7 @@
 	for _, lost := range []bool{false, true} {
 		records := digest.NewRecords()
 		records.Put(message.Record{Key: "k", Version: message.Version{Term: 4, Seq: 2}, Value: []byte("old")})
-		meta := quorum.Meta{Promised: 4, To: me.Ident, ToEpoch: 1, Tried: 4, LastComplete: 4, Group: message.Group{Number: 1, Replicas: []message.Replica{me}, Next: []message.Replica{me}}} // a change of the group was under way
+		meta := quorum.Meta{VotedTerm: 4, VotedFor: me.Ident, VotedForEpoch: 1, CandidateTerm: 4, LastComplete: 4, Group: message.Group{Number: 1, Replicas: []message.Replica{me}, Next: []message.Replica{me}}} // a change of the group was under way
 		s := New(1, me, 2, quorum.New(cfg, 1, me, nil, meta, records, 0, false), lease.New(lease.Config{VolumeLease: vol, ObjectLease: time.Minute, Drift: 0.02, Margin: 20 * time.Millisecond, RenewInterval: vol / 3}, 1, me, 2))
 		var now time.Duration
 		sync := func(o Out) (all Out) {
--- a/control/quorum/early_test.go
+++ b/control/quorum/early_test.go
@@ -55,7 +55,7 @@
 
 // restarted is a voter that starts at 0 and was bound to term 5 of x's life 3.
 func restarted(t *testing.T) *voter {
-	return &voter{t: t, s: New(cfg, 1, three.Replicas[0], nil, Meta{Promised: 5, To: "x", ToEpoch: 3, LastComplete: 5, Group: three}, digest.NewRecords(), 0, false)}
+	return &voter{t: t, s: New(cfg, 1, three.Replicas[0], nil, Meta{VotedTerm: 5, VotedFor: "x", VotedForEpoch: 3, LastComplete: 5, Group: three}, digest.NewRecords(), 0, false)}
 }
 
 // running is a voter that supported x's life 3 at 10 s for the last time.
@@ -144,7 +144,7 @@
 		t.Fatalf("what the older build wrote is read as %+v", m)
 	}
 	for _, to := range []string{"x", "a"} { // bound to another, or to itself
-		m.To = to
+		m.VotedFor = to
 		v := &voter{t: t, s: New(cfg, 1, three.Replicas[0], nil, m, digest.NewRecords(), 0, false)}
 		v.hear(time.Millisecond, "x", 99, message.Message{Kind: message.KindRejectVote})
 		if ok, left := v.ask(2*time.Millisecond, "b", 1, 6); ok || left != whole-2*time.Millisecond {
@@ -257,7 +257,7 @@
 		t.Fatal("not promised")
 	}
 	v.hear(at, "b", 1, message.Message{Kind: message.KindAbandonTerm, Term: 6})
-	if m := v.s.Meta(); m.Promised != 5 || m.To != "x" || m.ToEpoch != 3 || m.LastComplete != before.LastComplete {
+	if m := v.s.Meta(); m.VotedTerm != 5 || m.VotedFor != "x" || m.VotedForEpoch != 3 || m.LastComplete != before.LastComplete {
 		t.Errorf("bound to %+v", m)
 	}
 	if ok, left := v.ask(at+time.Millisecond, "x", 4, 7); !ok || left < 10*time.Second+whole-at-time.Millisecond {
@@ -279,7 +279,7 @@
 	v.ask(at, "b", 1, 6)
 	v.s = New(cfg, 1, three.Replicas[0], nil, v.s.Meta(), digest.NewRecords(), at, false)
 	v.hear(at, "b", 1, message.Message{Kind: message.KindAbandonTerm, Term: 6})
-	if m := v.s.Meta(); m.Promised != 6 || m.To != "b" {
+	if m := v.s.Meta(); m.VotedTerm != 6 || m.VotedFor != "b" {
 		t.Errorf("after a restart and a void: bound to %+v", m)
 	}
 }
--- a/control/quorum/fill.go
+++ b/control/quorum/fill.go
@@ -30,18 +30,18 @@
 		return
 	}
 	out := s.meta.Group.Has(s.me.Ident) && !n.Group.Has(s.me.Ident) // of the group: then no promise stands
-	if !out && (s.meta.Promised > n.Term || s.meta.Promised == n.Term && s.meta.To != n.From) {
+	if !out && (s.meta.VotedTerm > n.Term || s.meta.VotedTerm == n.Term && s.meta.VotedFor != n.From) {
 		return
 	}
 	s.adopt(n.Group)
-	if s.meta.Promised < n.Term {
+	if s.meta.VotedTerm < n.Term {
 		// A replica that missed the term joins it: a majority has settled it.
-		s.meta.Promised, s.meta.To, s.meta.ToEpoch = n.Term, n.From, n.Epoch
+		s.meta.VotedTerm, s.meta.VotedFor, s.meta.VotedForEpoch = n.Term, n.From, n.Epoch
 		s.drop(o)
 		s.bound = s.tick + 1 // with the next save
 	}
 	done := message.Envelope{Addr: from.Addr, Message: message.Message{Kind: message.KindStateInstalled, Partition: s.partition, Term: n.Term, To: from.Ident}}
-	held := s.meta.LastComplete == n.Term && !s.meta.Short
+	held := s.meta.LastComplete == n.Term && !s.meta.Incomplete
 	if held && n.Op == compare {
 		s.compared(from, n, o)
 		return
@@ -78,7 +78,7 @@
 	for _, r := range n.Records {
 		s.records.Put(r)
 	}
-	s.meta.LastComplete, s.meta.Short = n.Term, false
+	s.meta.LastComplete, s.meta.Incomplete = n.Term, false
 	s.save(o, n.Ranges, n.Records, done)
 }
 
@@ -90,7 +90,7 @@
 		}
 		floor := floorOf(s.records)
 		for x := range s.records.All() {
-			if strings.HasPrefix(x.Key, FloorOf) && x.Version.Less(floor) {
+			if strings.HasPrefix(x.Key, FloorPrefix) && x.Version.Less(floor) {
 				gone = append(gone, x.Key)
 			}
 		}
@@ -102,7 +102,7 @@
 }
 
 func (s *Replica) save(o *Out, wipe []int, recs []message.Record, then ...message.Envelope) {
-	s.put(o, Save{Wipe: wipe, Records: recs, Delete: s.prune(recs)}, then...)
+	s.put(o, Save{WipeRanges: wipe, Records: recs, Delete: s.prune(recs)}, then...)
 }
 
 // put gives the disk a save; then goes out once it is there.
--- a/control/quorum/group.go
+++ b/control/quorum/group.go
@@ -62,8 +62,8 @@
 		return
 	}
 	if s.meta.Group.Has(s.me.Ident) && !g.Has(s.me.Ident) {
-		s.meta.Tried = max(s.meta.Tried, s.meta.Promised)
-		s.meta.Promised, s.meta.To, s.meta.ToEpoch, s.undo = 0, "", 0, 0
+		s.meta.CandidateTerm = max(s.meta.CandidateTerm, s.meta.VotedTerm)
+		s.meta.VotedTerm, s.meta.VotedFor, s.meta.VotedForEpoch, s.undo = 0, "", 0, 0
 	}
 	s.meta.Group = g
 }
--- a/control/quorum/group_test.go
+++ b/control/quorum/group_test.go
@@ -156,12 +156,12 @@
 	c.replace(one, "d")
 	c.wait(time.Second, c.learn())
 	meta := c.replicas[one].Meta()
-	meta.Promised, meta.To, meta.ToEpoch, meta.Tried = 40, one, 1, 40 // it stood while it was cut off
+	meta.VotedTerm, meta.VotedFor, meta.VotedForEpoch, meta.CandidateTerm = 40, one, 1, 40 // it stood while it was cut off
 	c.replicas[one] = New(timed, 1, replicaOf(one), nil, meta, digest.NewRecords(), c.now, false)
 	c.down[one] = false
 	c.wait(2*time.Second, c.learn(one))
 	id, s := c.leader()
-	if !s.LearnerReady(c.now, one) || c.replicas[one].Group().Has(one) || c.replicas[one].Meta().Tried != 40 {
+	if !s.LearnerReady(c.now, one) || c.replicas[one].Group().Has(one) || c.replicas[one].Meta().CandidateTerm != 40 {
 		t.Fatalf("%s is no standby of %s: %+v", one, id, c.replicas[one].Meta())
 	}
 	c.replace(map[bool]string{true: two, false: "d"}[id != two], one)
--- a/control/quorum/lease.go
+++ b/control/quorum/lease.go
@@ -92,7 +92,7 @@
 		s.next = now + s.cfg.LeaderLease/4 + s.delay()
 		return o
 	}
-	if s.quit || s.meta.Short || s.stalled(now) || !s.meta.Group.Has(s.me.Ident) {
+	if s.quit || s.meta.Incomplete || s.stalled(now) || !s.meta.Group.Has(s.me.Ident) {
 		return o
 	}
 	switch s.mode {
--- a/control/quorum/lives_test.go
+++ b/control/quorum/lives_test.go
@@ -17,7 +17,7 @@
 		life uint64 // that b promised to; 0: b is of a build that doesn't say
 		won  bool
 	}{{"this life", 2, true}, {"an earlier life", 1, false}, {"a build that doesn't say", 0, true}} {
-		s := New(cfg, 1, three.Replicas[0], nil, Meta{Promised: 5, To: "x", ToEpoch: 3, LastComplete: 5, Group: three}, digest.NewRecords(), 0, false)
+		s := New(cfg, 1, three.Replicas[0], nil, Meta{VotedTerm: 5, VotedFor: "x", VotedForEpoch: 3, LastComplete: 5, Group: three}, digest.NewRecords(), 0, false)
 		now := time.Duration(0)
 		var carry func(o Out)
 		carry = func(o Out) {
@@ -37,7 +37,7 @@
 				}
 			}
 		}
-		for ; s.Meta().Tried == 0 && now < 10*whole; now += 20 * time.Millisecond {
+		for ; s.Meta().CandidateTerm == 0 && now < 10*whole; now += 20 * time.Millisecond {
 			carry(s.Tick(now))
 		}
 		if won := s.mode == filling || s.mode == owning; won != x.won {
@@ -66,7 +66,7 @@
 		t.Fatal("not promised to the next life")
 	}
 	v.hear(at, "b", 1, message.Message{Kind: message.KindAbandonTerm, Term: 6})
-	if m := v.s.Meta(); m.Promised != 6 || m.To != "b" || m.ToEpoch != 2 {
+	if m := v.s.Meta(); m.VotedTerm != 6 || m.VotedFor != "b" || m.VotedForEpoch != 2 {
 		t.Errorf("after a void of life 1: bound to %+v", m)
 	}
 }
--- a/control/quorum/quorum.go
+++ b/control/quorum/quorum.go
@@ -34,36 +34,36 @@
 
 // Save is something to be synced to disk; the replica hears Saved(Ticket) when it is.
 type Save struct {
-	Ticket    uint64
-	Partition int
-	Meta      Meta
-	Wipe      []int // ranges whose other records are to be deleted
-	Records   []message.Record
-	Delete    []string // records below the floor; after Recs
-	Sum       uint64   // of the whole state, this included; 0: not told
+	Ticket     uint64
+	Partition  int
+	Meta       Meta
+	WipeRanges []int // ranges whose other records are to be deleted
+	Records    []message.Record
+	Delete     []string // records below the floor; after Recs
+	Sum        uint64   // of the whole state, this included; 0: not told
 }
 
 // FloorKey is the record that says up to which version the records under
-// FloorOf are no longer kept. Every replica drops them on its own; one that comes
+// FloorPrefix are no longer kept. Every replica drops them on its own; one that comes
 // back from a replica that was late is dropped again.
 const (
-	FloorKey = "floor/once"
-	FloorOf  = "once/"
+	FloorKey    = "floor/once"
+	FloorPrefix = "once/"
 )
 
 // Meta is a replica's durable state beside its records.
 type Meta struct {
-	Promised     uint64
-	To           string
-	ToEpoch      uint64 // the life of To that was promised
-	Tried        uint64 // highest term this replica ever stood with: none is used twice
-	LastComplete uint64 `json:"Set"` // the key on disk is that of older builds
-	Group        message.Group
-	Short        bool `json:",omitempty"` // the disk lost some of the records: no vote before they are filled
-
-	State   message.SavePoint         `json:",omitzero"`  // the stamp of this state
-	History []message.SavePoint       `json:",omitempty"` // the last of each earlier incarnation, the latest at the end
-	Peers   []message.PeerIncarnation `json:",omitempty"` // what is known of the other replicas
+	VotedTerm     uint64        `json:"Promised"`
+	VotedFor      string        `json:"To"`
+	VotedForEpoch uint64        `json:"ToEpoch"` // the incarnation of VotedFor that was voted for
+	CandidateTerm uint64        `json:"Tried"`   // highest term this replica ever stood with: none is used twice
+	LastComplete  uint64        `json:"Set"`     // the key on disk is that of older builds
+	Group         message.Group `json:"Group"`
+	Incomplete    bool          `json:"Short,omitempty"` // the disk lost some of the records: no vote before they are filled
+
+	State   message.SavePoint         `json:"State,omitzero"`    // the stamp of this state
+	History []message.SavePoint       `json:"History,omitempty"` // the last of each earlier incarnation, the latest at the end
+	Peers   []message.PeerIncarnation `json:"Peers,omitempty"`   // what is known of the other replicas
 }
 
 // Outcome is what became of a write.
@@ -175,7 +175,7 @@
 	guard
 	quit bool
 
-	Mended int // times that a replica's copy was found to differ and sent ours
+	Repairs int // times that a replica's copy was found to differ and sent ours
 }
 
 // New makes a replica from what the disk held; a replica waits one full lease after
@@ -196,8 +196,8 @@
 	}
 	s.quiet = s.till
 	s.next = now + s.delay()
-	if !fresh && meta.To == me.Ident && meta.ToEpoch > 0 {
-		s.lives[me.Ident] = meta.ToEpoch + 1 // that was an earlier life of ours
+	if !fresh && meta.VotedFor == me.Ident && meta.VotedForEpoch > 0 {
+		s.lives[me.Ident] = meta.VotedForEpoch + 1 // that was an earlier life of ours
 	}
 	return s
 }
@@ -205,7 +205,7 @@
 // over tells whether the leader that this replica is bound to is known to be gone:
 // its daemon has started anew since, and a new life holds no leadership.
 func (s *Replica) over() bool {
-	return s.meta.ToEpoch > 0 && s.lives[s.meta.To] > s.meta.ToEpoch
+	return s.meta.VotedForEpoch > 0 && s.lives[s.meta.VotedFor] > s.meta.VotedForEpoch
 }
 
 // free tells whether this replica may promise itself to another now: the lease of
@@ -320,7 +320,7 @@
 	case message.KindReplicated:
 		s.accepted(now, n, &o)
 	case message.KindHeartbeat:
-		if s.meta.Promised == n.Term && s.meta.To == n.From {
+		if s.meta.VotedTerm == n.Term && s.meta.VotedFor == n.From {
 			s.support, s.till = n.From, max(s.till, now+s.cfg.Wait(s.cfg.LeaderLease))
 			s.hint, s.backed = message.Leadership{Partition: s.partition, Term: n.Term, Leader: from}, now
 			rep := message.Message{Kind: message.KindHeartbeatAck, Partition: s.partition, Term: n.Term, ResponseTo: n.RequestID}
@@ -328,7 +328,7 @@
 				rep.Op = parting
 			}
 			s.uphold(from, rep, &o)
-			if s.meta.Short { // the leader may take this for a whole copy
+			if s.meta.Incomplete { // the leader may take this for a whole copy
 				o.send(from, message.Message{Kind: message.KindStateMismatch, Partition: s.partition, Term: n.Term, Digests: s.records.Digests()})
 			}
 		} else {
@@ -338,8 +338,8 @@
 		// Nobody can ever be leader under a term that its candidate gave up, so
 		// the vote need not stay bound to it. A later life of that candidate may
 		// have asked for it again.
-		if s.meta.Promised == n.Term && s.meta.To == n.From && s.meta.ToEpoch == n.Epoch && s.undo == n.Term {
-			s.meta.Promised, s.meta.To, s.meta.ToEpoch = s.before.Promised, s.before.To, s.before.ToEpoch
+		if s.meta.VotedTerm == n.Term && s.meta.VotedFor == n.From && s.meta.VotedForEpoch == n.Epoch && s.undo == n.Term {
+			s.meta.VotedTerm, s.meta.VotedFor, s.meta.VotedForEpoch = s.before.VotedTerm, s.before.VotedFor, s.before.VotedForEpoch
 			s.save(&o, nil, nil)
 			s.bound = s.tick
 		}
--- a/control/quorum/quorum_test.go
+++ b/control/quorum/quorum_test.go
@@ -55,7 +55,7 @@
 	}
 	put("once/old", nil)
 	put("plan/old", nil)
-	mark, _ := json.Marshal(a.s.Seq())
+	mark, _ := json.Marshal(a.s.LastWritten())
 	put("once/new", nil)
 	put(FloorKey, mark)
 	if len(a.done) != 4 || len(a.drop) != 1 || a.drop[0] != "once/old" {
--- a/control/quorum/repair.go
+++ b/control/quorum/repair.go
@@ -68,7 +68,7 @@
 			if _, ok := theirs[own.Key]; ok {
 				continue
 			}
-			if strings.HasPrefix(own.Key, FloorOf) && own.Version.Less(floor) || own.Version.Term > n.Term {
+			if strings.HasPrefix(own.Key, FloorPrefix) && own.Version.Less(floor) || own.Version.Term > n.Term {
 				gone = append(gone, own.Key)
 			} else {
 				newer = append(newer, own)
@@ -87,7 +87,7 @@
 	if s.mode != owning || len(s.writes) > 0 && s.behind[to.Ident] == nil || len(spans) == 0 {
 		return
 	}
-	s.Mended++
+	s.Repairs++
 	o.send(to, message.Message{Kind: message.KindInstallState, Op: compare, Partition: s.partition, Term: s.num, RequestID: s.seq, Ranges: spans, Records: s.records.RecordsIn(spans), Group: s.meta.Group})
 }
 
@@ -97,7 +97,7 @@
 func (s *Replica) reported(n message.Message, o *Out) {
 	for _, r := range n.Records {
 		cur, ok := s.records.Get(r.Key)
-		if s.mode == owning && r.Version.Term <= s.num && (!ok || cur.Version.Less(r.Version)) && !(strings.HasPrefix(r.Key, FloorOf) && r.Version.Less(floorOf(s.records))) {
+		if s.mode == owning && r.Version.Term <= s.num && (!ok || cur.Version.Less(r.Version)) && !(strings.HasPrefix(r.Key, FloorPrefix) && r.Version.Less(floorOf(s.records))) {
 			s.drop(o)
 			return
 		}
--- a/control/quorum/step_test.go
+++ b/control/quorum/step_test.go
@@ -52,7 +52,7 @@
 		support := hear(message.Message{Kind: message.KindHeartbeat, Term: 6, RequestID: 1})
 		early := support.Sends
 		saves = append(saves, support.Saves...)
-		if len(early) > 0 || len(saves) == 0 || saves[len(saves)-1].Meta.Promised != 6 {
+		if len(early) > 0 || len(saves) == 0 || saves[len(saves)-1].Meta.VotedTerm != 6 {
 			t.Errorf("%s: it supports with %+v, to be saved is %+v", what, early, saves)
 		}
 		var late []message.Envelope
@@ -81,7 +81,7 @@
 			}
 		}
 		v.hear(at, "b", 1, late)
-		if m := v.s.Meta(); m.Promised != 6 || m.To != "b" || m.ToEpoch != 2 || v.s.free(at+1) {
+		if m := v.s.Meta(); m.VotedTerm != 6 || m.VotedFor != "b" || m.VotedForEpoch != 2 || v.s.free(at+1) {
 			t.Errorf("%s of life 1 after life 2 won: bound to %+v, free %v", what, m, v.s.free(at+1))
 		}
 	}
--- a/control/quorum/stored_test.go
+++ b/control/quorum/stored_test.go
@@ -13,16 +13,16 @@
 // fullMeta has every field set, so that a field whose stored name changes shows.
 func fullMeta() Meta {
 	return Meta{
-		Promised: 11, To: "b", ToEpoch: 2<<32 + 5, Tried: 12, LastComplete: 10,
+		VotedTerm: 11, VotedFor: "b", VotedForEpoch: 2<<32 + 5, CandidateTerm: 12, LastComplete: 10,
 		Group: message.Group{
 			Number:   3<<16 + 1,
 			Replicas: []message.Replica{{Ident: "a", Addr: "10.0.0.1:7"}, {Ident: "b", Addr: "10.0.0.2:7"}},
 			Next:     []message.Replica{{Ident: "a", Addr: "10.0.0.1:7"}, {Ident: "c", Addr: "10.0.0.3:7"}},
 		},
-		Short:   true,
-		State:   message.SavePoint{Epoch: 4<<32 + 1, Saves: 20},
-		History: []message.SavePoint{{Epoch: 2<<32 + 9, Saves: 3}, {Epoch: 3<<32 + 8, Saves: 7}},
-		Peers:   []message.PeerIncarnation{{Ident: "b", Epoch: 2<<32 + 5, State: message.SavePoint{Epoch: 2<<32 + 5, Saves: 41}}, {Ident: "c", Epoch: 1<<32 + 6}},
+		Incomplete: true,
+		State:      message.SavePoint{Epoch: 4<<32 + 1, Saves: 20},
+		History:    []message.SavePoint{{Epoch: 2<<32 + 9, Saves: 3}, {Epoch: 3<<32 + 8, Saves: 7}},
+		Peers:      []message.PeerIncarnation{{Ident: "b", Epoch: 2<<32 + 5, State: message.SavePoint{Epoch: 2<<32 + 5, Saves: 41}}, {Ident: "c", Epoch: 1<<32 + 6}},
 	}
 }
 
@@ -70,7 +70,7 @@
 	records.Put(message.Record{Key: "plan/now", Version: message.Version{Term: 9, Seq: 4}, Value: []byte("value")})
 	records.Put(message.Record{Key: "server/7", Version: message.Version{Term: 10, Seq: 1}, Deleted: true})
 	votable := fullMeta()
-	votable.Short = false
+	votable.Incomplete = false
 	for name, c := range map[string]struct {
 		meta         Meta
 		records      *digest.Records
--- a/control/quorum/term.go
+++ b/control/quorum/term.go
@@ -13,7 +13,7 @@
 func (s *Replica) asked(now time.Duration, from message.Replica, n message.Message, o *Out) {
 	own := s.meta.Group
 	switch {
-	case !n.Group.Has(n.From) || s.meta.Short: // only a replica stands, and what its disk lost may be all that a majority has
+	case !n.Group.Has(n.From) || s.meta.Incomplete: // only a replica stands, and what its disk lost may be all that a majority has
 		s.refuse(now, from, n, o)
 		return
 	case n.Group.Number > own.Number && n.Group.Has(s.me.Ident):
@@ -23,16 +23,16 @@
 		s.refuse(now, from, n, o)
 		return
 	}
-	again := n.Term == s.meta.Promised && n.From == s.meta.To
+	again := n.Term == s.meta.VotedTerm && n.From == s.meta.VotedFor
 	if n.Op == probe {
-		if s.may(now, n) && n.Term > s.meta.Promised {
+		if s.may(now, n) && n.Term > s.meta.VotedTerm {
 			o.send(from, message.Message{Kind: message.KindGrantVote, Op: probe, Partition: s.partition, Term: n.Term, Group: message.Group{Number: own.Number}})
 		} else {
 			s.refuse(now, from, n, o)
 		}
 		return
 	}
-	if !s.may(now, n) || n.Term <= s.meta.Promised && !again {
+	if !s.may(now, n) || n.Term <= s.meta.VotedTerm && !again {
 		s.refuse(now, from, n, o)
 		return
 	}
@@ -40,12 +40,12 @@
 		s.before, s.undo = s.meta, n.Term
 	}
 	if n.From == s.me.Ident {
-		s.meta.Tried = n.Term
+		s.meta.CandidateTerm = n.Term
 	}
 	if now < s.till && s.support != n.From || now < s.till && s.over() {
 		s.quiet = max(s.quiet, s.till)
 	}
-	s.meta.Promised, s.meta.To, s.meta.ToEpoch = n.Term, n.From, n.Epoch
+	s.meta.VotedTerm, s.meta.VotedFor, s.meta.VotedForEpoch = n.Term, n.From, n.Epoch
 	s.support, s.till = n.From, now+s.cfg.Wait(s.cfg.LeaderLease)
 	if n.From != s.me.Ident {
 		s.drop(o)
@@ -96,7 +96,7 @@
 }
 
 func (s *Replica) refuse(now time.Duration, from message.Replica, n message.Message, o *Out) {
-	o.send(from, message.Message{Kind: message.KindRejectVote, Partition: s.partition, Term: n.Term, LastComplete: s.meta.Promised, Group: s.meta.Group, Length: int64(s.left(now, n)), Hint: s.hint.Leader})
+	o.send(from, message.Message{Kind: message.KindRejectVote, Partition: s.partition, Term: n.Term, LastComplete: s.meta.VotedTerm, Group: s.meta.Group, Length: int64(s.left(now, n)), Hint: s.hint.Leader})
 }
 
 // may tells whether a candidate can be promised a term now. One that would
@@ -215,7 +215,7 @@
 func bury(fresh *digest.Records) {
 	var gone []string
 	for r := range fresh.All() {
-		if r.Deleted && !strings.HasPrefix(r.Key, FloorOf) {
+		if r.Deleted && !strings.HasPrefix(r.Key, FloorPrefix) {
 			gone = append(gone, r.Key)
 		}
 	}
@@ -238,7 +238,7 @@
 // probe asks whether a term could be won now, which binds nobody, so that a
 // replica that can't win doesn't disturb the leader.
 func (s *Replica) probe(now time.Duration, o *Out) {
-	s.num = max(s.high, s.meta.Promised, s.meta.Tried, s.num) + 1
+	s.num = max(s.high, s.meta.VotedTerm, s.meta.CandidateTerm, s.num) + 1
 	s.mode, s.askAt, s.probed = probing, now, map[string]bool{}
 	for _, replica := range s.meta.Group.All() {
 		s.askProbe(replica, o)
@@ -253,7 +253,7 @@
 func (s *Replica) wait() int64 { return int64(s.cfg.Wait(s.cfg.LeaderLease)) }
 
 func (s *Replica) stand(now time.Duration, o *Out) {
-	if s.meta.Promised >= s.num { // we were asked for that term meanwhile
+	if s.meta.VotedTerm >= s.num { // we were asked for that term meanwhile
 		s.drop(o)
 		return
 	}
--- a/control/quorum/trio_test.go
+++ b/control/quorum/trio_test.go
@@ -77,7 +77,7 @@
 		v := m.queue[0]
 		m.queue = m.queue[1:]
 		m.meta = v.Meta
-		for _, sp := range v.Wipe {
+		for _, sp := range v.WipeRanges {
 			for r := range m.records.InRange(sp) {
 				m.records.Delete(r.Key)
 			}
@@ -170,7 +170,7 @@
 	m := w.by[id]
 	sum := m.meta.Sum(m.records)
 	m.records.Delete(key)
-	m.meta.Short = m.meta.Short || sum != m.meta.Sum(m.records)
+	m.meta.Incomplete = m.meta.Incomplete || sum != m.meta.Sum(m.records)
 	w.start(id)
 }
 
@@ -201,8 +201,8 @@
 	w.by[own].cut = false
 	w.pass(4*time.Second, false)
 	for id, m := range w.by {
-		if _, ok := m.s.Records().Get(fmt.Sprint("k", tag)); !ok || m.s.Meta().Short || m.meta.Short {
-			t.Errorf("%s: the write is there: %v, short: %v", id, ok, m.s.Meta().Short)
+		if _, ok := m.s.Records().Get(fmt.Sprint("k", tag)); !ok || m.s.Meta().Incomplete || m.meta.Incomplete {
+			t.Errorf("%s: the write is there: %v, short: %v", id, ok, m.s.Meta().Incomplete)
 		}
 	}
 	if w.leader() == "" {
@@ -222,7 +222,7 @@
 	}
 	w.pass(2*cfg.HeartbeatInterval, false)
 	w.settle()
-	if m := w.by[short]; m.s.Meta().Short || m.meta.Short {
+	if m := w.by[short]; m.s.Meta().Incomplete || m.meta.Incomplete {
 		t.Error("still short")
 	}
 	if d := digest.DifferingRanges(w.by[own].s.Records().Digests(), w.by[short].s.Records().Digests()); len(d) > 0 {
@@ -273,7 +273,7 @@
 		w.settle()
 	}
 	put(message.Record{Key: "once/old"})
-	mark, _ := json.Marshal(w.by[own].s.Seq())
+	mark, _ := json.Marshal(w.by[own].s.LastWritten())
 	put(message.Record{Key: "once/new"})
 	put(message.Record{Key: FloorKey, Value: mark})
 	w.by[w.other()].cut = true
--- a/control/quorum/walk_test.go
+++ b/control/quorum/walk_test.go
@@ -99,7 +99,7 @@
 
 func (d *disk) sync(s Save) {
 	d.meta = s.Meta
-	for _, sp := range s.Wipe {
+	for _, sp := range s.WipeRanges {
 		maps.DeleteFunc(d.recs, func(k string, _ message.Record) bool { return digest.RangeOf(k) == sp })
 	}
 	for _, k := range s.Delete {
--- a/control/quorum/whole.go
+++ b/control/quorum/whole.go
@@ -33,11 +33,11 @@
 		_, _ = h.Write([]byte(s))
 	}
 	short := uint64(0)
-	if m.Short {
+	if m.Incomplete {
 		short = 1
 	}
-	num(m.Promised, m.ToEpoch, m.Tried, m.LastComplete, short, m.Group.Number, uint64(len(m.Group.Replicas)))
-	word(m.To)
+	num(m.VotedTerm, m.VotedForEpoch, m.CandidateTerm, m.LastComplete, short, m.Group.Number, uint64(len(m.Group.Replicas)))
+	word(m.VotedFor)
 	for _, replica := range append(slices.Clone(m.Group.Replicas), m.Group.Next...) {
 		word(replica.Ident)
 	}
--- a/control/quorum/write.go
+++ b/control/quorum/write.go
@@ -7,15 +7,15 @@
 )
 
 func (s *Replica) accept(now time.Duration, from message.Replica, n message.Message, o *Out) {
-	if s.meta.Promised != n.Term || s.meta.To != n.From {
-		if s.meta.Promised > n.Term {
+	if s.meta.VotedTerm != n.Term || s.meta.VotedFor != n.From {
+		if s.meta.VotedTerm > n.Term {
 			s.refuse(now, from, n, o)
 		} else if n.From != s.me.Ident {
 			o.send(from, message.Message{Kind: message.KindStateMismatch, Partition: s.partition, Term: n.Term, Digests: s.records.Digests()})
 		}
 		return
 	}
-	if s.meta.LastComplete != n.Term || s.meta.Short {
+	if s.meta.LastComplete != n.Term || s.meta.Incomplete {
 		o.send(from, message.Message{Kind: message.KindStateMismatch, Partition: s.partition, Term: n.Term, Digests: s.records.Digests()})
 		return
 	}
@@ -79,7 +79,7 @@
 	}
 }
 
-// Seq is the version of the last record written under this term.
+// LastWritten is the version of the last record written under this term.
 //
-// Example: mark := s.Seq()
-func (s *Replica) Seq() message.Version { return message.Version{Term: s.num, Seq: s.seq} }
+// Example: mark := s.LastWritten()
+func (s *Replica) LastWritten() message.Version { return message.Version{Term: s.num, Seq: s.seq} }
--- a/control/storage/aside_test.go
+++ b/control/storage/aside_test.go
@@ -74,7 +74,7 @@
 func TestASpoiltPastClaimsNothing(t *testing.T) {
 	dir := t.TempDir()
 	a := open(t, dir)
-	meta := quorum.Meta{Promised: 4, Group: message.Group{Number: 1}, State: message.SavePoint{Epoch: a.Epoch, Saves: 4}, Peers: []message.PeerIncarnation{{Ident: "b", Epoch: 9 << 32}}}
+	meta := quorum.Meta{VotedTerm: 4, Group: message.Group{Number: 1}, State: message.SavePoint{Epoch: a.Epoch, Saves: 4}, Peers: []message.PeerIncarnation{{Ident: "b", Epoch: 9 << 32}}}
 	if err := a.Write([]quorum.Save{{Partition: 1, Meta: meta}}); err != nil {
 		t.Fatal(err)
 	}
@@ -89,7 +89,7 @@
 	a.Close()
 	a = open(t, dir)
 	defer a.Close()
-	if m := a.Partitions[1].Meta; m.State.Epoch != 0 || len(m.Peers) > 0 || m.Promised != 4 || len(a.IncompletePartitions) > 0 {
+	if m := a.Partitions[1].Meta; m.State.Epoch != 0 || len(m.Peers) > 0 || m.VotedTerm != 4 || len(a.IncompletePartitions) > 0 {
 		t.Errorf("spoilt: %+v, short %v", m, a.IncompletePartitions)
 	}
 }
--- a/control/storage/batch.go
+++ b/control/storage/batch.go
@@ -58,7 +58,7 @@
 		b.parts[s.Partition] = p
 	}
 	p.Partition, p.Meta, p.Sum = s.Partition, s.Meta, s.Sum
-	for _, span := range s.Wipe {
+	for _, span := range s.WipeRanges {
 		p.wipe[span] = true
 		maps.DeleteFunc(p.recs, func(k string, _ message.Record) bool { return digest.RangeOf(k) == span })
 		maps.DeleteFunc(p.drop, func(k string, _ bool) bool { return digest.RangeOf(k) == span })
@@ -91,7 +91,7 @@
 	for _, partition := range slices.Sorted(maps.Keys(b.parts)) {
 		p := b.parts[partition]
 		s := p.Save
-		s.Wipe, s.Delete = slices.Sorted(maps.Keys(p.wipe)), slices.Sorted(maps.Keys(p.drop))
+		s.WipeRanges, s.Delete = slices.Sorted(maps.Keys(p.wipe)), slices.Sorted(maps.Keys(p.drop))
 		for _, k := range slices.Sorted(maps.Keys(p.recs)) {
 			s.Records = append(s.Records, p.recs[k])
 		}
--- a/control/storage/batch_test.go
+++ b/control/storage/batch_test.go
@@ -13,7 +13,7 @@
 
 // apply is what a save leaves behind.
 func apply(b *digest.Records, s quorum.Save) {
-	for _, span := range s.Wipe {
+	for _, span := range s.WipeRanges {
 		for r := range b.InRange(span) {
 			b.Delete(r.Key)
 		}
@@ -35,14 +35,14 @@
 		n := rapid.IntRange(1, 40).Draw(t, "n")
 		cut := rapid.IntRange(0, n).Draw(t, "cut")
 		for i := range n {
-			s := quorum.Save{Ticket: uint64(i + 1), Partition: 3, Meta: quorum.Meta{Promised: uint64(i)}, Sum: uint64(i)}
+			s := quorum.Save{Ticket: uint64(i + 1), Partition: 3, Meta: quorum.Meta{VotedTerm: uint64(i)}, Sum: uint64(i)}
 			key := rapid.Custom(func(t *rapid.T) string { return fmt.Sprint("k", rapid.IntRange(0, 12).Draw(t, "key")) })
 			for _, k := range rapid.SliceOfN(key, 0, 3).Draw(t, "recs") {
 				s.Records = append(s.Records, message.Record{Key: k, Version: message.Version{Term: 1, Seq: uint64(i)}})
 			}
 			s.Delete = rapid.SliceOfN(key, 0, 2).Draw(t, "drop")
 			for _, k := range rapid.SliceOfN(key, 0, 2).Draw(t, "wipe") {
-				s.Wipe = append(s.Wipe, digest.RangeOf(k))
+				s.WipeRanges = append(s.WipeRanges, digest.RangeOf(k))
 			}
 			apply(one, s)
 			if i < cut {
@@ -53,7 +53,7 @@
 		}
 		a.Append(b)
 		saves := a.Saves()
-		if len(saves) != 1 || len(a.Tickets) != n || a.Tickets[n-1] != (Ticket{3, uint64(n)}) || saves[0].Meta.Promised != uint64(n-1) || saves[0].Sum != uint64(n-1) {
+		if len(saves) != 1 || len(a.Tickets) != n || a.Tickets[n-1] != (Ticket{3, uint64(n)}) || saves[0].Meta.VotedTerm != uint64(n-1) || saves[0].Sum != uint64(n-1) {
 			t.Fatalf("%d saves, %v given", len(saves), a.Tickets)
 		}
 		apply(all, saves[0])
--- a/control/storage/crash_test.go
+++ b/control/storage/crash_test.go
@@ -59,7 +59,7 @@
 	out := fmt.Sprint("set aside ", a.QuarantinePath, " short ", a.IncompletePartitions, " empty ", a.Empty)
 	for p := range 3 {
 		if h, ok := a.Partitions[p]; ok {
-			out += fmt.Sprintf(" partition %d promised %d of %d records %x", p, h.Meta.Promised, h.Records.Size(), h.Records.Sum())
+			out += fmt.Sprintf(" partition %d promised %d of %d records %x", p, h.Meta.VotedTerm, h.Records.Size(), h.Records.Sum())
 		}
 	}
 	return out
@@ -93,10 +93,10 @@
 	for p := range 2 {
 		s.n++
 		b := s.records[p]
-		v := quorum.Save{Partition: p, Meta: quorum.Meta{Promised: s.n, LastComplete: s.n}}
+		v := quorum.Save{Partition: p, Meta: quorum.Meta{VotedTerm: s.n, LastComplete: s.n}}
 		if s.rng.Intn(2) == 0 {
-			v.Wipe = []int{s.rng.Intn(digest.Ranges)}
-			for r := range b.InRange(v.Wipe[0]) {
+			v.WipeRanges = []int{s.rng.Intn(digest.Ranges)}
+			for r := range b.InRange(v.WipeRanges[0]) {
 				b.Delete(r.Key)
 			}
 		}
@@ -284,12 +284,12 @@
 		}
 		s.Close()
 		a := open(t, s.dir)
-		if len(a.IncompletePartitions) != 1 || a.IncompletePartitions[0] != 0 || !a.Partitions[0].Meta.Short || a.Partitions[1].Meta.Short {
+		if len(a.IncompletePartitions) != 1 || a.IncompletePartitions[0] != 0 || !a.Partitions[0].Meta.Incomplete || a.Partitions[1].Meta.Incomplete {
 			t.Errorf("%s: short %v", what, a.IncompletePartitions)
 		}
 		a.Close()
 		a = open(t, s.dir) // and it stays so until it is filled
-		if !a.Partitions[0].Meta.Short {
+		if !a.Partitions[0].Meta.Incomplete {
 			t.Errorf("%s: whole after another start", what)
 		}
 		a.Close()
--- a/control/storage/golden_test.go
+++ b/control/storage/golden_test.go
@@ -41,7 +41,7 @@
 		{
 			Partition: 0,
 			Meta: quorum.Meta{
-				Promised: 7, To: "b", ToEpoch: incarnation.Number(3, 21), Tried: 6, LastComplete: 5,
+				VotedTerm: 7, VotedFor: "b", VotedForEpoch: incarnation.Number(3, 21), CandidateTerm: 6, LastComplete: 5,
 				Group: message.Group{
 					Number: 4, Replicas: goldenReplicas(goldenIdent + " b c"), Next: goldenReplicas(goldenIdent + " b d"),
 				},
@@ -61,7 +61,7 @@
 		},
 		{
 			Partition: 2,
-			Meta:      quorum.Meta{Promised: 2, To: "c", LastComplete: 1, Group: message.Group{Number: 1, Replicas: goldenReplicas("c " + goldenIdent)}, Short: true},
+			Meta:      quorum.Meta{VotedTerm: 2, VotedFor: "c", LastComplete: 1, Group: message.Group{Number: 1, Replicas: goldenReplicas("c " + goldenIdent)}, Incomplete: true},
 			Records:   []message.Record{{Key: "plan/now", Version: message.Version{Term: 1, Seq: 1}, Value: []byte("old")}},
 		},
 		{Partition: 5, Meta: quorum.Meta{Group: message.Group{Number: 1, Replicas: goldenReplicas(goldenIdent)}}},
@@ -170,7 +170,7 @@
 		t.Errorf("start %d, expected %d", starts, goldenStarts+1)
 	}
 	next := quorum.Save{Partition: 2, Meta: want[1].Meta, Delete: []string{"plan/now"}}
-	next.Meta.Short, next.Meta.Promised = false, 8
+	next.Meta.Incomplete, next.Meta.VotedTerm = false, 8
 	next.Records = []message.Record{{Key: "plan/next", Version: message.Version{Term: 8, Seq: 1}, Value: []byte("new")}}
 	next.Sum = next.Meta.Sum(recordsOf(next))
 	if err := a.Write([]quorum.Save{next}); err != nil {
--- a/control/storage/load.go
+++ b/control/storage/load.go
@@ -65,7 +65,7 @@
 		if len(spoilt[partition]) == 0 && (sums[partition] == 0 || sums[partition] == h.Meta.Sum(h.Records)) {
 			continue
 		}
-		h.Meta.Short = true
+		h.Meta.Incomplete = true
 		a.Partitions[partition] = h
 		a.IncompletePartitions = append(a.IncompletePartitions, partition)
 		mark = append(mark, quorum.Save{Partition: partition, Meta: h.Meta, Delete: spoilt[partition], Sum: h.Meta.Sum(h.Records)})
--- a/control/storage/storage.go
+++ b/control/storage/storage.go
@@ -243,7 +243,7 @@
 			if _, err := tx.Exec("insert or replace into seat values(?,?)", s.Partition, string(b)); err != nil {
 				return err
 			}
-			for _, sp := range s.Wipe {
+			for _, sp := range s.WipeRanges {
 				if _, err := tx.Exec("delete from sums where part=? and key in (select key from rec where part=? and span=?)", s.Partition, s.Partition, sp); err != nil {
 					return err
 				}
--- a/control/storage/storage_test.go
+++ b/control/storage/storage_test.go
@@ -33,7 +33,7 @@
 	if !a.Empty || incarnation.Starts(a.Epoch) != 1 {
 		t.Fatalf("%+v", a)
 	}
-	meta := quorum.Meta{Promised: 4, To: id, LastComplete: 3, Group: message.Group{Number: 1, Replicas: []message.Replica{{Ident: id}}}}
+	meta := quorum.Meta{VotedTerm: 4, VotedFor: id, LastComplete: 3, Group: message.Group{Number: 1, Replicas: []message.Replica{{Ident: id}}}}
 	recs := []message.Record{{Key: "plan/now", Version: message.Version{Term: 3, Seq: 1}, Value: []byte("p")}, {Key: "once/k", Version: message.Version{Term: 3, Seq: 2}, Deleted: true}}
 	if err := a.Write([]quorum.Save{{Partition: 2, Meta: meta, Records: recs}}); err != nil {
 		t.Fatal(err)
@@ -43,11 +43,11 @@
 	}
 	a.Close()
 	a = open(t, dir)
-	if a.Ident != id || incarnation.Starts(a.Epoch) != 2 || a.Empty || a.Partitions[2].Meta.Promised != 4 || a.Partitions[2].Records.Size() != 2 {
+	if a.Ident != id || incarnation.Starts(a.Epoch) != 2 || a.Empty || a.Partitions[2].Meta.VotedTerm != 4 || a.Partitions[2].Records.Size() != 2 {
 		t.Errorf("%+v", a)
 	}
 	// A wipe of a range takes only what is in it.
-	if err := a.Write([]quorum.Save{{Partition: 2, Meta: meta, Wipe: []int{digest.RangeOf("plan/now")}}}); err != nil {
+	if err := a.Write([]quorum.Save{{Partition: 2, Meta: meta, WipeRanges: []int{digest.RangeOf("plan/now")}}}); err != nil {
 		t.Fatal(err)
 	}
 	a.Close()
@@ -97,7 +97,7 @@
 func TestAFullDiskTakesNothing(t *testing.T) {
 	dir := t.TempDir()
 	a := open(t, dir)
-	meta := quorum.Meta{Promised: 1, Group: message.Group{Number: 1, Replicas: []message.Replica{{Ident: a.Ident}}}}
+	meta := quorum.Meta{VotedTerm: 1, Group: message.Group{Number: 1, Replicas: []message.Replica{{Ident: a.Ident}}}}
 	if err := a.Write([]quorum.Save{{Partition: 0, Meta: meta}}); err != nil {
 		t.Fatal(err)
 	}
@@ -105,7 +105,7 @@
 		t.Fatal(err)
 	}
 	next := meta
-	next.Promised = 2
+	next.VotedTerm = 2
 	big := []quorum.Save{{Partition: 0, Meta: next}, {Partition: 1, Meta: next, Records: []message.Record{{Key: "k", Version: message.Version{Term: 1, Seq: 1}, Value: make([]byte, 1<<20)}}}}
 	if err := a.Write(big); err == nil || !strings.Contains(err.Error(), "full") {
 		t.Fatalf("a full disk said %v", err)
@@ -113,7 +113,7 @@
 	a.Close()
 	a = open(t, dir)
 	defer a.Close()
-	if a.Partitions[0].Meta.Promised != 1 || len(a.Partitions) != 1 {
+	if a.Partitions[0].Meta.VotedTerm != 1 || len(a.Partitions) != 1 {
 		t.Errorf("half of a write is there: %+v", a.Partitions)
 	}
 	if err := a.Write(big); err != nil {
--- a/proof/modelcheck/copy.go
+++ b/proof/modelcheck/copy.go
@@ -197,7 +197,7 @@
 var (
 	typeTime  = reflect.TypeFor[time.Duration]()
 	typeBook  = reflect.TypeFor[digest.Records]()
-	noContent = map[string]bool{"born": true, "wonAt": true, "Mended": true, "SentChanges": true, "SentWhole": true, "gen": true, "cost": true}
+	noContent = map[string]bool{"born": true, "wonAt": true, "Repairs": true, "SentChanges": true, "SentWhole": true, "gen": true, "cost": true}
 )
 
 // hasher hashes values by content. Times count as seen from now, so that states
--- a/proof/modelcheck/plant.go
+++ b/proof/modelcheck/plant.go
@@ -42,7 +42,7 @@
 // atStart is what a replica starts with, and whether it may promise at once.
 func (p plant) atStart(m quorum.Meta) (quorum.Meta, bool) {
 	if p == forgets {
-		m.Promised, m.To, m.ToEpoch = 0, "", 0
+		m.VotedTerm, m.VotedFor, m.VotedForEpoch = 0, "", 0
 	}
 	return m, m.Group.Number == 0 || p == hasty
 }
--- a/proof/modelcheck/world.go
+++ b/proof/modelcheck/world.go
@@ -51,7 +51,7 @@
 func (d disk) with(s quorum.Save) disk {
 	out := disk{meta: s.Meta, recs: map[string]message.Record{}}
 	for k, r := range d.recs {
-		if !slices.Contains(s.Wipe, digest.RangeOf(k)) && !slices.Contains(s.Delete, k) {
+		if !slices.Contains(s.WipeRanges, digest.RangeOf(k)) && !slices.Contains(s.Delete, k) {
 			out.recs[k] = r
 		}
 	}
--- a/proof/sim/cutoff.go
+++ b/proof/sim/cutoff.go
@@ -60,7 +60,7 @@
 // led tells whether this daemon took itself for the leader of the configuration
 // last, whatever its lease.
 func (n *node) led() bool {
-	return n.sec(0).Replica != nil && n.sec(0).Replica.Meta().To == n.ident
+	return n.sec(0).Replica != nil && n.sec(0).Replica.Meta().VotedFor == n.ident
 }
 
 // order sends a change on top of the newest plan that the operator knows of, to
--- a/proof/sim/fault.go
+++ b/proof/sim/fault.go
@@ -291,7 +291,7 @@
 	for p := 0; p <= w.o.Partitions; p++ {
 		for _, own := range w.nodes {
 			if own.up && own.parts[p].Leader(own.local()) {
-				w.res.Mended += own.sec(p).Replica.Mended
+				w.res.Mended += own.sec(p).Replica.Repairs
 			}
 		}
 	}
--- a/proof/sim/folder.go
+++ b/proof/sim/folder.go
@@ -38,7 +38,7 @@
 		if !n.disk.rot {
 			n.w.note(Event{Kind: Silent, Node: n.name, Tag: fmt.Sprintf("reads partition %d back as what was never written", p)})
 		}
-		meta.Short = n.w.o.Sabotage != "rotvote"
+		meta.Incomplete = n.w.o.Sabotage != "rotvote"
 		n.disk.meta[p], n.disk.sum[p] = meta, meta.Sum(records)
 	}
 	return meta, records
@@ -102,7 +102,7 @@
 		if f.recs[s.Partition] == nil {
 			f.recs[s.Partition] = map[string]message.Record{}
 		}
-		for _, sp := range s.Wipe {
+		for _, sp := range s.WipeRanges {
 			for k := range f.recs[s.Partition] {
 				if digest.RangeOf(k) == sp {
 					delete(f.recs[s.Partition], k)
--- a/proof/sim/many.go
+++ b/proof/sim/many.go
@@ -175,7 +175,7 @@
 					g = m.sec(p).Replica.Group()
 				}
 			}
-			if !g.Has(n.ident) || n.sec(p).Replica.Meta().Short {
+			if !g.Has(n.ident) || n.sec(p).Replica.Meta().Incomplete {
 				bad(n, "no voter of partition %d (%d voters, next %d)", p, len(g.Replicas), len(g.Next))
 				continue
 			}
--- a/proof/sim/node.go
+++ b/proof/sim/node.go
@@ -144,7 +144,7 @@
 		if n.hasDisk {
 			meta, records := n.loadReplica(p)
 			if w.o.Sabotage == "forget" {
-				meta.Promised, meta.To = 0, ""
+				meta.VotedTerm, meta.VotedFor = 0, ""
 			}
 			leadership := w.cfg.QuorumConfig()
 			if w.o.Sabotage == "lategone" {
--- a/proof/standin/mutants/answers.sh
+++ b/proof/standin/mutants/answers.sh
@@ -28,5 +28,5 @@
 mutant same-numbers control/leadercall TestResponsesToAnEarlierLife control/leadercall/leadercall.go 'no: life << lifeBits' 'no: 0 * life'
 mutant anybodys-response control/leadercall TestResponsesToAnEarlierLife control/leadercall/leadercall.go ' || n.From != t.to' ''
 mutant earlier-promise control/quorum TestPromisesToAnEarlierLife control/quorum/term.go ' || n.ResponseTo != 0 && n.ResponseTo != s.lives[s.me.Ident]' ''
-mutant earlier-void control/quorum TestAVoidOfAnEarlierLife control/quorum/quorum.go 's.meta.ToEpoch == n.Epoch && ' ''
+mutant earlier-void control/quorum TestAVoidOfAnEarlierLife control/quorum/quorum.go 's.meta.VotedForEpoch == n.Epoch && ' ''
 exit $missed
