--- a/control/partition/batch_test.go
+++ b/control/partition/batch_test.go
@@ -22,7 +22,7 @@
 // Jobs that come while an earlier one waits are written together, once it is done:
 // one withdrawal and one write; one that is built on what isn't written yet gets its
 // answer with it, also if it is refused.
-func TestJobsThatWaitAreWrittenTogether(t *testing.T) {
+func TestWaitingJobsAreMerged(t *testing.T) {
 	s, sync := leader(t)
 	now := s.Replica.LeaseEnd() - 900*time.Millisecond
 	first := s.Submit(now, 1, appends('a', 0)) // its disk isn't asked yet
@@ -55,7 +55,7 @@
 
 // What was joined and never committed was never in force: what wrote is uncertain,
 // and what was refused by it isn't refused.
-func TestWhatWasJoinedIsLostTogether(t *testing.T) {
+func TestMergedJobsFailTogether(t *testing.T) {
 	s, _ := leader(t)
 	now := s.Replica.LeaseEnd() - 900*time.Millisecond
 	first := s.Submit(now, 1, appends('a', 0))
@@ -76,7 +76,7 @@
 
 // A job that doesn't join, or touches other keys too, waits for its turn, and what
 // came after it isn't written before it.
-func TestWhatDoesNotJoin(t *testing.T) {
+func TestOtherJobsWaitTheirTurn(t *testing.T) {
 	s, _ := leader(t)
 	now := s.Replica.LeaseEnd() - 900*time.Millisecond
 	first := s.Submit(now, 1, appends('a', 0))
--- a/control/partition/calm_test.go
+++ b/control/partition/calm_test.go
@@ -14,7 +14,7 @@
 // it serves and grants what was in force, and writes nothing, nor changes its
 // group, until leases that it had granted before have lapsed. Then what waited
 // is written. What waits when the leadership is lost was not done.
-func TestAnEarlyLeaderWritesLater(t *testing.T) {
+func TestReturningLeaderDefersWrites(t *testing.T) {
 	cfg := quorum.Config{LeaderLease: time.Second, Drift: 0.02, Margin: 20 * time.Millisecond, HeartbeatInterval: 333 * time.Millisecond}
 	for _, lost := range []bool{false, true} {
 		records := digest.NewRecords()
@@ -63,7 +63,7 @@
 		for ; now < s.WritesFrom() && len(o.Results) == 0; now += 10 * time.Millisecond {
 			if lost && now > 300*time.Millisecond {
 				s.Replica.Resign()
-				s.lose(&o)
+				s.handleLeadershipLost(&o)
 				continue
 			}
 			kid(message.Message{Kind: message.KindRenewLease, RequestID: uint64(now), VolumeEpoch: s.Node.VolumeEpoch()})
--- a/control/partition/partition.go
+++ b/control/partition/partition.go
@@ -294,7 +294,7 @@
 		o.Results = append(o.Results, b.results(fate)...)
 	}
 	if n.Lost {
-		s.lose(o)
+		s.handleLeadershipLost(o)
 	}
 	if n.Won {
 		o.Won = true
@@ -302,7 +302,7 @@
 	}
 }
 
-func (s *Partition) lose(o *Out) {
+func (s *Partition) handleLeadershipLost(o *Out) {
 	o.Lost = true
 	s.Node.ResignRoot()
 	for _, j := range s.queue {
--- a/control/partition/partition_test.go
+++ b/control/partition/partition_test.go
@@ -43,7 +43,7 @@
 // A write is acknowledged only after the child that holds the record has
 // acknowledged its invalidation, or after that child's lease has lapsed; meanwhile
 // nobody is served the record, old or new.
-func TestNoYesBeforeTheInvalidation(t *testing.T) {
+func TestWriteIsAcknowledgedAfterInvalidation(t *testing.T) {
 	for _, acks := range []bool{true, false} {
 		s, sync := leader(t)
 		now := s.Replica.LeaseEnd() - 900*time.Millisecond
@@ -86,7 +86,7 @@
 
 // A job that looked at two records and writes one withdraws that one alone; no
 // other job touches either meanwhile.
-func TestOnlyWhatIsWrittenIsWithdrawn(t *testing.T) {
+func TestOnlyWrittenRecordsAreWithdrawn(t *testing.T) {
 	s, sync := leader(t)
 	now := s.Replica.LeaseEnd() - 900*time.Millisecond
 	write := func(keys ...string) Job {
--- a/control/storage/aside.go
+++ b/control/storage/aside.go
@@ -18,9 +18,9 @@
 // since, which a vote of the back-up could undo.
 const MajorityLostFile = "majority-lost"
 
-// copyMark is the entry of a file's head that tells a back-up from a folder's own
+// headBackup is the entry of a file's head that tells a back-up from a folder's own
 // state.
-const copyMark = "copy"
+const headBackup = "copy"
 
 var errCopy = errors.New("it is a back-up, and no file " + MajorityLostFile + " stands beside it")
 
@@ -125,6 +125,6 @@
 		return err
 	}
 	defer func() { _ = db.Close() }()
-	_, err = db.Exec("insert or replace into meta values(?,?)", copyMark, "1")
+	_, err = db.Exec("insert or replace into meta values(?,?)", headBackup, "1")
 	return err
 }
--- a/control/storage/aside_test.go
+++ b/control/storage/aside_test.go
@@ -12,7 +12,7 @@
 
 // A state that was found superseded is set aside at the next start, once, and an
 // operator's word that the majority is lost goes before that.
-func TestASupersededStateIsSetAside(t *testing.T) {
+func TestSupersededStateIsQuarantined(t *testing.T) {
 	dir := t.TempDir()
 	a := open(t, dir)
 	was := a.Ident
@@ -45,7 +45,7 @@
 
 // What an operator says is the state that is left starts past all that others may
 // know of it, and claims nothing of where it came from.
-func TestAStateThatIsLeftClaimsNothing(t *testing.T) {
+func TestRestoredStateDisownsIncarnations(t *testing.T) {
 	dir := t.TempDir()
 	a := open(t, dir)
 	past := quorum.Meta{Group: message.Group{Number: 1}, State: message.SavePoint{Epoch: a.Epoch, Saves: 4}, Peers: []message.PeerIncarnation{{Ident: "b", Epoch: 9 << 32}}, History: []message.SavePoint{{Epoch: 1 << 32, Saves: 2}}}
@@ -71,7 +71,7 @@
 
 // What a state says of incarnations claims nothing where it isn't what was written;
 // the rest stands.
-func TestASpoiltPastClaimsNothing(t *testing.T) {
+func TestCorruptIncarnationsAreDisowned(t *testing.T) {
 	dir := t.TempDir()
 	a := open(t, dir)
 	meta := quorum.Meta{VotedTerm: 4, Group: message.Group{Number: 1}, State: message.SavePoint{Epoch: a.Epoch, Saves: 4}, Peers: []message.PeerIncarnation{{Ident: "b", Epoch: 9 << 32}}}
--- a/control/storage/batch_test.go
+++ b/control/storage/batch_test.go
@@ -28,7 +28,7 @@
 
 // A batch leaves behind what its saves would one after another, also where it
 // failed and was put before what came later.
-func TestABatchIsItsSavesOneAfterAnother(t *testing.T) {
+func TestBatchEqualsItsSavesInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one, all := digest.NewRecords(), digest.NewRecords()
 		var a, b Batch
@@ -64,7 +64,7 @@
 }
 
 // What waits for a disk is bounded by the state.
-func TestWhatWaitsIsBoundedByTheState(t *testing.T) {
+func TestBatchIsBoundedByTheState(t *testing.T) {
 	var b Batch
 	for i := range 2000 {
 		b.Add(quorum.Save{Ticket: uint64(i + 1), Records: []message.Record{{Key: "plan/now", Version: message.Version{Term: 1, Seq: uint64(i)}, Value: make([]byte, 1000)}}})
--- a/control/storage/crash_test.go
+++ b/control/storage/crash_test.go
@@ -133,7 +133,7 @@
 // A batch that is appended to the log: cut after each frame, inside a frame's
 // head, at each block of its page; a frame that is missing or spoilt with the
 // later ones there; any of them.
-func TestABatchThatIsCutShortIsWholeOrNotThere(t *testing.T) {
+func TestTruncatedBatchIsWholeOrAbsent(t *testing.T) {
 	s := stock(t, 1)
 	a := read(t, s.dir)
 	s.write(t)
@@ -175,7 +175,7 @@
 
 // The log is copied into the file: any of its pages may be there, missing or
 // torn while the log still is; nothing is lost.
-func TestALogThatIsCopiedInPartLosesNothing(t *testing.T) {
+func TestPartialCheckpointLosesNothing(t *testing.T) {
 	s := stock(t, 2)
 	a := read(t, s.dir)
 	want := a.state(t)
@@ -210,7 +210,7 @@
 
 // The log begins anew over what was copied: its new head is on disk before any
 // frame is written, and any of the frames may be new, old or torn after that.
-func TestALogThatBeginsAnewIsWholeOrNotThere(t *testing.T) {
+func TestRestartedLogIsWholeOrAbsent(t *testing.T) {
 	s := stock(t, 3)
 	if _, err := s.db.Exec("pragma wal_checkpoint(passive)"); err != nil {
 		t.Fatal(err)
@@ -255,7 +255,7 @@
 
 // A folder that is cut short while it is made is an empty one; one whose old log
 // came back beside a new file, for its removal was lost, is not mixed with it.
-func TestAFolderMadeInPartIsEmpty(t *testing.T) {
+func TestPartiallyMadeFolderIsEmpty(t *testing.T) {
 	s := stock(t, 4)
 	whole := read(t, s.dir)
 	fresh := open(t, t.TempDir())
@@ -270,7 +270,7 @@
 
 // What is on a disk and isn't what was written is never taken for whole: a
 // record that is gone with its sum, a promise that is another, a record more.
-func TestAPartThatIsNotWhatWasWrittenIsShort(t *testing.T) {
+func TestAlteredPartitionIsIncomplete(t *testing.T) {
 	for what, spoil := range map[string]string{
 		"a record gone":            "delete from rec where key=(select min(key) from rec where part=0) and part=0",
 		"a record and its sum":     "delete from sums where part=0; delete from rec where key=(select min(key) from rec where part=0) and part=0",
--- a/control/storage/golden_test.go
+++ b/control/storage/golden_test.go
@@ -162,7 +162,7 @@
 
 // A folder that an earlier build wrote is opened, holds what was written, and is
 // gone on with.
-func TestFolderOfAnEarlierBuildIsGoneOnWith(t *testing.T) {
+func TestFolderOfAnEarlierBuildIsUsed(t *testing.T) {
 	dir, want := goldenFolder(t, "folder"), goldenSaves()
 	a := open(t, dir)
 	expectGolden(t, a, want)
@@ -187,7 +187,7 @@
 }
 
 // A state that an earlier build marked as superseded is set aside.
-func TestSupersededFolderOfAnEarlierBuildIsSetAside(t *testing.T) {
+func TestSupersededFolderOfAnEarlierBuildIsQuarantined(t *testing.T) {
 	dir := goldenFolder(t, "superseded")
 	a := open(t, dir)
 	defer a.Close()
--- a/control/storage/storage.go
+++ b/control/storage/storage.go
@@ -172,7 +172,7 @@
 		return err
 	}
 	starts := uint64(1)
-	_, copied := meta[copyMark]
+	_, copied := meta[headBackup]
 	restored := len(meta) > 0 && exists(filepath.Join(filepath.Dir(path), MajorityLostFile))
 	if len(meta) == 0 {
 		a.Empty, a.Ident = true, NewIdent()
@@ -206,8 +206,8 @@
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	delete(meta, copyMark)
-	_, err = tx.Exec("delete from meta where k=?", copyMark)
+	delete(meta, headBackup)
+	_, err = tx.Exec("delete from meta where k=?", headBackup)
 	for k, v := range meta {
 		if err == nil {
 			_, err = tx.Exec("insert or replace into meta values(?,?)", k, v)
--- a/control/storage/storage_test.go
+++ b/control/storage/storage_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestStrangeFolders(t *testing.T) {
+func TestUnusableFolders(t *testing.T) {
 	dir := t.TempDir()
 	a := open(t, dir)
 	if _, err := a.db.Exec("update meta set v='9' where k='format'"); err != nil {
@@ -94,7 +94,7 @@
 
 // A write that SQLite refuses leaves nothing behind, neither for now nor after
 // a restart; with room again the same write is taken.
-func TestAFullDiskTakesNothing(t *testing.T) {
+func TestFullDiskTakesNothing(t *testing.T) {
 	dir := t.TempDir()
 	a := open(t, dir)
 	meta := quorum.Meta{VotedTerm: 1, Group: message.Group{Number: 1, Replicas: []message.Replica{{Ident: a.Ident}}}}
@@ -122,7 +122,7 @@
 }
 
 // A value spoilt in place, its version intact, counts as missing.
-func TestASpoiltValueIsMissing(t *testing.T) {
+func TestCorruptValueIsMissing(t *testing.T) {
 	dir := t.TempDir()
 	a := open(t, dir)
 	recs := []message.Record{{Key: "a", Version: message.Version{Term: 1, Seq: 1}, Value: []byte("x")}, {Key: "b", Version: message.Version{Term: 1, Seq: 2}, Deleted: true}, {Key: "c", Version: message.Version{Term: 1, Seq: 3}}}
@@ -154,7 +154,7 @@
 
 // A file that can't be read or written now isn't a damaged one: it stays where
 // it is, and opens once the disk allows it.
-func TestAnUnreadableFileIsNoDamage(t *testing.T) {
+func TestUnreadableFileIsNotCorrupt(t *testing.T) {
 	dir := t.TempDir()
 	a := open(t, dir)
 	id := a.Ident
@@ -180,7 +180,7 @@
 const roomKey = "STORAGE_TEST_ROOM"
 
 // The same where the disk has no room for one more byte.
-func TestAFullDiskAtTheStartIsNoDamage(t *testing.T) {
+func TestFullDiskAtStartIsNotCorrupt(t *testing.T) {
 	if room := os.Getenv(roomKey); room != "" {
 		openWithRoom(room)
 		return
@@ -233,7 +233,7 @@
 
 // Each batch is synced, and the index of the log is in memory: writes through a
 // mapping reach a file late.
-func TestTheLogIsSyncedAndNothingIsMapped(t *testing.T) {
+func TestLogIsSyncedAndNotMapped(t *testing.T) {
 	dir := t.TempDir()
 	a := open(t, dir)
 	defer a.Close()
@@ -249,7 +249,7 @@
 }
 
 // Sums of records that are gone don't stay behind.
-func TestNoSumStaysBehind(t *testing.T) {
+func TestNoFingerprintIsLeftBehind(t *testing.T) {
 	s := stock(t, 6)
 	for range 40 {
 		s.write(t)
@@ -263,7 +263,7 @@
 // A back-up that is written while the folder is in use opens as the state was,
 // where an operator says that a majority of the disks is lost; that is said for
 // one start, after which the folder's state is its own again.
-func TestABackupIsWhole(t *testing.T) {
+func TestBackupIsComplete(t *testing.T) {
 	s := stock(t, 7)
 	want := s.records[0].Sum()
 	dir := t.TempDir()
@@ -290,7 +290,7 @@
 // A back-up in the place of a folder's state counts for nothing while other disks
 // may have what is newer: it is set aside, and the folder starts empty under an
 // identity of its own.
-func TestABackupIsNotTheState(t *testing.T) {
+func TestBackupIsQuarantined(t *testing.T) {
 	s := stock(t, 7)
 	dir := t.TempDir()
 	if err := s.Backup(filepath.Join(dir, "state.db")); err != nil {
@@ -312,7 +312,7 @@
 }
 
 // A folder may have any name: what is written there is read there.
-func TestAFolderOfAnyName(t *testing.T) {
+func TestFolderOfAnyName(t *testing.T) {
 	for _, name := range []string{"a#b", "a?b=c", "a%41b", "a b", "a&_synchronous=OFF"} {
 		dir := filepath.Join(t.TempDir(), name)
 		first, err := Open(dir, "f")
--- a/proof/standin/mutants/rules.sh
+++ b/proof/standin/mutants/rules.sh
@@ -31,15 +31,15 @@
 mutant peers-in-memory-only control/quorum TestWhatIsKnownOfOthersIsSaved $guard 'if s.unsaved && now' 'if s.unsaved && s.quit && now'
 mutant leader-tells-nobody control/quorum TestALeaderTellsOfTheOthers control/quorum/lease.go '	s.tellPeers(&n)
 ' ''
-mutant superseded-goes-on control/storage TestASupersededStateIsSetAside control/storage/aside.go 'return errSuperseded' 'return a.open(path, fleet)'
-mutant left-state-claims control/storage TestAStateThatIsLeftClaimsNothing control/storage/storage.go 'starts += restoredStarts' 'starts += 0'
-mutant spoilt-past-counts control/storage TestASpoiltPastClaimsNothing control/storage/load.go 'if r.Past != r.PastSum() {' 'if r.Past == 0 && r.PastSum() != 0 {'
+mutant superseded-goes-on control/storage TestSupersededStateIsQuarantined control/storage/aside.go 'return errSuperseded' 'return a.open(path, fleet)'
+mutant left-state-claims control/storage TestRestoredStateDisownsIncarnations control/storage/storage.go 'starts += restoredStarts' 'starts += 0'
+mutant spoilt-past-counts control/storage TestCorruptIncarnationsAreDisowned control/storage/load.go 'if r.Past != r.PastSum() {' 'if r.Past == 0 && r.PastSum() != 0 {'
 # what goes down the tree, joined changes, formats
 mutant patch-on-any-base control/lease TestACorruptPatchIsNotServed $delta 'err != nil || l.From != from.Ver' 'err != nil && l.From != from.Ver'
 mutant patches-end-at-relays control/lease TestAChangeIsSentAsAPatch $delta '	n.extend(r.Key, kept)
 ' ''
 mutant patch-without-sum control/fleetconfig TestAPatchFitsOnlyItsBase control/fleetconfig/codec.go 'zstd.WithEncoderLevel(zstd.SpeedFastest),' 'zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderCRC(false),'
-mutant refused-by-what-is-lost control/partition TestWhatWasJoinedIsLostTogether control/partition/batch.go 'case j.none && f == Done:' 'case j.none:'
+mutant refused-by-what-is-lost control/partition TestMergedJobsFailTogether control/partition/batch.go 'case j.none && f == Done:' 'case j.none:'
 mutant format-not-asked control/leader TestAPlanThatNotAllDaemonsRead control/leader/once.go 'reads > 0 && p.Needs > reads' 'reads > 9 && p.Needs > reads'
 # what is told of the servers' load
 mutant all-is-told traffic/board TestWhatADaemonIsToldIsBounded traffic/board/tell.go 'if !takesParts(to) {' 'if takesParts(to) {'
--- a/wire/transport/frame.go
+++ b/wire/transport/frame.go
@@ -3,90 +3,115 @@
 import (
 	"bufio"
 	"encoding/binary"
+	"errors"
+	"fmt"
 	"io"
 
 	"mulleinmast/wire/message"
 )
 
-// EncodeFrame makes a frame of a message.
+// MaxFrameSize is the largest message that a frame may hold, in bytes.
+const MaxFrameSize = 32 << 20
+
+const (
+	// headerSize is the length of a frame's header: the version, and the length of
+	// the message in four bytes, the highest first.
+	headerSize = 5
+	// typicalSize is the room that is made for a small message.
+	typicalSize = 256
+	// maxPrealloc is how many bytes are made room for because a header says so; more
+	// only as they arrive.
+	maxPrealloc = 64 << 10
+)
+
+// EncodeFrame makes a whole frame of a message: one that needs no other to be read.
 //
-// Example: b, err := transport.EncodeFrame(message)
-func EncodeFrame(n message.Message) ([]byte, error) { return pack(n, message.FrameVersion) }
+// Example: b, err := transport.EncodeFrame(m)
+func EncodeFrame(m message.Message) ([]byte, error) { return encodeFrame(&m, message.FrameVersion) }
 
-func pack(n message.Message, version byte) ([]byte, error) {
-	b := make([]byte, head, head+256+n.Msgsize()/4)
-	b, err := n.MarshalMsg(b)
+func encodeFrame(m *message.Message, version byte) ([]byte, error) {
+	frame := make([]byte, headerSize, headerSize+typicalSize+m.Msgsize()/4)
+	frame, err := m.MarshalMsg(frame)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	if len(b)-head > MaxFrameSize {
-		return nil, Error.New("note of %d bytes, at most %d go in a frame", len(b)-head, MaxFrameSize)
+	size := len(frame) - headerSize
+	if size > MaxFrameSize {
+		return nil, Error.Wrap(fmt.Errorf("message of %d bytes, at most %d go in a frame: %w",
+			size, MaxFrameSize, ErrFrameSize))
 	}
-	b[0] = version
-	binary.BigEndian.PutUint32(b[1:], uint32(len(b)-head))
-	return b, nil
+	frame[0] = version
+	binary.BigEndian.PutUint32(frame[1:], uint32(size))
+	return frame, nil
 }
 
-// ReadFrame takes one message off a stream.
+// ReadFrame takes the message of one whole frame off a stream.
 //
-// Example: message, err := transport.ReadFrame(conn)
+// Example: m, err := transport.ReadFrame(conn)
 func ReadFrame(r io.Reader) (message.Message, error) {
-	var s spoken
-	n, _, err := s.read(r)
-	return n, err
+	var codec frameCodec
+	m, _, err := codec.read(r)
+	return m, err
 }
 
-// read takes a message off this connection and gives the length of its frame.
-func (s *spoken) read(r io.Reader) (n message.Message, whole int, err error) {
-	var h [head]byte
-	if _, err = io.ReadFull(r, h[:]); err != nil {
-		return n, 0, err
+// readHeader reads a frame's header. What the reader returns is passed on as it is, so
+// that the end of a connection can be told from a bad frame.
+func readHeader(r io.Reader) (version byte, size int, err error) {
+	var header [headerSize]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
+		return 0, 0, err
 	}
-	if h[0] != message.FrameVersion && h[0] != message.CompactFrameVersion {
-		return n, 0, Error.New("frame of wire version %d, expected %d or %d", h[0], message.FrameVersion, message.CompactFrameVersion)
+	version = header[0]
+	if version != message.FrameVersion && version != message.CompactFrameVersion {
+		return 0, 0, Error.Wrap(fmt.Errorf("frame of wire version %d, expected %d or %d: %w",
+			version, message.FrameVersion, message.CompactFrameVersion, ErrFrameVersion))
 	}
-	size := int(binary.BigEndian.Uint32(h[1:]))
+	size = int(binary.BigEndian.Uint32(header[1:]))
 	if size > MaxFrameSize {
-		return n, 0, Error.New("frame of %d bytes, at most %d are taken", size, MaxFrameSize)
+		return 0, 0, Error.Wrap(fmt.Errorf("frame of %d bytes, at most %d are taken: %w", size, MaxFrameSize, ErrFrameSize))
 	}
-	b := make([]byte, min(size, trust))
-	got, err := io.ReadFull(r, b)
+	return version, size, nil
+}
+
+// readBody reads the message's bytes.
+func readBody(r io.Reader, size int) ([]byte, error) {
+	body := make([]byte, min(size, maxPrealloc))
+	got, err := io.ReadFull(r, body)
 	if err == nil && got < size {
 		var rest []byte
 		rest, err = io.ReadAll(io.LimitReader(r, int64(size-got)))
-		b = append(b, rest...)
-		got = len(b)
+		body = append(body, rest...)
+		got = len(body)
 	}
-	if err != nil && err != io.EOF && err != io.ErrUnexpectedEOF {
-		return n, 0, err
+	if err != nil && !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
+		return nil, err
 	}
 	if got < size {
-		return n, 0, Error.New("frame cut short: %d of %d bytes", got, size)
+		return nil, Error.Wrap(fmt.Errorf("frame cut short: %d of %d bytes: %w", got, size, ErrTruncated))
 	}
-	rest, err := n.UnmarshalMsg(b)
+	return body, nil
+}
+
+// decodeBody reads the message out of its bytes.
+func decodeBody(body []byte, m *message.Message) error {
+	rest, err := m.UnmarshalMsg(body)
 	if err != nil {
-		return n, 0, Error.New("frame can't be read: %v", err)
+		return Error.Wrap(fmt.Errorf("%w: %w", ErrMalformed, err))
 	}
 	if len(rest) > 0 {
-		return n, 0, Error.New("%d bytes left over in a frame", len(rest))
-	}
-	if !n.Kind.Known() {
-		return n, 0, Error.New("note of unknown kind %d", n.Kind)
+		return Error.Wrap(fmt.Errorf("%d bytes left over in a frame: %w", len(rest), ErrMalformed))
 	}
-	if h[0] == message.CompactFrameVersion {
-		if err := s.lengthen(&n); err != nil {
-			return n, 0, err
-		}
+	if !m.Kind.Known() {
+		return Error.Wrap(fmt.Errorf("message of unknown kind %d: %w", m.Kind, ErrUnknownKind))
 	}
-	s.keep(n)
-	return n, head + size, nil
+	return nil
 }
 
-// whole tells whether a whole frame is in the buffer already.
-func whole(r *bufio.Reader) bool {
-	if r.Buffered() < head {
+// hasWholeFrame tells whether a whole frame is in the buffer already.
+func hasWholeFrame(r *bufio.Reader) bool {
+	if r.Buffered() < headerSize {
 		return false
 	}
-	h, err := r.Peek(head)
-	return err == nil && r.Buffered()-head >= int(binary.BigEndian.Uint32(h[1:]))
+	header, err := r.Peek(headerSize)
+	return err == nil && r.Buffered()-headerSize >= int(binary.BigEndian.Uint32(header[1:]))
 }
--- a/wire/transport/golden_test.go
+++ b/wire/transport/golden_test.go
@@ -99,9 +99,9 @@
 	}
 	// onConnection packs messages one after another for one connection.
 	onConnection := func(name string, short bool, list ...message.Message) {
-		var state spoken
+		var state frameCodec
 		for i, m := range list {
-			b, err := state.pack(m, short)
+			b, err := state.encode(m, short)
 			if err != nil {
 				t.Fatal(name, err)
 			}
@@ -190,7 +190,7 @@
 	for _, f := range framesOfThisBuild(t) {
 		want[f.name] = f.read
 	}
-	var state spoken
+	var state frameCodec
 	connection, read := "", 0
 	for line := range strings.Lines(string(text)) {
 		name, digits, _ := strings.Cut(strings.TrimSpace(line), ": ")
@@ -199,7 +199,7 @@
 			t.Fatal(name, err)
 		}
 		if of, _, _ := strings.Cut(name, "/"); of != connection {
-			connection, state = of, spoken{}
+			connection, state = of, frameCodec{}
 		}
 		m, size, err := state.read(bytes.NewReader(frame))
 		if err != nil || size != len(frame) {
--- /dev/null
+++ b/wire/transport/peertimeout_test.go
@@ -0,0 +1,131 @@
+package transport
+
+import (
+	"context"
+	"net"
+	"testing"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"mulleinmast/wire/message"
+)
+
+// dropIncoming has the kernel drop all that comes for one end of a connection, as a
+// cut or a loss of power does: nothing is acknowledged and nothing is reset.
+func dropIncoming(t *testing.T, c net.Conn) {
+	t.Helper()
+	raw, err := c.(*net.TCPConn).SyscallConn()
+	if err != nil {
+		t.Fatal(err)
+	}
+	drop := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 0}}
+	program := &unix.SockFprog{Len: 1, Filter: &drop[0]}
+	var optionErr error
+	if err := raw.Control(func(fd uintptr) {
+		optionErr = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, program)
+	}); err != nil || optionErr != nil {
+		t.Fatal(err, optionErr)
+	}
+}
+
+// A peer that is cut off without a word is sent to on a new connection after
+// PeerTimeout, not when the kernel gives the old one up: that takes as long again as
+// the cut did, or a quarter of an hour.
+func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = listener.Close() }()
+	accepted := make(chan net.Conn, 64)
+	go func() {
+		for {
+			c, err := listener.Accept()
+			if err != nil {
+				return
+			}
+			accepted <- c
+		}
+	}()
+	const timeout = 200 * time.Millisecond
+	sender := &Transport{
+		Fleet: "f", Self: message.Replica{Ident: "a", Addr: "127.0.0.1:1"}, PeerTimeout: timeout,
+		Receive: func(message.Message) {},
+	}
+	if err := sender.Listen("127.0.0.1:0"); err != nil {
+		t.Fatal(err)
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	defer stop()
+	go func() { _ = sender.Serve(ctx) }()
+	resend := time.NewTicker(timeout / 8)
+	defer resend.Stop()
+	limit := time.After(20 * timeout)
+	// next is the next connection that a message arrives on.
+	next := func(what string) net.Conn {
+		for {
+			select {
+			case c := <-accepted:
+				if m, err := ReadFrame(c); err != nil || m.Key != "k" {
+					t.Fatalf("%s: %v %v", what, m, err)
+				}
+				return c
+			case <-resend.C:
+				m := message.Message{Kind: message.KindRenewLease, Key: "k"}
+				sender.Send(message.Envelope{Addr: listener.Addr().String(), Message: m})
+			case <-limit:
+				t.Fatalf("%s: no connection within %v", what, 20*timeout)
+			}
+		}
+	}
+	first := next("first")
+	defer func() { _ = first.Close() }()
+	dropIncoming(t, first)
+	start := time.Now()
+	second := next("after the first was cut off")
+	defer func() { _ = second.Close() }()
+	t.Logf("sent to again after %v", time.Since(start).Round(time.Millisecond))
+}
+
+// A machine without power answers no SYN, and during a dial all that goes to its
+// address waits: a message that a change of leader needs is lost when the dial fails.
+// So the dial's timeout is short.
+func TestDialTimeoutIsShort(t *testing.T) {
+	const timeout = 800 * time.Millisecond
+	if dial := (&Transport{PeerTimeout: timeout}).dialer().Timeout; dial > timeout/4 || dial <= 0 {
+		t.Errorf("a dial may take %v where an unresponsive connection is closed after %v", dial, timeout)
+	}
+}
+
+// A connection whose bytes nobody acknowledges is given up after PeerTimeout: the
+// kernel doubles its pauses between retries, so that one which outlasted a cut
+// of seven seconds would be mute for six more after it has healed.
+func TestUnacknowledgedConnectionTimesOut(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() { _ = listener.Close() }()
+	for _, timeout := range []time.Duration{0, 1200 * time.Millisecond} {
+		transport := &Transport{PeerTimeout: timeout}
+		c, err := transport.dialer().Dial("tcp", listener.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		raw, err := c.(*net.TCPConn).SyscallConn()
+		if err != nil {
+			t.Fatal(err)
+		}
+		got, optionErr := 0, error(nil)
+		if err := raw.Control(func(fd uintptr) {
+			got, optionErr = unix.GetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
+		}); err != nil || optionErr != nil {
+			t.Fatal(err, optionErr)
+		}
+		if got != int(timeout.Milliseconds()) {
+			t.Errorf("times out after %d ms, expected %v", got, timeout)
+		}
+		_ = c.Close()
+	}
+}
