--- a/control/storage/batch.go
+++ b/control/storage/batch.go
@@ -1,12 +1,8 @@
 package storage
 
 import (
-	"errors"
 	"maps"
 	"slices"
-	"syscall"
-
-	"github.com/mattn/go-sqlite3"
 
 	"mulleinmast/control/digest"
 	"mulleinmast/control/quorum"
@@ -17,22 +13,24 @@
 // So what a full or stalled disk has yet to take is bounded by the state,
 // however many changes come meanwhile, and one transaction takes it all.
 type Batch struct {
-	parts map[int]*pending
-	// Tickets are the tickets of the saves in it, in order.
+	partitions map[int]*pendingSave
+	// Tickets are those of the saves in it, in order.
 	Tickets []Ticket
 }
 
 // Ticket names a save of a partition.
 type Ticket struct {
 	Partition int
-	Number    uint64
+	Number    uint64 // quorum.Save.Ticket
 }
 
-type pending struct {
+// pendingSave is all saves of one partition as one. A key stands in records or in
+// deleted, never in both; both come after the wipes.
+type pendingSave struct {
 	quorum.Save
-	wipe map[int]bool
-	recs map[string]message.Record
-	drop map[string]bool
+	wipes   map[int]bool // ranges of keys
+	records map[string]message.Record
+	deleted map[string]bool
 }
 
 // Empty tells whether nothing waits.
@@ -42,72 +40,72 @@
 
 // Add puts a save after those that are in the batch.
 //
-// Example: for _, s := range out.Saves { b.Add(s) }
-func (b *Batch) Add(s quorum.Save) {
-	b.Tickets = append(b.Tickets, Ticket{s.Partition, s.Ticket})
-	b.add(s)
+// Example: for _, save := range out.Saves { b.Add(save) }
+func (b *Batch) Add(save quorum.Save) {
+	b.Tickets = append(b.Tickets, Ticket{Partition: save.Partition, Number: save.Ticket})
+	b.merge(save)
+}
+
+// Append puts a later batch after this one.
+//
+// Example: failed.Append(later); waiting = failed
+func (b *Batch) Append(later Batch) {
+	b.Tickets = append(b.Tickets, later.Tickets...)
+	for _, save := range later.Saves() {
+		b.merge(save)
+	}
 }
 
-func (b *Batch) add(s quorum.Save) {
-	if b.parts == nil {
-		b.parts = map[int]*pending{}
+func (b *Batch) merge(save quorum.Save) {
+	if b.partitions == nil {
+		b.partitions = map[int]*pendingSave{}
 	}
-	p := b.parts[s.Partition]
+	p := b.partitions[save.Partition]
 	if p == nil {
-		p = &pending{wipe: map[int]bool{}, recs: map[string]message.Record{}, drop: map[string]bool{}}
-		b.parts[s.Partition] = p
+		p = &pendingSave{wipes: map[int]bool{}, records: map[string]message.Record{}, deleted: map[string]bool{}}
+		b.partitions[save.Partition] = p
 	}
-	p.Partition, p.Meta, p.Sum = s.Partition, s.Meta, s.Sum
-	for _, span := range s.WipeRanges {
-		p.wipe[span] = true
-		maps.DeleteFunc(p.recs, func(k string, _ message.Record) bool { return digest.RangeOf(k) == span })
-		maps.DeleteFunc(p.drop, func(k string, _ bool) bool { return digest.RangeOf(k) == span })
+	p.merge(save)
+}
+
+// merge puts a later save over those before it.
+func (p *pendingSave) merge(save quorum.Save) {
+	p.Partition, p.Meta, p.Sum = save.Partition, save.Meta, save.Sum
+	for _, span := range save.WipeRanges {
+		p.wipe(span)
 	}
-	for _, r := range s.Records {
-		p.recs[r.Key] = r
-		delete(p.drop, r.Key)
+	for _, r := range save.Records {
+		p.records[r.Key] = r
+		delete(p.deleted, r.Key)
 	}
-	for _, k := range s.Delete {
-		p.drop[k] = true
-		delete(p.recs, k)
+	for _, key := range save.Delete {
+		p.deleted[key] = true
+		delete(p.records, key)
 	}
 }
 
-// Append puts a later batch after this one.
-//
-// Example: failed.Append(came); came = failed
-func (b *Batch) Append(later Batch) {
-	b.Tickets = append(b.Tickets, later.Tickets...)
-	for _, s := range later.Saves() {
-		b.add(s)
-	}
+// wipe notes that a range is deleted, with what would have been written to it.
+func (p *pendingSave) wipe(span int) {
+	p.wipes[span] = true
+	maps.DeleteFunc(p.records, func(key string, _ message.Record) bool { return digest.RangeOf(key) == span })
+	maps.DeleteFunc(p.deleted, func(key string, _ bool) bool { return digest.RangeOf(key) == span })
 }
 
 // Saves is what is to be written, one save a partition.
 //
-// Example: err := a.Write(b.Saves())
-func (b *Batch) Saves() []quorum.Save {
-	var out []quorum.Save
-	for _, partition := range slices.Sorted(maps.Keys(b.parts)) {
-		p := b.parts[partition]
-		s := p.Save
-		s.WipeRanges, s.Delete = slices.Sorted(maps.Keys(p.wipe)), slices.Sorted(maps.Keys(p.drop))
-		for _, k := range slices.Sorted(maps.Keys(p.recs)) {
-			s.Records = append(s.Records, p.recs[k])
-		}
-		out = append(out, s)
+// Example: err := s.Write(b.Saves())
+func (b *Batch) Saves() (saves []quorum.Save) {
+	for _, partition := range slices.Sorted(maps.Keys(b.partitions)) {
+		saves = append(saves, b.partitions[partition].save())
 	}
-	return out
+	return saves
 }
 
-// IsTransient tells whether an error is of a disk that is full or in trouble, which
-// may pass, and not of what is on it.
-//
-// Example: if storage.IsTransient(err) { tryAgainLater() }
-func IsTransient(err error) bool {
-	var said sqlite3.Error
-	if errors.As(err, &said) {
-		return said.Code == sqlite3.ErrFull || said.Code == sqlite3.ErrIoErr || said.Code == sqlite3.ErrBusy
+func (p *pendingSave) save() quorum.Save {
+	save := p.Save
+	save.WipeRanges, save.Delete = slices.Sorted(maps.Keys(p.wipes)), slices.Sorted(maps.Keys(p.deleted))
+	for _, key := range slices.Sorted(maps.Keys(p.records)) {
+		save.Records = append(save.Records, p.records[key])
 	}
-	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EIO) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EFBIG)
+	return save
 }
--- a/control/storage/crash_test.go
+++ b/control/storage/crash_test.go
@@ -6,6 +6,7 @@
 	"math/rand"
 	"os"
 	"path/filepath"
+	"slices"
 	"testing"
 
 	"mulleinmast/control/digest"
@@ -55,19 +56,20 @@
 	return a.state()
 }
 
-func (a *Store) state() string {
-	out := fmt.Sprint("set aside ", a.QuarantinePath, " short ", a.IncompletePartitions, " empty ", a.Empty)
+func (s *Store) state() string {
+	out := fmt.Sprint("set aside ", s.QuarantinePath, " short ", s.IncompletePartitions, " empty ", s.Empty)
 	for p := range 3 {
-		if h, ok := a.Partitions[p]; ok {
-			out += fmt.Sprintf(" partition %d promised %d of %d records %x", p, h.Meta.VotedTerm, h.Records.Size(), h.Records.Sum())
+		if h, ok := s.Partitions[p]; ok {
+			out += fmt.Sprintf(" partition %d promised %d of %d records %x",
+				p, h.Meta.VotedTerm, h.Records.Size(), h.Records.Sum())
 		}
 	}
 	return out
 }
 
-// stocked is a folder with two parts in which batches are written, and the
-// books that they make.
-type stocked struct {
+// filledFolder is a folder of two partitions in which batches are written, and the
+// records that they make.
+type filledFolder struct {
 	*Store
 	dir     string
 	rng     *rand.Rand
@@ -75,8 +77,13 @@
 	n       uint64
 }
 
-func stock(t *testing.T, seed int64) *stocked {
-	s := &stocked{dir: t.TempDir(), rng: rand.New(rand.NewSource(seed)), records: map[int]*digest.Records{0: digest.NewRecords(), 1: digest.NewRecords()}}
+func fillFolder(t *testing.T, seed int64) *filledFolder {
+	t.Helper()
+	s := &filledFolder{
+		dir:     t.TempDir(),
+		rng:     rand.New(rand.NewSource(seed)),
+		records: map[int]*digest.Records{0: digest.NewRecords(), 1: digest.NewRecords()},
+	}
 	s.Store = open(t, s.dir)
 	t.Cleanup(func() { s.Close() })
 	for range 6 {
@@ -85,9 +92,9 @@
 	return s
 }
 
-// write writes a batch over both parts: records of up to three pages, some gone,
+// write writes a batch over both partitions: records of up to three pages, some deleted,
 // a range replaced.
-func (s *stocked) write(t *testing.T) {
+func (s *filledFolder) write(t *testing.T) {
 	t.Helper()
 	var list []quorum.Save
 	for p := range 2 {
@@ -101,7 +108,11 @@
 			}
 		}
 		for range 4 {
-			r := message.Record{Key: fmt.Sprint("k", s.rng.Intn(40)), Version: message.Version{Term: 1, Seq: s.n}, Value: make([]byte, s.rng.Intn(3*page))}
+			r := message.Record{
+				Key:     fmt.Sprint("k", s.rng.Intn(40)),
+				Version: message.Version{Term: 1, Seq: s.n},
+				Value:   make([]byte, s.rng.Intn(3*page)),
+			}
 			s.rng.Read(r.Value)
 			b.Put(r)
 			v.Records = append(v.Records, r)
@@ -134,7 +145,7 @@
 // head, at each block of its page; a frame that is missing or spoilt with the
 // later ones there; any of them.
 func TestTruncatedBatchIsWholeOrAbsent(t *testing.T) {
-	s := stock(t, 1)
+	s := fillFolder(t, 1)
 	a := read(t, s.dir)
 	s.write(t)
 	b := read(t, s.dir)
@@ -148,10 +159,15 @@
 	from, frames := len(a.wal), (len(b.wal)-len(a.wal))/(frameHead+page)
 	for i := range frames {
 		at := from + i*(frameHead+page)
-		for _, cut := range []int{0, 4, 8, frameHead - 1, frameHead, frameHead + 512, frameHead + page/2, frameHead + page - 1} {
+		cuts := []int{0, 4, 8, frameHead - 1, frameHead, frameHead + 512, frameHead + page/2, frameHead + page - 1}
+		for _, cut := range cuts {
 			expect(t, fmt.Sprintf("cut at byte %d of frame %d of %d", cut, i, frames), files{b.db, b.wal[:at+cut]}, before)
 		}
-		for what, spoil := range map[string]func([]byte){"missing": func(x []byte) { clear(x) }, "torn": func(x []byte) { clear(x[frameHead+512:]) }} {
+		faults := map[string]func([]byte){
+			"missing": func(x []byte) { clear(x) },
+			"torn":    func(x []byte) { clear(x[frameHead+512:]) },
+		}
+		for what, spoil := range faults {
 			wal := bytes.Clone(b.wal)
 			spoil(wal[at : at+frameHead+page])
 			expect(t, fmt.Sprintf("frame %d of %d %s", i, frames, what), files{b.db, wal}, before)
@@ -176,7 +192,7 @@
 // The log is copied into the file: any of its pages may be there, missing or
 // torn while the log still is; nothing is lost.
 func TestPartialCheckpointLosesNothing(t *testing.T) {
-	s := stock(t, 2)
+	s := fillFolder(t, 2)
 	a := read(t, s.dir)
 	want := a.state(t)
 	if _, err := s.db.Exec("pragma wal_checkpoint(passive)"); err != nil {
@@ -211,7 +227,7 @@
 // The log begins anew over what was copied: its new head is on disk before any
 // frame is written, and any of the frames may be new, old or torn after that.
 func TestRestartedLogIsWholeOrAbsent(t *testing.T) {
-	s := stock(t, 3)
+	s := fillFolder(t, 3)
 	if _, err := s.db.Exec("pragma wal_checkpoint(passive)"); err != nil {
 		t.Fatal(err)
 	}
@@ -256,7 +272,7 @@
 // A folder that is cut short while it is made is an empty one; one whose old log
 // came back beside a new file, for its removal was lost, is not mixed with it.
 func TestPartiallyMadeFolderIsEmpty(t *testing.T) {
-	s := stock(t, 4)
+	s := fillFolder(t, 4)
 	whole := read(t, s.dir)
 	fresh := open(t, t.TempDir())
 	fresh.Close()
@@ -272,19 +288,22 @@
 // record that is gone with its sum, a promise that is another, a record more.
 func TestAlteredPartitionIsIncomplete(t *testing.T) {
 	for what, spoil := range map[string]string{
-		"a record gone":            "delete from rec where key=(select min(key) from rec where part=0) and part=0",
-		"a record and its sum":     "delete from sums where part=0; delete from rec where key=(select min(key) from rec where part=0) and part=0",
-		"all records gone":         "delete from rec where part=0",
-		"a promise of before":      "update seat set v=replace(v,'\"Promised\":','\"Promised\":9') where part=0",
-		"a record of another part": "insert into rec select 0, 'other', span, term, seq, dead, val from rec where part=1 limit 1",
+		"a record gone": "delete from rec where key=(select min(key) from rec where part=0) and part=0",
+		"a record and its sum": "delete from sums where part=0; " +
+			"delete from rec where key=(select min(key) from rec where part=0) and part=0",
+		"all records gone":    "delete from rec where part=0",
+		"a promise of before": "update seat set v=replace(v,'\"Promised\":','\"Promised\":9') where part=0",
+		"a record of another partition": "insert into rec select 0, 'other', span, term, seq, dead, val " +
+			"from rec where part=1 limit 1",
 	} {
-		s := stock(t, 5)
+		s := fillFolder(t, 5)
 		if _, err := s.db.Exec(spoil); err != nil {
 			t.Fatal(err)
 		}
 		s.Close()
 		a := open(t, s.dir)
-		if len(a.IncompletePartitions) != 1 || a.IncompletePartitions[0] != 0 || !a.Partitions[0].Meta.Incomplete || a.Partitions[1].Meta.Incomplete {
+		if !slices.Equal(a.IncompletePartitions, []int{0}) ||
+			!a.Partitions[0].Meta.Incomplete || a.Partitions[1].Meta.Incomplete {
 			t.Errorf("%s: short %v", what, a.IncompletePartitions)
 		}
 		a.Close()
--- a/control/storage/golden_test.go
+++ b/control/storage/golden_test.go
@@ -92,22 +92,22 @@
 			t.Fatal(err)
 		}
 	}
-	a := open(t, made)
-	if _, err := a.db.Exec("update meta set v=? where k='ident'", goldenIdent); err != nil {
+	store := open(t, made)
+	if _, err := store.db.Exec("update meta set v=? where k='ident'", goldenIdent); err != nil {
 		t.Fatal(err)
 	}
-	a.Close()
-	a = open(t, made)
-	if err := a.Write(goldenSaves()); err != nil {
+	store.Close()
+	store = open(t, made)
+	if err := store.Write(goldenSaves()); err != nil {
 		t.Fatal(err)
 	}
-	if err := a.Backup(filepath.Join("testdata", "backup", "state.db")); err != nil {
+	if err := store.Backup(filepath.Join("testdata", "backup", "state.db")); err != nil {
 		t.Fatal(err)
 	}
-	if err := a.MarkSuperseded(); err != nil {
+	if err := store.MarkSuperseded(); err != nil {
 		t.Fatal(err)
 	}
-	a.Close()
+	store.Close()
 	if err := os.CopyFS(filepath.Join("testdata", "superseded"), os.DirFS(made)); err != nil {
 		t.Fatal(err)
 	}
@@ -132,16 +132,16 @@
 }
 
 // expectGolden checks that an open folder holds what the folders of testdata do.
-func expectGolden(t *testing.T, a *Store, want []quorum.Save) {
+func expectGolden(t *testing.T, store *Store, want []quorum.Save) {
 	t.Helper()
-	if a.Empty || a.QuarantinePath != "" || a.CorruptRecords != 0 || len(a.IncompletePartitions) > 0 || a.Ident != goldenIdent {
-		t.Fatalf("empty %v, moved %q, spoilt %d, short %v, identity %s", a.Empty, a.QuarantinePath, a.CorruptRecords, a.IncompletePartitions, a.Ident)
+	if store.Empty || store.QuarantinePath != "" || store.CorruptRecords != 0 || len(store.IncompletePartitions) > 0 || store.Ident != goldenIdent {
+		t.Fatalf("empty %v, moved %q, spoilt %d, short %v, identity %s", store.Empty, store.QuarantinePath, store.CorruptRecords, store.IncompletePartitions, store.Ident)
 	}
-	if len(a.Partitions) != len(want) {
-		t.Errorf("%d partitions instead of %d", len(a.Partitions), len(want))
+	if len(store.Partitions) != len(want) {
+		t.Errorf("%d partitions instead of %d", len(store.Partitions), len(want))
 	}
 	for _, s := range want {
-		got, ok := a.Partitions[s.Partition]
+		got, ok := store.Partitions[s.Partition]
 		if !ok {
 			t.Errorf("no partition %d", s.Partition)
 			continue
@@ -164,24 +164,24 @@
 // gone on with.
 func TestFolderOfAnEarlierBuildIsUsed(t *testing.T) {
 	dir, want := goldenFolder(t, "folder"), goldenSaves()
-	a := open(t, dir)
-	expectGolden(t, a, want)
-	if starts := incarnation.Starts(a.Epoch); starts != goldenStarts+1 {
+	store := open(t, dir)
+	expectGolden(t, store, want)
+	if starts := incarnation.Starts(store.Epoch); starts != goldenStarts+1 {
 		t.Errorf("start %d, expected %d", starts, goldenStarts+1)
 	}
 	next := quorum.Save{Partition: 2, Meta: want[1].Meta, Delete: []string{"plan/now"}}
 	next.Meta.Incomplete, next.Meta.VotedTerm = false, 8
 	next.Records = []message.Record{{Key: "plan/next", Version: message.Version{Term: 8, Seq: 1}, Value: []byte("new")}}
 	next.Sum = next.Meta.Sum(recordsOf(next))
-	if err := a.Write([]quorum.Save{next}); err != nil {
+	if err := store.Write([]quorum.Save{next}); err != nil {
 		t.Fatal(err)
 	}
-	a.Close()
-	a = open(t, dir)
-	defer a.Close()
+	store.Close()
+	store = open(t, dir)
+	defer store.Close()
 	next.Delete, want[1] = nil, next
-	expectGolden(t, a, want)
-	if starts := incarnation.Starts(a.Epoch); starts != goldenStarts+2 {
+	expectGolden(t, store, want)
+	if starts := incarnation.Starts(store.Epoch); starts != goldenStarts+2 {
 		t.Errorf("start %d, expected %d", starts, goldenStarts+2)
 	}
 }
@@ -189,13 +189,13 @@
 // A state that an earlier build marked as superseded is set aside.
 func TestSupersededFolderOfAnEarlierBuildIsQuarantined(t *testing.T) {
 	dir := goldenFolder(t, "superseded")
-	a := open(t, dir)
-	defer a.Close()
-	if !a.WasSuperseded || a.WasBackup || !a.Empty || a.Ident == goldenIdent || len(a.Partitions) > 0 || incarnation.Starts(a.Epoch) != 1 {
-		t.Errorf("%+v", a)
+	store := open(t, dir)
+	defer store.Close()
+	if !store.WasSuperseded || store.WasBackup || !store.Empty || store.Ident == goldenIdent || len(store.Partitions) > 0 || incarnation.Starts(store.Epoch) != 1 {
+		t.Errorf("%+v", store)
 	}
-	if !strings.HasPrefix(a.QuarantinePath, filepath.Join(dir, "state.db.superseded-")) {
-		t.Errorf("set aside as %s", a.QuarantinePath)
+	if !strings.HasPrefix(store.QuarantinePath, filepath.Join(dir, "state.db.superseded-")) {
+		t.Errorf("set aside as %s", store.QuarantinePath)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "superseded")); !os.IsNotExist(err) {
 		t.Errorf("the mark counts for more than one start: %v", err)
@@ -207,13 +207,13 @@
 func TestBackupOfAnEarlierBuild(t *testing.T) {
 	t.Run("in the place of a folder's own state", func(t *testing.T) {
 		dir := goldenFolder(t, "backup")
-		a := open(t, dir)
-		defer a.Close()
-		if !a.WasBackup || a.WasSuperseded || !a.Empty || a.Ident == goldenIdent || len(a.Partitions) > 0 {
-			t.Errorf("%+v", a)
+		store := open(t, dir)
+		defer store.Close()
+		if !store.WasBackup || store.WasSuperseded || !store.Empty || store.Ident == goldenIdent || len(store.Partitions) > 0 {
+			t.Errorf("%+v", store)
 		}
-		if !strings.HasPrefix(a.QuarantinePath, filepath.Join(dir, "state.db.back-up-")) {
-			t.Errorf("set aside as %s", a.QuarantinePath)
+		if !strings.HasPrefix(store.QuarantinePath, filepath.Join(dir, "state.db.back-up-")) {
+			t.Errorf("set aside as %s", store.QuarantinePath)
 		}
 	})
 	t.Run("restored", func(t *testing.T) {
@@ -226,12 +226,12 @@
 		}
 		const restored = goldenStarts + 1<<16 + 1
 		for start := range uint64(2) {
-			a := open(t, dir)
-			expectGolden(t, a, want)
-			if starts := incarnation.Starts(a.Epoch); starts != restored+start {
+			store := open(t, dir)
+			expectGolden(t, store, want)
+			if starts := incarnation.Starts(store.Epoch); starts != restored+start {
 				t.Errorf("start %d, expected %d", starts, restored+start)
 			}
-			a.Close()
+			store.Close()
 		}
 	})
 }
@@ -239,12 +239,12 @@
 // What is written is what earlier builds wrote, and so what they read.
 func TestRowsAreThoseOfEarlierBuilds(t *testing.T) {
 	dir := t.TempDir()
-	a := open(t, dir)
-	defer a.Close()
-	if _, err := a.db.Exec("update meta set v=? where k='ident'", goldenIdent); err != nil {
+	store := open(t, dir)
+	defer store.Close()
+	if _, err := store.db.Exec("update meta set v=? where k='ident'", goldenIdent); err != nil {
 		t.Fatal(err)
 	}
-	if err := a.Write(goldenSaves()); err != nil {
+	if err := store.Write(goldenSaves()); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ name, query, golden string }{
@@ -256,7 +256,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var got strings.Builder
-			err := a.each(c.query, func(scan func(...any) error) error {
+			err := store.each(c.query, func(scan func(...any) error) error {
 				var line string
 				err := scan(&line)
 				got.WriteString(line + "\n")
--- a/control/storage/storage_test.go
+++ b/control/storage/storage_test.go
@@ -19,52 +19,52 @@
 
 func open(t *testing.T, dir string) *Store {
 	t.Helper()
-	a, err := Open(dir, "f")
+	store, err := Open(dir, "f")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return a
+	return store
 }
 
 func TestStateSurvives(t *testing.T) {
 	dir := t.TempDir()
-	a := open(t, dir)
-	id := a.Ident
-	if !a.Empty || incarnation.Starts(a.Epoch) != 1 {
-		t.Fatalf("%+v", a)
+	store := open(t, dir)
+	id := store.Ident
+	if !store.Empty || incarnation.Starts(store.Epoch) != 1 {
+		t.Fatalf("%+v", store)
 	}
 	meta := quorum.Meta{VotedTerm: 4, VotedFor: id, LastComplete: 3, Group: message.Group{Number: 1, Replicas: []message.Replica{{Ident: id}}}}
 	recs := []message.Record{{Key: "plan/now", Version: message.Version{Term: 3, Seq: 1}, Value: []byte("p")}, {Key: "once/k", Version: message.Version{Term: 3, Seq: 2}, Deleted: true}}
-	if err := a.Write([]quorum.Save{{Partition: 2, Meta: meta, Records: recs}}); err != nil {
+	if err := store.Write([]quorum.Save{{Partition: 2, Meta: meta, Records: recs}}); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open(dir, "f"); err == nil || !strings.Contains(err.Error(), "another daemon") {
 		t.Errorf("opened twice: %v", err)
 	}
-	a.Close()
-	a = open(t, dir)
-	if a.Ident != id || incarnation.Starts(a.Epoch) != 2 || a.Empty || a.Partitions[2].Meta.VotedTerm != 4 || a.Partitions[2].Records.Size() != 2 {
-		t.Errorf("%+v", a)
+	store.Close()
+	store = open(t, dir)
+	if store.Ident != id || incarnation.Starts(store.Epoch) != 2 || store.Empty || store.Partitions[2].Meta.VotedTerm != 4 || store.Partitions[2].Records.Size() != 2 {
+		t.Errorf("%+v", store)
 	}
 	// A wipe of a range takes only what is in it.
-	if err := a.Write([]quorum.Save{{Partition: 2, Meta: meta, WipeRanges: []int{digest.RangeOf("plan/now")}}}); err != nil {
+	if err := store.Write([]quorum.Save{{Partition: 2, Meta: meta, WipeRanges: []int{digest.RangeOf("plan/now")}}}); err != nil {
 		t.Fatal(err)
 	}
-	a.Close()
-	a = open(t, dir)
-	defer a.Close()
-	if _, ok := a.Partitions[2].Records.Get("plan/now"); ok || a.Partitions[2].Records.Size() != 1 {
+	store.Close()
+	store = open(t, dir)
+	defer store.Close()
+	if _, ok := store.Partitions[2].Records.Get("plan/now"); ok || store.Partitions[2].Records.Size() != 1 {
 		t.Error("wipe")
 	}
 }
 
 func TestUnusableFolders(t *testing.T) {
 	dir := t.TempDir()
-	a := open(t, dir)
-	if _, err := a.db.Exec("update meta set v='9' where k='format'"); err != nil {
+	store := open(t, dir)
+	if _, err := store.db.Exec("update meta set v='9' where k='format'"); err != nil {
 		t.Fatal(err)
 	}
-	a.Close()
+	store.Close()
 	if _, err := Open(dir, "f"); err == nil || !strings.Contains(err.Error(), "format 9") {
 		t.Errorf("newer format: %v", err)
 	}
@@ -78,17 +78,17 @@
 	}
 	// Damage: set aside, and the daemon is a new one with no vote.
 	hurt := t.TempDir()
-	a = open(t, hurt)
-	id := a.Ident
-	a.Close()
+	store = open(t, hurt)
+	id := store.Ident
+	store.Close()
 	path := filepath.Join(hurt, "state.db")
 	if err := os.WriteFile(path, []byte("this is no database, not at all, by no means"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	a = open(t, hurt)
-	defer a.Close()
-	if a.QuarantinePath == "" || !a.Empty || a.Ident == id {
-		t.Errorf("damaged: %+v", a)
+	store = open(t, hurt)
+	defer store.Close()
+	if store.QuarantinePath == "" || !store.Empty || store.Ident == id {
+		t.Errorf("damaged: %+v", store)
 	}
 }
 
@@ -96,27 +96,27 @@
 // a restart; with room again the same write is taken.
 func TestFullDiskTakesNothing(t *testing.T) {
 	dir := t.TempDir()
-	a := open(t, dir)
-	meta := quorum.Meta{VotedTerm: 1, Group: message.Group{Number: 1, Replicas: []message.Replica{{Ident: a.Ident}}}}
-	if err := a.Write([]quorum.Save{{Partition: 0, Meta: meta}}); err != nil {
+	store := open(t, dir)
+	meta := quorum.Meta{VotedTerm: 1, Group: message.Group{Number: 1, Replicas: []message.Replica{{Ident: store.Ident}}}}
+	if err := store.Write([]quorum.Save{{Partition: 0, Meta: meta}}); err != nil {
 		t.Fatal(err)
 	}
-	if err := a.SetFull(true); err != nil {
+	if err := store.SetFull(true); err != nil {
 		t.Fatal(err)
 	}
 	next := meta
 	next.VotedTerm = 2
 	big := []quorum.Save{{Partition: 0, Meta: next}, {Partition: 1, Meta: next, Records: []message.Record{{Key: "k", Version: message.Version{Term: 1, Seq: 1}, Value: make([]byte, 1<<20)}}}}
-	if err := a.Write(big); err == nil || !strings.Contains(err.Error(), "full") {
+	if err := store.Write(big); err == nil || !strings.Contains(err.Error(), "full") {
 		t.Fatalf("a full disk said %v", err)
 	}
-	a.Close()
-	a = open(t, dir)
-	defer a.Close()
-	if a.Partitions[0].Meta.VotedTerm != 1 || len(a.Partitions) != 1 {
-		t.Errorf("half of a write is there: %+v", a.Partitions)
+	store.Close()
+	store = open(t, dir)
+	defer store.Close()
+	if store.Partitions[0].Meta.VotedTerm != 1 || len(store.Partitions) != 1 {
+		t.Errorf("half of a write is there: %+v", store.Partitions)
 	}
-	if err := a.Write(big); err != nil {
+	if err := store.Write(big); err != nil {
 		t.Errorf("with room again: %v", err)
 	}
 }
@@ -124,31 +124,31 @@
 // A value spoilt in place, its version intact, counts as missing.
 func TestCorruptValueIsMissing(t *testing.T) {
 	dir := t.TempDir()
-	a := open(t, dir)
+	store := open(t, dir)
 	recs := []message.Record{{Key: "a", Version: message.Version{Term: 1, Seq: 1}, Value: []byte("x")}, {Key: "b", Version: message.Version{Term: 1, Seq: 2}, Deleted: true}, {Key: "c", Version: message.Version{Term: 1, Seq: 3}}}
-	if err := a.Write([]quorum.Save{{Partition: 0, Records: recs}}); err != nil {
+	if err := store.Write([]quorum.Save{{Partition: 0, Records: recs}}); err != nil {
 		t.Fatal(err)
 	}
-	a.Close()
-	if a = open(t, dir); a.CorruptRecords != 0 || a.Partitions[0].Records.Size() != 3 {
-		t.Fatalf("%d spoilt, %d held", a.CorruptRecords, a.Partitions[0].Records.Size())
+	store.Close()
+	if store = open(t, dir); store.CorruptRecords != 0 || store.Partitions[0].Records.Size() != 3 {
+		t.Fatalf("%d spoilt, %d held", store.CorruptRecords, store.Partitions[0].Records.Size())
 	}
-	if _, err := a.db.Exec("update rec set val='y' where key='a'"); err != nil {
+	if _, err := store.db.Exec("update rec set val='y' where key='a'"); err != nil {
 		t.Fatal(err)
 	}
-	a.Close()
-	a = open(t, dir)
-	defer a.Close()
-	if _, ok := a.Partitions[0].Records.Get("a"); ok || a.CorruptRecords != 1 || a.Partitions[0].Records.Size() != 2 {
-		t.Errorf("%d spoilt, %d held", a.CorruptRecords, a.Partitions[0].Records.Size())
+	store.Close()
+	store = open(t, dir)
+	defer store.Close()
+	if _, ok := store.Partitions[0].Records.Get("a"); ok || store.CorruptRecords != 1 || store.Partitions[0].Records.Size() != 2 {
+		t.Errorf("%d spoilt, %d held", store.CorruptRecords, store.Partitions[0].Records.Size())
 	}
 	// A record written by a build that keeps no sums is taken as it is.
-	if _, err := a.db.Exec("insert or replace into rec values(0,'a',0,2,1,0,'z')"); err != nil {
+	if _, err := store.db.Exec("insert or replace into rec values(0,'a',0,2,1,0,'z')"); err != nil {
 		t.Fatal(err)
 	}
-	a.Close()
-	if a = open(t, dir); a.CorruptRecords != 0 || a.Partitions[0].Records.Size() != 3 {
-		t.Errorf("written by another build: %d spoilt, %d held", a.CorruptRecords, a.Partitions[0].Records.Size())
+	store.Close()
+	if store = open(t, dir); store.CorruptRecords != 0 || store.Partitions[0].Records.Size() != 3 {
+		t.Errorf("written by another build: %d spoilt, %d held", store.CorruptRecords, store.Partitions[0].Records.Size())
 	}
 }
 
@@ -156,23 +156,23 @@
 // it is, and opens once the disk allows it.
 func TestUnreadableFileIsNotCorrupt(t *testing.T) {
 	dir := t.TempDir()
-	a := open(t, dir)
-	id := a.Ident
-	a.Close()
+	store := open(t, dir)
+	id := store.Ident
+	store.Close()
 	wal := filepath.Join(dir, "state.db-wal")
 	if err := os.Mkdir(wal, 0o700); err != nil { // the log can't be opened
 		t.Fatal(err)
 	}
-	if a, err := Open(dir, "f"); err == nil {
-		t.Fatalf("opened as %s, it was %s; set aside as %q", a.Ident, id, a.QuarantinePath)
+	if store, err := Open(dir, "f"); err == nil {
+		t.Fatalf("opened as %s, it was %s; set aside as %q", store.Ident, id, store.QuarantinePath)
 	}
 	if err := os.Remove(wal); err != nil {
 		t.Fatal(err)
 	}
-	a = open(t, dir)
-	defer a.Close()
-	if a.Ident != id || a.QuarantinePath != "" {
-		t.Errorf("it was %s, is %s; set aside as %q", id, a.Ident, a.QuarantinePath)
+	store = open(t, dir)
+	defer store.Close()
+	if store.Ident != id || store.QuarantinePath != "" {
+		t.Errorf("it was %s, is %s; set aside as %q", id, store.Ident, store.QuarantinePath)
 	}
 }
 
@@ -186,13 +186,13 @@
 		return
 	}
 	dir := t.TempDir()
-	a := open(t, dir)
-	id := a.Ident
+	store := open(t, dir)
+	id := store.Ident
 	rec := message.Record{Key: "k", Version: message.Version{Term: 1, Seq: 1}, Value: make([]byte, 1<<16)}
-	if err := a.Write([]quorum.Save{{Partition: 0, Records: []message.Record{rec}}}); err != nil {
+	if err := store.Write([]quorum.Save{{Partition: 0, Records: []message.Record{rec}}}); err != nil {
 		t.Fatal(err)
 	}
-	a.Close()
+	store.Close()
 	for _, room := range []string{"0", "32", "4096", "8192", "65536"} {
 		cmd := exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$")
 		cmd.Env = append(os.Environ(), roomKey+"="+room+" "+dir)
@@ -206,10 +206,10 @@
 		}
 		t.Logf("room for %s bytes: %s", room, said)
 	}
-	a = open(t, dir)
-	defer a.Close()
-	if _, ok := a.Partitions[0].Records.Get("k"); a.Ident != id || !ok {
-		t.Errorf("with room again: %s, it was %s; record there: %v", a.Ident, id, ok)
+	store = open(t, dir)
+	defer store.Close()
+	if _, ok := store.Partitions[0].Records.Get("k"); store.Ident != id || !ok {
+		t.Errorf("with room again: %s, it was %s; record there: %v", store.Ident, id, ok)
 	}
 }
 
@@ -222,24 +222,24 @@
 		fmt.Println(err)
 		return
 	}
-	a, err := Open(dir, "f")
+	store, err := Open(dir, "f")
 	if err != nil {
 		fmt.Println("may pass:", IsTransient(err), err)
 		return
 	}
-	fmt.Println("opened as " + a.Ident)
-	a.Close()
+	fmt.Println("opened as " + store.Ident)
+	store.Close()
 }
 
 // Each batch is synced, and the index of the log is in memory: writes through a
 // mapping reach a file late.
 func TestLogIsSyncedAndNotMapped(t *testing.T) {
 	dir := t.TempDir()
-	a := open(t, dir)
-	defer a.Close()
+	store := open(t, dir)
+	defer store.Close()
 	for ask, want := range map[string]string{"pragma synchronous": "2", "pragma journal_mode": "wal", "pragma locking_mode": "exclusive"} {
 		var word string
-		if err := a.db.QueryRow(ask).Scan(&word); err != nil || word != want {
+		if err := store.db.QueryRow(ask).Scan(&word); err != nil || word != want {
 			t.Errorf("%s: %s, %v", ask, word, err)
 		}
 	}
@@ -250,7 +250,7 @@
 
 // Sums of records that are gone don't stay behind.
 func TestNoFingerprintIsLeftBehind(t *testing.T) {
-	s := stock(t, 6)
+	s := fillFolder(t, 6)
 	for range 40 {
 		s.write(t)
 	}
@@ -264,7 +264,7 @@
 // where an operator says that a majority of the disks is lost; that is said for
 // one start, after which the folder's state is its own again.
 func TestBackupIsComplete(t *testing.T) {
-	s := stock(t, 7)
+	s := fillFolder(t, 7)
 	want := s.records[0].Sum()
 	dir := t.TempDir()
 	if err := s.Backup(filepath.Join(dir, "state.db")); err != nil {
@@ -276,14 +276,14 @@
 		t.Fatal(err)
 	}
 	for start := range 2 {
-		a := open(t, dir)
-		if a.Ident != s.Ident || len(a.IncompletePartitions) > 0 || a.WasBackup || a.QuarantinePath != "" || a.Partitions[0].Records.Sum() != want {
-			t.Errorf("start %d: %s, short %v, moved %q, %x instead of %x", start, a.Ident, a.IncompletePartitions, a.QuarantinePath, a.Partitions[0].Records.Sum(), want)
+		store := open(t, dir)
+		if store.Ident != s.Ident || len(store.IncompletePartitions) > 0 || store.WasBackup || store.QuarantinePath != "" || store.Partitions[0].Records.Sum() != want {
+			t.Errorf("start %d: %s, short %v, moved %q, %x instead of %x", start, store.Ident, store.IncompletePartitions, store.QuarantinePath, store.Partitions[0].Records.Sum(), want)
 		}
 		if _, err := os.Stat(said); !os.IsNotExist(err) {
 			t.Errorf("start %d: what the operator said stands still: %v", start, err)
 		}
-		a.Close()
+		store.Close()
 	}
 }
 
@@ -291,24 +291,24 @@
 // may have what is newer: it is set aside, and the folder starts empty under an
 // identity of its own.
 func TestBackupIsQuarantined(t *testing.T) {
-	s := stock(t, 7)
+	s := fillFolder(t, 7)
 	dir := t.TempDir()
 	if err := s.Backup(filepath.Join(dir, "state.db")); err != nil {
 		t.Fatal(err)
 	}
-	a := open(t, dir)
-	if !a.WasBackup || !a.Empty || a.Ident == s.Ident || len(a.Partitions) > 0 || !strings.HasPrefix(a.QuarantinePath, filepath.Join(dir, "state.db.")) {
-		t.Errorf("copied %v, empty %v, %s (the original is %s), %d partitions, moved to %q", a.WasBackup, a.Empty, a.Ident, s.Ident, len(a.Partitions), a.QuarantinePath)
+	store := open(t, dir)
+	if !store.WasBackup || !store.Empty || store.Ident == s.Ident || len(store.Partitions) > 0 || !strings.HasPrefix(store.QuarantinePath, filepath.Join(dir, "state.db.")) {
+		t.Errorf("copied %v, empty %v, %s (the original is %s), %d partitions, moved to %q", store.WasBackup, store.Empty, store.Ident, s.Ident, len(store.Partitions), store.QuarantinePath)
 	}
-	if _, err := os.Stat(a.QuarantinePath); err != nil {
+	if _, err := os.Stat(store.QuarantinePath); err != nil {
 		t.Errorf("the back-up is gone: %v", err)
 	}
-	ident := a.Ident
-	a.Close()
-	if a = open(t, dir); a.Ident != ident || a.WasBackup || a.QuarantinePath != "" {
-		t.Errorf("the next start: %s, copied %v, moved to %q", a.Ident, a.WasBackup, a.QuarantinePath)
+	ident := store.Ident
+	store.Close()
+	if store = open(t, dir); store.Ident != ident || store.WasBackup || store.QuarantinePath != "" {
+		t.Errorf("the next start: %s, copied %v, moved to %q", store.Ident, store.WasBackup, store.QuarantinePath)
 	}
-	a.Close()
+	store.Close()
 }
 
 // A folder may have any name: what is written there is read there.
--- a/proof/standin/mutants/rules.sh
+++ b/proof/standin/mutants/rules.sh
@@ -31,8 +31,8 @@
 mutant peers-in-memory-only control/quorum TestWhatIsKnownOfOthersIsSaved $guard 'if s.unsaved && now' 'if s.unsaved && s.quit && now'
 mutant leader-tells-nobody control/quorum TestALeaderTellsOfTheOthers control/quorum/lease.go '	s.tellPeers(&n)
 ' ''
-mutant superseded-goes-on control/storage TestSupersededStateIsQuarantined control/storage/aside.go 'return errSuperseded' 'return a.open(path, fleet)'
-mutant left-state-claims control/storage TestRestoredStateDisownsIncarnations control/storage/storage.go 'starts += restoredStarts' 'starts += 0'
+mutant superseded-goes-on control/storage TestSupersededStateIsQuarantined control/storage/quarantine.go 'return errSuperseded' 'return s.openState(fleet)'
+mutant left-state-claims control/storage TestRestoredStateDisownsIncarnations control/storage/head.go 'starts += restoredStarts' 'starts += 0'
 mutant spoilt-past-counts control/storage TestCorruptIncarnationsAreDisowned control/storage/load.go 'if r.Past != r.PastSum() {' 'if r.Past == 0 && r.PastSum() != 0 {'
 # what goes down the tree, joined changes, formats
 mutant patch-on-any-base control/lease TestACorruptPatchIsNotServed $delta 'err != nil || l.From != from.Ver' 'err != nil && l.From != from.Ver'
