--- a/cmd/mulleinctl/main.go
+++ b/cmd/mulleinctl/main.go
@@ -236,41 +236,41 @@
 		switch what {
 		case "versions":
 			head = "DAEMON PLAN LEASES_STAND ZONES_OUT SUPERSEDED"
-			rows = append(rows, []any{web, st.Plan, st.PlanOK, strings.Join(st.Zones, ","), st.Superseded})
+			rows = append(rows, []any{web, st.PlanVersion, st.PlanValid, strings.Join(st.ZonesOut, ","), st.Superseded})
 		case "counts":
 			head = "DAEMON COUNTS REFUSALS"
-			rows = append(rows, []any{web, flat(st.Extra["counts"]), flat(st.Extra["sheds"])})
+			rows = append(rows, []any{web, flat(st.Traffic["counts"]), flat(st.Traffic["sheds"])})
 		case "queue":
 			head = "DAEMON SERVICE QUEUE"
-			q, _ := st.Extra["queues"].(map[string]any)
+			q, _ := st.Traffic["queues"].(map[string]any)
 			for _, svc := range keys(q) {
 				rows = append(rows, []any{web, svc, flat(q[svc])})
 			}
 		default:
 			for _, p := range st.Partitions {
 				switch {
-				case what == "partitions" && p.Mine:
+				case what == "partitions" && p.LedHere:
 					head = "PARTITION LEADER TERM GROUP NEXT RECORDS"
-					rows = append(rows, []any{p.Partition, web, p.Leader.Term, len(p.Group.Replicas), len(p.Group.Next), p.Recs})
+					rows = append(rows, []any{p.Partition, web, p.Leader.Term, len(p.Group.Replicas), len(p.Group.Next), p.Records})
 				case what == "servers":
 					head = "SERVICE SERVER ZONE ROLE STATUS TO ACTIVE SLOTS OUT PAIRS"
-					for _, r := range p.Server {
+					for _, r := range p.Servers {
 						rows = append(rows, []any{r.Service, r.Addr, r.Zone, r.Part, r.Status, r.To, r.Active, r.Total, r.Out, len(r.Pairs)})
 					}
 				case what == "tree" && (arg == "" || arg == fmt.Sprint(p.Partition)):
 					head = "PARTITION DAEMON PARENT LEASE_MS RECORDS CHILDREN"
-					up, kids := p.Node.Parent.Addr, []string{}
-					if p.Node.Root {
+					up, kids := p.Lease.Parent.Addr, []string{}
+					if p.Lease.Root {
 						up = "(root)"
 					}
-					for _, k := range p.Node.Children {
+					for _, k := range p.Lease.Children {
 						mark := ""
 						if k.Unreachable {
 							mark = "!"
 						}
 						kids = append(kids, fmt.Sprintf("%s%s(%d)", k.Replica.Addr, mark, k.LeaseLeft))
 					}
-					rows = append(rows, []any{p.Partition, web, up, p.Node.LeaseLeft, len(p.Node.Records), strings.Join(kids, " ")})
+					rows = append(rows, []any{p.Partition, web, up, p.Lease.LeaseLeft, len(p.Lease.Records), strings.Join(kids, " ")})
 				}
 			}
 		}
--- a/cmd/mulleinmast/main.go
+++ b/cmd/mulleinmast/main.go
@@ -27,7 +27,7 @@
 	var cfg daemon.Config
 	if ours && err == nil {
 		cfg = boot.Config()
-		cfg.Test = slices.Contains(os.Args[1:], "-test-switches") // never so on the platform
+		cfg.TestSwitches = slices.Contains(os.Args[1:], "-test-switches") // never so on the platform
 	} else if !ours {
 		cfg, err = daemon.ReadConfig("mulleinmast", os.Args[1:], os.Stderr)
 	}
@@ -41,11 +41,11 @@
 	if cfg.Cores > 0 {
 		runtime.GOMAXPROCS(cfg.Cores)
 	}
-	if cfg.Memory > 0 {
-		debug.SetMemoryLimit(cfg.Memory)
+	if cfg.MemoryLimit > 0 {
+		debug.SetMemoryLimit(cfg.MemoryLimit)
 	}
-	events := eventlog.New(cfg.Ring, os.Stderr)
-	daemon.TellViolations(events)
+	events := eventlog.New(cfg.EventLogSize, os.Stderr)
+	daemon.LogViolations(events)
 	events.Loud = ours && slices.Contains(os.Args[1:], "-say") // every line is written out at once
 	c, err := daemon.Open(cfg, events)
 	if err != nil {
@@ -61,7 +61,7 @@
 			return fail(err)
 		}
 	}
-	events.Say("start", "fleet %s zone %s wire %s web %s identity %s seeds %v", cfg.Fleet, cfg.Zone, cfg.Wire, cfg.Web, c.Ident(), cfg.Seeds)
+	events.Say("start", "fleet %s zone %s wire %s web %s identity %s seeds %v", cfg.Fleet, cfg.Zone, cfg.WireAddr, cfg.HTTPAddr, c.Ident(), cfg.Seeds)
 	close(started)
 	go func() {
 		leave, cut := context.WithCancel(ctx)
@@ -115,7 +115,7 @@
 	switch {
 	case storage.Error.Has(err):
 		return 3
-	case daemon.InUse.Has(err):
+	case daemon.AddressError.Has(err):
 		return 4
 	}
 	return 1
@@ -126,7 +126,7 @@
 func finish(ctx context.Context, c *daemon.Daemon, d *nativeapi.API) {
 	c.Leave()
 	limit := time.After(c.Cfg.Bounds.Recover)
-	t := time.NewTicker(c.Cfg.Vol() / 16)
+	t := time.NewTicker(c.Cfg.VolumeLease() / 16)
 	defer t.Stop()
 	for {
 		select {
@@ -135,7 +135,7 @@
 		case <-limit:
 			return
 		case <-t.C:
-			if c.Closed() && d.Open() == 0 {
+			if c.RefusesRequests() && d.Open() == 0 {
 				c.HandOver(ctx)
 				return
 			}
--- a/cmd/mulleinmast/metrics_test.go
+++ b/cmd/mulleinmast/metrics_test.go
@@ -24,7 +24,7 @@
 // invariants that stand among the labels.
 func TestMetricsKeepTheirNames(t *testing.T) {
 	cfg := daemon.Default()
-	cfg.Wire, cfg.Web = "127.0.0.1:0", "127.0.0.1:0"
+	cfg.WireAddr, cfg.HTTPAddr = "127.0.0.1:0", "127.0.0.1:0"
 	c, err := daemon.Open(cfg, eventlog.New(64, io.Discard))
 	if err != nil {
 		t.Fatal(err)
--- a/control/daemon/config.go
+++ b/control/daemon/config.go
@@ -28,30 +28,30 @@
 
 // Config is what a daemon is told of its place.
 type Config struct {
-	Fleet      string
-	Wire       string // address for other daemons
-	Web        string // address for clients, the platform and operators
-	Zone       string
-	Seeds      []string
-	Data       string // empty: this machine holds no state
-	Partitions int    // service partitions, beside the configuration partition
-	Drift      float64
-	Bounds     Bounds
-	Queue      int
-	Test       bool // opens the switches for tests
-	Ring       int
-	Losses     int           // machines with state that may be lost at once
-	First      bool          // the whole fleet starts for the first time; else a group is joined, never founded
-	Touch      time.Duration // for how long a machine is well before bounds hold for it
-	Catch      time.Duration // after this a successor counts like the machine that it replaced
-	Ack        time.Duration // an operator's order is acknowledged within this
-	Grace      time.Duration // from the signal to stop until the process is killed
-	Cores      int           // processors to use; 0: all
-	CPU        float64       // the share of a processor that this daemon gets
-	Memory     int64         // bytes, at most; 0: no bound
-	Retry      Retry         // of opaque requests, over the whole fleet
-	Admit      float64       // a request is refused at once that would wait for others beyond so many times its aim; 0: none is
-	Warm       Warm
+	Fleet        string
+	WireAddr     string // address for other daemons
+	HTTPAddr     string // address for clients, the platform and operators
+	Zone         string
+	Seeds        []string
+	DataFolder   string // empty: this machine holds no state
+	Partitions   int    // service partitions, beside the configuration partition
+	Drift        float64
+	Bounds       Bounds
+	QueueLimit   int
+	TestSwitches bool // opens the switches for tests
+	EventLogSize int
+	Losses       int           // machines with state that may be lost at once
+	FirstStart   bool          // the whole fleet starts for the first time; else a group is joined, never founded
+	InTouchAfter time.Duration // for how long a machine is well before bounds hold for it
+	CatchUpBound time.Duration // after this a successor counts like the machine that it replaced
+	AckBound     time.Duration // an operator's order is acknowledged within this
+	GracePeriod  time.Duration // from the signal to stop until the process is killed
+	Cores        int           // processors to use; 0: all
+	CPUShare     float64       // the share of a processor that this daemon gets
+	MemoryLimit  int64         // bytes, at most; 0: no bound
+	Retry        Retry         // of opaque requests, over the whole fleet
+	AdmitRatio   float64       // a request is refused at once that would wait for others beyond so many times its aim; 0: none is
+	WarmUp       WarmUp
 }
 
 // Retry bounds what the daemons together send beyond the first call of each
@@ -62,9 +62,9 @@
 	Slack  int
 }
 
-// Warm bounds what a warming server gets in a second, from all daemons: what
+// WarmUp bounds what a warming server gets in a second, from all daemons: what
 // it bears times Over, and Slack more.
-type Warm struct {
+type WarmUp struct {
 	Over  float64
 	Slack float64
 }
@@ -74,8 +74,8 @@
 // Example: c := daemon.Default()
 func Default() Config {
 	return Config{
-		Fleet: "mulleinmast", Zone: "zone-1", Partitions: 8, Drift: 0.02, Queue: 512, Ring: 4096, Losses: 1, First: true,
-		Touch: 3 * time.Second, Catch: 4 * time.Second, Ack: 4 * time.Second, Grace: 12 * time.Second, CPU: 1, Admit: 3, Retry: Retry{Ratio: 0.2, Window: 12 * time.Second}, Warm: Warm{Over: 1},
+		Fleet: "mulleinmast", Zone: "zone-1", Partitions: 8, Drift: 0.02, QueueLimit: 512, EventLogSize: 4096, Losses: 1, FirstStart: true,
+		InTouchAfter: 3 * time.Second, CatchUpBound: 4 * time.Second, AckBound: 4 * time.Second, GracePeriod: 12 * time.Second, CPUShare: 1, AdmitRatio: 3, Retry: Retry{Ratio: 0.2, Window: 12 * time.Second}, WarmUp: WarmUp{Over: 1},
 		Bounds: Bounds{Plan: 2 * time.Second, Leave: 3 * time.Second, Evacuate: 5 * time.Second, Swap: 3 * time.Second, Recover: 12 * time.Second},
 	}
 }
@@ -128,9 +128,9 @@
 	partitions := fs.Int("partitions", c.Partitions, "partitions of the services; the same on all daemons, for good")
 	drift := fs.Float64("drift", c.Drift, "most by which one clock outruns another")
 	losses := fs.Int("losses", c.Losses, "daemons with a data folder that may be lost at once; the first group has twice as many replicas, and one")
-	first := fs.Bool("first", c.First, "the fleet may start for the first time; say false once it has, where a seed has no data folder")
-	admit := fs.Float64("admit", c.Admit, "a request is refused at once that would wait for others beyond so many times its route's aim; 0: none is")
-	queue := fs.Int("queue", c.Queue, "most requests waiting, per service")
+	first := fs.Bool("first", c.FirstStart, "the fleet may start for the first time; say false once it has, where a seed has no data folder")
+	admit := fs.Float64("admit", c.AdmitRatio, "a request is refused at once that would wait for others beyond so many times its route's aim; 0: none is")
+	queue := fs.Int("queue", c.QueueLimit, "most requests waiting, per service")
 	test := fs.Bool("test-switches", false, "open the switches that tests use (never in production)")
 	fs.Usage = func() {
 		_, _ = fmt.Fprintf(w, "usage: %s [flags]\n\nRuns one daemon of a router fleet. SIGTERM lets it finish its streams and go.\nExit codes: 0 stopped as asked, 1 failed while running, 2 bad flags or config, 3 bad data folder, 4 an address can't be used, 5 the state in the data folder is superseded (started again it begins empty).\n\n", prog)
@@ -151,15 +151,15 @@
 		case "fleet":
 			c.Fleet = *fleet
 		case "wire":
-			c.Wire = *wire
+			c.WireAddr = *wire
 		case "web":
-			c.Web = *web
+			c.HTTPAddr = *web
 		case "zone":
 			c.Zone = *zone
 		case "seeds":
 			c.Seeds = strings.Split(*seeds, ",")
 		case "data":
-			c.Data = *data
+			c.DataFolder = *data
 		case "partitions":
 			c.Partitions = *partitions
 		case "drift":
@@ -167,13 +167,13 @@
 		case "losses":
 			c.Losses = *losses
 		case "first":
-			c.First = *first
+			c.FirstStart = *first
 		case "admit":
-			c.Admit = *admit
+			c.AdmitRatio = *admit
 		case "queue":
-			c.Queue = *queue
+			c.QueueLimit = *queue
 		case "test-switches":
-			c.Test = *test
+			c.TestSwitches = *test
 		}
 	})
 	c.check(&f)
@@ -195,17 +195,17 @@
 		return
 	}
 	set(&c.Fleet, in.Fleet)
-	set(&c.Wire, in.Wire)
-	set(&c.Web, in.Web)
+	set(&c.WireAddr, in.Wire)
+	set(&c.HTTPAddr, in.Web)
 	set(&c.Zone, in.Zone)
-	set(&c.Data, in.Data)
+	set(&c.DataFolder, in.Data)
 	set(&c.Partitions, in.Partitions)
 	set(&c.Drift, in.Drift)
-	set(&c.Queue, in.Queue)
-	set(&c.Ring, in.Ring)
+	set(&c.QueueLimit, in.Queue)
+	set(&c.EventLogSize, in.Ring)
 	set(&c.Losses, in.Losses)
-	set(&c.First, in.First)
-	set(&c.Admit, in.Admit)
+	set(&c.FirstStart, in.First)
+	set(&c.AdmitRatio, in.Admit)
 	if in.Seeds != nil {
 		c.Seeds = in.Seeds
 	}
@@ -249,10 +249,10 @@
 			f.Add("%s: %q: expected the address that others reach, not a wildcard", what, s)
 		}
 	}
-	addr("wire", c.Wire)
-	addr("web", c.Web)
-	if c.Wire != "" && c.Wire == c.Web {
-		f.Add("wire and web: both are %s", c.Wire)
+	addr("wire", c.WireAddr)
+	addr("web", c.HTTPAddr)
+	if c.WireAddr != "" && c.WireAddr == c.HTTPAddr {
+		f.Add("wire and web: both are %s", c.WireAddr)
 	}
 	if len(c.Seeds) < 1 || len(c.Seeds) > 3 {
 		f.Add("seeds: %d given, expected one to three", len(c.Seeds))
@@ -277,17 +277,17 @@
 	if c.Drift < 0 || c.Drift > 0.2 {
 		f.Add("drift: %v: expected 0 to 0.2", c.Drift)
 	}
-	if !(c.Admit >= 0 && c.Admit <= 100) {
-		f.Add("admit: %v: expected 0 to 100", c.Admit)
+	if !(c.AdmitRatio >= 0 && c.AdmitRatio <= 100) {
+		f.Add("admit: %v: expected 0 to 100", c.AdmitRatio)
 	}
-	if c.Queue < 1 || c.Queue > 1<<20 {
-		f.Add("queue: %d: expected 1 to %d", c.Queue, 1<<20)
+	if c.QueueLimit < 1 || c.QueueLimit > 1<<20 {
+		f.Add("queue: %d: expected 1 to %d", c.QueueLimit, 1<<20)
 	}
 	if c.Losses < 0 || c.Losses > 4 {
 		f.Add("losses: %d: expected 0 to 4", c.Losses)
 	}
-	if c.Ring < 16 || c.Ring > 1<<20 {
-		f.Add("ring: %d: expected 16 to %d", c.Ring, 1<<20)
+	if c.EventLogSize < 16 || c.EventLogSize > 1<<20 {
+		f.Add("ring: %d: expected 16 to %d", c.EventLogSize, 1<<20)
 	}
 	for _, b := range []struct {
 		name string
@@ -301,26 +301,26 @@
 
 func fraction(d time.Duration, r float64) time.Duration { return time.Duration(float64(d) * r) }
 
-// Vol is the volume lease.
+// VolumeLease is the volume lease.
 //
-// Example: c.Vol() == 800*time.Millisecond for a plan bound of 2 s
-func (c Config) Vol() time.Duration { return fraction(c.Bounds.Plan, 0.4) }
+// Example: c.VolumeLease() == 800*time.Millisecond for a plan bound of 2 s
+func (c Config) VolumeLease() time.Duration { return fraction(c.Bounds.Plan, 0.4) }
 
 func (c Config) margin() time.Duration { return fraction(c.Bounds.Plan, 0.01) }
 
-// Overrun is how long after its leases lapsed a daemon that can't reach a leader
+// MaxStaleness is how long after its leases lapsed a daemon that can't reach a leader
 // goes on routing requests by the records that it last held.
 //
-// Example: c.Overrun() == 12*time.Second for a recovery bound of 12 s
-func (c Config) Overrun() time.Duration { return c.Bounds.Recover }
+// Example: c.MaxStaleness() == 12*time.Second for a recovery bound of 12 s
+func (c Config) MaxStaleness() time.Duration { return c.Bounds.Recover }
 
-// Leases is the config of the lease tree.
+// LeaseConfig is the config of the lease tree.
 //
-// Example: node := lease.New(c.Leases(), 0, me, epoch)
-func (c Config) Leases() lease.Config {
+// Example: node := lease.New(c.LeaseConfig(), 0, me, epoch)
+func (c Config) LeaseConfig() lease.Config {
 	return lease.Config{
-		VolumeLease: c.Vol(), ObjectLease: 600 * c.Vol(), Drift: c.Drift, Margin: c.margin(), RenewInterval: c.Vol() / 3,
-		MinGain: fraction(c.Bounds.Plan, 0.01), LoadInterval: 5 * c.Vol(), MaxRenewals: 2000,
+		VolumeLease: c.VolumeLease(), ObjectLease: 600 * c.VolumeLease(), Drift: c.Drift, Margin: c.margin(), RenewInterval: c.VolumeLease() / 3,
+		MinGain: fraction(c.Bounds.Plan, 0.01), LoadInterval: 5 * c.VolumeLease(), MaxRenewals: 2000,
 	}
 }
 
@@ -334,31 +334,31 @@
 // Example: replica := quorum.New(c.QuorumConfig(), 0, me, folder, meta, records, now, false)
 func (c Config) QuorumConfig() quorum.Config {
 	d := c.Bounds.Plan / 2
-	return quorum.Config{LeaderLease: d, Drift: c.Drift, Margin: c.margin(), HeartbeatInterval: d / 3, LostAfter: max(fraction(c.Catch, goneRatio), d+d/2)}
+	return quorum.Config{LeaderLease: d, Drift: c.Drift, Margin: c.margin(), HeartbeatInterval: d / 3, LostAfter: max(fraction(c.CatchUpBound, goneRatio), d+d/2)}
 }
 
-// Keep is how long a once key is kept; no request's timeout is longer than half.
+// OnceKeyRetention is how long a once key is kept; no request's timeout is longer than half.
 //
-// Example: c.Keep() == 20*time.Minute for a recovery bound of 12 s
-func (c Config) Keep() time.Duration { return 100 * c.Bounds.Recover }
+// Example: c.OnceKeyRetention() == 20*time.Minute for a recovery bound of 12 s
+func (c Config) OnceKeyRetention() time.Duration { return 100 * c.Bounds.Recover }
 
-// Again is for how long after it was taken an operator may send an order again:
+// ResendWindow is for how long after it was taken an operator may send an order again:
 // as long as it waits for an acknowledgement, and what a try may be held up.
 //
-// Example: c.Again() == 5*time.Second for an acknowledgement within 4 s
-func (c Config) Again() time.Duration { return fraction(c.Ack, 1.25) }
+// Example: c.ResendWindow() == 5*time.Second for an acknowledgement within 4 s
+func (c Config) ResendWindow() time.Duration { return fraction(c.AckBound, 1.25) }
 
-// Sessions is the config of the membership table.
+// MembershipConfig is the config of the membership table.
 //
-// Example: r := membership.New(c.Sessions(), me, c.Seeds)
-func (c Config) Sessions() membership.Config {
-	return membership.Config{SessionTimeout: fraction(c.Bounds.Plan, 0.6), HeartbeatInterval: fraction(c.Bounds.Plan, 0.1), MinRelayZone: 3, ToleratedLosses: c.Losses, FirstStart: c.First}
+// Example: r := membership.New(c.MembershipConfig(), me, c.Seeds)
+func (c Config) MembershipConfig() membership.Config {
+	return membership.Config{SessionTimeout: fraction(c.Bounds.Plan, 0.6), HeartbeatInterval: fraction(c.Bounds.Plan, 0.1), MinRelayZone: 3, ToleratedLosses: c.Losses, FirstStart: c.FirstStart}
 }
 
-// Works is the config of the servers' holder.
+// PlacementConfig is the config of the servers' holder.
 //
-// Example: h := placement.New(c.Works(), term, since)
-func (c Config) Works() placement.Config {
+// Example: h := placement.New(c.PlacementConfig(), term, since)
+func (c Config) PlacementConfig() placement.Config {
 	b := c.Bounds
 	return placement.Config{
 		Swap: b.Swap, Poll: fraction(b.Leave, 0.08), Warm: b.Swap, Share: fraction(b.Leave, 0.25), Drift: c.Drift, Margin: c.margin(),
--- a/control/daemon/config_test.go
+++ b/control/daemon/config_test.go
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	c, err := ReadConfig("mulleinmast", append(append([]string(nil), ok...), "-config", path), io.Discard)
-	if err != nil || c.Wire != "10.0.0.1:7000" || c.Zone != "north" || c.Vol().Milliseconds() != 1600 {
+	if err != nil || c.WireAddr != "10.0.0.1:7000" || c.Zone != "north" || c.VolumeLease().Milliseconds() != 1600 {
 		t.Errorf("file and flags: %+v %v", c, err)
 	}
 	if err := os.WriteFile(path, []byte(`{"wier":"x","bound_plan":"soon"}`), 0o600); err != nil {
--- a/control/daemon/contact_test.go
+++ b/control/daemon/contact_test.go
@@ -17,7 +17,7 @@
 	leased(c)
 
 	disk := func(addr string) message.Member { return message.Member{Ident: addr, Addr: addr, HasDisk: true} }
-	session := cfg.Sessions().SessionTimeout
+	session := cfg.MembershipConfig().SessionTimeout
 	for _, x := range []struct {
 		what string
 		wait time.Duration
@@ -26,20 +26,20 @@
 		to   []string
 	}{
 		{"in touch", 0, &membership.View{HasSession: true, Members: []message.Member{disk("a"), disk("b")}}, false, nil},
-		{"lapsed just now", cfg.Vol() + time.Second, &membership.View{HasSession: true, Members: []message.Member{disk("a"), disk("b")}}, false, nil},
+		{"lapsed just now", cfg.VolumeLease() + time.Second, &membership.View{HasSession: true, Members: []message.Member{disk("a"), disk("b")}}, false, nil},
 		{"nobody has a leader", 2 * cfg.QuorumConfig().LeaderLease, &membership.View{HasSession: true, Members: []message.Member{disk("a"), disk("b")}}, true, nil},
 		{"no session", 0, &membership.View{Members: []message.Member{disk("a"), {Ident: "x", Addr: "x"}, disk("b")}}, true, []string{"a", "b"}},
-		{"others are lost", 0, &membership.View{HasSession: true, Members: []message.Member{disk("a")}, Lost: []membership.LostDaemon{{Member: disk("c"), At: c.Now() + 3*cfg.Vol()}}}, true, []string{"c"}},
-		{"lost long before", 10 * session, &membership.View{HasSession: true, Members: []message.Member{disk("a")}, Lost: []membership.LostDaemon{{Member: disk("c"), At: cfg.Vol() - 3*session}}}, true, nil},
+		{"others are lost", 0, &membership.View{HasSession: true, Members: []message.Member{disk("a")}, Lost: []membership.LostDaemon{{Member: disk("c"), At: c.Now() + 3*cfg.VolumeLease()}}}, true, []string{"c"}},
+		{"lost long before", 10 * session, &membership.View{HasSession: true, Members: []message.Member{disk("a")}, Lost: []membership.LostDaemon{{Member: disk("c"), At: cfg.VolumeLease() - 3*session}}}, true, nil},
 	} {
 		c.clock.Leap(x.wait)
 		c.view.Store(x.view)
 		got := c.Contact(0)
 		var to []string
-		for _, m := range got.Others {
+		for _, m := range got.OtherDaemons {
 			to = append(to, m.Addr)
 		}
-		if got.Away != x.away || (got.Lapsed > 0) != (x.what != "in touch") || len(to) != len(x.to) || len(to) > 0 && (to[0] != x.to[0] || to[len(to)-1] != x.to[len(to)-1]) {
+		if got.LeaderUnreachable != x.away || (got.LapsedFor > 0) != (x.what != "in touch") || len(to) != len(x.to) || len(to) > 0 && (to[0] != x.to[0] || to[len(to)-1] != x.to[len(to)-1]) {
 			t.Errorf("%s: %+v; sent to %v, expected %v", x.what, got, to, x.to)
 		}
 	}
--- a/control/daemon/daemon.go
+++ b/control/daemon/daemon.go
@@ -34,33 +34,33 @@
 
 const writeBuffer = 64 << 10
 
-// Error is the class of start-up errors; InUse marks an address that can't be used.
+// Error is the class of start-up errors; AddressError marks an address that can't be used.
 var (
-	Error = errs.Class("mulleinmast")
-	InUse = errs.Class("address")
+	Error        = errs.Class("mulleinmast")
+	AddressError = errs.Class("address")
 )
 
 // Daemon is one daemon.
 type Daemon struct {
-	Cfg    Config
-	Events *eventlog.Log
-	Line   *transport.Transport
-	Mux    *http.ServeMux
-	More   func() map[string]any // what traffic adds to the state dump
+	Cfg          Config
+	Events       *eventlog.Log
+	Transport    *transport.Transport
+	Mux          *http.ServeMux
+	TrafficState func() map[string]any // what traffic adds to the state dump
 	// Metrics are this daemon's own figures; drivers add theirs.
 	Metrics *metrics.Set
-	// Explain tells what became of a request by its id, or of all that are known.
-	Explain []func(request string) []any
-	// Polls and Orders are the calls to model servers. Until a driver sets them
+	// Explainers tells what became of a request by its id, or of all that are known.
+	Explainers []func(request string) []any
+	// LoadPoller and Orders are the calls to model servers. Until a driver sets them
 	// each call has failed.
-	Polls  Polls
-	Orders Orders
-	// Strain tells how hard a server is pressed; none: nobody knows.
-	Strain func(service, server string) placement.Strain
-	// Hint takes what other daemons tell of the servers' load.
-	Hint func(message.Message)
-	// Source tells which servers there are; none: the platform PUTs the lists.
-	Source Source
+	LoadPoller  LoadPoller
+	OrderSender OrderSender
+	// Pressure tells how hard a server is pressed; none: nobody knows.
+	Pressure func(service, server string) placement.Strain
+	// OnLoadReport takes what other daemons tell of the servers' load.
+	OnLoadReport func(message.Message)
+	// ServerSource tells which servers there are; none: the platform PUTs the lists.
+	ServerSource ServerSource
 
 	clock    *clock.Clock
 	arch     *storage.Store
@@ -100,14 +100,14 @@
 	extra []suture.Service
 }
 
-// Polls asks a server for its load.
-type Polls interface {
+// LoadPoller asks a server for its load.
+type LoadPoller interface {
 	Usage(ctx context.Context, addr string) (placement.Usage, error)
 }
 
-// Orders gives a server an order; may is asked just before the first byte goes
+// OrderSender gives a server an order; may is asked just before the first byte goes
 // out. An error means that the server may or may not have taken it.
-type Orders interface {
+type OrderSender interface {
 	Order(ctx context.Context, o placement.Order, holder string, may func() bool) error
 }
 
@@ -116,11 +116,11 @@
 // Example: c, err := daemon.Open(cfg, records)
 func Open(cfg Config, events *eventlog.Log) (*Daemon, error) {
 	c := &Daemon{
-		Cfg: cfg, Events: events, Mux: http.NewServeMux(), Metrics: metrics.NewSet(), Polls: undriven{}, Orders: undriven{}, clock: clock.New(), epoch: 1,
+		Cfg: cfg, Events: events, Mux: http.NewServeMux(), Metrics: metrics.NewSet(), LoadPoller: undriven{}, OrderSender: undriven{}, clock: clock.New(), epoch: 1,
 		dwake: make(chan struct{}, 1), calls: map[uint64]chan leadercall.Done{}, news: make(chan struct{}), superseded: superseded{told: make(chan struct{})},
 	}
-	c.me = message.Replica{Ident: storage.NewIdent(), Addr: cfg.Wire}
-	if cfg.Data != "" {
+	c.me = message.Replica{Ident: storage.NewIdent(), Addr: cfg.WireAddr}
+	if cfg.DataFolder != "" {
 		a, err := openFolder(cfg, events)
 		if err != nil {
 			return nil, err
@@ -143,23 +143,23 @@
 		for p := range a.Partitions {
 			if p > cfg.Partitions {
 				a.Close()
-				return nil, storage.Error.New("%s: holds partition %d, but parts is %d", cfg.Data, p, cfg.Partitions)
+				return nil, storage.Error.New("%s: holds partition %d, but parts is %d", cfg.DataFolder, p, cfg.Partitions)
 			}
 		}
 	}
-	c.Line = &transport.Transport{PeerTimeout: cfg.Vol(), Fleet: cfg.Fleet, Self: c.me, Epoch: c.epoch, Receive: c.hear, OnError: func(from string, err error) { c.Events.Trouble("wire", "%s: %v", from, err) }}
-	if err := c.Line.Listen(cfg.Wire); err != nil {
+	c.Transport = &transport.Transport{PeerTimeout: cfg.VolumeLease(), Fleet: cfg.Fleet, Self: c.me, Epoch: c.epoch, Receive: c.hear, OnError: func(from string, err error) { c.Events.Trouble("wire", "%s: %v", from, err) }}
+	if err := c.Transport.Listen(cfg.WireAddr); err != nil {
 		c.close()
-		return nil, InUse.Wrap(err)
+		return nil, AddressError.Wrap(err)
 	}
-	ln, err := net.Listen("tcp", cfg.Web)
+	ln, err := net.Listen("tcp", cfg.HTTPAddr)
 	if err != nil {
 		c.close()
-		return nil, InUse.Wrap(err)
+		return nil, AddressError.Wrap(err)
 	}
 	c.web = ln
-	c.runs = leadercall.New(leadercall.Config{Try: cfg.Vol() / 2, Pause: cfg.Vol() / 32, After: cfg.Bounds.Plan}, incarnation.Starts(c.epoch)) // calls may be sent twice: each is known by its id
-	c.rost = membership.New(cfg.Sessions(), c.member(), cfg.Seeds)
+	c.runs = leadercall.New(leadercall.Config{Try: cfg.VolumeLease() / 2, Pause: cfg.VolumeLease() / 32, After: cfg.Bounds.Plan}, incarnation.Starts(c.epoch)) // calls may be sent twice: each is known by its id
+	c.rost = membership.New(cfg.MembershipConfig(), c.member(), cfg.Seeds)
 	if c.arch != nil {
 		for _, h := range c.arch.Partitions {
 			for _, replica := range h.Meta.Group.All() {
@@ -179,7 +179,7 @@
 			}
 			replica = quorum.New(cfg.QuorumConfig(), p, c.me, folder, h.Meta, h.Records, now, h.Meta.Group.Number == 0)
 		}
-		node := lease.New(cfg.Leases(), p, c.me, c.epoch)
+		node := lease.New(cfg.LeaseConfig(), p, c.me, c.epoch)
 		node.UseCodec(fleetconfig.Codec{}, lease.MinPatchedLength)
 		p := p
 		node.RelayOf = func(id string) message.Replica {
@@ -189,8 +189,8 @@
 			}
 			return message.Replica{}
 		}
-		m := leader.New(leader.Config{Works: cfg.Works(), Keep: cfg.Keep(), Again: cfg.Again(), Reads: c.formatRead}, p, c.me, partition.New(p, c.me, c.epoch, replica, node))
-		c.shards = append(c.shards, &shard{partition: p, Controller: m, guide: membership.ParentChooser{Partition: p, VolumeLease: cfg.Vol()}})
+		m := leader.New(leader.Config{Works: cfg.PlacementConfig(), Keep: cfg.OnceKeyRetention(), Again: cfg.ResendWindow(), Reads: c.formatRead}, p, c.me, partition.New(p, c.me, c.epoch, replica, node))
+		c.shards = append(c.shards, &shard{partition: p, Controller: m, guide: membership.ParentChooser{Partition: p, VolumeLease: cfg.VolumeLease()}})
 	}
 	c.Pin(0, fleetconfig.PlanKey)
 	c.Pin(0, fleetconfig.ZoneKey)
@@ -219,12 +219,12 @@
 // disk is worth more than an early start.
 func openFolder(cfg Config, events *eventlog.Log) (*storage.Store, error) {
 	for {
-		a, err := storage.Open(cfg.Data, cfg.Fleet)
+		a, err := storage.Open(cfg.DataFolder, cfg.Fleet)
 		if err == nil || !storage.IsTransient(err) {
 			return a, err
 		}
 		events.Trouble("disk", "%v; trying again", err)
-		time.Sleep(cfg.Vol() / 4)
+		time.Sleep(cfg.VolumeLease() / 4)
 	}
 }
 
@@ -260,13 +260,13 @@
 func (c *Daemon) Run(ctx context.Context) error {
 	defer c.close()
 	sup := suture.New("mulleinmast", suture.Spec{EventHook: func(e suture.Event) { c.Events.Trouble("supervisor", "%s", e.String()) }})
-	sup.Add(c.Line)
+	sup.Add(c.Transport)
 	sup.Add(service(c.serveWeb))
 	sup.Add(service(c.tickMembership))
 	sup.Add(service(c.tickShards))
 	if c.arch != nil {
 		sup.Add(service(c.serveDisk))
-		if c.Source != nil {
+		if c.ServerSource != nil {
 			sup.Add(service(c.tickSource))
 		}
 	}
@@ -305,11 +305,11 @@
 	return err
 }
 
-// Closed tells whether the daemon was told to go so long ago that the platform
+// RefusesRequests tells whether the daemon was told to go so long ago that the platform
 // has seen it is not ready; until then it still takes requests.
 //
-// Example: if c.Closed() { refused() }
-func (c *Daemon) Closed() bool {
+// Example: if c.RefusesRequests() { refused() }
+func (c *Daemon) RefusesRequests() bool {
 	return c.stop.Load() && c.Now()-time.Duration(c.stopAt.Load()) >= c.Cfg.Bounds.Plan
 }
 
--- a/control/daemon/disk.go
+++ b/control/daemon/disk.go
@@ -52,7 +52,7 @@
 	err := c.arch.Write(batch.Saves())
 	took := c.Now() - at
 	c.diskWrites.Update(took.Seconds())
-	if took > c.Cfg.Vol() {
+	if took > c.Cfg.VolumeLease() {
 		c.Events.Trouble("disk", "a write of %d parts took %v", len(batch.Saves()), took.Round(time.Millisecond))
 	}
 	if err != nil {
@@ -62,7 +62,7 @@
 		batch.Append(c.dq)
 		c.dq = batch
 		c.dmu.Unlock()
-		pause(ctx, c.Cfg.Vol()/4)
+		pause(ctx, c.Cfg.VolumeLease()/4)
 		return true
 	}
 	if n := c.refused.Swap(0); n > 0 {
--- a/control/daemon/disk_test.go
+++ b/control/daemon/disk_test.go
@@ -17,7 +17,7 @@
 // written with what came later once there is room; the daemon says both.
 func TestWhatAFullDiskRefusesIsWrittenLater(t *testing.T) {
 	cfg := Default()
-	cfg.Wire, cfg.Web, cfg.Partitions, cfg.Data = "127.0.0.1:0", "127.0.0.1:0", 1, t.TempDir()
+	cfg.WireAddr, cfg.HTTPAddr, cfg.Partitions, cfg.DataFolder = "127.0.0.1:0", "127.0.0.1:0", 1, t.TempDir()
 	cfg.Bounds.Plan = 20 * time.Millisecond // a refused write is soon tried again
 	c, err := Open(cfg, eventlog.New(256, io.Discard))
 	if err != nil {
@@ -49,7 +49,7 @@
 		t.Errorf("said: %s", said)
 	}
 	c.close()
-	a, err := storage.Open(cfg.Data, cfg.Fleet)
+	a, err := storage.Open(cfg.DataFolder, cfg.Fleet)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,7 +75,7 @@
 	if c.isReady() || !c.Ready() {
 		t.Errorf("under leases %v, ready %v", c.isReady(), c.Ready())
 	}
-	c.clock.Leap(c.Cfg.Vol())
+	c.clock.Leap(c.Cfg.VolumeLease())
 	if c.Ready() {
 		t.Error("ready a volume lease later")
 	}
--- a/control/daemon/fleet.go
+++ b/control/daemon/fleet.go
@@ -26,7 +26,7 @@
 			}
 		}
 	}
-	return message.Member{Ident: c.me.Ident, Epoch: c.epoch, Addr: c.me.Addr, HTTPAddr: c.Cfg.Web, Zone: c.Cfg.Zone, HasDisk: c.arch != nil, Ready: c.shown(), Empty: empty, Build: Build}
+	return message.Member{Ident: c.me.Ident, Epoch: c.epoch, Addr: c.me.Addr, HTTPAddr: c.Cfg.HTTPAddr, Zone: c.Cfg.Zone, HasDisk: c.arch != nil, Ready: c.shown(), Empty: empty, Build: Build}
 }
 
 // shown tells whether the session table is to show this daemon as ready: a dip
@@ -36,11 +36,11 @@
 		c.readyAt.Store(int64(c.Now()))
 		return true
 	}
-	return c.wasReady(c.Cfg.Sessions().SessionTimeout)
+	return c.wasReady(c.Cfg.MembershipConfig().SessionTimeout)
 }
 
 func (c *Daemon) tickMembership(ctx context.Context) error {
-	t := time.NewTicker(c.Cfg.Sessions().HeartbeatInterval / 4)
+	t := time.NewTicker(c.Cfg.MembershipConfig().HeartbeatInterval / 4)
 	defer t.Stop()
 	for {
 		select {
@@ -70,7 +70,7 @@
 			continue
 		}
 		for _, m := range o.Sends {
-			c.Line.Send(m)
+			c.Transport.Send(m)
 		}
 		if o.Bootstrap != nil {
 			c.found(o.Bootstrap)
@@ -104,7 +104,7 @@
 		s.mu.Unlock()
 	}
 	for _, m := range sends {
-		c.Line.Send(m)
+		c.Transport.Send(m)
 	}
 }
 
@@ -125,8 +125,8 @@
 	if c.stop.Load() || c.WhySuperseded() != "" {
 		return false
 	}
-	_, a := c.Last(0, fleetconfig.PlanKey)
-	_, b := c.Last(0, fleetconfig.ZoneKey)
+	_, a := c.ReadAllowingStale(0, fleetconfig.PlanKey)
+	_, b := c.ReadAllowingStale(0, fleetconfig.ZoneKey)
 	return a && b
 }
 
--- a/control/daemon/handover.go
+++ b/control/daemon/handover.go
@@ -9,11 +9,11 @@
 // end waits at most for its replicas to be taken over.
 const handOverRatio = 0.6
 
-// Held counts the partitions that still count on this daemon's copy though a standby
+// PartitionsToHandOver counts the partitions that still count on this daemon's copy though a standby
 // could take its place, or is about to; none where the copy is superseded.
 //
-// Example: if c.Held() == 0 { end() }
-func (c *Daemon) Held() (n int) {
+// Example: if c.PartitionsToHandOver() == 0 { end() }
+func (c *Daemon) PartitionsToHandOver() (n int) {
 	if c.WhySuperseded() != "" {
 		return 0
 	}
@@ -34,10 +34,10 @@
 //
 // Example: c.Leave(); serveOn(); c.HandOver(ctx)
 func (c *Daemon) HandOver(ctx context.Context) {
-	limit := time.Duration(c.stopAt.Load()) + fraction(c.Cfg.Grace, handOverRatio)
-	for c.Held() > 0 && c.Now() < limit && pause(ctx, c.Cfg.Vol()/32) {
+	limit := time.Duration(c.stopAt.Load()) + fraction(c.Cfg.GracePeriod, handOverRatio)
+	for c.PartitionsToHandOver() > 0 && c.Now() < limit && pause(ctx, c.Cfg.VolumeLease()/32) {
 	}
-	if n := c.Held(); n > 0 {
+	if n := c.PartitionsToHandOver(); n > 0 {
 		c.Events.Say("stop", "%d partitions still count on this copy", n)
 	}
 }
--- a/control/daemon/handover_test.go
+++ b/control/daemon/handover_test.go
@@ -13,7 +13,7 @@
 // where a standby is there to take them, and not beyond its part of the grace
 // period; a plain restart isn't held up.
 func TestOnlyAStandbyIsWaitedFor(t *testing.T) {
-	c := alone(t, func(cfg *Config) { cfg.Data, cfg.Grace = t.TempDir(), time.Hour })
+	c := alone(t, func(cfg *Config) { cfg.DataFolder, cfg.GracePeriod = t.TempDir(), time.Hour })
 	c.found([]message.Replica{c.me, {Ident: "b", Addr: "127.0.0.1:1"}, {Ident: "c", Addr: "127.0.0.1:2"}})
 	c.Leave()
 	for what, x := range map[string]struct {
@@ -27,7 +27,7 @@
 	} {
 		members := append([]message.Member{c.member(), {Ident: "b", HasDisk: true}, {Ident: "c", HasDisk: true}}, x.more...)
 		c.view.Store(&membership.View{Me: members[0], Members: members})
-		if n := c.Held(); n != x.held {
+		if n := c.PartitionsToHandOver(); n != x.held {
 			t.Errorf("%s: %d partitions held, expected %d", what, n, x.held)
 		}
 		ctx, done := context.WithCancel(context.Background())
--- a/control/daemon/host.go
+++ b/control/daemon/host.go
@@ -18,7 +18,7 @@
 //
 // Example: if c.Ready() { respond(200) }
 func (c *Daemon) Ready() bool {
-	return c.ready.Load() && c.isReady() || c.wasReady(c.Cfg.Vol())
+	return c.ready.Load() && c.isReady() || c.wasReady(c.Cfg.VolumeLease())
 }
 
 // wasReady tells whether it was ready within a time, and isn't stopping.
@@ -27,10 +27,10 @@
 	return at > 0 && !c.stop.Load() && c.Now()-at < within
 }
 
-// Know names more control daemons, such as those in a config that was changed.
+// AddControlAddrs names more control daemons, such as those in a config that was changed.
 //
-// Example: c.Know("10.0.0.7:7000")
-func (c *Daemon) Know(addrs ...string) {
+// Example: c.AddControlAddrs("10.0.0.7:7000")
+func (c *Daemon) AddControlAddrs(addrs ...string) {
 	c.rmu.Lock()
 	defer c.rmu.Unlock()
 	c.rost.AddControlAddrs(addrs...)
--- a/control/daemon/interface_test.go
+++ b/control/daemon/interface_test.go
@@ -192,8 +192,8 @@
 // Each call of the operator's interface at a daemon that is a fleet by itself.
 func TestOperatorCallsKeepTheirAnswers(t *testing.T) {
 	cfg := Default()
-	cfg.Wire, cfg.Web, cfg.Partitions, cfg.Data, cfg.Losses = freeAddress(t), freeAddress(t), 1, t.TempDir(), 0
-	cfg.Seeds = []string{cfg.Wire}
+	cfg.WireAddr, cfg.HTTPAddr, cfg.Partitions, cfg.DataFolder, cfg.Losses = freeAddress(t), freeAddress(t), 1, t.TempDir(), 0
+	cfg.Seeds = []string{cfg.WireAddr}
 	c, plan := runDaemon(t, cfg), `{"id":"first","tenants":[],"services":[{"name":"m","prefill_servers":1,"decode_servers":1}]}`
 	backup := filepath.Join(t.TempDir(), "backup")
 	packed := string(leadercall.Pack(fleetconfig.Plan{ID: "first", Tenants: []fleetconfig.Tenant{}, Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}))
@@ -208,12 +208,12 @@
 				fmt.Fprintf(&text, " %s: %s;", name, v)
 			}
 		}
-		fmt.Fprintf(&text, "\n%s\n", masked(w.Body.Bytes(), c.Ident(), cfg.Wire, cfg.Web, cfg.Data, backup))
+		fmt.Fprintf(&text, "\n%s\n", masked(w.Body.Bytes(), c.Ident(), cfg.WireAddr, cfg.HTTPAddr, cfg.DataFolder, backup))
 		return w.Code
 	}
 	call("GET", "/livez", "")
 	call("GET", "/readyz", "")
-	if code, answer := c.Ask(t.Context(), 0, "plan", []byte(packed), 20*time.Second); code != 200 {
+	if code, answer := c.Call(t.Context(), 0, "plan", []byte(packed), 20*time.Second); code != 200 {
 		t.Fatalf("the first plan: %d %s", code, answer)
 	}
 	await(t, c.Daemon, func() bool { return c.ready.Load() && c.isReady() })
@@ -227,8 +227,8 @@
 	call("POST", "/v1/zones/north/evacuate", "")
 	await(t, c.Daemon, func() bool {
 		state := c.State()
-		return len(state.Zones) == 1 && state.Live && state.PlanOK && state.Me.Ready && !state.Me.Empty && state.Members[0] == state.Me &&
-			state.Partitions[0].Mine && state.Partitions[1].Mine && len(c.View().Leaderships) == len(state.Partitions)
+		return len(state.ZonesOut) == 1 && state.Live && state.PlanValid && state.Me.Ready && !state.Me.Empty && state.Members[0] == state.Me &&
+			state.Partitions[0].LedHere && state.Partitions[1].LedHere && len(c.View().Leaderships) == len(state.Partitions)
 	})
 	call("GET", "/v1/state", "")
 	call("POST", "/v1/zones/zone-1/return", "")
@@ -265,7 +265,7 @@
 		select {
 		case <-limit:
 			t.Fatal("not in time: " + c.unready())
-		case <-c.News():
+		case <-c.Changed():
 		case <-often.C:
 		}
 	}
@@ -273,7 +273,7 @@
 
 // The switches that tests use keep their paths and answers.
 func TestSwitchesKeepTheirAnswers(t *testing.T) {
-	c := alone(t, func(cfg *Config) { steady(cfg); cfg.Test = true })
+	c := alone(t, func(cfg *Config) { steady(cfg); cfg.TestSwitches = true })
 	var text strings.Builder
 	for _, call := range [][2]string{{"cut", `["10.0.0.1:1"]`}, {"cut", "x"}, {"deaf", "[]"}, {"slow?for=300ms", ""}, {"slow", ""}, {"stall?for=1s", ""}, {"leap?by=30s", ""}, {"leap", ""}, {"full?on=1", ""}} {
 		w := httptest.NewRecorder()
@@ -311,7 +311,7 @@
 		})
 	}
 	slices.Sort(paths)
-	c := alone(t, func(cfg *Config) { cfg.Data, cfg.Test = t.TempDir(), true })
+	c := alone(t, func(cfg *Config) { cfg.DataFolder, cfg.TestSwitches = t.TempDir(), true })
 	for _, path := range paths {
 		method, place, _ := strings.Cut(path, " ")
 		place = strings.NewReplacer("{", "", "}", "").Replace(place)
@@ -376,10 +376,10 @@
 		func(c *Config) { c.Bounds.Evacuate = 0 },
 		func(c *Config) { c.Bounds.Swap = 2 * time.Hour },
 		func(c *Config) { c.Bounds.Recover = 0 },
-		func(c *Config) { c.Ring = 1 },
+		func(c *Config) { c.EventLogSize = 1 },
 	} {
 		cfg := Default()
-		cfg.Wire, cfg.Web, cfg.Seeds = "10.0.0.1:1", "10.0.0.1:2", []string{"10.0.0.1:1"}
+		cfg.WireAddr, cfg.HTTPAddr, cfg.Seeds = "10.0.0.1:1", "10.0.0.1:2", []string{"10.0.0.1:1"}
 		set(&cfg)
 		fmt.Fprintln(&text, cfg.Check().List)
 	}
--- a/control/daemon/invariants_test.go
+++ b/control/daemon/invariants_test.go
@@ -40,7 +40,7 @@
 // A violation is told in the daemon's log, beside its count.
 func TestViolationsAreTold(t *testing.T) {
 	events := eventlog.New(8, io.Discard)
-	defer TellViolations(events)()
+	defer LogViolations(events)()
 	check := invariant.New("test_told", "nothing is odd")
 	check.Hold(false, "%d is odd", 3)
 	check.Discount(1)
--- a/control/daemon/last_test.go
+++ b/control/daemon/last_test.go
@@ -19,7 +19,7 @@
 		cfg.Bounds.Recover = 1200 * time.Second
 	})
 	cfg, node, hear := c.Cfg, c.shards[0].Partition().Node, leased(c)
-	beat := cfg.Leases().RenewInterval
+	beat := cfg.LeaseConfig().RenewInterval
 	hear(message.Message{Kind: message.KindGrantLease, Records: []message.Record{{Key: fleetconfig.PlanKey, Value: []byte("{}")}, {Key: fleetconfig.ZoneKey, Value: []byte("[]")}}, ObjectLease: int64(time.Hour)})
 
 	tick := func() {
@@ -33,17 +33,17 @@
 	check := func(what string, leased, served bool) {
 		t.Helper()
 		_, read := c.Read(0, fleetconfig.PlanKey)
-		_, last := c.Last(0, fleetconfig.PlanKey)
-		if read != leased || last != served || c.isReady() != served || (c.Now() < c.LastUntil(0)) != served {
-			t.Errorf("%s: read under leases %v, routed by %v, ready %v, until %v at %v", what, read, last, c.isReady(), c.LastUntil(0), c.Now())
+		_, last := c.ReadAllowingStale(0, fleetconfig.PlanKey)
+		if read != leased || last != served || c.isReady() != served || (c.Now() < c.StaleUntil(0)) != served {
+			t.Errorf("%s: read under leases %v, routed by %v, ready %v, until %v at %v", what, read, last, c.isReady(), c.StaleUntil(0), c.Now())
 		}
-		if _, ok := c.Last(0, fleetconfig.ReplicaKey); ok {
+		if _, ok := c.ReadAllowingStale(0, fleetconfig.ReplicaKey); ok {
 			t.Errorf("%s: what was never held is routed by", what)
 		}
 	}
 	tick()
 	check("under leases", true, true)
-	c.clock.Leap(cfg.Vol())
+	c.clock.Leap(cfg.VolumeLease())
 	check("suspended while the leases lapsed", false, false)
 	tick()
 	check("awake", false, false)
@@ -54,10 +54,10 @@
 	pass(beat)
 	check("asked in vain again", false, true)
 	lapsed, _ := node.Lapsed(c.Now())
-	pass(lapsed + cfg.Overrun() - c.Now() - beat/4)
+	pass(lapsed + cfg.MaxStaleness() - c.Now() - beat/4)
 	check("just before the overrun", false, true)
-	pass(lapsed + cfg.Overrun() - c.Now())
+	pass(lapsed + cfg.MaxStaleness() - c.Now())
 	check("after the overrun", false, false)
-	pass(10 * cfg.Overrun())
+	pass(10 * cfg.MaxStaleness())
 	check("long after the overrun", false, false)
 }
--- a/control/daemon/open_test.go
+++ b/control/daemon/open_test.go
@@ -14,7 +14,7 @@
 func alone(t *testing.T, more func(*Config)) *Daemon {
 	t.Helper()
 	cfg := Default()
-	cfg.Wire, cfg.Web, cfg.Partitions = "127.0.0.1:0", "127.0.0.1:0", 1
+	cfg.WireAddr, cfg.HTTPAddr, cfg.Partitions = "127.0.0.1:0", "127.0.0.1:0", 1
 	more(&cfg)
 	c, err := Open(cfg, eventlog.New(64, io.Discard))
 	if err != nil {
@@ -40,6 +40,6 @@
 	}
 	node.SetParent(c.Now(), message.Replica{Ident: "p", Addr: "p"})
 	list := hear(message.Message{Kind: message.KindReconnect})[0].Message
-	hear(message.Message{Kind: message.KindReconciled, ResponseTo: list.RequestID, Length: int64(c.Cfg.Vol()), ObjectLease: int64(time.Hour)})
+	hear(message.Message{Kind: message.KindReconciled, ResponseTo: list.RequestID, Length: int64(c.Cfg.VolumeLease()), ObjectLease: int64(time.Hour)})
 	return hear
 }
--- a/control/daemon/operate.go
+++ b/control/daemon/operate.go
@@ -41,10 +41,10 @@
 	_, _ = w.Write(append(b, '\n'))
 }
 
-// Body reads a request's body up to a bound; what is wrong was answered.
+// ReadBody reads a request's body up to a bound; what is wrong was answered.
 //
-// Example: b, ok := daemon.Body(w, r, 1<<20)
-func Body(w http.ResponseWriter, r *http.Request, most int64) ([]byte, bool) {
+// Example: b, ok := daemon.ReadBody(w, r, 1<<20)
+func ReadBody(w http.ResponseWriter, r *http.Request, most int64) ([]byte, bool) {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, most))
 	var big *http.MaxBytesError
 	switch {
@@ -73,7 +73,7 @@
 	m.HandleFunc("GET /v1/plan", func(w http.ResponseWriter, r *http.Request) {
 		ctx, done := context.WithTimeout(r.Context(), c.Cfg.Bounds.Plan)
 		defer done()
-		rec, ok := c.Await(ctx, 0, fleetconfig.PlanKey)
+		rec, ok := c.AwaitRecord(ctx, 0, fleetconfig.PlanKey)
 		if !ok {
 			Respond(w, 503, leadercall.Response{Result: "not known", Why: "no valid lease on the plan", After: part2(c.Cfg)})
 			return
@@ -132,7 +132,7 @@
 			Respond(w, 404, leadercall.Response{Result: "broken", Faults: []string{"no such service"}})
 			return
 		}
-		rec, ok := c.Await(ctx, c.Partition(svc), fleetconfig.ListKey(svc))
+		rec, ok := c.AwaitRecord(ctx, c.Partition(svc), fleetconfig.ListKey(svc))
 		if !ok {
 			Respond(w, 503, leadercall.Response{Result: "not known", After: part2(c.Cfg)})
 			return
@@ -151,7 +151,7 @@
 			Respond(w, 400, leadercall.Response{Result: "broken", Faults: []string{fmt.Sprintf("since: %q: expected a line's number", since)}})
 			return
 		}
-		Respond(w, 200, map[string]any{"ident": c.me.Ident, "addr": c.Cfg.Web, "lines": c.Events.Since(from)})
+		Respond(w, 200, map[string]any{"ident": c.me.Ident, "addr": c.Cfg.HTTPAddr, "lines": c.Events.Since(from)})
 	})
 	if c.arch != nil {
 		m.HandleFunc("POST /v1/backup", func(w http.ResponseWriter, r *http.Request) {
@@ -168,7 +168,7 @@
 			Respond(w, 200, leadercall.Response{Result: "done"})
 		})
 	}
-	if c.Cfg.Test {
+	if c.Cfg.TestSwitches {
 		c.switches(m)
 	}
 }
@@ -177,7 +177,7 @@
 	why := c.WhySuperseded()
 	switch {
 	case why != "":
-		return "the state in " + c.Cfg.Data + " is superseded: " + why
+		return "the state in " + c.Cfg.DataFolder + " is superseded: " + why
 	case c.stop.Load():
 		return "stopping"
 	case !c.View().HasSession:
@@ -210,7 +210,7 @@
 
 // operator takes a control call and passes it to the partition's leader.
 func (c *Daemon) operator(w http.ResponseWriter, r *http.Request, p int, op string, turn func([]byte) ([]byte, fleetconfig.Faults)) {
-	b, ok := Body(w, r, mostBody)
+	b, ok := ReadBody(w, r, mostBody)
 	if !ok {
 		return
 	}
@@ -221,36 +221,36 @@
 			return
 		}
 	}
-	code, rep := c.Ask(r.Context(), p, op, b, 2*c.Cfg.Bounds.Plan)
+	code, rep := c.Call(r.Context(), p, op, b, 2*c.Cfg.Bounds.Plan)
 	c.Events.Record("call", "%s: %d", op, code)
 	Respond(w, code, rep)
 }
 
 // PartitionView is one partition as this daemon sees it.
 type PartitionView struct {
-	Partition int                `json:"part"`
-	Leader    message.Leadership `json:"owner"`
-	Mine      bool               `json:"mine"`
-	Group     message.Group      `json:"group"`
-	Set       uint64             `json:"set"`
-	Recs      int                `json:"records"`
-	Node      lease.View         `json:"node"`
-	Server    []placement.Row    `json:"servers,omitempty"`
+	Partition        int                `json:"part"`
+	Leader           message.Leadership `json:"owner"`
+	LedHere          bool               `json:"mine"`
+	Group            message.Group      `json:"group"`
+	LastCompleteTerm uint64             `json:"set"`
+	Records          int                `json:"records"`
+	Lease            lease.View         `json:"node"`
+	Servers          []placement.Row    `json:"servers,omitempty"`
 }
 
 // State is the dump that the query shell reads.
 type State struct {
-	Fleet      string           `json:"fleet"`
-	Me         message.Member   `json:"me"`
-	Members    []message.Member `json:"members"`
-	Live       bool             `json:"live"`
-	Plan       uint64           `json:"plan_version"`
-	PlanOK     bool             `json:"plan_valid"`
-	Zones      []string         `json:"cells_out"`
-	Partitions []PartitionView  `json:"parts"`
-	Superseded string           `json:"superseded,omitempty"`
-	Wire       [3]int64         `json:"wire_sent_got_lost"`
-	Extra      map[string]any   `json:"traffic,omitempty"`
+	Fleet       string           `json:"fleet"`
+	Me          message.Member   `json:"me"`
+	Members     []message.Member `json:"members"`
+	Live        bool             `json:"live"`
+	PlanVersion uint64           `json:"plan_version"`
+	PlanValid   bool             `json:"plan_valid"`
+	ZonesOut    []string         `json:"cells_out"`
+	Partitions  []PartitionView  `json:"parts"`
+	Superseded  string           `json:"superseded,omitempty"`
+	WireCounts  [3]int64         `json:"wire_sent_got_lost"`
+	Traffic     map[string]any   `json:"traffic,omitempty"`
 }
 
 // State dumps what this daemon knows.
@@ -258,27 +258,27 @@
 // Example: json.Marshal(c.State())
 func (c *Daemon) State() State {
 	v := c.View()
-	st := State{Superseded: c.WhySuperseded(), Fleet: c.Cfg.Fleet, Me: v.Me, Members: v.Members, Live: v.HasSession, Zones: []string{}, Wire: [3]int64{c.Line.Sent.Load(), c.Line.Received.Load(), c.Line.Dropped.Load()}}
-	_, st.Plan, st.PlanOK = c.Plan()
+	st := State{Superseded: c.WhySuperseded(), Fleet: c.Cfg.Fleet, Me: v.Me, Members: v.Members, Live: v.HasSession, ZonesOut: []string{}, WireCounts: [3]int64{c.Transport.Sent.Load(), c.Transport.Received.Load(), c.Transport.Dropped.Load()}}
+	_, st.PlanVersion, st.PlanValid = c.Plan()
 	if r, ok := c.Read(0, fleetconfig.ZoneKey); ok {
 		for zone := range fleetconfig.Zones(r) {
-			st.Zones = append(st.Zones, zone)
+			st.ZonesOut = append(st.ZonesOut, zone)
 		}
-		sort.Strings(st.Zones)
+		sort.Strings(st.ZonesOut)
 	}
 	for _, s := range c.shards {
 		s.mu.Lock()
 		now := c.Now()
-		p := PartitionView{Partition: s.partition, Leader: v.Leaderships[s.partition], Mine: s.Leader(now), Node: s.Partition().Node.View(now)}
+		p := PartitionView{Partition: s.partition, Leader: v.Leaderships[s.partition], LedHere: s.Leader(now), Lease: s.Partition().Node.View(now)}
 		if s.Partition().Replica != nil {
-			p.Group, p.Set, p.Recs = s.Partition().Replica.Group(), s.Partition().Replica.Meta().LastComplete, s.Partition().Replica.Records().Size()
+			p.Group, p.LastCompleteTerm, p.Records = s.Partition().Replica.Group(), s.Partition().Replica.Meta().LastComplete, s.Partition().Replica.Records().Size()
 		}
-		p.Server = s.Rows(now)
+		p.Servers = s.Rows(now)
 		s.mu.Unlock()
 		st.Partitions = append(st.Partitions, p)
 	}
-	if c.More != nil {
-		st.Extra = c.More()
+	if c.TrafficState != nil {
+		st.Traffic = c.TrafficState()
 	}
 	return st
 }
--- a/control/daemon/shard.go
+++ b/control/daemon/shard.go
@@ -83,7 +83,7 @@
 	if at, ok := c.View().Find(m.Message.To); ok && !m.ExactAddr {
 		m.Addr = at.Addr
 	}
-	c.Line.Send(m)
+	c.Transport.Send(m)
 }
 
 func (c *Daemon) tellNews() {
@@ -93,10 +93,10 @@
 	c.nmu.Unlock()
 }
 
-// News is closed when any record changes here.
+// Changed is closed when any record changes here.
 //
-// Example: <-c.News()
-func (c *Daemon) News() <-chan struct{} {
+// Example: <-c.Changed()
+func (c *Daemon) Changed() <-chan struct{} {
 	c.nmu.Lock()
 	defer c.nmu.Unlock()
 	return c.news
@@ -107,14 +107,14 @@
 	case n.Kind >= message.KindHello && n.Kind <= message.KindCensusAnswer, n.Kind == message.KindBootstrap:
 		o := c.hearMember(n)
 		for _, m := range o.Sends {
-			c.Line.Send(m)
+			c.Transport.Send(m)
 		}
 		if o.Bootstrap != nil {
 			c.found(o.Bootstrap)
 		}
 	case n.Kind == message.KindLoadReport:
-		if c.Hint != nil {
-			c.Hint(n)
+		if c.OnLoadReport != nil {
+			c.OnLoadReport(n)
 		}
 	case n.Kind == message.KindCallResult:
 		c.hearBack(n)
@@ -141,12 +141,12 @@
 	c.carryCalls(c.runs.Step(c.Now(), n))
 }
 
-// Tell puts messages on the line to other daemons.
+// SendAll puts messages on the line to other daemons.
 //
-// Example: c.Tell(board.Tick(now, me, members))
-func (c *Daemon) Tell(list []message.Envelope) {
+// Example: c.SendAll(board.Tick(now, me, members))
+func (c *Daemon) SendAll(list []message.Envelope) {
 	for _, m := range list {
-		c.Line.Send(m)
+		c.Transport.Send(m)
 	}
 }
 
@@ -162,13 +162,13 @@
 	return rec, ok && c.readable(s, rec)
 }
 
-// Last serves a record under valid leases or, while its leader can't be reached,
+// ReadAllowingStale serves a record under valid leases or, while its leader can't be reached,
 // as it was when they lapsed: not longer than Overrun after that, and never once
 // it was withdrawn. Requests are routed by it and readiness goes by it; nothing
 // is ordered, written or told to others on its ground.
 //
-// Example: rec, ok := c.Last(0, fleetconfig.PlanKey)
-func (c *Daemon) Last(partition int, key string) (message.Record, bool) {
+// Example: rec, ok := c.ReadAllowingStale(0, fleetconfig.PlanKey)
+func (c *Daemon) ReadAllowingStale(partition int, key string) (message.Record, bool) {
 	s := c.shards[partition]
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,13 +177,13 @@
 		return rec, c.readable(s, rec)
 	}
 	rec, lapsed, ok := s.Partition().Node.LastKnown(now, key)
-	return rec, ok && now < lapsed+c.Cfg.Overrun() && c.readable(s, rec)
+	return rec, ok && now < lapsed+c.Cfg.MaxStaleness() && c.readable(s, rec)
 }
 
-// LastUntil is when what Last serves of a partition ends, unless leases are renewed.
+// StaleUntil is when what Last serves of a partition ends, unless leases are renewed.
 //
-// Example: if c.Now() < c.LastUntil(p) { route() }
-func (c *Daemon) LastUntil(partition int) time.Duration {
+// Example: if c.Now() < c.StaleUntil(p) { route() }
+func (c *Daemon) StaleUntil(partition int) time.Duration {
 	s := c.shards[partition]
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -195,7 +195,7 @@
 	if !ok { // nothing is served until a renewal was asked for in vain
 		return lapsed
 	}
-	return lapsed + c.Cfg.Overrun()
+	return lapsed + c.Cfg.MaxStaleness()
 }
 
 // Gen counts the changes of what a partition serves here: what was read stands as
@@ -204,11 +204,11 @@
 // Example: gen := c.Gen(p); read(); ...; if c.Gen(p) != gen { readAgain() }
 func (c *Daemon) Gen(partition int) uint64 { return c.shards[partition].gen.Load() }
 
-// Until is when the first of the leases lapses under which this daemon serves
+// ValidUntil is when the first of the leases lapses under which this daemon serves
 // a partition's records, unless they are renewed before.
 //
-// Example: if c.Now() < c.Until(p) { serve() }
-func (c *Daemon) Until(partition int) time.Duration {
+// Example: if c.Now() < c.ValidUntil(p) { serve() }
+func (c *Daemon) ValidUntil(partition int) time.Duration {
 	s := c.shards[partition]
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -222,13 +222,13 @@
 	c.step(c.shards[partition], func(s *leader.Controller, now time.Duration) leader.Out { return s.Pin(now, key) })
 }
 
-// Await waits for a record to be servable.
+// AwaitRecord waits for a record to be servable.
 //
-// Example: rec, ok := c.Await(ctx, 0, fleetconfig.PlanKey)
-func (c *Daemon) Await(ctx context.Context, partition int, key string) (message.Record, bool) {
+// Example: rec, ok := c.AwaitRecord(ctx, 0, fleetconfig.PlanKey)
+func (c *Daemon) AwaitRecord(ctx context.Context, partition int, key string) (message.Record, bool) {
 	pinned := false
 	for {
-		news := c.News()
+		news := c.Changed()
 		if r, ok := c.Read(partition, key); ok {
 			return r, true
 		}
@@ -240,7 +240,7 @@
 		case <-ctx.Done():
 			return message.Record{}, false
 		case <-news:
-		case <-time.After(c.Cfg.Vol() / 16): // volume leases come without news
+		case <-time.After(c.Cfg.VolumeLease() / 16): // volume leases come without news
 		}
 	}
 }
@@ -253,7 +253,7 @@
 // tickShards lets time pass in all partitions, one after another: one wake-up, and
 // one write to each daemon that several of them speak to.
 func (c *Daemon) tickShards(ctx context.Context) error {
-	t := time.NewTicker(c.Cfg.Vol() / 32)
+	t := time.NewTicker(c.Cfg.VolumeLease() / 32)
 	defer t.Stop()
 	slow := c.Now()
 	for {
@@ -262,8 +262,8 @@
 			return ctx.Err()
 		case <-t.C:
 		}
-		c.Line.Coalesce(func() {
-			works := c.arch != nil && c.Now()-slow >= c.Cfg.Vol()/16 // only control daemons own anything
+		c.Transport.Coalesce(func() {
+			works := c.arch != nil && c.Now()-slow >= c.Cfg.VolumeLease()/16 // only control daemons own anything
 			if works {
 				slow = c.Now()
 			}
@@ -294,7 +294,7 @@
 		c.carry(s, s.SetParent(now, p))
 	}
 	for _, m := range s.guide.ReturnRedirects(s.Partition().Node.HasVolumeLease(now), s.Partition().Node.VolumeEpoch(), v) {
-		c.Line.Send(m)
+		c.Transport.Send(m)
 	}
 }
 
--- a/control/daemon/source.go
+++ b/control/daemon/source.go
@@ -13,10 +13,10 @@
 	"mulleinmast/control/leadercall"
 )
 
-// Source tells which servers there are, by service. Where the platform keeps a
+// ServerSource tells which servers there are, by service. Where the platform keeps a
 // list to be asked for, the leader of the configuration asks, and writes what
 // changed to the leaders of the services.
-type Source interface {
+type ServerSource interface {
 	// List asks for the whole list; an error leaves everything as it is.
 	List(ctx context.Context) (map[string][]fleetconfig.Server, error)
 }
@@ -67,7 +67,7 @@
 func (c *Daemon) pull(ctx context.Context, l *listing) {
 	ctx, done := context.WithTimeout(ctx, c.Cfg.Bounds.Leave/3)
 	defer done()
-	got, err := c.Source.List(ctx)
+	got, err := c.ServerSource.List(ctx)
 	if err != nil {
 		c.Events.Record("source", "%v", err)
 		return
@@ -104,7 +104,7 @@
 		l.seq++
 		list.Version = l.term<<24 + l.seq
 		wait.Go(func() {
-			if code, _ := c.Ask(ctx, c.Partition(svc), "servers", leadercall.Pack(leader.ServersCall{Service: svc, List: list}), c.Cfg.Bounds.Leave/3); code == 200 {
+			if code, _ := c.Call(ctx, c.Partition(svc), "servers", leadercall.Pack(leader.ServersCall{Service: svc, List: list}), c.Cfg.Bounds.Leave/3); code == 200 {
 				mu.Lock()
 				l.taken[svc] = val
 				mu.Unlock()
--- a/control/daemon/source_test.go
+++ b/control/daemon/source_test.go
@@ -18,7 +18,7 @@
 // changes that is nearly always so: the servers' lists go on all the same.
 func TestListsDoNotWaitForAPlan(t *testing.T) {
 	c := alone(t, func(*Config) {})
-	c.Source = oneList{}
+	c.ServerSource = oneList{}
 	if _, ok := c.Read(0, fleetconfig.PlanKey); ok {
 		t.Fatal("the plan can be read")
 	}
--- a/control/daemon/superseded.go
+++ b/control/daemon/superseded.go
@@ -34,7 +34,7 @@
 	c.superseded.once.Do(func() {
 		c.superseded.why.Store(&why)
 		c.ready.Store(false)
-		c.Events.Trouble("disk", "partition %d: %s: the state in %s is superseded and has no vote; this daemon ends, and starts empty the next time", partition, why, c.Cfg.Data)
+		c.Events.Trouble("disk", "partition %d: %s: the state in %s is superseded and has no vote; this daemon ends, and starts empty the next time", partition, why, c.Cfg.DataFolder)
 		go c.silence(why)
 	})
 }
--- a/control/daemon/switches.go
+++ b/control/daemon/switches.go
@@ -12,9 +12,9 @@
 // switches adds the calls by which tests bring failures about; they are open only
 // where the configuration says so.
 func (c *Daemon) switches(m *http.ServeMux) {
-	m.HandleFunc("POST /test/cut", func(w http.ResponseWriter, r *http.Request) { switchAddresses(w, r, &c.Line.DropPeers) })
-	m.HandleFunc("POST /test/deaf", func(w http.ResponseWriter, r *http.Request) { switchAddresses(w, r, &c.Line.DropSenders) })
-	m.HandleFunc("POST /test/slow", func(w http.ResponseWriter, r *http.Request) { switchTime(w, r, &c.Line.MaxDelay) })
+	m.HandleFunc("POST /test/cut", func(w http.ResponseWriter, r *http.Request) { switchAddresses(w, r, &c.Transport.DropPeers) })
+	m.HandleFunc("POST /test/deaf", func(w http.ResponseWriter, r *http.Request) { switchAddresses(w, r, &c.Transport.DropSenders) })
+	m.HandleFunc("POST /test/slow", func(w http.ResponseWriter, r *http.Request) { switchTime(w, r, &c.Transport.MaxDelay) })
 	m.HandleFunc("POST /test/stall", func(w http.ResponseWriter, r *http.Request) { switchTime(w, r, &c.stall) })
 	m.HandleFunc("POST /test/leap", c.leap)
 	m.HandleFunc("POST /test/full", c.full)
@@ -62,11 +62,11 @@
 	st := c.State()
 	held := 0
 	for _, p := range st.Partitions {
-		if p.Mine || p.Node.LeaseLeft > 0 {
+		if p.LedHere || p.Lease.LeaseLeft > 0 {
 			held++
 		}
 	}
-	Respond(w, http.StatusOK, map[string]any{"result": "done", "parts_still_held": held, "plan_still_valid": st.PlanOK})
+	Respond(w, http.StatusOK, map[string]any{"result": "done", "parts_still_held": held, "plan_still_valid": st.PlanValid})
 }
 
 // full has the disk take no more bytes, or again.
--- a/control/daemon/unreadable_test.go
+++ b/control/daemon/unreadable_test.go
@@ -41,7 +41,7 @@
 			if fault := ended(func() {
 				grant(2, map[string]string{key: val})
 				_, read := c.Read(0, key)
-				_, last := c.Last(0, key)
+				_, last := c.ReadAllowingStale(0, key)
 				if read || last || c.isReady() {
 					t.Errorf("read %v, routed by %v, ready %v", read, last, c.isReady())
 				}
@@ -74,22 +74,22 @@
 // isn't clear, and the daemon says why it isn't ready.
 func TestAFolderWithARecordThatCanNotBeRead(t *testing.T) {
 	cfg := Default()
-	cfg.Wire, cfg.Web, cfg.Partitions, cfg.Data, cfg.Losses = freeAddress(t), freeAddress(t), 1, t.TempDir(), 0
-	cfg.Seeds = []string{cfg.Wire}
+	cfg.WireAddr, cfg.HTTPAddr, cfg.Partitions, cfg.DataFolder, cfg.Losses = freeAddress(t), freeAddress(t), 1, t.TempDir(), 0
+	cfg.Seeds = []string{cfg.WireAddr}
 	first := runDaemon(t, cfg)
 	change := leadercall.Pack(fleetconfig.Plan{ID: "first", Tenants: []fleetconfig.Tenant{}, Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}})
-	if code, answer := first.Ask(t.Context(), 0, "plan", change, 20*time.Second); code != 200 {
+	if code, answer := first.Call(t.Context(), 0, "plan", change, 20*time.Second); code != 200 {
 		t.Fatalf("the first plan: %d %s", code, answer)
 	}
 	first.stop()
 	spoilPlan(t, cfg)
 
 	again := runDaemon(t, cfg)
-	if code, answer := again.Ask(t.Context(), 0, "evacuate", []byte("north"), 20*time.Second); code != 200 {
+	if code, answer := again.Call(t.Context(), 0, "evacuate", []byte("north"), 20*time.Second); code != 200 {
 		t.Errorf("an evacuation: %d %s", code, answer)
 	}
 	next := leadercall.Pack(fleetconfig.Changes{ID: "next", Base: 1, Changes: []fleetconfig.Change{{Op: "drop-tenant", Name: "x"}}})
-	if code, answer := again.Ask(t.Context(), 0, "changes", next, 5*time.Second); code != leadercall.NotDone || !strings.Contains(string(answer), "can't be read") {
+	if code, answer := again.Call(t.Context(), 0, "changes", next, 5*time.Second); code != leadercall.NotDone || !strings.Contains(string(answer), "can't be read") {
 		t.Errorf("a change: %d %s", code, answer)
 	}
 	if _, ok := again.Read(0, fleetconfig.PlanKey); ok || again.Ready() || count(again.unreadable()) != 1 || !strings.Contains(again.unready(), "can't be read") {
@@ -100,7 +100,7 @@
 // spoilPlan puts a plan of an unknown shape in a folder, as another build might.
 func spoilPlan(t *testing.T, cfg Config) {
 	t.Helper()
-	a, err := storage.Open(cfg.Data, cfg.Fleet)
+	a, err := storage.Open(cfg.DataFolder, cfg.Fleet)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/control/daemon/works.go
+++ b/control/daemon/works.go
@@ -18,7 +18,7 @@
 		sight.Replicas, sight.OkReplicas = c.Read(0, fleetconfig.ReplicaKey)
 		sight.Core = c.View().ControlDaemons()
 	}
-	sight.Strain = c.Strain
+	sight.Strain = c.Pressure
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o := s.Reconcile(c.Now(), sight)
@@ -52,9 +52,9 @@
 }
 
 func (c *Daemon) poll(ctx context.Context, s *shard, term uint64, key string) {
-	ctx, done := context.WithTimeout(ctx, 2*c.Cfg.Works().Poll)
+	ctx, done := context.WithTimeout(ctx, 2*c.Cfg.PlacementConfig().Poll)
 	defer done()
-	u, err := c.Polls.Usage(ctx, key[strings.LastIndexByte(key, '/')+1:])
+	u, err := c.LoadPoller.Usage(ctx, key[strings.LastIndexByte(key, '/')+1:])
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.Polled(c.Now(), term, key, u, err == nil)
@@ -73,7 +73,7 @@
 func (c *Daemon) order(ctx context.Context, s *shard, o placement.Order) {
 	ctx, done := context.WithTimeout(ctx, fraction(c.Cfg.Bounds.Swap, 0.2))
 	defer done()
-	err := c.Orders.Order(ctx, o, c.me.Ident, func() bool {
+	err := c.OrderSender.Order(ctx, o, c.me.Ident, func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.MayOrder(c.Now(), o.Term) && s.fenced(o)
--- a/proof/hollow/daemon.go
+++ b/proof/hollow/daemon.go
@@ -51,22 +51,22 @@
 
 // start brings a daemon up.
 func start(s Spec) (*hollowDaemon, error) {
-	c, err := daemon.Open(s.Config, eventlog.New(s.Config.Ring, io.Discard))
+	c, err := daemon.Open(s.Config, eventlog.New(s.Config.EventLogSize, io.Discard))
 	if err != nil {
 		return nil, err
 	}
 	if s.List != "" {
-		c.Source = platform.NewCloud(s.List, s.Config.Bounds.Leave/3)
+		c.ServerSource = platform.NewCloud(s.List, s.Config.Bounds.Leave/3)
 	}
 	if s.Far > 0 {
-		c.Line.Latency = func(addr string) time.Duration {
+		c.Transport.Latency = func(addr string) time.Duration {
 			if region(zoneOf(addr), s.Regions) != s.Region {
 				return s.Far
 			}
 			return 0
 		}
 	}
-	c.Orders = serverpool.NewHands(s.Config.Bounds.Plan / 4) // to servers that aren't there
+	c.OrderSender = serverpool.NewHands(s.Config.Bounds.Plan / 4) // to servers that aren't there
 	g := gateway.New(c, engines{})
 	c.Add(service(g.Run))
 	ctx, stop := context.WithCancel(context.Background())
@@ -81,7 +81,7 @@
 // snap reads the daemon's counters.
 func (d *hollowDaemon) snap() Snap {
 	v := d.c.View()
-	s := Snap{Index: d.Index, Zone: d.Zone, Core: d.Core, Members: len(v.Members), Ready: d.c.Ready(), Lost: d.c.Line.Dropped.Load(), Counts: d.c.Line.Counts(), At: d.c.Now()}
+	s := Snap{Index: d.Index, Zone: d.Zone, Core: d.Core, Members: len(v.Members), Ready: d.c.Ready(), Lost: d.c.Transport.Dropped.Load(), Counts: d.c.Transport.Counts(), At: d.c.Now()}
 	for p := range d.Config.Partitions + 1 {
 		if v.Leaderships[p].Leader.Ident == d.c.Ident() {
 			s.Owns = append(s.Owns, p)
@@ -127,7 +127,7 @@
 func (d *hollowDaemon) reached(lost int) bool {
 	v := d.c.View()
 	for p := range d.Config.Partitions + 1 {
-		if zoneOf(v.Leaderships[p].Leader.Addr) == lost || d.c.Until(p) <= d.c.Now() {
+		if zoneOf(v.Leaderships[p].Leader.Addr) == lost || d.c.ValidUntil(p) <= d.c.Now() {
 			return false
 		}
 	}
--- a/proof/hollow/spec.go
+++ b/proof/hollow/spec.go
@@ -91,12 +91,12 @@
 	for i := range out {
 		zone := i % o.Zones
 		c := daemon.Default()
-		c.Wire, c.Web = address(zone, i/o.Zones, o.Port), address(zone, i/o.Zones, o.Port+1)
-		c.Fleet, c.Zone, c.Seeds, c.Ring, c.Losses = "hollow", fmt.Sprintf("zone-%d", zone), seeds, 64, o.Losses
+		c.WireAddr, c.HTTPAddr = address(zone, i/o.Zones, o.Port), address(zone, i/o.Zones, o.Port+1)
+		c.Fleet, c.Zone, c.Seeds, c.EventLogSize, c.Losses = "hollow", fmt.Sprintf("zone-%d", zone), seeds, 64, o.Losses
 		c.Bounds.Plan = o.Apply
 		out[i] = Spec{Index: i, Zone: zone, Region: region(zone, o.Regions), Core: i < o.Core, List: list, Far: o.Far, Regions: o.Regions, Models: o.Models}
 		if i < o.Core {
-			c.Data = fmt.Sprintf("%s/core-%d", o.Dir, i)
+			c.DataFolder = fmt.Sprintf("%s/core-%d", o.Dir, i)
 		}
 		out[i].Config = c
 	}
--- a/proof/hollow/stock.go
+++ b/proof/hollow/stock.go
@@ -57,11 +57,11 @@
 		}
 	}
 	for _, spec := range f.specs {
-		if spec.Config.Data == "" {
+		if spec.Config.DataFolder == "" {
 			continue
 		}
 		whole, log := int64(0), int64(0)
-		_ = filepath.WalkDir(spec.Config.Data, func(path string, d fs.DirEntry, err error) error {
+		_ = filepath.WalkDir(spec.Config.DataFolder, func(path string, d fs.DirEntry, err error) error {
 			if err != nil || d.IsDir() {
 				return nil // a file may go while we look
 			}
--- a/proof/hollow/trouble.go
+++ b/proof/hollow/trouble.go
@@ -95,7 +95,7 @@
 	for _, s := range f.specs {
 		for _, o := range f.specs {
 			if s.Region == a && o.Region == b || s.Region == b && o.Region == a {
-				cut[s.Index] = append(cut[s.Index], o.Config.Wire)
+				cut[s.Index] = append(cut[s.Index], o.Config.WireAddr)
 			}
 		}
 	}
--- a/proof/hollow/worker.go
+++ b/proof/hollow/worker.go
@@ -139,7 +139,7 @@
 			for _, a := range c.Cut[d.Index] {
 				cut[a] = true
 			}
-			d.c.Line.DropPeers.Store(&cut)
+			d.c.Transport.DropPeers.Store(&cut)
 		}
 	case "stop":
 		w.drop(c.Indexes)
@@ -149,7 +149,7 @@
 		list := slices.DeleteFunc(w.daemons(), func(d *hollowDaemon) bool { return slices.Contains(c.Indexes, d.Index) })
 		ctx, done := context.WithTimeout(context.Background(), c.Wait)
 		defer done()
-		r.Code, r.Body = list[0].c.Ask(ctx, 0, c.Call, c.Body, c.Wait)
+		r.Code, r.Body = list[0].c.Call(ctx, 0, c.Call, c.Body, c.Wait)
 	default:
 		r.Err = "no command " + c.Op
 	}
--- a/proof/overload/front.go
+++ b/proof/overload/front.go
@@ -167,7 +167,7 @@
 	w := t.f.w
 	switch m.Kind {
 	case forward.Wait:
-		w.after(min(m.Until-w.now, w.cfg.Vol()/16), func() {
+		w.after(min(m.Until-w.now, w.cfg.VolumeLease()/16), func() {
 			if !t.over {
 				t.act(t.f.lane.Again(w.now, t.call.ID))
 			}
--- a/proof/overload/overload.go
+++ b/proof/overload/overload.go
@@ -61,7 +61,7 @@
 //
 // Example: r := overload.Run(overload.Default(1))
 func Default(seed int64) Options {
-	return Options{Seed: seed, Daemons: 8, Prefill: 5, Decode: 7, Length: 40 * time.Second, Admit: daemon.Default().Admit, Classes: []Class{
+	return Options{Seed: seed, Daemons: 8, Prefill: 5, Decode: 7, Length: 40 * time.Second, Admit: daemon.Default().AdmitRatio, Classes: []Class{
 		{Name: "long", PerSecond: 34, Aim: 500 * time.Millisecond, Deadline: 3 * time.Second, Gap: 300 * time.Millisecond, Shared: []int{2520, 3780}, Things: []int{4, 64}, Own: 2890, Out: 52, Tries: 2},
 		{Name: "short", PerSecond: 43, Aim: 600 * time.Millisecond, Deadline: 8 * time.Second, Gap: 300 * time.Millisecond, Urgency: 1, Shared: []int{119, 79}, Things: []int{10, 120}, Own: 628, Out: 290, Tries: 1},
 	}}
@@ -149,7 +149,7 @@
 // Example: r := overload.Run(overload.Default(1)); r.Seconds[7].Served()
 func Run(o Options) Result {
 	w := &world{Options: o, cfg: daemon.Default(), rng: rand.New(rand.NewSource(o.Seed)), gen: 1}
-	w.cfg.Admit = o.Admit
+	w.cfg.AdmitRatio = o.Admit
 	w.cfg.Bounds.Plan = 2500 * time.Millisecond
 	w.result.Seconds = make([]Second, int(o.Length/time.Second))
 	for i := range o.Prefill + o.Decode {
--- a/proof/sim/caller.go
+++ b/proof/sim/caller.go
@@ -66,7 +66,7 @@
 	n := c.n
 	now := n.local()
 	rec, ok := n.source(0, fleetconfig.PlanKey)
-	if !ok && waited < min(2*c.w.cfg.Vol(), c.timeout) {
+	if !ok && waited < min(2*c.w.cfg.VolumeLease(), c.timeout) {
 		n.early[c.no] = c
 		n.in(20*time.Millisecond, func() { c.land(waited + 20*time.Millisecond) })
 		return
--- a/proof/sim/losses.go
+++ b/proof/sim/losses.go
@@ -64,17 +64,17 @@
 		n.kill()
 		n.gone = true
 		m := w.add(n.zone, true, len(w.nodes))
-		w.at(gap, func() { m.start(); then(m, w.cfg.Catch) })
+		w.at(gap, func() { m.start(); then(m, w.cfg.CatchUpBound) })
 	case 1:
 		w.fault("wiped", n)
 		n.kill()
 		n.disk = nil
-		w.at(gap, func() { n.start(); then(n, w.cfg.Catch) })
+		w.at(gap, func() { n.start(); then(n, w.cfg.CatchUpBound) })
 	default:
 		w.fault("planned", n)
 		m := w.add(n.zone, true, len(w.nodes))
 		m.start()
-		w.at(w.cfg.Catch, func() { n.leave(func() { then(m, 0) }) })
+		w.at(w.cfg.CatchUpBound, func() { n.leave(func() { then(m, 0) }) })
 	}
 }
 
@@ -87,7 +87,7 @@
 			return
 		}
 		w.loseSecond(m)
-		w.at(downFor+w.cfg.Catch, func() { w.lose(left - 1) })
+		w.at(downFor+w.cfg.CatchUpBound, func() { w.lose(left - 1) })
 	})
 }
 
@@ -130,7 +130,7 @@
 			n.sec(p).Replica.Resign()
 		}
 	}
-	limit := w.now + time.Duration(float64(w.cfg.Grace)*0.875)
+	limit := w.now + time.Duration(float64(w.cfg.GracePeriod)*0.875)
 	var look func()
 	look = func() {
 		if n.held() > 0 && w.now < limit && w.o.Sabotage != "nohandover" {
@@ -160,7 +160,7 @@
 	if w.o.Rounds == 0 {
 		return
 	}
-	if since, ok := w.ownedAt[p]; ok && !owned && w.now-since > w.cfg.Catch {
+	if since, ok := w.ownedAt[p]; ok && !owned && w.now-since > w.cfg.CatchUpBound {
 		w.note(Event{Kind: Silent, Node: "nobody", Tag: fmt.Sprintf("led partition %d for %v", p, w.now-since)})
 		w.ownedAt[p] = w.now
 	}
--- a/proof/sim/node.go
+++ b/proof/sim/node.go
@@ -119,16 +119,16 @@
 	if w.o.Sabotage == "samenumbers" {
 		life = 0
 	}
-	n.runs = leadercall.New(leadercall.Config{Try: w.cfg.Vol() / 2, Pause: w.cfg.Vol() / 32, After: w.cfg.Bounds.Plan}, life)
+	n.runs = leadercall.New(leadercall.Config{Try: w.cfg.VolumeLease() / 2, Pause: w.cfg.VolumeLease() / 32, After: w.cfg.Bounds.Plan}, life)
 	me := message.Replica{Ident: n.ident, Addr: n.addr}
-	leases := w.cfg.Leases()
+	leases := w.cfg.LeaseConfig()
 	if w.o.Sabotage == "nowait" {
 		leases.Drift, leases.Margin = -0.6, 0
 	}
 	if w.o.Static {
 		leases.LoadInterval = 0
 	}
-	sess := w.cfg.Sessions()
+	sess := w.cfg.MembershipConfig()
 	if w.o.Flat {
 		sess.MinRelayZone = len(w.nodes) + 1
 	}
@@ -167,9 +167,9 @@
 		if w.o.Sabotage == "nocalm" {
 			sec.WritesFrom = func() time.Duration { return 0 }
 		}
-		s := leader.New(leader.Config{Works: w.works(), Keep: w.cfg.Keep(), Again: w.cfg.Again()}, p, me, sec)
+		s := leader.New(leader.Config{Works: w.works(), Keep: w.cfg.OnceKeyRetention(), Again: w.cfg.ResendWindow()}, p, me, sec)
 		n.parts = append(n.parts, s)
-		n.guides = append(n.guides, membership.ParentChooser{Partition: p, VolumeLease: w.cfg.Vol()})
+		n.guides = append(n.guides, membership.ParentChooser{Partition: p, VolumeLease: w.cfg.VolumeLease()})
 		for k := 0; k < w.o.Keys; k++ {
 			n.carry(p, s.Pin(now, key(k)))
 		}
--- a/proof/sim/sim.go
+++ b/proof/sim/sim.go
@@ -52,7 +52,7 @@
 // Example: r := sim.Run(sim.Default(42)); len(r.Broken) == 0
 func Run(o Options) Result {
 	w := &world{o: o, cfg: daemon.Default(), rng: rand.New(rand.NewSource(o.Seed)), cut: map[[2]string]bool{}, ownedAt: map[int]time.Duration{}}
-	w.cfg.Partitions, w.cfg.Test = o.Partitions, true
+	w.cfg.Partitions, w.cfg.TestSwitches = o.Partitions, true
 	w.res.Served, w.res.Sent, w.res.Steers, w.res.Faults, w.res.Results, w.res.Refusals, w.res.Plans = map[string]int{}, map[string]int{}, map[string]int{}, map[string]int{}, map[string]int{}, map[string]int{}, map[string]int{}
 	if o.Sabotage == "drift" {
 		o.Drift, w.o.Drift = 0.5, 0.5
--- a/proof/sim/traffic.go
+++ b/proof/sim/traffic.go
@@ -41,7 +41,7 @@
 
 // works is the holders' config, sabotaged or not.
 func (w *world) works() placement.Config {
-	c := w.cfg.Works()
+	c := w.cfg.PlacementConfig()
 	switch w.o.Sabotage {
 	case "noramp":
 		c.Warm = time.Millisecond
--- a/proof/standin/fleet/fleet.go
+++ b/proof/standin/fleet/fleet.go
@@ -373,7 +373,7 @@
 		if m == but {
 			continue
 		}
-		if st, ok := f.State(m); ok && partition < len(st.Partitions) && st.Partitions[partition].Mine {
+		if st, ok := f.State(m); ok && partition < len(st.Partitions) && st.Partitions[partition].LedHere {
 			return m
 		}
 	}
--- a/proof/standin/scene/scenes.go
+++ b/proof/standin/scene/scenes.go
@@ -119,7 +119,7 @@
 			if o == m {
 				continue
 			}
-			if st, ok := w.Fleet.State(o); ok && st.Partitions[0].Mine {
+			if st, ok := w.Fleet.State(o); ok && st.Partitions[0].LedHere {
 				return true
 			}
 		}
--- a/proof/track/drive.go
+++ b/proof/track/drive.go
@@ -50,7 +50,7 @@
 			continue
 		}
 		for _, partition := range st.Partitions {
-			for _, r := range partition.Server {
+			for _, r := range partition.Servers {
 				if r.Status == "up" && r.To == "" && (r.Part == "maker" || len(r.Pairs) > 0) {
 					if seen[r.Service] == nil {
 						seen[r.Service] = map[string]bool{}
@@ -80,7 +80,7 @@
 				st, _ := f.State(p)
 				why += fmt.Sprintf("\n%s %s: %d %s", p.Name, p.Wire, code, b)
 				if len(st.Partitions) > 0 {
-					n := st.Partitions[0].Node
+					n := st.Partitions[0].Lease
 					why += fmt.Sprintf("  members %d, leader of part 0 %v, parent %v, lease %d ms", len(st.Members), st.Partitions[0].Leader, n.Parent, n.LeaseLeft)
 				}
 			}
@@ -172,7 +172,7 @@
 		if !ok {
 			continue
 		}
-		c, _ := st.Extra["counts"].(map[string]any)
+		c, _ := st.Traffic["counts"].(map[string]any)
 		for k, v := range c {
 			x, _ := v.(float64)
 			sum[k] += int64(x)
--- a/proof/track/scenario.go
+++ b/proof/track/scenario.go
@@ -230,7 +230,7 @@
 // version is the plan version that a daemon serves under valid leases.
 func (f *Fleet) version(p *Proc) (uint64, bool) {
 	st, ok := f.State(p)
-	return st.Plan, ok && st.PlanOK
+	return st.PlanVersion, ok && st.PlanValid
 }
 
 // leasedVersion is the first plan version that a daemon serves under valid
@@ -317,7 +317,7 @@
 			return false
 		}
 		g := st.Partitions[partition.Partition].Group
-		if len(g.Next) > 0 || !g.Has(me.Me.Ident) || partition.Set != st.Partitions[partition.Partition].Set {
+		if len(g.Next) > 0 || !g.Has(me.Me.Ident) || partition.LastCompleteTerm != st.Partitions[partition.Partition].LastCompleteTerm {
 			return false
 		}
 	}
--- a/proof/track/track.go
+++ b/proof/track/track.go
@@ -226,7 +226,7 @@
 		if p.Data == "" {
 			continue
 		}
-		if st, ok := f.State(p); ok && partition < len(st.Partitions) && st.Partitions[partition].Mine {
+		if st, ok := f.State(p); ok && partition < len(st.Partitions) && st.Partitions[partition].LedHere {
 			return p
 		}
 	}
--- a/traffic/gateway/cut_test.go
+++ b/traffic/gateway/cut_test.go
@@ -23,8 +23,8 @@
 		t.Fatal(err)
 	}
 	cfg := g.c.Cfg
-	cfg.Data, cfg.Seeds, cfg.Bounds.Recover = "", []string{g.c.Cfg.Wire}, overrun
-	for _, at := range []*string{&cfg.Wire, &cfg.Web} {
+	cfg.DataFolder, cfg.Seeds, cfg.Bounds.Recover = "", []string{g.c.Cfg.WireAddr}, overrun
+	for _, at := range []*string{&cfg.WireAddr, &cfg.HTTPAddr} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -37,7 +37,7 @@
 		t.Fatal(err)
 	}
 	f := &fake{}
-	c.Line.DropPeers.Store(&map[string]bool{"*": true})
+	c.Transport.DropPeers.Store(&map[string]bool{"*": true})
 	out := New(c, f)
 	ctx, stop := context.WithCancel(context.Background())
 	t.Cleanup(stop)
@@ -49,7 +49,7 @@
 // soon waits for something, with an end.
 func soon(t *testing.T, c *daemon.Daemon, what string, so func() bool) {
 	t.Helper()
-	limit, beat := time.After(20*time.Second), time.NewTicker(c.Cfg.Vol()/32)
+	limit, beat := time.After(20*time.Second), time.NewTicker(c.Cfg.VolumeLease()/32)
 	defer beat.Stop()
 	for !so() {
 		select {
@@ -83,16 +83,16 @@
 	if got := ask("/none/"); got != "refuse 503" || sure {
 		t.Errorf("before it knew any configuration: %q, limits in force %v", got, sure)
 	}
-	g.c.Line.DropPeers.Store(nil)
+	g.c.Transport.DropPeers.Store(nil)
 	soon(t, g.c, "the first request served", func() bool { return ask("/unsafe/") == "head 200 a" })
 	soon(t, g.c, "in touch, no such route", func() bool { return ask("/none/") == "fail 404" })
-	g.c.Line.DropPeers.Store(&map[string]bool{"*": true})
+	g.c.Transport.DropPeers.Store(&map[string]bool{"*": true})
 	soon(t, g.c, "last records", func() bool {
 		_, leased := g.c.Read(0, fleetconfig.PlanKey)
-		_, last := g.c.Last(0, fleetconfig.PlanKey)
+		_, last := g.c.ReadAllowingStale(0, fleetconfig.PlanKey)
 		return !leased && last
 	})
-	until := g.c.Now() + g.c.Cfg.Overrun()
+	until := g.c.Now() + g.c.Cfg.MaxStaleness()
 	soon(t, g.c, "cut off, served by last records", func() bool { return ask("/unsafe/") == "head 200 a" })
 	expect("cut off", "/none/", "refuse 503")
 	if _, sure := g.BodyBytes(); sure {
@@ -101,7 +101,7 @@
 	soon(t, g.c, "the end of the overrun", func() bool { return g.c.Now() > until })
 	expect("cut off for long", "/unsafe/", "refuse 503")
 	expect("cut off for long", "/none/", "refuse 503")
-	g.c.Line.DropPeers.Store(nil)
+	g.c.Transport.DropPeers.Store(nil)
 	soon(t, g.c, "back in touch", func() bool { return ask("/unsafe/") == "head 200 a" })
 	soon(t, g.c, "back in touch, no such route", func() bool { return ask("/none/") == "fail 404" })
 }
--- a/traffic/gateway/gateway.go
+++ b/traffic/gateway/gateway.go
@@ -56,10 +56,10 @@
 // Example: g := gateway.New(c, engines)
 func New(c *daemon.Daemon, eng Engines) *Gateway {
 	g := &Gateway{c: c, eng: eng, cfg: Config(c.Cfg), list: map[string]*lane{}, board: board.New(BoardConfig(c.Cfg)), report: newReport(c.Metrics)}
-	c.Explain = append(c.Explain, g.report.explain)
+	c.Explainers = append(c.Explainers, g.report.explain)
 	c.Metrics.NewGauge("mulleinmast_requests_open", func() float64 { return float64(g.open.Load()) })
 	eng.Told(g.told)
-	c.Hint, c.Strain = g.hint, g.strain
+	c.OnLoadReport, c.Pressure = g.hint, g.strain
 	return g
 }
 
@@ -68,8 +68,8 @@
 // Example: l := forward.New(gateway.Config(cfg), svc, part, source)
 func Config(c daemon.Config) forward.Config {
 	return forward.Config{
-		Zone: c.Zone, Retry: c.Retry.Ratio, Window: c.Retry.Window, Slack: c.Retry.Slack * 4 / 5, Patience: c.Vol() * 5 / 4,
-		Shy: c.Bounds.Plan / 2, Turned: c.Bounds.Plan / 8, Back: c.Vol() / 4, Pace: 50, InTime: c.Admit,
+		Zone: c.Zone, Retry: c.Retry.Ratio, Window: c.Retry.Window, Slack: c.Retry.Slack * 4 / 5, Patience: c.VolumeLease() * 5 / 4,
+		Shy: c.Bounds.Plan / 2, Turned: c.Bounds.Plan / 8, Back: c.VolumeLease() / 4, Pace: 50, InTime: c.AdmitRatio,
 		Weights: forward.Weights{Far: 0.0023, Again: 0.05, Moved: 0.0022, Apart: 3, Miss: 0.05, Cold: 0.05, Stall: 0.3},
 	}
 }
@@ -88,12 +88,14 @@
 // Read serves a record under valid leases, or for a while after they lapsed.
 //
 // Example: rec, ok := source.Read(0, fleetconfig.PlanKey)
-func (s source) Read(partition int, key string) (message.Record, bool) { return s.Last(partition, key) }
+func (s source) Read(partition int, key string) (message.Record, bool) {
+	return s.ReadAllowingStale(partition, key)
+}
 
 // Until is when that ends.
 //
 // Example: if now < source.Until(p) { route() }
-func (s source) Until(partition int) time.Duration { return s.LastUntil(partition) }
+func (s source) Until(partition int) time.Duration { return s.StaleUntil(partition) }
 
 // strain tells the servers' holder how hard one of them is pressed. The holder
 // asks under its part's lock, and a lane reads that part under its own: what
@@ -118,7 +120,7 @@
 	g.bmu.Lock()
 	out := g.board.Tick(g.c.Now(), v.Me, v.Members)
 	g.bmu.Unlock()
-	g.c.Tell(out)
+	g.c.SendAll(out)
 }
 
 // Open is the number of requests under way.
@@ -135,7 +137,7 @@
 	defer t.Stop()
 	soon := time.NewTimer(0)
 	defer soon.Stop()
-	news := g.c.News()
+	news := g.c.Changed()
 	summary := time.NewTicker(summaryBeats * beat)
 	defer summary.Stop()
 	for whole := true; ; {
@@ -156,7 +158,7 @@
 			soon.Reset(beat / 16)
 			whole, news = false, nil
 		case <-soon.C:
-			whole, news = false, g.c.News()
+			whole, news = false, g.c.Changed()
 		case <-summary.C:
 			whole = false
 			if text := g.report.summary(); text != "" {
@@ -165,7 +167,7 @@
 		case <-t.C:
 			whole = true
 			if news == nil {
-				news = g.c.News()
+				news = g.c.Changed()
 			}
 		}
 	}
@@ -186,7 +188,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	g.fleet(l)
-	l.Warm(forward.Warm{Rate: svc.ColdRate, Over: g.c.Cfg.Warm.Over, Slack: g.c.Cfg.Warm.Slack})
+	l.Warm(forward.Warm{Rate: svc.ColdRate, Over: g.c.Cfg.WarmUp.Over, Slack: g.c.Cfg.WarmUp.Slack})
 	servers := l.Servers()
 	strain := make(map[string]placement.Strain, len(servers))
 	for _, s := range servers {
@@ -253,8 +255,8 @@
 	if s != nil && s.gen == gen && g.c.Now() < s.until {
 		return s, true
 	}
-	until := g.c.LastUntil(0)
-	rec, ok := g.c.Last(0, fleetconfig.PlanKey)
+	until := g.c.StaleUntil(0)
+	rec, ok := g.c.ReadAllowingStale(0, fleetconfig.PlanKey)
 	if !ok || rec.Deleted {
 		return nil, false
 	}
@@ -333,7 +335,7 @@
 	beat := time.NewTicker(max(time.Millisecond, most/16))
 	defer beat.Stop()
 	for {
-		news := g.c.News()
+		news := g.c.Changed()
 		if s, ok := plan(); ok {
 			return s, true
 		}
--- a/traffic/gateway/gateway_test.go
+++ b/traffic/gateway/gateway_test.go
@@ -36,8 +36,8 @@
 		return nil, err
 	}
 	cfg := daemon.Default()
-	cfg.Wire, cfg.Web = "", ""
-	for _, at := range []*string{&cfg.Wire, &cfg.Web} {
+	cfg.WireAddr, cfg.HTTPAddr = "", ""
+	for _, at := range []*string{&cfg.WireAddr, &cfg.HTTPAddr} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
@@ -45,7 +45,7 @@
 		*at = ln.Addr().String()
 		_ = ln.Close()
 	}
-	cfg.Seeds, cfg.Data, cfg.Losses, cfg.Bounds.Plan, cfg.Retry.Slack = []string{cfg.Wire}, dir, 0, 500*time.Millisecond, 1000
+	cfg.Seeds, cfg.DataFolder, cfg.Losses, cfg.Bounds.Plan, cfg.Retry.Slack = []string{cfg.WireAddr}, dir, 0, 500*time.Millisecond, 1000
 	c, err := daemon.Open(cfg, eventlog.New(64, io.Discard))
 	if err != nil {
 		return nil, err
@@ -70,17 +70,17 @@
 	for i, part := range []string{placement.Decode, placement.Decode, placement.Decode, placement.Prefill, placement.Prefill} {
 		list.Servers = append(list.Servers, fleetconfig.Server{ID: fmt.Sprint("i-", i), Addr: fmt.Sprint("10.0.0.", i+1, ":1"), Zone: cfg.Zone, Capacity: 8, Part: part})
 	}
-	if code, rep := c.Ask(ctx, 0, "plan", body, 20*time.Second); code != 200 {
+	if code, rep := c.Call(ctx, 0, "plan", body, 20*time.Second); code != 200 {
 		return nil, fmt.Errorf("plan: %d %s", code, rep)
 	}
-	if code, rep := c.Ask(ctx, c.Partition("one"), "servers", leadercall.Pack(leader.ServersCall{Service: "one", List: list}), 20*time.Second); code != 200 {
+	if code, rep := c.Call(ctx, c.Partition("one"), "servers", leadercall.Pack(leader.ServersCall{Service: "one", List: list}), 20*time.Second); code != 200 {
 		return nil, fmt.Errorf("servers: %d %s", code, rep)
 	}
 	limit := time.After(20 * time.Second)
 	for {
 		n := 0
 		for _, x := range list.Servers {
-			if rec, ok := c.Last(c.Partition("one"), fleetconfig.ServerRecordKey("one", x.ID)); ok && !rec.Deleted {
+			if rec, ok := c.ReadAllowingStale(c.Partition("one"), fleetconfig.ServerRecordKey("one", x.ID)); ok && !rec.Deleted {
 				n++
 			}
 		}
@@ -90,8 +90,8 @@
 		select {
 		case <-limit:
 			return nil, fmt.Errorf("only %d servers in use", n)
-		case <-c.News():
-		case <-time.After(c.Cfg.Vol() / 16):
+		case <-c.Changed():
+		case <-time.After(c.Cfg.VolumeLease() / 16):
 		}
 	}
 }
@@ -251,7 +251,7 @@
 			select {
 			case <-limit:
 				t.Fatalf("%s: freed %q, expected %q", x.what, freed, x.freed)
-			case <-time.After(g.c.Cfg.Vol() / 64):
+			case <-time.After(g.c.Cfg.VolumeLease() / 64):
 			}
 		}
 		if got := strings.Join(log, " "); got != x.gets || strings.Join(f.calls, "|") != x.calls {
@@ -299,7 +299,7 @@
 		select {
 		case <-limit:
 			t.Fatal("its memory is not freed")
-		case <-time.After(g.c.Cfg.Vol() / 64):
+		case <-time.After(g.c.Cfg.VolumeLease() / 64):
 		}
 	}
 }
--- a/traffic/gateway/run.go
+++ b/traffic/gateway/run.go
@@ -92,13 +92,13 @@
 
 // pause waits for news of records, or until a time.
 func (g *Gateway) pause(ctx context.Context, until time.Duration) {
-	d := min(until-g.c.Now(), g.c.Cfg.Vol()/16) // volume leases come without news
+	d := min(until-g.c.Now(), g.c.Cfg.VolumeLease()/16) // volume leases come without news
 	t := time.NewTimer(max(d, time.Millisecond))
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
 	case <-t.C:
-	case <-g.c.News():
+	case <-g.c.Changed():
 	}
 }
 
--- a/traffic/nativeapi/nativeapi.go
+++ b/traffic/nativeapi/nativeapi.go
@@ -60,11 +60,11 @@
 // Example: d := nativeapi.New(ctx, c)
 func New(ctx context.Context, c *daemon.Daemon) *API {
 	d := &API{c: c, ctx: ctx, hands: serverpool.NewHands(time.Duration(float64(c.Cfg.Bounds.Plan) * dialRatio))}
-	c.Polls, c.Orders = d.hands, d.hands
+	c.LoadPoller, c.OrderSender = d.hands, d.hands
 	c.Mux.HandleFunc("POST /v1/generate", d.generate)
 	c.Mux.HandleFunc("GET /metrics", d.metrics)
 	c.Mux.HandleFunc("GET /v1/why/{request}", d.why)
-	c.More = d.more
+	c.TrafficState = d.more
 	return d
 }
 
@@ -79,8 +79,8 @@
 func Config(c daemon.Config) scheduler.Config {
 	b := c.Bounds
 	return scheduler.Config{
-		Queue: slots.Config{Most: c.Queue, Floor: b.Plan / 2, Ceil: 5 * b.Recover}, Retry: 0.2, Window: b.Recover, Most: 3,
-		Patience: 2 * c.Vol(), Shy: 2 * c.Vol(), Turned: c.Vol() / 4, Stall: b.Plan, Ahead: 32, Back: b.Plan / 2, Prefixes: 1 << 16,
+		Queue: slots.Config{Most: c.QueueLimit, Floor: b.Plan / 2, Ceil: 5 * b.Recover}, Retry: 0.2, Window: b.Recover, Most: 3,
+		Patience: 2 * c.VolumeLease(), Shy: 2 * c.VolumeLease(), Turned: c.VolumeLease() / 4, Stall: b.Plan, Ahead: 32, Back: b.Plan / 2, Prefixes: 1 << 16,
 	}
 }
 
@@ -136,7 +136,7 @@
 
 // run keeps a lane's share fresh and its queue moving.
 func (d *API) run(l *lane) {
-	beat := d.c.Cfg.Works().Share / 8
+	beat := d.c.Cfg.PlacementConfig().Share / 8
 	t := time.NewTicker(beat)
 	defer t.Stop()
 	pinned := map[string]bool{}
@@ -158,7 +158,7 @@
 				d.c.Pin(l.partition, k)
 			}
 		}
-		if sh, at, ok := d.c.Share(d.ctx, l.partition, w, 2*beat); ok {
+		if sh, at, ok := d.c.RequestSlots(d.ctx, l.partition, w, 2*beat); ok {
 			d.step(l, func(now time.Duration) scheduler.Out { return l.Shared(now, sh, at) })
 		}
 	}
@@ -225,7 +225,7 @@
 func (d *API) generate(w http.ResponseWriter, r *http.Request) {
 	d.open.Add(1)
 	defer d.open.Add(-1)
-	body, ok := daemon.Body(w, r, mostBody)
+	body, ok := daemon.ReadBody(w, r, mostBody)
 	if !ok {
 		d.bad.Add(1)
 		return
@@ -240,16 +240,16 @@
 		return
 	}
 	at := d.c.Now()
-	if d.c.Closed() {
+	if d.c.RefusesRequests() {
 		d.refuse(w, q, "this daemon is stopping", d.c.Cfg.Bounds.Plan/2)
 		return
 	}
-	grace := 2 * d.c.Cfg.Vol()
+	grace := 2 * d.c.Cfg.VolumeLease()
 	if q.Timeout != nil {
 		grace = min(grace, time.Duration(*q.Timeout)*time.Millisecond)
 	}
 	ctx, done := context.WithTimeout(r.Context(), grace)
-	rec, ok := d.c.Await(ctx, 0, fleetconfig.PlanKey)
+	rec, ok := d.c.AwaitRecord(ctx, 0, fleetconfig.PlanKey)
 	done()
 	if !ok {
 		d.refuse(w, q, "no valid lease on the plan", d.c.Cfg.Bounds.Plan)
@@ -265,5 +265,5 @@
 
 // claim is the body of a call that an act on a once key asks for.
 func (d *API) claim(a scheduler.Act) []byte {
-	return leadercall.Pack(leader.ClaimCall{Key: a.Key, Claim: leadercall.Claim{Request: a.Trip, Daemon: d.c.Cfg.Web, State: a.State}})
+	return leadercall.Pack(leader.ClaimCall{Key: a.Key, Claim: leadercall.Claim{Request: a.Trip, Daemon: d.c.Cfg.HTTPAddr, State: a.State}})
 }
--- a/traffic/nativeapi/ride.go
+++ b/traffic/nativeapi/ride.go
@@ -206,12 +206,12 @@
 func (r *ride) claim(a scheduler.Act) {
 	d := r.d
 	timeout := min(d.c.Cfg.Bounds.Plan, r.req.Due-d.c.Now())
-	code, rep := d.c.Ask(d.ctx, r.l.partition, "claim", d.claim(a), timeout)
+	code, rep := d.c.Call(d.ctx, r.l.partition, "claim", d.claim(a), timeout)
 	r.d.step(r.l, func(now time.Duration) scheduler.Out { return r.l.Claimed(now, a.Trip, code, rep) })
 }
 
 // settleClaim writes what became of a claimed request; it is tried for long,
 // since a key that was refused and stays claimed can't be used again.
 func (d *API) settleClaim(l *lane, a scheduler.Act) {
-	d.c.Ask(d.ctx, l.partition, "unclaim", d.claim(a), d.c.Cfg.Bounds.Recover)
+	d.c.Call(d.ctx, l.partition, "unclaim", d.claim(a), d.c.Cfg.Bounds.Recover)
 }
--- a/traffic/nativeapi/show.go
+++ b/traffic/nativeapi/show.go
@@ -30,7 +30,7 @@
 			list = append(list, s)
 		}
 	}
-	for _, explain := range d.c.Explain {
+	for _, explain := range d.c.Explainers {
 		list = append(list, explain(id)...)
 	}
 	if len(list) == 0 {
