--- a/control/daemon/call.go
+++ b/control/daemon/call.go
@@ -19,9 +19,9 @@
 	for _, m := range o.Sends {
 		c.send(m)
 	}
-	for _, d := range o.Done {
-		if ch := c.calls[d.No]; ch != nil {
-			delete(c.calls, d.No)
+	for _, d := range o.Results {
+		if ch := c.calls[d.CallID]; ch != nil {
+			delete(c.calls, d.CallID)
 			ch <- d
 		}
 	}
@@ -42,13 +42,13 @@
 	c.cmu.Unlock()
 	select {
 	case d := <-ch:
-		return d.Code, d.Body
+		return d.Status, d.Body
 	case <-ctx.Done():
 		c.cmu.Lock()
-		c.runs.Drop(no)
+		c.runs.Cancel(no)
 		delete(c.calls, no)
 		c.cmu.Unlock()
-		return leadercall.Uncertain, leadercall.Pack(leadercall.Response{Result: "uncertain", Why: "the caller went away"})
+		return leadercall.StatusUncertain, leadercall.Pack(leadercall.Response{Result: "uncertain", Reason: "the caller went away"})
 	}
 }
 
--- a/control/daemon/daemon.go
+++ b/control/daemon/daemon.go
@@ -91,7 +91,7 @@
 
 	cmu   sync.Mutex
 	runs  *leadercall.Calls
-	calls map[uint64]chan leadercall.Done
+	calls map[uint64]chan leadercall.Result
 
 	nmu  sync.Mutex
 	news chan struct{}
--- a/control/daemon/operate.go
+++ b/control/daemon/operate.go
@@ -34,7 +34,7 @@
 	var word leadercall.Response
 	if code >= 500 || code == http.StatusTooManyRequests {
 		_ = json.Unmarshal(b, &word)
-		w.Header().Set("Retry-After", strconv.FormatInt(max(1, (word.After+999)/1000), 10))
+		w.Header().Set("Retry-After", strconv.FormatInt(max(1, (word.RetryAfterMillis+999)/1000), 10))
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
@@ -52,7 +52,7 @@
 		Respond(w, http.StatusRequestEntityTooLarge, leadercall.Response{Result: "broken", Faults: []string{fmt.Sprintf("body: more than %d bytes", most)}})
 	case err != nil:
 		// What did not come whole may be in order: nothing is said of it.
-		Respond(w, http.StatusRequestTimeout, leadercall.Response{Result: "not done", Why: "body: " + err.Error()})
+		Respond(w, http.StatusRequestTimeout, leadercall.Response{Result: "not done", Reason: "body: " + err.Error()})
 	}
 	return b, err == nil
 }
@@ -67,7 +67,7 @@
 			Respond(w, 200, leadercall.Response{Result: "ready", Plan: id, Version: version})
 			return
 		}
-		Respond(w, 503, leadercall.Response{Result: "not ready", Why: c.unready(), After: 1000})
+		Respond(w, 503, leadercall.Response{Result: "not ready", Reason: c.unready(), RetryAfterMillis: 1000})
 	})
 	m.HandleFunc("GET /v1/plan/template", func(w http.ResponseWriter, r *http.Request) { Respond(w, 200, fleetconfig.Template()) })
 	m.HandleFunc("GET /v1/plan", func(w http.ResponseWriter, r *http.Request) {
@@ -75,7 +75,7 @@
 		defer done()
 		rec, ok := c.AwaitRecord(ctx, 0, fleetconfig.PlanKey)
 		if !ok {
-			Respond(w, 503, leadercall.Response{Result: "not known", Why: "no valid lease on the plan", After: part2(c.Cfg)})
+			Respond(w, 503, leadercall.Response{Result: "not known", Reason: "no valid lease on the plan", RetryAfterMillis: part2(c.Cfg)})
 			return
 		}
 		Respond(w, 200, c.plans.Open(rec))
@@ -134,11 +134,11 @@
 		}
 		rec, ok := c.AwaitRecord(ctx, c.Partition(svc), fleetconfig.ListKey(svc))
 		if !ok {
-			Respond(w, 503, leadercall.Response{Result: "not known", After: part2(c.Cfg)})
+			Respond(w, 503, leadercall.Response{Result: "not known", RetryAfterMillis: part2(c.Cfg)})
 			return
 		}
 		if rec.Deleted {
-			Respond(w, 404, leadercall.Response{Result: "not known", Why: "no list for service " + svc})
+			Respond(w, 404, leadercall.Response{Result: "not known", Reason: "no list for service " + svc})
 			return
 		}
 		Respond(w, 200, rec.Value)
@@ -161,7 +161,7 @@
 				return
 			}
 			if err := c.arch.Backup(to); err != nil {
-				Respond(w, 400, leadercall.Response{Result: "not done", Why: err.Error()})
+				Respond(w, 400, leadercall.Response{Result: "not done", Reason: err.Error()})
 				return
 			}
 			c.Events.Record("disk", "backed up to %s", to)
--- a/control/daemon/switches.go
+++ b/control/daemon/switches.go
@@ -76,7 +76,7 @@
 		return
 	}
 	if err := c.arch.SetFull(r.URL.Query().Get("on") == "1"); err != nil {
-		Respond(w, http.StatusInternalServerError, leadercall.Response{Result: "not done", Why: err.Error()})
+		Respond(w, http.StatusInternalServerError, leadercall.Response{Result: "not done", Reason: err.Error()})
 		return
 	}
 	Respond(w, http.StatusOK, leadercall.Response{Result: "done"})
--- a/control/leader/cutoff_test.go
+++ b/control/leader/cutoff_test.go
@@ -41,7 +41,7 @@
 	for i, x := range calls {
 		n := message.Message{Kind: message.KindCall, Partition: 0, From: "d", Epoch: 1, Addr: "10.0.0.9:1", ResponseTo: uint64(i + 100), RequestID: uint64(i + 100), Op: x.op, Body: x.body}
 		a.back = nil
-		if a.carry(a.m.Step(a.now, n)); len(a.back) != 1 || a.back[0].Status != leadercall.Other || len(a.back[0].Body) > 0 {
+		if a.carry(a.m.Step(a.now, n)); len(a.back) != 1 || a.back[0].Status != leadercall.StatusNotLeader || len(a.back[0].Body) > 0 {
 			t.Errorf("%s, after the lease: %+v, expected %d", x.op, a.back, http.StatusMisdirectedRequest)
 		}
 	}
--- a/control/leader/job.go
+++ b/control/leader/job.go
@@ -114,7 +114,7 @@
 		case err != nil:
 			return nil, notClear(err)
 		case unread != "":
-			return nil, leadercall.Response{Result: "not done", Why: unread}
+			return nil, leadercall.Response{Result: "not done", Reason: unread}
 		}
 		return recs, verdict
 	}}, ""
@@ -154,7 +154,7 @@
 				return []message.Record{{Key: fleetconfig.ReplicaKey, Value: leadercall.Pack(replicas)}}, done
 			}
 		}
-		return nil, leadercall.Response{Result: "not done", Why: fmt.Sprintf("no replica of %q in %v", in.Out, replicas)}
+		return nil, leadercall.Response{Result: "not done", Reason: fmt.Sprintf("no replica of %q in %v", in.Out, replicas)}
 	}}
 }
 
@@ -170,7 +170,7 @@
 				return nil, done
 			}
 			if now, err := fleetconfig.ReadList(cur); err == nil && in.List.Version > 0 && in.List.Version <= now.Version {
-				return nil, leadercall.Response{Result: "beaten", Version: now.Version, Why: "a list of a later or the same version is in force"}
+				return nil, leadercall.Response{Result: "beaten", Version: now.Version, Reason: "a list of a later or the same version is in force"}
 			}
 		}
 		return []message.Record{{Key: key, Value: val}}, done
@@ -233,5 +233,5 @@
 // notClear is the word for a call on a record that this build can't read: nothing
 // was changed, and nobody here knows what the call would have met.
 func notClear(err error) leadercall.Response {
-	return leadercall.Response{Result: resultNotClear, Why: err.Error()}
+	return leadercall.Response{Result: resultNotClear, Reason: err.Error()}
 }
--- a/control/leader/leader.go
+++ b/control/leader/leader.go
@@ -209,7 +209,7 @@
 		return m.wrap(partition.Out{})
 	}
 	if !m.sec.Leader(now) { // whether a call is at fault is the leader's to say
-		m.back(n, leadercall.Other, nil)
+		m.back(n, leadercall.StatusNotLeader, nil)
 		return m.wrap(partition.Out{})
 	}
 	m.orders.now = now
@@ -225,10 +225,10 @@
 		m.dirty = m.dirty || n.Op == "servers" // once keys come by the hundred and concern no server
 		switch r.Outcome {
 		case partition.NotLeader:
-			m.back(n, leadercall.Other, nil)
+			m.back(n, leadercall.StatusNotLeader, nil)
 			return
 		case partition.Uncertain:
-			m.back(n, leadercall.Uncertain, nil)
+			m.back(n, leadercall.StatusUncertain, nil)
 			return
 		}
 		switch w := r.Answer.(type) {
@@ -237,11 +237,11 @@
 			m.back(n, map[string]int{"taken": 200, "beaten": 409, "broken": 400}[w.Result], leadercall.Pack(w))
 		case leadercall.Response:
 			if w.Result == resultNotClear {
-				line = Line{"call", fmt.Sprintf("%s: %s, %s", n.Op, w.Result, w.Why)}
+				line = Line{"call", fmt.Sprintf("%s: %s, %s", n.Op, w.Result, w.Reason)}
 			}
-			m.back(n, map[string]int{"done": 200, "duplicate": 409, "beaten": 409, "not done": 409, resultNotClear: leadercall.NotDone}[w.Result], leadercall.Pack(w))
+			m.back(n, map[string]int{"done": 200, "duplicate": 409, "beaten": 409, "not done": 409, resultNotClear: leadercall.StatusNotDone}[w.Result], leadercall.Pack(w))
 		case behind:
-			m.back(n, leadercall.Behind, nil)
+			m.back(n, leadercall.StatusBehind, nil)
 			m.backs[len(m.backs)-1].Message.Version = w.on
 		default:
 			panic("job without a word: " + n.Op)
--- a/control/leader/once.go
+++ b/control/leader/once.go
@@ -150,7 +150,7 @@
 		}
 		undone := len(recs) > 0 && slices.ContainsFunc(past, func(p pastCall) bool { return what != "" && p.What == what })
 		if undone || len(past) >= mostCalls {
-			return nil, leadercall.Response{Result: resultNotClear, Why: "the same order was taken a moment ago and undone since; it is carried out again once it can't be a late repeat", After: a.orders.left(what).Milliseconds()}
+			return nil, leadercall.Response{Result: resultNotClear, Reason: "the same order was taken a moment ago and undone since; it is carried out again once it can't be a late repeat", RetryAfterMillis: a.orders.left(what).Milliseconds()}
 		}
 		a.orders.took(what)
 		past = a.orders.keep(append(past, pastCall{Call: a.call, Word: word.(leadercall.Response), What: what}))
--- a/control/leader/once_test.go
+++ b/control/leader/once_test.go
@@ -240,7 +240,7 @@
 	for i, x := range []struct {
 		ref, epoch uint64
 		code       int
-	}{{4, 1, 200}, {6, 1, 200}, {5, 1, leadercall.Other}, {1, 2, 200}, {7, 1, leadercall.Other}, {2, 2, 200}} {
+	}{{4, 1, 200}, {6, 1, 200}, {5, 1, leadercall.StatusNotLeader}, {1, 2, 200}, {7, 1, leadercall.StatusNotLeader}, {2, 2, 200}} {
 		if code := want(x.ref, x.epoch); code != x.code {
 			t.Errorf("%d: number %d of life %d: %d", i, x.ref, x.epoch, code)
 		}
@@ -254,7 +254,7 @@
 	a.m.holder = placement.New(placement.Config{Share: time.Second}, 1, 0)
 	calm := a.now + time.Second
 	a.m.Partition().WritesFrom = func() time.Duration { return calm }
-	for ref, want := range []int{leadercall.Other, 200} {
+	for ref, want := range []int{leadercall.StatusNotLeader, 200} {
 		a.back = nil
 		a.carry(a.m.Step(a.now, message.Message{Kind: message.KindCall, Partition: 1, From: "p", Epoch: 1, ResponseTo: uint64(ref + 1), RequestID: uint64(ref + 1), Op: "want", Body: leadercall.Pack(placement.Want{Service: "m"})}))
 		if a.back[0].Status != want {
--- a/control/leader/orders_test.go
+++ b/control/leader/orders_test.go
@@ -57,7 +57,7 @@
 func (d *keeper) order(from string, ref uint64, op, zone string) int {
 	d.t.Helper()
 	code, mark := d.try(from, ref, op, zone, unknown)
-	if code == leadercall.Behind {
+	if code == leadercall.StatusBehind {
 		code, _ = d.try(from, ref, op, zone, mark)
 	}
 	return code
@@ -84,7 +84,7 @@
 			if moved {
 				d = openKeeper(t, d)
 			}
-			if code := d.order("r", 1, x.first, "north"); code != leadercall.NotDone || d.out("north") != (x.undo == "evacuate") {
+			if code := d.order("r", 1, x.first, "north"); code != leadercall.StatusNotDone || d.out("north") != (x.undo == "evacuate") {
 				t.Errorf("%s, leader changed %v: a late repeat: %d, out %v", x.first, moved, code, d.out("north"))
 			}
 			if code := d.order("r", 2, x.undo, "north"); code != 200 {
@@ -122,7 +122,7 @@
 func TestATryOnOlderZonesDoesNothing(t *testing.T) {
 	d := openKeeper(t, nil)
 	code, mark := d.try("p", 1, "evacuate", "north", unknown)
-	if code != leadercall.Behind || mark == (message.Version{}) {
+	if code != leadercall.StatusBehind || mark == (message.Version{}) {
 		t.Fatalf("%d %v", code, mark)
 	}
 	// Its second try is held up; the same order comes through another daemon.
@@ -133,7 +133,7 @@
 		t.Fatal(code)
 	}
 	d.pass(4 * again)
-	if code, _ := d.try("p", 1, "evacuate", "north", mark); code != leadercall.Behind || d.out("north") {
+	if code, _ := d.try("p", 1, "evacuate", "north", mark); code != leadercall.StatusBehind || d.out("north") {
 		t.Errorf("a try that was held up: %d, north is out: %v", code, d.out("north"))
 	}
 }
@@ -145,7 +145,7 @@
 	for i := range uint64(mostCalls + 20) {
 		want := 200
 		if i >= mostCalls {
-			want = leadercall.NotDone
+			want = leadercall.StatusNotDone
 		}
 		if code := d.order("p", i+1, "evacuate", fmt.Sprint("zone-", i)); code != want {
 			t.Fatalf("order %d: %d", i, code)
--- a/control/leader/plan_test.go
+++ b/control/leader/plan_test.go
@@ -67,7 +67,7 @@
 		}
 		recs, word := j.Build(none)
 		w, refused := word.(leadercall.Response)
-		if (len(recs) > 0) != taken || refused == taken || refused && (w.Result != "not done" || !strings.Contains(w.Why, "format 3")) {
+		if (len(recs) > 0) != taken || refused == taken || refused && (w.Result != "not done" || !strings.Contains(w.Reason, "format 3")) {
 			t.Errorf("daemons read up to %d: %d records, %+v", reads, len(recs), word)
 		}
 	}
--- a/control/leader/stored_test.go
+++ b/control/leader/stored_test.go
@@ -29,7 +29,7 @@
 	golden.Check(t, "replica-call.json", ReplicaCall{Out: "c", Ident: "d", Addr: "10.0.0.4:1"}, golden.JSON[ReplicaCall]())
 	golden.Check(t, "claim-call.json", ClaimCall{Key: "express/k-17", Claim: claim}, golden.JSON[ClaimCall]())
 	golden.Check(t, "past-calls.json", []pastCall{{Call: "p#1/7", Word: leadercall.Response{
-		Result: "not done", Why: "why", Faults: []string{"body"}, After: 1500, Claim: &claim, Plan: "plan-12", Version: 12,
+		Result: "not done", Reason: "why", Faults: []string{"body"}, RetryAfterMillis: 1500, Claim: &claim, Plan: "plan-12", Version: 12,
 	}, What: "evacuate/north"}}, golden.Encoding[[]pastCall]{
 		Encode: golden.JSON[[]pastCall]().Encode,
 		Decode: func(value []byte) ([]pastCall, error) { return readCalls(message.Record{Key: callsKey, Value: value}) },
--- a/control/leader/wants.go
+++ b/control/leader/wants.go
@@ -18,9 +18,9 @@
 	case err != nil:
 		m.back(n, http.StatusBadRequest, leadercall.Pack(leadercall.Response{Result: "broken", Faults: []string{err.Error()}}))
 	case !m.sec.Leader(now) || m.holder == nil || now < m.sec.WritesFrom(): // an earlier leader's shares may stand
-		m.back(n, leadercall.Other, nil)
+		m.back(n, leadercall.StatusNotLeader, nil)
 	case m.overtaken(n, w.Service):
-		m.back(n, leadercall.Other, nil)
+		m.back(n, leadercall.StatusNotLeader, nil)
 	default:
 		m.back(n, http.StatusOK, leadercall.Pack(m.holder.Asked(now, n.From, w, m.sec.Replica.LeaseEnd()-now)))
 	}
--- a/control/leadercall/leadercall.go
+++ b/control/leadercall/leadercall.go
@@ -17,10 +17,10 @@
 
 // Codes of control answers beside those of HTTP.
 const (
-	Other     = http.StatusMisdirectedRequest // not the leader
-	Uncertain = http.StatusGatewayTimeout
-	NotDone   = http.StatusServiceUnavailable
-	Behind    = http.StatusTooEarly // the order was on another version of what it changes; the answer names the present one
+	StatusNotLeader     = http.StatusMisdirectedRequest // not the leader
+	StatusUncertain = http.StatusGatewayTimeout
+	StatusNotDone   = http.StatusServiceUnavailable
+	StatusBehind    = http.StatusTooEarly // the order was on another version of what it changes; the answer names the present one
 )
 
 // nowhere is the mark of a call that hasn't heard yet what its order is on: no
@@ -29,22 +29,22 @@
 
 // Config holds the bounds of a call.
 type Config struct {
-	Try   time.Duration // a leader's word is waited for this long
-	Pause time.Duration // between tries
-	After time.Duration // what a caller who got no word is told to wait
+	TryTimeout   time.Duration // a leader's word is waited for this long
+	RetryInterval time.Duration // between tries
+	RetryAfter time.Duration // what a caller who got no word is told to wait
 }
 
-// Done is the end of a call.
-type Done struct {
-	No   uint64
-	Code int
+// Result is the end of a call.
+type Result struct {
+	CallID   uint64
+	Status int
 	Body []byte
 }
 
 // Out is what a step asks for.
 type Out struct {
 	Sends []message.Envelope
-	Done  []Done
+	Results  []Result
 }
 
 type call struct {
@@ -104,11 +104,11 @@
 			e.end(no, c, o)
 			return
 		}
-		c.due = now + e.cfg.Pause
+		c.due = now + e.cfg.RetryInterval
 		return
 	}
 	e.no++
-	c.ref, c.due = e.no, now+e.cfg.Try
+	c.ref, c.due = e.no, now+e.cfg.TryTimeout
 	e.tries[e.no] = try{no, own.Ident}
 	n := message.Message{Kind: message.KindCall, Partition: c.partition, To: own.Ident, RequestID: e.no, ResponseTo: no, Op: c.op, Body: c.body}
 	if !c.once {
@@ -131,30 +131,30 @@
 		c.ref = 0
 	}
 	switch {
-	case n.Status == Behind && !c.once: // its caller waits still: it may be done on what is there now
+	case n.Status == StatusBehind && !c.once: // its caller waits still: it may be done on what is there now
 		if c.ref == 0 {
 			c.on, c.due = n.Version, now
 		}
-	case n.Status == Other && !c.once:
+	case n.Status == StatusNotLeader && !c.once:
 		if c.ref == 0 {
-			c.due = now + e.cfg.Pause
+			c.due = now + e.cfg.RetryInterval
 		}
-	case n.Status == Uncertain && c.ref != 0: // a later try is out, and knows the call by its number
+	case n.Status == StatusUncertain && c.ref != 0: // a later try is out, and knows the call by its number
 		c.lost = true
-	case n.Status == Other || n.Status == Uncertain:
-		c.lost = c.lost || n.Status == Uncertain
+	case n.Status == StatusNotLeader || n.Status == StatusUncertain:
+		c.lost = c.lost || n.Status == StatusUncertain
 		e.end(no, c, &o)
 	default:
 		e.drop(no, c)
-		o.Done = append(o.Done, Done{no, n.Status, n.Body})
+		o.Results = append(o.Results, Result{no, n.Status, n.Body})
 	}
 	return o
 }
 
-// Drop forgets a call whose caller went away.
+// Cancel forgets a call whose caller went away.
 //
-// Example: e.Drop(no)
-func (e *Calls) Drop(no uint64) {
+// Example: e.Cancel(no)
+func (e *Calls) Cancel(no uint64) {
 	if c := e.calls[no]; c != nil {
 		e.drop(no, c)
 	}
@@ -172,11 +172,11 @@
 // end gives a call up with what is known of it.
 func (e *Calls) end(no uint64, c *call, o *Out) {
 	e.drop(no, c)
-	w, code := Response{Result: "not done", Why: "part " + strconv.Itoa(c.partition) + " has no leader now", After: e.cfg.After.Milliseconds()}, NotDone
+	w, code := Response{Result: "not done", Reason: "part " + strconv.Itoa(c.partition) + " has no leader now", RetryAfterMillis: e.cfg.RetryAfter.Milliseconds()}, StatusNotDone
 	if c.lost || c.ref != 0 {
-		w, code = Response{Result: "uncertain", Why: "no word from the leader of part " + strconv.Itoa(c.partition) + "; ask again with the same id", After: e.cfg.After.Milliseconds()}, Uncertain
+		w, code = Response{Result: "uncertain", Reason: "no word from the leader of part " + strconv.Itoa(c.partition) + "; ask again with the same id", RetryAfterMillis: e.cfg.RetryAfter.Milliseconds()}, StatusUncertain
 	}
-	o.Done = append(o.Done, Done{no, code, Pack(w)})
+	o.Results = append(o.Results, Result{no, code, Pack(w)})
 }
 
 // Tick lets time pass; own names a partition's leader as far as known.
--- a/control/leadercall/leadercall_test.go
+++ b/control/leadercall/leadercall_test.go
@@ -9,11 +9,11 @@
 )
 
 var (
-	cfg = Config{Try: 400 * time.Millisecond, Pause: 25 * time.Millisecond, After: 2 * time.Second}
+	cfg = Config{TryTimeout: 400 * time.Millisecond, RetryInterval: 25 * time.Millisecond, RetryAfter: 2 * time.Second}
 	own = message.Replica{Ident: "o", Addr: "10.0.0.1:1"}
 )
 
-func word(t *testing.T, d []Done) Response {
+func word(t *testing.T, d []Result) Response {
 	t.Helper()
 	var w Response
 	if len(d) != 1 || json.Unmarshal(d[0].Body, &w) != nil {
@@ -32,23 +32,23 @@
 	}{
 		"no leader":      {message.Replica{}, 0, "not done"},
 		"silent leader":  {own, 0, "uncertain"},
-		"not the leader": {own, Other, "not done"},
-		"leader unsure":  {own, Uncertain, "uncertain"},
+		"not the leader": {own, StatusNotLeader, "not done"},
+		"leader unsure":  {own, StatusUncertain, "uncertain"},
 	} {
 		e := New(cfg, 1)
 		_, o := e.Start(0, x.own, 0, "plan", nil, 2*time.Second, false)
-		var done []Done
+		var done []Result
 		now := time.Duration(0)
 		for ; now < 4*time.Second && len(done) == 0; now += 10 * time.Millisecond {
 			for _, m := range o.Sends {
 				if x.back != 0 {
-					done = append(done, e.Step(now, message.Message{From: own.Ident, ResponseTo: m.Message.RequestID, Status: x.back}).Done...)
+					done = append(done, e.Step(now, message.Message{From: own.Ident, ResponseTo: m.Message.RequestID, Status: x.back}).Results...)
 				}
 			}
 			o = e.Tick(now, func(int) message.Replica { return x.own })
-			done = append(done, o.Done...)
+			done = append(done, o.Results...)
 		}
-		if w := word(t, done); w.Result != x.want || w.After <= 0 || now > 2100*time.Millisecond {
+		if w := word(t, done); w.Result != x.want || w.RetryAfterMillis <= 0 || now > 2100*time.Millisecond {
 			t.Errorf("%s: %+v after %v", what, w, now)
 		}
 	}
@@ -62,13 +62,13 @@
 	if o = e.Tick(500*time.Millisecond, func(int) message.Replica { return own }); len(o.Sends) != 1 {
 		t.Fatalf("not sent again: %+v", o)
 	}
-	if d := e.Step(time.Second, message.Message{From: own.Ident, ResponseTo: 999, Status: 200}).Done; len(d) > 0 {
+	if d := e.Step(time.Second, message.Message{From: own.Ident, ResponseTo: 999, Status: 200}).Results; len(d) > 0 {
 		t.Errorf("a stray answer ended %+v", d)
 	}
-	if d := e.Step(time.Second, message.Message{From: own.Ident, ResponseTo: first, Status: 200}).Done; len(d) != 1 || d[0].No != no {
+	if d := e.Step(time.Second, message.Message{From: own.Ident, ResponseTo: first, Status: 200}).Results; len(d) != 1 || d[0].CallID != no {
 		t.Errorf("a late answer ended %+v", d)
 	}
-	if d := e.Step(time.Second, message.Message{From: own.Ident, ResponseTo: o.Sends[0].Message.RequestID, Status: 409}).Done; len(d) > 0 {
+	if d := e.Step(time.Second, message.Message{From: own.Ident, ResponseTo: o.Sends[0].Message.RequestID, Status: 409}).Results; len(d) > 0 {
 		t.Errorf("a second answer ended %+v", d)
 	}
 }
@@ -100,8 +100,8 @@
 	if first.Version == (message.Version{}) || first.Version == mark {
 		t.Errorf("the first try is on %v", first.Version)
 	}
-	if o = e.Step(time.Millisecond, message.Message{From: own.Ident, ResponseTo: first.RequestID, Status: Behind, Version: mark}); len(o.Done) > 0 {
-		t.Fatalf("ended: %+v", o.Done)
+	if o = e.Step(time.Millisecond, message.Message{From: own.Ident, ResponseTo: first.RequestID, Status: StatusBehind, Version: mark}); len(o.Results) > 0 {
+		t.Fatalf("ended: %+v", o.Results)
 	}
 	o = e.Tick(2*time.Millisecond, to)
 	if len(o.Sends) != 1 || o.Sends[0].Message.Version != mark || o.Sends[0].Message.ResponseTo != first.ResponseTo {
@@ -109,11 +109,11 @@
 	}
 	second := o.Sends[0].Message.RequestID
 	third := e.Tick(500*time.Millisecond, to).Sends[0].Message.RequestID
-	e.Step(501*time.Millisecond, message.Message{From: own.Ident, ResponseTo: second, Status: Behind, Version: message.Version{Term: 1, Seq: 1}}) // late, while the third is out
+	e.Step(501*time.Millisecond, message.Message{From: own.Ident, ResponseTo: second, Status: StatusBehind, Version: message.Version{Term: 1, Seq: 1}}) // late, while the third is out
 	if o = e.Tick(502*time.Millisecond, to); len(o.Sends) > 0 {
 		t.Errorf("a late answer sent %+v", o.Sends)
 	}
-	if d := e.Step(time.Second, message.Message{From: own.Ident, ResponseTo: third, Status: 200}).Done; len(d) != 1 || d[0].Code != 200 {
+	if d := e.Step(time.Second, message.Message{From: own.Ident, ResponseTo: third, Status: 200}).Results; len(d) != 1 || d[0].Status != 200 {
 		t.Errorf("%+v", d)
 	}
 }
@@ -129,13 +129,13 @@
 	if late.ResponseTo == mine.ResponseTo {
 		t.Errorf("calls of two lives both go under %d", mine.ResponseTo)
 	}
-	if d := e.Step(time.Second, message.Message{From: own.Ident, ResponseTo: late.RequestID, Status: 200}).Done; len(d) > 0 {
+	if d := e.Step(time.Second, message.Message{From: own.Ident, ResponseTo: late.RequestID, Status: 200}).Results; len(d) > 0 {
 		t.Errorf("the answer to an earlier life ended %+v", d)
 	}
-	if d := e.Step(time.Second, message.Message{From: "p", ResponseTo: mine.RequestID, Status: 200}).Done; len(d) > 0 {
+	if d := e.Step(time.Second, message.Message{From: "p", ResponseTo: mine.RequestID, Status: 200}).Results; len(d) > 0 {
 		t.Errorf("the answer of another daemon ended %+v", d)
 	}
-	if d := e.Step(time.Second, message.Message{From: own.Ident, ResponseTo: mine.RequestID, Status: 200}).Done; len(d) != 1 || d[0].No != no {
+	if d := e.Step(time.Second, message.Message{From: own.Ident, ResponseTo: mine.RequestID, Status: 200}).Results; len(d) != 1 || d[0].CallID != no {
 		t.Errorf("its own answer ended %+v", d)
 	}
 }
@@ -151,17 +151,17 @@
 	if len(o.Sends) != 1 {
 		t.Fatalf("not sent again: %+v", o)
 	}
-	if d := e.Step(600*time.Millisecond, message.Message{From: own.Ident, ResponseTo: first, Status: Uncertain}).Done; len(d) > 0 {
+	if d := e.Step(600*time.Millisecond, message.Message{From: own.Ident, ResponseTo: first, Status: StatusUncertain}).Results; len(d) > 0 {
 		t.Errorf("the earlier try ended %+v", d)
 	}
-	if d := e.Step(700*time.Millisecond, message.Message{From: next.Ident, ResponseTo: o.Sends[0].Message.RequestID, Status: 200}).Done; len(d) != 1 || d[0].No != no || d[0].Code != 200 {
+	if d := e.Step(700*time.Millisecond, message.Message{From: next.Ident, ResponseTo: o.Sends[0].Message.RequestID, Status: 200}).Results; len(d) != 1 || d[0].CallID != no || d[0].Status != 200 {
 		t.Errorf("the later try ended %+v", d)
 	}
 	_, o = e.Start(0, own, 0, "plan", nil, 4*time.Second, false) // and without a word from that, it is uncertain
 	first = o.Sends[0].Message.RequestID
 	e.Tick(500*time.Millisecond, func(int) message.Replica { return next })
-	e.Step(600*time.Millisecond, message.Message{From: own.Ident, ResponseTo: first, Status: Uncertain})
-	if w := word(t, e.Tick(5*time.Second, func(int) message.Replica { return next }).Done); w.Result != "uncertain" {
+	e.Step(600*time.Millisecond, message.Message{From: own.Ident, ResponseTo: first, Status: StatusUncertain})
+	if w := word(t, e.Tick(5*time.Second, func(int) message.Replica { return next }).Results); w.Result != "uncertain" {
 		t.Errorf("without a later word: %+v", w)
 	}
 }
--- a/control/leadercall/stored_test.go
+++ b/control/leadercall/stored_test.go
@@ -13,14 +13,14 @@
 	claim := Claim{Request: "request-1", Daemon: "d", State: "claimed", Past: []string{"request-0"}}
 	golden.Check(t, "once-key.json", claim, golden.JSON[Claim]())
 	golden.Check(t, "response.json", Response{
-		Result: "duplicate", Why: "why", Faults: []string{"body"}, After: 1500, Claim: &claim, Plan: "plan-12", Version: 12,
+		Result: "duplicate", Reason: "why", Faults: []string{"body"}, RetryAfterMillis: 1500, Claim: &claim, Plan: "plan-12", Version: 12,
 	}, golden.JSON[Response]())
 	golden.Bytes(t, "empty-response.json", Pack(Response{}))
 }
 
 // The status codes that daemons of other builds understand stay.
 func TestStatusCodesStay(t *testing.T) {
-	for code, want := range map[int]int{Other: 421, Uncertain: 504, NotDone: 503, Behind: 425} {
+	for code, want := range map[int]int{StatusNotLeader: 421, StatusUncertain: 504, StatusNotDone: 503, StatusBehind: 425} {
 		if code != want {
 			t.Errorf("code %d was %d", code, want)
 		}
@@ -60,9 +60,9 @@
 		calls := New(cfg, 1)
 		calls.Start(0, leader, 5, "plan", nil, time.Second, false)
 		out := calls.Tick(time.Second, func(int) message.Replica { return leader })
-		if len(out.Done) != 1 {
+		if len(out.Results) != 1 {
 			t.Fatalf("%s: %+v", name, out)
 		}
-		golden.Bytes(t, name, out.Done[0].Body)
+		golden.Bytes(t, name, out.Results[0].Body)
 	}
 }
--- a/control/leadercall/word.go
+++ b/control/leadercall/word.go
@@ -13,9 +13,9 @@
 // Response is a control answer that is not a verdict.
 type Response struct {
 	Result  string   `json:"result"`
-	Why     string   `json:"why,omitempty"`
+	Reason     string   `json:"why,omitempty"`
 	Faults  []string `json:"faults,omitempty"`
-	After   int64    `json:"retry_after_ms,omitempty"`
+	RetryAfterMillis   int64    `json:"retry_after_ms,omitempty"`
 	Claim   *Claim   `json:"claim,omitempty"`
 	Plan    string   `json:"plan,omitempty"`
 	Version uint64   `json:"version,omitempty"`
--- a/proof/sim/caller.go
+++ b/proof/sim/caller.go
@@ -36,8 +36,8 @@
 	after   func()
 }
 
-func share(d leadercall.Done) (sh placement.Share, ok bool) {
-	return sh, d.Code == 200 && json.Unmarshal(d.Body, &sh) == nil
+func share(d leadercall.Result) (sh placement.Share, ok bool) {
+	return sh, d.Status == 200 && json.Unmarshal(d.Body, &sh) == nil
 }
 
 // send hands the request to a daemon.
@@ -274,10 +274,10 @@
 			return
 		}
 		n.in(0, func() {
-			n.ask(part, op, body, 2*w.cfg.Bounds.Plan, func(d leadercall.Done) { w.at(w.lag(), func() { end(d.Code, d.Body) }) })
+			n.ask(part, op, body, 2*w.cfg.Bounds.Plan, func(d leadercall.Result) { w.at(w.lag(), func() { end(d.Status, d.Body) }) })
 		})
 	})
-	w.at(10*time.Second, func() { end(leadercall.Uncertain, nil) })
+	w.at(10*time.Second, func() { end(leadercall.StatusUncertain, nil) })
 }
 
 // first sends the plan and the lists until they are taken.
--- a/proof/sim/node.go
+++ b/proof/sim/node.go
@@ -49,7 +49,7 @@
 	ticks  int
 
 	runs  *leadercall.Calls
-	asks  map[uint64]func(leadercall.Done)
+	asks  map[uint64]func(leadercall.Result)
 	lanes map[string]*lane
 	rides map[string]*ride
 	early map[int]*caller           // requests that wait for the plan
@@ -113,7 +113,7 @@
 		n.disk.epoch++
 		n.ident, n.epoch = n.disk.ident, incarnation.Number(n.disk.epoch, uint32(w.ids))
 	}
-	n.parts, n.guides, n.asks = nil, nil, map[uint64]func(leadercall.Done){}
+	n.parts, n.guides, n.asks = nil, nil, map[uint64]func(leadercall.Result){}
 	n.lanes, n.rides, n.early, n.past = map[string]*lane{}, map[string]*ride{}, map[int]*caller{}, map[string]message.Record{}
 	life := incarnation.Starts(n.epoch)
 	if w.o.Sabotage == "samenumbers" {
--- a/proof/sim/traffic.go
+++ b/proof/sim/traffic.go
@@ -82,16 +82,16 @@
 	for _, m := range o.Sends {
 		n.send(m)
 	}
-	for _, d := range o.Done {
-		if f := n.asks[d.No]; f != nil {
-			delete(n.asks, d.No)
+	for _, d := range o.Results {
+		if f := n.asks[d.CallID]; f != nil {
+			delete(n.asks, d.CallID)
 			f(d)
 		}
 	}
 }
 
 // ask calls the leader of a part.
-func (n *node) ask(part int, op string, body []byte, timeout time.Duration, then func(leadercall.Done)) {
+func (n *node) ask(part int, op string, body []byte, timeout time.Duration, then func(leadercall.Result)) {
 	now := n.local()
 	no, o := n.runs.Start(now, n.view.Leaderships[part].Leader, part, op, body, now+timeout, op == "want")
 	if then != nil {
@@ -138,7 +138,7 @@
 	}
 	l.asking = true
 	at := n.local()
-	n.ask(l.part, "want", leadercall.Pack(l.Want()), n.w.works().Share/4, func(d leadercall.Done) {
+	n.ask(l.part, "want", leadercall.Pack(l.Want()), n.w.works().Share/4, func(d leadercall.Result) {
 		l.asking = false
 		if sh, ok := share(d); ok {
 			if s := n.w.o.Sabotage; s == "stale" || s == "evacuatelate" { // no slot is ever given back
@@ -169,8 +169,8 @@
 				n.in(0, func() { n.do(l, l.Claimed(n.local(), a.Trip, 200, nil)) })
 				continue
 			}
-			n.ask(l.part, "claim", body, min(n.w.cfg.Bounds.Plan, r.req.Due-n.local()), func(d leadercall.Done) {
-				n.do(l, l.Claimed(n.local(), a.Trip, d.Code, d.Body))
+			n.ask(l.part, "claim", body, min(n.w.cfg.Bounds.Plan, r.req.Due-n.local()), func(d leadercall.Result) {
+				n.do(l, l.Claimed(n.local(), a.Trip, d.Status, d.Body))
 			})
 		case scheduler.Prefill, scheduler.Decode:
 			n.call(r, a)
--- a/traffic/nativeapi/nativeapi.go
+++ b/traffic/nativeapi/nativeapi.go
@@ -214,7 +214,7 @@
 	if q.Once != "" {
 		result, why = "uncertain", why+"; this request was not run, whether its once key ran before is not known: ask again with the same key"
 	}
-	daemon.Respond(w, 503, leadercall.Response{Result: result, Why: why, After: after.Milliseconds()})
+	daemon.Respond(w, 503, leadercall.Response{Result: result, Reason: why, RetryAfterMillis: after.Milliseconds()})
 }
 
 func (d *API) broken(w http.ResponseWriter, code int, faults ...string) {
--- a/traffic/nativeapi/ride.go
+++ b/traffic/nativeapi/ride.go
@@ -141,7 +141,7 @@
 	case e.Result == "duplicate":
 		daemon.Respond(w, e.Code, e.Word)
 	default:
-		daemon.Respond(w, e.Code, leadercall.Response{Result: e.Result, Why: e.Why, After: max(1, e.After.Milliseconds())})
+		daemon.Respond(w, e.Code, leadercall.Response{Result: e.Result, Reason: e.Why, RetryAfterMillis: max(1, e.After.Milliseconds())})
 	}
 }
 
--- a/traffic/nativeapi/show.go
+++ b/traffic/nativeapi/show.go
@@ -34,7 +34,7 @@
 		list = append(list, explain(id)...)
 	}
 	if len(list) == 0 {
-		daemon.Respond(w, 404, leadercall.Response{Result: "not known", Why: "this daemon has no such request among its last " + fmt.Sprint(explained)})
+		daemon.Respond(w, 404, leadercall.Response{Result: "not known", Reason: "this daemon has no such request among its last " + fmt.Sprint(explained)})
 		return
 	}
 	daemon.Respond(w, 200, list)
