--- a/control/daemon/fleet.go
+++ b/control/daemon/fleet.go
@@ -52,7 +52,7 @@
 		for _, s := range c.shards {
 			s.mu.Lock()
 			if s.Partition().Replica != nil {
-				if s.Leader(c.Now()) {
+				if s.IsLeader(c.Now()) {
 					owns = append(owns, message.Leadership{Partition: s.partition, Term: s.Partition().Replica.Term(), Leader: c.me})
 				} else if h := s.Partition().Replica.KnownLeader(); h.Term > 0 {
 					owns = append(owns, h)
--- a/control/daemon/metrics.go
+++ b/control/daemon/metrics.go
@@ -43,7 +43,7 @@
 	return 0
 }
 
-func (s *shard) led(c *Daemon) bool { return s.Leader(c.Now()) }
+func (s *shard) led(c *Daemon) bool { return s.IsLeader(c.Now()) }
 
 func (s *shard) leased(c *Daemon) bool { return c.Now() < s.Partition().Node.VolumeExpiry() }
 
--- a/control/daemon/readable.go
+++ b/control/daemon/readable.go
@@ -24,7 +24,7 @@
 	if s.checks == nil || len(s.checks) >= mostChecked {
 		s.checks = map[string]checked{}
 	}
-	err := leader.Readable(&c.plans, r)
+	err := leader.CheckReadable(&c.plans, r)
 	s.checks[r.Key] = checked{r.Version, err}
 	if err != nil {
 		c.Events.Trouble("record", "partition %d: %v; nothing is served by it. If another build wrote it, run that one", s.partition, err)
--- a/control/daemon/shard.go
+++ b/control/daemon/shard.go
@@ -39,7 +39,7 @@
 	for _, m := range o.Sends {
 		c.send(m)
 	}
-	for _, l := range o.Lines {
+	for _, l := range o.Events {
 		c.Events.Record(l.Kind, "%s", l.Text)
 	}
 	if o.Won {
--- a/control/daemon/source.go
+++ b/control/daemon/source.go
@@ -57,7 +57,7 @@
 	s := c.shards[partition]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.Leader(c.Now()) {
+	if !s.IsLeader(c.Now()) {
 		return 0
 	}
 	return s.Partition().Replica.Term()
--- a/control/daemon/works.go
+++ b/control/daemon/works.go
@@ -12,11 +12,11 @@
 // works runs the leader's systems over its servers and its group.
 func (c *Daemon) works(ctx context.Context, s *shard) {
 	var sight leader.ClusterView
-	sight.Plan, sight.OkPlan = c.Read(0, fleetconfig.PlanKey)
-	sight.Zones, sight.OkZones = c.Read(0, fleetconfig.ZoneKey)
+	sight.Plan, sight.PlanValid = c.Read(0, fleetconfig.PlanKey)
+	sight.Zones, sight.ZonesValid = c.Read(0, fleetconfig.ZoneKey)
 	if c.arch != nil {
-		sight.Replicas, sight.OkReplicas = c.Read(0, fleetconfig.ReplicaKey)
-		sight.Core = c.View().ControlDaemons()
+		sight.Replicas, sight.ReplicasValid = c.Read(0, fleetconfig.ReplicaKey)
+		sight.ControlDaemons = c.View().ControlDaemons()
 	}
 	sight.Strain = c.Pressure
 	s.mu.Lock()
@@ -57,7 +57,7 @@
 	u, err := c.LoadPoller.Usage(ctx, key[strings.LastIndexByte(key, '/')+1:])
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.Polled(c.Now(), term, key, u, err == nil)
+	s.HandlePoll(c.Now(), term, key, u, err == nil)
 }
 
 // fenced checks that an order bears no lower fence than one that this daemon gave
@@ -83,5 +83,5 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.Ordered(c.Now(), o, err == nil)
+	s.HandleOrdered(c.Now(), o, err == nil)
 }
--- a/control/leader/leader.go
+++ b/control/leader/leader.go
@@ -21,37 +21,37 @@
 
 // Config holds the bounds of a leader's works.
 type Config struct {
-	Works placement.Config
-	Keep  time.Duration // once keys are kept this long
-	Again time.Duration // for how long a caller may send an order again
-	// Reads tells the format of plans that all daemons of the fleet read; none: no
+	Placement placement.Config
+	OnceKeyRetention  time.Duration // once keys are kept this long
+	RepeatWindow time.Duration // for how long a caller may send an order again
+	// ReadableFormat tells the format of plans that all daemons of the fleet read; none: no
 	// plan is turned away for what it needs.
-	Reads func() int
+	ReadableFormat func() int
 }
 
-// Line is something for the ring.
-type Line struct{ Kind, Text string }
+// Event is something for the ring.
+type Event struct{ Kind, Text string }
 
 // Out is what a step asks for, beside what its partition does.
 type Out struct {
 	partition.Out
 	Polls  []string // keys of server records whose servers are to be polled
 	Orders []placement.Order
-	Lines  []Line
+	Events  []Event
 }
 
 func (o *Out) say(kind, how string, args ...any) {
-	o.Lines = append(o.Lines, Line{kind, fmt.Sprintf(how, args...)})
+	o.Events = append(o.Events, Event{kind, fmt.Sprintf(how, args...)})
 }
 
 // ClusterView is what this daemon sees of the configuration under valid leases.
 type ClusterView struct {
 	Plan, Zones, Replicas       message.Record
-	OkPlan, OkZones, OkReplicas bool
-	// Strain tells how hard a server is pressed, as far as this daemon heard.
-	Strain func(service, server string) placement.Strain
-	// Core lists the daemons with a disk that are in the fleet now.
-	Core []message.Member
+	PlanValid, ZonesValid, ReplicasValid bool
+	// Pressure tells how hard a server is pressed, as far as this daemon heard.
+	Pressure func(service, server string) placement.Strain
+	// ControlDaemons lists the daemons with a disk that are in the fleet now.
+	ControlDaemons []message.Member
 }
 
 // mark is the last version that had been written at some time.
@@ -85,7 +85,7 @@
 //
 // Example: m := leader.New(cfg, 3, me, partition.New(3, me, epoch, replica, node))
 func New(cfg Config, number int, me message.Replica, sec *partition.Partition) *Controller {
-	return &Controller{cfg: cfg, partition: number, me: me, sec: sec, orders: orders{again: cfg.Again, at: map[string]time.Duration{}}, acts: map[uint64]func(partition.Result){}, wants: map[string][2]uint64{}, dirty: true}
+	return &Controller{cfg: cfg, partition: number, me: me, sec: sec, orders: orders{again: cfg.RepeatWindow, at: map[string]time.Duration{}}, acts: map[uint64]func(partition.Result){}, wants: map[string][2]uint64{}, dirty: true}
 }
 
 // Partition is the partition underneath.
@@ -93,10 +93,10 @@
 // Example: rec, ok := m.Partition().Node.Get(now, key)
 func (m *Controller) Partition() *partition.Partition { return m.sec }
 
-// Leader tells whether this daemon holds the partition's leadership now.
+// IsLeader tells whether this daemon holds the partition's leadership now.
 //
-// Example: if m.Leader(now) { work() }
-func (m *Controller) Leader(now time.Duration) bool { return m.sec.Leader(now) }
+// Example: if m.IsLeader(now) { work() }
+func (m *Controller) IsLeader(now time.Duration) bool { return m.sec.Leader(now) }
 
 // wrap hands out the results of a partition's step.
 func (m *Controller) wrap(s partition.Out) (o Out) {
@@ -135,7 +135,7 @@
 	}
 	o.Polls = append(o.Polls, p.Polls...)
 	o.Orders = append(o.Orders, p.Orders...)
-	o.Lines = append(o.Lines, p.Lines...)
+	o.Events = append(o.Events, p.Events...)
 }
 
 // Step takes a message: a lease's, a term's or a call.
@@ -214,13 +214,13 @@
 	}
 	m.orders.now = now
 	by := askOf(n, &m.orders)
-	by.reads = m.cfg.Reads
+	by.reads = m.cfg.ReadableFormat
 	j, fault := job(&m.plans, by, n.Op, n.Body, m.replicas()...)
 	if fault != "" {
 		m.back(n, http.StatusBadRequest, leadercall.Pack(leadercall.Response{Result: "broken", Faults: []string{fault}}))
 		return m.wrap(partition.Out{})
 	}
-	line := Line{}
+	line := Event{}
 	o := m.Do(now, j, func(r partition.Result) {
 		m.dirty = m.dirty || n.Op == "servers" // once keys come by the hundred and concern no server
 		switch r.Outcome {
@@ -233,11 +233,11 @@
 		}
 		switch w := r.Answer.(type) {
 		case fleetconfig.Verdict:
-			line = Line{"plan", fmt.Sprintf("%s: %s, version %d", n.Op, w.Result, w.Version)}
+			line = Event{"plan", fmt.Sprintf("%s: %s, version %d", n.Op, w.Result, w.Version)}
 			m.back(n, map[string]int{"taken": 200, "beaten": 409, "broken": 400}[w.Result], leadercall.Pack(w))
 		case leadercall.Response:
 			if w.Result == resultNotClear {
-				line = Line{"call", fmt.Sprintf("%s: %s, %s", n.Op, w.Result, w.Reason)}
+				line = Event{"call", fmt.Sprintf("%s: %s, %s", n.Op, w.Result, w.Reason)}
 			}
 			m.back(n, map[string]int{"done": 200, "duplicate": 409, "beaten": 409, "not done": 409, resultNotClear: leadercall.StatusNotDone}[w.Result], leadercall.Pack(w))
 		case behind:
@@ -248,7 +248,7 @@
 		}
 	})
 	if line.Kind != "" {
-		o.Lines = append(o.Lines, line)
+		o.Events = append(o.Events, line)
 	}
 	return o
 }
@@ -267,12 +267,12 @@
 		return o
 	}
 	if m.holder == nil {
-		m.holder, m.dirty = placement.New(m.cfg.Works, m.sec.Replica.Term(), m.sec.Replica.LeaderSince()), true
+		m.holder, m.dirty = placement.New(m.cfg.Placement, m.sec.Replica.Term(), m.sec.Replica.LeaderSince()), true
 	}
 	m.floor(now, &o)
 	h := m.holder
-	h.Strain = s.Strain
-	if s.OkPlan && s.OkZones && (m.dirty || m.seen != [2]message.Version{s.Plan.Version, s.Zones.Version}) {
+	h.Strain = s.Pressure
+	if s.PlanValid && s.ZonesValid && (m.dirty || m.seen != [2]message.Version{s.Plan.Version, s.Zones.Version}) {
 		h.Plan(m.plans.Open(s.Plan), fleetconfig.Zones(s.Zones))
 		m.seen = [2]message.Version{s.Plan.Version, s.Zones.Version}
 		m.dirty = !m.load(now)
@@ -305,19 +305,19 @@
 	return m.holder != nil && m.sec.Leader(now) && m.sec.Replica.Term() == term
 }
 
-// Polled takes a server's answer to a poll of this term, or its silence.
+// HandlePoll takes a server's answer to a poll of this term, or its silence.
 //
-// Example: m.Polled(now, term, key, usage, true)
-func (m *Controller) Polled(now time.Duration, term uint64, key string, u placement.Usage, ok bool) {
+// Example: m.HandlePoll(now, term, key, usage, true)
+func (m *Controller) HandlePoll(now time.Duration, term uint64, key string, u placement.Usage, ok bool) {
 	if m.Term() == term && m.holder != nil {
 		m.holder.Polled(now, key, u, ok)
 	}
 }
 
-// Ordered takes a server's answer to an order.
+// HandleOrdered takes a server's answer to an order.
 //
-// Example: m.Ordered(now, order, true)
-func (m *Controller) Ordered(now time.Duration, ord placement.Order, ok bool) {
+// Example: m.HandleOrdered(now, order, true)
+func (m *Controller) HandleOrdered(now time.Duration, ord placement.Order, ok bool) {
 	if m.Term() == ord.Term && m.holder != nil {
 		m.holder.Ordered(now, ord.Key, ord, ok)
 	}
@@ -336,10 +336,10 @@
 // floor lets once keys go that are older than the retention. What an earlier
 // leader wrote counts as written when this one took over.
 func (m *Controller) floor(now time.Duration, o *Out) {
-	if n := len(m.marks); n == 0 || now-m.marks[n-1].at > m.cfg.Keep/8 {
+	if n := len(m.marks); n == 0 || now-m.marks[n-1].at > m.cfg.OnceKeyRetention/8 {
 		m.marks = append(m.marks, mark{now, m.sec.Replica.LastWritten()})
 	}
-	if now-m.marks[0].at <= m.cfg.Keep {
+	if now-m.marks[0].at <= m.cfg.OnceKeyRetention {
 		return
 	}
 	val := leadercall.Pack(m.marks[0].ver)
--- a/control/leader/once_test.go
+++ b/control/leader/once_test.go
@@ -43,9 +43,9 @@
 	}
 	quorumConfig := quorum.Config{LeaderLease: time.Second, Drift: 0.02, Margin: 20 * time.Millisecond, HeartbeatInterval: 333 * time.Millisecond}
 	tree := lease.Config{VolumeLease: 800 * time.Millisecond, ObjectLease: time.Minute, Drift: 0.02, Margin: 20 * time.Millisecond, RenewInterval: 266 * time.Millisecond}
-	a.m = New(Config{Works: placement.Config{Share: time.Second}, Keep: time.Hour}, number, self,
+	a.m = New(Config{Placement: placement.Config{Share: time.Second}, OnceKeyRetention: time.Hour}, number, self,
 		partition.New(number, self, 1, quorum.New(quorumConfig, number, self, nil, a.meta, held, 0, true), lease.New(tree, number, self, 1)))
-	for a.step(); !a.m.Leader(a.now); a.step() {
+	for a.step(); !a.m.IsLeader(a.now); a.step() {
 		if a.now > time.Minute {
 			t.Fatal("no leader")
 		}
--- a/control/leader/readable.go
+++ b/control/leader/readable.go
@@ -10,12 +10,12 @@
 	"mulleinmast/wire/message"
 )
 
-// Readable gives the error of a record that this build can't read. Such a record
+// CheckReadable gives the error of a record that this build can't read. Such a record
 // comes from another build, or was spoilt before it got its checksum; it says
 // nothing, and is not the absence of one either.
 //
-// Example: if err := leader.Readable(&plans, rec); err != nil { serveNothing() }
-func Readable(plans *fleetconfig.PlanReader, r message.Record) (err error) {
+// Example: if err := leader.CheckReadable(&plans, rec); err != nil { serveNothing() }
+func CheckReadable(plans *fleetconfig.PlanReader, r message.Record) (err error) {
 	kind, _, _ := strings.Cut(r.Key, "/")
 	switch {
 	case r.Deleted:
--- a/control/leader/replicas.go
+++ b/control/leader/replicas.go
@@ -27,13 +27,13 @@
 		m.group = g.Number
 		o.say("replicas", "partition %d: group %d is %v next %v", m.partition, g.Number, g.Replicas, g.Next)
 	}
-	o.add(m.wrap(m.sec.SetLearners(now, standbys(s.Core, g))))
+	o.add(m.wrap(m.sec.SetLearners(now, standbys(s.ControlDaemons, g))))
 	if len(g.Next) > 0 {
 		o.add(m.wrap(m.sec.ContinueChange(now)))
 		return
 	}
-	c := change{now: now, replica: replica, group: g, core: s.Core, me: m.me.Ident}
-	if s.OkReplicas {
+	c := change{now: now, replica: replica, group: g, core: s.ControlDaemons, me: m.me.Ident}
+	if s.ReplicasValid {
 		c.wanted, _ = readReplicas(s.Replicas) // what can't be read is no wish
 	}
 	if out, in := c.pick(); in.Ident != "" {
--- a/control/leader/stored_test.go
+++ b/control/leader/stored_test.go
@@ -173,7 +173,7 @@
 // The record below which once keys are dropped is the JSON of a version.
 func TestFloorRecordKeepsItsBytes(t *testing.T) {
 	a := open(t, 1, nil)
-	a.m.cfg.Keep = time.Second
+	a.m.cfg.OnceKeyRetention = time.Second
 	for a.now < 4*time.Second && len(a.records) == 0 {
 		a.step()
 		a.carry(a.m.Reconcile(a.now, ClusterView{}))
--- a/proof/sim/cutoff.go
+++ b/proof/sim/cutoff.go
@@ -78,7 +78,7 @@
 // answersFromCache is the sabotage of a daemon that isn't the leader and refuses
 // a change by the plan that it knows.
 func (w *world) answersFromCache(to *node, m message.Message) bool {
-	if w.o.Sabotage != "cachedno" || m.Kind != message.KindCall || m.Op != "changes" || to.parts[0].Leader(to.local()) || !to.led() {
+	if w.o.Sabotage != "cachedno" || m.Kind != message.KindCall || m.Op != "changes" || to.parts[0].IsLeader(to.local()) || !to.led() {
 		return false
 	}
 	rec, ok := to.sec(0).Replica.Records().Get(fleetconfig.PlanKey)
@@ -103,7 +103,7 @@
 	}
 	n := core[w.rng.Intn(len(core))]
 	for _, m := range core {
-		if m.up && m.parts[0].Leader(m.local()) && w.rng.Intn(2) == 0 {
+		if m.up && m.parts[0].IsLeader(m.local()) && w.rng.Intn(2) == 0 {
 			n = m
 		}
 	}
--- a/proof/sim/fault.go
+++ b/proof/sim/fault.go
@@ -49,7 +49,7 @@
 	for p := 0; p <= w.o.Partitions; p++ {
 		whole := false
 		for _, n := range w.nodes {
-			if !n.up || !n.parts[p].Leader(n.local()) {
+			if !n.up || !n.parts[p].IsLeader(n.local()) {
 				continue
 			}
 			g := n.sec(p).Replica.Group()
@@ -263,7 +263,7 @@
 func (w *world) differing() (list []string) {
 	for p := 0; p <= w.o.Partitions; p++ {
 		for _, own := range w.nodes {
-			if !own.up || !own.parts[p].Leader(own.local()) {
+			if !own.up || !own.parts[p].IsLeader(own.local()) {
 				continue
 			}
 			g := own.sec(p).Replica.Group()
@@ -290,7 +290,7 @@
 	}
 	for p := 0; p <= w.o.Partitions; p++ {
 		for _, own := range w.nodes {
-			if own.up && own.parts[p].Leader(own.local()) {
+			if own.up && own.parts[p].IsLeader(own.local()) {
 				w.res.Mended += own.sec(p).Replica.Repairs
 			}
 		}
--- a/proof/sim/losses.go
+++ b/proof/sim/losses.go
@@ -113,7 +113,7 @@
 		if !n.hasDisk || n.gone || n.leaving || slices.Contains(but, n) {
 			continue
 		}
-		if all = append(all, n); n.up && n.parts[0].Leader(n.local()) && w.rng.Intn(2) == 0 {
+		if all = append(all, n); n.up && n.parts[0].IsLeader(n.local()) && w.rng.Intn(2) == 0 {
 			return n
 		}
 	}
--- a/proof/sim/many.go
+++ b/proof/sim/many.go
@@ -86,7 +86,7 @@
 		n.jam = w.now + jam
 		w.at(jam, func() {
 			for p := range n.parts {
-				if n.up && n.parts[p].Leader(n.local()) {
+				if n.up && n.parts[p].IsLeader(n.local()) {
 					w.note(Event{Kind: Silent, Node: n.name, Tag: fmt.Sprintf("leads partition %d though its disk has taken nothing for %v", p, jam)})
 				}
 			}
@@ -127,7 +127,7 @@
 // lead until the leader is back.
 func (w *world) second(rotten bool, then func()) {
 	core := w.core()
-	own := slices.IndexFunc(core, func(n *node) bool { return n.up && n.parts[0].Leader(n.local()) })
+	own := slices.IndexFunc(core, func(n *node) bool { return n.up && n.parts[0].IsLeader(n.local()) })
 	if own < 0 {
 		w.at(100*time.Millisecond, func() { w.second(rotten, then) })
 		return
@@ -171,7 +171,7 @@
 		for p := range n.parts {
 			var g message.Group
 			for _, m := range w.nodes {
-				if m.up && m.parts[p].Leader(m.local()) {
+				if m.up && m.parts[p].IsLeader(m.local()) {
 					g = m.sec(p).Replica.Group()
 				}
 			}
--- a/proof/sim/node.go
+++ b/proof/sim/node.go
@@ -224,7 +224,7 @@
 	if n.ticks%4 == 0 {
 		var owns []message.Leadership
 		for p, m := range n.parts {
-			if s := m.Partition(); m.Leader(now) {
+			if s := m.Partition(); m.IsLeader(now) {
 				owns = append(owns, message.Leadership{Partition: p, Term: s.Replica.Term(), Leader: message.Replica{Ident: n.ident, Addr: n.addr}})
 			} else if s.Replica != nil && s.Replica.KnownLeader().Term > 0 {
 				owns = append(owns, s.Replica.KnownLeader())
@@ -262,14 +262,14 @@
 func (n *node) works(now time.Duration) {
 	get := func(key string) (message.Record, bool) { return n.sec(0).Node.Get(now, key) }
 	var s leader.ClusterView
-	s.Plan, s.OkPlan = get(fleetconfig.PlanKey)
-	s.Zones, s.OkZones = get(fleetconfig.ZoneKey)
+	s.Plan, s.PlanValid = get(fleetconfig.PlanKey)
+	s.Zones, s.ZonesValid = get(fleetconfig.ZoneKey)
 	if n.hasDisk {
-		s.Replicas, s.OkReplicas = get(fleetconfig.ReplicaKey)
+		s.Replicas, s.ReplicasValid = get(fleetconfig.ReplicaKey)
 	}
-	s.Core = n.view.ControlDaemons()
+	s.ControlDaemons = n.view.ControlDaemons()
 	for p, m := range n.parts {
-		if !m.Leader(now) {
+		if !m.IsLeader(now) {
 			m.Reconcile(now, s)
 			continue
 		}
@@ -305,7 +305,7 @@
 	if o.Lost {
 		n.w.trace("%s lost partition %d", n.name, p)
 	}
-	for _, l := range o.Lines {
+	for _, l := range o.Events {
 		n.w.trace("%s %s: %s", n.name, l.Kind, l.Text)
 	}
 }
--- a/proof/sim/races.go
+++ b/proof/sim/races.go
@@ -118,7 +118,7 @@
 		kind = "kill"
 	}
 	for _, n := range w.nodes {
-		if n.up && n.parts[0].Leader(n.local()) {
+		if n.up && n.parts[0].IsLeader(n.local()) {
 			w.fault(kind, n)
 			return
 		}
@@ -129,7 +129,7 @@
 // with each new leader.
 func (w *world) forget(n *node, always bool) {
 	replica := n.sec(0).Replica
-	if replica == nil || !n.parts[0].Leader(n.local()) || !always && n.recalls == replica.Term() {
+	if replica == nil || !n.parts[0].IsLeader(n.local()) || !always && n.recalls == replica.Term() {
 		return
 	}
 	n.recalls = replica.Term()
--- a/proof/sim/sim.go
+++ b/proof/sim/sim.go
@@ -137,7 +137,7 @@
 	for p := 0; p <= w.o.Partitions; p++ {
 		any := false
 		for _, n := range w.nodes {
-			if n.up && p < len(n.parts) && n.frozen <= w.now && n.parts[p].Leader(n.local()) {
+			if n.up && p < len(n.parts) && n.frozen <= w.now && n.parts[p].IsLeader(n.local()) {
 				w.note(Event{Kind: Owning, Node: n.name, Partition: p})
 				any = true
 			}
--- a/proof/sim/traffic.go
+++ b/proof/sim/traffic.go
@@ -299,7 +299,7 @@
 func (n *node) poll(m *leader.Controller, term uint64, key string) {
 	w := n.w
 	d := w.fakeServers[addrOf(key)]
-	told := func(u placement.Usage, ok bool) { m.Polled(n.local(), term, key, u, ok) }
+	told := func(u placement.Usage, ok bool) { m.HandlePoll(n.local(), term, key, u, ok) }
 	life := n.life
 	w.at(w.lag(), func() {
 		if d == nil || !d.up || d.dark {
@@ -320,7 +320,7 @@
 	d := w.fakeServers[ord.Addr]
 	n.in(w.lag(), func() {
 		if d == nil || !d.up || d.dark || !m.MayOrder(n.local(), ord.Term) && w.o.Sabotage != "noswap" {
-			m.Ordered(n.local(), ord, false)
+			m.HandleOrdered(n.local(), ord, false)
 			return
 		}
 		life := n.life
@@ -328,7 +328,7 @@
 			ok := d.ordered(n.ident, ord)
 			w.at(w.lag(), func() {
 				if n.life == life {
-					n.in(0, func() { m.Ordered(n.local(), ord, ok) })
+					n.in(0, func() { m.HandleOrdered(n.local(), ord, ok) })
 				}
 			})
 		})
--- a/proof/sim/write.go
+++ b/proof/sim/write.go
@@ -17,7 +17,7 @@
 	p, k := w.rng.Intn(w.o.Partitions+1), key(w.rng.Intn(w.o.Keys))
 	var own []*node
 	for _, n := range w.nodes {
-		if n.up && n.frozen <= w.now && n.parts[p].Leader(n.local()) {
+		if n.up && n.frozen <= w.now && n.parts[p].IsLeader(n.local()) {
 			own = append(own, n)
 		}
 	}
