--- a/control/daemon/config.go
+++ b/control/daemon/config.go
@@ -361,8 +361,8 @@
 func (c Config) PlacementConfig() placement.Config {
 	b := c.Bounds
 	return placement.Config{
-		Swap: b.Swap, Poll: fraction(b.Leave, 0.08), Warm: b.Swap, Share: fraction(b.Leave, 0.25), Drift: c.Drift, Margin: c.margin(),
-		Dwell: 2 * b.Evacuate, Window: fraction(b.Leave, 0.8), Drain: 2 * b.Recover, Slow: fraction(b.Plan, 0.05), Dark: 3, High: 0.9, Low: 0.6,
-		Settle: b.Swap, Press: b.Swap / 8,
+		SwapBound: b.Swap, PollInterval: fraction(b.Leave, 0.08), WarmUp: b.Swap, ShareLength: fraction(b.Leave, 0.25), Drift: c.Drift, Margin: c.margin(),
+		Dwell: 2 * b.Evacuate, UsageWindow: fraction(b.Leave, 0.8), DrainTimeout: 2 * b.Recover, SlowLink: fraction(b.Plan, 0.05), MaxFailures: 3, HighUsage: 0.9, LowUsage: 0.6,
+		ListedDwell: b.Swap, PressWindow: b.Swap / 8,
 	}
 }
--- a/control/daemon/interface_test.go
+++ b/control/daemon/interface_test.go
@@ -123,7 +123,7 @@
 		{"list of servers", new(fleetconfig.List)},
 		{"call for a replica", new(leader.ReplicaCall)},
 		{"call with servers", new(leader.ServersCall)},
-		{"demand for slots", new(placement.Want)},
+		{"demand for slots", new(placement.Demand)},
 		{"share of slots", new(placement.Share)},
 		{"order to a server", new(placement.Order)},
 		{"state of a daemon", new(State)},
--- a/control/leader/leader.go
+++ b/control/leader/leader.go
@@ -49,7 +49,7 @@
 	Plan, Zones, Replicas       message.Record
 	PlanValid, ZonesValid, ReplicasValid bool
 	// Pressure tells how hard a server is pressed, as far as this daemon heard.
-	Pressure func(service, server string) placement.Strain
+	Pressure func(service, server string) placement.Pressure
 	// ControlDaemons lists the daemons with a disk that are in the fleet now.
 	ControlDaemons []message.Member
 }
@@ -271,13 +271,13 @@
 	}
 	m.floor(now, &o)
 	h := m.holder
-	h.Strain = s.Pressure
+	h.Pressure = s.Pressure
 	if s.PlanValid && s.ZonesValid && (m.dirty || m.seen != [2]message.Version{s.Plan.Version, s.Zones.Version}) {
-		h.Plan(m.plans.Open(s.Plan), fleetconfig.Zones(s.Zones))
+		h.SetPlan(m.plans.Open(s.Plan), fleetconfig.Zones(s.Zones))
 		m.seen = [2]message.Version{s.Plan.Version, s.Zones.Version}
 		m.dirty = !m.load(now)
 	}
-	t := h.Tick(now)
+	t := h.Reconcile(now)
 	for _, text := range t.Notes {
 		o.say("servers", "%s", text)
 	}
@@ -310,7 +310,7 @@
 // Example: m.HandlePoll(now, term, key, usage, true)
 func (m *Controller) HandlePoll(now time.Duration, term uint64, key string, u placement.Usage, ok bool) {
 	if m.Term() == term && m.holder != nil {
-		m.holder.Polled(now, key, u, ok)
+		m.holder.HandlePoll(now, key, u, ok)
 	}
 }
 
@@ -319,7 +319,7 @@
 // Example: m.HandleOrdered(now, order, true)
 func (m *Controller) HandleOrdered(now time.Duration, ord placement.Order, ok bool) {
 	if m.Term() == ord.Term && m.holder != nil {
-		m.holder.Ordered(now, ord.Key, ord, ok)
+		m.holder.HandleOrdered(now, ord.Key, ord, ok)
 	}
 }
 
@@ -378,19 +378,19 @@
 		}
 	}
 	for svc, l := range lists {
-		m.holder.Load(now, svc, l, serverRecords[svc])
+		m.holder.LoadService(now, svc, l, serverRecords[svc])
 	}
 	return whole
 }
 
 func (m *Controller) writeServerRecord(now time.Duration, h *placement.Controller, w placement.Write) Out {
 	return m.Do(now, partition.Job{Keys: []string{w.Key}, Build: func(lease.RecordSource) ([]message.Record, any) {
-		return []message.Record{{Key: w.Key, Value: w.Val, Deleted: w.Gone}}, nil
+		return []message.Record{{Key: w.Key, Value: w.Value, Deleted: w.Delete}}, nil
 	}}, func(r partition.Result) {
-		b, _ := placement.OpenServerRecord(message.Record{Key: w.Key, Value: w.Val, Deleted: w.Gone})
+		b, _ := placement.OpenServerRecord(message.Record{Key: w.Key, Value: w.Value, Deleted: w.Delete})
 		m.dirty = true
 		if m.holder == h {
-			h.Wrote(w.Key, b, r.Outcome == partition.Done)
+			h.HandleWritten(w.Key, b, r.Outcome == partition.Done)
 		}
 	})
 }
--- a/control/leader/once_test.go
+++ b/control/leader/once_test.go
@@ -43,7 +43,7 @@
 	}
 	quorumConfig := quorum.Config{LeaderLease: time.Second, Drift: 0.02, Margin: 20 * time.Millisecond, HeartbeatInterval: 333 * time.Millisecond}
 	tree := lease.Config{VolumeLease: 800 * time.Millisecond, ObjectLease: time.Minute, Drift: 0.02, Margin: 20 * time.Millisecond, RenewInterval: 266 * time.Millisecond}
-	a.m = New(Config{Placement: placement.Config{Share: time.Second}, OnceKeyRetention: time.Hour}, number, self,
+	a.m = New(Config{Placement: placement.Config{ShareLength: time.Second}, OnceKeyRetention: time.Hour}, number, self,
 		partition.New(number, self, 1, quorum.New(quorumConfig, number, self, nil, a.meta, held, 0, true), lease.New(tree, number, self, 1)))
 	for a.step(); !a.m.IsLeader(a.now); a.step() {
 		if a.now > time.Minute {
@@ -231,10 +231,10 @@
 // has in flight now.
 func TestALateReportIsDropped(t *testing.T) {
 	a := open(t, 1, nil)
-	a.m.holder = placement.New(placement.Config{Share: time.Second}, 1, 0)
+	a.m.holder = placement.New(placement.Config{ShareLength: time.Second}, 1, 0)
 	want := func(ref uint64, epoch uint64) int {
 		a.back = nil
-		a.carry(a.m.Step(a.now, message.Message{Kind: message.KindCall, Partition: 1, From: "p", Epoch: epoch, ResponseTo: ref, RequestID: ref, Op: "want", Body: leadercall.Pack(placement.Want{Service: "m"})}))
+		a.carry(a.m.Step(a.now, message.Message{Kind: message.KindCall, Partition: 1, From: "p", Epoch: epoch, ResponseTo: ref, RequestID: ref, Op: "want", Body: leadercall.Pack(placement.Demand{Service: "m"})}))
 		return a.back[0].Status
 	}
 	for i, x := range []struct {
@@ -251,12 +251,12 @@
 // leases: the next one, elected early, gives out none until then.
 func TestNoSharesWhileOlderOnesStand(t *testing.T) {
 	a := open(t, 1, nil)
-	a.m.holder = placement.New(placement.Config{Share: time.Second}, 1, 0)
+	a.m.holder = placement.New(placement.Config{ShareLength: time.Second}, 1, 0)
 	calm := a.now + time.Second
 	a.m.Partition().WritesFrom = func() time.Duration { return calm }
 	for ref, want := range []int{leadercall.StatusNotLeader, 200} {
 		a.back = nil
-		a.carry(a.m.Step(a.now, message.Message{Kind: message.KindCall, Partition: 1, From: "p", Epoch: 1, ResponseTo: uint64(ref + 1), RequestID: uint64(ref + 1), Op: "want", Body: leadercall.Pack(placement.Want{Service: "m"})}))
+		a.carry(a.m.Step(a.now, message.Message{Kind: message.KindCall, Partition: 1, From: "p", Epoch: 1, ResponseTo: uint64(ref + 1), RequestID: uint64(ref + 1), Op: "want", Body: leadercall.Pack(placement.Demand{Service: "m"})}))
 		if a.back[0].Status != want {
 			t.Errorf("%v before the calm: %d", calm-a.now, a.back[0].Status)
 		}
--- a/control/leader/stored_test.go
+++ b/control/leader/stored_test.go
@@ -156,7 +156,7 @@
 	} {
 		service.call(service.no+1, x.op, x.body)
 	}
-	service.m.holder = placement.New(placement.Config{Share: time.Second}, 1, 0)
+	service.m.holder = placement.New(placement.Config{ShareLength: time.Second}, 1, 0)
 	service.call(service.no+1, "want", []byte(`{"s":"m","a":0}`))
 	service.call(service.no-1, "want", []byte(`{"s":"m","a":0}`)) // overtaken
 	golden.Bytes(t, "calls-service.txt", []byte(service.text.String()))
--- a/control/leader/wants.go
+++ b/control/leader/wants.go
@@ -13,7 +13,7 @@
 
 // wanted gives a daemon its share of the slots; shares live in memory only.
 func (m *Controller) wanted(now time.Duration, n message.Message) {
-	var w placement.Want
+	var w placement.Demand
 	switch err := json.Unmarshal(n.Body, &w); {
 	case err != nil:
 		m.back(n, http.StatusBadRequest, leadercall.Pack(leadercall.Response{Result: "broken", Faults: []string{err.Error()}}))
@@ -22,7 +22,7 @@
 	case m.overtaken(n, w.Service):
 		m.back(n, leadercall.StatusNotLeader, nil)
 	default:
-		m.back(n, http.StatusOK, leadercall.Pack(m.holder.Asked(now, n.From, w, m.sec.Replica.LeaseEnd()-now)))
+		m.back(n, http.StatusOK, leadercall.Pack(m.holder.HandleDemand(now, n.From, w, m.sec.Replica.LeaseEnd()-now)))
 	}
 }
 
--- a/control/placement/balance.go
+++ b/control/placement/balance.go
@@ -38,7 +38,7 @@
 		return
 	}
 	count[part]++
-	b := ServerRecord{Addr: s.Addr, Zone: s.Zone, Cap: s.Cap, Part: part, Status: s.fresh()}
+	b := ServerRecord{Addr: s.Addr, Zone: s.Zone, Capacity: s.Capacity, Role: part, Status: s.fresh()}
 	if part != s.told {
 		b.Status = Warming
 	}
@@ -47,16 +47,16 @@
 
 // odd orders again what the platform's list goes on denying.
 func (h *Controller) odd(now time.Duration, key string, s *server, o *Out) {
-	if s.told == s.Part || s.leaving() {
+	if s.told == s.Role || s.leaving() {
 		s.oddAt = 0
 		return
 	}
 	if s.oddAt == 0 {
 		s.oddAt = now
 	}
-	if now-s.oddAt > 4*h.cfg.Swap { // what was running there may go on for long
+	if now-s.oddAt > 4*h.cfg.SwapBound { // what was running there may go on for long
 		s.oddAt = now
-		h.order(now, key, s, s.Part, "again", o)
+		h.order(now, key, s, s.Role, "again", o)
 	}
 }
 
@@ -64,7 +64,7 @@
 // the one that has been pressed, never the last, never below the plan; and to one
 // that has none left.
 func (h *Controller) balance(now time.Duration, svc string, keys []string, o *Out) {
-	if h.Strain == nil || !h.listed(keys) {
+	if h.Pressure == nil || !h.listed(keys) {
 		return
 	}
 	side := map[string][]string{}
@@ -72,26 +72,26 @@
 	moving, all := false, 0
 	for _, k := range keys {
 		s := h.servers[k]
-		if !s.listed || s.leaving() || s.Part == "" {
+		if !s.listed || s.leaving() || s.Role == "" {
 			continue
 		}
 		all++
-		moving = moving || s.To != "" || s.ordering || s.told != s.Part
-		now := h.Strain(svc, s.key())
-		s.strain.Read += (now.Read - s.strain.Read) / 8
-		s.strain.Write += (now.Write - s.strain.Write) / 8
-		if s.To == "" && s.Status != Dark {
-			present[s.Part]++
+		moving = moving || s.NextRole != "" || s.ordering || s.told != s.Role
+		now := h.Pressure(svc, s.key())
+		s.strain.Prefill += (now.Prefill - s.strain.Prefill) / 8
+		s.strain.Decode += (now.Decode - s.strain.Decode) / 8
+		if s.NextRole == "" && s.Status != Dark {
+			present[s.Role]++
 		}
-		if s.Status == Up && s.To == "" {
-			side[s.Part] = append(side[s.Part], k)
+		if s.Status == Up && s.NextRole == "" {
+			side[s.Role] = append(side[s.Role], k)
 		}
 	}
 	prefillServers, decodeServers := len(side[Prefill]), len(side[Decode])
 	if _, ok := h.share[svc]; !ok && all > 0 && prefillServers+decodeServers == all {
 		h.share[svc] = float64(prefillServers) / float64(all)
 	}
-	if moving || now-h.moved[svc] < h.cfg.Settle || !h.mayOrder(now) {
+	if moving || now-h.moved[svc] < h.cfg.ListedDwell || !h.mayOrder(now) {
 		return
 	}
 	if h.fillVacant(now, svc, sides{inUse: side, present: present}, o) || prefillServers == 0 || decodeServers == 0 {
@@ -99,10 +99,10 @@
 	}
 	read, write := 0.0, 0.0
 	for _, k := range side[Prefill] {
-		read += h.servers[k].strain.Read
+		read += h.servers[k].strain.Prefill
 	}
 	for _, k := range side[Decode] {
-		write += h.servers[k].strain.Write
+		write += h.servers[k].strain.Decode
 	}
 	least := h.plan[svc]
 	for _, x := range []struct {
@@ -121,7 +121,7 @@
 		if _, ok := h.short[key]; !ok {
 			h.short[key] = now
 		}
-		if now-h.short[key] < h.cfg.Press {
+		if now-h.short[key] < h.cfg.PressWindow {
 			continue
 		}
 		delete(h.short, key)
@@ -144,7 +144,7 @@
 	}
 	for _, k := range keys {
 		s, b := h.servers[k], h.servers[best]
-		if b == nil || zones[s.Zone] > zones[b.Zone] || zones[s.Zone] == zones[b.Zone] && s.strain.Read+s.strain.Write < b.strain.Read+b.strain.Write {
+		if b == nil || zones[s.Zone] > zones[b.Zone] || zones[s.Zone] == zones[b.Zone] && s.strain.Prefill+s.strain.Decode < b.strain.Prefill+b.strain.Decode {
 			best = k
 		}
 	}
--- a/control/placement/balance_test.go
+++ b/control/placement/balance_test.go
@@ -18,7 +18,7 @@
 	now           time.Duration
 	list          []fleetconfig.Server
 	serverRecords map[string]ServerRecord
-	strain        map[string]Strain // by part that the platform lists
+	strain        map[string]Pressure // by part that the platform lists
 	deny          bool              // it takes orders and doesn't follow them
 	then          map[time.Duration][]func()
 	orders        []Order
@@ -28,8 +28,8 @@
 }
 
 func newSite(t *testing.T, prefillServers, decodeServers int, plan fleetconfig.Service) *site {
-	s := &site{t: t, cfg: cfg, serverRecords: map[string]ServerRecord{}, strain: map[string]Strain{}, then: map[time.Duration][]func(){}}
-	s.cfg.Settle, s.cfg.Press = 3*time.Second, 400*time.Millisecond
+	s := &site{t: t, cfg: cfg, serverRecords: map[string]ServerRecord{}, strain: map[string]Pressure{}, then: map[time.Duration][]func(){}}
+	s.cfg.ListedDwell, s.cfg.PressWindow = 3*time.Second, 400*time.Millisecond
 	for i := range prefillServers + decodeServers {
 		s.add(map[bool]string{true: Prefill, false: Decode}[i < prefillServers], false)
 	}
@@ -41,14 +41,14 @@
 func (s *site) term(n uint64, plan fleetconfig.Service) {
 	plan.Name = "m"
 	s.h = New(s.cfg, n, s.now)
-	s.h.Plan(fleetconfig.Plan{Services: []fleetconfig.Service{plan}}, nil)
-	s.h.Strain = func(_, id string) Strain {
+	s.h.SetPlan(fleetconfig.Plan{Services: []fleetconfig.Service{plan}}, nil)
+	s.h.Pressure = func(_, id string) Pressure {
 		for _, x := range s.list {
 			if x.ID == id {
 				return s.strain[x.Part]
 			}
 		}
-		return Strain{}
+		return Pressure{}
 	}
 }
 
@@ -71,28 +71,28 @@
 		for _, f := range s.then[s.now] {
 			f()
 		}
-		s.h.Load(s.now, "m", fleetconfig.List{Servers: append([]fleetconfig.Server(nil), s.list...)}, s.serverRecords)
-		o := s.h.Tick(s.now)
+		s.h.LoadService(s.now, "m", fleetconfig.List{Servers: append([]fleetconfig.Server(nil), s.list...)}, s.serverRecords)
+		o := s.h.Reconcile(s.now)
 		s.polls += len(o.Polls)
 		for _, w := range o.Writes {
-			b, _ := OpenServerRecord(message.Record{Key: w.Key, Value: w.Val, Deleted: w.Gone})
-			if b.To != "" && s.serverRecords[w.Key].To == "" {
+			b, _ := OpenServerRecord(message.Record{Key: w.Key, Value: w.Value, Deleted: w.Delete})
+			if b.NextRole != "" && s.serverRecords[w.Key].NextRole == "" {
 				s.shifts = append(s.shifts, s.now)
 			}
 			s.serverRecords[w.Key] = b
-			s.h.Wrote(w.Key, b, true)
+			s.h.HandleWritten(w.Key, b, true)
 		}
 		for _, x := range o.Orders {
 			s.orders, s.at = append(s.orders, x), append(s.at, s.now)
-			if s.serverRecords[x.Key].To != "" && s.serverRecords[x.Key].Status != Leaving {
+			if s.serverRecords[x.Key].NextRole != "" && s.serverRecords[x.Key].Status != Leaving {
 				s.t.Errorf("%s is ordered to another part and still in use: %+v", x.ID, s.serverRecords[x.Key])
 			}
-			s.h.Ordered(s.now, x.Key, x, true)
+			s.h.HandleOrdered(s.now, x.Key, x, true)
 			if s.deny {
 				continue
 			}
 			s.then[s.now+time.Second] = append(s.then[s.now+time.Second], func() {
-				s.set(x.ID, func(e *fleetconfig.Server) { e.Part, e.Warming = x.Part, true })
+				s.set(x.ID, func(e *fleetconfig.Server) { e.Part, e.Warming = x.Role, true })
 			})
 			s.then[s.now+2*time.Second] = append(s.then[s.now+2*time.Second], func() {
 				s.set(x.ID, func(e *fleetconfig.Server) { e.Warming = false })
@@ -104,7 +104,7 @@
 // count is how many servers are in use in a part.
 func (s *site) count(part string) (n int) {
 	for _, b := range s.serverRecords {
-		if b.Part == part && b.To == "" && b.Status == Up {
+		if b.Role == part && b.NextRole == "" && b.Status == Up {
 			n++
 		}
 	}
@@ -123,7 +123,7 @@
 	if s.count(Prefill) != 2 || s.count(Decode) != 2 || len(s.orders) > 0 {
 		t.Errorf("%d prefill servers, %d decode servers, orders %v", s.count(Prefill), s.count(Decode), s.orders)
 	}
-	s.strain[Prefill] = Strain{Read: 0.9}
+	s.strain[Prefill] = Pressure{Prefill: 0.9}
 	s.add(Prefill, true)
 	s.set("s0", func(e *fleetconfig.Server) { e.Leaving = true })
 	s.run(30 * time.Second)
@@ -167,15 +167,15 @@
 		s.run(time.Second)
 		id := s.add(x.comes, x.cold)
 		s.run(200 * time.Millisecond)
-		if n := len(s.orders); n != map[bool]int{true: 1, false: 0}[x.comes != x.want] || n > 0 && (s.orders[0].ID != id || s.orders[0].Part != x.want) {
+		if n := len(s.orders); n != map[bool]int{true: 1, false: 0}[x.comes != x.want] || n > 0 && (s.orders[0].ID != id || s.orders[0].Role != x.want) {
 			t.Errorf("%+v: orders %+v", x, s.orders)
 		}
-		if b := s.serverRecord(id); b.Part != x.want || b.Status == Up && x.cold {
+		if b := s.serverRecord(id); b.Role != x.want || b.Status == Up && x.cold {
 			t.Errorf("%+v: %+v", x, b)
 		}
 		s.set(id, func(e *fleetconfig.Server) { e.Warming = x.want != x.comes })
 		s.run(5 * time.Second)
-		if b := s.serverRecord(id); b.Part != x.want || b.Status != Up || len(s.orders) > 1 {
+		if b := s.serverRecord(id); b.Role != x.want || b.Status != Up || len(s.orders) > 1 {
 			t.Errorf("%+v: in the end %+v, orders %+v", x, b, s.orders)
 		}
 	}
@@ -186,14 +186,14 @@
 func TestAPressedSideGetsServers(t *testing.T) {
 	for _, x := range []struct {
 		press               string
-		strain              Strain
+		strain              Pressure
 		plan                fleetconfig.Service
 		prefillServers, all int
 	}{
-		{Prefill, Strain{Read: 0.9}, fleetconfig.Service{}, 5, 6},
-		{Prefill, Strain{Read: 0.9}, fleetconfig.Service{PrefillServers: 1, DecodeServers: 2}, 4, 6},
-		{Decode, Strain{Write: 0.9}, fleetconfig.Service{}, 1, 6},
-		{Decode, Strain{Write: 0.9}, fleetconfig.Service{PrefillServers: 2, DecodeServers: 1}, 2, 6},
+		{Prefill, Pressure{Prefill: 0.9}, fleetconfig.Service{}, 5, 6},
+		{Prefill, Pressure{Prefill: 0.9}, fleetconfig.Service{PrefillServers: 1, DecodeServers: 2}, 4, 6},
+		{Decode, Pressure{Decode: 0.9}, fleetconfig.Service{}, 1, 6},
+		{Decode, Pressure{Decode: 0.9}, fleetconfig.Service{PrefillServers: 2, DecodeServers: 1}, 2, 6},
 	} {
 		s := newSite(t, 3, 3, x.plan)
 		s.run(10 * time.Second)
@@ -203,11 +203,11 @@
 		if s.count(Prefill) != x.prefillServers || s.count(Decode) != x.all-x.prefillServers {
 			t.Errorf("%s pressed, plan %+v: %d prefill servers, %d decode servers", x.press, x.plan, s.count(Prefill), s.count(Decode))
 		}
-		if len(s.shifts) == 0 || s.shifts[0]-from < s.cfg.Press || s.shifts[0]-from > 4*s.cfg.Press {
+		if len(s.shifts) == 0 || s.shifts[0]-from < s.cfg.PressWindow || s.shifts[0]-from > 4*s.cfg.PressWindow {
 			t.Errorf("%s pressed from %v on: shifts at %v", x.press, from, s.shifts)
 		}
 		for i := 1; i < len(s.shifts); i++ {
-			if s.shifts[i]-s.shifts[i-1] < s.cfg.Settle {
+			if s.shifts[i]-s.shifts[i-1] < s.cfg.ListedDwell {
 				t.Errorf("%s pressed: shifts at %v", x.press, s.shifts)
 			}
 		}
@@ -220,20 +220,20 @@
 	for what, f := range map[string]func(*site){
 		"by turns": func(s *site) {
 			for range 40 {
-				s.strain = map[string]Strain{Prefill: {Read: 0.9}}
+				s.strain = map[string]Pressure{Prefill: {Prefill: 0.9}}
 				s.run(300 * time.Millisecond)
-				s.strain = map[string]Strain{}
+				s.strain = map[string]Pressure{}
 				s.run(time.Second)
 			}
 		},
-		"both": func(s *site) { s.strain = map[string]Strain{Prefill: {Read: 0.9}, Decode: {Write: 0.9}} },
+		"both": func(s *site) { s.strain = map[string]Pressure{Prefill: {Prefill: 0.9}, Decode: {Decode: 0.9}} },
 		"one, the other not at ease": func(s *site) {
-			s.strain = map[string]Strain{Decode: {Write: 0.3}}
+			s.strain = map[string]Pressure{Decode: {Decode: 0.3}}
 			s.run(3 * time.Second)
-			s.strain[Prefill] = Strain{Read: 0.9}
+			s.strain[Prefill] = Pressure{Prefill: 0.9}
 		},
-		"a little":  func(s *site) { s.strain = map[string]Strain{Prefill: {Read: 0.4}} },
-		"not known": func(s *site) { s.strain = map[string]Strain{Prefill: {Read: 0.9}}; s.h.Strain = nil },
+		"a little":  func(s *site) { s.strain = map[string]Pressure{Prefill: {Prefill: 0.4}} },
+		"not known": func(s *site) { s.strain = map[string]Pressure{Prefill: {Prefill: 0.9}}; s.h.Pressure = nil },
 	} {
 		s := newSite(t, 3, 3, fleetconfig.Service{})
 		s.run(5 * time.Second)
@@ -252,7 +252,7 @@
 	s.run(20 * time.Second)
 	since := s.now
 	s.term(2, fleetconfig.Service{})
-	s.strain[Decode] = Strain{Write: 0.9}
+	s.strain[Decode] = Pressure{Decode: 0.9}
 	s.run(time.Second)
 	s.add(Prefill, true)
 	s.run(10 * time.Second)
@@ -260,11 +260,11 @@
 		t.Fatalf("shifts at %v, orders %v", s.shifts, s.orders)
 	}
 	for i, at := range s.at {
-		if at-since < s.cfg.Swap {
+		if at-since < s.cfg.SwapBound {
 			t.Errorf("%+v ordered %v after an older holder could act", s.orders[i], at-since)
 		}
 	}
-	if s.shifts[0]-since < s.cfg.Swap {
+	if s.shifts[0]-since < s.cfg.SwapBound {
 		t.Errorf("a shift begun %v after an older holder could act", s.shifts[0]-since)
 	}
 }
@@ -274,16 +274,16 @@
 func TestADeniedOrderIsGivenAgain(t *testing.T) {
 	s := newSite(t, 3, 3, fleetconfig.Service{})
 	s.run(5 * time.Second)
-	s.deny, s.strain[Prefill] = true, Strain{Read: 0.9}
+	s.deny, s.strain[Prefill] = true, Pressure{Prefill: 0.9}
 	s.run(60 * time.Second)
 	if len(s.orders) < 4 || len(s.shifts) != 1 {
 		t.Fatalf("shifts at %v, orders at %v", s.shifts, s.at)
 	}
 	for i, o := range s.orders {
-		if o.ID != s.orders[0].ID || o.Part != Prefill {
+		if o.ID != s.orders[0].ID || o.Role != Prefill {
 			t.Errorf("order %d: %+v", i, o)
 		}
-		if i > 0 && s.at[i]-s.at[i-1] < 4*s.cfg.Swap {
+		if i > 0 && s.at[i]-s.at[i-1] < 4*s.cfg.SwapBound {
 			t.Errorf("orders at %v", s.at)
 			break
 		}
@@ -291,7 +291,7 @@
 	if s.count(Prefill)+s.count(Decode) != 5 { // it is used in neither part meanwhile
 		t.Errorf("%d prefill servers, %d decode servers in use", s.count(Prefill), s.count(Decode))
 	}
-	s.deny, s.strain = false, map[string]Strain{}
+	s.deny, s.strain = false, map[string]Pressure{}
 	s.run(30 * time.Second)
 	n := len(s.orders)
 	s.run(60 * time.Second)
--- a/control/placement/pairs.go
+++ b/control/placement/pairs.go
@@ -13,13 +13,13 @@
 func (h *Controller) pairs(keys []string, o *Out) {
 	var decodeServers []*server
 	for _, k := range keys {
-		if s := h.servers[k]; s.listed && s.Part == Decode && s.To == "" && s.Status != Dark && !s.leaving() {
+		if s := h.servers[k]; s.listed && s.Role == Decode && s.NextRole == "" && s.Status != Dark && !s.leaving() {
 			decodeServers = append(decodeServers, s)
 		}
 	}
 	for _, k := range keys {
 		s := h.servers[k]
-		if !s.listed || s.writing || s.Part != Prefill || s.To != "" || s.told != "" {
+		if !s.listed || s.writing || s.Role != Prefill || s.NextRole != "" || s.told != "" {
 			continue
 		}
 		rank := func(m *server) int {
@@ -27,7 +27,7 @@
 			if m.Zone != s.Zone {
 				n = 1
 			}
-			if ms, ok := s.usage.Links[m.Addr]; ok && time.Duration(ms)*time.Millisecond > h.cfg.Slow {
+			if ms, ok := s.usage.LinkMillis[m.Addr]; ok && time.Duration(ms)*time.Millisecond > h.cfg.SlowLink {
 				n += 2
 			}
 			return n
--- a/control/placement/placement.go
+++ b/control/placement/placement.go
@@ -18,21 +18,21 @@
 
 // Config holds the bounds the holder works by.
 type Config struct {
-	Swap  time.Duration // no order before this has passed since an older holder could act
-	Poll  time.Duration
-	Warm  time.Duration // a warming server's slots ramp up over this
-	Share time.Duration // length of a slot share
+	SwapBound  time.Duration // no order before this has passed since an older holder could act
+	PollInterval  time.Duration
+	WarmUp  time.Duration // a warming server's slots ramp up over this
+	ShareLength time.Duration // length of a slot share
 	Drift float64
 	Margin,
 	Dwell time.Duration // least time between shifts of part in a service
-	Window time.Duration // usage is averaged over this
-	Drain  time.Duration // in-flight work of a leaving part is waited for this long
-	Slow   time.Duration // a link slower than this loses its pair
-	Dark   int           // failed polls that make a server dark
-	Settle time.Duration // least time between shifts where the platform lists the parts
-	Press  time.Duration // a side is pressed this long before a server is shifted to it
-	High   float64       // usage above which a side is short
-	Low    float64       // usage below which a side can spare a server
+	UsageWindow time.Duration // usage is averaged over this
+	DrainTimeout  time.Duration // in-flight work of a leaving part is waited for this long
+	SlowLink   time.Duration // a link slower than this loses its pair
+	MaxFailures   int           // failed polls that make a server dark
+	ListedDwell time.Duration // least time between shifts where the platform lists the parts
+	PressWindow  time.Duration // a side is pressed this long before a server is shifted to it
+	HighUsage   float64       // usage above which a side is short
+	LowUsage    float64       // usage below which a side can spare a server
 }
 
 // Out is what a tick asks for.
@@ -63,7 +63,7 @@
 	warmAt   time.Duration
 	leftAt   time.Duration
 	oddAt    time.Duration // since when the platform's word differs from the record
-	strain   Strain        // smoothed
+	strain   Pressure        // smoothed
 	ordered  string
 	ordering bool
 	writing  bool
@@ -85,8 +85,8 @@
 	no      uint64
 	plan    map[string]fleetconfig.Service
 	share   map[string]float64 // of a service's listed servers that are to read
-	// Strain tells how hard a server is pressed; none: nobody knows.
-	Strain func(service, server string) Strain
+	// Pressure tells how hard a server is pressed; none: nobody knows.
+	Pressure func(service, server string) Pressure
 	out    map[string]bool // evacuated zones
 }
 
@@ -100,10 +100,10 @@
 	}
 }
 
-// Plan tells the holder of the plan and the evacuated zones in force.
+// SetPlan tells the holder of the plan and the evacuated zones in force.
 //
-// Example: h.Plan(plan, zones)
-func (h *Controller) Plan(p fleetconfig.Plan, out map[string]bool) {
+// Example: h.SetPlan(plan, zones)
+func (h *Controller) SetPlan(p fleetconfig.Plan, out map[string]bool) {
 	h.plan = map[string]fleetconfig.Service{}
 	for _, s := range p.Services {
 		h.plan[s.Name] = s
@@ -111,10 +111,10 @@
 	h.out = out
 }
 
-// Load tells the holder a service's list and server records as they are committed.
+// LoadService tells the holder a service's list and server records as they are committed.
 //
-// Example: h.Load(now, "timetable", list, server records)
-func (h *Controller) Load(now time.Duration, svc string, list fleetconfig.List, serverRecords map[string]ServerRecord) {
+// Example: h.LoadService(now, "timetable", list, server records)
+func (h *Controller) LoadService(now time.Duration, svc string, list fleetconfig.List, serverRecords map[string]ServerRecord) {
 	skip := map[string]bool{}
 	for _, a := range h.plan[svc].Exclude {
 		skip[a] = true
@@ -140,7 +140,7 @@
 		} else if !s.writing {
 			s.ServerRecord = ServerRecord{}
 		}
-		s.Addr, s.Zone, s.Cap = e.Addr, e.Zone, e.Capacity
+		s.Addr, s.Zone, s.Capacity = e.Addr, e.Zone, e.Capacity
 		h.listing(s, e)
 	}
 	for key, b := range serverRecords {
@@ -150,16 +150,16 @@
 	}
 }
 
-// Wrote takes the fate of a write.
+// HandleWritten takes the fate of a write.
 //
-// Example: h.Wrote(key, server record, true)
-func (h *Controller) Wrote(key string, b ServerRecord, ok bool) {
+// Example: h.HandleWritten(key, server record, true)
+func (h *Controller) HandleWritten(key string, b ServerRecord, ok bool) {
 	if s := h.servers[key]; s != nil {
 		s.writing = false
 		if ok {
-			c := s.Cap
+			c := s.Capacity
 			s.ServerRecord = b
-			s.Cap = c
+			s.Capacity = c
 			s.anew = s.anew && b.Status != Dark
 		}
 	}
@@ -168,14 +168,14 @@
 func (h *Controller) write(o *Out, key string, s *server, b ServerRecord, why string) {
 	s.writing = true
 	val, _ := json.Marshal(b)
-	o.Writes = append(o.Writes, Write{Key: key, Val: val})
-	o.Notes = append(o.Notes, fmt.Sprintf("%s %s: %s/%s to=%q (%s)", s.svc, b.Addr, b.Part, b.Status, b.To, why))
+	o.Writes = append(o.Writes, Write{Key: key, Value: val})
+	o.Notes = append(o.Notes, fmt.Sprintf("%s %s: %s/%s to=%q (%s)", s.svc, b.Addr, b.Role, b.Status, b.NextRole, why))
 }
 
-// Tick runs the systems over the tables.
+// Reconcile runs the systems over the tables.
 //
-// Example: out := h.Tick(now)
-func (h *Controller) Tick(now time.Duration) (o Out) {
+// Example: out := h.Reconcile(now)
+func (h *Controller) Reconcile(now time.Duration) (o Out) {
 	by := map[string][]string{}
 	for key, s := range h.servers {
 		by[s.svc] = append(by[s.svc], key)
@@ -191,7 +191,7 @@
 		h.pairs(keys, &o)
 	}
 	for id, d := range h.daemons {
-		if now-d.at > 10*h.cfg.Share {
+		if now-d.at > 10*h.cfg.ShareLength {
 			delete(h.daemons, id)
 		}
 	}
--- a/control/placement/placement_test.go
+++ b/control/placement/placement_test.go
@@ -12,13 +12,13 @@
 )
 
 var cfg = Config{
-	Swap: 3 * time.Second, Poll: 240 * time.Millisecond, Warm: 3 * time.Second, Share: 750 * time.Millisecond, Drift: 0.02, Margin: 20 * time.Millisecond,
-	Dwell: 10 * time.Second, Window: 2400 * time.Millisecond, Drain: 24 * time.Second, Slow: 100 * time.Millisecond, Dark: 3, High: 0.9, Low: 0.6,
+	SwapBound: 3 * time.Second, PollInterval: 240 * time.Millisecond, WarmUp: 3 * time.Second, ShareLength: 750 * time.Millisecond, Drift: 0.02, Margin: 20 * time.Millisecond,
+	Dwell: 10 * time.Second, UsageWindow: 2400 * time.Millisecond, DrainTimeout: 24 * time.Second, SlowLink: 100 * time.Millisecond, MaxFailures: 3, HighUsage: 0.9, LowUsage: 0.6,
 }
 
 func fleet(n int) (*Controller, fleetconfig.List) {
 	h := New(cfg, 1, 0)
-	h.Plan(fleetconfig.Plan{Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}, nil)
+	h.SetPlan(fleetconfig.Plan{Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}, nil)
 	var l fleetconfig.List
 	for i := 0; i < n; i++ {
 		l.Servers = append(l.Servers, fleetconfig.Server{Addr: fmt.Sprintf("10.0.0.%d:1", i+1), Zone: "a", Capacity: 8})
@@ -29,19 +29,19 @@
 // drive runs the holder against perfect servers and returns the orders seen.
 func drive(h *Controller, l fleetconfig.List, from, to time.Duration, serverRecords map[string]ServerRecord, active func(string) int) (orders []Order, at []time.Duration) {
 	for now := from; now < to; now += 50 * time.Millisecond {
-		h.Load(now, "m", l, serverRecords)
-		o := h.Tick(now)
+		h.LoadService(now, "m", l, serverRecords)
+		o := h.Reconcile(now)
 		for _, k := range o.Polls {
-			h.Polled(now, k, Usage{Active: active(k), Uptime: int64(now/time.Millisecond) + 100000}, true)
+			h.HandlePoll(now, k, Usage{Active: active(k), UptimeMillis: int64(now/time.Millisecond) + 100000}, true)
 		}
 		for _, x := range o.Orders {
 			orders, at = append(orders, x), append(at, now)
-			h.Ordered(now, x.Key, x, true)
+			h.HandleOrdered(now, x.Key, x, true)
 		}
 		for _, w := range o.Writes {
-			b, _ := OpenServerRecord(message.Record{Key: w.Key, Value: w.Val, Deleted: w.Gone})
+			b, _ := OpenServerRecord(message.Record{Key: w.Key, Value: w.Value, Deleted: w.Delete})
 			serverRecords[w.Key] = b
-			h.Wrote(w.Key, b, true)
+			h.HandleWritten(w.Key, b, true)
 		}
 	}
 	return orders, at
@@ -56,7 +56,7 @@
 		t.Fatalf("orders: %v", orders)
 	}
 	for i := range at {
-		if at[i] < cfg.Swap {
+		if at[i] < cfg.SwapBound {
 			t.Errorf("an order %v after an older holder could act", at[i])
 		}
 	}
@@ -68,7 +68,7 @@
 	drive(h, l, 0, 8*time.Second, serverRecords, idle)
 	count := func(part string) (n int) {
 		for _, b := range serverRecords {
-			if b.Part == part && b.To == "" {
+			if b.Role == part && b.NextRole == "" {
 				n++
 			}
 		}
@@ -77,17 +77,17 @@
 	if count(Prefill) != 3 || count(Decode) != 3 {
 		t.Fatalf("parts at first: %v", serverRecords)
 	}
-	var w Want
-	w.Service, w.Read[4], w.Make[4] = "m", 60, 2
+	var w Demand
+	w.Service, w.Prefill[4], w.Decode[4] = "m", 60, 2
 	for now := 8 * time.Second; now < 80*time.Second; now += time.Second {
-		h.Asked(now, "d", w, time.Second)
+		h.HandleDemand(now, "d", w, time.Second)
 		drive(h, l, now, now+time.Second, serverRecords, idle)
 	}
 	if count(Decode) != 1 || count(Prefill) != 5 {
 		t.Errorf("after long prompts only: %d prefill servers, %d decode servers", count(Prefill), count(Decode))
 	}
 	for k, b := range serverRecords {
-		if b.Part == Prefill && len(b.Pairs) != 1 {
+		if b.Role == Prefill && len(b.Pairs) != 1 {
 			t.Errorf("%s: pairs %v", k, b.Pairs)
 		}
 	}
@@ -115,13 +115,13 @@
 				b = &box{held: map[string]int{}}
 				boxes[id] = b
 			}
-			var w Want
-			w.Service, w.Ack, w.Held = "m", b.share.No, b.held
-			w.Read[rapid.IntRange(0, 9).Draw(t, "prio")] = rapid.IntRange(0, 40).Draw(t, "read")
-			w.Make[rapid.IntRange(0, 9).Draw(t, "mprio")] = rapid.IntRange(0, 40).Draw(t, "make")
-			sh := h.Asked(now, id, w, time.Second)
+			var w Demand
+			w.Service, w.AckedShare, w.InFlight = "m", b.share.Number, b.held
+			w.Prefill[rapid.IntRange(0, 9).Draw(t, "prio")] = rapid.IntRange(0, 40).Draw(t, "read")
+			w.Decode[rapid.IntRange(0, 9).Draw(t, "mprio")] = rapid.IntRange(0, 40).Draw(t, "make")
+			sh := h.HandleDemand(now, id, w, time.Second)
 			if rapid.IntRange(0, 4).Draw(t, "lost") > 0 { // else the answer is lost
-				b.share, b.till = sh, now+time.Duration(sh.Len)
+				b.share, b.till = sh, now+time.Duration(sh.Length)
 			}
 			for a, n := range b.share.Slots { // fill some of it
 				if now < b.till && b.held[a] < n && rapid.Bool().Draw(t, "use") {
@@ -154,12 +154,12 @@
 	h, l := fleet(4)
 	serverRecords := map[string]ServerRecord{}
 	drive(h, l, 0, 12*time.Second, serverRecords, idle)
-	var low, top Want
-	low.Service, low.Read[8] = "m", 100
-	top.Service, top.Read[0] = "m", 14
+	var low, top Demand
+	low.Service, low.Prefill[8] = "m", 100
+	top.Service, top.Prefill[0] = "m", 14
 	sum := func(s Share) (n int) {
 		for a, k := range s.Slots {
-			if serverRecords[fleetconfig.ServerRecordKey("m", a)].Part == Prefill {
+			if serverRecords[fleetconfig.ServerRecordKey("m", a)].Role == Prefill {
 				n += k
 			}
 		}
@@ -169,9 +169,9 @@
 	var a, b Share
 	for i := 0; i < 20; i++ {
 		now += 90 * time.Millisecond
-		low.Ack, top.Ack = a.No, b.No
-		a = h.Asked(now, "low", low, time.Second)
-		b = h.Asked(now, "top", top, time.Second)
+		low.AckedShare, top.AckedShare = a.Number, b.Number
+		a = h.HandleDemand(now, "low", low, time.Second)
+		b = h.HandleDemand(now, "top", top, time.Second)
 	}
 	if sum(b) < 14 || sum(a) > 2 {
 		t.Errorf("urgent daemon has %d slots, the other %d of 16", sum(b), sum(a))
@@ -187,12 +187,12 @@
 	acks := map[string]uint64{}
 	got := map[string]int{}
 	ask := func(now time.Duration, id string, waiting int) {
-		w := Want{Service: "m", Ack: acks[id]}
-		w.Make[4] = waiting
-		s := h.Asked(now, id, w, time.Second)
-		acks[id] = s.No
+		w := Demand{Service: "m", AckedShare: acks[id]}
+		w.Decode[4] = waiting
+		s := h.HandleDemand(now, id, w, time.Second)
+		acks[id] = s.Number
 		for a, n := range s.Slots {
-			if serverRecords[fleetconfig.ServerRecordKey("m", a)].Part == Decode {
+			if serverRecords[fleetconfig.ServerRecordKey("m", a)].Role == Decode {
 				got[id] += n
 			}
 		}
@@ -242,30 +242,30 @@
 	}
 	now := 12 * time.Second
 	again := New(cfg, 2, now)
-	again.Plan(fleetconfig.Plan{Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}, nil)
-	again.Load(now, "m", l, map[string]ServerRecord{key: serverRecords[key]})
-	again.Tick(now)
-	again.Polled(now, key, Usage{Uptime: 100}, true)
+	again.SetPlan(fleetconfig.Plan{Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}, nil)
+	again.LoadService(now, "m", l, map[string]ServerRecord{key: serverRecords[key]})
+	again.Reconcile(now)
+	again.HandlePoll(now, key, Usage{UptimeMillis: 100}, true)
 	now += 900 * time.Millisecond // killed, and back for longer than the 100 ms seen last
-	again.Tick(now)
-	again.Polled(now, key, Usage{Uptime: 500}, true)
+	again.Reconcile(now)
+	again.HandlePoll(now, key, Usage{UptimeMillis: 500}, true)
 	if s := again.servers[key]; !s.anew || again.total(now, s) != 0 {
 		t.Error("a new life was taken for the old one")
 	}
 	next := New(cfg, 2, now)
-	next.Plan(fleetconfig.Plan{Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}, nil)
+	next.SetPlan(fleetconfig.Plan{Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}, nil)
 	b := serverRecords[key]
 	b.Status = Up
-	next.Load(now, "m", l, map[string]ServerRecord{key: b})
+	next.LoadService(now, "m", l, map[string]ServerRecord{key: b})
 	slots := func() int {
-		var w Want
-		w.Service, w.Read[0], w.Make[0] = "m", 99, 99
-		return next.Asked(now, "d", w, time.Second).Slots[l.Servers[0].Addr]
+		var w Demand
+		w.Service, w.Prefill[0], w.Decode[0] = "m", 99, 99
+		return next.HandleDemand(now, "d", w, time.Second).Slots[l.Servers[0].Addr]
 	}
 	if n := slots(); n > 0 {
 		t.Errorf("%d slots on a server that this holder has not seen yet", n)
 	}
-	next.Polled(now, key, Usage{Uptime: 1000, Warming: true}, true)
+	next.HandlePoll(now, key, Usage{UptimeMillis: 1000, Warming: true}, true)
 	if n := slots(); n < 1 || n > 2 {
 		t.Errorf("%d slots of 8 on a server that is up for a second", n)
 	}
@@ -279,19 +279,19 @@
 	said := 0
 	run := func(from, to time.Duration, ok bool) {
 		for now := from; now < to; now += 50 * time.Millisecond {
-			h.Load(now, "m", l, serverRecords)
-			o := h.Tick(now)
+			h.LoadService(now, "m", l, serverRecords)
+			o := h.Reconcile(now)
 			for _, k := range o.Polls {
-				h.Polled(now, k, Usage{}, ok)
+				h.HandlePoll(now, k, Usage{}, ok)
 			}
 			for _, x := range o.Orders {
 				said++
-				h.Ordered(now, x.Key, x, true)
+				h.HandleOrdered(now, x.Key, x, true)
 			}
 			for _, w := range o.Writes {
-				b, _ := OpenServerRecord(message.Record{Key: w.Key, Value: w.Val})
+				b, _ := OpenServerRecord(message.Record{Key: w.Key, Value: w.Value})
 				serverRecords[w.Key] = b
-				h.Wrote(w.Key, b, true)
+				h.HandleWritten(w.Key, b, true)
 			}
 		}
 	}
--- a/control/placement/roles.go
+++ b/control/placement/roles.go
@@ -6,26 +6,26 @@
 )
 
 // mayOrder: a new holder waits until the older one surely stopped.
-func (h *Controller) mayOrder(now time.Duration) bool { return now-h.since >= h.cfg.Swap }
+func (h *Controller) mayOrder(now time.Duration) bool { return now-h.since >= h.cfg.SwapBound }
 
 func (h *Controller) order(now time.Duration, key string, s *server, part, why string, o *Out) {
-	if !h.mayOrder(now) || s.ordering || now-s.orderAt < h.cfg.Poll {
+	if !h.mayOrder(now) || s.ordering || now-s.orderAt < h.cfg.PollInterval {
 		return
 	}
 	h.no++
 	s.ordering, s.orderAt = true, now
-	o.Orders = append(o.Orders, Order{Key: key, ID: s.id, Addr: s.Addr, Part: part, Term: h.term, No: h.no, Why: why})
+	o.Orders = append(o.Orders, Order{Key: key, ID: s.id, Addr: s.Addr, Role: part, Term: h.term, Number: h.no, Reason: why})
 	o.Notes = append(o.Notes, fmt.Sprintf("%s %s: ordered to be %s (%s)", s.svc, s.Addr, part, why))
 }
 
-// Ordered takes a server's answer to an order.
+// HandleOrdered takes a server's answer to an order.
 //
-// Example: h.Ordered(now, key, order, true)
-func (h *Controller) Ordered(now time.Duration, key string, o Order, ok bool) {
+// Example: h.HandleOrdered(now, key, order, true)
+func (h *Controller) HandleOrdered(now time.Duration, key string, o Order, ok bool) {
 	if s := h.servers[key]; s != nil {
 		s.ordering = false
 		if ok {
-			s.ordered = o.Part
+			s.ordered = o.Role
 		}
 	}
 }
@@ -40,10 +40,10 @@
 		if !s.listed {
 			continue
 		}
-		part := s.Part
-		if s.To != "" {
+		part := s.Role
+		if s.NextRole != "" {
 			moving = true
-			part = s.To
+			part = s.NextRole
 		}
 		if part != "" && s.Status != Dark && !s.leaving() {
 			count[part]++
@@ -52,15 +52,15 @@
 	}
 	for _, key := range keys {
 		s := h.servers[key]
-		if !s.listed || s.writing || s.fails > 0 && s.Part == "" {
+		if !s.listed || s.writing || s.fails > 0 && s.Role == "" {
 			continue
 		}
 		switch {
-		case s.Part == "" && s.told != "": // new, and it plays a part already
+		case s.Role == "" && s.told != "": // new, and it plays a part already
 			if !s.leaving() {
 				h.enter(now, key, s, count, o)
 			}
-		case s.Part == "": // new: order first, then write
+		case s.Role == "": // new: order first, then write
 			if !s.seen || s.leaving() {
 				continue
 			}
@@ -73,22 +73,22 @@
 				h.order(now, key, s, to, "new", o)
 			} else {
 				s.warmAt = now
-				h.write(o, key, s, ServerRecord{Addr: s.Addr, Zone: s.Zone, Cap: s.Cap, Part: s.ordered, Status: Warming}, "took its first order")
+				h.write(o, key, s, ServerRecord{Addr: s.Addr, Zone: s.Zone, Capacity: s.Capacity, Role: s.ordered, Status: Warming}, "took its first order")
 			}
-		case s.To != "": // leaving its part; the invalidation is complete
-			if s.ordered == s.To {
+		case s.NextRole != "": // leaving its part; the invalidation is complete
+			if s.ordered == s.NextRole {
 				b := s.ServerRecord
-				b.Part, b.To, b.Status, b.Pairs = s.To, "", Warming, nil
+				b.Role, b.NextRole, b.Status, b.Pairs = s.NextRole, "", Warming, nil
 				s.warmAt = now
 				h.write(o, key, s, b, "shifted")
-			} else if s.usage.Active == 0 && h.held(svc, s.Addr) == 0 || now-s.leftAt > h.cfg.Drain {
-				h.order(now, key, s, s.To, "shift", o)
+			} else if s.usage.Active == 0 && h.held(svc, s.Addr) == 0 || now-s.leftAt > h.cfg.DrainTimeout {
+				h.order(now, key, s, s.NextRole, "shift", o)
 			}
 		case s.told != "":
 			h.odd(now, key, s, o)
-		case s.ordered != s.Part && s.fails == 0 && s.seen && !s.anew:
+		case s.ordered != s.Role && s.fails == 0 && s.seen && !s.anew:
 			// A holder that is new, or a server that is: say it again.
-			h.order(now, key, s, s.Part, "again", o)
+			h.order(now, key, s, s.Role, "again", o)
 		}
 	}
 	h.shift(now, svc, keys, count, busy, moving, o)
@@ -98,7 +98,7 @@
 	n := 0
 	for id, d := range h.daemons {
 		if d.want.Service == svc && id != "" {
-			n += d.want.Held[addr]
+			n += d.want.InFlight[addr]
 		}
 	}
 	return n
@@ -108,9 +108,9 @@
 func (h *Controller) demand(svc string) (read, mk int) {
 	for _, d := range h.daemons {
 		if d.want.Service == svc {
-			for p := range d.want.Read {
-				read += d.want.Read[p]
-				mk += d.want.Make[p]
+			for p := range d.want.Prefill {
+				read += d.want.Prefill[p]
+				mk += d.want.Decode[p]
 			}
 		}
 	}
@@ -120,13 +120,13 @@
 // shift moves one server from the side that can spare it to the one that has
 // been short for a whole window; never the last, never below the plan.
 func (h *Controller) shift(now time.Duration, svc string, keys []string, count map[string]int, busy map[string]float64, moving bool, o *Out) {
-	if moving || h.listed(keys) || now-h.moved[svc] < h.cfg.Dwell || now-h.since < h.cfg.Swap {
+	if moving || h.listed(keys) || now-h.moved[svc] < h.cfg.Dwell || now-h.since < h.cfg.SwapBound {
 		return
 	}
 	caps := map[string]int{}
 	for _, key := range keys {
 		if s := h.servers[key]; s.listed && !s.leaving() && s.Status != Dark {
-			caps[s.Part] += s.Cap
+			caps[s.Role] += s.Capacity
 		}
 	}
 	read, mk := h.demand(svc)
@@ -140,21 +140,21 @@
 		key := svc + "/" + to
 		spare := count[from] > least[from]
 		under := count[to] < least[to] && count[from] > 1
-		if !(spare && need[to] > h.cfg.High && need[from] < h.cfg.Low || under) {
+		if !(spare && need[to] > h.cfg.HighUsage && need[from] < h.cfg.LowUsage || under) {
 			delete(h.short, key)
 			continue
 		}
 		if _, ok := h.short[key]; !ok {
 			h.short[key] = now
 		}
-		if now-h.short[key] < h.cfg.Window && !under {
+		if now-h.short[key] < h.cfg.UsageWindow && !under {
 			continue
 		}
 		var pick *server
 		at := ""
 		for _, k := range keys {
 			s := h.servers[k]
-			if s.listed && !s.writing && s.Part == from && s.To == "" && s.Status == Up && !s.leaving() && s.ordered == s.Part &&
+			if s.listed && !s.writing && s.Role == from && s.NextRole == "" && s.Status == Up && !s.leaving() && s.ordered == s.Role &&
 				(pick == nil || s.usage.Active < pick.usage.Active) {
 				pick, at = s, k
 			}
--- a/control/placement/rows.go
+++ b/control/placement/rows.go
@@ -9,11 +9,11 @@
 	ServerRecord
 	Service string  `json:"service"`
 	Active  int     `json:"active"`
-	Busy    float64 `json:"busy"`
-	Fails   int     `json:"fails"`
-	Total   int     `json:"total"`
-	Out     int     `json:"out"`
-	Leaves  bool    `json:"leaves"`
+	Utilization    float64 `json:"busy"`
+	Failures   int     `json:"fails"`
+	Slots   int     `json:"total"`
+	Granted     int     `json:"out"`
+	Withdrawn  bool    `json:"leaves"`
 }
 
 // Rows snapshots the table of servers.
@@ -23,10 +23,10 @@
 	var out []Row
 	for _, key := range sorted(h.servers) {
 		s := h.servers[key]
-		r := Row{ServerRecord: s.ServerRecord, Service: s.svc, Active: s.usage.Active, Busy: s.busy, Fails: s.fails, Total: h.total(now, s), Leaves: s.leaving()}
+		r := Row{ServerRecord: s.ServerRecord, Service: s.svc, Active: s.usage.Active, Utilization: s.busy, Failures: s.fails, Slots: h.total(now, s), Withdrawn: s.leaving()}
 		for _, d := range h.daemons {
 			if d.want.Service == s.svc {
-				r.Out += d.out(now, s.Addr)
+				r.Granted += d.out(now, s.Addr)
 			}
 		}
 		out = append(out, r)
--- a/control/placement/shape.go
+++ b/control/placement/shape.go
@@ -25,9 +25,9 @@
 type ServerRecord struct {
 	Addr   string   `json:"addr"`
 	Zone   string   `json:"cell"`
-	Cap    int      `json:"cap"`
-	Part   string   `json:"part"`
-	To     string   `json:"to,omitempty"` // the part it shifts to
+	Capacity    int      `json:"cap"`
+	Role   string   `json:"part"`
+	NextRole     string   `json:"to,omitempty"` // the part it shifts to
 	Status string   `json:"status"`
 	Pairs  []string `json:"pairs,omitempty"`
 }
@@ -62,27 +62,27 @@
 type Usage struct {
 	Active  int            `json:"active"`
 	Queued  int            `json:"queued"`
-	Uptime  int64          `json:"uptime_ms"`
+	UptimeMillis  int64          `json:"uptime_ms"`
 	Leaving bool           `json:"leaving"`
 	Warming bool           `json:"warming,omitempty"`  // by its own word still warming up
-	Links   map[string]int `json:"links_ms,omitempty"` // seen when handing KV caches over
+	LinkMillis   map[string]int `json:"links_ms,omitempty"` // seen when handing KV caches over
 }
 
-// Want is a daemon's report and wish for one service.
-type Want struct {
+// Demand is a daemon's report and wish for one service.
+type Demand struct {
 	Service string         `json:"s"`
-	Ack     uint64         `json:"a"`
-	Read    [10]int        `json:"r"` // waiting for or holding a prefill server, by priority
-	Make    [10]int        `json:"m"`
-	Held    map[string]int `json:"h"` // in flight, by server
-	Fails   map[string]int `json:"f,omitempty"`
-	Like    map[string]int `json:"l,omitempty"` // waiting requests whose prefix a prefill server holds
+	AckedShare     uint64         `json:"a"`
+	Prefill    [10]int        `json:"r"` // waiting for or holding a prefill server, by priority
+	Decode    [10]int        `json:"m"`
+	InFlight    map[string]int `json:"h"` // in flight, by server
+	Failures   map[string]int `json:"f,omitempty"`
+	PrefixHits    map[string]int `json:"l,omitempty"` // waiting requests whose prefix a prefill server holds
 }
 
 // Share is the slots a daemon may fill.
 type Share struct {
-	No    uint64         `json:"n"`
-	Len   int64          `json:"t"`
+	Number    uint64         `json:"n"`
+	Length   int64          `json:"t"`
 	Slots map[string]int `json:"s"`
 }
 
@@ -91,20 +91,20 @@
 	Key  string `json:"-"` // of the server's record
 	ID   string `json:"-"` // of this life of the server, where the platform gives one
 	Addr string `json:"-"`
-	Part string `json:"part"`
+	Role string `json:"part"`
 	Term uint64 `json:"term"`
-	No   uint64 `json:"no"`
-	Why  string `json:"why"`
+	Number   uint64 `json:"no"`
+	Reason  string `json:"why"`
 }
 
 // Write is a server record to be written; Gone removes it.
 type Write struct {
 	Key  string
-	Val  []byte
-	Gone bool
+	Value  []byte
+	Delete bool
 }
 
-// Strain is how hard a server is pressed, in parts of what its requests bear:
+// Pressure is how hard a server is pressed, in parts of what its requests bear:
 // the wait before a prompt is read against the aim of a first event, and the
 // pause between events against the longest that is in time.
-type Strain struct{ Read, Write float64 }
+type Pressure struct{ Prefill, Decode float64 }
--- a/control/placement/shares.go
+++ b/control/placement/shares.go
@@ -14,7 +14,7 @@
 }
 
 type daemon struct {
-	want   Want
+	want   Demand
 	at     time.Duration
 	grants []grant
 	no     uint64
@@ -22,12 +22,12 @@
 
 // total is how many slots of a server may be out at daemons now.
 func (h *Controller) total(now time.Duration, s *server) int {
-	if !s.listed || s.leaving() || s.To != "" || s.Status == Dark || !s.seen || s.anew || s.fails >= h.cfg.Dark || s.Part == "" {
+	if !s.listed || s.leaving() || s.NextRole != "" || s.Status == Dark || !s.seen || s.anew || s.fails >= h.cfg.MaxFailures || s.Role == "" {
 		return 0
 	}
-	n := s.Cap
+	n := s.Capacity
 	if s.Status == Warming || h.young(s) {
-		n = max(1, int(float64(s.Cap)*min(1, float64(now-s.warmAt)/float64(h.cfg.Warm))/2))
+		n = max(1, int(float64(s.Capacity)*min(1, float64(now-s.warmAt)/float64(h.cfg.WarmUp))/2))
 	}
 	// Work that no daemon accounts for still fills the server.
 	if stray := s.usage.Active - h.held(s.svc, s.Addr); s.seen && stray > 0 {
@@ -38,7 +38,7 @@
 
 // out is the most slots of a server that a daemon may be filling.
 func (d *daemon) out(now time.Duration, addr string) int {
-	n := d.want.Held[addr]
+	n := d.want.InFlight[addr]
 	for _, g := range d.grants {
 		if now < g.till {
 			n = max(n, g.slots[addr])
@@ -47,11 +47,11 @@
 	return n
 }
 
-// Asked takes a daemon's want and returns its share, as many slots as the
+// HandleDemand takes a daemon's want and returns its share, as many slots as the
 // urgent demand over the whole fleet leaves it, never more than are free.
 //
-// Example: share := h.Asked(now, ident, want, left)
-func (h *Controller) Asked(now time.Duration, ident string, w Want, left time.Duration) Share {
+// Example: share := h.HandleDemand(now, ident, want, left)
+func (h *Controller) HandleDemand(now time.Duration, ident string, w Demand, left time.Duration) Share {
 	id := w.Service + "/" + ident
 	d := h.daemons[id]
 	if d == nil {
@@ -61,28 +61,28 @@
 	d.want, d.at = w, now
 	// Calls that failed under daemons' hands count like failed polls, and bring
 	// the next poll on at once.
-	for addr := range w.Fails {
-		if s := h.servers[fleetconfig.ServerRecordKey(w.Service, addr)]; s != nil && now-s.pollAt > h.cfg.Poll/8 {
+	for addr := range w.Failures {
+		if s := h.servers[fleetconfig.ServerRecordKey(w.Service, addr)]; s != nil && now-s.pollAt > h.cfg.PollInterval/8 {
 			s.fails++
-			s.pollAt = now - h.cfg.Poll
+			s.pollAt = now - h.cfg.PollInterval
 		}
 	}
 	keep := d.grants[:0]
 	for _, g := range d.grants {
-		if g.no >= w.Ack && now < g.till {
+		if g.no >= w.AckedShare && now < g.till {
 			keep = append(keep, g)
 		}
 	}
 	d.grants = keep
-	length := min(h.cfg.Share, left)
-	sh := Share{Slots: map[string]int{}, Len: int64(max(0, length))}
+	length := min(h.cfg.ShareLength, left)
+	sh := Share{Slots: map[string]int{}, Length: int64(max(0, length))}
 	if length > 0 {
 		h.divide(now, id, d, w.Service, Prefill, sh.Slots)
 		h.divide(now, id, d, w.Service, Decode, sh.Slots)
 	}
 	d.no++
-	sh.No = h.term<<32 | d.no
-	d.grants = append(d.grants, grant{no: sh.No, till: now + length + time.Duration(float64(length)*h.cfg.Drift) + h.cfg.Margin, slots: sh.Slots})
+	sh.Number = h.term<<32 | d.no
+	d.grants = append(d.grants, grant{no: sh.Number, till: now + length + time.Duration(float64(length)*h.cfg.Drift) + h.cfg.Margin, slots: sh.Slots})
 	return sh
 }
 
@@ -100,9 +100,9 @@
 	sort.Strings(ids)
 	need := func(k string, p int) int {
 		if part == Decode {
-			return h.daemons[k].want.Make[p]
+			return h.daemons[k].want.Decode[p]
 		}
-		return h.daemons[k].want.Read[p]
+		return h.daemons[k].want.Prefill[p]
 	}
 	left, mine := n, 0
 	for p := 0; p < 10 && left > 0; p++ {
@@ -114,7 +114,7 @@
 		if sum == 0 {
 			continue
 		}
-		mine += apportion(give, sum, ids, id, int(now/h.cfg.Share), func(k string) int { return need(k, p) })
+		mine += apportion(give, sum, ids, id, int(now/h.cfg.ShareLength), func(k string) int { return need(k, p) })
 		left -= give
 	}
 	return mine + apportion(left/2, len(ids), ids, id, 0, func(string) int { return 1 })
@@ -155,7 +155,7 @@
 	all := 0
 	for _, key := range sorted(h.servers) {
 		s := h.servers[key]
-		if s.svc != svc || s.Part != part {
+		if s.svc != svc || s.Role != part {
 			continue
 		}
 		n := h.total(now, s)
@@ -182,10 +182,10 @@
 		}
 	}
 	for i := range rows {
-		give(i, d.want.Held[rows[i].addr])
+		give(i, d.want.InFlight[rows[i].addr])
 	}
 	for i := range rows {
-		give(i, d.want.Like[rows[i].addr])
+		give(i, d.want.PrefixHits[rows[i].addr])
 	}
 	at := 0
 	for _, c := range id {
--- a/control/placement/stored_test.go
+++ b/control/placement/stored_test.go
@@ -8,7 +8,7 @@
 )
 
 func completeServerRecord() ServerRecord {
-	return ServerRecord{Addr: "10.0.0.1:9000", Zone: "north", Cap: 8, Part: Prefill, To: Decode, Status: Leaving, Pairs: []string{"10.0.0.2:9000"}}
+	return ServerRecord{Addr: "10.0.0.1:9000", Zone: "north", Capacity: 8, Role: Prefill, NextRole: Decode, Status: Leaving, Pairs: []string{"10.0.0.2:9000"}}
 }
 
 // Server records, and what daemons and servers say to the controller, are the JSON that earlier builds wrote.
@@ -20,15 +20,15 @@
 			return record, err
 		},
 	})
-	golden.Check(t, "usage.json", Usage{Active: 3, Queued: 2, Uptime: 90000, Leaving: true, Warming: true, Links: map[string]int{"10.0.0.2:9000": 12}}, golden.JSON[Usage]())
-	golden.Check(t, "demand.json", Want{
-		Service: "timetable", Ack: 7, Read: [10]int{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}, Make: [10]int{10, 9, 8, 7, 6, 5, 4, 3, 2, 1},
-		Held: map[string]int{"10.0.0.1:9000": 2}, Fails: map[string]int{"10.0.0.2:9000": 1}, Like: map[string]int{"10.0.0.3:9000": 4},
-	}, golden.JSON[Want]())
-	golden.Check(t, "share.json", Share{No: 1<<32 | 5, Len: 750000000, Slots: map[string]int{"10.0.0.1:9000": 4}}, golden.JSON[Share]())
-	golden.Check(t, "order.json", Order{Part: Decode, Term: 4, No: 17, Why: "shift"}, golden.JSON[Order]())
+	golden.Check(t, "usage.json", Usage{Active: 3, Queued: 2, UptimeMillis: 90000, Leaving: true, Warming: true, LinkMillis: map[string]int{"10.0.0.2:9000": 12}}, golden.JSON[Usage]())
+	golden.Check(t, "demand.json", Demand{
+		Service: "timetable", AckedShare: 7, Prefill: [10]int{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}, Decode: [10]int{10, 9, 8, 7, 6, 5, 4, 3, 2, 1},
+		InFlight: map[string]int{"10.0.0.1:9000": 2}, Failures: map[string]int{"10.0.0.2:9000": 1}, PrefixHits: map[string]int{"10.0.0.3:9000": 4},
+	}, golden.JSON[Demand]())
+	golden.Check(t, "share.json", Share{Number: 1<<32 | 5, Length: 750000000, Slots: map[string]int{"10.0.0.1:9000": 4}}, golden.JSON[Share]())
+	golden.Check(t, "order.json", Order{Role: Decode, Term: 4, Number: 17, Reason: "shift"}, golden.JSON[Order]())
 	golden.Check(t, "row.json", Row{
-		ServerRecord: completeServerRecord(), Service: "timetable", Active: 3, Busy: 0.5, Fails: 1, Total: 8, Out: 4, Leaves: true,
+		ServerRecord: completeServerRecord(), Service: "timetable", Active: 3, Utilization: 0.5, Failures: 1, Slots: 8, Granted: 4, Withdrawn: true,
 	}, golden.JSON[Row]())
 }
 
--- a/control/placement/vacant.go
+++ b/control/placement/vacant.go
@@ -27,7 +27,7 @@
 		if _, ok := h.short[key]; !ok {
 			h.short[key] = now
 		}
-		if now-h.short[key] < h.cfg.Settle {
+		if now-h.short[key] < h.cfg.ListedDwell {
 			return false
 		}
 		delete(h.short, key)
@@ -49,6 +49,6 @@
 	pick := h.servers[at]
 	h.moved[svc], pick.leftAt = now, now
 	b := pick.ServerRecord
-	b.To, b.Status, b.Pairs = to, Leaving, nil
+	b.NextRole, b.Status, b.Pairs = to, Leaving, nil
 	h.write(o, at, pick, b, why)
 }
--- a/proof/overload/front.go
+++ b/proof/overload/front.go
@@ -57,7 +57,7 @@
 	}
 	for _, s := range f.w.servers {
 		if s.up && key == fleetconfig.ServerRecordKey(service, s.key) {
-			return message.Record{Key: key, Version: ver, Value: pack(placement.ServerRecord{Addr: s.key, Zone: s.zone, Cap: slots, Part: s.part, Status: placement.Up})}, true
+			return message.Record{Key: key, Version: ver, Value: pack(placement.ServerRecord{Addr: s.key, Zone: s.zone, Capacity: slots, Role: s.part, Status: placement.Up})}, true
 		}
 	}
 	return message.Record{Key: key, Version: ver, Deleted: true}, true
--- a/proof/sim/fakeserver.go
+++ b/proof/sim/fakeserver.go
@@ -99,18 +99,18 @@
 	for a, ms := range d.links {
 		links[a] = ms
 	}
-	return placement.Usage{Active: d.busy, Uptime: (d.w.now - d.born).Milliseconds(), Leaving: d.leaving, Warming: d.w.now-d.born < d.warm && d.w.o.Sabotage != "noramp", Links: links}
+	return placement.Usage{Active: d.busy, UptimeMillis: (d.w.now - d.born).Milliseconds(), Leaving: d.leaving, Warming: d.w.now-d.born < d.warm && d.w.o.Sabotage != "noramp", LinkMillis: links}
 }
 
 func (d *fakeServer) ordered(holder string, o placement.Order) bool {
 	if !d.up || d.dark {
 		return false
 	}
-	d.jot(history.Event{Ev: "order", Holder: holder, Term: o.Term, Part: o.Part, Why: o.Why})
-	if o.Term < d.term || o.Term == d.term && o.No <= d.no {
+	d.jot(history.Event{Ev: "order", Holder: holder, Term: o.Term, Part: o.Role, Why: o.Reason})
+	if o.Term < d.term || o.Term == d.term && o.Number <= d.no {
 		return false
 	}
-	d.term, d.no, d.part = o.Term, o.No, o.Part
+	d.term, d.no, d.part = o.Term, o.Number, o.Role
 	return true
 }
 
--- a/proof/sim/traffic.go
+++ b/proof/sim/traffic.go
@@ -44,9 +44,9 @@
 	c := w.cfg.PlacementConfig()
 	switch w.o.Sabotage {
 	case "noramp":
-		c.Warm = time.Millisecond
+		c.WarmUp = time.Millisecond
 	case "noswap":
-		c.Swap = 0
+		c.SwapBound = 0
 	}
 	return c
 }
@@ -129,7 +129,7 @@
 		}
 	}
 	n.want(l)
-	n.in(n.w.works().Share/8, func() { n.beat(l) })
+	n.in(n.w.works().ShareLength/8, func() { n.beat(l) })
 }
 
 func (n *node) want(l *lane) {
@@ -138,7 +138,7 @@
 	}
 	l.asking = true
 	at := n.local()
-	n.ask(l.part, "want", leadercall.Pack(l.Want()), n.w.works().Share/4, func(d leadercall.Result) {
+	n.ask(l.part, "want", leadercall.Pack(l.Want()), n.w.works().ShareLength/4, func(d leadercall.Result) {
 		l.asking = false
 		if sh, ok := share(d); ok {
 			if s := n.w.o.Sabotage; s == "stale" || s == "evacuatelate" { // no slot is ever given back
@@ -303,7 +303,7 @@
 	life := n.life
 	w.at(w.lag(), func() {
 		if d == nil || !d.up || d.dark {
-			n.in(2*w.works().Poll, func() { told(placement.Usage{}, false) })
+			n.in(2*w.works().PollInterval, func() { told(placement.Usage{}, false) })
 			return
 		}
 		u := d.usage()
--- a/proof/track/drive.go
+++ b/proof/track/drive.go
@@ -55,7 +55,7 @@
 					if seen[r.Service] == nil {
 						seen[r.Service] = map[string]bool{}
 					}
-					seen[r.Service][r.Part] = true
+					seen[r.Service][r.Role] = true
 				}
 			}
 		}
--- a/traffic/forward/lane.go
+++ b/traffic/forward/lane.go
@@ -165,13 +165,13 @@
 			continue
 		}
 		b := l.record(rec)
-		if s.Part != "" && s.Part != b.Part { // by the platform's word it doesn't play its part yet
+		if s.Part != "" && s.Part != b.Role { // by the platform's word it doesn't play its part yet
 			continue
 		}
-		if !b.ok || b.To != "" || b.Status != placement.Up && b.Status != placement.Warming {
+		if !b.ok || b.NextRole != "" || b.Status != placement.Up && b.Status != placement.Warming {
 			continue
 		}
-		l.rows[s.Key()] = Server{Key: s.Key(), Addr: s.Addr, Zone: s.Zone, Part: b.Part, Slots: s.Capacity, Warming: b.Status == placement.Warming}
+		l.rows[s.Key()] = Server{Key: s.Key(), Addr: s.Addr, Zone: s.Zone, Part: b.Role, Slots: s.Capacity, Warming: b.Status == placement.Warming}
 	}
 	l.order = slices.Sorted(maps.Keys(l.rows))
 	for key, st := range l.stats {
--- a/traffic/forward/model_test.go
+++ b/traffic/forward/model_test.go
@@ -53,7 +53,7 @@
 	}
 	for _, s := range r.list {
 		if key == fleetconfig.ServerRecordKey("s", s.Key()) && r.part[s.ID] != "" {
-			return pack(placement.ServerRecord{Addr: s.Addr, Zone: s.Zone, Cap: s.Capacity, Part: r.part[s.ID], Status: placement.Up})
+			return pack(placement.ServerRecord{Addr: s.Addr, Zone: s.Zone, Capacity: s.Capacity, Role: r.part[s.ID], Status: placement.Up})
 		}
 	}
 	return message.Record{Key: key, Deleted: true}, true
--- a/traffic/gateway/gateway.go
+++ b/traffic/gateway/gateway.go
@@ -22,7 +22,7 @@
 	*forward.Lane
 	partition int
 	pinned    map[string]bool
-	strain    atomic.Pointer[map[string]placement.Strain] // by server, as keep saw it
+	strain    atomic.Pointer[map[string]placement.Pressure] // by server, as keep saw it
 }
 
 // sheet is the plan in force, made ready for look-ups.
@@ -100,11 +100,11 @@
 // strain tells the servers' holder how hard one of them is pressed. The holder
 // asks under its part's lock, and a lane reads that part under its own: what
 // keep last saw is told, without the lane's lock.
-func (g *Gateway) strain(svc, key string) placement.Strain {
+func (g *Gateway) strain(svc, key string) placement.Pressure {
 	if all := g.lane(svc).strain.Load(); all != nil {
 		return (*all)[key]
 	}
-	return placement.Strain{}
+	return placement.Pressure{}
 }
 
 // hint takes another daemon's telling.
@@ -190,10 +190,10 @@
 	g.fleet(l)
 	l.Warm(forward.Warm{Rate: svc.ColdRate, Over: g.c.Cfg.WarmUp.Over, Slack: g.c.Cfg.WarmUp.Slack})
 	servers := l.Servers()
-	strain := make(map[string]placement.Strain, len(servers))
+	strain := make(map[string]placement.Pressure, len(servers))
 	for _, s := range servers {
 		read, write := l.Strain(g.c.Now(), s.Key)
-		strain[s.Key] = placement.Strain{Read: read, Write: write}
+		strain[s.Key] = placement.Pressure{Prefill: read, Decode: write}
 	}
 	l.strain.Store(&strain)
 	return servers
--- a/traffic/scheduler/lane.go
+++ b/traffic/scheduler/lane.go
@@ -101,18 +101,18 @@
 // Want is what the leader is told: what waits, what is in flight, what failed.
 //
 // Example: share, at, ok := daemon.Share(ctx, part, l.Want(), limit)
-func (l *Lane) Want() placement.Want {
+func (l *Lane) Want() placement.Demand {
 	r := l.q.Report()
-	return placement.Want{Service: l.svc, Ack: l.ack, Read: r.Read, Make: r.Make, Held: r.Held, Fails: r.Fails, Like: r.Like}
+	return placement.Demand{Service: l.svc, AckedShare: l.ack, Prefill: r.Read, Decode: r.Make, InFlight: r.Held, Failures: r.Fails, PrefixHits: r.Like}
 }
 
 // Shared takes a share, counted from when it was asked for.
 //
 // Example: out := l.Shared(now, share, askedAt)
 func (l *Lane) Shared(now time.Duration, s placement.Share, at time.Duration) (o Out) {
-	l.ack = s.No
+	l.ack = s.Number
 	l.look(now)
-	l.q.Share(now, s.Slots, at+time.Duration(s.Len))
+	l.q.Share(now, s.Slots, at+time.Duration(s.Length))
 	l.settle(now, &o)
 	return o
 }
@@ -176,7 +176,7 @@
 		l.serverRecords[addr] = p
 	}
 	b = p.serverRecord
-	if !p.ok || b.To != "" || b.Status != placement.Up && b.Status != placement.Warming {
+	if !p.ok || b.NextRole != "" || b.Status != placement.Up && b.Status != placement.Warming {
 		return b, false
 	}
 	list, ok := l.src(l.partition, fleetconfig.ListKey(l.svc))
@@ -199,7 +199,7 @@
 // on stand now.
 func (l *Lane) standing(now time.Duration, addr, part string) (placement.ServerRecord, bool) {
 	b, ok := l.serverRecord(addr)
-	return b, ok && b.Part == part && l.q.Valid(now)
+	return b, ok && b.Role == part && l.q.Valid(now)
 }
 
 // Standing is the last look before a call's first byte goes out.
--- a/traffic/scheduler/pick.go
+++ b/traffic/scheduler/pick.go
@@ -28,7 +28,7 @@
 	best, top, n := "", -1, uint64(0)
 	for _, a := range free {
 		b, ok := l.rows[a]
-		if !ok || b.Part != placement.Prefill || len(b.Pairs) == 0 || t.led.Tried(attempt.Prefill, a) || l.avoids(a) {
+		if !ok || b.Role != placement.Prefill || len(b.Pairs) == 0 || t.led.Tried(attempt.Prefill, a) || l.avoids(a) {
 			continue
 		}
 		switch {
@@ -48,7 +48,7 @@
 	best, n, near := "", uint64(0), false
 	for _, a := range free {
 		b, ok := l.rows[a]
-		if !ok || b.Part != placement.Decode || !t.pairs[a] || t.led.Tried(attempt.Decode, a) || l.avoids(a) {
+		if !ok || b.Role != placement.Decode || !t.pairs[a] || t.led.Tried(attempt.Decode, a) || l.avoids(a) {
 			continue
 		}
 		same := b.Zone == t.zone
--- a/traffic/scheduler/scheduler_test.go
+++ b/traffic/scheduler/scheduler_test.go
@@ -32,15 +32,15 @@
 	put(fleetconfig.PlanKey, fleetconfig.Plan{Version: 1, Services: []fleetconfig.Service{{Name: "m"}}, Tenants: []fleetconfig.Tenant{{Name: "t", Timeout: 10000, Queue: 1}}})
 	put(fleetconfig.ZoneKey, []string{})
 	put(fleetconfig.ListKey("m"), fleetconfig.List{Servers: []fleetconfig.Server{{Addr: prefill, Zone: "a", Capacity: 2}, {Addr: decode, Zone: "a", Capacity: 2}}})
-	put(fleetconfig.ServerRecordKey("m", prefill), placement.ServerRecord{Addr: prefill, Zone: "a", Part: placement.Prefill, Status: placement.Up, Pairs: []string{decode}})
-	put(fleetconfig.ServerRecordKey("m", decode), placement.ServerRecord{Addr: decode, Zone: "a", Part: placement.Decode, Status: placement.Up})
+	put(fleetconfig.ServerRecordKey("m", prefill), placement.ServerRecord{Addr: prefill, Zone: "a", Role: placement.Prefill, Status: placement.Up, Pairs: []string{decode}})
+	put(fleetconfig.ServerRecordKey("m", decode), placement.ServerRecord{Addr: decode, Zone: "a", Role: placement.Decode, Status: placement.Up})
 	src := func(_ int, key string) (message.Record, bool) { r, ok := w.recs[key]; return r, ok }
 	cfg := Config{
 		Queue: slots.Config{Most: 8, Floor: time.Second, Ceil: time.Minute}, Retry: 0.2, Window: 16 * time.Second, Most: 3, Patience: time.Second,
 		Shy: time.Second, Turned: time.Second, Stall: 2 * time.Second, Ahead: 4, Back: time.Second, Prefixes: 100,
 	}
 	w.Lane = New(cfg, "m", 1, src, func() uint64 { return 1 })
-	w.Shared(w.now, placement.Share{No: 1, Len: int64(time.Hour), Slots: map[string]int{prefill: 2, decode: 2}}, w.now)
+	w.Shared(w.now, placement.Share{Number: 1, Length: int64(time.Hour), Slots: map[string]int{prefill: 2, decode: 2}}, w.now)
 	return w
 }
 
