--- a/cmd/mulleinctl/main.go
+++ b/cmd/mulleinctl/main.go
@@ -201,7 +201,7 @@
 		}
 		var rows [][]any
 		for _, t := range p.Tenants {
-			rows = append(rows, []any{p.Version, t.Name, t.Priority, t.Timeout, t.Queue, strings.Join(t.Services, ",")})
+			rows = append(rows, []any{p.Version, t.Name, t.Priority, t.TimeoutMillis, t.QueueFraction, strings.Join(t.Services, ",")})
 		}
 		return s.show(p, "VERSION TENANT PRIORITY TIMEOUT_MS QUEUE SERVICES", rows)
 	case "partitions", "tree", "servers", "versions", "queue", "counts":
--- a/control/daemon/build.go
+++ b/control/daemon/build.go
@@ -10,7 +10,7 @@
 
 // Build names this build to others: what it takes of their messages ("2": tellings of
 // what changed, traffic/board), and the format of plans that it reads.
-var Build = fmt.Sprintf("2%s%d", buildMark, fleetconfig.Format())
+var Build = fmt.Sprintf("2%s%d", buildMark, fleetconfig.NewestFormat())
 
 // buildMark stands before the format in a build's name; builds without it read the
 // first format.
@@ -29,7 +29,7 @@
 // formatRead is the format of plans that all daemons of the fleet read, as far as
 // this one sees them.
 func (c *Daemon) formatRead() int {
-	lowest := fleetconfig.Format()
+	lowest := fleetconfig.NewestFormat()
 	for _, m := range c.View().Members {
 		lowest = min(lowest, formatOf(m.Build))
 	}
--- a/control/daemon/config.go
+++ b/control/daemon/config.go
@@ -265,10 +265,10 @@
 		}
 		seen[s] = true
 	}
-	if !fleetconfig.GoodName(c.Zone) {
+	if !fleetconfig.IsValidName(c.Zone) {
 		f.Add("zone: %q: expected 1 to 64 letters, digits, '.', '_' or '-'", c.Zone)
 	}
-	if !fleetconfig.GoodName(c.Fleet) {
+	if !fleetconfig.IsValidName(c.Fleet) {
 		f.Add("fleet: %q: expected 1 to 64 letters, digits, '.', '_' or '-'", c.Fleet)
 	}
 	if c.Partitions < 1 || c.Partitions > 64 {
--- a/control/daemon/operate.go
+++ b/control/daemon/operate.go
@@ -84,7 +84,7 @@
 	m.HandleFunc("POST /v1/plan/changes", func(w http.ResponseWriter, r *http.Request) { c.operator(w, r, 0, "changes", nil) })
 	zones := func(w http.ResponseWriter, r *http.Request) {
 		op, zone := r.PathValue("op"), r.PathValue("zone")
-		if op != "evacuate" && op != "return" || !fleetconfig.GoodName(zone) {
+		if op != "evacuate" && op != "return" || !fleetconfig.IsValidName(zone) {
 			Respond(w, 404, leadercall.Response{Result: "broken", Faults: []string{fmt.Sprintf("zone %q, op %q: expected a zone's name and evacuate or return", zone, op)}})
 			return
 		}
@@ -116,10 +116,10 @@
 		c.operator(w, r, c.Partition(svc), "servers", func(b []byte) ([]byte, fleetconfig.Faults) {
 			var l fleetconfig.List
 			f := fleetconfig.Decode(b, &l)
-			if !fleetconfig.GoodName(svc) {
+			if !fleetconfig.IsValidName(svc) {
 				f.Add("service: %q: expected 1 to 64 letters, digits, '.', '_' or '-'", svc)
 			}
-			bad := l.Check()
+			bad := l.Validate()
 			f.List = append(f.List, bad.List...)
 			return leadercall.Pack(leader.ServersCall{Service: svc, List: l}), f
 		})
@@ -128,7 +128,7 @@
 		svc := r.PathValue("service")
 		ctx, done := context.WithTimeout(r.Context(), c.Cfg.Bounds.Plan)
 		defer done()
-		if !fleetconfig.GoodName(svc) {
+		if !fleetconfig.IsValidName(svc) {
 			Respond(w, 404, leadercall.Response{Result: "broken", Faults: []string{"no such service"}})
 			return
 		}
--- a/control/daemon/source.go
+++ b/control/daemon/source.go
@@ -87,7 +87,7 @@
 	for _, svc := range slices.Sorted(maps.Keys(got)) {
 		list := fleetconfig.List{Servers: got[svc]}
 		slices.SortFunc(list.Servers, func(a, b fleetconfig.Server) int { return bytes.Compare([]byte(a.Key()), []byte(b.Key())) })
-		if f := list.Check(); f.Any() || !fleetconfig.GoodName(svc) {
+		if f := list.Validate(); f.Any() || !fleetconfig.IsValidName(svc) {
 			c.Events.Record("source", "list of %q not taken: %v", svc, f.List)
 			continue
 		}
--- a/control/fleetconfig/change.go
+++ b/control/fleetconfig/change.go
@@ -85,10 +85,10 @@
 	needs    int
 }
 
-// With applies named changes to a copy of the plan; faults name the change.
+// Apply applies named changes to a copy of the plan; faults name the change.
 //
-// Example: next, f := plan.With(changes)
-func (p Plan) With(c Changes) (Plan, Faults) {
+// Example: next, f := plan.Apply(changes)
+func (p Plan) Apply(c Changes) (Plan, Faults) {
 	var f Faults
 	d := draft{
 		tenants:  newList(p.Tenants, func(t *Tenant) string { return t.Name }),
@@ -112,7 +112,7 @@
 	out := p
 	out.ID, out.Number = c.ID, c.Number
 	out.Tenants, out.Services, out.Routes, out.Limits, out.Needs = d.tenants.left(), d.services.left(), d.routes.left(), d.limits, d.needs
-	return out, out.Check()
+	return out, out.Validate()
 }
 
 func (d *draft) apply(c Change) string {
--- a/control/fleetconfig/codec.go
+++ b/control/fleetconfig/codec.go
@@ -75,7 +75,7 @@
 	if len(val) == 0 || val[0] != stored {
 		return val, nil
 	}
-	b, err := Plain(val)
+	b, err := Decompress(val)
 	if err != nil {
 		return nil, err
 	}
@@ -96,6 +96,6 @@
 	if val[0] == opened {
 		return val[1:], true, nil
 	}
-	b, err = Plain(val)
+	b, err = Decompress(val)
 	return b, val[0] == stored, err
 }
--- a/control/fleetconfig/codec_test.go
+++ b/control/fleetconfig/codec_test.go
@@ -14,14 +14,14 @@
 	p := Plan{ID: "p", Version: 7, Services: []Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}
 	for i := range routes {
 		raw := fmt.Sprintf(`{"name":"r-%07x","host":"host%05x.example","prefix":"/%06x/","kind":"streaming","give_up":3000,"aim":400,"urgency":0,"service":"m","tries":2}`, i*7919, i*104729, i*31)
-		p.Routes = append(p.Routes, Route{Name: fmt.Sprintf("r-%07x", i*7919), Host: fmt.Sprintf("host%05x.example", i*104729), Prefix: fmt.Sprintf("/%06x/", i*31), Kind: Safe, GiveUp: 3000, Services: []Share{{Service: "m", Weight: 1}}, Raw: json.RawMessage(raw)})
+		p.Routes = append(p.Routes, Route{Name: fmt.Sprintf("r-%07x", i*7919), Host: fmt.Sprintf("host%05x.example", i*104729), Prefix: fmt.Sprintf("/%06x/", i*31), Kind: Safe, GiveUpMillis: 3000, Services: []Share{{Service: "m", Weight: 1}}, Raw: json.RawMessage(raw)})
 	}
 	return p
 }
 
 func recordOf(t testing.TB, p Plan) []byte {
 	t.Helper()
-	b, err := Record(p)
+	b, err := EncodePlan(p)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 		next := p
 		next.Version, next.ID = p.Version+3, fmt.Sprintf("%032x", n*12345)
 		next.Routes = append([]Route(nil), p.Routes...)
-		next.Routes[(n*97)%1500].GiveUp = 1000 + n
+		next.Routes[(n*97)%1500].GiveUpMillis = 1000 + n
 		to := recordOf(t, next)
 		patch := Codec{}.Patch(whole, to)
 		if len(patch) == 0 || len(patch) > 200 {
@@ -49,7 +49,7 @@
 			t.Fatal(err)
 		}
 		got, err := ReadPlan(message.Record{Key: PlanKey, Value: val})
-		if err != nil || !reflect.DeepEqual(got, Open(message.Record{Key: PlanKey, Value: to})) {
+		if err != nil || !reflect.DeepEqual(got, OpenPlan(message.Record{Key: PlanKey, Value: to})) {
 			t.Fatalf("change %d: %v, or another plan", n, err)
 		}
 		if again := (Codec{}).Whole(val); string(again) != string(to) {
@@ -63,7 +63,7 @@
 // that was cut short or spoilt tells so too.
 func TestAPatchFitsOnlyItsBase(t *testing.T) {
 	a, b := planOf(200), planOf(200)
-	b.Routes[7].GiveUp = 17
+	b.Routes[7].GiveUpMillis = 17
 	other := planOf(200)
 	other.Routes[3].Host = "another.example"
 	patch := Codec{}.Patch(recordOf(t, a), recordOf(t, b))
@@ -127,7 +127,7 @@
 func BenchmarkPatch(b *testing.B) {
 	p := planOf(1500)
 	from := recordOf(b, p)
-	p.Routes[700].GiveUp = 17
+	p.Routes[700].GiveUpMillis = 17
 	to := recordOf(b, p)
 	patch := Codec{}.Patch(from, to)
 	base, err := kept(from)
--- a/control/fleetconfig/fleetconfig.go
+++ b/control/fleetconfig/fleetconfig.go
@@ -35,8 +35,8 @@
 
 // Most bounds a plan's size.
 const (
-	MostTenants  = 20000
-	MostServices = 5000
+	MaxTenants  = 20000
+	MaxServices = 5000
 )
 
 var name = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._-]{0,63}$`)
@@ -46,8 +46,8 @@
 	Name     string   `json:"name"`
 	Priority int      `json:"priority"`           // 0 is the most urgent, 9 the least
 	Services []string `json:"services,omitempty"` // models it may use; none means all
-	Timeout  int      `json:"budget_ms"`          // for requests that name none
-	Queue    float64  `json:"queue"`              // most of a daemon's queue it may fill
+	TimeoutMillis  int      `json:"budget_ms"`          // for requests that name none
+	QueueFraction    float64  `json:"queue"`              // most of a daemon's queue it may fill
 }
 
 // Service is what a plan says of one model.
@@ -57,17 +57,17 @@
 	DecodeServers  int      `json:"makers"`
 	Exclude        []string `json:"exclude,omitempty"` // servers that get no work
 
-	Status     string          `json:"status,omitempty"`      // path at which a server tells how it is
-	Conns      int             `json:"conns,omitempty"`       // most connections a server takes from all daemons together
-	ColdFor    float64         `json:"cold_s,omitempty"`      // a server is cold for so long after its start, in seconds
-	ColdRate   float64         `json:"cold_rate,omitempty"`   // what a cold server bears, in requests a second
+	StatusPath     string          `json:"status,omitempty"`      // path at which a server tells how it is
+	MaxConnections      int             `json:"conns,omitempty"`       // most connections a server takes from all daemons together
+	WarmUpSeconds    float64         `json:"cold_s,omitempty"`      // a server is cold for so long after its start, in seconds
+	WarmUpRate   float64         `json:"cold_rate,omitempty"`   // what a cold server bears, in requests a second
 	Slots      int             `json:"slots,omitempty"`       // requests a server works on at a time
-	Memory     int             `json:"memory,omitempty"`      // of a server, in tokens
+	MemoryTokens     int             `json:"memory,omitempty"`      // of a server, in tokens
 	TokenBytes int             `json:"token_bytes,omitempty"` // moved for each token of a hand-over
 	LinkMbps   float64         `json:"link_mbps,omitempty"`   // of a server, for hand-overs
-	Stride     int             `json:"stride,omitempty"`      // tokens in one event of a stream
-	Hold       float64         `json:"hold_s,omitempty"`      // life of a handle, in seconds
-	Switch     float64         `json:"switch_s,omitempty"`    // time that a change of part takes, in seconds
+	TokensPerEvent     int             `json:"stride,omitempty"`      // tokens in one event of a stream
+	HandleSeconds       float64         `json:"hold_s,omitempty"`      // life of a handle, in seconds
+	SwitchSeconds     float64         `json:"switch_s,omitempty"`    // time that a change of part takes, in seconds
 	Models     []string        `json:"models,omitempty"`
 	Raw        json.RawMessage `json:"raw,omitempty"` // the item as its operator sent it
 }
@@ -88,12 +88,12 @@
 	Needs int `json:"needs,omitempty"`
 	// Raw is what else the operator sent, an object of further fields.
 	Raw json.RawMessage `json:"raw,omitempty"`
-	// Past is what a build before this one remembered; see Taken.
-	Past []Past `json:"past,omitempty"`
+	// PastChanges is what a build before this one remembered; see Taken.
+	PastChanges []AcceptedChange `json:"past,omitempty"`
 }
 
-// Past remembers an accepted id, so that a resent plan gets the same answer.
-type Past struct {
+// AcceptedChange remembers an accepted id, so that a resent plan gets the same answer.
+type AcceptedChange struct {
 	ID      string `json:"id"`
 	Version uint64 `json:"version"`
 }
@@ -103,7 +103,7 @@
 // Example: json.Marshal(fleetconfig.Template())
 func Template() Plan {
 	return Plan{
-		ID: "change-me", Tenants: []Tenant{{Name: "tenant", Priority: 5, Timeout: 30000, Queue: 0.5}},
+		ID: "change-me", Tenants: []Tenant{{Name: "tenant", Priority: 5, TimeoutMillis: 30000, QueueFraction: 0.5}},
 		Services: []Service{{Name: "model", PrefillServers: 1, DecodeServers: 1}},
 	}
 }
@@ -155,15 +155,15 @@
 	return f
 }
 
-// Check lists every fault of the plan.
+// Validate lists every fault of the plan.
 //
-// Example: if f := plan.Check(); f.Any() { ... }
-func (p Plan) Check() (f Faults) {
+// Example: if f := plan.Validate(); f.Any() { ... }
+func (p Plan) Validate() (f Faults) {
 	f.take("plan", v.ValidateStruct(&p,
 		v.Field(&p.ID, v.Required, v.Match(name).Error("expected 1 to 64 letters, digits, '.', '_' or '-'")),
 		v.Field(&p.Needs, v.Min(0), v.Max(mostFormat)),
-		v.Field(&p.Tenants, v.Length(0, MostTenants)),
-		v.Field(&p.Services, v.Length(0, MostServices))))
+		v.Field(&p.Tenants, v.Length(0, MaxTenants)),
+		v.Field(&p.Services, v.Length(0, MaxServices))))
 	known := map[string]bool{}
 	for i, s := range p.Services {
 		at := fmt.Sprintf("services[%d]", i)
@@ -179,8 +179,8 @@
 		f.take(at, v.ValidateStruct(&t,
 			v.Field(&t.Name, v.Required, v.Match(name).Error("expected 1 to 64 letters, digits, '.', '_' or '-'")),
 			v.Field(&t.Priority, v.Min(0), v.Max(9)),
-			v.Field(&t.Timeout, v.Required, v.Min(1), v.Max(600000)),
-			v.Field(&t.Queue, v.Required, v.Min(0.001), v.Max(1.0))))
+			v.Field(&t.TimeoutMillis, v.Required, v.Min(1), v.Max(600000)),
+			v.Field(&t.QueueFraction, v.Required, v.Min(0.001), v.Max(1.0))))
 		if j, ok := seen[t.Name]; ok {
 			f.Add("%s.name: %q stands already in tenants[%d]", at, t.Name, j)
 		}
@@ -205,7 +205,7 @@
 
 // service is lenient: a name has only to fit into the records' keys.
 func service(x any) error {
-	if s, _ := x.(string); !GoodService(s) {
+	if s, _ := x.(string); !IsValidServiceName(s) {
 		return fmt.Errorf("%.80q: expected 1 to 1024 bytes without a '/'", s)
 	}
 	return nil
@@ -232,7 +232,7 @@
 //
 // Example: val, verdict := fleetconfig.Judge(cur, "id-1", 4, func(p Plan) (Plan, Faults) { return p.With(c) })
 func Judge(cur Plan, id string, base uint64, next func(Plan) (Plan, Faults)) ([]byte, Verdict) {
-	for _, p := range slices.Concat(cur.Past, []Past{{ID: cur.ID, Version: cur.Version}}) {
+	for _, p := range slices.Concat(cur.PastChanges, []AcceptedChange{{ID: cur.ID, Version: cur.Version}}) {
 		if p.ID == id && id != "" {
 			return nil, Verdict{Result: "taken", Version: p.Version}
 		}
@@ -251,8 +251,8 @@
 	if p.Number > 0 {
 		p.Version, p.Number = p.Number, 0
 	}
-	p.Past = nil // see Taken
-	b, err := Record(p)
+	p.PastChanges = nil // see Taken
+	b, err := EncodePlan(p)
 	if err != nil {
 		return nil, Verdict{Result: "broken", Version: cur.Version, Faults: []string{err.Error()}}
 	}
@@ -288,11 +288,11 @@
 	return Error.New("record %q of version %s can't be read: %v", r.Key, r.Version, err)
 }
 
-// Open is ReadPlan for records that were found readable before: what the daemon
+// OpenPlan is ReadPlan for records that were found readable before: what the daemon
 // serves is.
 //
-// Example: plan := fleetconfig.Open(rec)
-func Open(r message.Record) Plan {
+// Example: plan := fleetconfig.OpenPlan(rec)
+func OpenPlan(r message.Record) Plan {
 	p, err := ReadPlan(r)
 	if err != nil {
 		panic(err)
@@ -319,10 +319,10 @@
 	return out, nil
 }
 
-// Zones is ReadZones for records that were found readable before.
+// OpenZones is ReadZones for records that were found readable before.
 //
-// Example: if fleetconfig.Zones(rec)["north"] { skip() }
-func Zones(r message.Record) map[string]bool {
+// Example: if fleetconfig.OpenZones(rec)["north"] { skip() }
+func OpenZones(r message.Record) map[string]bool {
 	out, err := ReadZones(r)
 	if err != nil {
 		panic(err)
@@ -330,10 +330,10 @@
 	return out
 }
 
-// PackZones is the inverse of Zones.
+// EncodeZones is the inverse of Zones.
 //
-// Example: val := fleetconfig.PackZones(map[string]bool{"north": true})
-func PackZones(m map[string]bool) []byte {
+// Example: val := fleetconfig.EncodeZones(map[string]bool{"north": true})
+func EncodeZones(m map[string]bool) []byte {
 	list := []string{}
 	for c, on := range m {
 		if on {
@@ -352,7 +352,7 @@
 	Zone     string `json:"cell"`
 	Capacity int    `json:"capacity"`
 	Leaving  bool   `json:"leaving,omitempty"`
-	Part     string `json:"part,omitempty"` // that it plays by the platform's word; none: it is to be asked and ordered
+	Role     string `json:"part,omitempty"` // that it plays by the platform's word; none: it is to be asked and ordered
 	Warming  bool   `json:"warming,omitempty"`
 }
 
@@ -394,10 +394,10 @@
 	return l
 }
 
-// Check lists every fault of a server list.
+// Validate lists every fault of a server list.
 //
-// Example: if f := list.Check(); f.Any() { ... }
-func (l List) Check() (f Faults) {
+// Example: if f := list.Validate(); f.Any() { ... }
+func (l List) Validate() (f Faults) {
 	seen := map[string]int{}
 	for i, s := range l.Servers {
 		at := fmt.Sprintf("servers[%d]", i)
@@ -413,15 +413,15 @@
 	return f
 }
 
-// GoodName tells whether a name may stand in a key.
+// IsValidName tells whether a name may stand in a key.
 //
-// Example: fleetconfig.GoodName("north") == true
-func GoodName(s string) bool { return name.MatchString(s) && !strings.Contains(s, "/") }
+// Example: fleetconfig.IsValidName("north") == true
+func IsValidName(s string) bool { return name.MatchString(s) && !strings.Contains(s, "/") }
 
-// GoodService tells whether a service may have that name.
+// IsValidServiceName tells whether a service may have that name.
 //
-// Example: fleetconfig.GoodService("time table") == true
-func GoodService(s string) bool {
+// Example: fleetconfig.IsValidServiceName("time table") == true
+func IsValidServiceName(s string) bool {
 	return s != "" && len(s) <= 1024 && !strings.Contains(s, "/") && utf8.ValidString(s)
 }
 
--- a/control/fleetconfig/fleetconfig_gen.go
+++ b/control/fleetconfig/fleetconfig_gen.go
@@ -68,11 +68,11 @@
 		zb0001Len--
 		zb0001Mask |= 0x2
 	}
-	if z.HeaderWait == 0 {
+	if z.HeaderTimeoutMillis == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x4
 	}
-	if z.Idle == 0 {
+	if z.IdleTimeoutMillis == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x8
 	}
@@ -98,12 +98,12 @@
 		if (zb0001Mask & 0x4) == 0 { // if not omitted
 			// string "header_wait_ms"
 			o = append(o, 0xae, 0x68, 0x65, 0x61, 0x64, 0x65, 0x72, 0x5f, 0x77, 0x61, 0x69, 0x74, 0x5f, 0x6d, 0x73)
-			o = msgp.AppendInt(o, z.HeaderWait)
+			o = msgp.AppendInt(o, z.HeaderTimeoutMillis)
 		}
 		if (zb0001Mask & 0x8) == 0 { // if not omitted
 			// string "idle_ms"
 			o = append(o, 0xa7, 0x69, 0x64, 0x6c, 0x65, 0x5f, 0x6d, 0x73)
-			o = msgp.AppendInt(o, z.Idle)
+			o = msgp.AppendInt(o, z.IdleTimeoutMillis)
 		}
 		if (zb0001Mask & 0x10) == 0 { // if not omitted
 			// string "raw"
@@ -145,13 +145,13 @@
 				return
 			}
 		case "header_wait_ms":
-			z.HeaderWait, bts, err = msgp.ReadIntBytes(bts)
+			z.HeaderTimeoutMillis, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "HeaderWait")
 				return
 			}
 		case "idle_ms":
-			z.Idle, bts, err = msgp.ReadIntBytes(bts)
+			z.IdleTimeoutMillis, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Idle")
 				return
@@ -185,7 +185,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Past) MarshalMsg(b []byte) (o []byte, err error) {
+func (z AcceptedChange) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "id"
@@ -198,7 +198,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Past) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *AcceptedChange) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -240,7 +240,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Past) Msgsize() (s int) {
+func (z AcceptedChange) Msgsize() (s int) {
 	s = 1 + 3 + msgp.StringPrefixSize + len(z.ID) + 8 + msgp.Uint64Size
 	return
 }
@@ -272,7 +272,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x200
 	}
-	if z.Past == nil {
+	if z.PastChanges == nil {
 		zb0001Len--
 		zb0001Mask |= 0x400
 	}
@@ -349,15 +349,15 @@
 		if (zb0001Mask & 0x400) == 0 { // if not omitted
 			// string "past"
 			o = append(o, 0xa4, 0x70, 0x61, 0x73, 0x74)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Past)))
-			for za0004 := range z.Past {
+			o = msgp.AppendArrayHeader(o, uint32(len(z.PastChanges)))
+			for za0004 := range z.PastChanges {
 				// map header, size 2
 				// string "id"
 				o = append(o, 0x82, 0xa2, 0x69, 0x64)
-				o = msgp.AppendString(o, z.Past[za0004].ID)
+				o = msgp.AppendString(o, z.PastChanges[za0004].ID)
 				// string "version"
 				o = append(o, 0xa7, 0x76, 0x65, 0x72, 0x73, 0x69, 0x6f, 0x6e)
-				o = msgp.AppendUint64(o, z.Past[za0004].Version)
+				o = msgp.AppendUint64(o, z.PastChanges[za0004].Version)
 			}
 		}
 	}
@@ -492,12 +492,12 @@
 				err = msgp.WrapError(err, "Past")
 				return
 			}
-			if cap(z.Past) >= int(zb0006) {
-				z.Past = (z.Past)[:zb0006]
+			if cap(z.PastChanges) >= int(zb0006) {
+				z.PastChanges = (z.PastChanges)[:zb0006]
 			} else {
-				z.Past = make([]Past, zb0006)
+				z.PastChanges = make([]AcceptedChange, zb0006)
 			}
-			for za0004 := range z.Past {
+			for za0004 := range z.PastChanges {
 				var zb0007 uint32
 				zb0007, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
@@ -513,13 +513,13 @@
 					}
 					switch msgp.UnsafeString(field) {
 					case "id":
-						z.Past[za0004].ID, bts, err = msgp.ReadStringBytes(bts)
+						z.PastChanges[za0004].ID, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
 							err = msgp.WrapError(err, "Past", za0004, "ID")
 							return
 						}
 					case "version":
-						z.Past[za0004].Version, bts, err = msgp.ReadUint64Bytes(bts)
+						z.PastChanges[za0004].Version, bts, err = msgp.ReadUint64Bytes(bts)
 						if err != nil {
 							err = msgp.WrapError(err, "Past", za0004, "Version")
 							return
@@ -560,8 +560,8 @@
 		s += z.Routes[za0003].Msgsize()
 	}
 	s += 7 + z.Limits.Msgsize() + 7 + msgp.Uint64Size + 6 + msgp.IntSize + 4 + msgp.BytesPrefixSize + len([]byte(z.Raw)) + 5 + msgp.ArrayHeaderSize
-	for za0004 := range z.Past {
-		s += 1 + 3 + msgp.StringPrefixSize + len(z.Past[za0004].ID) + 8 + msgp.Uint64Size
+	for za0004 := range z.PastChanges {
+		s += 1 + 3 + msgp.StringPrefixSize + len(z.PastChanges[za0004].ID) + 8 + msgp.Uint64Size
 	}
 	return
 }
@@ -573,15 +573,15 @@
 	zb0001Len := uint32(14)
 	var zb0001Mask uint16 /* 14 bits */
 	_ = zb0001Mask
-	if z.Target == 0 {
+	if z.TargetMillis == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x20
 	}
-	if z.Gap == 0 {
+	if z.GapMillis == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x40
 	}
-	if z.Tries == 0 {
+	if z.MaxAttempts == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x100
 	}
@@ -593,7 +593,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x400
 	}
-	if z.Homes == nil {
+	if z.Regions == nil {
 		zb0001Len--
 		zb0001Mask |= 0x1000
 	}
@@ -620,16 +620,16 @@
 		o = msgp.AppendString(o, z.Kind)
 		// string "give_up_ms"
 		o = append(o, 0xaa, 0x67, 0x69, 0x76, 0x65, 0x5f, 0x75, 0x70, 0x5f, 0x6d, 0x73)
-		o = msgp.AppendInt(o, z.GiveUp)
+		o = msgp.AppendInt(o, z.GiveUpMillis)
 		if (zb0001Mask & 0x20) == 0 { // if not omitted
 			// string "target_ms"
 			o = append(o, 0xa9, 0x74, 0x61, 0x72, 0x67, 0x65, 0x74, 0x5f, 0x6d, 0x73)
-			o = msgp.AppendInt(o, z.Target)
+			o = msgp.AppendInt(o, z.TargetMillis)
 		}
 		if (zb0001Mask & 0x40) == 0 { // if not omitted
 			// string "gap_ms"
 			o = append(o, 0xa6, 0x67, 0x61, 0x70, 0x5f, 0x6d, 0x73)
-			o = msgp.AppendInt(o, z.Gap)
+			o = msgp.AppendInt(o, z.GapMillis)
 		}
 		// string "urgency"
 		o = append(o, 0xa7, 0x75, 0x72, 0x67, 0x65, 0x6e, 0x63, 0x79)
@@ -637,7 +637,7 @@
 		if (zb0001Mask & 0x100) == 0 { // if not omitted
 			// string "tries"
 			o = append(o, 0xa5, 0x74, 0x72, 0x69, 0x65, 0x73)
-			o = msgp.AppendInt(o, z.Tries)
+			o = msgp.AppendInt(o, z.MaxAttempts)
 		}
 		if (zb0001Mask & 0x200) == 0 { // if not omitted
 			// string "sticky"
@@ -664,9 +664,9 @@
 		if (zb0001Mask & 0x1000) == 0 { // if not omitted
 			// string "homes"
 			o = append(o, 0xa5, 0x68, 0x6f, 0x6d, 0x65, 0x73)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Homes)))
-			for za0002 := range z.Homes {
-				o = msgp.AppendString(o, z.Homes[za0002])
+			o = msgp.AppendArrayHeader(o, uint32(len(z.Regions)))
+			for za0002 := range z.Regions {
+				o = msgp.AppendString(o, z.Regions[za0002])
 			}
 		}
 		if (zb0001Mask & 0x2000) == 0 { // if not omitted
@@ -721,19 +721,19 @@
 				return
 			}
 		case "give_up_ms":
-			z.GiveUp, bts, err = msgp.ReadIntBytes(bts)
+			z.GiveUpMillis, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "GiveUp")
 				return
 			}
 		case "target_ms":
-			z.Target, bts, err = msgp.ReadIntBytes(bts)
+			z.TargetMillis, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Target")
 				return
 			}
 		case "gap_ms":
-			z.Gap, bts, err = msgp.ReadIntBytes(bts)
+			z.GapMillis, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Gap")
 				return
@@ -745,7 +745,7 @@
 				return
 			}
 		case "tries":
-			z.Tries, bts, err = msgp.ReadIntBytes(bts)
+			z.MaxAttempts, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Tries")
 				return
@@ -817,13 +817,13 @@
 				err = msgp.WrapError(err, "Homes")
 				return
 			}
-			if cap(z.Homes) >= int(zb0004) {
-				z.Homes = (z.Homes)[:zb0004]
+			if cap(z.Regions) >= int(zb0004) {
+				z.Regions = (z.Regions)[:zb0004]
 			} else {
-				z.Homes = make([]string, zb0004)
+				z.Regions = make([]string, zb0004)
 			}
-			for za0002 := range z.Homes {
-				z.Homes[za0002], bts, err = msgp.ReadStringBytes(bts)
+			for za0002 := range z.Regions {
+				z.Regions[za0002], bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "Homes", za0002)
 					return
@@ -858,8 +858,8 @@
 		s += 1 + 8 + msgp.StringPrefixSize + len(z.Services[za0001].Service) + 7 + msgp.Float64Size
 	}
 	s += 6 + msgp.ArrayHeaderSize
-	for za0002 := range z.Homes {
-		s += msgp.StringPrefixSize + len(z.Homes[za0002])
+	for za0002 := range z.Regions {
+		s += msgp.StringPrefixSize + len(z.Regions[za0002])
 	}
 	s += 4 + msgp.BytesPrefixSize + len([]byte(z.Raw))
 	return
@@ -876,19 +876,19 @@
 		zb0001Len--
 		zb0001Mask |= 0x8
 	}
-	if z.Status == "" {
+	if z.StatusPath == "" {
 		zb0001Len--
 		zb0001Mask |= 0x10
 	}
-	if z.Conns == 0 {
+	if z.MaxConnections == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x20
 	}
-	if z.ColdFor == 0 {
+	if z.WarmUpSeconds == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x40
 	}
-	if z.ColdRate == 0 {
+	if z.WarmUpRate == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x80
 	}
@@ -896,7 +896,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x100
 	}
-	if z.Memory == 0 {
+	if z.MemoryTokens == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x200
 	}
@@ -908,15 +908,15 @@
 		zb0001Len--
 		zb0001Mask |= 0x800
 	}
-	if z.Stride == 0 {
+	if z.TokensPerEvent == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x1000
 	}
-	if z.Hold == 0 {
+	if z.HandleSeconds == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x2000
 	}
-	if z.Switch == 0 {
+	if z.SwitchSeconds == 0 {
 		zb0001Len--
 		zb0001Mask |= 0x4000
 	}
@@ -953,22 +953,22 @@
 		if (zb0001Mask & 0x10) == 0 { // if not omitted
 			// string "status"
 			o = append(o, 0xa6, 0x73, 0x74, 0x61, 0x74, 0x75, 0x73)
-			o = msgp.AppendString(o, z.Status)
+			o = msgp.AppendString(o, z.StatusPath)
 		}
 		if (zb0001Mask & 0x20) == 0 { // if not omitted
 			// string "conns"
 			o = append(o, 0xa5, 0x63, 0x6f, 0x6e, 0x6e, 0x73)
-			o = msgp.AppendInt(o, z.Conns)
+			o = msgp.AppendInt(o, z.MaxConnections)
 		}
 		if (zb0001Mask & 0x40) == 0 { // if not omitted
 			// string "cold_s"
 			o = append(o, 0xa6, 0x63, 0x6f, 0x6c, 0x64, 0x5f, 0x73)
-			o = msgp.AppendFloat64(o, z.ColdFor)
+			o = msgp.AppendFloat64(o, z.WarmUpSeconds)
 		}
 		if (zb0001Mask & 0x80) == 0 { // if not omitted
 			// string "cold_rate"
 			o = append(o, 0xa9, 0x63, 0x6f, 0x6c, 0x64, 0x5f, 0x72, 0x61, 0x74, 0x65)
-			o = msgp.AppendFloat64(o, z.ColdRate)
+			o = msgp.AppendFloat64(o, z.WarmUpRate)
 		}
 		if (zb0001Mask & 0x100) == 0 { // if not omitted
 			// string "slots"
@@ -978,7 +978,7 @@
 		if (zb0001Mask & 0x200) == 0 { // if not omitted
 			// string "memory"
 			o = append(o, 0xa6, 0x6d, 0x65, 0x6d, 0x6f, 0x72, 0x79)
-			o = msgp.AppendInt(o, z.Memory)
+			o = msgp.AppendInt(o, z.MemoryTokens)
 		}
 		if (zb0001Mask & 0x400) == 0 { // if not omitted
 			// string "token_bytes"
@@ -993,17 +993,17 @@
 		if (zb0001Mask & 0x1000) == 0 { // if not omitted
 			// string "stride"
 			o = append(o, 0xa6, 0x73, 0x74, 0x72, 0x69, 0x64, 0x65)
-			o = msgp.AppendInt(o, z.Stride)
+			o = msgp.AppendInt(o, z.TokensPerEvent)
 		}
 		if (zb0001Mask & 0x2000) == 0 { // if not omitted
 			// string "hold_s"
 			o = append(o, 0xa6, 0x68, 0x6f, 0x6c, 0x64, 0x5f, 0x73)
-			o = msgp.AppendFloat64(o, z.Hold)
+			o = msgp.AppendFloat64(o, z.HandleSeconds)
 		}
 		if (zb0001Mask & 0x4000) == 0 { // if not omitted
 			// string "switch_s"
 			o = append(o, 0xa8, 0x73, 0x77, 0x69, 0x74, 0x63, 0x68, 0x5f, 0x73)
-			o = msgp.AppendFloat64(o, z.Switch)
+			o = msgp.AppendFloat64(o, z.SwitchSeconds)
 		}
 		if (zb0001Mask & 0x8000) == 0 { // if not omitted
 			// string "models"
@@ -1078,25 +1078,25 @@
 				}
 			}
 		case "status":
-			z.Status, bts, err = msgp.ReadStringBytes(bts)
+			z.StatusPath, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Status")
 				return
 			}
 		case "conns":
-			z.Conns, bts, err = msgp.ReadIntBytes(bts)
+			z.MaxConnections, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Conns")
 				return
 			}
 		case "cold_s":
-			z.ColdFor, bts, err = msgp.ReadFloat64Bytes(bts)
+			z.WarmUpSeconds, bts, err = msgp.ReadFloat64Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "ColdFor")
 				return
 			}
 		case "cold_rate":
-			z.ColdRate, bts, err = msgp.ReadFloat64Bytes(bts)
+			z.WarmUpRate, bts, err = msgp.ReadFloat64Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "ColdRate")
 				return
@@ -1108,7 +1108,7 @@
 				return
 			}
 		case "memory":
-			z.Memory, bts, err = msgp.ReadIntBytes(bts)
+			z.MemoryTokens, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Memory")
 				return
@@ -1126,19 +1126,19 @@
 				return
 			}
 		case "stride":
-			z.Stride, bts, err = msgp.ReadIntBytes(bts)
+			z.TokensPerEvent, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Stride")
 				return
 			}
 		case "hold_s":
-			z.Hold, bts, err = msgp.ReadFloat64Bytes(bts)
+			z.HandleSeconds, bts, err = msgp.ReadFloat64Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Hold")
 				return
 			}
 		case "switch_s":
-			z.Switch, bts, err = msgp.ReadFloat64Bytes(bts)
+			z.SwitchSeconds, bts, err = msgp.ReadFloat64Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Switch")
 				return
@@ -1190,7 +1190,7 @@
 	for za0001 := range z.Exclude {
 		s += msgp.StringPrefixSize + len(z.Exclude[za0001])
 	}
-	s += 7 + msgp.StringPrefixSize + len(z.Status) + 6 + msgp.IntSize + 7 + msgp.Float64Size + 10 + msgp.Float64Size + 6 + msgp.IntSize + 7 + msgp.IntSize + 12 + msgp.IntSize + 10 + msgp.Float64Size + 7 + msgp.IntSize + 7 + msgp.Float64Size + 9 + msgp.Float64Size + 7 + msgp.ArrayHeaderSize
+	s += 7 + msgp.StringPrefixSize + len(z.StatusPath) + 6 + msgp.IntSize + 7 + msgp.Float64Size + 10 + msgp.Float64Size + 6 + msgp.IntSize + 7 + msgp.IntSize + 12 + msgp.IntSize + 10 + msgp.Float64Size + 7 + msgp.IntSize + 7 + msgp.Float64Size + 9 + msgp.Float64Size + 7 + msgp.ArrayHeaderSize
 	for za0002 := range z.Models {
 		s += msgp.StringPrefixSize + len(z.Models[za0002])
 	}
@@ -1260,7 +1260,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Taken) MarshalMsg(b []byte) (o []byte, err error) {
+func (z AcceptedChanges) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 0
 	_ = z
@@ -1269,7 +1269,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Taken) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *AcceptedChanges) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -1299,7 +1299,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Taken) Msgsize() (s int) {
+func (z AcceptedChanges) Msgsize() (s int) {
 	s = 1
 	return
 }
@@ -1336,10 +1336,10 @@
 		}
 		// string "budget_ms"
 		o = append(o, 0xa9, 0x62, 0x75, 0x64, 0x67, 0x65, 0x74, 0x5f, 0x6d, 0x73)
-		o = msgp.AppendInt(o, z.Timeout)
+		o = msgp.AppendInt(o, z.TimeoutMillis)
 		// string "queue"
 		o = append(o, 0xa5, 0x71, 0x75, 0x65, 0x75, 0x65)
-		o = msgp.AppendFloat64(o, z.Queue)
+		o = msgp.AppendFloat64(o, z.QueueFraction)
 	}
 	return
 }
@@ -1394,13 +1394,13 @@
 				}
 			}
 		case "budget_ms":
-			z.Timeout, bts, err = msgp.ReadIntBytes(bts)
+			z.TimeoutMillis, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Timeout")
 				return
 			}
 		case "queue":
-			z.Queue, bts, err = msgp.ReadFloat64Bytes(bts)
+			z.QueueFraction, bts, err = msgp.ReadFloat64Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Queue")
 				return
--- a/control/fleetconfig/fleetconfig_test.go
+++ b/control/fleetconfig/fleetconfig_test.go
@@ -10,20 +10,20 @@
 )
 
 func good() Plan {
-	return Plan{ID: "a", Tenants: []Tenant{{Name: "x", Priority: 1, Timeout: 100, Queue: 0.5}}, Services: []Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}
+	return Plan{ID: "a", Tenants: []Tenant{{Name: "x", Priority: 1, TimeoutMillis: 100, QueueFraction: 0.5}}, Services: []Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}
 }
 
 // The good plan is changed in one place at a time; each change is named.
 func TestEveryFaultOfAPlanIsNamed(t *testing.T) {
-	if f := good().Check(); f.Any() {
+	if f := good().Validate(); f.Any() {
 		t.Fatal(f)
 	}
 	for where, change := range map[string]func(*Plan){
 		"plan.id":               func(p *Plan) { p.ID = "" },
 		"tenants[0].name":       func(p *Plan) { p.Tenants[0].Name = "a/b" },
 		"tenants[0].priority":   func(p *Plan) { p.Tenants[0].Priority = 10 },
-		"tenants[0].budget_ms":  func(p *Plan) { p.Tenants[0].Timeout = 0 },
-		"tenants[0].queue":      func(p *Plan) { p.Tenants[0].Queue = 1.5 },
+		"tenants[0].budget_ms":  func(p *Plan) { p.Tenants[0].TimeoutMillis = 0 },
+		"tenants[0].queue":      func(p *Plan) { p.Tenants[0].QueueFraction = 1.5 },
 		"tenants[0].services":   func(p *Plan) { p.Tenants[0].Services = []string{"q"} },
 		"tenants[1].name":       func(p *Plan) { p.Tenants = append(p.Tenants, p.Tenants[0]) },
 		"services[1].name":      func(p *Plan) { p.Services = append(p.Services, p.Services[0]) },
@@ -32,25 +32,25 @@
 	} {
 		p := good()
 		change(&p)
-		f := p.Check()
+		f := p.Validate()
 		if len(f.List) != 1 || !strings.HasPrefix(f.List[0], where) {
 			t.Errorf("%s: got %v", where, f.List)
 		}
 	}
 	p := good()
 	p.ID, p.Tenants[0].Priority, p.Services[0].DecodeServers = "", -1, 0
-	if f := p.Check(); len(f.List) != 3 {
+	if f := p.Validate(); len(f.List) != 3 {
 		t.Errorf("three faults at once: %v", f.List)
 	}
 }
 
 func TestJudge(t *testing.T) {
-	whole := func(p Plan) func(Plan) (Plan, Faults) { return func(Plan) (Plan, Faults) { return p, p.Check() } }
+	whole := func(p Plan) func(Plan) (Plan, Faults) { return func(Plan) (Plan, Faults) { return p, p.Validate() } }
 	val, v := Judge(Plan{}, "a", 0, whole(good()))
 	if v.Result != "taken" || v.Version != 1 {
 		t.Fatal(v)
 	}
-	cur := Open(message.Record{Value: val})
+	cur := OpenPlan(message.Record{Value: val})
 	if val, v := Judge(cur, "a", 0, whole(good())); val != nil || v.Result != "taken" || v.Version != 1 {
 		t.Errorf("resent: %v", v)
 	}
@@ -58,15 +58,15 @@
 		t.Errorf("old base: %v", v)
 	}
 	bad := good()
-	bad.Tenants[0].Timeout = -1
+	bad.Tenants[0].TimeoutMillis = -1
 	if val, v := Judge(cur, "c", 1, whole(bad)); val != nil || v.Result != "broken" || len(v.Faults) == 0 {
 		t.Errorf("broken: %v", v)
 	}
-	_, f := cur.With(Changes{ID: "d", Base: 1, Changes: []Change{{Op: "drop-tenant", Name: "nobody"}, {Op: "what"}}})
+	_, f := cur.Apply(Changes{ID: "d", Base: 1, Changes: []Change{{Op: "drop-tenant", Name: "nobody"}, {Op: "what"}}})
 	if len(f.List) != 2 {
 		t.Errorf("changes: %v", f.List)
 	}
-	next, f := cur.With(Changes{ID: "e", Base: 1, Changes: []Change{{Op: "exclude-server", Name: "m", Server: "10.0.0.1:1"}}})
+	next, f := cur.Apply(Changes{ID: "e", Base: 1, Changes: []Change{{Op: "exclude-server", Name: "m", Server: "10.0.0.1:1"}}})
 	if f.Any() || len(next.Services[0].Exclude) != 1 || len(cur.Services[0].Exclude) != 0 {
 		t.Errorf("exclude: %v %v", f, next)
 	}
@@ -80,14 +80,14 @@
 		}
 	}
 	b, _ := json.Marshal(Template())
-	if f := Decode(b, &p); f.Any() || p.Check().Any() {
-		t.Errorf("the template is not itself a good plan: %v %v", f, p.Check())
+	if f := Decode(b, &p); f.Any() || p.Validate().Any() {
+		t.Errorf("the template is not itself a good plan: %v %v", f, p.Validate())
 	}
 }
 
 func TestServerList(t *testing.T) {
 	l := List{Servers: []Server{{Addr: "10.0.0.1:1", Zone: "a", Capacity: 1}, {Addr: "10.0.0.1:1", Zone: "a", Capacity: 1}, {Addr: "host:1", Zone: "", Capacity: 0}}}
-	if f := l.Check(); len(f.List) != 4 {
+	if f := l.Validate(); len(f.List) != 4 {
 		t.Errorf("%v", f.List)
 	}
 }
@@ -95,27 +95,27 @@
 // A plan says which format a build must read to serve by it; a build that reads less
 // reads nothing of it, and says which is needed.
 func TestAPlanThatNeedsANewerBuild(t *testing.T) {
-	p := Plan{ID: "p", Services: []Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}, Needs: Format()}
-	val, err := Record(p)
+	p := Plan{ID: "p", Services: []Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}, Needs: NewestFormat()}
+	val, err := EncodePlan(p)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := ReadPlan(message.Record{Key: PlanKey, Value: val}); err != nil || got.Needs != Format() {
+	if got, err := ReadPlan(message.Record{Key: PlanKey, Value: val}); err != nil || got.Needs != NewestFormat() {
 		t.Errorf("needs what this build reads: %v, %+v", err, got)
 	}
-	p.Needs = Format() + 1
-	if val, err = Record(p); err != nil {
+	p.Needs = NewestFormat() + 1
+	if val, err = EncodePlan(p); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ReadPlan(message.Record{Key: PlanKey, Value: val}); err == nil || !strings.Contains(err.Error(), fmt.Sprintf("format %d", Format()+1)) {
+	if _, err := ReadPlan(message.Record{Key: PlanKey, Value: val}); err == nil || !strings.Contains(err.Error(), fmt.Sprintf("format %d", NewestFormat()+1)) {
 		t.Errorf("needs more: %v", err)
 	}
-	next, f := p.With(Changes{ID: "c", Changes: []Change{{Op: "set-needs"}}})
+	next, f := p.Apply(Changes{ID: "c", Changes: []Change{{Op: "set-needs"}}})
 	if f.Any() || next.Needs != 0 {
 		t.Errorf("needs nothing any more: %v %d", f, next.Needs)
 	}
 	for _, needs := range []int{-1, mostFormat + 1} {
-		if p.Needs = needs; !p.Check().Any() {
+		if p.Needs = needs; !p.Validate().Any() {
 			t.Errorf("a format of %d is in order", needs)
 		}
 	}
--- a/control/fleetconfig/format.go
+++ b/control/fleetconfig/format.go
@@ -12,11 +12,11 @@
 // mostFormat bounds the format that a plan may need.
 const mostFormat = 1000
 
-// Format is the newest format of plans that this build reads and serves by. A plan
+// NewestFormat is the newest format of plans that this build reads and serves by. A plan
 // says which it needs; what a build can't read it serves nothing by.
 //
-// Example: if plan.Needs > fleetconfig.Format() { serveNothing() }
-func Format() int {
+// Example: if plan.Needs > fleetconfig.NewestFormat() { serveNothing() }
+func NewestFormat() int {
 	n, err := strconv.Atoi(formatRead)
 	if err != nil {
 		panic(err) // a build that doesn't know what it reads serves nothing
@@ -26,8 +26,8 @@
 
 // unfit gives the error of a plan that needs a newer format than this build reads.
 func (p Plan) unfit() error {
-	if p.Needs <= Format() {
+	if p.Needs <= NewestFormat() {
 		return nil
 	}
-	return fmt.Errorf("it needs a build that reads format %d, and this one reads up to %d", p.Needs, Format())
+	return fmt.Errorf("it needs a build that reads format %d, and this one reads up to %d", p.Needs, NewestFormat())
 }
--- a/control/fleetconfig/openapi/openapi.go
+++ b/control/fleetconfig/openapi/openapi.go
@@ -37,7 +37,7 @@
 			} else {
 				name = fmt.Sprint(v)
 			}
-			if !fleetconfig.GoodName(name) {
+			if !fleetconfig.IsValidName(name) {
 				f.Add("%s %s: x-model: %q: expected 1 to 64 letters, digits, '.', '_' or '-'", verb, path, name)
 				continue
 			}
--- a/control/fleetconfig/pack.go
+++ b/control/fleetconfig/pack.go
@@ -21,11 +21,11 @@
 // opens.
 const mostPlan = 64 << 20
 
-// Pack makes the compressed body of a call of a plan or changes; the error is
+// EncodeCall makes the compressed body of a call of a plan or changes; the error is
 // of a value that is too long or, in a raw part, isn't JSON.
 //
-// Example: body, err := fleetconfig.Pack(changes)
-func Pack(x any) ([]byte, error) {
+// Example: body, err := fleetconfig.EncodeCall(changes)
+func EncodeCall(x any) ([]byte, error) {
 	var b bytes.Buffer
 	e := json.NewEncoder(&b)
 	e.SetEscapeHTML(false) // a raw part stays as long as it is
@@ -39,10 +39,10 @@
 // each time it is written, by daemons with a fifth of a processor.
 const stored = 'm'
 
-// Record makes the record of a plan; the error is of one that is too long.
+// EncodePlan makes the record of a plan; the error is of one that is too long.
 //
-// Example: val, err := fleetconfig.Record(plan)
-func Record(p Plan) ([]byte, error) {
+// Example: val, err := fleetconfig.EncodePlan(plan)
+func EncodePlan(p Plan) ([]byte, error) {
 	b, err := p.MarshalMsg(nil)
 	if err != nil {
 		return nil, Error.Wrap(err)
@@ -98,11 +98,11 @@
 	return p
 }
 
-// Plain gives what a compressed value holds; one that isn't compressed stays as
+// Decompress gives what a compressed value holds; one that isn't compressed stays as
 // it is. The error is of a value that Pack didn't make.
 //
-// Example: b, err := fleetconfig.Plain(rec.Val)
-func Plain(b []byte) ([]byte, error) {
+// Example: b, err := fleetconfig.Decompress(rec.Val)
+func Decompress(b []byte) ([]byte, error) {
 	if len(b) == 0 || b[0] != packed && b[0] != stored {
 		return b, nil
 	}
--- a/control/fleetconfig/route.go
+++ b/control/fleetconfig/route.go
@@ -8,8 +8,8 @@
 	v "github.com/go-ozzo/ozzo-validation/v4"
 )
 
-// MostRoutes bounds the routes of a plan.
-const MostRoutes = 100000
+// MaxRoutes bounds the routes of a plan.
+const MaxRoutes = 100000
 
 // Kinds of a route: what may be done with a request whose end is not known.
 const (
@@ -30,15 +30,15 @@
 	Host     string          `json:"host"`   // without a port, in any case
 	Prefix   string          `json:"prefix"` // begins the path; the longest counts
 	Kind     string          `json:"kind"`
-	GiveUp   int             `json:"give_up_ms"`          // longest that a request is held
-	Target   int             `json:"target_ms,omitempty"` // an answer within it earns its full worth
-	Gap      int             `json:"gap_ms,omitempty"`    // longest pause between a stream's events that is still in time
+	GiveUpMillis   int             `json:"give_up_ms"`          // longest that a request is held
+	TargetMillis   int             `json:"target_ms,omitempty"` // an answer within it earns its full worth
+	GapMillis      int             `json:"gap_ms,omitempty"`    // longest pause between a stream's events that is still in time
 	Urgency  int             `json:"urgency"`             // 0 is the most urgent
-	Tries    int             `json:"tries,omitempty"`     // most servers that one request may be sent to
+	MaxAttempts    int             `json:"tries,omitempty"`     // most servers that one request may be sent to
 	Sticky   bool            `json:"sticky,omitempty"`    // requests that share a prompt should meet
 	Resume   bool            `json:"resume,omitempty"`    // a stream may be taken up in its middle
 	Services []Share         `json:"services"`
-	Homes    []string        `json:"homes,omitempty"` // regions that its requests may go to; none: all
+	Regions    []string        `json:"homes,omitempty"` // regions that its requests may go to; none: all
 	Raw      json.RawMessage `json:"raw,omitempty"`   // the item as its operator sent it
 }
 
@@ -46,8 +46,8 @@
 type Limits struct {
 	HeaderBytes int             `json:"header_bytes,omitempty"`
 	BodyBytes   int             `json:"body_bytes,omitempty"`
-	HeaderWait  int             `json:"header_wait_ms,omitempty"`
-	Idle        int             `json:"idle_ms,omitempty"`
+	HeaderTimeoutMillis  int             `json:"header_wait_ms,omitempty"`
+	IdleTimeoutMillis        int             `json:"idle_ms,omitempty"`
 	Raw         json.RawMessage `json:"raw,omitempty"` // as the operator sent them
 }
 
@@ -55,19 +55,19 @@
 //
 // Example: fleetconfig.Limits{}.IsZero() == true
 func (l Limits) IsZero() bool {
-	return l.HeaderBytes == 0 && l.BodyBytes == 0 && l.HeaderWait == 0 && l.Idle == 0 && len(l.Raw) == 0
+	return l.HeaderBytes == 0 && l.BodyBytes == 0 && l.HeaderTimeoutMillis == 0 && l.IdleTimeoutMillis == 0 && len(l.Raw) == 0
 }
 
 // Place is what no two routes share: the host as it is compared, and the prefix.
 //
 // Example: fleetconfig.Route{Host: "A.example:80", Prefix: "/x/"}.Place() == [2]string{"a.example", "/x/"}
-func (r Route) Place() [2]string { return [2]string{Host(r.Host), r.Prefix} }
+func (r Route) Place() [2]string { return [2]string{NormalizeHost(r.Host), r.Prefix} }
 
-// Host brings a host to the form in which hosts are compared: lower case and
+// NormalizeHost brings a host to the form in which hosts are compared: lower case and
 // without a port.
 //
-// Example: fleetconfig.Host("A.example:8080") == "a.example"
-func Host(s string) string {
+// Example: fleetconfig.NormalizeHost("A.example:8080") == "a.example"
+func NormalizeHost(s string) string {
 	if i := strings.LastIndexByte(s, ':'); i >= 0 && strings.IndexByte(s[i:], ']') < 0 {
 		if strings.IndexByte(s, ':') == i || s[0] == '[' { // else a bare IPv6 address, which has no port
 			s = s[:i]
@@ -78,17 +78,17 @@
 
 // checkRoutes lists every fault of the routes; known are the plan's services.
 func (p Plan) checkRoutes(known map[string]bool, f *Faults) {
-	if len(p.Routes) > MostRoutes {
-		f.Add("plan.routes: %d, at most %d are taken", len(p.Routes), MostRoutes)
+	if len(p.Routes) > MaxRoutes {
+		f.Add("plan.routes: %d, at most %d are taken", len(p.Routes), MaxRoutes)
 	}
 	names, places := make(map[string]int, len(p.Routes)), make(map[[2]string]int, len(p.Routes))
 	for i := range p.Routes {
 		r := &p.Routes[i]
-		if r.Name == "" || r.Kind != Safe && r.Kind != Unsafe && r.Kind != Stream || r.GiveUp < 1 { // the leader waits meanwhile: slow words only for faults
+		if r.Name == "" || r.Kind != Safe && r.Kind != Unsafe && r.Kind != Stream || r.GiveUpMillis < 1 { // the leader waits meanwhile: slow words only for faults
 			f.take(fmt.Sprintf("routes[%d]", i), v.ValidateStruct(r,
 				v.Field(&r.Name, v.Required),
 				v.Field(&r.Kind, v.Required, v.In(Safe, Unsafe, Stream).Error("expected safe, unsafe or stream")),
-				v.Field(&r.GiveUp, v.Required, v.Min(1))))
+				v.Field(&r.GiveUpMillis, v.Required, v.Min(1))))
 		}
 		if j, ok := names[r.Name]; ok {
 			f.Add("routes[%d].name: %q stands already in routes[%d]", i, r.Name, j)
--- a/control/fleetconfig/route_test.go
+++ b/control/fleetconfig/route_test.go
@@ -16,14 +16,14 @@
 func routed() Plan {
 	p := good()
 	p.Routes = []Route{
-		{Name: "r1", Host: "a.example", Prefix: "/x/", Kind: Safe, GiveUp: 100, Services: []Share{{"m", 1}}},
-		{Name: "r2", Host: "a.example", Prefix: "/y/", Kind: Stream, GiveUp: 100, Services: []Share{{"m", 0}, {"m", 9}}},
+		{Name: "r1", Host: "a.example", Prefix: "/x/", Kind: Safe, GiveUpMillis: 100, Services: []Share{{"m", 1}}},
+		{Name: "r2", Host: "a.example", Prefix: "/y/", Kind: Stream, GiveUpMillis: 100, Services: []Share{{"m", 0}, {"m", 9}}},
 	}
 	return p
 }
 
 func TestEveryFaultOfARouteIsNamed(t *testing.T) {
-	if f := routed().Check(); f.Any() {
+	if f := routed().Validate(); f.Any() {
 		t.Fatal(f)
 	}
 	for where, change := range map[string]func(*Plan){
@@ -31,8 +31,8 @@
 		"routes[1].name":               func(p *Plan) { p.Routes[1].Name = "r1" },
 		"routes[1].prefix":             func(p *Plan) { p.Routes[1].Host, p.Routes[1].Prefix = "A.Example:80", "/x/" },
 		"routes[0].kind":               func(p *Plan) { p.Routes[0].Kind = "save" },
-		"routes[0].give_up_ms":         func(p *Plan) { p.Routes[0].GiveUp = 0 },
-		"routes[1].give_up_ms":         func(p *Plan) { p.Routes[1].GiveUp = -1 },
+		"routes[0].give_up_ms":         func(p *Plan) { p.Routes[0].GiveUpMillis = 0 },
+		"routes[1].give_up_ms":         func(p *Plan) { p.Routes[1].GiveUpMillis = -1 },
 		"routes[0].services[0]: no":    func(p *Plan) { p.Routes[0].Services = []Share{{"n", 1}} },
 		"routes[1].services[0].weight": func(p *Plan) { p.Routes[1].Services[0].Weight = -1 },
 		"routes[1].services: the":      func(p *Plan) { p.Routes[1].Services[1].Weight = 0 },
@@ -43,19 +43,19 @@
 	} {
 		p := routed()
 		change(&p)
-		f := p.Check()
+		f := p.Validate()
 		if len(f.List) != 1 || !strings.HasPrefix(f.List[0], where) {
 			t.Errorf("%s: got %v", where, f.List)
 		}
 	}
 	p := routed()
-	p.Routes[0].Services, p.Routes[1].GiveUp, p.Routes[1].Kind = []Share{{"n", 0}}, 0, ""
-	if f := p.Check(); len(f.List) != 4 {
+	p.Routes[0].Services, p.Routes[1].GiveUpMillis, p.Routes[1].Kind = []Share{{"n", 0}}, 0, ""
+	if f := p.Validate(); len(f.List) != 4 {
 		t.Errorf("four faults at once: %v", f.List)
 	}
 	p = routed()
 	p.Services = append(p.Services, Service{Name: "Ünïcode: any name \"goes\"", PrefillServers: 1, DecodeServers: 1})
-	if f := p.Check(); f.Any() {
+	if f := p.Validate(); f.Any() {
 		t.Errorf("a service's odd name: %v", f)
 	}
 }
@@ -65,7 +65,7 @@
 func TestNumbers(t *testing.T) {
 	to := func(p Plan, number uint64) func(Plan) (Plan, Faults) {
 		p.Number = number
-		return func(Plan) (Plan, Faults) { return p, p.Check() }
+		return func(Plan) (Plan, Faults) { return p, p.Validate() }
 	}
 	s := &shelf{held: map[string]message.Record{}}
 	for i, x := range []struct {
@@ -92,13 +92,13 @@
 		for _, r := range recs {
 			s.held[r.Key] = r
 		}
-		if cur := Open(s.read(PlanKey)); len(recs) > 0 && (cur.Version != x.ver || cur.Number != 0) {
+		if cur := OpenPlan(s.read(PlanKey)); len(recs) > 0 && (cur.Version != x.ver || cur.Number != 0) {
 			t.Errorf("%d: version %d, number %d in force", i, cur.Version, cur.Number)
 		}
 	}
 	bad := routed()
-	bad.Routes[0].GiveUp = 0
-	if _, v := Judge(Open(s.read(PlanKey)), "z", 13, to(bad, 13)); len(v.Faults) != 2 {
+	bad.Routes[0].GiveUpMillis = 0
+	if _, v := Judge(OpenPlan(s.read(PlanKey)), "z", 13, to(bad, 13)); len(v.Faults) != 2 {
 		t.Errorf("a broken plan with an old number: %v", v.Faults)
 	}
 }
@@ -106,24 +106,24 @@
 func TestChangesOfRoutes(t *testing.T) {
 	p := routed()
 	r := p.Routes[0]
-	r.GiveUp = 7
+	r.GiveUpMillis = 7
 	added := r
 	added.Name, added.Prefix = "r3", "/z/"
-	next, f := p.With(Changes{ID: "x", Number: 8, Changes: []Change{
+	next, f := p.Apply(Changes{ID: "x", Number: 8, Changes: []Change{
 		{Op: "set-route", Route: &added},
 		{Op: "set-route", Route: &r},
 		{Op: "drop-route", Name: "r2"},
 		{Op: "drop-route", Name: "r9", Lenient: true},
-		{Op: "set-limits", Limits: &Limits{Idle: 3}},
+		{Op: "set-limits", Limits: &Limits{IdleTimeoutMillis: 3}},
 	}})
-	if f.Any() || next.Number != 8 || next.Limits.Idle != 3 || !reflect.DeepEqual(next.Routes, []Route{r, added}) || !reflect.DeepEqual(p, routed()) {
+	if f.Any() || next.Number != 8 || next.Limits.IdleTimeoutMillis != 3 || !reflect.DeepEqual(next.Routes, []Route{r, added}) || !reflect.DeepEqual(p, routed()) {
 		t.Errorf("%+v %v", next, f)
 	}
 	for want, c := range map[string]Change{
 		"no route": {Op: "drop-route", Name: "r9"}, "needs a route": {Op: "set-route"}, "needs limits": {Op: "set-limits"},
 		"no service": {Op: "drop-service", Name: "m"},
 	} {
-		_, f := p.With(Changes{ID: "x", Changes: []Change{c}})
+		_, f := p.Apply(Changes{ID: "x", Changes: []Change{c}})
 		if !f.Any() || !strings.Contains(f.List[0], want) {
 			t.Errorf("%s: %v", want, f)
 		}
@@ -141,7 +141,7 @@
 			c := Changes{ID: "x"}
 			for i := range rapid.IntRange(1, 12).Draw(t, "changes") {
 				n := rapid.IntRange(0, 5).Draw(t, "name")
-				r := Route{Name: fmt.Sprint("r", n), Host: "h", Prefix: fmt.Sprintf("/%d/", n), Kind: Safe, GiveUp: i + 1, Services: []Share{{"m", 1}}}
+				r := Route{Name: fmt.Sprint("r", n), Host: "h", Prefix: fmt.Sprintf("/%d/", n), Kind: Safe, GiveUpMillis: i + 1, Services: []Share{{"m", 1}}}
 				at := -1
 				for j := range plain {
 					if plain[j].Name == r.Name {
@@ -162,7 +162,7 @@
 					plain = append(plain, r)
 				}
 			}
-			next, f := p.With(c)
+			next, f := p.Apply(c)
 			if f.Any() {
 				t.Fatal(f)
 			}
@@ -188,34 +188,34 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	packed, err := Pack(p)
+	packed, err := EncodeCall(p)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(packed)*5 > len(plain) {
 		t.Errorf("%d bytes packed to %d", len(plain), len(packed))
 	}
-	a, b := Open(message.Record{Value: plain}), Open(message.Record{Value: packed})
+	a, b := OpenPlan(message.Record{Value: plain}), OpenPlan(message.Record{Value: packed})
 	p.Raw, a.Raw = nil, nil // escaped by Marshal in the plain record
 	if b.Raw = nil; !reflect.DeepEqual(a, p) || !reflect.DeepEqual(b, p) {
 		t.Error("not the same plan")
 	}
 	for _, bad := range [][]byte{packed[:len(packed)/2], append([]byte("zz"), packed...), []byte("z")} {
-		if out, err := Plain(bad); err == nil && len(out) > 0 {
+		if out, err := Decompress(bad); err == nil && len(out) > 0 {
 			t.Errorf("opened: %.20q", out)
 		}
 	}
-	if _, err := Pack(Plan{Raw: bytes.Repeat([]byte("1"), mostPlan)}); err == nil {
+	if _, err := EncodeCall(Plan{Raw: bytes.Repeat([]byte("1"), mostPlan)}); err == nil {
 		t.Error("a plan is packed that could not be opened")
 	}
-	if _, err := Pack(Plan{Raw: json.RawMessage("{")}); err == nil {
+	if _, err := EncodeCall(Plan{Raw: json.RawMessage("{")}); err == nil {
 		t.Error("a raw part that is no JSON is packed")
 	}
 }
 
 func TestHost(t *testing.T) {
 	for in, want := range map[string]string{"": "", "a": "a", "A.Example": "a.example", "a:80": "a", "[::1]:80": "[::1]", "[::1]": "[::1]", "::1": "::1", "a:": "a", ":80": ""} {
-		if got := Host(in); got != want {
+		if got := NormalizeHost(in); got != want {
 			t.Errorf("%q: %q, expected %q", in, got, want)
 		}
 	}
@@ -230,14 +230,14 @@
 		r.Raw, _ = json.Marshal(r)
 		p.Routes = append(p.Routes, r)
 	}
-	val, v := Judge(Plan{}, "a", 0, func(Plan) (Plan, Faults) { return p, p.Check() })
+	val, v := Judge(Plan{}, "a", 0, func(Plan) (Plan, Faults) { return p, p.Validate() })
 	if v.Result != "taken" {
 		b.Fatal(v)
 	}
 	for b.Loop() {
-		cur := Open(message.Record{Value: val})
+		cur := OpenPlan(message.Record{Value: val})
 		if _, v := Judge(cur, "b", 1, func(p Plan) (Plan, Faults) {
-			return p.With(Changes{ID: "b", Changes: []Change{{Op: "set-route", Route: &p.Routes[7]}}})
+			return p.Apply(Changes{ID: "b", Changes: []Change{{Op: "set-route", Route: &p.Routes[7]}}})
 		}); v.Result != "taken" {
 			b.Fatal(v)
 		}
--- a/control/fleetconfig/stored_test.go
+++ b/control/fleetconfig/stored_test.go
@@ -14,27 +14,27 @@
 func completePlan() Plan {
 	return Plan{
 		Version: 12, ID: "plan-12", Base: 11, Number: 13, Needs: 1, Raw: json.RawMessage(`{"further":true}`),
-		Tenants:  []Tenant{{Name: "express", Priority: 2, Services: []string{"timetable"}, Timeout: 30000, Queue: 0.25}},
+		Tenants:  []Tenant{{Name: "express", Priority: 2, Services: []string{"timetable"}, TimeoutMillis: 30000, QueueFraction: 0.25}},
 		Services: []Service{completeService()},
 		Routes:   []Route{completeRoute()},
-		Limits:   Limits{HeaderBytes: 8192, BodyBytes: 65536, HeaderWait: 2000, Idle: 60000, Raw: json.RawMessage(`{"limit":1}`)},
-		Past:     []Past{{ID: "plan-11", Version: 11}},
+		Limits:   Limits{HeaderBytes: 8192, BodyBytes: 65536, HeaderTimeoutMillis: 2000, IdleTimeoutMillis: 60000, Raw: json.RawMessage(`{"limit":1}`)},
+		PastChanges:     []AcceptedChange{{ID: "plan-11", Version: 11}},
 	}
 }
 
 func completeService() Service {
 	return Service{
-		Name: "timetable", PrefillServers: 2, DecodeServers: 3, Exclude: []string{"10.0.0.9:9000"}, Status: "/status",
-		Conns: 64, ColdFor: 12.5, ColdRate: 1.5, Slots: 16, Memory: 100000, TokenBytes: 2048, LinkMbps: 400.5, Stride: 4,
-		Hold: 30.5, Switch: 8.25, Models: []string{"model-a"}, Raw: json.RawMessage(`{"item":2}`),
+		Name: "timetable", PrefillServers: 2, DecodeServers: 3, Exclude: []string{"10.0.0.9:9000"}, StatusPath: "/status",
+		MaxConnections: 64, WarmUpSeconds: 12.5, WarmUpRate: 1.5, Slots: 16, MemoryTokens: 100000, TokenBytes: 2048, LinkMbps: 400.5, TokensPerEvent: 4,
+		HandleSeconds: 30.5, SwitchSeconds: 8.25, Models: []string{"model-a"}, Raw: json.RawMessage(`{"item":2}`),
 	}
 }
 
 func completeRoute() Route {
 	return Route{
-		Name: "route-1", Host: "a.example", Prefix: "/x/", Kind: Stream, GiveUp: 5000, Target: 400, Gap: 100, Urgency: 3,
-		Tries: 2, Sticky: true, Resume: true, Services: []Share{{Service: "timetable", Weight: 0.75}},
-		Homes: []string{"north"}, Raw: json.RawMessage(`{"item":3}`),
+		Name: "route-1", Host: "a.example", Prefix: "/x/", Kind: Stream, GiveUpMillis: 5000, TargetMillis: 400, GapMillis: 100, Urgency: 3,
+		MaxAttempts: 2, Sticky: true, Resume: true, Services: []Share{{Service: "timetable", Weight: 0.75}},
+		Regions: []string{"north"}, Raw: json.RawMessage(`{"item":3}`),
 	}
 }
 
@@ -42,7 +42,7 @@
 func TestStoredPlanKeepsItsBytes(t *testing.T) {
 	read := func(value []byte) (Plan, error) { return ReadPlan(message.Record{Key: PlanKey, Value: value}) }
 	plan := completePlan()
-	golden.Check(t, "plan.record", plan, golden.Encoding[Plan]{Encode: Record, Decode: read})
+	golden.Check(t, "plan.record", plan, golden.Encoding[Plan]{Encode: EncodePlan, Decode: read})
 	golden.Check(t, "plan.msgp", plan, golden.Encoding[Plan]{
 		Encode: func(p Plan) ([]byte, error) { return p.MarshalMsg(nil) },
 		Decode: func(value []byte) (Plan, error) { return read(append([]byte{'o'}, value...)) },
@@ -52,7 +52,7 @@
 		Decode: read, // a record of the first builds
 	})
 	golden.Check(t, "plan.packed", plan, golden.Encoding[Plan]{
-		Encode: func(p Plan) ([]byte, error) { return Pack(p) },
+		Encode: func(p Plan) ([]byte, error) { return EncodeCall(p) },
 		Decode: read, // the body of a call
 	})
 	empty, err := (&Plan{}).MarshalMsg(nil)
@@ -67,7 +67,7 @@
 // Patches between plans' records are made and applied as earlier builds do.
 func TestPatchKeepsItsBytes(t *testing.T) {
 	from, to := planOf(50), planOf(50)
-	to.Version, to.Routes[7].GiveUp = 8, 17
+	to.Version, to.Routes[7].GiveUpMillis = 8, 17
 	patch := golden.Bytes(t, "plan.patch", Codec{}.Patch(recordOf(t, from), recordOf(t, to)))
 	value, err := Codec{}.Apply(recordOf(t, from), patch)
 	if err != nil {
@@ -86,13 +86,13 @@
 		Server: "10.0.0.9:9000", Needs: 1, Lenient: true,
 	}}}, golden.JSON[Changes]())
 	golden.Check(t, "zones.json", map[string]bool{"north": true, "south": true}, golden.Encoding[map[string]bool]{
-		Encode: func(zones map[string]bool) ([]byte, error) { return PackZones(zones), nil },
+		Encode: func(zones map[string]bool) ([]byte, error) { return EncodeZones(zones), nil },
 		Decode: func(value []byte) (map[string]bool, error) {
 			return ReadZones(message.Record{Key: ZoneKey, Value: value})
 		},
 	})
 	golden.Check(t, "list.json", List{Version: 3, Servers: []Server{{
-		ID: "server-1", Addr: "10.0.0.1:9000", Zone: "north", Capacity: 8, Leaving: true, Part: "maker", Warming: true,
+		ID: "server-1", Addr: "10.0.0.1:9000", Zone: "north", Capacity: 8, Leaving: true, Role: "maker", Warming: true,
 	}}}, golden.Encoding[List]{
 		Encode: golden.JSON[List]().Encode,
 		Decode: func(value []byte) (List, error) { return ReadList(message.Record{Key: ListKey("m"), Value: value}) },
@@ -103,19 +103,19 @@
 
 // The pages of accepted changes keep their bytes, and those of earlier builds are searched.
 func TestStoredAcceptedChangesKeepTheirBytes(t *testing.T) {
-	var accepted Taken
-	records := accepted.Add(Past{ID: "plan-1", Version: 1}, Past{ID: "change-2", Version: 7})
+	var accepted AcceptedChanges
+	records := accepted.Add(AcceptedChange{ID: "plan-1", Version: 1}, AcceptedChange{ID: "change-2", Version: 7})
 	if len(records) != 1 || records[0].Key != "taken/00" {
 		t.Fatalf("records %+v", records)
 	}
 	stored := golden.Bytes(t, "accepted.page", records[0].Value)
-	restored := OpenTaken(func(key string) message.Record {
+	restored := ReadAcceptedChanges(func(key string) message.Record {
 		return message.Record{Key: key, Value: stored, Deleted: key != "taken/00"}
 	})
 	if version, ok := restored.Find("change-2", 0); !ok || version != 7 {
 		t.Errorf("change-2 was accepted as %d, %v", version, ok)
 	}
-	if last := restored.Add(make([]Past, 31)...); len(last) != 2 || last[1].Key != "taken/01" {
+	if last := restored.Add(make([]AcceptedChange, 31)...); len(last) != 2 || last[1].Key != "taken/01" {
 		t.Errorf("31 more are kept in %d pages", len(last))
 	}
 }
@@ -143,12 +143,12 @@
 		"set-needs": {Needs: 1}, "exclude-server": {Name: "m", Server: "10.0.0.1:1"}, "include-server": {Name: "m", Server: "10.0.0.1:1"},
 	} {
 		change.Op = op
-		_, faults := plan.With(Changes{ID: "c", Changes: []Change{change}})
+		_, faults := plan.Apply(Changes{ID: "c", Changes: []Change{change}})
 		if strings.Contains(strings.Join(faults.List, "\n"), "changes[0]") {
 			t.Errorf("%s isn't a change any more: %v", op, faults.List)
 		}
 	}
-	if _, faults := plan.With(Changes{ID: "c", Changes: []Change{{Op: "set"}}}); !reflect.DeepEqual(faults.List, []string{
+	if _, faults := plan.Apply(Changes{ID: "c", Changes: []Change{{Op: "set"}}}); !reflect.DeepEqual(faults.List, []string{
 		`changes[0] "set": expected set-tenant, drop-tenant, set-service, drop-service, set-route, drop-route, set-limits, set-needs, exclude-server or include-server`,
 	}) {
 		t.Errorf("an unknown change: %v", faults.List)
@@ -159,22 +159,22 @@
 func TestWordsOfFaultsStay(t *testing.T) {
 	plan := Plan{
 		ID: "a/b", Needs: -1,
-		Tenants:  []Tenant{{Name: "x", Priority: 10, Queue: 2, Services: []string{"none"}}, {Name: "x", Timeout: 1, Queue: 1}},
+		Tenants:  []Tenant{{Name: "x", Priority: 10, QueueFraction: 2, Services: []string{"none"}}, {Name: "x", TimeoutMillis: 1, QueueFraction: 1}},
 		Services: []Service{{Name: "m/n", Exclude: []string{"nowhere"}}, {Name: "m", PrefillServers: 1, DecodeServers: 1}, {Name: "m", PrefillServers: 1, DecodeServers: 1}},
-		Routes:   []Route{{Name: "r", Kind: "other", Services: []Share{{Service: "none", Weight: -1}}}, {Name: "r", Kind: Safe, GiveUp: 1}},
+		Routes:   []Route{{Name: "r", Kind: "other", Services: []Share{{Service: "none", Weight: -1}}}, {Name: "r", Kind: Safe, GiveUpMillis: 1}},
 	}
 	list := List{Servers: []Server{{Addr: "host:1", Capacity: 5000}, {Addr: "host:1"}}}
-	faults := append(plan.Check().List, list.Check().List...)
+	faults := append(plan.Validate().List, list.Validate().List...)
 	for _, body := range []string{`{"tenats":[]}`, `{} {}`, `{"tenants":3}`, `{`} {
 		faults = append(faults, Decode([]byte(body), new(Plan)).List...)
 	}
-	_, f := plan.With(Changes{})
+	_, f := plan.Apply(Changes{})
 	faults = append(faults, f.List...)
 	var changes []Change
 	for _, op := range []string{"set-tenant", "drop-tenant", "set-service", "drop-service", "set-route", "drop-route", "set-limits", "exclude-server"} {
 		changes = append(changes, Change{Op: op, Name: "nobody"})
 	}
-	_, f = plan.With(Changes{Changes: append(changes, Change{Op: "exclude-server", Name: "m", Server: "host"})})
+	_, f = plan.Apply(Changes{Changes: append(changes, Change{Op: "exclude-server", Name: "m", Server: "host"})})
 	faults = append(faults, f.List...)
 	_, verdict := Judge(Plan{Version: 4}, "c", 4, func(Plan) (Plan, Faults) { return Plan{Number: 4}, Faults{} })
 	faults = append(faults, verdict.Faults...)
--- a/control/fleetconfig/taken.go
+++ b/control/fleetconfig/taken.go
@@ -28,16 +28,16 @@
 	return keys
 }()
 
-// Taken is the memory of accepted changes as the records hold it.
-type Taken struct {
+// AcceptedChanges is the memory of accepted changes as the records hold it.
+type AcceptedChanges struct {
 	pages [takenPages][]byte
 	last  uint64 // pages begun so far; the newest stands at place last-1
 }
 
-// OpenTaken reads the memory; what can't be a page counts as none.
+// ReadAcceptedChanges reads the memory; what can't be a page counts as none.
 //
-// Example: taken := fleetconfig.OpenTaken(read)
-func OpenTaken(read func(key string) message.Record) (t Taken) {
+// Example: taken := fleetconfig.ReadAcceptedChanges(read)
+func ReadAcceptedChanges(read func(key string) message.Record) (t AcceptedChanges) {
 	for i, key := range takenKeys {
 		r := read(key)
 		if r.Deleted || len(r.Value) < takenHead || (len(r.Value)-takenHead)%takenBytes != 0 {
@@ -60,7 +60,7 @@
 // number, that must be the version too.
 //
 // Example: version, ok := taken.Find("c17", 0)
-func (t *Taken) Find(id string, number uint64) (version uint64, ok bool) {
+func (t *AcceptedChanges) Find(id string, number uint64) (version uint64, ok bool) {
 	if id == "" {
 		return 0, false
 	}
@@ -82,7 +82,7 @@
 // gives way where all are full.
 //
 // Example: recs = append(recs, taken.Add(fleetconfig.Past{ID: id, Version: 9})...)
-func (t *Taken) Add(list ...Past) (recs []message.Record) {
+func (t *AcceptedChanges) Add(list ...AcceptedChange) (recs []message.Record) {
 	touched := map[uint64]bool{}
 	var order []uint64
 	for _, p := range list {
@@ -116,7 +116,7 @@
 	if err != nil {
 		return nil, Verdict{}, err
 	}
-	taken := OpenTaken(read)
+	taken := ReadAcceptedChanges(read)
 	if version, ok := taken.Find(id, number); ok {
 		return nil, Verdict{Result: "taken", Version: version}, nil
 	}
@@ -125,5 +125,5 @@
 		return nil, verdict, nil
 	}
 	// What a build before this one kept in the plan's record moves out of it.
-	return append([]message.Record{{Key: PlanKey, Value: val}}, taken.Add(slices.Concat(cur.Past, []Past{{ID: id, Version: verdict.Version}})...)...), verdict, nil
+	return append([]message.Record{{Key: PlanKey, Value: val}}, taken.Add(slices.Concat(cur.PastChanges, []AcceptedChange{{ID: id, Version: verdict.Version}})...)...), verdict, nil
 }
--- a/control/fleetconfig/taken_test.go
+++ b/control/fleetconfig/taken_test.go
@@ -25,7 +25,7 @@
 func (s *shelf) change(id string, base, number uint64) Verdict {
 	p := good()
 	p.ID, p.Number = id, number
-	recs, v, err := Decide(s.read, &s.plans, id, base, number, func(Plan) (Plan, Faults) { return p, p.Check() })
+	recs, v, err := Decide(s.read, &s.plans, id, base, number, func(Plan) (Plan, Faults) { return p, p.Validate() })
 	if err != nil {
 		panic(err)
 	}
@@ -64,8 +64,8 @@
 			t.Errorf("rival %d sent again: %+v", i, v)
 		}
 	}
-	if p := Open(s.read(PlanKey)); p.Version != version(changes) || len(p.Past) != 0 {
-		t.Errorf("version %d is in force, with %d ids in its record", p.Version, len(p.Past))
+	if p := OpenPlan(s.read(PlanKey)); p.Version != version(changes) || len(p.PastChanges) != 0 {
+		t.Errorf("version %d is in force, with %d ids in its record", p.Version, len(p.PastChanges))
 	}
 }
 
@@ -75,8 +75,8 @@
 	read := func(key string) message.Record { return held[key] }
 	total, most := 0, 0
 	for i := range uint64(2*takenPages*takenOnPage + 5) {
-		taken := OpenTaken(read)
-		for _, r := range taken.Add(Past{ID: fmt.Sprint(i), Version: i + 1}) {
+		taken := ReadAcceptedChanges(read)
+		for _, r := range taken.Add(AcceptedChange{ID: fmt.Sprint(i), Version: i + 1}) {
 			held[r.Key], most = r, max(most, len(r.Value))
 		}
 	}
@@ -86,7 +86,7 @@
 	if bound := takenHead + takenOnPage*takenBytes; most > bound || len(held) > takenPages || total > takenPages*bound {
 		t.Errorf("%d records of %d bytes, the longest of %d", len(held), total, most)
 	}
-	taken, known := OpenTaken(read), 0
+	taken, known := ReadAcceptedChanges(read), 0
 	for i := range uint64(2*takenPages*takenOnPage + 5) {
 		if version, ok := taken.Find(fmt.Sprint(i), 0); ok && version == i+1 {
 			known++
@@ -106,9 +106,9 @@
 	old := good()
 	old.ID, old.Version = "o64", 64
 	for i := range uint64(64) {
-		old.Past = append(old.Past, Past{ID: fmt.Sprint("o", i+1), Version: i + 1})
+		old.PastChanges = append(old.PastChanges, AcceptedChange{ID: fmt.Sprint("o", i+1), Version: i + 1})
 	}
-	val, err := Record(old)
+	val, err := EncodePlan(old)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -134,8 +134,8 @@
 	held := map[string]message.Record{}
 	read := func(key string) message.Record { return held[key] }
 	add := func(id string, version uint64) {
-		taken := OpenTaken(read)
-		for _, r := range taken.Add(Past{ID: id, Version: version}) {
+		taken := ReadAcceptedChanges(read)
+		for _, r := range taken.Add(AcceptedChange{ID: id, Version: version}) {
 			held[r.Key] = r
 		}
 	}
@@ -145,7 +145,7 @@
 	delete(held, takenKeys[0])
 	held[takenKeys[1]] = message.Record{Key: takenKeys[1], Value: []byte("short")}
 	add("next", 500)
-	taken := OpenTaken(read)
+	taken := ReadAcceptedChanges(read)
 	for id, want := range map[string]bool{"0": false, "40": false, "70": true, "next": true} {
 		if _, ok := taken.Find(id, 0); ok != want {
 			t.Errorf("%s is known: %v", id, ok)
--- a/control/leader/cutoff_test.go
+++ b/control/leader/cutoff_test.go
@@ -15,7 +15,7 @@
 func TestALapsedLeaderSaysNothing(t *testing.T) {
 	a := open(t, 0, nil)
 	base := fleetconfig.Plan{ID: "one", Tenants: []fleetconfig.Tenant{}}
-	plan, err := fleetconfig.Pack(base)
+	plan, err := fleetconfig.EncodeCall(base)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/control/leader/job.go
+++ b/control/leader/job.go
@@ -82,7 +82,7 @@
 	var whole fleetconfig.Plan
 	var named fleetconfig.Changes
 	var f fleetconfig.Faults
-	body, err := fleetconfig.Plain(body) // a daemon may pack what it passes on
+	body, err := fleetconfig.Decompress(body) // a daemon may pack what it passes on
 	if err != nil {
 		return partition.Job{}, err.Error()
 	}
@@ -95,10 +95,10 @@
 		return partition.Job{}, f.List[0]
 	}
 	id, base, number := whole.ID, whole.Base, whole.Number
-	next := func(fleetconfig.Plan) (fleetconfig.Plan, fleetconfig.Faults) { return whole, whole.Check() }
+	next := func(fleetconfig.Plan) (fleetconfig.Plan, fleetconfig.Faults) { return whole, whole.Validate() }
 	if op == "changes" {
 		id, base, number = named.ID, named.Base, named.Number
-		next = func(p fleetconfig.Plan) (fleetconfig.Plan, fleetconfig.Faults) { return p.With(named) }
+		next = func(p fleetconfig.Plan) (fleetconfig.Plan, fleetconfig.Faults) { return p.Apply(named) }
 	}
 	return partition.Job{Keys: []string{fleetconfig.PlanKey}, Mergeable: true, Build: func(read lease.RecordSource) ([]message.Record, any) {
 		unread := ""
@@ -130,7 +130,7 @@
 			return nil, done
 		}
 		out[zone] = op == "evacuate"
-		return []message.Record{{Key: fleetconfig.ZoneKey, Value: fleetconfig.PackZones(out)}}, done
+		return []message.Record{{Key: fleetconfig.ZoneKey, Value: fleetconfig.EncodeZones(out)}}, done
 	}}
 }
 
--- a/control/leader/job_test.go
+++ b/control/leader/job_test.go
@@ -11,7 +11,7 @@
 // Every call's body, one byte changed at a time, is taken or named broken; what
 // is written is always a record that can be read.
 func TestMutatedCalls(t *testing.T) {
-	plan := fleetconfig.Plan{ID: "p", Tenants: []fleetconfig.Tenant{{Name: "x", Priority: 1, Timeout: 100, Queue: 0.5}}, Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1, Exclude: []string{"10.0.0.1:1"}}}}
+	plan := fleetconfig.Plan{ID: "p", Tenants: []fleetconfig.Tenant{{Name: "x", Priority: 1, TimeoutMillis: 100, QueueFraction: 0.5}}, Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1, Exclude: []string{"10.0.0.1:1"}}}}
 	bodies := map[string][]byte{
 		"plan":    leadercall.Pack(plan),
 		"changes": leadercall.Pack(fleetconfig.Changes{ID: "c", Base: 0, Changes: []fleetconfig.Change{{Op: "set-tenant", Tenant: &plan.Tenants[0]}}}),
@@ -43,7 +43,7 @@
 					broken++
 				}
 				for _, r := range recs {
-					fleetconfig.Open(message.Record{Deleted: r.Key != fleetconfig.PlanKey, Value: r.Value})
+					fleetconfig.OpenPlan(message.Record{Deleted: r.Key != fleetconfig.PlanKey, Value: r.Value})
 					fleetconfig.OpenList(message.Record{Deleted: r.Key != fleetconfig.ListKey("m"), Value: r.Value})
 				}
 			}
--- a/control/leader/leader.go
+++ b/control/leader/leader.go
@@ -273,7 +273,7 @@
 	h := m.holder
 	h.Pressure = s.Pressure
 	if s.PlanValid && s.ZonesValid && (m.dirty || m.seen != [2]message.Version{s.Plan.Version, s.Zones.Version}) {
-		h.SetPlan(m.plans.Open(s.Plan), fleetconfig.Zones(s.Zones))
+		h.SetPlan(m.plans.Open(s.Plan), fleetconfig.OpenZones(s.Zones))
 		m.seen = [2]message.Version{s.Plan.Version, s.Zones.Version}
 		m.dirty = !m.load(now)
 	}
--- a/control/leader/once_test.go
+++ b/control/leader/once_test.go
@@ -134,11 +134,11 @@
 				a = open(t, 0, a)
 			}
 			call("p", 7, x.late)
-			if out := fleetconfig.Zones(a.read(fleetconfig.ZoneKey))["north"]; out != x.out {
+			if out := fleetconfig.OpenZones(a.read(fleetconfig.ZoneKey))["north"]; out != x.out {
 				t.Errorf("%s, leader changed %v: north is out: %v", what, moved, out)
 			}
 			call("p", 8, x.late) // a call of its own is carried out
-			if out := fleetconfig.Zones(a.read(fleetconfig.ZoneKey))["north"]; out == x.out {
+			if out := fleetconfig.OpenZones(a.read(fleetconfig.ZoneKey))["north"]; out == x.out {
 				t.Errorf("%s, leader changed %v: a new call did nothing", what, moved)
 			}
 		}
@@ -197,7 +197,7 @@
 	}
 	for no, op := range []string{"evacuate", "return", "evacuate"} {
 		a.call("old", 0, uint64(no+1), op, []byte("south"))
-		if out := fleetconfig.Zones(a.read(fleetconfig.ZoneKey))["south"]; out != (op == "evacuate") {
+		if out := fleetconfig.OpenZones(a.read(fleetconfig.ZoneKey))["south"]; out != (op == "evacuate") {
 			t.Errorf("%s by an older build: south is out: %v", op, out)
 		}
 	}
--- a/control/leader/plan_test.go
+++ b/control/leader/plan_test.go
@@ -14,7 +14,7 @@
 func TestPackedCalls(t *testing.T) {
 	plan := fleetconfig.Plan{
 		ID: "p", Number: 4, Tenants: []fleetconfig.Tenant{}, Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}},
-		Routes: []fleetconfig.Route{{Name: "r", Host: "h", Prefix: "/", Kind: fleetconfig.Safe, GiveUp: 5, Services: []fleetconfig.Share{{Service: "m", Weight: 1}}}},
+		Routes: []fleetconfig.Route{{Name: "r", Host: "h", Prefix: "/", Kind: fleetconfig.Safe, GiveUpMillis: 5, Services: []fleetconfig.Share{{Service: "m", Weight: 1}}}},
 	}
 	drop := fleetconfig.Changes{ID: "c", Base: 4, Number: 9, Changes: []fleetconfig.Change{{Op: "drop-route", Name: "r"}}}
 	held := map[string]message.Record{}
@@ -41,12 +41,12 @@
 		ver  uint64
 		left int
 	}{{"plan", plan, 4, 1}, {"changes", drop, 9, 0}} {
-		body, err := fleetconfig.Pack(x.body)
+		body, err := fleetconfig.EncodeCall(x.body)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, b := range [][]byte{body, leadercall.Pack(x.body)} { // the second is the first sent again
-			if v, fault := do(x.op, b); fault != "" || v.Result != "taken" || v.Version != x.ver || len(fleetconfig.Open(read(fleetconfig.PlanKey)).Routes) != x.left {
+			if v, fault := do(x.op, b); fault != "" || v.Result != "taken" || v.Version != x.ver || len(fleetconfig.OpenPlan(read(fleetconfig.PlanKey)).Routes) != x.left {
 				t.Errorf("%d: %+v %s", i, v, fault)
 			}
 		}
--- a/control/leader/stored_test.go
+++ b/control/leader/stored_test.go
@@ -22,7 +22,7 @@
 // The bodies of calls, and the records that a leader writes by them, are the JSON that other builds read.
 func TestStoredJSONKeepsItsBytes(t *testing.T) {
 	list := fleetconfig.List{Version: 3, Servers: []fleetconfig.Server{{
-		ID: "server-1", Addr: "10.0.0.1:9000", Zone: "north", Capacity: 8, Leaving: true, Part: placement.Decode, Warming: true,
+		ID: "server-1", Addr: "10.0.0.1:9000", Zone: "north", Capacity: 8, Leaving: true, Role: placement.Decode, Warming: true,
 	}}}
 	claim := leadercall.Claim{Request: "request-1", Daemon: "d", State: "claimed", Past: []string{"request-0"}}
 	golden.Check(t, "servers-call.json", ServersCall{Service: "timetable", List: list}, golden.JSON[ServersCall]())
@@ -57,7 +57,7 @@
 	var out strings.Builder
 	for _, r := range a.last {
 		if r.Key == fleetconfig.PlanKey {
-			r.Value = []byte(fmt.Sprintf("version %d", fleetconfig.Open(r).Version))
+			r.Value = []byte(fmt.Sprintf("version %d", fleetconfig.OpenPlan(r).Version))
 		}
 		fmt.Fprintf(&out, "  %s %s %q deleted=%v\n", r.Key, r.Version, r.Value, r.Deleted)
 	}
@@ -93,7 +93,7 @@
 	config := &transcript{office: open(t, 0, nil)}
 	plan := fleetconfig.Plan{ID: "p1", Tenants: []fleetconfig.Tenant{}, Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}
 	changes := fleetconfig.Changes{ID: "c1", Base: 1, Changes: []fleetconfig.Change{{Op: "set-service", Service: &fleetconfig.Service{Name: "n", PrefillServers: 1, DecodeServers: 1}}}}
-	packed, err := fleetconfig.Pack(changes)
+	packed, err := fleetconfig.EncodeCall(changes)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/control/lease/delta_test.go
+++ b/control/lease/delta_test.go
@@ -150,9 +150,9 @@
 			give += n
 		}
 		raw := fmt.Sprintf(`{"name":"r-%07x","host":"host%05x.example","prefix":"/%06x/","kind":"streaming","give_up":%d,"aim":400,"urgency":0,"service":"m","tries":2}`, i*7919, i*104729, i*31, give)
-		p.Routes = append(p.Routes, fleetconfig.Route{Name: fmt.Sprintf("r-%07x", i*7919), Host: fmt.Sprintf("host%05x.example", i*104729), Prefix: fmt.Sprintf("/%06x/", i*31), Kind: fleetconfig.Safe, GiveUp: give, Services: []fleetconfig.Share{{Service: "m", Weight: 1}}, Raw: json.RawMessage(raw)})
+		p.Routes = append(p.Routes, fleetconfig.Route{Name: fmt.Sprintf("r-%07x", i*7919), Host: fmt.Sprintf("host%05x.example", i*104729), Prefix: fmt.Sprintf("/%06x/", i*31), Kind: fleetconfig.Safe, GiveUpMillis: give, Services: []fleetconfig.Share{{Service: "m", Weight: 1}}, Raw: json.RawMessage(raw)})
 	}
-	b, err := fleetconfig.Record(p)
+	b, err := fleetconfig.EncodePlan(p)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/control/placement/balance_test.go
+++ b/control/placement/balance_test.go
@@ -45,7 +45,7 @@
 	s.h.Pressure = func(_, id string) Pressure {
 		for _, x := range s.list {
 			if x.ID == id {
-				return s.strain[x.Part]
+				return s.strain[x.Role]
 			}
 		}
 		return Pressure{}
@@ -54,7 +54,7 @@
 
 func (s *site) add(part string, cold bool) string {
 	id := fmt.Sprintf("s%d", len(s.list))
-	s.list = append(s.list, fleetconfig.Server{ID: id, Addr: fmt.Sprintf("10.0.0.%d:1", len(s.list)+1), Zone: "a", Capacity: 8, Part: part, Warming: cold})
+	s.list = append(s.list, fleetconfig.Server{ID: id, Addr: fmt.Sprintf("10.0.0.%d:1", len(s.list)+1), Zone: "a", Capacity: 8, Role: part, Warming: cold})
 	return id
 }
 
@@ -92,7 +92,7 @@
 				continue
 			}
 			s.then[s.now+time.Second] = append(s.then[s.now+time.Second], func() {
-				s.set(x.ID, func(e *fleetconfig.Server) { e.Part, e.Warming = x.Role, true })
+				s.set(x.ID, func(e *fleetconfig.Server) { e.Role, e.Warming = x.Role, true })
 			})
 			s.then[s.now+2*time.Second] = append(s.then[s.now+2*time.Second], func() {
 				s.set(x.ID, func(e *fleetconfig.Server) { e.Warming = false })
@@ -159,7 +159,7 @@
 		s := newSite(t, 4, 2, fleetconfig.Service{})
 		s.run(5 * time.Second)
 		for _, e := range s.list {
-			if e.Part == x.leaves {
+			if e.Role == x.leaves {
 				s.set(e.ID, func(e *fleetconfig.Server) { e.Leaving = true })
 				break
 			}
--- a/control/placement/status.go
+++ b/control/placement/status.go
@@ -115,11 +115,11 @@
 // A part named there counts as ordered until this holder orders another; it
 // lags behind an order, so a changed word is followed, a standing one is not.
 func (h *Controller) listing(s *server, e fleetconfig.Server) {
-	if e.Part == "" {
+	if e.Role == "" {
 		return
 	}
-	if s.told != e.Part && !s.ordering {
-		s.ordered = e.Part
+	if s.told != e.Role && !s.ordering {
+		s.ordered = e.Role
 	}
-	s.id, s.told, s.cold, s.seen = e.ID, e.Part, e.Warming, true
+	s.id, s.told, s.cold, s.seen = e.ID, e.Role, e.Warming, true
 }
--- a/proof/hollow/client.go
+++ b/proof/hollow/client.go
@@ -104,7 +104,7 @@
 		if float64(i%10) < reading*10 {
 			part = placement.Prefill
 		}
-		s := fleetconfig.Server{ID: fmt.Sprintf("srv-%05d-0", i), Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, 1+i%250), Zone: fmt.Sprintf("zone-%d", i%o.Zones), Capacity: 16, Part: part}
+		s := fleetconfig.Server{ID: fmt.Sprintf("srv-%05d-0", i), Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, 1+i%250), Zone: fmt.Sprintf("zone-%d", i%o.Zones), Capacity: 16, Role: part}
 		list.Servers = append(list.Servers, s)
 		key := fleetconfig.ServerRecordKey(model(0), s.Key())
 		r[key] = message.Record{Key: key, Version: message.Version{Term: 1, Seq: 1}, Value: leadercall.Pack(placement.ServerRecord{Addr: s.Addr, Zone: s.Zone, Capacity: 16, Role: part, Status: placement.Up})}
--- a/proof/hollow/fleet.go
+++ b/proof/hollow/fleet.go
@@ -174,7 +174,7 @@
 	p := configuration(f.Options)
 	p.ID, p.Base = fmt.Sprintf("plan-%d", f.no), f.base
 	f.no++
-	b, err := fleetconfig.Pack(p)
+	b, err := fleetconfig.EncodeCall(p)
 	if err != nil {
 		return 0, err
 	}
@@ -187,7 +187,7 @@
 func (f *Fleet) Change() (time.Duration, error) {
 	f.no++
 	r := change(f.Options, f.no%max(1, f.Routes), f.no)
-	b, err := fleetconfig.Pack(fleetconfig.Changes{ID: fmt.Sprintf("change-%d", f.no), Base: f.base, Changes: []fleetconfig.Change{{Op: "set-route", Route: &r}}})
+	b, err := fleetconfig.EncodeCall(fleetconfig.Changes{ID: fmt.Sprintf("change-%d", f.no), Base: f.base, Changes: []fleetconfig.Change{{Op: "set-route", Route: &r}}})
 	if err != nil {
 		return 0, err
 	}
--- a/proof/hollow/source.go
+++ b/proof/hollow/source.go
@@ -123,10 +123,10 @@
 func configuration(o Options) fleetconfig.Plan {
 	p := fleetconfig.Plan{ID: "first"}
 	for i := range o.Models {
-		p.Services = append(p.Services, fleetconfig.Service{Name: model(i), PrefillServers: 1, DecodeServers: 1, Slots: 16, TokenBytes: 131072, LinkMbps: 100000, Hold: 20, Switch: 2})
+		p.Services = append(p.Services, fleetconfig.Service{Name: model(i), PrefillServers: 1, DecodeServers: 1, Slots: 16, TokenBytes: 131072, LinkMbps: 100000, HandleSeconds: 20, SwitchSeconds: 2})
 	}
 	for i := range o.Tenants {
-		p.Tenants = append(p.Tenants, fleetconfig.Tenant{Name: fmt.Sprintf("tenant-%d", i), Priority: i % 10, Timeout: 30000, Queue: 0.5, Services: []string{model(i % o.Models)}})
+		p.Tenants = append(p.Tenants, fleetconfig.Tenant{Name: fmt.Sprintf("tenant-%d", i), Priority: i % 10, TimeoutMillis: 30000, QueueFraction: 0.5, Services: []string{model(i % o.Models)}})
 	}
 	for i := range o.Routes {
 		p.Routes = append(p.Routes, change(o, i, 0))
@@ -138,6 +138,6 @@
 func change(o Options, i, no int) fleetconfig.Route {
 	return fleetconfig.Route{
 		Name: fmt.Sprintf("route-%d", i), Host: fmt.Sprintf("tenant-%d.example", i%max(1, o.Tenants)), Prefix: fmt.Sprintf("/v1/%d/", i), Kind: "stream",
-		GiveUp: 30000 + no%1000, Target: 680, Gap: 26, Urgency: i % 4, Tries: 3, Sticky: true, Services: []fleetconfig.Share{{Service: model(i % o.Models), Weight: 1}},
+		GiveUpMillis: 30000 + no%1000, TargetMillis: 680, GapMillis: 26, Urgency: i % 4, MaxAttempts: 3, Sticky: true, Services: []fleetconfig.Share{{Service: model(i % o.Models), Weight: 1}},
 	}
 }
--- a/proof/hollow/worker.go
+++ b/proof/hollow/worker.go
@@ -78,7 +78,7 @@
 	if v, ok := w.plan.Load(rec.Version); ok {
 		return v.(uint64)
 	}
-	v := fleetconfig.Open(rec).Version
+	v := fleetconfig.OpenPlan(rec).Version
 	w.plan.Store(rec.Version, v)
 	return v
 }
--- a/proof/overload/front.go
+++ b/proof/overload/front.go
@@ -44,7 +44,7 @@
 	}
 	ver := message.Version{Term: 1, Seq: f.w.gen}
 	if partition == 0 {
-		return message.Record{Key: key, Version: ver, Value: fleetconfig.PackZones(map[string]bool{})}, true
+		return message.Record{Key: key, Version: ver, Value: fleetconfig.EncodeZones(map[string]bool{})}, true
 	}
 	if key == fleetconfig.ListKey(service) {
 		var l fleetconfig.List
--- a/proof/sim/caller.go
+++ b/proof/sim/caller.go
@@ -81,7 +81,7 @@
 		return
 	}
 	c.see.Request = fmt.Sprintf("r%d", c.no)
-	p := fleetconfig.Open(rec)
+	p := fleetconfig.OpenPlan(rec)
 	c.w.jot(history.Event{Who: n.name, Ev: "serves", Plan: p.ID, Ver: p.Version})
 	req, code, why := scheduler.NewSheet(rec).Take(c.asked, c.see.Request, now)
 	if code != 0 {
@@ -284,7 +284,7 @@
 func (w *world) first() {
 	p := fleetconfig.Plan{ID: "first"}
 	for i, t := range []string{"express", "regular", "bulk"} {
-		p.Tenants = append(p.Tenants, fleetconfig.Tenant{Name: t, Priority: 4 * i, Timeout: 5000, Queue: 0.6})
+		p.Tenants = append(p.Tenants, fleetconfig.Tenant{Name: t, Priority: 4 * i, TimeoutMillis: 5000, QueueFraction: 0.6})
 	}
 	for _, s := range services {
 		p.Services = append(p.Services, fleetconfig.Service{Name: s, PrefillServers: 1, DecodeServers: 1})
--- a/proof/sim/node.go
+++ b/proof/sim/node.go
@@ -319,7 +319,7 @@
 		w.note(Event{Kind: Served, Node: n.name, Partition: p, Key: fmt.Sprintf("%d/%s", p, k), Tags: tags(r)})
 	}
 	if rec, ok := n.source(0, fleetconfig.PlanKey); ok && w.o.Calls > 0 {
-		p := fleetconfig.Open(rec)
+		p := fleetconfig.OpenPlan(rec)
 		w.jot(history.Event{Who: n.name, Ev: "serves", Plan: p.ID, Ver: p.Version})
 		w.jot(history.Event{Who: n.name, Ev: "read", Plan: p.ID, Ver: p.Version})
 	}
--- a/proof/sim/operator.go
+++ b/proof/sim/operator.go
@@ -64,7 +64,7 @@
 	if !ok {
 		return
 	}
-	base := fleetconfig.Open(rec).Version
+	base := fleetconfig.OpenPlan(rec).Version
 	switch w.rng.Intn(6) {
 	case 0, 1:
 		w.set(n, base, 4)
@@ -82,7 +82,7 @@
 func (w *world) newest() (version uint64) {
 	for _, n := range w.nodes {
 		if rec, ok := n.sec(0).Node.Get(n.local(), fleetconfig.PlanKey); ok && n.up {
-			version = max(version, fleetconfig.Open(rec).Version)
+			version = max(version, fleetconfig.OpenPlan(rec).Version)
 		}
 	}
 	return version
@@ -99,7 +99,7 @@
 func (w *world) set(n *node, base uint64, prio int) {
 	w.tags++
 	id, start := fmt.Sprintf("c%d", w.tags), w.now
-	c := fleetconfig.Changes{ID: id, Base: base, Changes: []fleetconfig.Change{{Op: "set-tenant", Tenant: &fleetconfig.Tenant{Name: "regular", Priority: prio, Timeout: 4000 + int(w.tags%1000), Queue: 0.6}}}}
+	c := fleetconfig.Changes{ID: id, Base: base, Changes: []fleetconfig.Change{{Op: "set-tenant", Tenant: &fleetconfig.Tenant{Name: "regular", Priority: prio, TimeoutMillis: 4000 + int(w.tags%1000), QueueFraction: 0.6}}}}
 	w.control(n, 0, "changes", leadercall.Pack(c), func(code int, rep []byte) { w.judged(id, base, start, code, rep) })
 }
 
--- a/proof/sim/races.go
+++ b/proof/sim/races.go
@@ -52,7 +52,7 @@
 	w.open++
 	r := &raced{id: fmt.Sprintf("r%d", w.tags), base: base, number: number}
 	r.body = leadercall.Pack(fleetconfig.Changes{ID: r.id, Base: base, Number: number, Changes: []fleetconfig.Change{
-		{Op: "set-tenant", Tenant: &fleetconfig.Tenant{Name: "regular", Priority: 4, Timeout: 4000 + int(w.tags%1000), Queue: 0.6}},
+		{Op: "set-tenant", Tenant: &fleetconfig.Tenant{Name: "regular", Priority: 4, TimeoutMillis: 4000 + int(w.tags%1000), QueueFraction: 0.6}},
 	}})
 	w.sendRaced(r)
 }
@@ -149,7 +149,7 @@
 	if m.Kind != message.KindCall || m.Partition != 0 {
 		return
 	}
-	now := fleetconfig.Open(w.read(to, fleetconfig.PlanKey)).Version
+	now := fleetconfig.OpenPlan(w.read(to, fleetconfig.PlanKey)).Version
 	switch w.o.Sabotage {
 	case "nobase":
 		if m.Op == "changes" {
--- a/proof/track/drive.go
+++ b/proof/track/drive.go
@@ -19,7 +19,7 @@
 func (f *Fleet) Plan(id string, base uint64) fleetconfig.Plan {
 	p := fleetconfig.Plan{ID: id, Base: base}
 	for _, t := range load.Tenants {
-		p.Tenants = append(p.Tenants, fleetconfig.Tenant{Name: t.Name, Priority: t.Prio, Timeout: 10000, Queue: 0.6})
+		p.Tenants = append(p.Tenants, fleetconfig.Tenant{Name: t.Name, Priority: t.Prio, TimeoutMillis: 10000, QueueFraction: 0.6})
 	}
 	for _, s := range f.Layout.Order {
 		p.Services = append(p.Services, fleetconfig.Service{Name: s, PrefillServers: 1, DecodeServers: 1})
--- a/proof/track/format_test.go
+++ b/proof/track/format_test.go
@@ -15,7 +15,7 @@
 func newer(t *testing.T) string {
 	t.Helper()
 	bin := t.TempDir()
-	mark := fmt.Sprintf("-X mulleinmast/control/fleetconfig.formatRead=%d", fleetconfig.Format()+1)
+	mark := fmt.Sprintf("-X mulleinmast/control/fleetconfig.formatRead=%d", fleetconfig.NewestFormat()+1)
 	if out, err := exec.Command("go", "build", "-ldflags", mark, "-o", bin+"/", "mulleinmast/cmd/mulleinmast").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	f.Old = newer(t)
-	next := fleetconfig.Format() + 1
+	next := fleetconfig.NewestFormat() + 1
 	last := f.Daemons[len(f.Daemons)-1]
 
 	// The newer one first, on some: the plan is refused before anything is written.
--- a/proof/track/scenario.go
+++ b/proof/track/scenario.go
@@ -247,7 +247,7 @@
 // change sends a named change of one tenant's timeout and reports the verdict.
 func (f *Fleet) change(addr, id string, base uint64, timeout int) (int, fleetconfig.Verdict) {
 	code, b := f.Call("POST", addr, "/v1/plan/changes", fleetconfig.Changes{ID: id, Base: base, Changes: []fleetconfig.Change{
-		{Op: "set-tenant", Tenant: &fleetconfig.Tenant{Name: "regular", Priority: 4, Timeout: timeout, Queue: 0.6}},
+		{Op: "set-tenant", Tenant: &fleetconfig.Tenant{Name: "regular", Priority: 4, TimeoutMillis: timeout, QueueFraction: 0.6}},
 	}})
 	return code, f.told(id, base, code, b)
 }
--- a/proof/track/scene_core.go
+++ b/proof/track/scene_core.go
@@ -70,7 +70,7 @@
 			plan := f.Plan(id, base)
 			for k := 0; k < n; k++ { // names that don't shrink when they are packed
 				name := fmt.Sprintf("%x", sha256.Sum256(fmt.Appendf(nil, "%s-%d", id, k)))
-				plan.Tenants = append(plan.Tenants, fleetconfig.Tenant{Name: name, Priority: k % 10, Timeout: 1000, Queue: 0.5})
+				plan.Tenants = append(plan.Tenants, fleetconfig.Tenant{Name: name, Priority: k % 10, TimeoutMillis: 1000, QueueFraction: 0.5})
 			}
 			code, b := f.Call("PUT", f.Daemons[1].Addr, "/v1/plan", plan)
 			return code, f.told(id, base, code, b).Version
--- a/proof/track/scene_plan.go
+++ b/proof/track/scene_plan.go
@@ -89,7 +89,7 @@
 			if i == 8 { // and a large one is taken
 				big := f.Plan("large", v)
 				for k := 0; k < 3000; k++ {
-					big.Tenants = append(big.Tenants, fleetconfig.Tenant{Name: fmt.Sprintf("tenant-%d", k), Priority: k % 10, Timeout: 1000, Queue: 0.5})
+					big.Tenants = append(big.Tenants, fleetconfig.Tenant{Name: fmt.Sprintf("tenant-%d", k), Priority: k % 10, TimeoutMillis: 1000, QueueFraction: 0.5})
 				}
 				code, b := f.Call("PUT", f.Daemons[5].Addr, "/v1/plan", big)
 				if v = f.told("large", v, code, b).Version; code != 200 {
--- a/traffic/forward/lane.go
+++ b/traffic/forward/lane.go
@@ -155,7 +155,7 @@
 		l.until = 0
 		return false
 	}
-	out := fleetconfig.Zones(zones)
+	out := fleetconfig.OpenZones(zones)
 	for i, s := range l.list(listed) {
 		if s.Leaving || out[s.Zone] {
 			continue
@@ -165,7 +165,7 @@
 			continue
 		}
 		b := l.record(rec)
-		if s.Part != "" && s.Part != b.Role { // by the platform's word it doesn't play its part yet
+		if s.Role != "" && s.Role != b.Role { // by the platform's word it doesn't play its part yet
 			continue
 		}
 		if !b.ok || b.NextRole != "" || b.Status != placement.Up && b.Status != placement.Warming {
--- a/traffic/forward/model_test.go
+++ b/traffic/forward/model_test.go
@@ -44,7 +44,7 @@
 	}
 	switch {
 	case partition == 0 && key == fleetconfig.ZoneKey:
-		return message.Record{Key: key, Value: fleetconfig.PackZones(r.out)}, true
+		return message.Record{Key: key, Value: fleetconfig.EncodeZones(r.out)}, true
 	case key == fleetconfig.ListKey("s"):
 		if r.held {
 			return message.Record{}, false
--- a/traffic/gateway/gateway.go
+++ b/traffic/gateway/gateway.go
@@ -178,7 +178,7 @@
 	servers := g.strained(l, svc)
 	g.bmu.Lock()
 	for _, s := range servers {
-		g.board.Memory(board.Name(svc.Name, s.Key), svc.Memory)
+		g.board.Memory(board.Name(svc.Name, s.Key), svc.MemoryTokens)
 	}
 	g.bmu.Unlock()
 }
@@ -373,12 +373,12 @@
 	}
 	c := forward.Call{
 		ID: q.ID, Repeat: r.Kind == "safe" || r.Kind == "stream" && r.Resume, Resume: r.Kind == "stream" && r.Resume, After: q.Last != "",
-		Urgency: r.Urgency, Least: s.least, Tries: r.Tries, Aim: time.Duration(r.Target) * time.Millisecond, Gap: time.Duration(r.Gap) * time.Millisecond,
+		Urgency: r.Urgency, Least: s.least, Tries: r.MaxAttempts, Aim: time.Duration(r.TargetMillis) * time.Millisecond, Gap: time.Duration(r.GapMillis) * time.Millisecond,
 		Parts: q.Parts, In: q.In, Out: q.Out, Bytes: len(q.Body),
 	}
 	c.Service = route.Pick(r, dice(q.ID))
 	c.Split = r.Kind == "stream" && s.split[c.Service]
-	c.Due = at + time.Duration(r.GiveUp)*time.Millisecond
+	c.Due = at + time.Duration(r.GiveUpMillis)*time.Millisecond
 	if q.Left > 0 {
 		c.Due = min(c.Due, at+q.Left)
 	}
--- a/traffic/gateway/gateway_test.go
+++ b/traffic/gateway/gateway_test.go
@@ -59,16 +59,16 @@
 		if r.Name == "" {
 			r.Name = r.Kind
 		}
-		r.Host, r.Prefix, r.GiveUp, r.Target, r.Tries, r.Services = "h.example", "/"+r.Name+"/", 5000, 400, 3, []fleetconfig.Share{{Service: "one", Weight: 1}}
+		r.Host, r.Prefix, r.GiveUpMillis, r.TargetMillis, r.MaxAttempts, r.Services = "h.example", "/"+r.Name+"/", 5000, 400, 3, []fleetconfig.Share{{Service: "one", Weight: 1}}
 		p.Routes = append(p.Routes, r)
 	}
-	body, err := fleetconfig.Pack(p)
+	body, err := fleetconfig.EncodeCall(p)
 	if err != nil {
 		return nil, err
 	}
 	list := fleetconfig.List{Version: 1}
 	for i, part := range []string{placement.Decode, placement.Decode, placement.Decode, placement.Prefill, placement.Prefill} {
-		list.Servers = append(list.Servers, fleetconfig.Server{ID: fmt.Sprint("i-", i), Addr: fmt.Sprint("10.0.0.", i+1, ":1"), Zone: cfg.Zone, Capacity: 8, Part: part})
+		list.Servers = append(list.Servers, fleetconfig.Server{ID: fmt.Sprint("i-", i), Addr: fmt.Sprint("10.0.0.", i+1, ":1"), Zone: cfg.Zone, Capacity: 8, Role: part})
 	}
 	if code, rep := c.Call(ctx, 0, "plan", body, 20*time.Second); code != 200 {
 		return nil, fmt.Errorf("plan: %d %s", code, rep)
--- a/traffic/route/route.go
+++ b/traffic/route/route.go
@@ -30,7 +30,7 @@
 	for i := range routes {
 		r := &routes[i]
 		t.names[r.Name] = r
-		at := fleetconfig.Host(r.Host)
+		at := fleetconfig.NormalizeHost(r.Host)
 		h := t.hosts[at]
 		if h == nil {
 			h = &host{prefixes: map[string]*fleetconfig.Route{}}
@@ -54,7 +54,7 @@
 //
 // Example: r, ok := t.Match(req.Host, req.URL.EscapedPath())
 func (t *Table) Match(hostPort, path string) (*fleetconfig.Route, bool) {
-	h := t.hosts[fleetconfig.Host(hostPort)]
+	h := t.hosts[fleetconfig.NormalizeHost(hostPort)]
 	if h == nil {
 		return nil, false
 	}
--- a/traffic/route/route_test.go
+++ b/traffic/route/route_test.go
@@ -53,7 +53,7 @@
 			want := ""
 			size := -1
 			for _, r := range p.Routes {
-				if fleetconfig.Host(r.Host) == fleetconfig.Host(host) && strings.HasPrefix(at, r.Prefix) && len(r.Prefix) > size {
+				if fleetconfig.NormalizeHost(r.Host) == fleetconfig.NormalizeHost(host) && strings.HasPrefix(at, r.Prefix) && len(r.Prefix) > size {
 					want, size = r.Name, len(r.Prefix)
 				}
 			}
--- a/traffic/scheduler/lane.go
+++ b/traffic/scheduler/lane.go
@@ -186,7 +186,7 @@
 	in, ok := l.listed(list).by[addr]
 	zones, okZones := l.src(0, fleetconfig.ZoneKey)
 	plan, okPlan := l.src(0, fleetconfig.PlanKey)
-	if !ok || in.Leaving || !okZones || !okPlan || !zones.Deleted && fleetconfig.Zones(zones)[b.Zone] {
+	if !ok || in.Leaving || !okZones || !okPlan || !zones.Deleted && fleetconfig.OpenZones(zones)[b.Zone] {
 		return b, false
 	}
 	if l.sheet == nil || l.sheet.Ver != plan.Version {
--- a/traffic/scheduler/scheduler_test.go
+++ b/traffic/scheduler/scheduler_test.go
@@ -29,7 +29,7 @@
 	put := func(key string, v any) {
 		w.recs[key] = message.Record{Key: key, Version: message.Version{Term: 1, Seq: 1}, Value: leadercall.Pack(v)}
 	}
-	put(fleetconfig.PlanKey, fleetconfig.Plan{Version: 1, Services: []fleetconfig.Service{{Name: "m"}}, Tenants: []fleetconfig.Tenant{{Name: "t", Timeout: 10000, Queue: 1}}})
+	put(fleetconfig.PlanKey, fleetconfig.Plan{Version: 1, Services: []fleetconfig.Service{{Name: "m"}}, Tenants: []fleetconfig.Tenant{{Name: "t", TimeoutMillis: 10000, QueueFraction: 1}}})
 	put(fleetconfig.ZoneKey, []string{})
 	put(fleetconfig.ListKey("m"), fleetconfig.List{Servers: []fleetconfig.Server{{Addr: prefill, Zone: "a", Capacity: 2}, {Addr: decode, Zone: "a", Capacity: 2}}})
 	put(fleetconfig.ServerRecordKey("m", prefill), placement.ServerRecord{Addr: prefill, Zone: "a", Role: placement.Prefill, Status: placement.Up, Pairs: []string{decode}})
--- a/traffic/scheduler/sheet.go
+++ b/traffic/scheduler/sheet.go
@@ -22,7 +22,7 @@
 //
 // Example: s := scheduler.NewSheet(rec)
 func NewSheet(rec message.Record) *Sheet {
-	p := fleetconfig.Open(rec)
+	p := fleetconfig.OpenPlan(rec)
 	s := &Sheet{Ver: rec.Version, plan: p.Version, tenants: map[string]fleetconfig.Tenant{}, out: map[string]map[string]bool{}}
 	for _, t := range p.Tenants {
 		s.tenants[t.Name] = t
@@ -60,12 +60,12 @@
 	if len(ten.Services) > 0 && !slices.Contains(ten.Services, q.Model) {
 		return r, 403, fmt.Sprintf("model: tenant %q may not use %q", q.Tenant, q.Model)
 	}
-	timeout := time.Duration(ten.Timeout) * time.Millisecond
+	timeout := time.Duration(ten.TimeoutMillis) * time.Millisecond
 	if q.Timeout != nil {
 		timeout = time.Duration(*q.Timeout) * time.Millisecond
 	}
 	if q.Tokens == 0 {
 		q.Tokens = 16
 	}
-	return Request{ID: id, Tenant: q.Tenant, Model: q.Model, Prio: ten.Priority, Part: ten.Queue, Due: now + timeout, Tokens: q.Tokens, Once: q.Once, Parts: q.Parts}, 0, ""
+	return Request{ID: id, Tenant: q.Tenant, Model: q.Model, Prio: ten.Priority, Part: ten.QueueFraction, Due: now + timeout, Tokens: q.Tokens, Once: q.Once, Parts: q.Parts}, 0, ""
 }
