--- a/control/fleetconfig/fleetconfig.go
+++ b/control/fleetconfig/fleetconfig.go
@@ -43,11 +43,11 @@
 
 // Tenant is the template that operators fill in.
 type Tenant struct {
-	Name     string   `json:"name"`
-	Priority int      `json:"priority"`           // 0 is the most urgent, 9 the least
-	Services []string `json:"services,omitempty"` // models it may use; none means all
-	TimeoutMillis  int      `json:"budget_ms"`          // for requests that name none
-	QueueFraction    float64  `json:"queue"`              // most of a daemon's queue it may fill
+	Name          string   `json:"name"`
+	Priority      int      `json:"priority"`           // 0 is the most urgent, 9 the least
+	Services      []string `json:"services,omitempty"` // models it may use; none means all
+	TimeoutMillis int      `json:"budget_ms"`          // for requests that name none
+	QueueFraction float64  `json:"queue"`              // most of a daemon's queue it may fill
 }
 
 // Service is what a plan says of one model.
@@ -58,18 +58,18 @@
 	Exclude        []string `json:"exclude,omitempty"` // servers that get no work
 
 	StatusPath     string          `json:"status,omitempty"`      // path at which a server tells how it is
-	MaxConnections      int             `json:"conns,omitempty"`       // most connections a server takes from all daemons together
-	WarmUpSeconds    float64         `json:"cold_s,omitempty"`      // a server is cold for so long after its start, in seconds
-	WarmUpRate   float64         `json:"cold_rate,omitempty"`   // what a cold server bears, in requests a second
-	Slots      int             `json:"slots,omitempty"`       // requests a server works on at a time
-	MemoryTokens     int             `json:"memory,omitempty"`      // of a server, in tokens
-	TokenBytes int             `json:"token_bytes,omitempty"` // moved for each token of a hand-over
-	LinkMbps   float64         `json:"link_mbps,omitempty"`   // of a server, for hand-overs
-	TokensPerEvent     int             `json:"stride,omitempty"`      // tokens in one event of a stream
-	HandleSeconds       float64         `json:"hold_s,omitempty"`      // life of a handle, in seconds
-	SwitchSeconds     float64         `json:"switch_s,omitempty"`    // time that a change of part takes, in seconds
-	Models     []string        `json:"models,omitempty"`
-	Raw        json.RawMessage `json:"raw,omitempty"` // the item as its operator sent it
+	MaxConnections int             `json:"conns,omitempty"`       // most connections a server takes from all daemons together
+	WarmUpSeconds  float64         `json:"cold_s,omitempty"`      // a server is cold for so long after its start, in seconds
+	WarmUpRate     float64         `json:"cold_rate,omitempty"`   // what a cold server bears, in requests a second
+	Slots          int             `json:"slots,omitempty"`       // requests a server works on at a time
+	MemoryTokens   int             `json:"memory,omitempty"`      // of a server, in tokens
+	TokenBytes     int             `json:"token_bytes,omitempty"` // moved for each token of a hand-over
+	LinkMbps       float64         `json:"link_mbps,omitempty"`   // of a server, for hand-overs
+	TokensPerEvent int             `json:"stride,omitempty"`      // tokens in one event of a stream
+	HandleSeconds  float64         `json:"hold_s,omitempty"`      // life of a handle, in seconds
+	SwitchSeconds  float64         `json:"switch_s,omitempty"`    // time that a change of part takes, in seconds
+	Models         []string        `json:"models,omitempty"`
+	Raw            json.RawMessage `json:"raw,omitempty"` // the item as its operator sent it
 }
 
 // Plan is a whole plan as it is in force.
--- a/control/fleetconfig/route.go
+++ b/control/fleetconfig/route.go
@@ -26,29 +26,29 @@
 
 // Route says which service gets the requests for a host and a path.
 type Route struct {
-	Name     string          `json:"name"`
-	Host     string          `json:"host"`   // without a port, in any case
-	Prefix   string          `json:"prefix"` // begins the path; the longest counts
-	Kind     string          `json:"kind"`
-	GiveUpMillis   int             `json:"give_up_ms"`          // longest that a request is held
-	TargetMillis   int             `json:"target_ms,omitempty"` // an answer within it earns its full worth
-	GapMillis      int             `json:"gap_ms,omitempty"`    // longest pause between a stream's events that is still in time
-	Urgency  int             `json:"urgency"`             // 0 is the most urgent
-	MaxAttempts    int             `json:"tries,omitempty"`     // most servers that one request may be sent to
-	Sticky   bool            `json:"sticky,omitempty"`    // requests that share a prompt should meet
-	Resume   bool            `json:"resume,omitempty"`    // a stream may be taken up in its middle
-	Services []Share         `json:"services"`
-	Regions    []string        `json:"homes,omitempty"` // regions that its requests may go to; none: all
-	Raw      json.RawMessage `json:"raw,omitempty"`   // the item as its operator sent it
+	Name         string          `json:"name"`
+	Host         string          `json:"host"`   // without a port, in any case
+	Prefix       string          `json:"prefix"` // begins the path; the longest counts
+	Kind         string          `json:"kind"`
+	GiveUpMillis int             `json:"give_up_ms"`          // longest that a request is held
+	TargetMillis int             `json:"target_ms,omitempty"` // an answer within it earns its full worth
+	GapMillis    int             `json:"gap_ms,omitempty"`    // longest pause between a stream's events that is still in time
+	Urgency      int             `json:"urgency"`             // 0 is the most urgent
+	MaxAttempts  int             `json:"tries,omitempty"`     // most servers that one request may be sent to
+	Sticky       bool            `json:"sticky,omitempty"`    // requests that share a prompt should meet
+	Resume       bool            `json:"resume,omitempty"`    // a stream may be taken up in its middle
+	Services     []Share         `json:"services"`
+	Regions      []string        `json:"homes,omitempty"` // regions that its requests may go to; none: all
+	Raw          json.RawMessage `json:"raw,omitempty"`   // the item as its operator sent it
 }
 
 // Limits bound what a client may send and how long it may take; 0 is no bound.
 type Limits struct {
-	HeaderBytes int             `json:"header_bytes,omitempty"`
-	BodyBytes   int             `json:"body_bytes,omitempty"`
-	HeaderTimeoutMillis  int             `json:"header_wait_ms,omitempty"`
-	IdleTimeoutMillis        int             `json:"idle_ms,omitempty"`
-	Raw         json.RawMessage `json:"raw,omitempty"` // as the operator sent them
+	HeaderBytes         int             `json:"header_bytes,omitempty"`
+	BodyBytes           int             `json:"body_bytes,omitempty"`
+	HeaderTimeoutMillis int             `json:"header_wait_ms,omitempty"`
+	IdleTimeoutMillis   int             `json:"idle_ms,omitempty"`
+	Raw                 json.RawMessage `json:"raw,omitempty"` // as the operator sent them
 }
 
 // IsZero tells that nothing is bounded and nothing was sent.
--- a/control/fleetconfig/stored_test.go
+++ b/control/fleetconfig/stored_test.go
@@ -14,11 +14,11 @@
 func completePlan() Plan {
 	return Plan{
 		Version: 12, ID: "plan-12", Base: 11, Number: 13, Needs: 1, Raw: json.RawMessage(`{"further":true}`),
-		Tenants:  []Tenant{{Name: "express", Priority: 2, Services: []string{"timetable"}, TimeoutMillis: 30000, QueueFraction: 0.25}},
-		Services: []Service{completeService()},
-		Routes:   []Route{completeRoute()},
-		Limits:   Limits{HeaderBytes: 8192, BodyBytes: 65536, HeaderTimeoutMillis: 2000, IdleTimeoutMillis: 60000, Raw: json.RawMessage(`{"limit":1}`)},
-		PastChanges:     []AcceptedChange{{ID: "plan-11", Version: 11}},
+		Tenants:     []Tenant{{Name: "express", Priority: 2, Services: []string{"timetable"}, TimeoutMillis: 30000, QueueFraction: 0.25}},
+		Services:    []Service{completeService()},
+		Routes:      []Route{completeRoute()},
+		Limits:      Limits{HeaderBytes: 8192, BodyBytes: 65536, HeaderTimeoutMillis: 2000, IdleTimeoutMillis: 60000, Raw: json.RawMessage(`{"limit":1}`)},
+		PastChanges: []AcceptedChange{{ID: "plan-11", Version: 11}},
 	}
 }
 
--- a/control/fleetconfig/taken.go
+++ b/control/fleetconfig/taken.go
@@ -81,7 +81,7 @@
 // Add remembers accepted ids and gives the records that change; the oldest page
 // gives way where all are full.
 //
-// Example: recs = append(recs, taken.Add(fleetconfig.Past{ID: id, Version: 9})...)
+// Example: recs = append(recs, taken.Add(fleetconfig.AcceptedChange{ID: id, Version: 9})...)
 func (t *AcceptedChanges) Add(list ...AcceptedChange) (recs []message.Record) {
 	touched := map[uint64]bool{}
 	var order []uint64
--- a/control/leader/leader.go
+++ b/control/leader/leader.go
@@ -21,9 +21,9 @@
 
 // Config holds the bounds of a leader's works.
 type Config struct {
-	Placement placement.Config
-	OnceKeyRetention  time.Duration // once keys are kept this long
-	RepeatWindow time.Duration // for how long a caller may send an order again
+	Placement        placement.Config
+	OnceKeyRetention time.Duration // once keys are kept this long
+	RepeatWindow     time.Duration // for how long a caller may send an order again
 	// ReadableFormat tells the format of plans that all daemons of the fleet read; none: no
 	// plan is turned away for what it needs.
 	ReadableFormat func() int
@@ -37,7 +37,7 @@
 	partition.Out
 	Polls  []string // keys of server records whose servers are to be polled
 	Orders []placement.Order
-	Events  []Event
+	Events []Event
 }
 
 func (o *Out) say(kind, how string, args ...any) {
@@ -46,7 +46,7 @@
 
 // ClusterView is what this daemon sees of the configuration under valid leases.
 type ClusterView struct {
-	Plan, Zones, Replicas       message.Record
+	Plan, Zones, Replicas                message.Record
 	PlanValid, ZonesValid, ReplicasValid bool
 	// Pressure tells how hard a server is pressed, as far as this daemon heard.
 	Pressure func(service, server string) placement.Pressure
--- a/control/leader/orders_test.go
+++ b/control/leader/orders_test.go
@@ -63,7 +63,9 @@
 	return code
 }
 
-func (d *keeper) out(zone string) bool { return fleetconfig.OpenZones(d.read(fleetconfig.ZoneKey))[zone] }
+func (d *keeper) out(zone string) bool {
+	return fleetconfig.OpenZones(d.read(fleetconfig.ZoneKey))[zone]
+}
 
 // An order that was taken and undone since, and comes again as another call, has
 // no clear answer for as long as it may be a late repeat, whoever is leader; then
--- a/control/leadercall/leadercall.go
+++ b/control/leadercall/leadercall.go
@@ -17,7 +17,7 @@
 
 // Codes of control answers beside those of HTTP.
 const (
-	StatusNotLeader     = http.StatusMisdirectedRequest // not the leader
+	StatusNotLeader = http.StatusMisdirectedRequest // not the leader
 	StatusUncertain = http.StatusGatewayTimeout
 	StatusNotDone   = http.StatusServiceUnavailable
 	StatusBehind    = http.StatusTooEarly // the order was on another version of what it changes; the answer names the present one
@@ -29,22 +29,22 @@
 
 // Config holds the bounds of a call.
 type Config struct {
-	TryTimeout   time.Duration // a leader's word is waited for this long
+	TryTimeout    time.Duration // a leader's word is waited for this long
 	RetryInterval time.Duration // between tries
-	RetryAfter time.Duration // what a caller who got no word is told to wait
+	RetryAfter    time.Duration // what a caller who got no word is told to wait
 }
 
 // Result is the end of a call.
 type Result struct {
-	CallID   uint64
+	CallID uint64
 	Status int
-	Body []byte
+	Body   []byte
 }
 
 // Out is what a step asks for.
 type Out struct {
-	Sends []message.Envelope
-	Results  []Result
+	Sends   []message.Envelope
+	Results []Result
 }
 
 type call struct {
--- a/control/leadercall/word.go
+++ b/control/leadercall/word.go
@@ -12,13 +12,13 @@
 
 // Response is a control answer that is not a verdict.
 type Response struct {
-	Result  string   `json:"result"`
-	Reason     string   `json:"why,omitempty"`
-	Faults  []string `json:"faults,omitempty"`
-	RetryAfterMillis   int64    `json:"retry_after_ms,omitempty"`
-	Claim   *Claim   `json:"claim,omitempty"`
-	Plan    string   `json:"plan,omitempty"`
-	Version uint64   `json:"version,omitempty"`
+	Result           string   `json:"result"`
+	Reason           string   `json:"why,omitempty"`
+	Faults           []string `json:"faults,omitempty"`
+	RetryAfterMillis int64    `json:"retry_after_ms,omitempty"`
+	Claim            *Claim   `json:"claim,omitempty"`
+	Plan             string   `json:"plan,omitempty"`
+	Version          uint64   `json:"version,omitempty"`
 }
 
 // Pack makes JSON of one of our own types.
--- a/control/placement/balance_test.go
+++ b/control/placement/balance_test.go
@@ -19,7 +19,7 @@
 	list          []fleetconfig.Server
 	serverRecords map[string]ServerRecord
 	strain        map[string]Pressure // by part that the platform lists
-	deny          bool              // it takes orders and doesn't follow them
+	deny          bool                // it takes orders and doesn't follow them
 	then          map[time.Duration][]func()
 	orders        []Order
 	at            []time.Duration
--- a/control/placement/placement.go
+++ b/control/placement/placement.go
@@ -18,21 +18,21 @@
 
 // Config holds the bounds the holder works by.
 type Config struct {
-	SwapBound  time.Duration // no order before this has passed since an older holder could act
-	PollInterval  time.Duration
-	WarmUp  time.Duration // a warming server's slots ramp up over this
-	ShareLength time.Duration // length of a slot share
-	Drift float64
+	SwapBound    time.Duration // no order before this has passed since an older holder could act
+	PollInterval time.Duration
+	WarmUp       time.Duration // a warming server's slots ramp up over this
+	ShareLength  time.Duration // length of a slot share
+	Drift        float64
 	Margin,
 	Dwell time.Duration // least time between shifts of part in a service
-	UsageWindow time.Duration // usage is averaged over this
-	DrainTimeout  time.Duration // in-flight work of a leaving part is waited for this long
-	SlowLink   time.Duration // a link slower than this loses its pair
-	MaxFailures   int           // failed polls that make a server dark
-	ListedDwell time.Duration // least time between shifts where the platform lists the parts
+	UsageWindow  time.Duration // usage is averaged over this
+	DrainTimeout time.Duration // in-flight work of a leaving part is waited for this long
+	SlowLink     time.Duration // a link slower than this loses its pair
+	MaxFailures  int           // failed polls that make a server dark
+	ListedDwell  time.Duration // least time between shifts where the platform lists the parts
 	PressWindow  time.Duration // a side is pressed this long before a server is shifted to it
-	HighUsage   float64       // usage above which a side is short
-	LowUsage    float64       // usage below which a side can spare a server
+	HighUsage    float64       // usage above which a side is short
+	LowUsage     float64       // usage below which a side can spare a server
 }
 
 // Out is what a tick asks for.
@@ -63,7 +63,7 @@
 	warmAt   time.Duration
 	leftAt   time.Duration
 	oddAt    time.Duration // since when the platform's word differs from the record
-	strain   Pressure        // smoothed
+	strain   Pressure      // smoothed
 	ordered  string
 	ordering bool
 	writing  bool
@@ -87,7 +87,7 @@
 	share   map[string]float64 // of a service's listed servers that are to read
 	// Pressure tells how hard a server is pressed; none: nobody knows.
 	Pressure func(service, server string) Pressure
-	out    map[string]bool // evacuated zones
+	out      map[string]bool // evacuated zones
 }
 
 // New makes the holder of a new term; since is when no older one could act.
--- a/control/placement/rows.go
+++ b/control/placement/rows.go
@@ -7,13 +7,13 @@
 // Row is one server as the query shell shows it.
 type Row struct {
 	ServerRecord
-	Service string  `json:"service"`
-	Active  int     `json:"active"`
-	Utilization    float64 `json:"busy"`
-	Failures   int     `json:"fails"`
-	Slots   int     `json:"total"`
+	Service     string  `json:"service"`
+	Active      int     `json:"active"`
+	Utilization float64 `json:"busy"`
+	Failures    int     `json:"fails"`
+	Slots       int     `json:"total"`
 	Granted     int     `json:"out"`
-	Withdrawn  bool    `json:"leaves"`
+	Withdrawn   bool    `json:"leaves"`
 }
 
 // Rows snapshots the table of servers.
--- a/control/placement/shape.go
+++ b/control/placement/shape.go
@@ -23,13 +23,13 @@
 
 // ServerRecord is the record of one server.
 type ServerRecord struct {
-	Addr   string   `json:"addr"`
-	Zone   string   `json:"cell"`
-	Capacity    int      `json:"cap"`
-	Role   string   `json:"part"`
-	NextRole     string   `json:"to,omitempty"` // the part it shifts to
-	Status string   `json:"status"`
-	Pairs  []string `json:"pairs,omitempty"`
+	Addr     string   `json:"addr"`
+	Zone     string   `json:"cell"`
+	Capacity int      `json:"cap"`
+	Role     string   `json:"part"`
+	NextRole string   `json:"to,omitempty"` // the part it shifts to
+	Status   string   `json:"status"`
+	Pairs    []string `json:"pairs,omitempty"`
 }
 
 // ReadServerRecord reads a server record; ok tells whether there is one. The
@@ -60,46 +60,46 @@
 
 // Usage is what a server reports of itself.
 type Usage struct {
-	Active  int            `json:"active"`
-	Queued  int            `json:"queued"`
-	UptimeMillis  int64          `json:"uptime_ms"`
-	Leaving bool           `json:"leaving"`
-	Warming bool           `json:"warming,omitempty"`  // by its own word still warming up
+	Active       int            `json:"active"`
+	Queued       int            `json:"queued"`
+	UptimeMillis int64          `json:"uptime_ms"`
+	Leaving      bool           `json:"leaving"`
+	Warming      bool           `json:"warming,omitempty"`  // by its own word still warming up
 	LinkMillis   map[string]int `json:"links_ms,omitempty"` // seen when handing KV caches over
 }
 
 // Demand is a daemon's report and wish for one service.
 type Demand struct {
-	Service string         `json:"s"`
-	AckedShare     uint64         `json:"a"`
+	Service    string         `json:"s"`
+	AckedShare uint64         `json:"a"`
 	Prefill    [10]int        `json:"r"` // waiting for or holding a prefill server, by priority
-	Decode    [10]int        `json:"m"`
-	InFlight    map[string]int `json:"h"` // in flight, by server
+	Decode     [10]int        `json:"m"`
+	InFlight   map[string]int `json:"h"` // in flight, by server
 	Failures   map[string]int `json:"f,omitempty"`
-	PrefixHits    map[string]int `json:"l,omitempty"` // waiting requests whose prefix a prefill server holds
+	PrefixHits map[string]int `json:"l,omitempty"` // waiting requests whose prefix a prefill server holds
 }
 
 // Share is the slots a daemon may fill.
 type Share struct {
-	Number    uint64         `json:"n"`
-	Length   int64          `json:"t"`
-	Slots map[string]int `json:"s"`
+	Number uint64         `json:"n"`
+	Length int64          `json:"t"`
+	Slots  map[string]int `json:"s"`
 }
 
 // Order tells a server which part to play.
 type Order struct {
-	Key  string `json:"-"` // of the server's record
-	ID   string `json:"-"` // of this life of the server, where the platform gives one
-	Addr string `json:"-"`
-	Role string `json:"part"`
-	Term uint64 `json:"term"`
-	Number   uint64 `json:"no"`
-	Reason  string `json:"why"`
+	Key    string `json:"-"` // of the server's record
+	ID     string `json:"-"` // of this life of the server, where the platform gives one
+	Addr   string `json:"-"`
+	Role   string `json:"part"`
+	Term   uint64 `json:"term"`
+	Number uint64 `json:"no"`
+	Reason string `json:"why"`
 }
 
 // Write is a server record to be written; Gone removes it.
 type Write struct {
-	Key  string
+	Key    string
 	Value  []byte
 	Delete bool
 }
--- a/proof/standin/mutants/rules.sh
+++ b/proof/standin/mutants/rules.sh
@@ -13,7 +13,7 @@
 mutant goes-on-for-nobody traffic/gateway TestAClientThatIsGone traffic/gateway/run.go 'for !m.Kind.Final() {
 		if ctx.Err() != nil || has.unread {' 'for !m.Kind.Final() {
 		if has.unread {'
-mutant past-give-up traffic/gateway TestARequestIsGivenUpWhenItsRouteSaysSo traffic/gateway/gateway.go 'c.Due = at + time.Duration(r.GiveUp)*time.Millisecond' 'c.Due = at + time.Hour'
+mutant past-give-up traffic/gateway TestARequestIsGivenUpWhenItsRouteSaysSo traffic/gateway/gateway.go 'c.Due = at + time.Duration(r.GiveUpMillis)*time.Millisecond' 'c.Due = at + time.Hour'
 mutant weights-passed-over traffic/route TestPickFollowsTheWeights traffic/route/route.go 'if at < s.Weight {' 'if at < 50*s.Weight {'
 mutant unready-at-changes control/daemon TestAChangeMakesNoDaemonUnready control/daemon/host.go ' || c.wasReady(c.Cfg.Vol())' ''
 mutant ends-while-it-changes control/membership TestADaemonHandsOverWhileItsGroupChanges control/membership/view.go 'len(g.Next) > 0 || v.standby(g)' 'v.standby(g)'
