--- a/cmd/mulleinctl/main.go
+++ b/cmd/mulleinctl/main.go
@@ -255,7 +255,7 @@
 				case what == "servers":
 					head = "SERVICE SERVER ZONE ROLE STATUS TO ACTIVE SLOTS OUT PAIRS"
 					for _, r := range p.Servers {
-						rows = append(rows, []any{r.Service, r.Addr, r.Zone, r.Part, r.Status, r.To, r.Active, r.Total, r.Out, len(r.Pairs)})
+						rows = append(rows, []any{r.Service, r.Addr, r.Zone, r.Role, r.Status, r.NextRole, r.Active, r.Slots, r.Granted, len(r.Pairs)})
 					}
 				case what == "tree" && (arg == "" || arg == fmt.Sprint(p.Partition)):
 					head = "PARTITION DAEMON PARENT LEASE_MS RECORDS CHILDREN"
--- a/control/daemon/call.go
+++ b/control/daemon/call.go
@@ -33,7 +33,7 @@
 //
 // Example: code, rep := c.Call(ctx, 0, "plan", body, 4*time.Second)
 func (c *Daemon) Call(ctx context.Context, partition int, op string, body []byte, timeout time.Duration) (int, []byte) {
-	ch := make(chan leadercall.Done, 1)
+	ch := make(chan leadercall.Result, 1)
 	c.cmu.Lock()
 	now := c.Now()
 	no, o := c.runs.Start(now, c.leaderOf(partition), partition, op, body, now+timeout, op == "want")
@@ -91,7 +91,7 @@
 // RequestSlots asks the leader for this daemon's slots; the time it was asked counts.
 //
 // Example: share, at, ok := c.RequestSlots(ctx, p, want, 200*time.Millisecond)
-func (c *Daemon) RequestSlots(ctx context.Context, p int, w placement.Want, timeout time.Duration) (sh placement.Share, at time.Duration, ok bool) {
+func (c *Daemon) RequestSlots(ctx context.Context, p int, w placement.Demand, timeout time.Duration) (sh placement.Share, at time.Duration, ok bool) {
 	at = c.Now()
 	code, rep := c.Call(ctx, p, "want", leadercall.Pack(w), timeout)
 	if code != 200 || json.Unmarshal(rep, &sh) != nil {
--- a/control/daemon/daemon.go
+++ b/control/daemon/daemon.go
@@ -56,7 +56,7 @@
 	LoadPoller  LoadPoller
 	OrderSender OrderSender
 	// Pressure tells how hard a server is pressed; none: nobody knows.
-	Pressure func(service, server string) placement.Strain
+	Pressure func(service, server string) placement.Pressure
 	// OnLoadReport takes what other daemons tell of the servers' load.
 	OnLoadReport func(message.Message)
 	// ServerSource tells which servers there are; none: the platform PUTs the lists.
@@ -117,7 +117,7 @@
 func Open(cfg Config, events *eventlog.Log) (*Daemon, error) {
 	c := &Daemon{
 		Cfg: cfg, Events: events, Mux: http.NewServeMux(), Metrics: metrics.NewSet(), LoadPoller: undriven{}, OrderSender: undriven{}, clock: clock.New(), epoch: 1,
-		dwake: make(chan struct{}, 1), calls: map[uint64]chan leadercall.Done{}, news: make(chan struct{}), superseded: superseded{told: make(chan struct{})},
+		dwake: make(chan struct{}, 1), calls: map[uint64]chan leadercall.Result{}, news: make(chan struct{}), superseded: superseded{told: make(chan struct{})},
 	}
 	c.me = message.Replica{Ident: storage.NewIdent(), Addr: cfg.WireAddr}
 	if cfg.DataFolder != "" {
@@ -158,7 +158,7 @@
 		return nil, AddressError.Wrap(err)
 	}
 	c.web = ln
-	c.runs = leadercall.New(leadercall.Config{Try: cfg.VolumeLease() / 2, Pause: cfg.VolumeLease() / 32, After: cfg.Bounds.Plan}, incarnation.Starts(c.epoch)) // calls may be sent twice: each is known by its id
+	c.runs = leadercall.New(leadercall.Config{TryTimeout: cfg.VolumeLease() / 2, RetryInterval: cfg.VolumeLease() / 32, RetryAfter: cfg.Bounds.Plan}, incarnation.Starts(c.epoch)) // calls may be sent twice: each is known by its id
 	c.rost = membership.New(cfg.MembershipConfig(), c.member(), cfg.Seeds)
 	if c.arch != nil {
 		for _, h := range c.arch.Partitions {
@@ -189,7 +189,7 @@
 			}
 			return message.Replica{}
 		}
-		m := leader.New(leader.Config{Works: cfg.PlacementConfig(), Keep: cfg.OnceKeyRetention(), Again: cfg.ResendWindow(), Reads: c.formatRead}, p, c.me, partition.New(p, c.me, c.epoch, replica, node))
+		m := leader.New(leader.Config{Placement: cfg.PlacementConfig(), OnceKeyRetention: cfg.OnceKeyRetention(), RepeatWindow: cfg.ResendWindow(), ReadableFormat: c.formatRead}, p, c.me, partition.New(p, c.me, c.epoch, replica, node))
 		c.shards = append(c.shards, &shard{partition: p, Controller: m, guide: membership.ParentChooser{Partition: p, VolumeLease: cfg.VolumeLease()}})
 	}
 	c.Pin(0, fleetconfig.PlanKey)
--- a/control/daemon/operate.go
+++ b/control/daemon/operate.go
@@ -25,7 +25,7 @@
 
 // Respond writes a JSON answer; one to come back for carries Retry-After.
 //
-// Example: daemon.Respond(w, 503, leadercall.Response{Result: "refused", After: 1500})
+// Example: daemon.Respond(w, 503, leadercall.Response{Result: "refused", RetryAfterMillis: 1500})
 func Respond(w http.ResponseWriter, code int, v any) {
 	b, ok := v.([]byte)
 	if !ok {
@@ -261,7 +261,7 @@
 	st := State{Superseded: c.WhySuperseded(), Fleet: c.Cfg.Fleet, Me: v.Me, Members: v.Members, Live: v.HasSession, ZonesOut: []string{}, WireCounts: [3]int64{c.Transport.Sent.Load(), c.Transport.Received.Load(), c.Transport.Dropped.Load()}}
 	_, st.PlanVersion, st.PlanValid = c.Plan()
 	if r, ok := c.Read(0, fleetconfig.ZoneKey); ok {
-		for zone := range fleetconfig.Zones(r) {
+		for zone := range fleetconfig.OpenZones(r) {
 			st.ZonesOut = append(st.ZonesOut, zone)
 		}
 		sort.Strings(st.ZonesOut)
@@ -269,7 +269,7 @@
 	for _, s := range c.shards {
 		s.mu.Lock()
 		now := c.Now()
-		p := PartitionView{Partition: s.partition, Leader: v.Leaderships[s.partition], LedHere: s.Leader(now), Lease: s.Partition().Node.View(now)}
+		p := PartitionView{Partition: s.partition, Leader: v.Leaderships[s.partition], LedHere: s.IsLeader(now), Lease: s.Partition().Node.View(now)}
 		if s.Partition().Replica != nil {
 			p.Group, p.LastCompleteTerm, p.Records = s.Partition().Replica.Group(), s.Partition().Replica.Meta().LastComplete, s.Partition().Replica.Records().Size()
 		}
--- a/control/daemon/unreadable_test.go
+++ b/control/daemon/unreadable_test.go
@@ -89,7 +89,7 @@
 		t.Errorf("an evacuation: %d %s", code, answer)
 	}
 	next := leadercall.Pack(fleetconfig.Changes{ID: "next", Base: 1, Changes: []fleetconfig.Change{{Op: "drop-tenant", Name: "x"}}})
-	if code, answer := again.Call(t.Context(), 0, "changes", next, 5*time.Second); code != leadercall.NotDone || !strings.Contains(string(answer), "can't be read") {
+	if code, answer := again.Call(t.Context(), 0, "changes", next, 5*time.Second); code != leadercall.StatusNotDone || !strings.Contains(string(answer), "can't be read") {
 		t.Errorf("a change: %d %s", code, answer)
 	}
 	if _, ok := again.Read(0, fleetconfig.PlanKey); ok || again.Ready() || count(again.unreadable()) != 1 || !strings.Contains(again.unready(), "can't be read") {
--- a/control/daemon/works.go
+++ b/control/daemon/works.go
@@ -18,7 +18,7 @@
 		sight.Replicas, sight.ReplicasValid = c.Read(0, fleetconfig.ReplicaKey)
 		sight.ControlDaemons = c.View().ControlDaemons()
 	}
-	sight.Strain = c.Pressure
+	sight.Pressure = c.Pressure
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o := s.Reconcile(c.Now(), sight)
@@ -52,7 +52,7 @@
 }
 
 func (c *Daemon) poll(ctx context.Context, s *shard, term uint64, key string) {
-	ctx, done := context.WithTimeout(ctx, 2*c.Cfg.PlacementConfig().Poll)
+	ctx, done := context.WithTimeout(ctx, 2*c.Cfg.PlacementConfig().PollInterval)
 	defer done()
 	u, err := c.LoadPoller.Usage(ctx, key[strings.LastIndexByte(key, '/')+1:])
 	s.mu.Lock()
--- a/proof/sim/node.go
+++ b/proof/sim/node.go
@@ -119,7 +119,7 @@
 	if w.o.Sabotage == "samenumbers" {
 		life = 0
 	}
-	n.runs = leadercall.New(leadercall.Config{Try: w.cfg.VolumeLease() / 2, Pause: w.cfg.VolumeLease() / 32, After: w.cfg.Bounds.Plan}, life)
+	n.runs = leadercall.New(leadercall.Config{TryTimeout: w.cfg.VolumeLease() / 2, RetryInterval: w.cfg.VolumeLease() / 32, RetryAfter: w.cfg.Bounds.Plan}, life)
 	me := message.Replica{Ident: n.ident, Addr: n.addr}
 	leases := w.cfg.LeaseConfig()
 	if w.o.Sabotage == "nowait" {
@@ -167,7 +167,7 @@
 		if w.o.Sabotage == "nocalm" {
 			sec.WritesFrom = func() time.Duration { return 0 }
 		}
-		s := leader.New(leader.Config{Works: w.works(), Keep: w.cfg.OnceKeyRetention(), Again: w.cfg.ResendWindow()}, p, me, sec)
+		s := leader.New(leader.Config{Placement: w.works(), OnceKeyRetention: w.cfg.OnceKeyRetention(), RepeatWindow: w.cfg.ResendWindow()}, p, me, sec)
 		n.parts = append(n.parts, s)
 		n.guides = append(n.guides, membership.ParentChooser{Partition: p, VolumeLease: w.cfg.VolumeLease()})
 		for k := 0; k < w.o.Keys; k++ {
--- a/proof/track/drive.go
+++ b/proof/track/drive.go
@@ -51,7 +51,7 @@
 		}
 		for _, partition := range st.Partitions {
 			for _, r := range partition.Servers {
-				if r.Status == "up" && r.To == "" && (r.Part == "maker" || len(r.Pairs) > 0) {
+				if r.Status == "up" && r.NextRole == "" && (r.Role == "maker" || len(r.Pairs) > 0) {
 					if seen[r.Service] == nil {
 						seen[r.Service] = map[string]bool{}
 					}
--- a/traffic/gateway/gateway.go
+++ b/traffic/gateway/gateway.go
@@ -188,7 +188,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	g.fleet(l)
-	l.Warm(forward.Warm{Rate: svc.ColdRate, Over: g.c.Cfg.WarmUp.Over, Slack: g.c.Cfg.WarmUp.Slack})
+	l.Warm(forward.Warm{Rate: svc.WarmUpRate, Over: g.c.Cfg.WarmUp.Over, Slack: g.c.Cfg.WarmUp.Slack})
 	servers := l.Servers()
 	strain := make(map[string]placement.Pressure, len(servers))
 	for _, s := range servers {
--- a/traffic/nativeapi/nativeapi.go
+++ b/traffic/nativeapi/nativeapi.go
@@ -136,7 +136,7 @@
 
 // run keeps a lane's share fresh and its queue moving.
 func (d *API) run(l *lane) {
-	beat := d.c.Cfg.PlacementConfig().Share / 8
+	beat := d.c.Cfg.PlacementConfig().ShareLength / 8
 	t := time.NewTicker(beat)
 	defer t.Stop()
 	pinned := map[string]bool{}
--- a/traffic/route/route.go
+++ b/traffic/route/route.go
@@ -23,7 +23,7 @@
 
 // New lays out the routes of a plan; do it once a version.
 //
-// Example: t := route.New(fleetconfig.Open(rec))
+// Example: t := route.New(fleetconfig.OpenPlan(rec))
 func New(plan fleetconfig.Plan) *Table {
 	t := &Table{hosts: map[string]*host{}, names: make(map[string]*fleetconfig.Route, len(plan.Routes))}
 	routes := slices.Clone(plan.Routes)
