--- a/cmd/mulleinmast/main.go
+++ b/cmd/mulleinmast/main.go
@@ -46,7 +46,7 @@
 	}
 	events := eventlog.New(cfg.EventLogSize, os.Stderr)
 	daemon.LogViolations(events)
-	events.Loud = ours && slices.Contains(os.Args[1:], "-say") // every line is written out at once
+	events.Verbose = ours && slices.Contains(os.Args[1:], "-say") // every line is written out at once
 	c, err := daemon.Open(cfg, events)
 	if err != nil {
 		return fail(err)
@@ -61,7 +61,8 @@
 			return fail(err)
 		}
 	}
-	events.Say("start", "fleet %s zone %s wire %s web %s identity %s seeds %v", cfg.Fleet, cfg.Zone, cfg.WireAddr, cfg.HTTPAddr, c.Ident(), cfg.Seeds)
+	events.Info("start", "started", "fleet", cfg.Fleet, "zone", cfg.Zone, "wire", cfg.WireAddr, "web", cfg.HTTPAddr,
+		"identity", c.Ident(), "seeds", cfg.Seeds)
 	close(started)
 	go func() {
 		leave, cut := context.WithCancel(ctx)
@@ -79,10 +80,10 @@
 		stop()
 	}()
 	if err := c.Run(ctx); err != nil {
-		events.Trouble("stop", "%v", err)
+		events.Warn("stop", "failed", "error", err)
 		return 1
 	}
-	events.Say("stop", "stopped")
+	events.Info("stop", "stopped")
 	if c.WhySuperseded() != "" {
 		return exitSuperseded
 	}
--- a/control/eventlog/eventlog.go
+++ b/control/eventlog/eventlog.go
@@ -1,101 +1,171 @@
-// Package eventlog is the daemon's log: a ring in memory, written out when
-// something goes wrong, and little else.
+// Package eventlog is the daemon's log: a ring of entries in memory. An entry has
+// a level, a kind (the part of the daemon that it is about), a message and fields.
+// Debug entries stay in the ring, an information is written out at once, and a
+// warning has the entries before it written out with it.
 package eventlog
 
 import (
 	"fmt"
 	"io"
+	"strconv"
+	"strings"
 	"sync"
 	"time"
 
 	"github.com/phuslu/log"
 )
 
+const (
+	// warningKind stands before the kind of a warning in the ring, in what is
+	// written out, and in the scripts that look for it.
+	warningKind = "trouble "
+	// flushInterval is the least time between two warnings that have the ring
+	// written out, so that a row of them doesn't fill the disk.
+	flushInterval = 10 * time.Second
+	// missingValue stands for the value of a key without one.
+	missingValue = "(none)"
+)
+
 // Entry is one line of the ring.
 type Entry struct {
-	No   uint64    `json:"no"`
-	Wall time.Time `json:"wall"` // for people; never decided by
-	Kind string    `json:"kind"`
-	Text string    `json:"text"`
+	Number uint64    `json:"no"`   // counts up from 1
+	Wall   time.Time `json:"wall"` // for people; nothing is decided by it
+	Kind   string    `json:"kind"`
+	Text   string    `json:"text"` // the message and its fields
 }
 
-// Log is the ring.
+// Log is the ring with its writer. Its methods may be called by several goroutines.
 type Log struct {
-	Loud bool // each line is written out as it comes; set before use
-
-	mu   sync.Mutex
-	ring []Entry
-	no   uint64
-	out  log.Logger
-	last uint64 // last entry written out
-	at   time.Time
+	// Verbose has each entry written out as it comes. Set it before the first one.
+	Verbose bool
+
+	out log.Logger
+
+	mu        sync.Mutex // guards the fields below
+	ring      []Entry    // entry n stands at n modulo the length
+	newest    uint64     // number of the newest entry, 0 before the first
+	flushed   uint64     // number of the newest entry that a warning wrote out
+	flushedAt time.Time  // when it did
 }
 
-// New makes a ring of a size that writes out to w.
+// New makes a ring of a number of entries that writes out to w.
 //
-// Example: b := eventlog.New(2048, os.Stderr)
+// Example: events := eventlog.New(2048, os.Stderr)
 func New(size int, w io.Writer) *Log {
-	return &Log{ring: make([]Entry, size), out: log.Logger{Level: log.InfoLevel, Writer: &log.IOWriter{Writer: w}}}
+	return &Log{
+		ring: make([]Entry, size),
+		out:  log.Logger{Level: log.InfoLevel, Writer: &log.IOWriter{Writer: w}},
+	}
 }
 
-// Record adds a line.
+// Debug keeps an entry in the ring. Fields are keys, each followed by its value.
 //
-// Example: b.Record("leader", "won partition %d", 3)
-func (b *Log) Record(kind, how string, args ...any) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.no++
-	e := Entry{b.no, time.Now(), kind, fmt.Sprintf(how, args...)}
-	b.ring[b.no%uint64(len(b.ring))] = e
-	if b.Loud {
-		b.out.Info().Str("kind", e.Kind).Msg(e.Text)
-	}
+// Example: events.Debug("tree", "redirected", "partition", 3, "parent", addr)
+func (l *Log) Debug(kind, message string, fields ...any) {
+	l.append(kind, render(message, fields))
 }
 
-// Trouble adds a line and writes out what the ring gathered since the last
-// time, at most once in ten seconds so that trouble doesn't drown the disk.
+// Info keeps an entry and writes it out at once.
 //
-// Example: b.Trouble("disk", "write failed: %v", err)
-func (b *Log) Trouble(kind, how string, args ...any) {
-	b.Record("trouble "+kind, how, args...)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if time.Since(b.at) < 10*time.Second {
+// Example: events.Info("start", "listening", "addr", addr)
+func (l *Log) Info(kind, message string, fields ...any) {
+	text := render(message, fields)
+	l.append(kind, text)
+	l.out.Info().Str("kind", kind).Msg(text)
+}
+
+// Warn keeps an entry and writes out what the ring gathered since the last time,
+// at most once in flushInterval.
+//
+// Example: events.Warn("disk", "write failed", "error", err)
+func (l *Log) Warn(kind, message string, fields ...any) {
+	l.append(warningKind+kind, render(message, fields))
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if time.Since(l.flushedAt) < flushInterval {
 		return
 	}
-	b.at = time.Now()
-	for _, e := range b.since(b.last) {
-		b.out.Info().Uint64("no", e.No).Time("at", e.Wall).Str("kind", e.Kind).Msg(e.Text)
+	l.flushedAt = time.Now()
+	for _, e := range l.after(l.flushed) {
+		l.out.Info().Uint64("no", e.Number).Time("at", e.Wall).Str("kind", e.Kind).Msg(e.Text)
 	}
-	b.last = b.no
+	l.flushed = l.newest
 }
 
-// Say writes one line out at once.
+// Since returns the entries after a number, as far as the ring holds them.
 //
-// Example: b.Say("start", "listening on %s", addr)
-func (b *Log) Say(kind, how string, args ...any) {
-	b.Record(kind, how, args...)
-	b.out.Info().Str("kind", kind).Msgf(how, args...)
+// Example: entries := events.Since(0)
+func (l *Log) Since(number uint64) []Entry {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.after(number)
+}
+
+func (l *Log) append(kind, text string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.newest++
+	l.ring[l.newest%uint64(len(l.ring))] = Entry{Number: l.newest, Wall: time.Now(), Kind: kind, Text: text}
+	if l.Verbose {
+		l.out.Info().Str("kind", kind).Msg(text)
+	}
 }
 
-func (b *Log) since(no uint64) []Entry {
-	size := uint64(len(b.ring))
-	from := no + 1
-	if b.no > size && from < b.no-size+1 {
-		from = b.no - size + 1
+// after returns the entries after a number; the lock is held.
+func (l *Log) after(number uint64) []Entry {
+	size := uint64(len(l.ring))
+	first := number + 1
+	if l.newest > size && first < l.newest-size+1 {
+		first = l.newest - size + 1
 	}
-	var out []Entry
-	for i := from; i <= b.no; i++ {
-		out = append(out, b.ring[i%size])
+	var entries []Entry
+	for n := first; n <= l.newest; n++ {
+		entries = append(entries, l.ring[n%size])
 	}
-	return out
+	return entries
 }
 
-// Since returns the lines after a number, as far as the ring holds them.
-//
-// Example: lines := b.Since(0)
-func (b *Log) Since(no uint64) []Entry {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.since(no)
+// render is a message followed by its fields, as key=value.
+func render(message string, fields []any) string {
+	if len(fields) == 0 {
+		return message
+	}
+	text := append(make([]byte, 0, 128), message...)
+	for i := 0; i < len(fields); i += 2 {
+		text = fmt.Append(append(text, ' '), fields[i])
+		text = append(text, '=')
+		if i+1 == len(fields) {
+			text = append(text, missingValue...)
+			break
+		}
+		text = appendValue(text, fields[i+1])
+	}
+	return string(text)
+}
+
+// appendValue appends a value, in quotes where it would not read as one otherwise.
+func appendValue(text []byte, value any) []byte {
+	s, ok := value.(string)
+	if !ok {
+		s = fmt.Sprint(value)
+	}
+	if s == "" || strings.ContainsAny(s, " \t\n\"=") {
+		return strconv.AppendQuote(text, s)
+	}
+	return append(text, s...)
 }
+
+// Record keeps a line in the ring, as Debug does, of a format and its arguments.
+//
+// Example: events.Record("leader", "won partition %d", 3)
+func (l *Log) Record(kind, format string, args ...any) { l.Debug(kind, fmt.Sprintf(format, args...)) }
+
+// Trouble warns, as Warn does, of a format and its arguments.
+//
+// Example: events.Trouble("disk", "write failed: %v", err)
+func (l *Log) Trouble(kind, format string, args ...any) { l.Warn(kind, fmt.Sprintf(format, args...)) }
+
+// Say informs, as Info does, of a format and its arguments.
+//
+// Example: events.Say("start", "listening on %s", addr)
+func (l *Log) Say(kind, format string, args ...any) { l.Info(kind, fmt.Sprintf(format, args...)) }
--- a/traffic/gateway/gateway.go
+++ b/traffic/gateway/gateway.go
@@ -162,7 +162,7 @@
 		case <-summary.C:
 			whole = false
 			if text := g.report.summary(); text != "" {
-				g.c.Events.Say("requests", "not served since the last line: %s", text)
+				g.c.Events.Info("requests", "not served since the last line: "+text)
 			}
 		case <-t.C:
 			whole = true
--- a/traffic/gateway/report.go
+++ b/traffic/gateway/report.go
@@ -138,6 +138,6 @@
 		g.report.served()
 		return
 	}
-	g.c.Events.Record("request", "%s: %s: %s", c.ID, m.Kind, m.Why)
+	g.c.Events.Debug("request", m.Why, "request", c.ID, "result", m.Kind)
 	g.report.failed(Story{Request: q.ID, Host: q.Host, Path: q.Path, Service: c.Service, End: m.Kind.String(), Why: m.Why, Took: took.Milliseconds(), Steps: m.Steps})
 }
--- a/traffic/nativeapi/ride.go
+++ b/traffic/nativeapi/ride.go
@@ -135,7 +135,7 @@
 			_ = r.rc.Flush()
 		}
 		if e.Result == "break" {
-			r.d.c.Events.Record("stream", "%s: broke off: %s", r.req.ID, e.Why)
+			r.d.c.Events.Debug("stream", "broke off", "request", r.req.ID, "reason", e.Why)
 		}
 		panic(http.ErrAbortHandler)
 	case e.Result == "duplicate":
