--- a/control/leadercall/leadercall.go
+++ b/control/leadercall/leadercall.go
@@ -1,43 +1,42 @@
 // Package leadercall carries a call to the leader of a partition, wherever that is, and
 // waits out a change of leader. It is a plain state machine: a call that was
-// sent and not answered is "uncertain", one that nobody took is "not done". All
-// tries of a call go under one number, so that a leader carries it out once.
+// sent and not answered is "uncertain", one that no leader took is "not done". All
+// tries of a call bear one number, so that a leader carries it out once.
 package leadercall
 
 import (
+	"fmt"
 	"maps"
 	"math"
 	"net/http"
 	"slices"
-	"strconv"
 	"time"
 
 	"mulleinmast/wire/message"
 )
 
-// Codes of control answers beside those of HTTP.
+// Statuses of call results, beside the others of HTTP.
 const (
-	StatusNotLeader = http.StatusMisdirectedRequest // not the leader
-	StatusUncertain = http.StatusGatewayTimeout
-	StatusNotDone   = http.StatusServiceUnavailable
-	StatusBehind    = http.StatusTooEarly // the order was on another version of what it changes; the answer names the present one
+	StatusNotLeader = http.StatusMisdirectedRequest // the daemon is not the leader; nothing was done
+	StatusUncertain = http.StatusGatewayTimeout     // it isn't known what became of the call
+	StatusNotDone   = http.StatusServiceUnavailable // nothing was done; it may be sent again later
+	StatusBehind    = http.StatusTooEarly           // the call is based on another version than the present one, which the result names
 )
 
-// nowhere is the mark of a call that hasn't heard yet what its order is on: no
-// leader has it.
-var nowhere = message.Version{Seq: math.MaxUint64}
+// unknownBasis is the basis of a call that no leader has named one to yet: no record has it.
+var unknownBasis = message.Version{Seq: math.MaxUint64}
 
 // Config holds the bounds of a call.
 type Config struct {
-	TryTimeout    time.Duration // a leader's word is waited for this long
-	RetryInterval time.Duration // between tries
-	RetryAfter    time.Duration // what a caller who got no word is told to wait
+	TryTimeout    time.Duration // a leader's answer to a try is waited for this long
+	RetryInterval time.Duration // before the next try, where no leader is known or the daemon isn't it
+	RetryAfter    time.Duration // what a caller is told to wait whose call was not answered
 }
 
 // Result is the end of a call.
 type Result struct {
 	CallID uint64
-	Status int
+	Status int // of HTTP, or one of the statuses here
 	Body   []byte
 }
 
@@ -48,151 +47,171 @@
 }
 
 type call struct {
+	id        uint64
 	partition int
 	op        string
 	body      []byte
-	until     time.Duration
-	once      bool // one try only
-	due       time.Duration
-	ref       uint64          // of the message that is out, if any
-	on        message.Version // the leader's mark of what it changes, as told to this call
-	lost      bool            // a try was sent and had no word
+	deadline  time.Duration
+	singleTry bool
+	nextTry   time.Duration   // when the call is tried again, or given up if it has a single try
+	awaited   uint64          // request id of the latest try, until it is answered or given up; 0: none is out
+	basis     message.Version // of what the call changes, as a leader named it to this call
+	uncertain bool            // a try was sent and not answered, or its leader doesn't know what became of it
 }
 
-// try is one message of a call: only the daemon that it went to may answer to it.
+// try is one message of a call: only the daemon that it went to may answer it.
 type try struct {
-	call uint64
-	to   string
+	callID uint64
+	to     string // that daemon's identity
 }
 
-// Calls are the calls under way.
+// Calls are the calls under way. They are not safe for concurrent use.
 type Calls struct {
-	cfg   Config
-	no    uint64
-	calls map[uint64]*call
-	tries map[uint64]try // by the message's number
+	cfg    Config
+	lastID uint64 // of a call or a try; they are counted together
+	calls  map[uint64]*call
+	tries  map[uint64]try // by request id; those of calls under way
 }
 
-// lifeBits is how many messages a life may number, as a power of two. A daemon
+// epochBits is how many ids an incarnation may use, as a power of two. A daemon
 // with a disk keeps its identity over a restart, so that an answer to its earlier
-// life reaches it: the earlier life's numbers must be nobody's now.
-const lifeBits = 40
+// incarnation reaches it: the earlier one's ids must name nothing now.
+const epochBits = 40
 
-// New makes an empty set of calls for one life of a daemon: its epoch, which a
+// New makes an empty set of calls for one incarnation of a daemon: its epoch, which a
 // daemon with a disk counts up at each start.
 //
-// Example: e := leadercall.New(leadercall.Config{Try: time.Second, Pause: 25 * time.Millisecond}, epoch)
-func New(cfg Config, life uint64) *Calls {
-	return &Calls{cfg: cfg, no: life << lifeBits, calls: map[uint64]*call{}, tries: map[uint64]try{}}
+// Example: c := leadercall.New(leadercall.Config{TryTimeout: time.Second, RetryInterval: 25 * time.Millisecond}, epoch)
+func New(cfg Config, epoch uint64) *Calls {
+	return &Calls{cfg: cfg, lastID: epoch << epochBits, calls: map[uint64]*call{}, tries: map[uint64]try{}}
 }
 
-// Start begins a call; once says that one try is enough.
+// Start begins a call to a partition's leader, as far as that is known. One with a single try is
+// given up when that isn't answered.
 //
-// Example: no, out := e.Start(now, leader, 0, "plan", body, now+4*time.Second, false)
-func (e *Calls) Start(now time.Duration, own message.Replica, partition int, op string, body []byte, until time.Duration, once bool) (no uint64, o Out) {
-	e.no++
-	no = e.no
-	c := &call{partition: partition, op: op, body: body, until: until, once: once, due: now, on: nowhere}
-	e.calls[no] = c
-	e.try(now, no, c, own, &o)
-	return no, o
+// Example: id, out := c.Start(now, leader, 0, leadercall.OpPlan, body, now+4*time.Second, false)
+func (c *Calls) Start(
+	now time.Duration, leader message.Replica, partition int, op string, body []byte, deadline time.Duration, singleTry bool,
+) (callID uint64, out Out) {
+	c.lastID++
+	started := &call{
+		id: c.lastID, partition: partition, op: op, body: body,
+		deadline: deadline, singleTry: singleTry, nextTry: now, basis: unknownBasis,
+	}
+	c.calls[started.id] = started
+	c.try(now, started, leader, &out)
+	return started.id, out
 }
 
-func (e *Calls) try(now time.Duration, no uint64, c *call, own message.Replica, o *Out) {
-	if own.Ident == "" {
-		if c.once {
-			e.end(no, c, o)
+// try sends a call to a leader; where none is known it waits for the next time.
+func (c *Calls) try(now time.Duration, call *call, leader message.Replica, out *Out) {
+	if leader.Ident == "" {
+		if call.singleTry {
+			c.giveUp(call, out)
 			return
 		}
-		c.due = now + e.cfg.RetryInterval
+		call.nextTry = now + c.cfg.RetryInterval
 		return
 	}
-	e.no++
-	c.ref, c.due = e.no, now+e.cfg.TryTimeout
-	e.tries[e.no] = try{no, own.Ident}
-	n := message.Message{Kind: message.KindCall, Partition: c.partition, To: own.Ident, RequestID: e.no, ResponseTo: no, Op: c.op, Body: c.body}
-	if !c.once {
-		n.Version = c.on
+	c.lastID++
+	call.awaited, call.nextTry = c.lastID, now+c.cfg.TryTimeout
+	c.tries[call.awaited] = try{call.id, leader.Ident}
+	m := message.Call{RequestID: call.awaited, CallID: call.id, Op: call.op, Body: call.body}
+	if !call.singleTry {
+		m.Basis = call.basis
 	}
-	o.Sends = append(o.Sends, message.Envelope{Addr: own.Addr, Message: n})
+	frame := m.Message(call.partition)
+	frame.To = leader.Ident
+	out.Sends = append(out.Sends, message.Envelope{Addr: leader.Addr, Message: frame})
 }
 
-// Step takes a leader's word.
+// Step takes the result of a try.
 //
-// Example: out := e.Step(now, message)
-func (e *Calls) Step(now time.Duration, n message.Message) (o Out) {
-	t, ok := e.tries[n.ResponseTo]
-	no, c := t.call, e.calls[t.call]
-	if !ok || c == nil || n.From != t.to {
-		return o
+// Example: out := c.Step(now, message)
+func (c *Calls) Step(now time.Duration, m message.Message) (out Out) {
+	c.handleCallResult(now, m.From, m.AsCallResult(), &out)
+	return out
+}
+
+func (c *Calls) handleCallResult(now time.Duration, from string, result message.CallResult, out *Out) {
+	answered, ok := c.tries[result.RequestID]
+	call := c.calls[answered.callID]
+	if !ok || call == nil || from != answered.to {
+		return
 	}
-	delete(e.tries, n.ResponseTo)
-	if c.ref == n.ResponseTo {
-		c.ref = 0
+	delete(c.tries, result.RequestID)
+	if call.awaited == result.RequestID {
+		call.awaited = 0
 	}
+	isLatest := call.awaited == 0 // no later try is out
 	switch {
-	case n.Status == StatusBehind && !c.once: // its caller waits still: it may be done on what is there now
-		if c.ref == 0 {
-			c.on, c.due = n.Version, now
+	case result.Status == StatusBehind && !call.singleTry: // its caller waits still: it may be done on what is there now
+		if isLatest {
+			call.basis, call.nextTry = result.Basis, now
 		}
-	case n.Status == StatusNotLeader && !c.once:
-		if c.ref == 0 {
-			c.due = now + e.cfg.RetryInterval
+	case result.Status == StatusNotLeader && !call.singleTry:
+		if isLatest {
+			call.nextTry = now + c.cfg.RetryInterval
 		}
-	case n.Status == StatusUncertain && c.ref != 0: // a later try is out, and knows the call by its number
-		c.lost = true
-	case n.Status == StatusNotLeader || n.Status == StatusUncertain:
-		c.lost = c.lost || n.Status == StatusUncertain
-		e.end(no, c, &o)
+	case result.Status == StatusUncertain && !isLatest: // the later try's leader knows the call by its number
+		call.uncertain = true
+	case result.Status == StatusNotLeader || result.Status == StatusUncertain:
+		call.uncertain = call.uncertain || result.Status == StatusUncertain
+		c.giveUp(call, out)
 	default:
-		e.drop(no, c)
-		o.Results = append(o.Results, Result{no, n.Status, n.Body})
+		c.forget(call)
+		out.Results = append(out.Results, Result{call.id, result.Status, result.Body})
 	}
-	return o
 }
 
-// Cancel forgets a call whose caller went away.
+// Cancel forgets a call whose caller no longer waits.
 //
-// Example: e.Cancel(no)
-func (e *Calls) Cancel(no uint64) {
-	if c := e.calls[no]; c != nil {
-		e.drop(no, c)
+// Example: c.Cancel(id)
+func (c *Calls) Cancel(callID uint64) {
+	if call := c.calls[callID]; call != nil {
+		c.forget(call)
 	}
 }
 
-func (e *Calls) drop(no uint64, c *call) {
-	delete(e.calls, no)
-	for ref, t := range e.tries {
-		if t.call == no {
-			delete(e.tries, ref)
+func (c *Calls) forget(call *call) {
+	delete(c.calls, call.id)
+	for id, t := range c.tries {
+		if t.callID == call.id {
+			delete(c.tries, id)
 		}
 	}
 }
 
-// end gives a call up with what is known of it.
-func (e *Calls) end(no uint64, c *call, o *Out) {
-	e.drop(no, c)
-	w, code := Response{Result: "not done", Reason: "part " + strconv.Itoa(c.partition) + " has no leader now", RetryAfterMillis: e.cfg.RetryAfter.Milliseconds()}, StatusNotDone
-	if c.lost || c.ref != 0 {
-		w, code = Response{Result: "uncertain", Reason: "no word from the leader of part " + strconv.Itoa(c.partition) + "; ask again with the same id", RetryAfterMillis: e.cfg.RetryAfter.Milliseconds()}, StatusUncertain
+// giveUp ends a call with what is known of it.
+func (c *Calls) giveUp(call *call, out *Out) {
+	c.forget(call)
+	status := StatusNotDone
+	response := Response{
+		Result: ResultNotDone, RetryAfterMillis: c.cfg.RetryAfter.Milliseconds(),
+		Reason: fmt.Sprintf("part %d has no leader now", call.partition),
+	}
+	if call.uncertain || call.awaited != 0 {
+		status, response.Result = StatusUncertain, ResultUncertain
+		response.Reason = fmt.Sprintf("no word from the leader of part %d; ask again with the same id", call.partition)
 	}
-	o.Results = append(o.Results, Result{no, code, Pack(w)})
+	out.Results = append(out.Results, Result{call.id, status, Pack(response)})
 }
 
-// Tick lets time pass; own names a partition's leader as far as known.
+// Tick lets time pass; leaderOf names a partition's leader as far as known.
 //
-// Example: out := e.Tick(now, func(partition int) message.Replica { return view.Owns[partition].Replica })
-func (e *Calls) Tick(now time.Duration, own func(int) message.Replica) (o Out) {
-	for _, no := range slices.Sorted(maps.Keys(e.calls)) {
-		c := e.calls[no]
+// Example: out := c.Tick(now, func(partition int) message.Replica { return view.Leaderships[partition].Leader })
+func (c *Calls) Tick(now time.Duration, leaderOf func(int) message.Replica) (out Out) {
+	for _, id := range slices.Sorted(maps.Keys(c.calls)) {
+		call := c.calls[id]
+		isOver := now >= call.nextTry
 		switch {
-		case now >= c.until || now >= c.due && c.once:
-			e.end(no, c, &o)
-		case now >= c.due:
-			c.lost = c.lost || c.ref != 0
-			c.ref = 0
-			e.try(now, no, c, own(c.partition), &o)
+		case now >= call.deadline || isOver && call.singleTry:
+			c.giveUp(call, &out)
+		case isOver:
+			call.uncertain = call.uncertain || call.awaited != 0
+			call.awaited = 0
+			c.try(now, call, leaderOf(call.partition), &out)
 		}
 	}
-	return o
+	return out
 }
--- a/control/leadercall/leadercall_test.go
+++ b/control/leadercall/leadercall_test.go
@@ -9,159 +9,177 @@
 )
 
 var (
-	cfg = Config{TryTimeout: 400 * time.Millisecond, RetryInterval: 25 * time.Millisecond, RetryAfter: 2 * time.Second}
-	own = message.Replica{Ident: "o", Addr: "10.0.0.1:1"}
+	cfg       = Config{TryTimeout: 400 * time.Millisecond, RetryInterval: 25 * time.Millisecond, RetryAfter: 2 * time.Second}
+	leader    = message.Replica{Ident: "o", Addr: "10.0.0.1:1"}
+	newLeader = message.Replica{Ident: "p", Addr: "10.0.0.2:1"}
 )
 
-func word(t *testing.T, d []Result) Response {
+// knownLeader names one daemon as the leader of every partition.
+func knownLeader(r message.Replica) func(int) message.Replica {
+	return func(int) message.Replica { return r }
+}
+
+// answer is a daemon's answer to a try.
+func answer(from message.Replica, requestID uint64, status int) message.Message {
+	return message.Message{From: from.Ident, ResponseTo: requestID, Status: status}
+}
+
+// onlyResponse is the response of the one call that ended.
+func onlyResponse(t *testing.T, results []Result) (response Response) {
 	t.Helper()
-	var w Response
-	if len(d) != 1 || json.Unmarshal(d[0].Body, &w) != nil {
-		t.Fatalf("ends: %+v", d)
+	if len(results) != 1 || json.Unmarshal(results[0].Body, &response) != nil {
+		t.Fatalf("ends: %+v", results)
 	}
-	return w
+	return response
 }
 
-// A call that nobody took is "not done", one that was sent without a word is
-// "uncertain"; neither waits past its timeout, both say when to come back.
-func TestFateOfACall(t *testing.T) {
-	for what, x := range map[string]struct {
-		own  message.Replica
-		back int
-		want string
+// A call that no leader took is "not done", one that was sent and not answered is
+// "uncertain"; neither waits past its deadline, both say when to come back.
+func TestUnansweredCallEndsWithWhatIsKnown(t *testing.T) {
+	for name, test := range map[string]struct {
+		leader message.Replica
+		status int // of every answer; 0: none comes
+		want   string
 	}{
-		"no leader":      {message.Replica{}, 0, "not done"},
-		"silent leader":  {own, 0, "uncertain"},
-		"not the leader": {own, StatusNotLeader, "not done"},
-		"leader unsure":  {own, StatusUncertain, "uncertain"},
+		"no leader":        {message.Replica{}, 0, "not done"},
+		"silent leader":    {leader, 0, "uncertain"},
+		"not the leader":   {leader, StatusNotLeader, "not done"},
+		"uncertain leader": {leader, StatusUncertain, "uncertain"},
 	} {
-		e := New(cfg, 1)
-		_, o := e.Start(0, x.own, 0, "plan", nil, 2*time.Second, false)
-		var done []Result
-		now := time.Duration(0)
-		for ; now < 4*time.Second && len(done) == 0; now += 10 * time.Millisecond {
-			for _, m := range o.Sends {
-				if x.back != 0 {
-					done = append(done, e.Step(now, message.Message{From: own.Ident, ResponseTo: m.Message.RequestID, Status: x.back}).Results...)
+		t.Run(name, func(t *testing.T) {
+			calls := New(cfg, 1)
+			_, out := calls.Start(0, test.leader, 0, OpPlan, nil, 2*time.Second, false)
+			var results []Result
+			now := time.Duration(0)
+			for ; now < 4*time.Second && len(results) == 0; now += 10 * time.Millisecond {
+				for _, sent := range out.Sends {
+					if test.status != 0 {
+						results = append(results, calls.Step(now, answer(leader, sent.Message.RequestID, test.status)).Results...)
+					}
 				}
+				out = calls.Tick(now, knownLeader(test.leader))
+				results = append(results, out.Results...)
 			}
-			o = e.Tick(now, func(int) message.Replica { return x.own })
-			done = append(done, o.Results...)
-		}
-		if w := word(t, done); w.Result != x.want || w.RetryAfterMillis <= 0 || now > 2100*time.Millisecond {
-			t.Errorf("%s: %+v after %v", what, w, now)
-		}
+			response := onlyResponse(t, results)
+			if response.Result != test.want || response.RetryAfterMillis <= 0 || now > 2100*time.Millisecond {
+				t.Errorf("%+v after %v", response, now)
+			}
+		})
 	}
 }
 
-// An answer to an earlier try counts; a second one, or one to nobody, does not.
-func TestLateAndStrayResponses(t *testing.T) {
-	e := New(cfg, 1)
-	no, o := e.Start(0, own, 0, "plan", nil, 4*time.Second, false)
-	first := o.Sends[0].Message.RequestID
-	if o = e.Tick(500*time.Millisecond, func(int) message.Replica { return own }); len(o.Sends) != 1 {
-		t.Fatalf("not sent again: %+v", o)
+// An answer to an earlier try counts; a second one, or one to no try, does not.
+func TestLateAnswerEndsCallOnce(t *testing.T) {
+	calls := New(cfg, 1)
+	id, out := calls.Start(0, leader, 0, OpPlan, nil, 4*time.Second, false)
+	first := out.Sends[0].Message.RequestID
+	if out = calls.Tick(500*time.Millisecond, knownLeader(leader)); len(out.Sends) != 1 {
+		t.Fatalf("not sent again: %+v", out)
 	}
-	if d := e.Step(time.Second, message.Message{From: own.Ident, ResponseTo: 999, Status: 200}).Results; len(d) > 0 {
-		t.Errorf("a stray answer ended %+v", d)
+	if ended := calls.Step(time.Second, answer(leader, 999, 200)).Results; len(ended) > 0 {
+		t.Errorf("a stray answer ended %+v", ended)
 	}
-	if d := e.Step(time.Second, message.Message{From: own.Ident, ResponseTo: first, Status: 200}).Results; len(d) != 1 || d[0].CallID != no {
-		t.Errorf("a late answer ended %+v", d)
+	if ended := calls.Step(time.Second, answer(leader, first, 200)).Results; len(ended) != 1 || ended[0].CallID != id {
+		t.Errorf("a late answer ended %+v", ended)
 	}
-	if d := e.Step(time.Second, message.Message{From: own.Ident, ResponseTo: o.Sends[0].Message.RequestID, Status: 409}).Results; len(d) > 0 {
-		t.Errorf("a second answer ended %+v", d)
+	if ended := calls.Step(time.Second, answer(leader, out.Sends[0].Message.RequestID, 409)).Results; len(ended) > 0 {
+		t.Errorf("a second answer ended %+v", ended)
 	}
 }
 
-// Every try of a call goes under the call's own number, so that a leader knows
+// Every try of a call bears the call's own number, so that a leader knows
 // one that it has carried out; the try's number tells the answers apart.
-func TestTriesOfOneCall(t *testing.T) {
-	e := New(cfg, 1)
-	_, first := e.Start(0, own, 0, "return", nil, 4*time.Second, false)
-	_, other := e.Start(0, own, 0, "return", nil, 4*time.Second, false)
-	again := e.Tick(500*time.Millisecond, func(int) message.Replica { return message.Replica{Ident: "p", Addr: "10.0.0.2:1"} })
+func TestTriesBearTheNumberOfTheirCall(t *testing.T) {
+	calls := New(cfg, 1)
+	_, first := calls.Start(0, leader, 0, OpReturn, nil, 4*time.Second, false)
+	_, other := calls.Start(0, leader, 0, OpReturn, nil, 4*time.Second, false)
+	again := calls.Tick(500*time.Millisecond, knownLeader(newLeader))
 	if len(again.Sends) != 2 {
 		t.Fatalf("%+v", again)
 	}
-	a, b, c := first.Sends[0].Message, again.Sends[0].Message, other.Sends[0].Message
-	if a.ResponseTo == 0 || a.ResponseTo != b.ResponseTo || a.RequestID == b.RequestID || a.ResponseTo == c.ResponseTo {
-		t.Errorf("tries go as %d/%d and %d/%d, another call as %d/%d", a.ResponseTo, a.RequestID, b.ResponseTo, b.RequestID, c.ResponseTo, c.RequestID)
+	a, b, c := first.Sends[0].Message.AsCall(), again.Sends[0].Message.AsCall(), other.Sends[0].Message.AsCall()
+	if a.CallID == 0 || a.CallID != b.CallID || a.RequestID == b.RequestID || a.CallID == c.CallID {
+		t.Errorf("tries go as %d/%d and %d/%d, another call as %d/%d", a.CallID, a.RequestID, b.CallID, b.RequestID, c.CallID, c.RequestID)
 	}
 }
 
-// A call whose order is on another version than the leader has goes out again at
-// once on the one that the leader told it; a mark told to an earlier try, or to a
-// call that is over, is nobody's.
+// A call that is based on another version than the leader has is sent again at
+// once on the one that the leader named to it; a basis that was named to an earlier try, or to a
+// call that is over, counts for nothing.
 func TestACallThatIsBehindGoesOutAgain(t *testing.T) {
-	e := New(cfg, 1)
-	to := func(int) message.Replica { return own }
-	_, o := e.Start(0, own, 0, "evacuate", nil, 4*time.Second, false)
-	first, mark := o.Sends[0].Message, message.Version{Term: 3, Seq: 8}
-	if first.Version == (message.Version{}) || first.Version == mark {
-		t.Errorf("the first try is on %v", first.Version)
-	}
-	if o = e.Step(time.Millisecond, message.Message{From: own.Ident, ResponseTo: first.RequestID, Status: StatusBehind, Version: mark}); len(o.Results) > 0 {
-		t.Fatalf("ended: %+v", o.Results)
-	}
-	o = e.Tick(2*time.Millisecond, to)
-	if len(o.Sends) != 1 || o.Sends[0].Message.Version != mark || o.Sends[0].Message.ResponseTo != first.ResponseTo {
-		t.Fatalf("the second try: %+v", o.Sends)
-	}
-	second := o.Sends[0].Message.RequestID
-	third := e.Tick(500*time.Millisecond, to).Sends[0].Message.RequestID
-	e.Step(501*time.Millisecond, message.Message{From: own.Ident, ResponseTo: second, Status: StatusBehind, Version: message.Version{Term: 1, Seq: 1}}) // late, while the third is out
-	if o = e.Tick(502*time.Millisecond, to); len(o.Sends) > 0 {
-		t.Errorf("a late answer sent %+v", o.Sends)
-	}
-	if d := e.Step(time.Second, message.Message{From: own.Ident, ResponseTo: third, Status: 200}).Results; len(d) != 1 || d[0].Status != 200 {
-		t.Errorf("%+v", d)
+	calls := New(cfg, 1)
+	_, out := calls.Start(0, leader, 0, OpEvacuate, nil, 4*time.Second, false)
+	first, basis := out.Sends[0].Message.AsCall(), message.Version{Term: 3, Seq: 8}
+	if first.Basis == (message.Version{}) || first.Basis == basis {
+		t.Errorf("the first try is on %v", first.Basis)
+	}
+	behind := answer(leader, first.RequestID, StatusBehind)
+	behind.Version = basis
+	if out = calls.Step(time.Millisecond, behind); len(out.Results) > 0 {
+		t.Fatalf("ended: %+v", out.Results)
+	}
+	out = calls.Tick(2*time.Millisecond, knownLeader(leader))
+	if len(out.Sends) != 1 || out.Sends[0].Message.AsCall().Basis != basis || out.Sends[0].Message.AsCall().CallID != first.CallID {
+		t.Fatalf("the second try: %+v", out.Sends)
+	}
+	second := out.Sends[0].Message.RequestID
+	third := calls.Tick(500*time.Millisecond, knownLeader(leader)).Sends[0].Message.RequestID
+	late := answer(leader, second, StatusBehind) // while the third is out
+	late.Version = message.Version{Term: 1, Seq: 1}
+	calls.Step(501*time.Millisecond, late)
+	if out = calls.Tick(502*time.Millisecond, knownLeader(leader)); len(out.Sends) > 0 {
+		t.Errorf("a late answer sent %+v", out.Sends)
+	}
+	if ended := calls.Step(time.Second, answer(leader, third, 200)).Results; len(ended) != 1 || ended[0].Status != 200 {
+		t.Errorf("%+v", ended)
 	}
 }
 
-// An answer is its own call's: one to an earlier life of this daemon, which had the
+// An answer is its own call's: one to an earlier incarnation of this daemon, which had the
 // same identity, or from another daemon than was asked, ends none of its calls.
-func TestResponsesToAnEarlierLife(t *testing.T) {
-	was := New(cfg, 3)
-	_, old := was.Start(0, own, 0, "plan", []byte("one"), 4*time.Second, false)
-	e := New(cfg, 4)
-	no, o := e.Start(0, own, 0, "plan", []byte("two"), 4*time.Second, false)
-	late, mine := old.Sends[0].Message, o.Sends[0].Message
-	if late.ResponseTo == mine.ResponseTo {
-		t.Errorf("calls of two lives both go under %d", mine.ResponseTo)
+func TestAnswersToAnEarlierIncarnationEndNothing(t *testing.T) {
+	_, earlier := New(cfg, 3).Start(0, leader, 0, OpPlan, []byte("one"), 4*time.Second, false)
+	calls := New(cfg, 4)
+	id, out := calls.Start(0, leader, 0, OpPlan, []byte("two"), 4*time.Second, false)
+	late, mine := earlier.Sends[0].Message.AsCall(), out.Sends[0].Message.AsCall()
+	if late.CallID == mine.CallID {
+		t.Errorf("calls of two incarnations are both numbered %d", mine.CallID)
 	}
-	if d := e.Step(time.Second, message.Message{From: own.Ident, ResponseTo: late.RequestID, Status: 200}).Results; len(d) > 0 {
-		t.Errorf("the answer to an earlier life ended %+v", d)
+	if ended := calls.Step(time.Second, answer(leader, late.RequestID, 200)).Results; len(ended) > 0 {
+		t.Errorf("the answer to an earlier incarnation ended %+v", ended)
 	}
-	if d := e.Step(time.Second, message.Message{From: "p", ResponseTo: mine.RequestID, Status: 200}).Results; len(d) > 0 {
-		t.Errorf("the answer of another daemon ended %+v", d)
+	if ended := calls.Step(time.Second, answer(newLeader, mine.RequestID, 200)).Results; len(ended) > 0 {
+		t.Errorf("the answer of another daemon ended %+v", ended)
 	}
-	if d := e.Step(time.Second, message.Message{From: own.Ident, ResponseTo: mine.RequestID, Status: 200}).Results; len(d) != 1 || d[0].CallID != no {
-		t.Errorf("its own answer ended %+v", d)
+	if ended := calls.Step(time.Second, answer(leader, mine.RequestID, 200)).Results; len(ended) != 1 || ended[0].CallID != id {
+		t.Errorf("its own answer ended %+v", ended)
 	}
 }
 
 // A leader that doesn't know what became of an earlier try ends no call while a
 // later try is out: its leader knows the call by its number.
-func TestAnEarlierTrysUncertaintyWaitsForTheLaterTry(t *testing.T) {
-	e := New(cfg, 1)
-	no, o := e.Start(0, own, 0, "plan", nil, 4*time.Second, false)
-	first := o.Sends[0].Message.RequestID
-	next := message.Replica{Ident: "p", Addr: "10.0.0.2:1"}
-	o = e.Tick(500*time.Millisecond, func(int) message.Replica { return next })
-	if len(o.Sends) != 1 {
-		t.Fatalf("not sent again: %+v", o)
-	}
-	if d := e.Step(600*time.Millisecond, message.Message{From: own.Ident, ResponseTo: first, Status: StatusUncertain}).Results; len(d) > 0 {
-		t.Errorf("the earlier try ended %+v", d)
-	}
-	if d := e.Step(700*time.Millisecond, message.Message{From: next.Ident, ResponseTo: o.Sends[0].Message.RequestID, Status: 200}).Results; len(d) != 1 || d[0].CallID != no || d[0].Status != 200 {
-		t.Errorf("the later try ended %+v", d)
-	}
-	_, o = e.Start(0, own, 0, "plan", nil, 4*time.Second, false) // and without a word from that, it is uncertain
-	first = o.Sends[0].Message.RequestID
-	e.Tick(500*time.Millisecond, func(int) message.Replica { return next })
-	e.Step(600*time.Millisecond, message.Message{From: own.Ident, ResponseTo: first, Status: StatusUncertain})
-	if w := word(t, e.Tick(5*time.Second, func(int) message.Replica { return next }).Results); w.Result != "uncertain" {
-		t.Errorf("without a later word: %+v", w)
+func TestUncertaintyOfAnEarlierTryWaitsForTheLaterOne(t *testing.T) {
+	calls := New(cfg, 1)
+	id, out := calls.Start(0, leader, 0, OpPlan, nil, 4*time.Second, false)
+	first := out.Sends[0].Message.RequestID
+	out = calls.Tick(500*time.Millisecond, knownLeader(newLeader))
+	if len(out.Sends) != 1 {
+		t.Fatalf("not sent again: %+v", out)
+	}
+	if ended := calls.Step(600*time.Millisecond, answer(leader, first, StatusUncertain)).Results; len(ended) > 0 {
+		t.Errorf("the earlier try ended %+v", ended)
+	}
+	ended := calls.Step(700*time.Millisecond, answer(newLeader, out.Sends[0].Message.RequestID, 200)).Results
+	if len(ended) != 1 || ended[0].CallID != id || ended[0].Status != 200 {
+		t.Errorf("the later try ended %+v", ended)
+	}
+
+	// Where the later try isn't answered either, the call is uncertain.
+	_, out = calls.Start(0, leader, 0, OpPlan, nil, 4*time.Second, false)
+	first = out.Sends[0].Message.RequestID
+	calls.Tick(500*time.Millisecond, knownLeader(newLeader))
+	calls.Step(600*time.Millisecond, answer(leader, first, StatusUncertain))
+	if response := onlyResponse(t, calls.Tick(5*time.Second, knownLeader(newLeader)).Results); response.Result != "uncertain" {
+		t.Errorf("without a later answer: %+v", response)
 	}
 }
--- a/control/leadercall/stored_test.go
+++ b/control/leadercall/stored_test.go
@@ -32,7 +32,7 @@
 	calls := New(cfg, 3)
 	frame := func(name string, sends []message.Envelope) message.Message {
 		t.Helper()
-		if len(sends) != 1 || sends[0].Addr != own.Addr || sends[0].ExactAddr {
+		if len(sends) != 1 || sends[0].Addr != leader.Addr || sends[0].ExactAddr {
 			t.Fatalf("%s: sent %+v", name, sends)
 		}
 		encoded, err := sends[0].Message.MarshalMsg(nil)
@@ -45,21 +45,21 @@
 		}
 		return decoded
 	}
-	leader := func(int) message.Replica { return own }
-	_, out := calls.Start(0, own, 5, "servers", []byte(`{"body":1}`), time.Hour, false)
+	leaderOf := knownLeader(leader)
+	_, out := calls.Start(0, leader, 5, "servers", []byte(`{"body":1}`), time.Hour, false)
 	first := frame("call.msgp", out.Sends)
-	calls.Step(time.Millisecond, message.Message{Kind: message.KindCallResult, From: own.Ident, ResponseTo: first.RequestID, Status: 425, Version: message.Version{Term: 2, Seq: 9}})
-	frame("call-again.msgp", calls.Tick(2*time.Millisecond, leader).Sends)
-	_, out = calls.Start(0, own, 5, "want", []byte(`{}`), time.Hour, true)
+	calls.Step(time.Millisecond, message.Message{Kind: message.KindCallResult, From: leader.Ident, ResponseTo: first.RequestID, Status: 425, Version: message.Version{Term: 2, Seq: 9}})
+	frame("call-again.msgp", calls.Tick(2*time.Millisecond, leaderOf).Sends)
+	_, out = calls.Start(0, leader, 5, "want", []byte(`{}`), time.Hour, true)
 	frame("call-once.msgp", out.Sends)
 }
 
 // What a call that nobody answered ends with stays.
 func TestEndsOfCallsKeepTheirBytes(t *testing.T) {
-	for name, leader := range map[string]message.Replica{"not-done.json": {}, "uncertain.json": own} {
+	for name, known := range map[string]message.Replica{"not-done.json": {}, "uncertain.json": leader} {
 		calls := New(cfg, 1)
-		calls.Start(0, leader, 5, "plan", nil, time.Second, false)
-		out := calls.Tick(time.Second, func(int) message.Replica { return leader })
+		calls.Start(0, known, 5, "plan", nil, time.Second, false)
+		out := calls.Tick(time.Second, knownLeader(known))
 		if len(out.Results) != 1 {
 			t.Fatalf("%s: %+v", name, out)
 		}
--- a/proof/standin/mutants/answers.sh
+++ b/proof/standin/mutants/answers.sh
@@ -25,8 +25,8 @@
 		write()'
 mutant clients-stage platform TestHeadersThatClientsMayNotSet platform/names.go '[]string{hdrStage, hdrMemory,' '[]string{hdrMemory,'
 mutant hop-by-hop platform TestHeadersThatClientsMayNotSet platform/engine.go '!strings.HasPrefix(k, ours)' 'k != ours'
-mutant same-numbers control/leadercall TestResponsesToAnEarlierLife control/leadercall/leadercall.go 'no: life << lifeBits' 'no: 0 * life'
-mutant anybodys-response control/leadercall TestResponsesToAnEarlierLife control/leadercall/leadercall.go ' || n.From != t.to' ''
+mutant same-numbers control/leadercall TestAnswersToAnEarlierIncarnationEndNothing control/leadercall/leadercall.go 'lastID: epoch << epochBits' 'lastID: 0 * epoch'
+mutant anybodys-response control/leadercall TestAnswersToAnEarlierIncarnationEndNothing control/leadercall/leadercall.go ' || from != answered.to' ''
 mutant earlier-promise control/quorum TestPromisesToAnEarlierLife control/quorum/term.go ' || n.ResponseTo != 0 && n.ResponseTo != s.lives[s.me.Ident]' ''
 mutant earlier-void control/quorum TestAVoidOfAnEarlierLife control/quorum/quorum.go 's.meta.VotedForEpoch == n.Epoch && ' ''
 exit $missed
