--- a/control/lease/golden_test.go
+++ b/control/lease/golden_test.go
@@ -215,7 +215,7 @@
 		}
 		lapsed, lasts := n.Lapsed(r.now)
 		fmt.Fprintf(r.log, "%v %s: %s parent %q cost %v till %v until %v lapsed %v %v changes %d whole %d\n", r.now, name, view,
-			n.Parent().Ident, n.RenewCost(), n.VolumeExpiry()-r.now, n.ValidUntil()-r.now, lapsed, lasts, n.SentChanges, n.SentWhole)
+			n.Parent().Ident, n.RenewCost(), n.VolumeExpiry()-r.now, n.ValidUntil()-r.now, lapsed, lasts, n.SentAsPatches(), n.SentInFull())
 		for _, key := range keys {
 			rec, ok := n.Get(r.now, key)
 			last, at, lasts := n.LastKnown(r.now, key)
--- a/control/lease/last_test.go
+++ b/control/lease/lastknown_test.go
@@ -142,7 +142,10 @@
 			l.mute = true
 			l.hear(message.Message{Kind: message.KindInvalidate, Key: "k", ResponseTo: 3})
 		},
-		"its own lease had lapsed": func(l *leaf) { l.mute = true; l.objs["k"] = cached{rec: l.recs["k"], till: l.VolumeExpiry() - 1} },
+		"its own lease had lapsed": func(l *leaf) {
+			l.mute = true
+			l.records.cached["k"] = cachedRecord{record: l.recs["k"], expiry: l.VolumeExpiry() - 1}
+		},
 	} {
 		l := newLeaf("k", "other")
 		f(l)
--- a/proof/modelcheck/copy.go
+++ b/proof/modelcheck/copy.go
@@ -52,15 +52,15 @@
 	if !s.Node.IsRoot() {
 		return
 	}
-	node := reflect.ValueOf(s.Node).Elem()
+	root := reflect.ValueOf(s.Node).Elem().FieldByName("root")
 	read := lease.RecordSource(func(key string) message.Record {
 		if r, ok := s.Replica.Records().Get(key); ok {
 			return r
 		}
 		return message.Record{Key: key, Deleted: true}
 	})
-	settable(node.FieldByName("src")).Set(reflect.ValueOf(read))
-	settable(node.FieldByName("lease")).Set(reflect.ValueOf(s.Replica.LeaseEnd))
+	settable(root.FieldByName("record")).Set(reflect.ValueOf(read))
+	settable(root.FieldByName("leaseEnd")).Set(reflect.ValueOf(s.Replica.LeaseEnd))
 }
 
 // settable makes a field that may be unexported one that can be read and set.
@@ -197,7 +197,10 @@
 var (
 	typeTime  = reflect.TypeFor[time.Duration]()
 	typeBook  = reflect.TypeFor[digest.Records]()
-	noContent = map[string]bool{"born": true, "wonAt": true, "Repairs": true, "SentChanges": true, "SentWhole": true, "gen": true, "cost": true}
+	noContent = map[string]bool{
+		"born": true, "wonAt": true, "Repairs": true,
+		"sentAsPatches": true, "sentInFull": true, "generation": true, "renewCost": true,
+	}
 )
 
 // hasher hashes values by content. Times count as seen from now, so that states
--- a/proof/standin/mutants/invariants.sh
+++ b/proof/standin/mutants/invariants.sh
@@ -37,5 +37,5 @@
 seen spliced stream_spliced servers $trip 'last.Known == attempt.First && !(t.Resume && t.Repeat)' 'last.Known == attempt.First && t.ID == ""'
 seen stray-answer answer_not_of_request servers platform/exchange.go 'case names(res.Header, id):' 'case names(res.Header, id) || id != "":'
 seen no-seal success_without_seal servers platform/engine.go 'if why := unfit(r); why != "" {' 'if why := unfit(r); why == "never" {'
-seen long-lease lease_outlasts_granter kill control/lease/parent.go 'return max(0, min(n.cfg.VolumeLease, n.VolumeExpiry()-now))' 'return n.cfg.VolumeLease'
+seen long-lease lease_outlasts_granter kill control/lease/downstream.go 'return max(0, min(n.cfg.VolumeLease, n.VolumeExpiry()-now))' 'return n.cfg.VolumeLease'
 exit "$missed"
--- a/proof/standin/mutants/rules.sh
+++ b/proof/standin/mutants/rules.sh
@@ -6,7 +6,7 @@
 cd "$(dirname "$0")/../../.."
 source proof/standin/mutants/unit.sh
 
-guard=control/quorum/incarnation.go delta=control/lease/delta.go
+guard=control/quorum/incarnation.go patches=control/lease/patches.go
 # rules of the users that no other script breaks
 mutant tries-unbounded traffic/forward TestNoMoreServersThanTries traffic/forward/trip.go 't.arrive >= t.most() ||' 't.arrive >= 9+t.most() ||'
 mutant whole-time platform TestAServerIsHandedTheTimeThatIsLeft platform/exchange.go 'max(1, (due-e.now()).Milliseconds())' '3600000'
@@ -35,8 +35,8 @@
 mutant left-state-claims control/storage TestRestoredStateDisownsIncarnations control/storage/head.go 'starts += restoredStarts' 'starts += 0'
 mutant spoilt-past-counts control/storage TestCorruptIncarnationsAreDisowned control/storage/load.go 'if r.Past != r.PastSum() {' 'if r.Past == 0 && r.PastSum() != 0 {'
 # what goes down the tree, joined changes, formats
-mutant patch-on-any-base control/lease TestACorruptPatchIsNotServed $delta 'err != nil || l.From != from.Ver' 'err != nil && l.From != from.Ver'
-mutant patches-end-at-relays control/lease TestAChangeIsSentAsAPatch $delta '	n.extend(r.Key, kept)
+mutant patch-on-any-base control/lease TestACorruptPatchIsNotServed $patches 'err != nil || patch.From != record.Version' 'err != nil && patch.From != record.Version'
+mutant patches-end-at-relays control/lease TestAChangeIsSentAsAPatch $patches '	p.setChain(granted.Key, chain)
 ' ''
 mutant patch-without-sum control/fleetconfig TestAPatchFitsOnlyItsBase control/fleetconfig/codec.go 'zstd.WithEncoderLevel(zstd.SpeedFastest),' 'zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderCRC(false),'
 mutant refused-by-what-is-lost control/partition TestMergedJobsFailTogether control/partition/batch.go 'case j.none && f == Done:' 'case j.none:'
