--- a/control/membership/golden_test.go
+++ b/control/membership/golden_test.go
@@ -156,7 +156,7 @@
 	for _, addr := range slices.Sorted(maps.Keys(r.daemons)) {
 		d := r.daemons[addr]
 		v := d.table.View()
-		fmt.Fprintf(r.log, "%v %s: live %v, formed %v\n", r.now.Truncate(time.Millisecond), addr, v.HasSession, d.table.Formed)
+		fmt.Fprintf(r.log, "%v %s: live %v, formed %v\n", r.now.Truncate(time.Millisecond), addr, v.HasSession, d.table.bootstrap.formed)
 		for _, m := range v.Members {
 			r.member("  member", m)
 		}
--- a/control/membership/gossip.go
+++ b/control/membership/gossip.go
@@ -6,127 +6,158 @@
 	"hash/fnv"
 	"maps"
 	"slices"
-	"strings"
 	"time"
 
 	"mulleinmast/wire/message"
 )
 
-// same marks a Gossip that leaves out what the other has already.
-const same = "same"
+// gossipState is what control daemons have of each other's sessions. A seed without
+// a disk keeps only who gossiped.
+type gossipState struct {
+	received     map[string]receivedGossip // by the sender's identity
+	acknowledged map[string]uint64         // by address: digest of our gossip that a control daemon has
+	rounds       uint64                    // gossips sent
+}
 
-func (r *Table) gossip(o *Out) {
-	var list []message.Member
-	for _, id := range slices.Sorted(maps.Keys(r.mine)) {
-		list = append(list, r.mine[id].m)
-	}
-	owns := r.known()
-	sum, kept := digest(list, owns), r.kept()
-	theirs := map[string]rumour{}
-	for _, id := range slices.Sorted(maps.Keys(r.heard)) { // a daemon's earlier life may be among them still
-		h := r.heard[id]
-		if addr := h.list[len(h.list)-1].Addr; h.at >= theirs[addr].at {
-			theirs[addr] = h
+// receivedGossip is what one control daemon gossiped last.
+type receivedGossip struct {
+	members []message.Member // with a session there; the sender itself is the last
+	at      time.Duration
+	digest  uint64 // as the sender said; 0: what it takes us to have is not what we have
+}
+
+// sender is the control daemon that gossiped.
+func (g receivedGossip) sender() message.Member { return g.members[len(g.members)-1] }
+
+// expireGossip forgets who has not gossiped for two sessions.
+func (t *Table) expireGossip(now time.Duration) {
+	maps.DeleteFunc(t.gossip.received, func(_ string, g receivedGossip) bool {
+		return now-g.at > 2*t.cfg.SessionTimeout
+	})
+}
+
+// latestByAddr is each control daemon's latest gossip by its address: an earlier
+// incarnation may be among them still.
+func (g *gossipState) latestByAddr() map[string]receivedGossip {
+	latest := map[string]receivedGossip{}
+	for _, id := range slices.Sorted(maps.Keys(g.received)) {
+		received := g.received[id]
+		addr := received.sender().Addr
+		if received.at >= latest[addr].at {
+			latest[addr] = received
 		}
 	}
-	others := r.controls()
-	if r.beats%seldom == 0 {
-		others = append(others, r.astray()...)
+	return latest
+}
+
+// sendGossip tells other control daemons our sessions, and leaves out what they have.
+// Those that are lost are called now and then.
+func (t *Table) sendGossip(out *Out) {
+	t.gossip.rounds++
+	own := message.Gossip{
+		Self: t.self, Members: t.controls.members(), Leaderships: t.knownLeaderships(),
+		ControlsDigest: t.controlsDigest(),
+	}
+	own.Digest = digest(own.Members, own.Leaderships)
+	addrs := t.controlAddrs()
+	if t.gossip.rounds%lostCallInterval == 0 {
+		addrs = append(addrs, t.unnamedLostAddrs()...)
 	}
-	for _, to := range others {
-		n := message.Message{Kind: message.KindGossip, Self: r.me, Members: list, Leaderships: owns, Term: kept, LastComplete: sum, ResponseTo: theirs[to].sum}
-		if r.acked[to] == sum {
-			n.Op, n.Members, n.Leaderships = same, nil, nil
+	latest := t.gossip.latestByAddr()
+	for _, addr := range addrs {
+		g := own
+		g.Acknowledged = latest[addr].digest
+		if t.gossip.acknowledged[addr] == own.Digest {
+			g.Unchanged, g.Members, g.Leaderships = true, nil, nil
 		}
-		o.Sends = append(o.Sends, message.Envelope{Addr: to, Message: n})
+		out.send(addr, g.Message())
 	}
 }
 
-// digest is of what a gossip or a welcome tells.
-func digest(list []message.Member, owns []message.Leadership) uint64 {
+// digest is of the members and leaderships that a gossip or a welcome holds; never 0.
+func digest(members []message.Member, leaderships []message.Leadership) uint64 {
 	h := fnv.New64a()
-	for _, m := range list {
+	for _, m := range members {
 		_, _ = fmt.Fprint(h, m)
 	}
 	var b []byte
-	for _, o := range owns {
-		b = binary.AppendUvarint(binary.AppendUvarint(b[:0], uint64(o.Partition)), o.Term)
-		_, _ = h.Write(append(append(b, o.Leader.Ident...), o.Leader.Addr...))
+	for _, l := range leaderships {
+		b = binary.AppendUvarint(b[:0], uint64(l.Partition))
+		b = binary.AppendUvarint(b, l.Term)
+		b = append(b, l.Leader.Ident...)
+		b = append(b, l.Leader.Addr...)
+		_, _ = h.Write(b)
 	}
 	return h.Sum64() | 1 // 0 is none
 }
 
-// told takes another control daemon's gossip.
-func (r *Table) told(now time.Duration, n message.Message) {
-	r.acked[n.Self.Addr] = n.ResponseTo
-	old, ok := r.heard[n.Self.Ident]
-	next := rumour{append(n.Members, n.Self), now, n.LastComplete}
-	if n.Op == same {
-		next.sum = 0 // it takes us to have what we don't, and will hear so
-		if ok && old.sum == n.LastComplete {
-			if old.list[len(old.list)-1] == n.Self {
-				old.at = now
-				r.heard[n.Self.Ident] = old
-				return
-			}
-			next = rumour{append(slices.Clone(old.list[:len(old.list)-1]), n.Self), now, n.LastComplete}
-		}
+// handleGossip takes a control daemon's gossip, and helps it to find the others.
+func (t *Table) handleGossip(now time.Duration, m message.Gossip, out *Out) {
+	switch {
+	case t.self.HasDisk:
+		t.takeGossip(now, m)
+	case m.Self.Ident != "":
+		t.noteGossiper(now, m.Self)
+	}
+	if m.ControlsDigest != t.controlsDigest() && m.Self.Ident != "" { // one of us can't find the others yet
+		t.refer(m.Self, out)
 	}
-	r.heard[n.Self.Ident] = next
-	r.rebuild(now)
+	t.learnLeaderships(m.Leaderships)
 }
 
-// remembered is how many earlier views are kept to tell differences from.
-const remembered = 8
-
-// unlike is a digest that is taken for no view's.
-const unlike = 1
+// takeGossip takes the sessions of another control daemon.
+func (t *Table) takeGossip(now time.Duration, m message.Gossip) {
+	t.gossip.acknowledged[m.Self.Addr] = m.Acknowledged
+	known, ok := t.gossip.received[m.Self.Ident]
+	next := receivedGossip{members: append(m.Members, m.Self), at: now, digest: m.Digest}
+	switch {
+	case !m.Unchanged:
+	case !ok || known.digest != m.Digest: // it takes us to have what we don't, and will be told
+		next.digest = 0
+	case known.sender() == m.Self:
+		known.at = now
+		t.gossip.received[m.Self.Ident] = known
+		return
+	default:
+		next.members = append(slices.Clone(known.members[:len(known.members)-1]), m.Self)
+	}
+	t.gossip.received[m.Self.Ident] = next
+	t.rebuildView(now)
+}
 
-// shown is a view and its digest.
-type shown struct {
-	sum  uint64
-	list []message.Member
+// noteGossiper notes, at a daemon without a disk, a control daemon that gossips; an
+// earlier incarnation at its address has ended.
+func (t *Table) noteGossiper(now time.Duration, sender message.Member) {
+	maps.DeleteFunc(t.gossip.received, func(_ string, g receivedGossip) bool {
+		return g.members[0].Addr == sender.Addr
+	})
+	t.gossip.received[sender.Ident] = receivedGossip{members: []message.Member{sender}, at: now}
+	t.learnControl(sender)
 }
 
-// since has a Welcome hold only what is new since the view of that digest, if
-// that is known and the difference is the shorter.
-func (r *Table) since(sum uint64, rep *message.Message) {
-	i := slices.IndexFunc(r.past, func(s shown) bool { return s.sum == sum })
-	if i < 0 {
-		return
-	}
-	was := map[string]message.Member{}
-	for _, m := range r.past[i].list {
-		was[m.Addr] = m
-	}
-	var fresh []message.Member
-	for _, m := range r.view {
-		if was[m.Addr] != m {
-			fresh = append(fresh, m)
-		}
-		delete(was, m.Addr)
-	}
-	if 2*(len(fresh)+len(was)) < len(r.view) {
-		rep.Op, rep.Members, rep.Keys = differ, fresh, slices.Sorted(maps.Keys(was))
+// controlsDigest is a digest of the control daemons known here.
+func (t *Table) controlsDigest() uint64 {
+	h := fnv.New64a()
+	for _, m := range t.controlDaemons() {
+		_, _ = h.Write([]byte(m.Addr + " "))
 	}
+	return h.Sum64()
 }
 
-// merge takes a Welcome's differences. If that doesn't give the view that was
-// meant, our next Hello says so by its digest and the whole comes.
-func (r *Table) merge(n message.Message) {
-	at := map[string]message.Member{}
-	for _, m := range r.view {
-		at[m.Addr] = m
-	}
-	for _, m := range n.Members {
-		at[m.Addr] = m
-	}
-	for _, a := range n.Keys {
-		delete(at, a)
+// controlDaemons lists the control daemons known here, by address.
+func (t *Table) controlDaemons() (controls []message.Member) {
+	known := t.view.members
+	if !t.self.HasDisk && !t.client.hasSession {
+		known = nil
+		for _, g := range t.gossip.received {
+			known = append(known, g.members...)
+		}
 	}
-	list := slices.SortedFunc(maps.Values(at), func(a, b message.Member) int { return strings.Compare(a.Addr, b.Addr) })
-	r.see(list)
-	if r.print() != n.Term {
-		r.sum = unlike // the whole is asked for
+	for _, m := range known {
+		if m.HasDisk {
+			controls = append(controls, m)
+		}
 	}
+	slices.SortFunc(controls, byAddr)
+	return controls
 }
--- a/control/membership/lost.go
+++ b/control/membership/lost.go
@@ -8,76 +8,77 @@
 	"mulleinmast/wire/message"
 )
 
-// A daemon that is cut off loses the others from its view within a session, and
+// A daemon that is isolated loses the others from its view within a session, and
 // the seeds and the groups that it knows may be of long ago. So control daemons
 // that were in the view are remembered for a while: they are called now and
-// then, named to who has its session here, and told to callers who are to go on.
+// then, named to who has its session here, and named to callers who are to go on.
 
 const (
-	remember = 100 // sessions
-	seldom   = 4   // beats between two calls to a daemon that is lost
-	mostLost = 8
-	together = 2 // sessions within which those are lost that one cut takes away
+	rememberLostFor  = 100 // sessions
+	lostCallInterval = 4   // gossips between two to a control daemon that is lost
+	maxLost          = 8   // that are remembered
+	lostTogether     = 2   // sessions within which those are lost that one cut takes away
 )
 
 // LostDaemon is a control daemon that the view had, and when it went.
 type LostDaemon struct {
 	message.Member
-	At time.Duration
+	At time.Duration // by the clock of the daemon that lost it
 }
 
-// miss notes what a new view lacks.
-func (r *Table) miss(next []message.Member) {
-	here := map[string]bool{r.me.Addr: true}
+// noteLost notes what a new view lacks.
+func (t *Table) noteLost(next []message.Member) {
+	present := map[string]bool{t.self.Addr: true}
 	for _, m := range next {
-		here[m.Addr] = true
-		delete(r.lost, m.Addr)
+		present[m.Addr] = true
+		delete(t.lost, m.Addr)
 	}
-	for _, m := range r.view {
-		if m.HasDisk && !here[m.Addr] {
-			r.lost[m.Addr] = LostDaemon{m, r.now}
+	for _, m := range t.view.members {
+		if m.HasDisk && !present[m.Addr] {
+			t.lost[m.Addr] = LostDaemon{m, t.now}
 		}
 	}
 }
 
-// forget drops what was lost long ago, and the longest lost beyond a number.
-func (r *Table) forget() {
-	list := r.missed()
-	for i, l := range list {
-		if i >= mostLost || r.now-l.At > remember*r.cfg.SessionTimeout {
-			delete(r.lost, l.Addr)
+// forgetLost drops what was lost long ago, and the longest lost beyond a number.
+func (t *Table) forgetLost() {
+	for i, l := range t.lostByTime() {
+		if i >= maxLost || t.now-l.At > rememberLostFor*t.cfg.SessionTimeout {
+			delete(t.lost, l.Addr)
 		}
 	}
 }
 
-// missed lists the lost, the last ones first.
-func (r *Table) missed() []LostDaemon {
-	if len(r.lost) == 0 {
+// lostByTime lists the lost, the last ones first.
+func (t *Table) lostByTime() []LostDaemon {
+	if len(t.lost) == 0 {
 		return nil
 	}
-	out := make([]LostDaemon, 0, len(r.lost))
-	for _, l := range r.lost {
-		out = append(out, l)
+	list := make([]LostDaemon, 0, len(t.lost))
+	for _, l := range t.lost {
+		list = append(list, l)
 	}
-	slices.SortFunc(out, func(a, b LostDaemon) int { return cmp.Or(cmp.Compare(b.At, a.At), cmp.Compare(a.Addr, b.Addr)) })
-	return out
+	slices.SortFunc(list, func(a, b LostDaemon) int {
+		return cmp.Or(cmp.Compare(b.At, a.At), cmp.Compare(a.Addr, b.Addr))
+	})
+	return list
 }
 
-// astray lists the addresses of the lost that nothing else names.
-func (r *Table) astray() (out []string) {
-	known := r.controls()
-	for _, l := range r.missed() {
+// unnamedLostAddrs lists the addresses of the lost that nothing else names.
+func (t *Table) unnamedLostAddrs() (addrs []string) {
+	known := t.controlAddrs()
+	for _, l := range t.lostByTime() {
 		if !slices.Contains(known, l.Addr) {
-			out = append(out, l.Addr)
+			addrs = append(addrs, l.Addr)
 		}
 	}
-	return out
+	return addrs
 }
 
-// cutOff tells whether this control daemon hears of too few others for any
+// isIsolated tells whether this control daemon hears of too few others for any
 // group's majority.
-func (r *Table) cutOff(now time.Duration) bool {
-	return len(r.lost) > 0 && r.near(now) <= int64(r.cfg.ToleratedLosses)
+func (t *Table) isIsolated(now time.Duration) bool {
+	return len(t.lost) > 0 && t.controlsHeard(now) <= t.cfg.ToleratedLosses
 }
 
 // PartitionedFrom lists the control daemons that were lost last, together.
@@ -85,17 +86,17 @@
 // Example: for _, l := range view.PartitionedFrom() { sendOnTo(l.Addr) }
 func (v *View) PartitionedFrom() []LostDaemon {
 	n := 0
-	for n < len(v.Lost) && v.Lost[n].At >= v.Lost[0].At-v.torn {
+	for n < len(v.Lost) && v.Lost[n].At >= v.Lost[0].At-v.lostTogether {
 		n++
 	}
 	return v.Lost[:n]
 }
 
-// strand names the lost to a daemon that may know nobody else.
-func (r *Table) strand(to message.Member, o *Out) {
-	n := message.Message{Kind: message.KindWelcome, Op: refer}
-	for _, l := range r.View().PartitionedFrom() {
-		n.Members = append(n.Members, l.Member)
+// referToLost names the lost to a daemon that may know nobody else.
+func (t *Table) referToLost(to message.Member, out *Out) {
+	referral := message.Welcome{Form: message.WelcomeReferral}
+	for _, l := range t.View().PartitionedFrom() {
+		referral.Members = append(referral.Members, l.Member)
 	}
-	o.Sends = append(o.Sends, message.Envelope{Addr: to.Addr, Message: n})
+	out.send(to.Addr, referral.Message())
 }
--- a/control/membership/lost_test.go
+++ b/control/membership/lost_test.go
@@ -87,11 +87,11 @@
 			t.Errorf("it doesn't know %s: %v", id, v.Members)
 		}
 	}
-	if torn := n.all[at(1)].View().PartitionedFrom(); len(torn) != 2 {
-		t.Errorf("the one that is cut off names %v", torn)
+	if lost := n.all[at(1)].View().PartitionedFrom(); len(lost) != 2 {
+		t.Errorf("the one that is cut off names %v", lost)
 	}
-	if torn := n.all[at(2)].View().PartitionedFrom(); len(torn) != 1 || torn[0].Addr != at(1) {
-		t.Errorf("another names %v", torn)
+	if lost := n.all[at(2)].View().PartitionedFrom(); len(lost) != 1 || lost[0].Addr != at(1) {
+		t.Errorf("another names %v", lost)
 	}
 }
 
@@ -106,14 +106,14 @@
 	n.away[at(1)] = true
 	n.run(5 * time.Second)
 	for i := 1; i <= 3; i++ {
-		n.all[at(i)].seeds, n.all[at(i)].other = []string{at(i)}, nil // of long ago
+		n.all[at(i)].seeds, n.all[at(i)].learnedAddrs = []string{at(i)}, nil // of long ago
 	}
 	n.run(15 * time.Second)
 	if len(n.all[at(1)].View().Members) != 1 {
 		t.Fatal("the cut cuts nothing")
 	}
 	n.away[at(1)] = false
-	n.run(seldom*cfg.HeartbeatInterval + cfg.SessionTimeout)
+	n.run(lostCallInterval*cfg.HeartbeatInterval + cfg.SessionTimeout)
 	for i := 1; i <= 3; i++ {
 		if v := n.all[at(i)].View(); len(v.Members) != 3 || len(v.Lost) > 0 {
 			t.Errorf("%s knows %v, lost %v", at(i), v.Members, v.Lost)
@@ -124,17 +124,17 @@
 // One that was lost for long, or beyond a number of them, is forgotten; those
 // that were lost earlier than the last are not told to callers.
 func TestLostControlDaemonsAreForgotten(t *testing.T) {
-	n := newNet(func(int) []string { return []string{at(1)} }, core(2*mostLost)...)
+	n := newNet(func(int) []string { return []string{at(1)} }, core(2*maxLost)...)
 	n.run(5 * time.Second)
-	for i := 2; i <= 2*mostLost; i++ {
+	for i := 2; i <= 2*maxLost; i++ {
 		n.all[at(i)] = nil // one after another
 		n.run(4 * time.Second)
 		v := n.all[at(1)].View()
-		if torn := v.PartitionedFrom(); len(v.Lost) != min(i-1, mostLost) || len(torn) != 1 || torn[0].Addr != at(i) {
-			t.Fatalf("%d are lost: told %v, remembered %d", i-1, torn, len(v.Lost))
+		if lost := v.PartitionedFrom(); len(v.Lost) != min(i-1, maxLost) || len(lost) != 1 || lost[0].Addr != at(i) {
+			t.Fatalf("%d are lost: told %v, remembered %d", i-1, lost, len(v.Lost))
 		}
 	}
-	n.run((remember + 1) * cfg.SessionTimeout)
+	n.run((rememberLostFor + 1) * cfg.SessionTimeout)
 	if v := n.all[at(1)].View(); len(v.Lost) > 0 {
 		t.Errorf("remembered for ever: %v", v.Lost)
 	}
--- a/control/membership/membership_test.go
+++ b/control/membership/membership_test.go
@@ -81,10 +81,10 @@
 // Who was steered to a leader goes back to its static parent when another
 // daemon is leader; who was steered to a relay, when another is relay.
 func TestARedirectEndsWithItsTarget(t *testing.T) {
-	v := &View{Me: message.Member{Ident: "m", Zone: "c"}, Leaderships: map[int]message.Leadership{0: {Term: 4, Leader: message.Replica{Ident: "a", Addr: "a"}}}, small: 2, by: map[string]message.Member{}}
+	v := &View{Me: message.Member{Ident: "m", Zone: "c"}, Leaderships: map[int]message.Leadership{0: {Term: 4, Leader: message.Replica{Ident: "a", Addr: "a"}}}, minRelayZone: 2, byIdent: map[string]message.Member{}}
 	for _, id := range []string{"a", "b", "m", "r"} {
 		v.Members = append(v.Members, message.Member{Ident: id, Addr: id, Zone: map[bool]string{true: "c", false: "d"}[id == "m" || id == "r"]})
-		v.by[id] = v.Members[len(v.Members)-1]
+		v.byIdent[id] = v.Members[len(v.Members)-1]
 	}
 	g := ParentChooser{VolumeLease: time.Second}
 	static := g.Parent(0, v)
@@ -102,7 +102,7 @@
 		t.Errorf("not steered to the relay %v: %v", relay, p)
 	}
 	other := message.Replica{Ident: map[bool]string{true: "q", false: "r"}[relay.Ident == "r"], Addr: "q"}
-	v.by[other.Ident] = message.Member{Ident: other.Ident, Zone: "c"}
+	v.byIdent[other.Ident] = message.Member{Ident: other.Ident, Zone: "c"}
 	g.FollowRedirect(6*time.Second, other)
 	if p := g.Parent(7*time.Second, v); p == other {
 		t.Errorf("steered to %v, which is no relay", other)
@@ -135,7 +135,7 @@
 	run := func(from, to time.Duration) {
 		for now := from; now < to; now += 10 * time.Millisecond {
 			for i, r := range all {
-				me := r.me
+				me := r.self
 				me.HasDisk = i < 3
 				var owns []message.Leadership
 				if cut != "" && me.Addr == newLeader(seeds, cut) {
@@ -149,7 +149,7 @@
 					if m.Message.From != "" {
 						from = m.Message.From
 					}
-					if to == nil || m.Addr == from || to.me.HasDisk && at[from].me.HasDisk && (m.Addr == cut || from == cut) {
+					if to == nil || m.Addr == from || to.self.HasDisk && at[from].self.HasDisk && (m.Addr == cut || from == cut) {
 						continue
 					}
 					m.Message.From, m.Message.Addr = from, from
@@ -162,13 +162,13 @@
 		}
 	}
 	run(0, 2*time.Second)
-	if home = member.home; home == "" {
+	if home = member.client.home; home == "" {
 		t.Fatal("no session")
 	}
 	cut = home
 	run(2*time.Second, 6*time.Second)
-	if member.home == cut || member.owns[0].Term != 2 {
-		t.Errorf("still with %s, knows leader %+v", member.home, member.owns[0])
+	if member.client.home == cut || member.leaderships[0].Term != 2 {
+		t.Errorf("still with %s, knows leader %+v", member.client.home, member.leaderships[0])
 	}
 }
 
@@ -178,8 +178,8 @@
 	r := New(Config{SessionTimeout: time.Second, HeartbeatInterval: 100 * time.Millisecond}, message.Member{Ident: "me", Addr: "me:1"}, []string{"seed:1"})
 	whole := []message.Member{{Ident: "a", Addr: "a:1", HasDisk: true}, {Ident: "b", Addr: "b:1", HasDisk: true}, {Ident: "me", Addr: "me:1"}}
 	r.Step(time.Second, message.Message{Kind: message.KindWelcome, Addr: "a:1", Members: whole})
-	r.Step(time.Second, message.Message{Kind: message.KindWelcome, Addr: "a:1", Op: differ + "x", Members: whole[2:]})
-	if n := len(r.View().Members); n != 3 || !slices.Contains(r.controls(), "b:1") {
-		t.Errorf("%d members, control daemons %v", n, r.controls())
+	r.Step(time.Second, message.Message{Kind: message.KindWelcome, Addr: "a:1", Op: message.WelcomeDiff + "x", Members: whole[2:]})
+	if n := len(r.View().Members); n != 3 || !slices.Contains(r.controlAddrs(), "b:1") {
+		t.Errorf("%d members, control daemons %v", n, r.controlAddrs())
 	}
 }
--- /dev/null
+++ b/control/membership/parent.go
@@ -0,0 +1,91 @@
+package membership
+
+import (
+	"time"
+
+	"mulleinmast/wire/message"
+)
+
+// For how many volume leases a daemon stays with a parent other than the static one.
+const (
+	fallbackLeases = 5  // with the leader, after the parent could not serve
+	redirectLeases = 40 // where it was redirected
+)
+
+// ParentChooser chooses a daemon's parent for one partition: where it was redirected,
+// the leader while the relay can't serve, else the static parent.
+type ParentChooser struct {
+	Partition   int
+	VolumeLease time.Duration // length of a volume lease, see lease.Config
+
+	redirect      message.Replica // zero: none
+	redirectUntil time.Duration
+	fallbackUntil time.Duration
+	hadLease      bool // as of the last call of ReturnRedirects
+}
+
+// FallBackToLeader makes the chooser fall back to the leader for a while.
+//
+// Example: if out.Orphaned { c.FallBackToLeader(now) }
+func (c *ParentChooser) FallBackToLeader(now time.Duration) {
+	c.redirect = message.Replica{}
+	c.fallbackUntil = now + fallbackLeases*c.VolumeLease
+}
+
+// FollowRedirect takes a redirect: join, split, or return to a relay that is back.
+//
+// Example: c.FollowRedirect(now, out.Redirect)
+func (c *ParentChooser) FollowRedirect(now time.Duration, to message.Replica) {
+	c.redirect, c.redirectUntil = to, now+redirectLeases*c.VolumeLease
+	c.fallbackUntil = 0
+}
+
+// Parent is the replica to renew at now; zero for the leader itself.
+//
+// Example: p := c.Parent(now, view)
+func (c *ParentChooser) Parent(now time.Duration, v *View) message.Replica {
+	leader := v.Leaderships[c.Partition].Leader
+	switch {
+	case leader.Ident == v.Me.Ident:
+		return message.Replica{}
+	case c.isRedirected(now, v, leader):
+		return c.redirect
+	case now < c.fallbackUntil:
+		return leader
+	}
+	return v.Parent(c.Partition)
+}
+
+// isRedirected tells whether a redirect still counts. It leads to the leader or to our
+// zone's relay. When the view says that its target is neither any more, it would have
+// us hang below a relay's child, with a lease too short to renew in time.
+func (c *ParentChooser) isRedirected(now time.Duration, v *View, leader message.Replica) bool {
+	to := c.redirect.Ident
+	if to == "" || to == v.Me.Ident || now >= c.redirectUntil {
+		return false
+	}
+	return to == leader.Ident || to == v.Relay(c.Partition, v.Me.Zone).Ident
+}
+
+// ReturnRedirects are what a relay sends to its zone when its lease is valid again.
+//
+// Example: for _, m := range c.ReturnRedirects(node.HasVolumeLease(now), node.VolumeEpoch(), view) { send(m) }
+func (c *ParentChooser) ReturnRedirects(
+	hasLease bool, epoch message.VolumeEpoch, v *View,
+) (sends []message.Envelope) {
+	regained := hasLease && !c.hadLease
+	c.hadLease = hasLease
+	if !regained || v.Relay(c.Partition, v.Me.Zone).Ident != v.Me.Ident {
+		return nil
+	}
+	redirect := message.Redirect{Parent: v.Me.Replica(), Reason: message.RedirectReturn}
+	frame := redirect.Message(c.Partition).WithGrantHeader(message.GrantHeader{VolumeEpoch: epoch})
+	leader := v.Leaderships[c.Partition].Leader.Ident
+	for m := range v.MembersIn(v.Me.Zone) {
+		if m.Ident != v.Me.Ident && m.Ident != leader {
+			frame.To = m.Ident
+			sends = append(sends, message.Envelope{Addr: m.Addr, Message: frame})
+		}
+	}
+	return sends
+}
--- a/control/membership/view.go
+++ b/control/membership/view.go
@@ -1,8 +1,8 @@
 package membership
 
 import (
-	"hash/fnv"
 	"iter"
+	"maps"
 	"slices"
 	"sync"
 	"time"
@@ -10,59 +10,87 @@
 	"mulleinmast/wire/message"
 )
 
-// View is a snapshot of the fleet; it is never changed once published.
+// View is a snapshot of the fleet; it is never changed once published, and safe for
+// concurrent use.
 type View struct {
 	Me          message.Member
-	Members     []message.Member
-	Leaderships map[int]message.Leadership
-	HasSession  bool // our own session stands
+	Members     []message.Member           // by address
+	Leaderships map[int]message.Leadership // by partition
+	HasSession  bool                       // our own session stands
 	// Lost are control daemons that the view had and has no more, the last ones
-	// first: of a machine that is cut off the others, of the others those that
-	// are gone.
+	// first: of a machine that is isolated the others, of the others those that
+	// ended.
 	Lost []LostDaemon
 
-	torn  time.Duration // see Torn
-	small int
-	by    map[string]message.Member
-	memo  sync.Map // relays found so far, by place
+	lostTogether time.Duration // see PartitionedFrom
+	minRelayZone int           // see Config
+	byIdent      map[string]message.Member
+	relays       sync.Map // relayPlace -> message.Replica, those found so far
 }
 
-// place is a partition in a zone.
-type place struct {
-	partition int
-	zone      string
+// View publishes a snapshot, the same one while nothing changes.
+//
+// Example: v := t.View()
+func (t *Table) View() *View {
+	if t.published != nil && t.isCurrent(t.published) {
+		return t.published
+	}
+	v := &View{
+		Me:           t.self,
+		Members:      append([]message.Member(nil), t.view.members...),
+		Leaderships:  maps.Clone(t.leaderships),
+		HasSession:   t.client.hasSession,
+		Lost:         t.lostByTime(),
+		lostTogether: lostTogether * t.cfg.SessionTimeout,
+		minRelayZone: t.cfg.MinRelayZone,
+		byIdent:      map[string]message.Member{},
+	}
+	for _, m := range v.Members {
+		v.byIdent[m.Ident] = m
+	}
+	t.published = v
+	return v
+}
+
+// isCurrent tells whether a view shows what the table holds.
+func (t *Table) isCurrent(v *View) bool {
+	return v.Me == t.self && v.HasSession == t.client.hasSession && slices.Equal(v.Members, t.view.members) &&
+		slices.Equal(v.Lost, t.lostByTime()) && maps.Equal(v.Leaderships, t.leaderships)
 }
 
 // Find looks a member up by identity.
 //
 // Example: m, ok := v.Find(m.From)
-func (v *View) Find(id string) (message.Member, bool) { m, ok := v.by[id]; return m, ok }
+func (v *View) Find(ident string) (m message.Member, ok bool) {
+	m, ok = v.byIdent[ident]
+	return m, ok
+}
 
 // ControlDaemons lists the members with a disk.
 //
-// Example: standbys := v.ControlDaemons()
+// Example: candidates := v.ControlDaemons()
 func (v *View) ControlDaemons() []message.Member {
-	var out []message.Member
+	var list []message.Member
 	for _, m := range v.Members {
 		if m.HasDisk {
-			out = append(out, m)
+			list = append(list, m)
 		}
 	}
-	return out
+	return list
 }
 
 // MustHandOver tells whether a group counts on this daemon's replica though another
-// core daemon could take its place, or is about to: until a change of the group is
+// control daemon could take its place, or is about to: until a change of the group is
 // settled it needs the replicas that it had before.
 //
 // Example: if v.MustHandOver(group) { waitForHandOver() }
 func (v *View) MustHandOver(g message.Group) bool {
-	return g.Has(v.Me.Ident) && (len(g.Next) > 0 || v.standby(g))
+	return g.Has(v.Me.Ident) && (len(g.Next) > 0 || v.hasReplacement(g))
 }
 
-// standby tells whether a core daemon other than this one is without a replica in
-// a group.
-func (v *View) standby(g message.Group) bool {
+// hasReplacement tells whether a control daemon other than this one is without a
+// replica in a group.
+func (v *View) hasReplacement(g message.Group) bool {
 	return slices.ContainsFunc(v.Members, func(m message.Member) bool {
 		return m.HasDisk && m.Ident != v.Me.Ident && !g.Has(m.Ident)
 	})
@@ -80,81 +108,3 @@
 		}
 	}
 }
-
-// Relay is the static relay of a partition in a zone; none in a small zone.
-//
-// Example: replica := v.Relay(3, "north")
-func (v *View) Relay(partition int, zone string) message.Replica {
-	if r, ok := v.memo.Load(place{partition, zone}); ok {
-		return r.(message.Replica)
-	}
-	r := v.relay(partition, zone)
-	v.memo.Store(place{partition, zone}, r)
-	return r
-}
-
-// crowd is the members of a zone from which on the configuration's relay is one
-// of its control daemons. The plan goes whole to every member of the zone, one
-// after the other over the relay's link, and the machines of control daemons
-// have the wide ones.
-const crowd = 12
-
-func (v *View) relay(partition int, zone string) message.Replica {
-	own := v.Leaderships[partition].Leader.Ident
-	var best, wide chosen
-	n := 0
-	for m := range v.MembersIn(zone) {
-		if m.Ident == own {
-			continue
-		}
-		n++
-		best.offer(partition, m)
-		if m.HasDisk {
-			wide.offer(partition, m)
-		}
-	}
-	switch {
-	case n < v.small:
-		return message.Replica{}
-	case partition == 0 && n >= crowd && wide.Ident != "":
-		return wide.Replica
-	}
-	return best.Replica
-}
-
-// chosen is the member of the greatest weight so far.
-type chosen struct {
-	message.Replica
-	top uint64
-}
-
-func (c *chosen) offer(partition int, m message.Member) {
-	if w := weight(partition, m.Addr); c.Ident == "" || w > c.top {
-		c.top, c.Replica = w, m.Replica()
-	}
-}
-
-// Parent is this daemon's static parent for a partition: the zone's relay, or the
-// leader for the relay itself and in small zones.
-//
-// Example: replica := v.Parent(3)
-func (v *View) Parent(partition int) message.Replica {
-	own := v.Leaderships[partition].Leader
-	if own.Ident == v.Me.Ident {
-		return message.Replica{}
-	}
-	if r := v.Relay(partition, v.Me.Zone); r.Ident != "" && r.Ident != v.Me.Ident {
-		return r
-	}
-	return own
-}
-
-func weight(partition int, addr string) uint64 {
-	h := fnv.New64a()
-	_, _ = h.Write([]byte{byte(partition), byte(partition >> 8)})
-	_, _ = h.Write([]byte(addr))
-	x := h.Sum64()
-	x ^= x >> 31
-	x *= 0x9e3779b97f4a7c15
-	return x ^ x>>29
-}
--- a/control/membership/view_test.go
+++ b/control/membership/view_test.go
@@ -9,7 +9,7 @@
 
 // zoneOf is a view of one zone: control daemons first, then the others.
 func zoneOf(control, others int) *View {
-	v := &View{Leaderships: map[int]message.Leadership{0: {Term: 1, Leader: message.Replica{Ident: "far", Addr: "far"}}}, small: 3, by: map[string]message.Member{}}
+	v := &View{Leaderships: map[int]message.Leadership{0: {Term: 1, Leader: message.Replica{Ident: "far", Addr: "far"}}}, minRelayZone: 3, byIdent: map[string]message.Member{}}
 	for i := range control + others {
 		id := fmt.Sprintf("10.0.0.%d:1", i)
 		v.Members = append(v.Members, message.Member{Ident: id, Addr: id, Zone: "c", HasDisk: i < control})
@@ -24,7 +24,7 @@
 	for _, c := range []struct {
 		control, others int
 		wide            bool
-	}{{2, crowd - 2, true}, {1, 40, true}, {2, crowd - 3, false}, {0, 40, false}} {
+	}{{2, crowdedZone - 2, true}, {1, 40, true}, {2, crowdedZone - 3, false}, {0, 40, false}} {
 		v, byWeight := zoneOf(c.control, c.others), 0
 		control := map[string]bool{}
 		for _, m := range v.Members {
@@ -49,7 +49,7 @@
 	v := zoneOf(2, 40)
 	leader := v.Relay(0, "c")
 	v.Leaderships[0] = message.Leadership{Term: 2, Leader: leader}
-	v.memo.Clear()
+	v.relays.Clear()
 	if next := v.Relay(0, "c"); next == leader || next.Ident == "" {
 		t.Errorf("the leader's zone has %v", next)
 	}
--- a/proof/standin/mutants/rules.sh
+++ b/proof/standin/mutants/rules.sh
@@ -16,7 +16,7 @@
 mutant past-give-up traffic/gateway TestARequestIsGivenUpWhenItsRouteSaysSo traffic/gateway/gateway.go 'c.Due = at + time.Duration(r.GiveUpMillis)*time.Millisecond' 'c.Due = at + time.Hour'
 mutant weights-passed-over traffic/route TestPickFollowsTheWeights traffic/route/route.go 'if at < s.Weight {' 'if at < 50*s.Weight {'
 mutant unready-at-changes control/daemon TestAChangeMakesNoDaemonUnready control/daemon/host.go ' || c.wasReady(c.Cfg.Vol())' ''
-mutant ends-while-it-changes control/membership TestADaemonHandsOverWhileItsGroupChanges control/membership/view.go 'len(g.Next) > 0 || v.standby(g)' 'v.standby(g)'
+mutant ends-while-it-changes control/membership TestADaemonHandsOverWhileItsGroupChanges control/membership/view.go 'len(g.Next) > 0 || v.hasReplacement(g)' 'v.hasReplacement(g)'
 mutant prompts-count-as-waiting traffic/forward TestWhoWaitsTooLongIsRefused traffic/forward/admit.go 'may := max(t.Aim-t.took, t.Aim/2)' 'may := t.Aim - t.took'
 # incarnations
 mutant any-incarnation control/quorum TestWhichIncarnationsCount $guard 'if n.State.Epoch != 0 && precedes(n.State, known.State) {' 'if n.State.Epoch != 0 && false {'
