--- a/proof/hollow/client.go
+++ b/proof/hollow/client.go
@@ -41,10 +41,10 @@
 // hints are a board without other daemons.
 type hints struct{ *board.Board }
 
-// Begin records work sent to a server.
+// AddLoad records work sent to a server.
 //
-// Example: h.Begin(server, 1460, 0)
-func (h hints) Begin(server string, tokens, writing int) {
+// Example: h.AddLoad(server, 1460, 0)
+func (h hints) AddLoad(server string, tokens, writing int) {
 	h.Board.Begin(board.Name("", server), tokens, writing)
 }
 
@@ -56,36 +56,36 @@
 	return u.Tokens, u.Writing, 0
 }
 
-// Paused messages nothing.
+// ObserveInterTokenLatency messages nothing.
 //
-// Example: h.Paused(server, time.Millisecond)
-func (hints) Paused(string, time.Duration) {}
+// Example: h.ObserveInterTokenLatency(server, time.Millisecond)
+func (hints) ObserveInterTokenLatency(string, time.Duration) {}
 
-// Came records the end of a call.
+// CallEnded records the end of a call.
 //
-// Example: h.Came(now, server, true)
-func (h hints) Came(now time.Duration, server string, answered bool) {
+// Example: h.CallEnded(now, server, true)
+func (h hints) CallEnded(now time.Duration, server string, answered bool) {
 	h.Board.Came(now, board.Name("", server), answered)
 }
 
-// Down tells whether a server most likely answers nobody.
+// IsDown tells whether a server most likely answers nobody.
 //
-// Example: h.Down(now, server) == false
-func (h hints) Down(now time.Duration, server string) bool {
+// Example: h.IsDown(now, server) == false
+func (h hints) IsDown(now time.Duration, server string) bool {
 	return h.Board.Down(now, board.Name("", server))
 }
 
-// Keeps records that a server has a prompt.
+// RecordPrefix records that a server has a prompt.
 //
-// Example: h.Keeps(prefix, server, 1460)
-func (h hints) Keeps(prefix uint64, server string, tokens int) {
+// Example: h.RecordPrefix(prefix, server, 1460)
+func (h hints) RecordPrefix(prefix uint64, server string, tokens int) {
 	h.Board.Keeps(prefix, board.Name("", server), tokens)
 }
 
-// Has tells whether a server keeps a prompt.
+// HasPrefix tells whether a server keeps a prompt.
 //
-// Example: if h.Has(prefix, server) { prefer(server) }
-func (h hints) Has(prefix uint64, server string) bool {
+// Example: if h.HasPrefix(prefix, server) { prefer(server) }
+func (h hints) HasPrefix(prefix uint64, server string) bool {
 	return h.Board.Has(prefix, board.Name("", server))
 }
 
@@ -113,7 +113,7 @@
 	l := forward.New(gateway.Config(daemon.Default()), model(0), 1, r, hints{board.New(gateway.BoardConfig(daemon.Default()))})
 	type trip struct {
 		id   string
-		move forward.Move
+		move forward.Decision
 	}
 	var open []trip
 	now := time.Second
@@ -121,28 +121,28 @@
 	for i := range count {
 		now += time.Millisecond
 		id := fmt.Sprintf("r-%d", i)
-		c := forward.Call{
-			ID: id, Service: model(0), Split: true, Tries: 3, Aim: 680 * time.Millisecond, Gap: 26 * time.Millisecond, Due: now + 30*time.Second,
-			Parts: []forward.Part{{Key: uint64(i % 50), Tokens: 20000}, {Key: uint64(1000 + i), Tokens: 400}}, In: 20400, Out: 275,
+		c := forward.Request{
+			ID: id, Service: model(0), Disaggregated: true, MaxAttempts: 3, TTFTTarget: 680 * time.Millisecond, InterTokenTarget: 26 * time.Millisecond, Deadline: now + 30*time.Second,
+			Parts: []forward.Part{{Key: uint64(i % 50), Tokens: 20000}, {Key: uint64(1000 + i), Tokens: 400}}, InputTokens: 20400, MaxOutputTokens: 275,
 		}
-		open = append(open, trip{id, l.Begin(now, c)})
+		open = append(open, trip{id, l.Start(now, c)})
 		if len(open) < abreast {
 			continue
 		}
 		t := open[0]
 		open = open[1:]
-		for !t.move.Kind.Final() {
-			switch t.move.Kind {
-			case forward.Read:
-				t.move = l.ReadDone(now, t.id, forward.OK, forward.Handle{ID: "h", Call: t.id, No: t.move.No, Server: t.move.To, Tokens: 20400}, "")
-			case forward.Write:
-				t.move = l.WriteDone(now, t.id, forward.OK, "")
+		for !t.move.Action.Final() {
+			switch t.move.Action {
+			case forward.Prefill:
+				t.move = l.PrefillDone(now, t.id, forward.OK, forward.Handle{ID: "h", RequestID: t.id, Attempt: t.move.Attempt, Server: t.move.Server, Tokens: 20400}, "")
+			case forward.Decode:
+				t.move = l.DecodeDone(now, t.id, forward.OK, "")
 			default:
-				return 0, fmt.Errorf("hollow: request %s: %s, %s", t.id, t.move.Kind, t.move.Why)
+				return 0, fmt.Errorf("hollow: request %s: %s, %s", t.id, t.move.Action, t.move.Reason)
 			}
 		}
-		if t.move.Kind != forward.Done {
-			return 0, fmt.Errorf("hollow: request %s ended as %s, %s", t.id, t.move.Kind, t.move.Why)
+		if t.move.Action != forward.Done {
+			return 0, fmt.Errorf("hollow: request %s ended as %s, %s", t.id, t.move.Action, t.move.Reason)
 		}
 	}
 	return (used().CPU - begin) / time.Duration(max(1, count-abreast+1)), nil
--- a/proof/hollow/daemon.go
+++ b/proof/hollow/daemon.go
@@ -140,19 +140,19 @@
 // Read says that a prompt was read.
 //
 // Example: h, out, why := engines{}.Read(ctx, q, c, m, may)
-func (engines) Read(_ context.Context, _ *gateway.Request, c forward.Call, m forward.Move, may func() bool) (forward.Handle, forward.Outcome, string) {
+func (engines) Read(_ context.Context, _ *gateway.Request, c forward.Request, m forward.Decision, may func() bool) (forward.Handle, forward.Outcome, string) {
 	if !may() {
-		return forward.Handle{}, forward.Barred, "barred"
+		return forward.Handle{}, forward.Blocked, "barred"
 	}
-	return forward.Handle{ID: "h", Call: c.ID, No: m.No, Server: m.To, Tokens: c.In}, forward.OK, ""
+	return forward.Handle{ID: "h", RequestID: c.ID, Attempt: m.Attempt, Server: m.Server, Tokens: c.InputTokens}, forward.OK, ""
 }
 
 // Write says that an answer came whole, with nothing in it.
 //
 // Example: a, out, why := engines{}.Write(ctx, q, c, m, "", may)
-func (engines) Write(_ context.Context, _ *gateway.Request, _ forward.Call, _ forward.Move, _ string, may func() bool) (gateway.Answer, forward.Outcome, string) {
+func (engines) Write(_ context.Context, _ *gateway.Request, _ forward.Request, _ forward.Decision, _ string, may func() bool) (gateway.Answer, forward.Outcome, string) {
 	if !may() {
-		return nil, forward.Barred, "barred"
+		return nil, forward.Blocked, "barred"
 	}
 	return empty{}, forward.OK, ""
 }
--- a/proof/overload/front.go
+++ b/proof/overload/front.go
@@ -15,7 +15,7 @@
 type front struct {
 	w     *world
 	me    message.Member
-	lane  *forward.Lane
+	lane  *forward.Dispatcher
 	board *board.Board
 	blind time.Duration // until when its leases don't stand
 }
@@ -78,7 +78,7 @@
 	for _, o := range f.w.daemons {
 		members, addrs = append(members, o.me), append(addrs, o.me.Addr)
 	}
-	f.lane.Fleet(f.w.now, f.me.Addr, addrs)
+	f.lane.SetDaemons(f.w.now, f.me.Addr, addrs)
 	for _, s := range f.w.servers {
 		f.board.Memory(board.Name(service, s.key), memory)
 	}
@@ -95,10 +95,10 @@
 // hints is a daemon's board as its lane sees it.
 type hints struct{ f *front }
 
-// Begin records work sent from here.
+// AddLoad records work sent from here.
 //
-// Example: h.Begin("server-01", 900, 0)
-func (h hints) Begin(server string, tokens, writing int) {
+// Example: h.AddLoad("server-01", 900, 0)
+func (h hints) AddLoad(server string, tokens, writing int) {
 	h.f.board.Begin(board.Name(service, server), tokens, writing)
 }
 
@@ -113,92 +113,92 @@
 	return u.Tokens, u.Writing, pause
 }
 
-// Paused records the time between two events.
+// ObserveInterTokenLatency records the time between two events.
 //
-// Example: h.Paused("server-01", 40*time.Millisecond)
-func (h hints) Paused(server string, d time.Duration) {
+// Example: h.ObserveInterTokenLatency("server-01", 40*time.Millisecond)
+func (h hints) ObserveInterTokenLatency(server string, d time.Duration) {
 	h.f.board.Paused(board.Name(service, server), d)
 }
 
-// Came records the end of a call.
+// CallEnded records the end of a call.
 //
-// Example: h.Came(now, "server-01", true)
-func (h hints) Came(now time.Duration, server string, answered bool) {
+// Example: h.CallEnded(now, "server-01", true)
+func (h hints) CallEnded(now time.Duration, server string, answered bool) {
 	h.f.board.Came(now, board.Name(service, server), answered)
 }
 
-// Down tells whether a server most likely answers nobody.
+// IsDown tells whether a server most likely answers nobody.
 //
-// Example: h.Down(now, "server-01")
-func (h hints) Down(now time.Duration, server string) bool {
+// Example: h.IsDown(now, "server-01")
+func (h hints) IsDown(now time.Duration, server string) bool {
 	return h.f.board.Down(now, board.Name(service, server))
 }
 
-// Keeps records that a server keeps a prompt.
+// RecordPrefix records that a server keeps a prompt.
 //
-// Example: h.Keeps(prefix, "server-01", 900)
-func (h hints) Keeps(prefix uint64, server string, tokens int) {
+// Example: h.RecordPrefix(prefix, "server-01", 900)
+func (h hints) RecordPrefix(prefix uint64, server string, tokens int) {
 	h.f.board.Keeps(prefix, board.Name(service, server), tokens)
 }
 
-// Has tells whether a server keeps a prompt's shared parts.
+// HasPrefix tells whether a server keeps a prompt's shared parts.
 //
-// Example: h.Has(prefix, "server-01")
-func (h hints) Has(prefix uint64, server string) bool {
+// Example: h.HasPrefix(prefix, "server-01")
+func (h hints) HasPrefix(prefix uint64, server string) bool {
 	return h.f.board.Has(prefix, board.Name(service, server))
 }
 
 // try is one try of a client at one daemon.
 type try struct {
 	f     *front
-	call  forward.Call
+	call  forward.Request
 	over  bool
 	began bool
-	reads int                                      // tokens that servers read for it
-	told  func(k forward.Kind, back time.Duration) // its client, of its end
-	first func()                                   // its client, of the first event
+	reads int                                        // tokens that servers read for it
+	told  func(k forward.Action, back time.Duration) // its client, of its end
+	first func()                                     // its client, of the first event
 }
 
 // start brings a try to its daemon.
-func (t *try) start() { t.act(t.f.lane.Begin(t.f.w.now, t.call)) }
+func (t *try) start() { t.act(t.f.lane.Start(t.f.w.now, t.call)) }
 
 // act carries a move out.
-func (t *try) act(m forward.Move) {
+func (t *try) act(m forward.Decision) {
 	w := t.f.w
-	switch m.Kind {
+	switch m.Action {
 	case forward.Wait:
 		w.after(min(m.Until-w.now, w.cfg.VolumeLease()/16), func() {
 			if !t.over {
-				t.act(t.f.lane.Again(w.now, t.call.ID))
+				t.act(t.f.lane.Continue(w.now, t.call.ID))
 			}
 		})
-	case forward.Read:
+	case forward.Prefill:
 		t.send(m, func(out forward.Outcome, h forward.Handle) {
-			t.act(t.f.lane.ReadDone(w.now, t.call.ID, out, h, "test"))
+			t.act(t.f.lane.PrefillDone(w.now, t.call.ID, out, h, "test"))
 		})
-	case forward.Write:
+	case forward.Decode:
 		t.send(m, func(out forward.Outcome, _ forward.Handle) {
-			t.act(t.f.lane.WriteDone(w.now, t.call.ID, out, "test"))
+			t.act(t.f.lane.DecodeDone(w.now, t.call.ID, out, "test"))
 		})
 	default:
 		t.over = true
-		if m.Kind != forward.Done {
+		if m.Action != forward.Done {
 			w.result.Wasted += t.reads
 		}
-		t.told(m.Kind, m.Back)
+		t.told(m.Action, m.RetryAfter)
 	}
 }
 
 // send puts a call before a server, unless the last look stops it; done hears of
 // its end once, at the latest when its time is up.
-func (t *try) send(m forward.Move, done func(forward.Outcome, forward.Handle)) {
+func (t *try) send(m forward.Decision, done func(forward.Outcome, forward.Handle)) {
 	w := t.f.w
-	if !t.f.lane.Standing(w.now, t.call.ID, m) {
-		done(forward.Barred, forward.Handle{})
+	if !t.f.lane.MaySend(w.now, t.call.ID, m) {
+		done(forward.Blocked, forward.Handle{})
 		return
 	}
 	ended := false
-	s := w.serverOf(m.To.Key)
+	s := w.serverOf(m.Server.Key)
 	j := &job{try: t, move: m, due: m.Until}
 	j.done = func(out forward.Outcome, h forward.Handle) {
 		if !ended && !t.over {
--- a/proof/overload/overload.go
+++ b/proof/overload/overload.go
@@ -234,7 +234,7 @@
 func (w *world) newFront(i int) *front {
 	f := &front{w: w, me: message.Member{Ident: fmt.Sprint("daemon-", i), Addr: fmt.Sprintf("10.0.0.%d:1", i), Zone: zoneOf(i), Build: daemon.Build}, board: board.New(gateway.BoardConfig(w.cfg))}
 	c := gateway.Config(w.cfg)
-	c.Zone, c.Slack = f.me.Zone, 200
+	c.Zone, c.RetrySlack = f.me.Zone, 200
 	f.lane = forward.New(c, service, 1, f, hints{f})
 	return f
 }
--- a/proof/overload/server.go
+++ b/proof/overload/server.go
@@ -26,7 +26,7 @@
 // job is one call at a server.
 type job struct {
 	try  *try
-	move forward.Move
+	move forward.Decision
 	due  time.Duration
 	cut  bool // nobody waits for it any more
 	done func(forward.Outcome, forward.Handle)
@@ -97,11 +97,11 @@
 		return
 	case len(s.queue) >= waiting:
 		s.w.result.Turned++
-		s.w.after(hop, func() { j.done(forward.Full, forward.Handle{}) })
+		s.w.after(hop, func() { j.done(forward.Overloaded, forward.Handle{}) })
 		return
 	}
 	at := len(s.queue) // the more urgent go first
-	for at > 0 && s.queue[at-1].move.Rank > j.move.Rank {
+	for at > 0 && s.queue[at-1].move.Priority > j.move.Priority {
 		at--
 	}
 	s.queue = slices.Insert(s.queue, at, j)
@@ -117,8 +117,8 @@
 			continue
 		}
 		switch {
-		case j.move.Kind == forward.Read || j.move.Handle == nil: // its prompt is read here
-			if s.reading || j.move.Kind == forward.Write && s.writing >= slots {
+		case j.move.Action == forward.Prefill || j.move.Handle == nil: // its prompt is read here
+			if s.reading || j.move.Action == forward.Decode && s.writing >= slots {
 				return
 			}
 			s.queue = s.queue[1:]
@@ -130,7 +130,7 @@
 			s.queue = s.queue[1:]
 			s.writing++
 			s.keepAll(j)
-			moved := setup + time.Duration(j.try.call.In)*18432*8/550000*time.Nanosecond
+			moved := setup + time.Duration(j.try.call.InputTokens)*18432*8/550000*time.Nanosecond
 			s.later(moved, func() { s.write(j) })
 		}
 	}
@@ -163,8 +163,8 @@
 		}
 		s.reading = false
 		s.keepAll(j)
-		if j.move.Kind == forward.Read {
-			h := forward.Handle{ID: fmt.Sprint(j.try.call.ID, "-", j.move.No), Call: j.try.call.ID, No: j.move.No, Server: j.move.To, Tokens: j.try.call.In}
+		if j.move.Action == forward.Prefill {
+			h := forward.Handle{ID: fmt.Sprint(j.try.call.ID, "-", j.move.Attempt), RequestID: j.try.call.ID, Attempt: j.move.Attempt, Server: j.move.Server, Tokens: j.try.call.InputTokens}
 			s.w.after(hop, func() { j.done(forward.OK, h) })
 		} else {
 			s.writing++
@@ -175,7 +175,9 @@
 }
 
 // write streams an answer, an event at a time.
-func (s *server) write(j *job) { s.event(j, max(1, (j.try.call.Out+stride-1)/stride), s.w.now) }
+func (s *server) write(j *job) {
+	s.event(j, max(1, (j.try.call.MaxOutputTokens+stride-1)/stride), s.w.now)
+}
 
 func (s *server) event(j *job, left int, last time.Duration) {
 	if j.cut || left == 0 {
@@ -197,10 +199,10 @@
 		if t := j.try; !j.cut && !t.over {
 			if !t.began {
 				t.began = true
-				t.f.lane.Began(now, t.call.ID)
+				t.f.lane.StreamStarted(now, t.call.ID)
 				s.w.after(2*hop, t.first)
 			} else {
-				t.f.lane.Event(t.call.ID, now-last)
+				t.f.lane.EventSent(t.call.ID, now-last)
 			}
 		}
 		s.event(j, left-1, now)
--- a/proof/standin/mutants/invariants.sh
+++ b/proof/standin/mutants/invariants.sh
@@ -29,12 +29,12 @@
 }
 
 trip=traffic/forward/trip.go
-seen lost-call lane_accounts clients $trip 'st.open--' 'st.open -= len(t.Service) - len(t.Service)'
-seen id-taken-twice lane_accounts clients $trip 'if l.trips[c.ID] != nil {' 'if l.trips[c.ID] != nil && c.ID == "" {'
+seen lost-call lane_accounts clients $trip 'st.inFlight--' 'st.inFlight -= len(t.Service) - len(t.Service)'
+seen id-taken-twice lane_accounts clients $trip 'if l.pending[c.ID] != nil {' 'if l.pending[c.ID] != nil && c.ID == "" {'
 seen no-bound retries_over_allowance servers traffic/attempt/attempt.go 'return float64(again+1) <= b.Rate*float64(first)+float64(b.Slack)' 'return true' platform/settings.go 'Slack: int(t.RetrySlack)' 'Slack: 0'
-seen sent-again unsafe_run_twice servers $trip 'last.Known == attempt.Lost && last.Phase == attempt.Decode && !t.Repeat' 'last.Known == attempt.Lost && last.Phase == attempt.Decode && t.ID == ""'
+seen sent-again unsafe_run_twice servers $trip 'last.Known == attempt.Lost && last.Phase == attempt.Decode && !t.Repeatable' 'last.Known == attempt.Lost && last.Phase == attempt.Decode && t.ID == ""'
 seen false-promise refused_after_run servers $trip 'return l.finish(now, t, Unknown, last.Why)' 'return l.finish(now, t, Refuse, last.Why)'
-seen spliced stream_spliced servers $trip 'last.Known == attempt.First && !(t.Resume && t.Repeat)' 'last.Known == attempt.First && t.ID == ""'
+seen spliced stream_spliced servers $trip 'last.Known == attempt.First && !(t.Resumable && t.Repeatable)' 'last.Known == attempt.First && t.ID == ""'
 seen stray-answer answer_not_of_request servers platform/exchange.go 'case names(res.Header, id):' 'case names(res.Header, id) || id != "":'
 seen no-seal success_without_seal servers platform/engine.go 'if why := unfit(r); why != "" {' 'if why := unfit(r); why == "never" {'
 seen long-lease lease_outlasts_granter kill control/lease/downstream.go 'return max(0, min(n.cfg.VolumeLease, n.VolumeExpiry()-now))' 'return n.cfg.VolumeLease'
--- a/proof/standin/mutants/rules.sh
+++ b/proof/standin/mutants/rules.sh
@@ -8,16 +8,16 @@
 
 guard=control/quorum/incarnation.go patches=control/lease/patches.go
 # rules of the users that no other script breaks
-mutant tries-unbounded traffic/forward TestNoMoreServersThanTries traffic/forward/trip.go 't.arrive >= t.most() ||' 't.arrive >= 9+t.most() ||'
+mutant tries-unbounded traffic/forward TestNoMoreServersThanTries traffic/forward/trip.go 't.countedSends >= t.maxAttempts() ||' 't.countedSends >= 9+t.maxAttempts() ||'
 mutant whole-time platform TestAServerIsHandedTheTimeThatIsLeft platform/exchange.go 'max(1, (due-e.now()).Milliseconds())' '3600000'
-mutant goes-on-for-nobody traffic/gateway TestAClientThatIsGone traffic/gateway/run.go 'for !m.Kind.Final() {
-		if ctx.Err() != nil || has.unread {' 'for !m.Kind.Final() {
+mutant goes-on-for-nobody traffic/gateway TestAClientThatIsGone traffic/gateway/run.go 'for !m.Action.Final() {
+		if ctx.Err() != nil || has.unread {' 'for !m.Action.Final() {
 		if has.unread {'
-mutant past-give-up traffic/gateway TestARequestIsGivenUpWhenItsRouteSaysSo traffic/gateway/gateway.go 'c.Due = at + time.Duration(r.GiveUpMillis)*time.Millisecond' 'c.Due = at + time.Hour'
+mutant past-give-up traffic/gateway TestARequestIsGivenUpWhenItsRouteSaysSo traffic/gateway/gateway.go 'c.Deadline = at + time.Duration(r.GiveUpMillis)*time.Millisecond' 'c.Deadline = at + time.Hour'
 mutant weights-passed-over traffic/route TestPickFollowsTheWeights traffic/route/route.go 'if at < s.Weight {' 'if at < 50*s.Weight {'
 mutant unready-at-changes control/daemon TestAChangeMakesNoDaemonUnready control/daemon/host.go ' || c.wasReady(c.Cfg.Vol())' ''
 mutant ends-while-it-changes control/membership TestADaemonHandsOverWhileItsGroupChanges control/membership/view.go 'len(g.Next) > 0 || v.hasReplacement(g)' 'v.hasReplacement(g)'
-mutant prompts-count-as-waiting traffic/forward TestWhoWaitsTooLongIsRefused traffic/forward/admit.go 'may := max(t.Aim-t.took, t.Aim/2)' 'may := t.Aim - t.took'
+mutant prompts-count-as-waiting traffic/forward TestWhoWaitsTooLongIsRefused traffic/forward/admit.go 'may := max(t.TTFTTarget-t.predictedPrefill, t.TTFTTarget/2)' 'may := t.TTFTTarget - t.predictedPrefill'
 # incarnations
 mutant any-incarnation control/quorum TestWhichIncarnationsCount $guard 'if n.State.Epoch != 0 && precedes(n.State, known.State) {' 'if n.State.Epoch != 0 && false {'
 mutant blind-to-itself control/quorum TestWhatSupersedes $guard 'if !s.folder.descends(n.KnownState) {' 'if s.folder.descends(n.KnownState) && false {'
--- a/traffic/forward/admit_test.go
+++ b/traffic/forward/admit_test.go
@@ -29,12 +29,12 @@
 		{"its prompt is read", 1, 0, time.Hour, 0, false, true, true},
 		{"the bound is off", 0, 0, time.Hour, 0, false, false, true},
 	} {
-		l := &Lane{cfg: Config{InTime: x.bound}}
-		tr := &trip{Call: Call{Aim: aim}, at: now - x.spent, queued: x.queued, took: x.took, begun: x.begun}
+		l := &Dispatcher{cfg: Config{MaxPredictedWait: x.bound}}
+		tr := &pendingRequest{Request: Request{TTFTTarget: aim}, arrivedAt: now - x.spent, predictedWait: x.queued, predictedPrefill: x.took, streamStarted: x.begun}
 		if x.handle {
 			tr.handle = &Handle{ID: "h"}
 		}
-		if in := l.inTime(now, tr); in != x.in {
+		if in := l.canMeetTarget(now, tr); in != x.in {
 			t.Errorf("%s: let in %v", x.what, in)
 		}
 	}
--- a/traffic/forward/cold_test.go
+++ b/traffic/forward/cold_test.go
@@ -14,22 +14,22 @@
 func TestAWarmingServerIsNotFlooded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 120).Draw(t, "daemons")
-		w := Warm{Rate: float64(rapid.IntRange(1, 60).Draw(t, "rate")), Over: 1 + float64(rapid.IntRange(0, 10).Draw(t, "over"))/10, Slack: float64(rapid.IntRange(1, 10).Draw(t, "slack"))}
+		w := WarmupLimit{Rate: float64(rapid.IntRange(1, 60).Draw(t, "rate")), Over: 1 + float64(rapid.IntRange(0, 10).Draw(t, "over"))/10, Slack: float64(rapid.IntRange(1, 10).Draw(t, "slack"))}
 		all := fleet(n)
-		var lanes []*Lane
+		var lanes []*Dispatcher
 		now := time.Minute
 		for _, me := range all {
 			l := New(bounds, "s", 1, &records{now: &now}, tally{})
-			l.Warm(w)
-			l.Fleet(now, me, all)
+			l.SetWarmupLimit(w)
+			l.SetDaemons(now, me, all)
 			lanes = append(lanes, l)
 		}
 		if cut := rapid.IntRange(0, n).Draw(t, "cut"); cut > 0 { // each side sees itself alone from now on
 			for i, l := range lanes {
 				if i < cut {
-					l.Fleet(now+time.Second, all[i], all[:cut])
+					l.SetDaemons(now+time.Second, all[i], all[:cut])
 				} else {
-					l.Fleet(now+time.Second, all[i], all[cut:])
+					l.SetDaemons(now+time.Second, all[i], all[cut:])
 				}
 			}
 		}
@@ -37,8 +37,8 @@
 		var sent []time.Duration
 		for now := 2 * time.Minute; now < 2*time.Minute+4*time.Second; now += 10 * time.Millisecond {
 			for _, l := range lanes {
-				if l.bears(now, server) {
-					l.stat(server).coldAt = now
+				if l.acceptsWarmup(now, server) {
+					l.statsOf(server).warmupSentAt = now
 					sent = append(sent, now)
 				}
 			}
--- a/traffic/forward/lane.go
+++ b/traffic/forward/lane.go
@@ -11,110 +11,110 @@
 	"mulleinmast/wire/message"
 )
 
-// stat is what this daemon knows of a server by its own requests.
-type stat struct {
-	open     int // calls under way from here
-	load     Load
-	loadAt   time.Duration
-	fails    int // calls in a row that it didn't answer
-	shyUntil time.Duration
-	seenAt   time.Duration
-	coldAt   time.Duration // last send while it warmed up
+// serverStats is what this daemon knows of a server by its own requests.
+type serverStats struct {
+	inFlight            int // calls under way from here
+	load                Load
+	loadAt              time.Duration
+	consecutiveFailures int // calls in a row that it didn't answer
+	backoffUntil        time.Duration
+	seenAt              time.Duration
+	warmupSentAt        time.Duration // last send while it warmed up
 }
 
-// Lane is the state machine of one service on one daemon.
-type Lane struct {
+// Dispatcher is the state machine of one service on one daemon.
+type Dispatcher struct {
 	cfg       Config
-	svc       string
+	service   string
 	partition int
-	src       Source
-
-	board Board
-
-	gen     [2]uint64
-	whole   bool // rows are what was read at gen
-	until   time.Duration
-	rows    map[string]Server
-	order   []string // the keys of rows, so that equal choices fall alike
-	keys    []string // of the list of this version
-	servers []fleetconfig.Server
-	records map[string]record
-	listed  message.Version
-	stats   map[string]*stat
-	pace    float64       // tokens read in a ms, measured
-	aim     time.Duration // the shortest aim of any request
-	gap     time.Duration // the shortest pause that any request allows between events
-
-	crew    crew
-	warm    Warm
-	spacing map[string]time.Duration // between sends to a warming server; below 0: none
-
-	bucket attempt.Bucket
-	window windowCount
-	trips  map[string]*trip
-	n      Counts
+	source    Source
+
+	load LoadReporter
+
+	generations        [2]uint64
+	complete           bool // rows are what was read at gen
+	validUntil         time.Duration
+	servable           map[string]Server
+	sortedKeys         []string // the keys of rows, so that equal choices fall alike
+	recordKeys         []string // of the list of this version
+	listedServers      []fleetconfig.Server
+	records            map[string]record
+	listVersion        message.Version
+	stats              map[string]*serverStats
+	prefillRate        float64       // tokens read in a ms, measured
+	shortestTTFT       time.Duration // the shortest aim of any request
+	shortestInterToken time.Duration // the shortest pause that any request allows between events
+
+	daemons       daemonSet
+	warmup        WarmupLimit
+	warmupSpacing map[string]time.Duration // between sends to a warming server; below 0: none
+
+	retries attempt.Bucket
+	window  windowCount
+	pending map[string]*pendingRequest
+	counts  Counts
 }
 
-// New makes a lane for a service whose records stand in the given part.
+// New makes a dispatcher for a service whose records stand in the given part.
 //
 // Example: l := forward.New(cfg, "timetable", 3, daemon, board)
-func New(cfg Config, svc string, partition int, src Source, board Board) *Lane {
-	return &Lane{
-		cfg: cfg, svc: svc, partition: partition, src: src, board: board, rows: map[string]Server{}, crew: crew{seen: map[string]time.Duration{}}, spacing: map[string]time.Duration{}, stats: map[string]*stat{}, pace: cfg.Pace,
-		bucket: attempt.Bucket{Rate: cfg.Retry, Window: cfg.Window}, trips: map[string]*trip{},
+func New(cfg Config, svc string, partition int, src Source, board LoadReporter) *Dispatcher {
+	return &Dispatcher{
+		cfg: cfg, service: svc, partition: partition, source: src, load: board, servable: map[string]Server{}, daemons: daemonSet{seen: map[string]time.Duration{}}, warmupSpacing: map[string]time.Duration{}, stats: map[string]*serverStats{}, prefillRate: cfg.PrefillRate,
+		retries: attempt.Bucket{Rate: cfg.RetryRatio, Window: cfg.RetryWindow}, pending: map[string]*pendingRequest{},
 	}
 }
 
-// Counts are the lane's numbers so far.
+// Counts are the dispatcher's numbers so far.
 //
 // Example: n := l.Counts().Served
-func (l *Lane) Counts() Counts { return l.n }
+func (l *Dispatcher) Counts() Counts { return l.counts }
 
 // Servers lists the servers in use, as the last look had them.
 //
 // Example: for _, s := range l.Servers() { show(s) }
-func (l *Lane) Servers() []Server {
-	out := make([]Server, 0, len(l.rows))
-	for _, s := range l.rows {
+func (l *Dispatcher) Servers() []Server {
+	out := make([]Server, 0, len(l.servable))
+	for _, s := range l.servable {
 		out = append(out, s)
 	}
 	return out
 }
 
-// Open is the number of requests under way.
+// InFlight is the number of requests under way.
 //
-// Example: for l.Open() > 0 { wait() }
-func (l *Lane) Open() int { return len(l.trips) }
+// Example: for l.InFlight() > 0 { wait() }
+func (l *Dispatcher) InFlight() int { return len(l.pending) }
 
-// Keys lists the records that the lane reads, for its user to keep wanted.
+// Keys lists the records that the dispatcher reads, for its user to keep wanted.
 //
 // Example: for _, k := range l.Keys() { daemon.Pin(part, k) }
-func (l *Lane) Keys() []string {
-	list := fleetconfig.ListKey(l.svc)
-	rec, ok := l.src.Read(l.partition, list)
+func (l *Dispatcher) Keys() []string {
+	list := fleetconfig.ListKey(l.service)
+	rec, ok := l.source.Read(l.partition, list)
 	if !ok {
 		return []string{list}
 	}
-	l.list(rec)
-	return l.keys
+	l.readList(rec)
+	return l.recordKeys
 }
 
-// list reads a list of servers, once a version.
-func (l *Lane) list(rec message.Record) []fleetconfig.Server {
-	if l.keys == nil || l.listed != rec.Version {
-		l.servers = fleetconfig.OpenList(rec).Servers
-		l.keys, l.listed = []string{rec.Key}, rec.Version
-		known := make(map[string]record, len(l.servers))
-		for _, s := range l.servers {
-			key := fleetconfig.ServerRecordKey(l.svc, s.Key())
-			l.keys = append(l.keys, key)
+// readList reads a readList of servers, once a version.
+func (l *Dispatcher) readList(rec message.Record) []fleetconfig.Server {
+	if l.recordKeys == nil || l.listVersion != rec.Version {
+		l.listedServers = fleetconfig.OpenList(rec).Servers
+		l.recordKeys, l.listVersion = []string{rec.Key}, rec.Version
+		known := make(map[string]record, len(l.listedServers))
+		for _, s := range l.listedServers {
+			key := fleetconfig.ServerRecordKey(l.service, s.Key())
+			l.recordKeys = append(l.recordKeys, key)
 			if r, ok := l.records[key]; ok {
 				known[key] = r
 			}
 		}
 		l.records = known
 	}
-	return l.servers
+	return l.listedServers
 }
 
 // record is a server's record as it was read.
@@ -124,8 +124,8 @@
 	ok bool
 }
 
-// record reads a server's record, once a version.
-func (l *Lane) record(rec message.Record) record {
+// readRecord reads a server's readRecord, once a version.
+func (l *Dispatcher) readRecord(rec message.Record) record {
 	r, known := l.records[rec.Key]
 	if !known || r.ver != rec.Version || rec.Deleted == r.ok {
 		r = record{ver: rec.Version}
@@ -135,99 +135,99 @@
 	return r
 }
 
-// look makes the table of servers anew if a record changed or a lease lapsed;
+// refreshServers makes the table of servers anew if a record changed or a lease lapsed;
 // it tells whether all that it needs stands under valid leases now.
-func (l *Lane) look(now time.Duration) bool {
-	gen := [2]uint64{l.src.Gen(0), l.src.Gen(l.partition)}
-	if gen == l.gen && now < l.until {
+func (l *Dispatcher) refreshServers(now time.Duration) bool {
+	gen := [2]uint64{l.source.Gen(0), l.source.Gen(l.partition)}
+	if gen == l.generations && now < l.validUntil {
 		return true
 	}
-	l.until = min(l.src.Until(0), l.src.Until(l.partition))
-	if l.whole && gen == l.gen && now < l.until {
+	l.validUntil = min(l.source.Until(0), l.source.Until(l.partition))
+	if l.complete && gen == l.generations && now < l.validUntil {
 		return true
 	}
-	l.gen, l.whole = gen, false
-	clear(l.rows)
-	l.order = nil
-	listed, okList := l.src.Read(l.partition, fleetconfig.ListKey(l.svc))
-	zones, okZones := l.src.Read(0, fleetconfig.ZoneKey)
-	if !okList || !okZones || now >= l.until {
-		l.until = 0
+	l.generations, l.complete = gen, false
+	clear(l.servable)
+	l.sortedKeys = nil
+	listed, okList := l.source.Read(l.partition, fleetconfig.ListKey(l.service))
+	zones, okZones := l.source.Read(0, fleetconfig.ZoneKey)
+	if !okList || !okZones || now >= l.validUntil {
+		l.validUntil = 0
 		return false
 	}
 	out := fleetconfig.OpenZones(zones)
-	for i, s := range l.list(listed) {
+	for i, s := range l.readList(listed) {
 		if s.Leaving || out[s.Zone] {
 			continue
 		}
-		rec, ok := l.src.Read(l.partition, l.keys[i+1])
+		rec, ok := l.source.Read(l.partition, l.recordKeys[i+1])
 		if !ok {
 			continue
 		}
-		b := l.record(rec)
+		b := l.readRecord(rec)
 		if s.Role != "" && s.Role != b.Role { // by the platform's word it doesn't play its part yet
 			continue
 		}
 		if !b.ok || b.NextRole != "" || b.Status != placement.Up && b.Status != placement.Warming {
 			continue
 		}
-		l.rows[s.Key()] = Server{Key: s.Key(), Addr: s.Addr, Zone: s.Zone, Part: b.Role, Slots: s.Capacity, Warming: b.Status == placement.Warming}
+		l.servable[s.Key()] = Server{Key: s.Key(), Addr: s.Addr, Zone: s.Zone, Part: b.Role, Slots: s.Capacity, Warming: b.Status == placement.Warming}
 	}
-	l.order = slices.Sorted(maps.Keys(l.rows))
+	l.sortedKeys = slices.Sorted(maps.Keys(l.servable))
 	for key, st := range l.stats {
-		if _, ok := l.rows[key]; !ok && st.open == 0 && now-st.seenAt > 10*l.cfg.Window {
+		if _, ok := l.servable[key]; !ok && st.inFlight == 0 && now-st.seenAt > 10*l.cfg.RetryWindow {
 			delete(l.stats, key)
 		}
 	}
-	l.whole = true
+	l.complete = true
 	return true
 }
 
-func (l *Lane) stat(key string) *stat {
+func (l *Dispatcher) statsOf(key string) *serverStats {
 	st := l.stats[key]
 	if st == nil {
-		st = &stat{}
+		st = &serverStats{}
 		l.stats[key] = st
 	}
 	return st
 }
 
-// Strain is how hard a server is pressed: the wait before it reads a prompt in
+// Pressure is how hard a server is pressed: the wait before it reads a prompt in
 // parts of the aim, the pause between its events in parts of the longest that is
 // in time.
 //
-// Example: read, write := l.Strain(now, server.Key)
-func (l *Lane) Strain(now time.Duration, key string) (read, write float64) {
-	tokens, _, pause := l.board.Load(now, key)
-	pace := l.pace
-	if l.rows[key].Part != placement.Prefill {
+// Example: read, write := l.Pressure(now, server.Key)
+func (l *Dispatcher) Pressure(now time.Duration, key string) (read, write float64) {
+	tokens, _, pause := l.load.Load(now, key)
+	pace := l.prefillRate
+	if l.servable[key].Part != placement.Prefill {
 		pace /= 2
 	}
-	if l.aim > 0 {
-		read = float64(ms(tokens, pace)) / float64(l.aim)
+	if l.shortestTTFT > 0 {
+		read = float64(prefillTime(tokens, pace)) / float64(l.shortestTTFT)
 	}
-	if l.gap > 0 {
-		write = float64(pause) / float64(l.gap)
+	if l.shortestInterToken > 0 {
+		write = float64(pause) / float64(l.shortestInterToken)
 	}
 	return read, write
 }
 
-// Standing is the last look before a call's first byte goes out.
+// MaySend is the last look before a call's first byte goes out.
 //
-// Example: if !l.Standing(now, id, move) { return forward.Barred }
-func (l *Lane) Standing(now time.Duration, id string, m Move) bool {
-	t := l.trips[id]
-	if t == nil || t.no != m.No || now >= t.Due || !l.look(now) {
+// Example: if !l.MaySend(now, id, move) { return forward.Blocked }
+func (l *Dispatcher) MaySend(now time.Duration, id string, m Decision) bool {
+	t := l.pending[id]
+	if t == nil || t.attemptNumber != m.Attempt || now >= t.Deadline || !l.refreshServers(now) {
 		return false
 	}
-	row, ok := l.rows[m.To.Key]
-	return ok && row.Part == m.To.Part && row.Addr == m.To.Addr
+	row, ok := l.servable[m.Server.Key]
+	return ok && row.Part == m.Server.Part && row.Addr == m.Server.Addr
 }
 
-// Told takes the load that a server told with an answer.
+// LoadReported takes the load that a server told with an answer.
 //
-// Example: l.Told(now, server.Key, forward.Load{Running: 3, Slots: 8})
-func (l *Lane) Told(now time.Duration, key string, load Load) {
-	st := l.stat(key)
+// Example: l.LoadReported(now, server.Key, forward.Load{Running: 3, Slots: 8})
+func (l *Dispatcher) LoadReported(now time.Duration, key string, load Load) {
+	st := l.statsOf(key)
 	st.load, st.loadAt, st.seenAt = load, now, now
 }
--- a/traffic/forward/look_test.go
+++ b/traffic/forward/look_test.go
@@ -13,7 +13,7 @@
 func TestServersComeBackWithTheLeases(t *testing.T) {
 	now := time.Second
 	src := &records{now: &now, until: 2 * time.Second, gen: 1, list: []fleetconfig.Server{{ID: "a", Addr: "10.0.0.1:1", Zone: "z", Capacity: 8}}, part: map[string]string{"a": placement.Decode}}
-	l := New(Config{Window: time.Second}, "s", 1, src, nil)
+	l := New(Config{RetryWindow: time.Second}, "s", 1, src, nil)
 	for i, x := range []struct {
 		now, until time.Duration
 		gen        uint64
@@ -28,7 +28,7 @@
 		{7 * time.Second, 9 * time.Second, 3, false, true},
 	} {
 		now, src.until, src.gen, src.held = x.now, x.until, x.gen, x.held
-		if ok := l.look(now); ok != x.ok || ok && len(l.Servers()) != 1 {
+		if ok := l.refreshServers(now); ok != x.ok || ok && len(l.Servers()) != 1 {
 			t.Errorf("%d: stands %v, servers %v", i, ok, l.Servers())
 		}
 	}
--- a/traffic/forward/model_test.go
+++ b/traffic/forward/model_test.go
@@ -72,7 +72,7 @@
 // tally stands for the board: it counts what is under way.
 type tally map[string]*[2]int
 
-func (b tally) Begin(server string, tokens, writing int) {
+func (b tally) AddLoad(server string, tokens, writing int) {
 	if b[server] == nil {
 		b[server] = &[2]int{}
 	}
@@ -87,16 +87,18 @@
 	return 0, 0, 0
 }
 
-func (b tally) Came(time.Duration, string, bool)         {}
-func (b tally) Down(_ time.Duration, server string) bool { return weight(7, server)%8 == 0 }
-func (b tally) Paused(string, time.Duration)             {}
-func (b tally) Keeps(uint64, string, int)                {}
-func (b tally) Has(prefix uint64, server string) bool    { return weight(prefix, server)%4 == 0 }
+func (b tally) CallEnded(time.Duration, string, bool)          {}
+func (b tally) IsDown(_ time.Duration, server string) bool     { return rendezvousWeight(7, server)%8 == 0 }
+func (b tally) ObserveInterTokenLatency(string, time.Duration) {}
+func (b tally) RecordPrefix(uint64, string, int)               {}
+func (b tally) HasPrefix(prefix uint64, server string) bool {
+	return rendezvousWeight(prefix, server)%4 == 0
+}
 
 // journey is what a test knows of one request: what became of each send.
 type journey struct {
-	Call
-	m       Move
+	Request
+	m       Decision
 	at      time.Duration // of the move
 	begun   bool          // the client has a head
 	ran     bool          // it may have run
@@ -112,11 +114,11 @@
 func (j *journey) extra() int { return max(0, j.sends()-1) }
 func (j *journey) sends() int { return j.writes + max(0, j.reads-1) + j.away }
 
-// model drives a lane as the gateway does, with outcomes by chance, and checks
+// model drives a dispatcher as the gateway does, with outcomes by chance, and checks
 // each move.
 type model struct {
 	t     *rapid.T
-	l     *Lane
+	l     *Dispatcher
 	r     *records
 	board tally
 	now   time.Duration
@@ -143,68 +145,68 @@
 func (m *model) begin() {
 	t := m.t
 	m.no++
-	c := Call{
-		ID: fmt.Sprint("r", m.no), Service: "s", Repeat: rapid.Bool().Draw(t, "repeat"), Split: rapid.IntRange(0, 3).Draw(t, "split") > 0, Tries: rapid.IntRange(1, 4).Draw(t, "tries"),
-		Aim: 400 * time.Millisecond, Due: m.now + rapid.SampledFrom([]time.Duration{20 * time.Second, 3 * time.Second, 3 * time.Second, 100 * time.Millisecond, 0}).Draw(t, "left"), In: rapid.SampledFrom([]int{9000, 9000, 9000, 1000, 0}).Draw(t, "in"), Out: 50,
-		After: rapid.IntRange(0, 9).Draw(t, "after") == 0, Parts: []Part{{Key: 7, Tokens: 900}, {Key: uint64(m.no), Tokens: 100}},
+	c := Request{
+		ID: fmt.Sprint("r", m.no), Service: "s", Repeatable: rapid.Bool().Draw(t, "repeat"), Disaggregated: rapid.IntRange(0, 3).Draw(t, "split") > 0, MaxAttempts: rapid.IntRange(1, 4).Draw(t, "tries"),
+		TTFTTarget: 400 * time.Millisecond, Deadline: m.now + rapid.SampledFrom([]time.Duration{20 * time.Second, 3 * time.Second, 3 * time.Second, 100 * time.Millisecond, 0}).Draw(t, "left"), InputTokens: rapid.SampledFrom([]int{9000, 9000, 9000, 1000, 0}).Draw(t, "in"), MaxOutputTokens: 50,
+		ContinuesStream: rapid.IntRange(0, 9).Draw(t, "after") == 0, Parts: []Part{{Key: 7, Tokens: 900}, {Key: uint64(m.no), Tokens: 100}},
 	}
-	c.Resume = c.Repeat && rapid.Bool().Draw(t, "resume")
-	j := &journey{Call: c, tried: map[string]bool{}, handles: map[string]string{}}
+	c.Resumable = c.Repeatable && rapid.Bool().Draw(t, "resume")
+	j := &journey{Request: c, tried: map[string]bool{}, handles: map[string]string{}}
 	m.trips[c.ID] = j
 	m.begun = append(m.begun, m.now)
-	m.take(j, m.l.Begin(m.now, c))
+	m.take(j, m.l.Start(m.now, c))
 }
 
 // take checks a move of a request.
-func (m *model) take(j *journey, next Move) {
+func (m *model) take(j *journey, next Decision) {
 	t := m.t
 	if j.over {
-		t.Fatalf("%s: a move after its end: %v", j.ID, next.Kind)
+		t.Fatalf("%s: a move after its end: %v", j.ID, next.Action)
 	}
 	j.m, j.at = next, m.now
-	switch next.Kind {
+	switch next.Action {
 	case Wait:
-		if next.Until <= m.now || next.Until > j.Due {
-			t.Fatalf("%s: waits until %v at %v, due %v", j.ID, next.Until, m.now, j.Due)
+		if next.Until <= m.now || next.Until > j.Deadline {
+			t.Fatalf("%s: waits until %v at %v, due %v", j.ID, next.Until, m.now, j.Deadline)
 		}
-	case Read, Write:
-		part := map[Kind]string{Read: placement.Prefill, Write: placement.Decode}[next.Kind]
-		at := part + next.To.Key
+	case Prefill, Decode:
+		part := map[Action]string{Prefill: placement.Prefill, Decode: placement.Decode}[next.Action]
+		at := part + next.Server.Key
 		switch {
-		case j.ran && !j.Repeat:
+		case j.ran && !j.Repeatable:
 			t.Fatalf("%s may have run, may not be repeated, and is sent again", j.ID)
-		case j.begun && !(j.Repeat && j.Resume):
+		case j.begun && !(j.Repeatable && j.Resumable):
 			t.Fatalf("%s has begun, can't be resumed, and is sent again", j.ID)
-		case next.Kind == Read && (j.begun || j.After):
+		case next.Action == Prefill && (j.begun || j.ContinuesStream):
 			t.Fatalf("%s goes on with a stream and is read", j.ID)
-		case !m.r.may(next.To.Key, part):
-			t.Fatalf("%s: %v at %s, which may not get it", j.ID, next.Kind, next.To.Key)
+		case !m.r.may(next.Server.Key, part):
+			t.Fatalf("%s: %v at %s, which may not get it", j.ID, next.Action, next.Server.Key)
 		case j.tried[at]:
-			t.Fatalf("%s: %v at %s again", j.ID, next.Kind, next.To.Key)
-		case next.Until > j.Due || next.Until <= m.now:
-			t.Fatalf("%s: given up at %v, now %v, due %v", j.ID, next.Until, m.now, j.Due)
+			t.Fatalf("%s: %v at %s again", j.ID, next.Action, next.Server.Key)
+		case next.Until > j.Deadline || next.Until <= m.now:
+			t.Fatalf("%s: given up at %v, now %v, due %v", j.ID, next.Until, m.now, j.Deadline)
 		}
 		if h := next.Handle; h != nil {
-			if j.handles[h.ID] != "kept" && j.handles[h.ID] != "turned" || h.Call != j.ID {
+			if j.handles[h.ID] != "kept" && j.handles[h.ID] != "turned" || h.RequestID != j.ID {
 				t.Fatalf("%s: given the handle %+v, which is %q", j.ID, *h, j.handles[h.ID])
 			}
 		}
 	case Refuse:
-		if j.ran || j.begun || next.Back <= 0 {
-			t.Fatalf("%s refused: ran %v, begun %v, back %v (%s)", j.ID, j.ran, j.begun, next.Back, next.Why)
+		if j.ran || j.begun || next.RetryAfter <= 0 {
+			t.Fatalf("%s refused: ran %v, begun %v, back %v (%s)", j.ID, j.ran, j.begun, next.RetryAfter, next.Reason)
 		}
 	case Unknown:
 		if j.begun || !j.ran {
-			t.Fatalf("%s unknown: ran %v, begun %v (%s)", j.ID, j.ran, j.begun, next.Why)
+			t.Fatalf("%s unknown: ran %v, begun %v (%s)", j.ID, j.ran, j.begun, next.Reason)
 		}
 	}
-	if !next.Kind.Final() {
+	if !next.Action.Final() {
 		return
 	}
 	j.over = true
 	delete(m.trips, j.ID)
 	freed := map[string]bool{}
-	for _, h := range next.Free {
+	for _, h := range next.ReleaseHandles {
 		if freed[h.ID] || j.handles[h.ID] == "" || j.handles[h.ID] == "taken" {
 			t.Fatalf("%s: frees %s, which is %q", j.ID, h.ID, j.handles[h.ID])
 		}
@@ -233,53 +235,53 @@
 func (m *model) carry(j *journey) {
 	t := m.t
 	if rapid.IntRange(0, 19).Draw(t, "leaves") == 0 {
-		next := m.l.Left(m.now, j.ID, j.m.Kind != Wait)
-		if j.m.Kind == Write && j.m.Handle != nil {
+		next := m.l.ClientGone(m.now, j.ID, j.m.Action != Wait)
+		if j.m.Action == Decode && j.m.Handle != nil {
 			j.handles[j.m.Handle.ID] = "sent"
 		}
 		m.take(j, next)
 		return
 	}
 	mv := j.m
-	if mv.Kind == Wait {
+	if mv.Action == Wait {
 		if rapid.Bool().Draw(t, "waits") {
 			m.now = max(m.now, mv.Until)
 		}
-		m.take(j, m.l.Again(m.now, j.ID))
+		m.take(j, m.l.Continue(m.now, j.ID))
 		return
 	}
-	if !m.l.Standing(m.now, j.ID, mv) {
-		if mv.Kind == Read {
-			m.take(j, m.l.ReadDone(m.now, j.ID, Barred, Handle{}, ""))
+	if !m.l.MaySend(m.now, j.ID, mv) {
+		if mv.Action == Prefill {
+			m.take(j, m.l.PrefillDone(m.now, j.ID, Blocked, Handle{}, ""))
 		} else {
-			m.take(j, m.l.WriteDone(m.now, j.ID, Barred, ""))
+			m.take(j, m.l.DecodeDone(m.now, j.ID, Blocked, ""))
 		}
 		return
 	}
-	if part := map[Kind]string{Read: placement.Prefill, Write: placement.Decode}[mv.Kind]; !m.r.may(mv.To.Key, part) {
-		t.Fatalf("%s: the last look lets it go to %s, which may not get it", j.ID, mv.To.Key)
+	if part := map[Action]string{Prefill: placement.Prefill, Decode: placement.Decode}[mv.Action]; !m.r.may(mv.Server.Key, part) {
+		t.Fatalf("%s: the last look lets it go to %s, which may not get it", j.ID, mv.Server.Key)
 	}
 	m.now += rapid.SampledFrom([]time.Duration{0, time.Millisecond, 300 * time.Millisecond}).Draw(t, "takes")
-	if mv.Kind == Read {
+	if mv.Action == Prefill {
 		m.read(j, mv)
 	} else {
 		m.write(j, mv)
 	}
 }
 
-func (m *model) read(j *journey, mv Move) {
+func (m *model) read(j *journey, mv Decision) {
 	t := m.t
-	j.tried[placement.Prefill+mv.To.Key] = true
-	out := rapid.SampledFrom([]Outcome{OK, OK, OK, NotSent, Full, Moved, Lost}).Draw(t, "read")
-	h := Handle{ID: fmt.Sprint("h-", j.ID, "-", mv.No), Call: j.ID, No: mv.No, Server: mv.To, Tokens: 1000}
+	j.tried[placement.Prefill+mv.Server.Key] = true
+	out := rapid.SampledFrom([]Outcome{OK, OK, OK, NotSent, Overloaded, WrongServer, Lost}).Draw(t, "read")
+	h := Handle{ID: fmt.Sprint("h-", j.ID, "-", mv.Attempt), RequestID: j.ID, Attempt: mv.Attempt, Server: mv.Server, Tokens: 1000}
 	switch out {
 	case OK:
 		m.went(j, &j.reads)
 		switch rapid.IntRange(0, 9).Draw(t, "handle") {
 		case 0:
-			h.Call = "another"
+			h.RequestID = "another"
 		case 1:
-			h.No++
+			h.Attempt++
 		case 2:
 			h.Server.Key = "another"
 		case 3:
@@ -289,18 +291,18 @@
 		}
 	case Lost:
 		m.went(j, &j.reads)
-	case Full, Moved:
+	case Overloaded, WrongServer:
 		m.went(j, &j.away)
 	}
-	m.take(j, m.l.ReadDone(m.now, j.ID, out, h, "why"))
+	m.take(j, m.l.PrefillDone(m.now, j.ID, out, h, "why"))
 }
 
-func (m *model) write(j *journey, mv Move) {
+func (m *model) write(j *journey, mv Decision) {
 	t := m.t
-	j.tried[placement.Decode+mv.To.Key] = true
-	all := []Outcome{OK, OK, NotSent, Full, Moved, Lost, Lost}
+	j.tried[placement.Decode+mv.Server.Key] = true
+	all := []Outcome{OK, OK, NotSent, Overloaded, WrongServer, Lost, Lost}
 	if mv.Handle != nil {
-		all = append(all, Gone)
+		all = append(all, HandleLost)
 	}
 	out := rapid.SampledFrom(all).Draw(t, "write")
 	if out != NotSent {
@@ -310,17 +312,17 @@
 		j.ran = true
 		if out == OK || rapid.Bool().Draw(t, "begins") {
 			if !j.begun {
-				m.l.Began(m.now, j.ID)
+				m.l.StreamStarted(m.now, j.ID)
 			}
 			j.begun = true
 		}
 	}
 	if mv.Handle != nil && out != NotSent {
-		j.handles[mv.Handle.ID] = map[Outcome]string{OK: "taken", Lost: "sent", Full: "turned", Moved: "turned", Gone: "gone"}[out]
+		j.handles[mv.Handle.ID] = map[Outcome]string{OK: "taken", Lost: "sent", Overloaded: "turned", WrongServer: "turned", HandleLost: "gone"}[out]
 	}
-	next := m.l.WriteDone(m.now, j.ID, out, "why")
-	if out == OK && next.Kind != Done {
-		t.Fatalf("%s: all went out, and then %v", j.ID, next.Kind)
+	next := m.l.DecodeDone(m.now, j.ID, out, "why")
+	if out == OK && next.Action != Done {
+		t.Fatalf("%s: all went out, and then %v", j.ID, next.Action)
 	}
 	m.take(j, next)
 }
@@ -378,12 +380,12 @@
 			}
 		}
 	}
-	if m.l.Open() != 0 {
-		t.Fatalf("%d requests are left in the lane", m.l.Open())
+	if m.l.InFlight() != 0 {
+		t.Fatalf("%d requests are left in the lane", m.l.InFlight())
 	}
 	for key, st := range m.l.stats {
-		if st.open != 0 {
-			t.Fatalf("%s: %d calls are left", key, st.open)
+		if st.inFlight != 0 {
+			t.Fatalf("%s: %d calls are left", key, st.inFlight)
 		}
 	}
 	for key, n := range m.board {
@@ -394,6 +396,6 @@
 }
 
 var bounds = Config{
-	Zone: "zone-0", Retry: 0.2, Window: 10 * time.Second, Slack: 3, Patience: 200 * time.Millisecond, Shy: 2 * time.Second, Turned: 250 * time.Millisecond,
-	Back: 125 * time.Millisecond, Pace: 15, Weights: Weights{Far: 0.001, Again: 0.01, Moved: 0.01, Apart: 2, Miss: 0.1, Stall: 1},
+	Zone: "zone-0", RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 3, MaxWait: 200 * time.Millisecond, FailureBackoff: 2 * time.Second, RejectionBackoff: 250 * time.Millisecond,
+	RetryAfter: 125 * time.Millisecond, PrefillRate: 15, Weights: Weights{CrossZoneBody: 0.001, CacheMiss: 0.01, KVTransfer: 0.01, CrossZoneTransfer: 2, AffinityMiss: 0.1, Stall: 1},
 }
--- a/traffic/forward/property_test.go
+++ b/traffic/forward/property_test.go
@@ -31,8 +31,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, bounds)
 		m.check = func(_ *model, j *journey) {
-			if most := max(2, j.Tries); j.sends() > most {
-				t.Fatalf("%s: %d sends, %d tries allowed", j.ID, j.sends(), j.Tries)
+			if most := max(2, j.MaxAttempts); j.sends() > most {
+				t.Fatalf("%s: %d sends, %d tries allowed", j.ID, j.sends(), j.MaxAttempts)
 			}
 		}
 		m.run(rapid.IntRange(1, 60).Draw(t, "steps"))
@@ -44,25 +44,25 @@
 func TestFurtherSendsStayInBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := bounds
-		cfg.Slack = rapid.IntRange(0, 3).Draw(t, "slack")
+		cfg.RetrySlack = rapid.IntRange(0, 3).Draw(t, "slack")
 		m := newModel(t, cfg)
 		m.run(rapid.IntRange(1, 300).Draw(t, "steps"))
 		slices.Sort(m.extra)
 		for i, at := range m.extra {
 			n, last := 0, [3]int{}
 			for _, x := range m.extra[:i+1] {
-				if x > at-cfg.Window {
+				if x > at-cfg.RetryWindow {
 					n++
 				}
 			}
-			for k, from := range []time.Duration{at - cfg.Window, at - 2*cfg.Window, at - cfg.Window*3/2} {
+			for k, from := range []time.Duration{at - cfg.RetryWindow, at - 2*cfg.RetryWindow, at - cfg.RetryWindow*3/2} {
 				for _, x := range m.begun {
-					if x > from && x <= from+cfg.Window {
+					if x > from && x <= from+cfg.RetryWindow {
 						last[k]++
 					}
 				}
 			}
-			if most := cfg.Retry*float64(slices.Max(last[:])) + float64(cfg.Slack); float64(n) > most {
+			if most := cfg.RetryRatio*float64(slices.Max(last[:])) + float64(cfg.RetrySlack); float64(n) > most {
 				t.Fatalf("%d further arrivals in the window that ends at %v, %v requests in it and before: more than %.1f", n, at, last, most)
 			}
 		}
@@ -82,11 +82,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		slack, n := rapid.IntRange(0, 200).Draw(t, "slack"), rapid.IntRange(0, 300).Draw(t, "daemons")
 		cfg := bounds
-		cfg.Slack = slack
+		cfg.RetrySlack = slack
 		l := New(cfg, "s", 1, &records{now: new(time.Duration)}, tally{})
-		l.Fleet(time.Minute, "d-0", fleet(n))
-		if l.bucket.Slack*max(1, n) > slack {
-			t.Fatalf("%d of %d for each of %d", l.bucket.Slack, slack, n)
+		l.SetDaemons(time.Minute, "d-0", fleet(n))
+		if l.retries.Slack*max(1, n) > slack {
+			t.Fatalf("%d of %d for each of %d", l.retries.Slack, slack, n)
 		}
 	})
 }
@@ -97,8 +97,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, bounds)
 		m.check = func(_ *model, j *journey) {
-			if j.sends() > j.Tries {
-				t.Fatalf("%s: %d sends, %d tries allowed", j.ID, j.sends(), j.Tries)
+			if j.sends() > j.MaxAttempts {
+				t.Fatalf("%s: %d sends, %d tries allowed", j.ID, j.sends(), j.MaxAttempts)
 			}
 		}
 		m.run(rapid.IntRange(1, 30).Draw(t, "steps"))
@@ -112,7 +112,7 @@
 		m := newModel(t, bounds)
 		m.check = func(_ *model, j *journey) {
 			freed := map[string]bool{}
-			for _, h := range j.m.Free {
+			for _, h := range j.m.ReleaseHandles {
 				freed[h.ID] = true
 			}
 			for id, is := range j.handles {
--- a/traffic/forward/shape.go
+++ b/traffic/forward/shape.go
@@ -17,38 +17,38 @@
 	Tokens int
 }
 
-// Call is one try of a client, as the route lets it in.
-type Call struct {
-	ID      string
-	Service string
-	Repeat  bool // it may run more than once
-	Resume  bool // a stream that broke off may go on at another server
-	Split   bool // its prompt may be read apart from the writing
-	After   bool // the client itself goes on with a stream
-	Urgency int  // 0 is first, 9 last
-	Least   int  // the urgency of the least urgent route
-	Tries   int  // most servers that it may be sent to
-	Aim     time.Duration
-	Gap     time.Duration // longest pause between events that is in time
-	Due     time.Duration // on the daemon's clock
-	Parts   []Part
-	In, Out int // tokens of the prompt, and the most out
-	Bytes   int // of the body
+// Request is one try of a client, as the route lets it in.
+type Request struct {
+	ID                           string
+	Service                      string
+	Repeatable                   bool // it may run more than once
+	Resumable                    bool // a stream that broke off may go on at another server
+	Disaggregated                bool // its prompt may be read apart from the writing
+	ContinuesStream              bool // the client itself goes on with a stream
+	Urgency                      int  // 0 is first, 9 last
+	LeastUrgency                 int  // the urgency of the least urgent route
+	MaxAttempts                  int  // most servers that it may be sent to
+	TTFTTarget                   time.Duration
+	InterTokenTarget             time.Duration // longest pause between events that is in time
+	Deadline                     time.Duration // on the daemon's clock
+	Parts                        []Part
+	InputTokens, MaxOutputTokens int // tokens of the prompt, and the most out
+	BodyBytes                    int // of the body
 }
 
-// Config holds the bounds a lane works by.
+// Config holds the bounds a dispatcher works by.
 type Config struct {
-	Zone     string
-	Retry    float64       // second sends over first ones in every Window
-	Window   time.Duration // see attempt.Bucket
-	Slack    int           // second sends beyond that, of all daemons
-	Patience time.Duration // that a request waits for leases and servers
-	InTime   float64       // a request is refused at once that would wait for others so long that it is late: beyond this part of its aim; 0: none is
-	Shy      time.Duration // a server that failed is passed by this long
-	Turned   time.Duration // and one that turned a request away
-	Back     time.Duration // when to come back, where nothing better is known
-	Pace     float64       // tokens read in a ms, before any was measured
-	Weights  Weights
+	Zone             string
+	RetryRatio       float64       // second sends over first ones in every Window
+	RetryWindow      time.Duration // see attempt.Bucket
+	RetrySlack       int           // second sends beyond that, of all daemons
+	MaxWait          time.Duration // that a request waits for leases and servers
+	MaxPredictedWait float64       // a request is refused at once that would wait for others so long that it is late: beyond this part of its aim; 0: none is
+	FailureBackoff   time.Duration // a server that failed is passed by this long
+	RejectionBackoff time.Duration // and one that turned a request away
+	RetryAfter       time.Duration // when to come back, where nothing better is known
+	PrefillRate      float64       // tokens read in a ms, before any was measured
+	Weights          Weights
 }
 
 // Source reads records under valid leases.
@@ -71,11 +71,11 @@
 
 // Handle is prompt memory that a reading server keeps for one request.
 type Handle struct {
-	ID     string
-	Call   string // the request that it was read for
-	No     int    // and the attempt
-	Server Server
-	Tokens int
+	ID        string
+	RequestID string // the request that it was read for
+	Attempt   int    // and the attempt
+	Server    Server
+	Tokens    int
 }
 
 // Outcome is how a call to a server went.
@@ -83,13 +83,13 @@
 
 // The outcomes.
 const (
-	OK      Outcome = iota
-	NotSent         // nothing reached the server
-	Full            // the server did not and will not run it: no place
-	Moved           // it did not run it: it is another server, or plays another part
-	Gone            // it did not run it: the prompt's memory can't be had
-	Lost            // sent, and no whole answer
-	Barred          // not sent: a record or lease was gone at the last look
+	OK          Outcome = iota
+	NotSent             // nothing reached the server
+	Overloaded          // the server did not and will not run it: no place
+	WrongServer         // it did not run it: it is another server, or plays another part
+	HandleLost          // it did not run it: the prompt's memory can't be had
+	Lost                // sent, and no whole answer
+	Blocked             // not sent: a record or lease was gone at the last look
 )
 
 // String names an outcome.
@@ -102,48 +102,48 @@
 // Load is what a server told of itself with an answer.
 type Load struct{ Running, Waiting, Slots int }
 
-// Kind says what a move is.
-type Kind uint8
+// Action says what a move is.
+type Action uint8
 
 // The kinds of moves.
 const (
-	Wait      Kind = iota + 1 // for leases or servers, then ask again
-	Read                      // have a server read the prompt
-	Write                     // have a server write the answer
-	Refuse                    // final: it has not run and never will
-	Unknown                   // final: it may have run
-	Break                     // final: the stream has begun and can't go on
-	Done                      // final: all went out
-	Duplicate                 // final: another request of its id is under way
+	Wait      Action = iota + 1 // for leases or servers, then ask again
+	Prefill                     // have a server read the prompt
+	Decode                      // have a server write the answer
+	Refuse                      // final: it has not run and never will
+	Unknown                     // final: it may have run
+	Break                       // final: the stream has begun and can't go on
+	Done                        // final: all went out
+	Duplicate                   // final: another request of its id is under way
 )
 
 // String names a kind.
 //
 // Example: forward.Read.String() == "read"
-func (k Kind) String() string {
+func (k Action) String() string {
 	return [...]string{"none", "wait", "read", "write", "refuse", "unknown", "break", "done", "duplicate"}[k]
 }
 
 // Final tells whether the request ends with this move.
 //
 // Example: if move.Kind.Final() { respond(move) }
-func (k Kind) Final() bool { return k >= Refuse }
-
-// Move is what to do next for a request.
-type Move struct {
-	Kind   Kind
-	No     int // the attempt
-	To     Server
-	Handle *Handle       // of a Write: the memory to take up; none: it reads the prompt itself
-	Until  time.Duration // of a Wait; of a call: it is given up then
-	Rank   int           // what the server is to be told of its urgency: 0 is first, 9 last
-	Free   []Handle      // memory that won't be taken up
-	Back   time.Duration // of a Refuse: when to come back
-	Why    string
-	Steps  []string // of a final move: the sends so far, each with its outcome
+func (k Action) Final() bool { return k >= Refuse }
+
+// Decision is what to do next for a request.
+type Decision struct {
+	Action         Action
+	Attempt        int // the attempt
+	Server         Server
+	Handle         *Handle       // of a Write: the memory to take up; none: it reads the prompt itself
+	Until          time.Duration // of a Wait; of a call: it is given up then
+	Priority       int           // what the server is to be told of its urgency: 0 is first, 9 last
+	ReleaseHandles []Handle      // memory that won't be taken up
+	RetryAfter     time.Duration // of a Refuse: when to come back
+	Reason         string
+	Trace          []string // of a final move: the sends so far, each with its outcome
 }
 
-// Counts are a lane's numbers.
+// Counts are a dispatcher's numbers.
 type Counts struct {
-	First, Again, Served, Refused, Unknown, Broken, Left, Split, Direct, Resumed, Duplicates int64
+	FirstSends, Retries, Served, Refused, Unknown, Broken, Abandoned, Disaggregated, Combined, Resumed, Duplicates int64
 }
--- a/traffic/forward/trip.go
+++ b/traffic/forward/trip.go
@@ -8,388 +8,390 @@
 	"mulleinmast/traffic/attempt"
 )
 
-// trip is one request on its way.
-type trip struct {
-	Call
-	at     time.Duration
-	led    attempt.Ledger
-	dice   uint64
-	no     int
-	phase  attempt.Phase
-	to     Server
-	sentAt time.Duration
-	handle *Handle
-	arrive int           // sends that count against Tries: all but the first reading that a server took up
-	taken  bool          // a server took a reading up
-	gone   []Handle      // memory that a server could not get: it may be there still
-	begun  bool          // events have gone out to the client
-	again  bool          // the send under way is a second one
-	first  bool          // its first send was counted
-	unread int           // tokens that the server under way has to read, as far as known
-	queued time.Duration // that it waits for others, as the last choice predicts it
-	took   time.Duration // that its prompt takes to read, by the same
-	choice []string
+// pendingRequest is one request on its way.
+type pendingRequest struct {
+	Request
+	arrivedAt        time.Duration
+	attempts         attempt.Ledger
+	hash             uint64
+	attemptNumber    int
+	phase            attempt.Phase
+	server           Server
+	sentAt           time.Duration
+	handle           *Handle
+	countedSends     int           // sends that count against Tries: all but the first reading that a server took up
+	prefillAccepted  bool          // a server took a reading up
+	lostHandles      []Handle      // memory that a server could not get: it may be there still
+	streamStarted    bool          // events have gone out to the client
+	isRetry          bool          // the send under way is a second one
+	firstSendCounted bool          // its first send was counted
+	uncachedTokens   int           // tokens that the server under way has to read, as far as known
+	predictedWait    time.Duration // that it waits for others, as the last choice predicts it
+	predictedPrefill time.Duration // that its prompt takes to read, by the same
+	trace            []string
 }
 
-// most is the number of sends that count.
-func (t *trip) most() int { return max(1, t.Tries) }
+// maxAttempts is the number of sends that count.
+func (t *pendingRequest) maxAttempts() int { return max(1, t.MaxAttempts) }
 
-// Begin takes a request in and makes its first move. Its id is its client's own:
+// Start takes a request in and makes its first move. Its id is its client's own:
 // while a request of the same id is under way here it is not taken in, and it has
 // no further moves.
 //
-// Example: move := l.Begin(now, call)
-func (l *Lane) Begin(now time.Duration, c Call) Move {
-	if l.trips[c.ID] != nil {
-		l.n.Duplicates++
-		return Move{Kind: Duplicate, Why: "a request of this id is under way"}
+// Example: move := l.Start(now, call)
+func (l *Dispatcher) Start(now time.Duration, c Request) Decision {
+	if l.pending[c.ID] != nil {
+		l.counts.Duplicates++
+		return Decision{Action: Duplicate, Reason: "a request of this id is under way"}
 	}
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(c.ID))
-	t := &trip{Call: c, at: now, led: attempt.Ledger{Once: !c.Repeat, Most: max(1, c.Tries)}, dice: h.Sum64()}
-	l.trips[c.ID] = t
-	if c.Aim > 0 && (l.aim == 0 || c.Aim < l.aim) {
-		l.aim = c.Aim
+	t := &pendingRequest{Request: c, arrivedAt: now, attempts: attempt.Ledger{Once: !c.Repeatable, Most: max(1, c.MaxAttempts)}, hash: h.Sum64()}
+	l.pending[c.ID] = t
+	if c.TTFTTarget > 0 && (l.shortestTTFT == 0 || c.TTFTTarget < l.shortestTTFT) {
+		l.shortestTTFT = c.TTFTTarget
 	}
-	if c.Gap > 0 && (l.gap == 0 || c.Gap < l.gap) {
-		l.gap = c.Gap
+	if c.InterTokenTarget > 0 && (l.shortestInterToken == 0 || c.InterTokenTarget < l.shortestInterToken) {
+		l.shortestInterToken = c.InterTokenTarget
 	}
-	return l.next(now, t)
+	return l.decide(now, t)
 }
 
-// Again asks for the move after a Wait.
+// Continue asks for the move after a Wait.
 //
-// Example: move := l.Again(now, id)
-func (l *Lane) Again(now time.Duration, id string) Move { return l.next(now, l.trips[id]) }
+// Example: move := l.Continue(now, id)
+func (l *Dispatcher) Continue(now time.Duration, id string) Decision {
+	return l.decide(now, l.pending[id])
+}
 
-// next derives the next move from the ledger.
-func (l *Lane) next(now time.Duration, t *trip) Move {
-	if n := len(t.led.Attempts); n > 0 && t.led.Attempts[n-1].Known == attempt.Ended {
+// decide derives the decide move from the ledger.
+func (l *Dispatcher) decide(now time.Duration, t *pendingRequest) Decision {
+	if n := len(t.attempts.Attempts); n > 0 && t.attempts.Attempts[n-1].Known == attempt.Ended {
 		return l.finish(now, t, Done, "") // even if its time is up by now
 	}
-	if now >= t.Due {
-		return l.end(now, t, "its time is up")
+	if now >= t.Deadline {
+		return l.giveUp(now, t, "its time is up")
 	}
-	if n := len(t.led.Attempts); n > 0 {
-		last := t.led.Attempts[n-1]
+	if n := len(t.attempts.Attempts); n > 0 {
+		last := t.attempts.Attempts[n-1]
 		switch {
-		case last.Known == attempt.First && !(t.Resume && t.Repeat):
+		case last.Known == attempt.First && !(t.Resumable && t.Repeatable):
 			return l.finish(now, t, Break, last.Why)
-		case last.Known == attempt.Lost && last.Phase == attempt.Decode && !t.Repeat:
+		case last.Known == attempt.Lost && last.Phase == attempt.Decode && !t.Repeatable:
 			return l.finish(now, t, Unknown, last.Why)
-		case last.Known == attempt.NotSent && n > 2*t.most():
-			return l.end(now, t, last.Why)
+		case last.Known == attempt.NotSent && n > 2*t.maxAttempts():
+			return l.giveUp(now, t, last.Why)
 		}
 	}
-	if t.arrive > 0 && (t.arrive >= t.most() || !l.bucket.Has(now)) {
-		return l.end(now, t, "no further try to spare after: "+t.led.Attempts[len(t.led.Attempts)-1].Why)
+	if t.countedSends > 0 && (t.countedSends >= t.maxAttempts() || !l.retries.Has(now)) {
+		return l.giveUp(now, t, "no further try to spare after: "+t.attempts.Attempts[len(t.attempts.Attempts)-1].Why)
 	}
-	if !l.look(now) || len(l.rows) == 0 {
+	if !l.refreshServers(now) || len(l.servable) == 0 {
 		return l.wait(now, t, "no valid leases here")
 	}
-	m, ok := l.pick(now, t)
+	m, ok := l.pickServer(now, t)
 	if !ok {
 		return l.wait(now, t, "no server to go to")
 	}
-	if !l.inTime(now, t) {
-		return l.end(now, t, "it can't be in time: the servers have too much under way")
+	if !l.canMeetTarget(now, t) {
+		return l.giveUp(now, t, "it can't be in time: the servers have too much under way")
 	}
-	again := t.arrive > 0 || m.Kind == Read && t.taken
-	if again && !l.spend(now) {
-		return l.end(now, t, "no further try to spare")
+	again := t.countedSends > 0 || m.Action == Prefill && t.prefillAccepted
+	if again && !l.takeRetry(now) {
+		return l.giveUp(now, t, "no further try to spare")
 	}
-	t.again = again
-	return l.send(now, t, m)
+	t.isRetry = again
+	return l.startAttempt(now, t, m)
 }
 
-// pick chooses between reading apart and a server that does both, and where.
-func (l *Lane) pick(now time.Duration, t *trip) (Move, bool) {
-	apart := t.Split && t.In > 0 && !t.begun && !t.After && t.led.Tries(attempt.Prefill) < t.most()
-	if t.taken { // another reading counts, and so does the writing after it
-		apart = apart && t.arrive+1 < t.most() && l.bucket.Has(now)
+// pickServer chooses between reading apart and a server that does both, and where.
+func (l *Dispatcher) pickServer(now time.Duration, t *pendingRequest) (Decision, bool) {
+	apart := t.Disaggregated && t.InputTokens > 0 && !t.streamStarted && !t.ContinuesStream && t.attempts.Tries(attempt.Prefill) < t.maxAttempts()
+	if t.prefillAccepted { // another reading counts, and so does the writing after it
+		apart = apart && t.countedSends+1 < t.maxAttempts() && l.retries.Has(now)
 	}
 	return l.choose(now, t, apart)
 }
 
-func (l *Lane) send(now time.Duration, t *trip, m Move) Move {
-	t.no++
-	t.to, t.sentAt = m.To, now
-	m.No, m.Until = t.no, t.Due
-	l.stat(m.To.Key).open++
-	if m.To.Warming {
-		l.stat(m.To.Key).coldAt = now
+func (l *Dispatcher) startAttempt(now time.Duration, t *pendingRequest, m Decision) Decision {
+	t.attemptNumber++
+	t.server, t.sentAt = m.Server, now
+	m.Attempt, m.Until = t.attemptNumber, t.Deadline
+	l.statsOf(m.Server.Key).inFlight++
+	if m.Server.Warming {
+		l.statsOf(m.Server.Key).warmupSentAt = now
 	}
 	switch {
-	case m.Kind == Read:
+	case m.Action == Prefill:
 		t.phase = attempt.Prefill
-		l.board.Begin(m.To.Key, t.unread, 0)
+		l.load.AddLoad(m.Server.Key, t.uncachedTokens, 0)
 	case m.Handle != nil:
-		t.phase, t.unread = attempt.Decode, 0
-		l.board.Begin(m.To.Key, 0, 1)
+		t.phase, t.uncachedTokens = attempt.Decode, 0
+		l.load.AddLoad(m.Server.Key, 0, 1)
 	default:
 		t.phase = attempt.Decode
-		l.board.Begin(m.To.Key, t.unread, 1)
-	}
-	if t.again {
-		l.n.Again++
-	} else if !t.first { // the last look may bar it and have it come here again
-		t.first = true
-		l.n.First++
-		l.bucket.Earn(now)
-		l.window.turn(now, l.cfg.Window)
+		l.load.AddLoad(m.Server.Key, t.uncachedTokens, 1)
+	}
+	if t.isRetry {
+		l.counts.Retries++
+	} else if !t.firstSendCounted { // the last look may bar it and have it come here again
+		t.firstSendCounted = true
+		l.counts.FirstSends++
+		l.retries.Earn(now)
+		l.window.turn(now, l.cfg.RetryWindow)
 		l.window.first++
-		if m.Kind == Read {
-			l.n.Split++
+		if m.Action == Prefill {
+			l.counts.Disaggregated++
 		} else {
-			l.n.Direct++
+			l.counts.Combined++
 		}
 	}
-	m.Rank = l.rank(now, t, m)
-	t.led.Add(t.phase, m.To.Key)
-	t.choice = append(t.choice, fmt.Sprintf("%s at %s (%s), %d tokens to read, after %d ms", m.Kind, m.To.Addr, m.To.Zone, t.unread, (now-t.at).Milliseconds()))
+	m.Priority = l.priority(now, t, m)
+	t.attempts.Add(t.phase, m.Server.Key)
+	t.trace = append(t.trace, fmt.Sprintf("%s at %s (%s), %d tokens to read, after %d ms", m.Action, m.Server.Addr, m.Server.Zone, t.uncachedTokens, (now-t.arrivedAt).Milliseconds()))
 	return m
 }
 
-// rank is a request's place among others at a server: its route's, but one that
+// priority is a request's place among others at a server: its route's, but one that
 // can't meet its aim any more gives way to all that still can, and a prompt that
 // is read in no time need not wait behind long ones.
-func (l *Lane) rank(now time.Duration, t *trip, m Move) int {
+func (l *Dispatcher) priority(now time.Duration, t *pendingRequest, m Decision) int {
 	switch {
-	case !t.begun && now-t.at > t.Aim:
-		return min(9, t.Least+1+t.Urgency)
-	case m.Kind == Read && ms(t.unread, l.pace) <= t.Aim/16:
+	case !t.streamStarted && now-t.arrivedAt > t.TTFTTarget:
+		return min(9, t.LeastUrgency+1+t.Urgency)
+	case m.Action == Prefill && prefillTime(t.uncachedTokens, l.prefillRate) <= t.TTFTTarget/16:
 		return 0
 	}
 	return min(9, t.Urgency)
 }
 
-// came records the end of the call under way.
-func (l *Lane) came(now time.Duration, t *trip, out Outcome) {
-	st := l.stat(t.to.Key)
-	st.open--
+// callEnded records the end of the call under way.
+func (l *Dispatcher) callEnded(now time.Duration, t *pendingRequest, out Outcome) {
+	st := l.statsOf(t.server.Key)
+	st.inFlight--
 	st.seenAt = now
-	l.was(t)
-	accountsBalance.Hold(st.open >= 0, "%s: %d calls under way at %s after %s ended", l.svc, st.open, t.to.Key, t.ID)
+	l.prefillFinished(t)
+	accountsBalance.Hold(st.inFlight >= 0, "%s: %d calls under way at %s after %s ended", l.service, st.inFlight, t.server.Key, t.ID)
 	if t.phase == attempt.Decode {
-		l.board.Begin(t.to.Key, 0, -1)
+		l.load.AddLoad(t.server.Key, 0, -1)
 	}
-	if out == NotSent && t.again { // nothing arrived
-		l.giveBack(t.sentAt)
+	if out == NotSent && t.isRetry { // nothing arrived
+		l.returnRetry(t.sentAt)
 	}
 	switch out {
 	case NotSent, Lost: // passed by for longer each time, until it answers
-		st.shyUntil = now + l.cfg.Shy<<min(st.fails, 3)
-		st.fails++
-		l.board.Came(now, t.to.Key, false)
-	case Full, Moved:
-		st.shyUntil = now + l.cfg.Turned
-		l.board.Came(now, t.to.Key, true)
-	case OK, Gone:
-		st.shyUntil, st.fails = 0, 0
-		l.board.Came(now, t.to.Key, true)
+		st.backoffUntil = now + l.cfg.FailureBackoff<<min(st.consecutiveFailures, 3)
+		st.consecutiveFailures++
+		l.load.CallEnded(now, t.server.Key, false)
+	case Overloaded, WrongServer:
+		st.backoffUntil = now + l.cfg.RejectionBackoff
+		l.load.CallEnded(now, t.server.Key, true)
+	case OK, HandleLost:
+		st.backoffUntil, st.consecutiveFailures = 0, 0
+		l.load.CallEnded(now, t.server.Key, true)
 	}
 }
 
-// was takes the prompt under way off the board once it has been read.
-func (l *Lane) was(t *trip) {
-	if t.unread > 0 {
-		l.board.Begin(t.to.Key, -t.unread, 0)
-		t.unread = 0
+// prefillFinished takes the prompt under way off the board once it has been read.
+func (l *Dispatcher) prefillFinished(t *pendingRequest) {
+	if t.uncachedTokens > 0 {
+		l.load.AddLoad(t.server.Key, -t.uncachedTokens, 0)
+		t.uncachedTokens = 0
 	}
 }
 
-// keeps records that the server under way has the prompt now.
-func (l *Lane) keeps(t *trip, tokens int) {
-	if n, key := shared(t.Parts); n > 0 {
-		l.board.Keeps(key, t.to.Key, tokens)
+// recordPrefix records that the server under way has the prompt now.
+func (l *Dispatcher) recordPrefix(t *pendingRequest, tokens int) {
+	if n, key := sharedPrefix(t.Parts); n > 0 {
+		l.load.RecordPrefix(key, t.server.Key, tokens)
 	}
 }
 
-// note adds the outcome to the last step of the story.
-func (t *trip) note(now time.Duration, out Outcome, why string) {
-	if len(t.choice) == 0 {
+// traceOutcome adds the outcome to the last step of the story.
+func (t *pendingRequest) traceOutcome(now time.Duration, out Outcome, why string) {
+	if len(t.trace) == 0 {
 		return
 	}
-	last := &t.choice[len(t.choice)-1]
-	*last += fmt.Sprintf("; %s after %d ms", out, (now - t.at).Milliseconds())
+	last := &t.trace[len(t.trace)-1]
+	*last += fmt.Sprintf("; %s after %d ms", out, (now - t.arrivedAt).Milliseconds())
 	if why != "" {
 		*last += ": " + why
 	}
 }
 
-// balanced checks that no server is thought busy when no request is under way.
-func (l *Lane) balanced() {
-	if len(l.trips) > 0 {
+// checkBalance checks that no server is thought busy when no request is under way.
+func (l *Dispatcher) checkBalance() {
+	if len(l.pending) > 0 {
 		return
 	}
 	for key, st := range l.stats {
-		accountsBalance.Hold(st.open == 0, "%s: no request is under way, and %d calls are at %s", l.svc, st.open, key)
+		accountsBalance.Hold(st.inFlight == 0, "%s: no request is under way, and %d calls are at %s", l.service, st.inFlight, key)
 	}
 }
 
-// barred takes back an attempt that the last look stopped: nothing went out.
-func (l *Lane) barred(now time.Duration, t *trip) Move {
-	t.led.Undo()
-	t.choice = t.choice[:len(t.choice)-1]
-	if t.again {
-		l.n.Again--
-		l.giveBack(t.sentAt)
-	}
-	return l.next(now, t)
+// undoAttempt takes back an attempt that the last look stopped: nothing went out.
+func (l *Dispatcher) undoAttempt(now time.Duration, t *pendingRequest) Decision {
+	t.attempts.Undo()
+	t.trace = t.trace[:len(t.trace)-1]
+	if t.isRetry {
+		l.counts.Retries--
+		l.returnRetry(t.sentAt)
+	}
+	return l.decide(now, t)
 }
 
-var known = map[Outcome]attempt.Known{NotSent: attempt.NotSent, Full: attempt.Refused, Moved: attempt.Refused, Gone: attempt.Lapsed, Lost: attempt.Lost}
+var knownOf = map[Outcome]attempt.Known{NotSent: attempt.NotSent, Overloaded: attempt.Refused, WrongServer: attempt.Refused, HandleLost: attempt.Lapsed, Lost: attempt.Lost}
 
-// ReadDone takes the end of a reading call.
+// PrefillDone takes the end of a reading call.
 //
-// Example: move := l.ReadDone(now, id, forward.OK, forward.Handle{ID: "3fa0", ...}, "")
-func (l *Lane) ReadDone(now time.Duration, id string, out Outcome, h Handle, why string) Move {
-	t := l.trips[id]
-	unread := t.unread
-	l.came(now, t, out)
-	t.note(now, out, why)
-	if out == Barred {
-		return l.barred(now, t)
+// Example: move := l.PrefillDone(now, id, forward.OK, forward.Handle{ID: "3fa0", ...}, "")
+func (l *Dispatcher) PrefillDone(now time.Duration, id string, out Outcome, h Handle, why string) Decision {
+	t := l.pending[id]
+	unread := t.uncachedTokens
+	l.callEnded(now, t, out)
+	t.traceOutcome(now, out, why)
+	if out == Blocked {
+		return l.undoAttempt(now, t)
 	}
 	switch {
-	case out == Full || out == Moved || (out == OK || out == Lost) && t.taken:
-		t.arrive++
+	case out == Overloaded || out == WrongServer || (out == OK || out == Lost) && t.prefillAccepted:
+		t.countedSends++
 	case out == OK || out == Lost:
-		if t.taken = true; t.again { // it did not count
-			l.giveBack(t.sentAt)
+		if t.prefillAccepted = true; t.isRetry { // it did not count
+			l.returnRetry(t.sentAt)
 		}
 	}
-	if out == OK && (h.Call != t.ID || h.No != t.no || h.Server.Key != t.to.Key || h.ID == "") {
+	if out == OK && (h.RequestID != t.ID || h.Attempt != t.attemptNumber || h.Server.Key != t.server.Key || h.ID == "") {
 		out, why = Lost, "a handle that is not this request's"
 	}
 	if out == OK {
 		t.handle = &h
-		l.keeps(t, unread)
-		t.led.Learn(attempt.Handle, "")
-		return l.next(now, t)
+		l.recordPrefix(t, unread)
+		t.attempts.Learn(attempt.Handle, "")
+		return l.decide(now, t)
 	}
-	t.led.Learn(known[out], why)
-	return l.next(now, t)
+	t.attempts.Learn(knownOf[out], why)
+	return l.decide(now, t)
 }
 
-// Began tells that the first event of a stream, or the head of another answer,
+// StreamStarted tells that the first event of a stream, or the head of another answer,
 // has gone out to the client.
 //
-// Example: l.Began(now, id)
-func (l *Lane) Began(now time.Duration, id string) {
-	t := l.trips[id]
-	if t.led.Attempts[len(t.led.Attempts)-1].Known == attempt.Open {
-		t.led.Learn(attempt.First, "")
-		fresh := t.unread
+// Example: l.StreamStarted(now, id)
+func (l *Dispatcher) StreamStarted(now time.Duration, id string) {
+	t := l.pending[id]
+	if t.attempts.Attempts[len(t.attempts.Attempts)-1].Known == attempt.Open {
+		t.attempts.Learn(attempt.First, "")
+		fresh := t.uncachedTokens
 		if t.handle != nil {
-			fresh = t.In
+			fresh = t.InputTokens
 		}
-		l.keeps(t, fresh)
+		l.recordPrefix(t, fresh)
 	}
-	l.board.Came(now, t.to.Key, true)
-	l.was(t)
-	t.begun = true
+	l.load.CallEnded(now, t.server.Key, true)
+	l.prefillFinished(t)
+	t.streamStarted = true
 }
 
-// Fixed tells that what has gone out can't be gone on with elsewhere: it was no
+// DisableResume tells that what has gone out can't be gone on with elsewhere: it was no
 // stream, or had no ids to go on from.
 //
-// Example: l.Fixed(id)
-func (l *Lane) Fixed(id string) {
-	if t := l.trips[id]; t != nil {
-		t.Resume = false
+// Example: l.DisableResume(id)
+func (l *Dispatcher) DisableResume(id string) {
+	if t := l.pending[id]; t != nil {
+		t.Resumable = false
 	}
 }
 
-// Event tells that one more event has gone out, d after the one before.
+// EventSent tells that one more event has gone out, d after the one before.
 //
-// Example: l.Event(id, 42*time.Millisecond)
-func (l *Lane) Event(id string, d time.Duration) {
-	if t := l.trips[id]; t != nil {
-		l.board.Paused(t.to.Key, d)
+// Example: l.EventSent(id, 42*time.Millisecond)
+func (l *Dispatcher) EventSent(id string, d time.Duration) {
+	if t := l.pending[id]; t != nil {
+		l.load.ObserveInterTokenLatency(t.server.Key, d)
 	}
 }
 
-// WriteDone takes the end of a writing call: OK means that all of it went out.
+// DecodeDone takes the end of a writing call: OK means that all of it went out.
 //
-// Example: move := l.WriteDone(now, id, forward.Lost, "reset")
-func (l *Lane) WriteDone(now time.Duration, id string, out Outcome, why string) Move {
-	t := l.trips[id]
-	l.came(now, t, out)
-	t.note(now, out, why)
-	if out == Barred {
-		return l.barred(now, t)
+// Example: move := l.DecodeDone(now, id, forward.Lost, "reset")
+func (l *Dispatcher) DecodeDone(now time.Duration, id string, out Outcome, why string) Decision {
+	t := l.pending[id]
+	l.callEnded(now, t, out)
+	t.traceOutcome(now, out, why)
+	if out == Blocked {
+		return l.undoAttempt(now, t)
 	}
 	if out != NotSent {
-		t.arrive++
+		t.countedSends++
 	}
 	switch {
 	case t.handle == nil:
-	case out == Gone:
-		t.gone, t.handle = append(t.gone, *t.handle), nil
+	case out == HandleLost:
+		t.lostHandles, t.handle = append(t.lostHandles, *t.handle), nil
 	case out == OK || out == Lost: // taken up; who turned it away did not take it
 		t.handle = nil
 	}
-	last := &t.led.Attempts[len(t.led.Attempts)-1]
+	last := &t.attempts.Attempts[len(t.attempts.Attempts)-1]
 	switch {
 	case out == OK:
-		t.led.Learn(attempt.Ended, "")
+		t.attempts.Learn(attempt.Ended, "")
 	case last.Known == attempt.First:
-		t.led.Learn(attempt.First, why)
-		if t.Resume && t.Repeat {
-			l.n.Resumed++
+		t.attempts.Learn(attempt.First, why)
+		if t.Resumable && t.Repeatable {
+			l.counts.Resumed++
 		}
 	default:
-		t.led.Learn(known[out], why)
+		t.attempts.Learn(knownOf[out], why)
 	}
-	return l.next(now, t)
+	return l.decide(now, t)
 }
 
-// Left tells that the client went away; whatever is under way is cut by the
+// ClientGone tells that the client went away; whatever is under way is cut by the
 // caller.
 //
-// Example: l.Left(now, id, forward.Lost)
-func (l *Lane) Left(now time.Duration, id string, calling bool) Move {
-	t := l.trips[id]
+// Example: l.ClientGone(now, id, forward.Lost)
+func (l *Dispatcher) ClientGone(now time.Duration, id string, calling bool) Decision {
+	t := l.pending[id]
 	if calling {
-		l.came(now, t, Barred)
+		l.callEnded(now, t, Blocked)
 	}
-	l.n.Left++
-	return l.over(now, t, Move{Kind: Break, Why: "the client went away"})
+	l.counts.Abandoned++
+	return l.release(now, t, Decision{Action: Break, Reason: "the client went away"})
 }
 
-// end is the last move where nothing more is to be tried.
-func (l *Lane) end(now time.Duration, t *trip, why string) Move {
+// giveUp is the last move where nothing more is to be tried.
+func (l *Dispatcher) giveUp(now time.Duration, t *pendingRequest, why string) Decision {
 	switch {
-	case t.begun:
+	case t.streamStarted:
 		return l.finish(now, t, Break, why)
-	case t.led.Ran():
+	case t.attempts.Ran():
 		return l.finish(now, t, Unknown, why)
 	}
 	return l.finish(now, t, Refuse, why)
 }
 
-func (l *Lane) finish(now time.Duration, t *trip, k Kind, why string) Move {
+func (l *Dispatcher) finish(now time.Duration, t *pendingRequest, k Action, why string) Decision {
 	switch k {
 	case Done:
-		l.n.Served++
+		l.counts.Served++
 	case Refuse:
-		l.n.Refused++
+		l.counts.Refused++
 	case Unknown:
-		l.n.Unknown++
+		l.counts.Unknown++
 	case Break:
-		l.n.Broken++
+		l.counts.Broken++
 	}
-	return l.over(now, t, Move{Kind: k, Why: why, Back: l.cfg.Back})
+	return l.release(now, t, Decision{Action: k, Reason: why, RetryAfter: l.cfg.RetryAfter})
 }
 
-func (l *Lane) over(now time.Duration, t *trip, m Move) Move {
-	delete(l.trips, t.ID)
-	l.balanced()
-	m.Steps = t.choice
-	m.Free = append(m.Free, t.gone...)
+func (l *Dispatcher) release(now time.Duration, t *pendingRequest, m Decision) Decision {
+	delete(l.pending, t.ID)
+	l.checkBalance()
+	m.Trace = t.trace
+	m.ReleaseHandles = append(m.ReleaseHandles, t.lostHandles...)
 	if t.handle != nil {
-		m.Free = append(m.Free, *t.handle)
+		m.ReleaseHandles = append(m.ReleaseHandles, *t.handle)
 		t.handle = nil
 	}
 	return m
--- a/traffic/gateway/audit.go
+++ b/traffic/gateway/audit.go
@@ -17,14 +17,14 @@
 // audit follows one request by what its calls brought, apart from the ledger
 // by which its moves are decided.
 type audit struct {
-	call forward.Call
+	call forward.Request
 	ran  bool // a server may have run it
 }
 
 // sends checks a call that is about to have the request run.
 func (a *audit) sends(begun bool) {
-	runsOnce.Hold(a.call.Repeat || !a.ran, "%s is sent again", a.call.ID)
-	oneRun.Hold(!begun || a.call.Resume, "%s goes on at another server", a.call.ID)
+	runsOnce.Hold(a.call.Repeatable || !a.ran, "%s is sent again", a.call.ID)
+	oneRun.Hold(!begun || a.call.Resumable, "%s goes on at another server", a.call.ID)
 }
 
 // sent takes the outcome of such a call.
@@ -33,7 +33,7 @@
 }
 
 // ends checks the last move; it tells whether the request may end by it.
-func (a *audit) ends(m forward.Move, begun bool) bool {
-	refusedUnrun.Hold(m.Kind != forward.Refuse || a.call.Repeat || !a.ran, "%s is refused: %s", a.call.ID, m.Why)
-	return alwaysAnswers.Hold(m.Kind != forward.Done || begun, "%s has no answer", a.call.ID)
+func (a *audit) ends(m forward.Decision, begun bool) bool {
+	refusedUnrun.Hold(m.Action != forward.Refuse || a.call.Repeatable || !a.ran, "%s is refused: %s", a.call.ID, m.Reason)
+	return alwaysAnswers.Hold(m.Action != forward.Done || begun, "%s has no answer", a.call.ID)
 }
--- a/traffic/gateway/cut_test.go
+++ b/traffic/gateway/cut_test.go
@@ -66,7 +66,7 @@
 func TestLastRecordsRefuseNothingForGood(t *testing.T) {
 	g, f := joined(t, 3*time.Second)
 	ask := func(path string) string {
-		f.write = func(int, context.Context, forward.Move, string) (Answer, forward.Outcome) {
+		f.write = func(int, context.Context, forward.Decision, string) (Answer, forward.Outcome) {
 			return &script{status: 200, kind: "text/plain", pieces: []piece{{"", "a"}}}, forward.OK
 		}
 		e := &ears{}
--- a/traffic/gateway/fake_test.go
+++ b/traffic/gateway/fake_test.go
@@ -17,8 +17,8 @@
 	mu    sync.Mutex
 	calls []string
 	freed []string
-	read  func(n int, m forward.Move) forward.Outcome
-	write func(n int, ctx context.Context, m forward.Move, last string) (Answer, forward.Outcome)
+	read  func(n int, m forward.Decision) forward.Outcome
+	write func(n int, ctx context.Context, m forward.Decision, last string) (Answer, forward.Outcome)
 }
 
 func (f *fake) note(what string) int {
@@ -34,17 +34,17 @@
 	return n
 }
 
-func (f *fake) Read(_ context.Context, q *Request, _ forward.Call, m forward.Move, may func() bool) (forward.Handle, forward.Outcome, string) {
+func (f *fake) Read(_ context.Context, q *Request, _ forward.Request, m forward.Decision, may func() bool) (forward.Handle, forward.Outcome, string) {
 	if !may() {
-		return forward.Handle{}, forward.Barred, "barred"
+		return forward.Handle{}, forward.Blocked, "barred"
 	}
 	n := f.note("read")
-	return forward.Handle{ID: fmt.Sprint("h", n), Call: q.ID, No: m.No, Server: m.To, Tokens: q.In}, f.read(n, m), "by script"
+	return forward.Handle{ID: fmt.Sprint("h", n), RequestID: q.ID, Attempt: m.Attempt, Server: m.Server, Tokens: q.In}, f.read(n, m), "by script"
 }
 
-func (f *fake) Write(ctx context.Context, _ *Request, _ forward.Call, m forward.Move, last string, may func() bool) (Answer, forward.Outcome, string) {
+func (f *fake) Write(ctx context.Context, _ *Request, _ forward.Request, m forward.Decision, last string, may func() bool) (Answer, forward.Outcome, string) {
 	if !may() {
-		return nil, forward.Barred, "barred"
+		return nil, forward.Blocked, "barred"
 	}
 	what := "write"
 	if m.Handle != nil {
--- a/traffic/gateway/gateway.go
+++ b/traffic/gateway/gateway.go
@@ -19,7 +19,7 @@
 // lane is one service's shard: the machine under its lock.
 type lane struct {
 	mu sync.Mutex
-	*forward.Lane
+	*forward.Dispatcher
 	partition int
 	pinned    map[string]bool
 	strain    atomic.Pointer[map[string]placement.Pressure] // by server, as keep saw it
@@ -63,14 +63,14 @@
 	return g
 }
 
-// Config is a lane's bounds, as ratios to those in the daemon's config.
+// Config is a dispatcher's bounds, as ratios to those in the daemon's config.
 //
 // Example: l := forward.New(gateway.Config(cfg), svc, part, source)
 func Config(c daemon.Config) forward.Config {
 	return forward.Config{
-		Zone: c.Zone, Retry: c.Retry.Ratio, Window: c.Retry.Window, Slack: c.Retry.Slack * 4 / 5, Patience: c.VolumeLease() * 5 / 4,
-		Shy: c.Bounds.Plan / 2, Turned: c.Bounds.Plan / 8, Back: c.VolumeLease() / 4, Pace: 50, InTime: c.AdmitRatio,
-		Weights: forward.Weights{Far: 0.0023, Again: 0.05, Moved: 0.0022, Apart: 3, Miss: 0.05, Cold: 0.05, Stall: 0.3},
+		Zone: c.Zone, RetryRatio: c.Retry.Ratio, RetryWindow: c.Retry.Window, RetrySlack: c.Retry.Slack * 4 / 5, MaxWait: c.VolumeLease() * 5 / 4,
+		FailureBackoff: c.Bounds.Plan / 2, RejectionBackoff: c.Bounds.Plan / 8, RetryAfter: c.VolumeLease() / 4, PrefillRate: 50, MaxPredictedWait: c.AdmitRatio,
+		Weights: forward.Weights{CrossZoneBody: 0.0023, CacheMiss: 0.05, KVTransfer: 0.0022, CrossZoneTransfer: 3, AffinityMiss: 0.05, Warming: 0.05, Stall: 0.3},
 	}
 }
 
@@ -98,8 +98,8 @@
 func (s source) Until(partition int) time.Duration { return s.StaleUntil(partition) }
 
 // strain tells the servers' holder how hard one of them is pressed. The holder
-// asks under its part's lock, and a lane reads that part under its own: what
-// keep last saw is told, without the lane's lock.
+// asks under its part's lock, and a dispatcher reads that part under its own: what
+// keep last saw is told, without the dispatcher's lock.
 func (g *Gateway) strain(svc, key string) placement.Pressure {
 	if all := g.lane(svc).strain.Load(); all != nil {
 		return (*all)[key]
@@ -183,30 +183,30 @@
 	g.bmu.Unlock()
 }
 
-// strained takes the strain of a lane's servers and lists them.
+// strained takes the strain of a dispatcher's servers and lists them.
 func (g *Gateway) strained(l *lane, svc fleetconfig.Service) []forward.Server {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	g.fleet(l)
-	l.Warm(forward.Warm{Rate: svc.WarmUpRate, Over: g.c.Cfg.WarmUp.Over, Slack: g.c.Cfg.WarmUp.Slack})
+	l.SetWarmupLimit(forward.WarmupLimit{Rate: svc.WarmUpRate, Over: g.c.Cfg.WarmUp.Over, Slack: g.c.Cfg.WarmUp.Slack})
 	servers := l.Servers()
 	strain := make(map[string]placement.Pressure, len(servers))
 	for _, s := range servers {
-		read, write := l.Strain(g.c.Now(), s.Key)
+		read, write := l.Pressure(g.c.Now(), s.Key)
 		strain[s.Key] = placement.Pressure{Prefill: read, Decode: write}
 	}
 	l.strain.Store(&strain)
 	return servers
 }
 
-// keep has the records wanted that a lane reads.
+// keep has the records wanted that a dispatcher reads.
 func (g *Gateway) keep(l *lane) {
 	for _, k := range l.unpinned() {
 		g.c.Pin(l.partition, k)
 	}
 }
 
-// unpinned lists the records that the lane reads and that are not wanted yet.
+// unpinned lists the records that the dispatcher reads and that are not wanted yet.
 func (l *lane) unpinned() (fresh []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -225,28 +225,28 @@
 	l := g.list[svc]
 	if l == nil {
 		p := g.c.Partition(svc)
-		l = &lane{partition: p, pinned: map[string]bool{}, Lane: forward.New(g.cfg, svc, p, source{g.c}, notes{g, svc})}
+		l = &lane{partition: p, pinned: map[string]bool{}, Dispatcher: forward.New(g.cfg, svc, p, source{g.c}, notes{g, svc})}
 		g.fleet(l)
 		g.list[svc] = l
 	}
 	return l
 }
 
-// fleet tells a lane which daemons there are.
+// fleet tells a dispatcher which daemons there are.
 func (g *Gateway) fleet(l *lane) {
 	v := g.c.View()
 	daemons := make([]string, 0, len(v.Members))
 	for _, m := range v.Members {
 		daemons = append(daemons, m.Addr)
 	}
-	l.Fleet(g.c.Now(), v.Me.Addr, daemons)
+	l.SetDaemons(g.c.Now(), v.Me.Addr, daemons)
 }
 
 func (g *Gateway) told(svc, key string, load forward.Load) {
 	l := g.lane(svc)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.Told(g.c.Now(), key, load)
+	l.LoadReported(g.c.Now(), key, load)
 }
 
 // sheet is the plan that requests are routed by now.
@@ -313,7 +313,7 @@
 	if r, ok = s.table.Match(q.Host, q.Path); ok {
 		return r, s, true, true
 	}
-	s, certain = g.await(ctx, min(g.patience(q), g.cfg.Back), g.leased)
+	s, certain = g.await(ctx, min(g.patience(q), g.cfg.RetryAfter), g.leased)
 	if certain {
 		r, ok = s.table.Match(q.Host, q.Path)
 	}
@@ -323,9 +323,9 @@
 // patience is how long a request waits for a plan.
 func (g *Gateway) patience(q *Request) time.Duration {
 	if q.Left > 0 {
-		return min(g.cfg.Patience, q.Left/2)
+		return min(g.cfg.MaxWait, q.Left/2)
 	}
-	return g.cfg.Patience
+	return g.cfg.MaxWait
 }
 
 // await waits a short while for a plan.
@@ -371,19 +371,19 @@
 		g.early(q, w, http.StatusNotFound, "no route")
 		return
 	}
-	c := forward.Call{
-		ID: q.ID, Repeat: r.Kind == "safe" || r.Kind == "stream" && r.Resume, Resume: r.Kind == "stream" && r.Resume, After: q.Last != "",
-		Urgency: r.Urgency, Least: s.least, Tries: r.MaxAttempts, Aim: time.Duration(r.TargetMillis) * time.Millisecond, Gap: time.Duration(r.GapMillis) * time.Millisecond,
-		Parts: q.Parts, In: q.In, Out: q.Out, Bytes: len(q.Body),
+	c := forward.Request{
+		ID: q.ID, Repeatable: r.Kind == "safe" || r.Kind == "stream" && r.Resume, Resumable: r.Kind == "stream" && r.Resume, ContinuesStream: q.Last != "",
+		Urgency: r.Urgency, LeastUrgency: s.least, MaxAttempts: r.MaxAttempts, TTFTTarget: time.Duration(r.TargetMillis) * time.Millisecond, InterTokenTarget: time.Duration(r.GapMillis) * time.Millisecond,
+		Parts: q.Parts, InputTokens: q.In, MaxOutputTokens: q.Out, BodyBytes: len(q.Body),
 	}
 	c.Service = route.Pick(r, dice(q.ID))
-	c.Split = r.Kind == "stream" && s.split[c.Service]
-	c.Due = at + time.Duration(r.GiveUpMillis)*time.Millisecond
+	c.Disaggregated = r.Kind == "stream" && s.split[c.Service]
+	c.Deadline = at + time.Duration(r.GiveUpMillis)*time.Millisecond
 	if q.Left > 0 {
-		c.Due = min(c.Due, at+q.Left)
+		c.Deadline = min(c.Deadline, at+q.Left)
 	}
-	if c.Aim == 0 {
-		c.Aim = (c.Due - at) / 4
+	if c.TTFTTarget == 0 {
+		c.TTFTTarget = (c.Deadline - at) / 4
 	}
 	g.run(ctx, q, c, w)
 }
--- a/traffic/gateway/gateway_test.go
+++ b/traffic/gateway/gateway_test.go
@@ -108,7 +108,7 @@
 	g.eng = f
 	l := g.lane("one")
 	l.mu.Lock()
-	l.Lane = forward.New(g.cfg, "one", l.partition, source{g.c}, notes{g, "one"})
+	l.Dispatcher = forward.New(g.cfg, "one", l.partition, source{g.c}, notes{g, "one"})
 	g.fleet(l)
 	l.mu.Unlock()
 	requests++
@@ -129,17 +129,17 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.Lane.Open() != 0 {
-		t.Errorf("%d requests are left in the lane", l.Lane.Open())
+	if l.Dispatcher.InFlight() != 0 {
+		t.Errorf("%d requests are left in the lane", l.Dispatcher.InFlight())
 	}
 	return e.log
 }
 
 // outcomes scripts writing calls: each takes the next.
-func outcomes(list ...any) func(int, context.Context, forward.Move, string) (Answer, forward.Outcome) {
-	return func(n int, _ context.Context, _ forward.Move, _ string) (Answer, forward.Outcome) {
+func outcomes(list ...any) func(int, context.Context, forward.Decision, string) (Answer, forward.Outcome) {
+	return func(n int, _ context.Context, _ forward.Decision, _ string) (Answer, forward.Outcome) {
 		if n > len(list) {
-			return nil, forward.Full
+			return nil, forward.Overloaded
 		}
 		switch x := list[n-1].(type) {
 		case forward.Outcome:
@@ -173,9 +173,9 @@
 		{"whole and empty", "/unsafe/", []any{text(204, nil)}, "write", "head 204"},
 		{"its own fault", "/unsafe/", []any{text(500, nil, "sorry")}, "write", "head 500 sorry"},
 		{"lost once", "/unsafe/", []any{forward.Lost}, "write", "fail 502"},
-		{"turned away, then lost", "/unsafe/", []any{forward.Full, forward.Lost}, "write write", "fail 502"},
+		{"turned away, then lost", "/unsafe/", []any{forward.Overloaded, forward.Lost}, "write write", "fail 502"},
 		{"not sent, then whole", "/unsafe/", []any{forward.NotSent, text(200, nil, "a")}, "write write", "head 200 a"},
-		{"turned away by all", "/unsafe/", []any{forward.Full, forward.Moved, forward.Full}, "write write write", "refuse 503"},
+		{"turned away by all", "/unsafe/", []any{forward.Overloaded, forward.WrongServer, forward.Overloaded}, "write write write", "refuse 503"},
 		{"broken off", "/unsafe/", []any{text(200, errCut, "a")}, "write", "head 200 a break"},
 		{"lost before its first byte", "/unsafe/", []any{text(200, errCut)}, "write", "fail 502"},
 		{"safe, lost, then whole", "/safe/", []any{forward.Lost, text(200, nil, "a")}, "write write", "head 200 a"},
@@ -190,7 +190,7 @@
 		{"taken up twice", "/resume/", []any{events(1, 2, errCut), events(3, 3, errCut), events(4, 5, nil)}, "write|write after 2|write after 3", "head 200 1; 2; 3; 4; 5;"},
 		{"taken up, lost before an event", "/resume/", []any{events(1, 2, errCut), events(3, 2, errCut), events(3, 4, nil)}, "write|write after 2|write after 2", "head 200 1; 2; 3; 4;"},
 		{"taken up by a fault", "/resume/", []any{events(1, 1, errCut), text(500, nil, "sorry"), events(2, 2, nil)}, "write|write after 1|write after 1", "head 200 1; 2;"},
-		{"taken up by none", "/resume/", []any{events(1, 1, errCut), forward.Full, forward.Full}, "write|write after 1|write after 1", "head 200 1; break"},
+		{"taken up by none", "/resume/", []any{events(1, 1, errCut), forward.Overloaded, forward.Overloaded}, "write|write after 1|write after 1", "head 200 1; break"},
 		{"lost before an event", "/resume/", []any{forward.Lost, events(1, 2, nil)}, "write write", "head 200 1; 2;"},
 	} {
 		f := &fake{write: outcomes(x.script...)}
@@ -219,8 +219,8 @@
 // A long prompt is read apart; its memory goes to one server, and is freed if
 // no server takes it up.
 func TestAPromptReadApart(t *testing.T) {
-	read := func(list ...forward.Outcome) func(int, forward.Move) forward.Outcome {
-		return func(n int, _ forward.Move) forward.Outcome { return list[min(n, len(list))-1] }
+	read := func(list ...forward.Outcome) func(int, forward.Decision) forward.Outcome {
+		return func(n int, _ forward.Decision) forward.Outcome { return list[min(n, len(list))-1] }
 	}
 	for _, x := range []struct {
 		what  string
@@ -231,11 +231,11 @@
 		freed string
 	}{
 		{"handed over", []forward.Outcome{forward.OK}, []any{events(1, 2, nil)}, "read|write h1", "head 200 1; 2;", ""},
-		{"turned away by all", []forward.Outcome{forward.OK}, []any{forward.Full, forward.Full, forward.Full}, "read|write h1|write h1|write h1", "refuse 503", "h1"},
+		{"turned away by all", []forward.Outcome{forward.OK}, []any{forward.Overloaded, forward.Overloaded, forward.Overloaded}, "read|write h1|write h1|write h1", "refuse 503", "h1"},
 		{"not sent anywhere", []forward.Outcome{forward.OK}, []any{forward.NotSent, forward.NotSent, forward.NotSent}, "read|write h1|write h1|write h1", "refuse 503", "h1"},
 		{"lost with the memory", []forward.Outcome{forward.OK}, []any{forward.Lost}, "read|write h1", "fail 502", ""},
-		{"memory gone, read anew", []forward.Outcome{forward.OK}, []any{forward.Gone, events(1, 1, nil)}, "read|write h1|read|write h2", "head 200 1;", "h1"},
-		{"one prefill server is full", []forward.Outcome{forward.Full, forward.OK}, []any{events(1, 1, nil)}, "read|read|write h2", "head 200 1;", ""},
+		{"memory gone, read anew", []forward.Outcome{forward.OK}, []any{forward.HandleLost, events(1, 1, nil)}, "read|write h1|read|write h2", "head 200 1;", "h1"},
+		{"one prefill server is full", []forward.Outcome{forward.Overloaded, forward.OK}, []any{events(1, 1, nil)}, "read|read|write h2", "head 200 1;", ""},
 	} {
 		f := &fake{read: read(x.read...), write: outcomes(x.write...)}
 		log := serve(t, f, "/stream/", &ears{}, long)
@@ -269,7 +269,7 @@
 	}
 	g, _ := gate()
 	ctx, cut := context.WithCancel(context.Background())
-	f = &fake{write: func(_ int, ctx context.Context, _ forward.Move, _ string) (Answer, forward.Outcome) {
+	f = &fake{write: func(_ int, ctx context.Context, _ forward.Decision, _ string) (Answer, forward.Outcome) {
 		cut()
 		<-ctx.Done()
 		return nil, forward.Lost
@@ -281,7 +281,7 @@
 		t.Errorf("%v %v, %d open", f.calls, e.log, g.Open())
 	}
 	ctx, cut = context.WithCancel(context.Background())
-	f = &fake{read: func(int, forward.Move) forward.Outcome { cut(); return forward.OK }, write: outcomes(events(1, 2, nil))}
+	f = &fake{read: func(int, forward.Decision) forward.Outcome { cut(); return forward.OK }, write: outcomes(events(1, 2, nil))}
 	g.eng = f
 	q := &Request{ID: "gone-2", Host: "h.example", Path: "/stream/", Header: http.Header{}}
 	long(q)
@@ -306,7 +306,7 @@
 
 // A request whose time is up ends then, whatever its server does.
 func TestTheTimeOfARequest(t *testing.T) {
-	f := &fake{write: func(_ int, ctx context.Context, _ forward.Move, _ string) (Answer, forward.Outcome) {
+	f := &fake{write: func(_ int, ctx context.Context, _ forward.Decision, _ string) (Answer, forward.Outcome) {
 		<-ctx.Done()
 		return nil, forward.Lost
 	}}
@@ -324,7 +324,7 @@
 	g, _ := gate()
 	for _, left := range []time.Duration{0, time.Hour, time.Second} {
 		var until time.Duration
-		f := &fake{write: func(_ int, _ context.Context, m forward.Move, _ string) (Answer, forward.Outcome) {
+		f := &fake{write: func(_ int, _ context.Context, m forward.Decision, _ string) (Answer, forward.Outcome) {
 			until = m.Until - g.c.Now()
 			return nil, forward.Lost
 		}}
--- a/traffic/gateway/notes.go
+++ b/traffic/gateway/notes.go
@@ -12,10 +12,10 @@
 	svc string
 }
 
-// Begin records work sent from here.
+// AddLoad records work sent from here.
 //
-// Example: n.Begin(server, 1460, 0)
-func (n notes) Begin(server string, tokens, writing int) {
+// Example: n.AddLoad(server, 1460, 0)
+func (n notes) AddLoad(server string, tokens, writing int) {
 	n.g.bmu.Lock()
 	defer n.g.bmu.Unlock()
 	n.g.board.Begin(board.Name(n.svc, server), tokens, writing)
@@ -34,46 +34,46 @@
 	return u.Tokens, u.Writing, pause
 }
 
-// Paused records the time between two events.
+// ObserveInterTokenLatency records the time between two events.
 //
-// Example: n.Paused(server, 42*time.Millisecond)
-func (n notes) Paused(server string, d time.Duration) {
+// Example: n.ObserveInterTokenLatency(server, 42*time.Millisecond)
+func (n notes) ObserveInterTokenLatency(server string, d time.Duration) {
 	n.g.bmu.Lock()
 	defer n.g.bmu.Unlock()
 	n.g.board.Paused(board.Name(n.svc, server), d)
 }
 
-// Came records the end of a call.
+// CallEnded records the end of a call.
 //
-// Example: n.Came(now, server, true)
-func (n notes) Came(now time.Duration, server string, answered bool) {
+// Example: n.CallEnded(now, server, true)
+func (n notes) CallEnded(now time.Duration, server string, answered bool) {
 	n.g.bmu.Lock()
 	defer n.g.bmu.Unlock()
 	n.g.board.Came(now, board.Name(n.svc, server), answered)
 }
 
-// Down tells whether a server most likely answers nobody.
+// IsDown tells whether a server most likely answers nobody.
 //
-// Example: if n.Down(now, server) { avoid(server) }
-func (n notes) Down(now time.Duration, server string) bool {
+// Example: if n.IsDown(now, server) { avoid(server) }
+func (n notes) IsDown(now time.Duration, server string) bool {
 	n.g.bmu.Lock()
 	defer n.g.bmu.Unlock()
 	return n.g.board.Down(now, board.Name(n.svc, server))
 }
 
-// Keeps records that a server has a prompt.
+// RecordPrefix records that a server has a prompt.
 //
-// Example: n.Keeps(prefix, server, 1460)
-func (n notes) Keeps(prefix uint64, server string, tokens int) {
+// Example: n.RecordPrefix(prefix, server, 1460)
+func (n notes) RecordPrefix(prefix uint64, server string, tokens int) {
 	n.g.bmu.Lock()
 	defer n.g.bmu.Unlock()
 	n.g.board.Keeps(prefix, board.Name(n.svc, server), tokens)
 }
 
-// Has tells whether a server most likely keeps a prompt.
+// HasPrefix tells whether a server most likely keeps a prompt.
 //
-// Example: if n.Has(prefix, server) { prefer(server) }
-func (n notes) Has(prefix uint64, server string) bool {
+// Example: if n.HasPrefix(prefix, server) { prefer(server) }
+func (n notes) HasPrefix(prefix uint64, server string) bool {
 	n.g.bmu.Lock()
 	defer n.g.bmu.Unlock()
 	return n.g.board.Has(prefix, board.Name(n.svc, server))
--- a/traffic/gateway/port.go
+++ b/traffic/gateway/port.go
@@ -44,8 +44,8 @@
 // is asked just before the first byte goes out; if it says no, the outcome is
 // forward.Barred.
 type Engines interface {
-	Read(ctx context.Context, q *Request, c forward.Call, m forward.Move, may func() bool) (forward.Handle, forward.Outcome, string)
-	Write(ctx context.Context, q *Request, c forward.Call, m forward.Move, last string, may func() bool) (Answer, forward.Outcome, string)
+	Read(ctx context.Context, q *Request, c forward.Request, m forward.Decision, may func() bool) (forward.Handle, forward.Outcome, string)
+	Write(ctx context.Context, q *Request, c forward.Request, m forward.Decision, last string, may func() bool) (Answer, forward.Outcome, string)
 	Free(h forward.Handle)
 	// Told has f called with what servers tell of their load.
 	Told(f func(service, server string, load forward.Load))
--- a/traffic/gateway/report.go
+++ b/traffic/gateway/report.go
@@ -107,10 +107,10 @@
 	return strings.Join(parts, "; ")
 }
 
-// early ends a request that comes to no lane.
+// early ends a request that comes to no dispatcher.
 func (g *Gateway) early(q *Request, w Client, status int, why string) {
 	if status == http.StatusServiceUnavailable {
-		w.Refuse(status, g.cfg.Back, why)
+		w.Refuse(status, g.cfg.RetryAfter, why)
 	} else {
 		w.Fail(status, why)
 	}
@@ -133,11 +133,11 @@
 }
 
 // finished notes the end of a request that was taken in at a time.
-func (g *Gateway) finished(q *Request, c forward.Call, m forward.Move, took time.Duration) {
-	if m.Kind == forward.Done {
+func (g *Gateway) finished(q *Request, c forward.Request, m forward.Decision, took time.Duration) {
+	if m.Action == forward.Done {
 		g.report.served()
 		return
 	}
-	g.c.Events.Debug("request", m.Why, "request", c.ID, "result", m.Kind)
-	g.report.failed(Story{Request: q.ID, Host: q.Host, Path: q.Path, Service: c.Service, End: m.Kind.String(), Why: m.Why, Took: took.Milliseconds(), Steps: m.Steps})
+	g.c.Events.Debug("request", m.Reason, "request", c.ID, "result", m.Action)
+	g.report.failed(Story{Request: q.ID, Host: q.Host, Path: q.Path, Service: c.Service, End: m.Action.String(), Why: m.Reason, Took: took.Milliseconds(), Steps: m.Trace})
 }
--- a/traffic/gateway/report_test.go
+++ b/traffic/gateway/report_test.go
@@ -20,7 +20,9 @@
 	}
 	g.report.summary()
 	id := ""
-	f := &fake{write: func(int, context.Context, forward.Move, string) (Answer, forward.Outcome) { return nil, forward.Lost }}
+	f := &fake{write: func(int, context.Context, forward.Decision, string) (Answer, forward.Outcome) {
+		return nil, forward.Lost
+	}}
 	if log := serve(t, f, "/unsafe/", &ears{}, func(q *Request) { id = q.ID }); strings.Join(log, " ") != "fail 502" {
 		t.Fatalf("the client gets %q", log)
 	}
@@ -44,7 +46,7 @@
 	}
 }
 
-// A request that no lane takes is explained too.
+// A request that no dispatcher takes is explained too.
 func TestARequestWithoutARouteIsExplained(t *testing.T) {
 	serve(t, &fake{}, "/nowhere/", &ears{}, func(q *Request) { q.ID = "no-route" })
 	g, _ := gate()
@@ -74,21 +76,24 @@
 
 // The audit of a request counts each condition that is broken on purpose.
 func TestTheAuditCountsWhatIsBroken(t *testing.T) {
-	once := forward.Call{ID: "once"}
+	once := forward.Request{ID: "once"}
 	for what, x := range map[string]struct {
 		check *invariant.Check
 		do    func(a *audit) bool
 	}{
 		"a second send after one that may have run": {runsOnce, func(a *audit) bool { a.sent(forward.Lost); a.sends(false); return true }},
-		"a refusal after it may have run":           {refusedUnrun, func(a *audit) bool { a.sent(forward.Lost); return a.ends(forward.Move{Kind: forward.Refuse}, false) }},
-		"an answer that goes on with another run":   {oneRun, func(a *audit) bool { a.sends(true); return true }},
-		"an end without an answer":                  {alwaysAnswers, func(a *audit) bool { return !a.ends(forward.Move{Kind: forward.Done}, false) }},
+		"a refusal after it may have run": {refusedUnrun, func(a *audit) bool {
+			a.sent(forward.Lost)
+			return a.ends(forward.Decision{Action: forward.Refuse}, false)
+		}},
+		"an answer that goes on with another run": {oneRun, func(a *audit) bool { a.sends(true); return true }},
+		"an end without an answer":                {alwaysAnswers, func(a *audit) bool { return !a.ends(forward.Decision{Action: forward.Done}, false) }},
 	} {
 		quiet, before := x.check.Count(), x.check.Count()
 		fine := audit{call: once}
 		fine.sends(false)
 		fine.sent(forward.OK)
-		if !fine.ends(forward.Move{Kind: forward.Done}, true) || x.check.Count() != quiet {
+		if !fine.ends(forward.Decision{Action: forward.Done}, true) || x.check.Count() != quiet {
 			t.Errorf("%s: a request in order is counted", what)
 		}
 		if !x.do(&audit{call: once}) || x.check.Count() != before+1 {
--- a/traffic/gateway/run.go
+++ b/traffic/gateway/run.go
@@ -19,37 +19,37 @@
 }
 
 // run carries the moves of one request out.
-func (g *Gateway) run(ctx context.Context, q *Request, c forward.Call, w Client) {
+func (g *Gateway) run(ctx context.Context, q *Request, c forward.Request, w Client) {
 	l := g.lane(c.Service)
-	step := func(f func(now time.Duration) forward.Move) forward.Move {
+	step := func(f func(now time.Duration) forward.Decision) forward.Decision {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		return f(g.c.Now())
 	}
 	has, at := response{last: q.Last}, g.c.Now()
-	w.Within(c.Due - at)
+	w.Within(c.Deadline - at)
 	check := audit{call: c}
-	m := step(func(now time.Duration) forward.Move { return l.Begin(now, c) })
-	for !m.Kind.Final() {
+	m := step(func(now time.Duration) forward.Decision { return l.Start(now, c) })
+	for !m.Action.Final() {
 		if ctx.Err() != nil || has.unread {
-			m = step(func(now time.Duration) forward.Move { return l.Left(now, c.ID, m.Kind != forward.Wait) })
+			m = step(func(now time.Duration) forward.Decision { return l.ClientGone(now, c.ID, m.Action != forward.Wait) })
 			break
 		}
-		switch m.Kind {
+		switch m.Action {
 		case forward.Wait:
 			g.pause(ctx, m.Until)
 			if ctx.Err() == nil {
-				m = step(func(now time.Duration) forward.Move { return l.Again(now, c.ID) })
+				m = step(func(now time.Duration) forward.Decision { return l.Continue(now, c.ID) })
 			}
-		case forward.Read:
+		case forward.Prefill:
 			cut, done := context.WithTimeout(ctx, m.Until-g.c.Now())
 			h, out, why := g.eng.Read(cut, q, c, m, g.may(l, c, m))
 			done()
 			if ctx.Err() != nil && out != forward.OK {
 				continue
 			}
-			m = step(func(now time.Duration) forward.Move { return l.ReadDone(now, c.ID, out, h, why) })
-		case forward.Write:
+			m = step(func(now time.Duration) forward.Decision { return l.PrefillDone(now, c.ID, out, h, why) })
+		case forward.Decode:
 			check.sends(has.begun)
 			cut, done := context.WithTimeout(ctx, m.Until-g.c.Now())
 			out, why := g.write(cut, l, q, c, m, w, &has)
@@ -58,10 +58,10 @@
 			if (ctx.Err() != nil || has.unread) && out != forward.OK {
 				continue
 			}
-			m = step(func(now time.Duration) forward.Move { return l.WriteDone(now, c.ID, out, why) })
+			m = step(func(now time.Duration) forward.Decision { return l.DecodeDone(now, c.ID, out, why) })
 		}
 	}
-	for _, h := range m.Free {
+	for _, h := range m.ReleaseHandles {
 		go g.eng.Free(h)
 	}
 	g.finished(q, c, m, g.c.Now()-at)
@@ -69,24 +69,24 @@
 		w.Fail(http.StatusBadGateway, "it ended without an answer")
 		return
 	}
-	switch m.Kind {
+	switch m.Action {
 	case forward.Refuse:
-		w.Refuse(http.StatusServiceUnavailable, m.Back, m.Why)
+		w.Refuse(http.StatusServiceUnavailable, m.RetryAfter, m.Reason)
 	case forward.Unknown:
-		w.Fail(http.StatusBadGateway, m.Why)
+		w.Fail(http.StatusBadGateway, m.Reason)
 	case forward.Duplicate: // no promise: the other one may run
-		w.Fail(http.StatusConflict, m.Why)
+		w.Fail(http.StatusConflict, m.Reason)
 	case forward.Break:
 		w.Break()
 	}
 }
 
 // may is the last look before the first byte.
-func (g *Gateway) may(l *lane, c forward.Call, m forward.Move) func() bool {
+func (g *Gateway) may(l *lane, c forward.Request, m forward.Decision) func() bool {
 	return func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return l.Standing(g.c.Now(), c.ID, m)
+		return l.MaySend(g.c.Now(), c.ID, m)
 	}
 }
 
@@ -113,24 +113,24 @@
 	return id != "" && id != last
 }
 
-// began tells the lane that the first event of an answer goes out; fixed says
+// began tells the dispatcher that the first event of an answer goes out; fixed says
 // that the answer can't be gone on with elsewhere.
 func (l *lane) began(now time.Duration, id string, fixed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.Began(now, id)
+	l.StreamStarted(now, id)
 	if fixed {
-		l.Fixed(id)
+		l.DisableResume(id)
 	}
 }
 
-// event tells the lane that one more event goes out, so long after the last.
+// event tells the dispatcher that one more event goes out, so long after the last.
 func (l *lane) event(id string, after time.Duration, fixed bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.Event(id, after)
+	l.EventSent(id, after)
 	if fixed {
-		l.Fixed(id)
+		l.DisableResume(id)
 	}
 }
 
@@ -142,7 +142,7 @@
 }
 
 // write makes one writing call and passes on what comes.
-func (g *Gateway) write(ctx context.Context, l *lane, q *Request, c forward.Call, m forward.Move, w Client, has *response) (forward.Outcome, string) {
+func (g *Gateway) write(ctx context.Context, l *lane, q *Request, c forward.Request, m forward.Decision, w Client, has *response) (forward.Outcome, string) {
 	a, out, why := g.eng.Write(ctx, q, c, m, has.last, g.may(l, c, m))
 	if out != forward.OK {
 		return out, why
@@ -151,7 +151,7 @@
 	if has.begun && a.Status() != http.StatusOK {
 		return forward.Lost, "a stream can't go on with a " + http.StatusText(a.Status())
 	}
-	if !has.begun && c.Repeat && a.Status() >= 500 {
+	if !has.begun && c.Repeatable && a.Status() >= 500 {
 		return forward.Lost, http.StatusText(a.Status())
 	}
 	resumed := has.begun
--- a/traffic/gateway/sameid_test.go
+++ b/traffic/gateway/sameid_test.go
@@ -49,7 +49,7 @@
 			t.Fatal(err)
 		}
 		taken, goOn := make(chan struct{}, 2), make(chan struct{})
-		f := &fake{write: func(int, context.Context, forward.Move, string) (Answer, forward.Outcome) {
+		f := &fake{write: func(int, context.Context, forward.Decision, string) (Answer, forward.Outcome) {
 			taken <- struct{}{}
 			<-goOn
 			return events(1, 2, nil), forward.OK
--- a/traffic/gateway/unread_test.go
+++ b/traffic/gateway/unread_test.go
@@ -33,8 +33,8 @@
 		if e.left <= 0 || e.left > time.Second || !slices.Equal(e.log, []string{"head 200", "1;", "break"}) {
 			t.Errorf("%s: it may wait %v and gets %q", path, e.left, e.log)
 		}
-		if len(f.calls) != 1 || g.lane("one").Counts().Left != 1 {
-			t.Errorf("%s: servers get %q, %d clients left", path, f.calls, g.lane("one").Counts().Left)
+		if len(f.calls) != 1 || g.lane("one").Counts().Abandoned != 1 {
+			t.Errorf("%s: servers get %q, %d clients left", path, f.calls, g.lane("one").Counts().Abandoned)
 		}
 	}
 }
@@ -48,7 +48,7 @@
 	g, _ := gate()
 	down := notes{g, "one"}
 	for _, s := range g.lane("one").Servers() {
-		if down.Down(g.c.Now(), s.Key) {
+		if down.IsDown(g.c.Now(), s.Key) {
 			t.Errorf("%s is thought to answer nobody", s.Key)
 		}
 	}
