--- /dev/null
+++ b/control/quorum/candidate.go
@@ -0,0 +1,250 @@
+package quorum
+
+import (
+	"strings"
+	"time"
+
+	"mulleinmast/control/digest"
+	"mulleinmast/wire/message"
+)
+
+// The candidate's side of elections: a pre-vote, the votes of a majority, and the
+// merge of what these show.
+
+// election is what a replica keeps of its own candidacies.
+type election struct {
+	notBefore      time.Duration // it becomes no candidate before
+	startedAt      time.Duration // when the present pre-vote or vote was requested
+	rejectedTerm   uint64        // the highest term that a voter was bound to when it rejected this replica
+	preVotes       map[string]bool
+	votes          map[string]voterState
+	boundElsewhere map[string]time.Duration // as leader: voters bound to a term above its own, and since when
+}
+
+// voterState is what a voter showed of its records with its vote.
+type voterState struct {
+	lastComplete uint64
+	digests      []uint64
+	records      []message.Record // in the ranges that differ from the candidate's
+}
+
+// requestPreVotes asks whether an election could be won now, which binds nobody, so
+// that a replica that can't win one doesn't disturb the leader.
+func (r *Replica) requestPreVotes(now time.Duration, out *Out) {
+	r.term = max(r.election.rejectedTerm, r.meta.VotedTerm, r.meta.CandidateTerm, r.term) + 1
+	r.role, r.election.startedAt, r.election.preVotes = preCandidate, now, map[string]bool{}
+	for _, replica := range r.meta.Group.All() {
+		r.requestPreVote(replica, out)
+	}
+}
+
+// requestPreVote asks one replica for its pre-vote.
+func (r *Replica) requestPreVote(to message.Replica, out *Out) {
+	out.send(to, message.VoteRequest{
+		Term: r.term, PreVote: true, Group: r.meta.Group, WriteDelay: r.longestWriteDelay(),
+	}.Message(r.partition))
+}
+
+// requestVotes starts the election that the pre-votes promise to win.
+func (r *Replica) requestVotes(now time.Duration, out *Out) {
+	if r.meta.VotedTerm >= r.term { // it voted in that term for another meanwhile
+		r.stepDown(out)
+		return
+	}
+	r.role, r.election.startedAt, r.election.boundElsewhere = candidate, now, map[string]time.Duration{}
+	r.writesFrom = 0
+	r.election.votes = map[string]voterState{}
+	for _, replica := range r.meta.Group.All() {
+		r.requestVote(replica, out)
+	}
+}
+
+// requestVote asks one replica for its vote.
+func (r *Replica) requestVote(to message.Replica, out *Out) {
+	out.send(to, message.VoteRequest{
+		Term: r.term, Group: r.meta.Group, Digests: r.records.Digests(), WriteDelay: r.longestWriteDelay(),
+	}.Message(r.partition))
+}
+
+// longestWriteDelay is for how long at most this replica would write nothing as leader.
+func (r *Replica) longestWriteDelay() time.Duration { return r.cfg.Wait(r.cfg.LeaderLease) }
+
+// handleVoteGrant counts a pre-vote or a vote.
+func (r *Replica) handleVoteGrant(now time.Duration, from message.Sender, grant message.VoteGrant, out *Out) {
+	if grant.Term != r.term || grant.Group.Number != r.meta.Group.Number {
+		return
+	}
+	switch {
+	case grant.PreVote && r.role == preCandidate:
+		r.countPreVote(now, from, out)
+	case !grant.PreVote && r.role == candidate:
+		r.countVote(now, from, grant, out)
+	}
+}
+
+func (r *Replica) countPreVote(now time.Duration, from message.Sender, out *Out) {
+	r.election.preVotes[from.Ident] = true
+	if r.meta.Group.HasQuorum(func(ident string) bool { return r.election.preVotes[ident] }) {
+		r.requestVotes(now, out)
+	}
+}
+
+func (r *Replica) countVote(now time.Duration, from message.Sender, grant message.VoteGrant, out *Out) {
+	// An incarnation that ended before its own vote was on disk leaves the same term
+	// to the next. The votes for it hold only the records that its copy lacked.
+	if grant.CandidateEpoch != 0 && grant.CandidateEpoch != r.epochs[r.self.Ident] {
+		return
+	}
+	r.election.votes[from.Ident] = voterState{grant.LastCompleteTerm, grant.Digests, grant.Records}
+	if grant.LeasesStandFor > 0 {
+		wait := r.cfg.Wait(min(grant.LeasesStandFor, r.cfg.Wait(r.cfg.LeaderLease)))
+		r.writesFrom = max(r.writesFrom, now+wait)
+	}
+	hasVote := func(ident string) bool { _, ok := r.election.votes[ident]; return ok }
+	// Its own vote must be among them: it merges what they show with its own records.
+	if !hasVote(r.self.Ident) || !r.meta.Group.HasQuorum(hasVote) {
+		return
+	}
+	r.takeOver(now, out)
+}
+
+// takeOver begins the leadership of a candidate that has a majority's votes: that
+// majority supports nobody else, so no older leader's lease is valid.
+func (r *Replica) takeOver(now time.Duration, out *Out) {
+	r.leaderSince = now
+	r.role = installing
+	r.learners = nil
+	r.copies = newCopies()
+	r.change = groupChange{}
+	r.guard.startAnnouncing()
+	r.contact = r.contactAtTakeOver(now)
+	r.lease.end = r.election.startedAt + r.cfg.LeaderLease
+	r.mergeVotes(out)
+	for _, replica := range r.meta.Group.All() {
+		r.sendInstall(now, replica, r.election.votes[replica.Ident].digests, out)
+	}
+	r.sendHeartbeats(now, out)
+}
+
+// mergeVotes makes this replica's records the newest that the majority showed.
+func (r *Replica) mergeVotes(out *Out) {
+	highest := uint64(0)
+	for _, v := range r.election.votes {
+		highest = max(highest, v.lastComplete)
+	}
+	own := r.records.Digests()
+	merged := digest.NewRecords()
+	for _, v := range r.election.votes {
+		if v.lastComplete == highest {
+			r.mergeVoter(merged, own, v)
+		}
+	}
+	dropTombstones(merged)
+	wipe := digest.DifferingRanges(own, merged.Digests())
+	r.records = merged
+	r.meta.LastComplete = r.term
+	r.replication.lastRequest = 0
+	installed := message.StateInstalled{Term: r.term}.Message(r.partition)
+	r.save(out, wipe, merged.RecordsIn(wipe), envelope(r.self, installed))
+}
+
+// mergeVoter adds one voter's records where they are newer: those that it sent, and
+// in the ranges where its digests are this replica's, this replica's.
+func (r *Replica) mergeVoter(merged *digest.Records, own []uint64, v voterState) {
+	differs := map[int]bool{}
+	for _, span := range digest.DifferingRanges(own, v.digests) {
+		differs[span] = true
+	}
+	for span := range digest.Ranges {
+		if differs[span] {
+			continue
+		}
+		for rec := range r.records.InRange(span) {
+			merged.PutNewer(rec)
+		}
+	}
+	for _, rec := range v.records {
+		if differs[digest.RangeOf(rec.Key)] {
+			merged.PutNewer(rec)
+		}
+	}
+}
+
+// dropTombstones drops the marks of deleted records: a new term's copies replace
+// all of earlier terms, whole ranges at a time, so no copy that still has one of
+// these records is ever merged with them. The floor sees to the keys below it.
+func dropTombstones(records *digest.Records) {
+	var deleted []string
+	for rec := range records.All() {
+		if rec.Deleted && !strings.HasPrefix(rec.Key, FloorPrefix) {
+			deleted = append(deleted, rec.Key)
+		}
+	}
+	for _, key := range deleted {
+		records.Delete(key)
+	}
+}
+
+// tryBecomeLeader makes an elected candidate the leader once a majority holds its records.
+func (r *Replica) tryBecomeLeader(now time.Duration, out *Out) {
+	if r.role != installing || now >= r.lease.end {
+		return
+	}
+	if !r.meta.Group.HasQuorum(func(ident string) bool { return r.copies.installed[ident] }) {
+		return
+	}
+	r.role = leader
+	r.support.known = message.Leadership{Partition: r.partition, Term: r.term, Leader: r.self}
+	out.Won = true
+}
+
+// handleVoteRejection takes a voter's refusal: of a vote, or of a heartbeat or write
+// if it has voted in a higher term.
+func (r *Replica) handleVoteRejection(
+	now time.Duration, from message.Sender, m message.VoteRejection, out *Out,
+) {
+	r.noteAnswer(now, from, m.Term)
+	r.election.rejectedTerm = max(r.election.rejectedTerm, m.VotedTerm)
+	if m.Term != r.term {
+		return
+	}
+	if m.Group.Number > r.meta.Group.Number {
+		r.adoptGroup(m.Group)
+		r.save(out, nil, nil)
+		if r.isElecting() {
+			r.stepDown(out)
+		}
+	}
+	if r.isElecting() {
+		bound := min(m.BoundFor, r.cfg.Wait(r.cfg.LeaderLease))
+		r.election.notBefore = max(r.election.notBefore, now+bound+r.electionDelay()/2+r.cfg.Margin)
+	}
+	// One voter bound to another term doesn't end a leadership that a majority
+	// supports; if it stays bound, Tick takes a higher term.
+	if m.VotedTerm >= r.term && r.role == leader {
+		if _, known := r.election.boundElsewhere[from.Ident]; !known {
+			r.election.boundElsewhere[from.Ident] = now
+		}
+	}
+}
+
+// isElecting tells whether this replica is a candidate, or asks whether it could be.
+func (r *Replica) isElecting() bool { return r.role == preCandidate || r.role == candidate }
+
+// electionDelay spaces candidates out: the replica that is first in this
+// partition's order goes first.
+func (r *Replica) electionDelay() time.Duration {
+	ahead := 0
+	for _, other := range r.meta.Group.All() {
+		if candidateRank(r.partition, other.Addr) > candidateRank(r.partition, r.self.Addr) {
+			ahead++
+		}
+	}
+	return time.Duration(ahead) * r.cfg.LeaderLease / 12
+}
+
+// candidateRank orders the replicas of a partition, each partition's otherwise, so
+// that the leaderships are spread.
+func candidateRank(partition int, addr string) uint64 {
+	return digest.Fingerprint(message.Record{Key: addr, Version: message.Version{Term: uint64(partition), Seq: 7}})
+}
--- /dev/null
+++ b/control/quorum/contact.go
@@ -0,0 +1,112 @@
+package quorum
+
+import (
+	"time"
+
+	"mulleinmast/wire/message"
+)
+
+// contact is when the replicas and learners answered this replica as leader. It
+// stays after the leadership, until the next one.
+type contact struct {
+	answeredAt       map[string]time.Duration // nil before the first leadership
+	terminatingSince map[string]time.Duration // since when a daemon is known to have been asked to end
+}
+
+// contactAtTakeOver begins to watch the replicas at the start of a leadership: those
+// that voted are there, the leader before was there when it was last supported.
+func (r *Replica) contactAtTakeOver(now time.Duration) contact {
+	c := contact{answeredAt: map[string]time.Duration{}, terminatingSince: map[string]time.Duration{}}
+	for _, replica := range r.meta.Group.All() {
+		c.answeredAt[replica.Ident] = r.election.startedAt
+		if _, voted := r.election.votes[replica.Ident]; voted {
+			c.answeredAt[replica.Ident] = now
+		} else if replica.Ident == r.support.known.Leader.Ident {
+			c.answeredAt[replica.Ident] = r.support.knownAt
+		}
+	}
+	return c
+}
+
+// forget drops what was known of a daemon.
+func (c *contact) forget(ident string) {
+	delete(c.answeredAt, ident)
+	delete(c.terminatingSince, ident)
+}
+
+// noteAnswer records that a replica or learner answered in a term of this replica's.
+func (r *Replica) noteAnswer(now time.Duration, from message.Sender, term uint64) {
+	if r.contact.answeredAt != nil && term == r.term {
+		r.contact.answeredAt[from.Ident] = now
+	}
+}
+
+// noteTerminating records whether a daemon was asked to end.
+func (r *Replica) noteTerminating(now time.Duration, from message.Sender, m message.HeartbeatAck) {
+	if r.contact.answeredAt == nil || m.Term != r.term {
+		return
+	}
+	if !m.Terminating {
+		delete(r.contact.terminatingSince, from.Ident)
+		return
+	}
+	if _, known := r.contact.terminatingSince[from.Ident]; !known {
+		r.contact.terminatingSince[from.Ident] = now
+	}
+}
+
+// SilentFor is for how long a replica has not answered this leader.
+//
+// Example: if r.SilentFor(now, "c") > limit { replace() }
+func (r *Replica) SilentFor(now time.Duration, ident string) time.Duration {
+	return now - r.contact.answeredAt[ident]
+}
+
+// MissedHeartbeats tells whether a replica left two heartbeats without an answer.
+//
+// Example: if r.MissedHeartbeats(now, "c") && another.Addr == c.Addr { replace() }
+func (r *Replica) MissedHeartbeats(now time.Duration, ident string) bool {
+	return ident != r.self.Ident && r.SilentFor(now, ident) >= 2*r.cfg.HeartbeatInterval
+}
+
+// IsLost tells whether a replica was silent for so long that a learner takes its place.
+//
+// Example: if r.IsLost(now, "c") { replace() }
+func (r *Replica) IsLost(now time.Duration, ident string) bool {
+	return ident != r.self.Ident && r.SilentFor(now, ident) >= r.cfg.LostAfter
+}
+
+// IsTerminating tells whether a replica's daemon was asked to end.
+//
+// Example: if r.IsTerminating("c") { replace() }
+func (r *Replica) IsTerminating(ident string) bool {
+	_, terminating := r.contact.terminatingSince[ident]
+	return terminating
+}
+
+// MayLeave tells whether a replica whose daemon was asked to end may leave at once:
+// each other one has answered a heartbeat that was sent since that was known. One
+// that has not may be lost, and a learner is kept for it.
+//
+// Example: if r.IsTerminating("c") && r.MayLeave(now, "c") { replace() }
+func (r *Replica) MayLeave(now time.Duration, ident string) bool {
+	answeredSince := r.contact.terminatingSince[ident] + r.cfg.HeartbeatInterval
+	for _, other := range r.meta.Group.Replicas {
+		if other.Ident == ident || other.Ident == r.self.Ident {
+			continue
+		}
+		if r.MissedHeartbeats(now, other.Ident) || r.contact.answeredAt[other.Ident] < answeredSince {
+			return false
+		}
+	}
+	return true
+}
+
+// LearnerReady tells whether a learner holds a copy, answered of late and stays.
+//
+// Example: if r.LearnerReady(now, "d") { out, _ := r.ReplaceReplica(now, 0, "c", d) }
+func (r *Replica) LearnerReady(now time.Duration, ident string) bool {
+	at, answered := r.contact.answeredAt[ident]
+	return r.Leader(now) && has(r.learners, ident) && r.copies.installed[ident] &&
+		answered && now-at < r.cfg.LeaderLease && !r.IsTerminating(ident)
+}
--- a/control/quorum/early_test.go
+++ b/control/quorum/early_test.go
@@ -10,42 +10,42 @@
 )
 
 var (
-	three = message.Group{Number: 1, Replicas: []message.Replica{{Ident: "a", Addr: "a"}, {Ident: "b", Addr: "b"}, {Ident: "x", Addr: "x"}}}
-	whole = cfg.Wait(cfg.LeaderLease) // how long a voter waits for a lease that it may have supported
+	three    = message.Group{Number: 1, Replicas: []message.Replica{{Ident: "a", Addr: "a"}, {Ident: "b", Addr: "b"}, {Ident: "x", Addr: "x"}}}
+	fullWait = cfg.Wait(cfg.LeaderLease) // how long a voter waits for a lease that it may have supported
 )
 
 // voter is replica a of three, driven by hand; what it saves is on disk at once.
 type voter struct {
-	t    *testing.T
-	s    *Replica
-	sent []message.Message
+	t       *testing.T
+	replica *Replica
+	sent    []message.Message
 }
 
-func (v *voter) carry(o Out) {
+func (v *voter) apply(o Out) {
 	for _, m := range o.Sends {
 		v.sent = append(v.sent, m.Message)
 	}
 	for _, s := range o.Saves {
-		v.carry(v.s.Saved(s.Ticket))
+		v.apply(v.replica.Saved(s.Ticket))
 	}
 }
 
-// hear gives the replica a message from one life of another and returns its answers.
-func (v *voter) hear(now time.Duration, from string, epoch uint64, n message.Message) []message.Message {
+// step gives the replica a message from one life of another and returns its answers.
+func (v *voter) step(now time.Duration, from string, epoch uint64, n message.Message) []message.Message {
 	n.From, n.Addr, n.Epoch, n.Partition = from, from, epoch, 1
 	if n.Kind == message.KindRequestVote {
-		n.Group = v.s.Group()
+		n.Group = v.replica.Group()
 	}
 	v.sent = nil
-	v.carry(v.s.Step(now, n))
+	v.apply(v.replica.Step(now, n))
 	return v.sent
 }
 
-// ask has a candidate that knows of quiet times ask for a term; it returns
+// requestVote has a candidate that knows of quiet times requestVote for a term; it returns
 // how long leases may stand by the replica's promise, or how long it is bound.
-func (v *voter) ask(now time.Duration, from string, epoch, num uint64) (promised bool, left time.Duration) {
+func (v *voter) requestVote(now time.Duration, from string, epoch, num uint64) (promised bool, left time.Duration) {
 	v.t.Helper()
-	out := v.hear(now, from, epoch, message.Message{Kind: message.KindRequestVote, Term: num, Length: int64(whole)})
+	out := v.step(now, from, epoch, message.Message{Kind: message.KindRequestVote, Term: num, Length: int64(fullWait)})
 	if len(out) == 0 {
 		v.t.Fatalf("term %d of %s: no answer", num, from)
 	}
@@ -53,16 +53,16 @@
 	return last.Kind == message.KindGrantVote, time.Duration(last.Length)
 }
 
-// restarted is a voter that starts at 0 and was bound to term 5 of x's life 3.
-func restarted(t *testing.T) *voter {
-	return &voter{t: t, s: New(cfg, 1, three.Replicas[0], nil, Meta{VotedTerm: 5, VotedFor: "x", VotedForEpoch: 3, LastComplete: 5, Group: three}, digest.NewRecords(), 0, false)}
+// restartedVoter is a voter that starts at 0 and was bound to term 5 of x's life 3.
+func restartedVoter(t *testing.T) *voter {
+	return &voter{t: t, replica: New(cfg, 1, three.Replicas[0], nil, Meta{VotedTerm: 5, VotedFor: "x", VotedForEpoch: 3, LastComplete: 5, Group: three}, digest.NewRecords(), 0, false)}
 }
 
-// running is a voter that supported x's life 3 at 10 s for the last time.
-func running(t *testing.T) *voter {
-	v := restarted(t)
+// runningVoter is a voter that supported x's life 3 at 10 s for the last time.
+func runningVoter(t *testing.T) *voter {
+	v := restartedVoter(t)
 	for at := 9 * time.Second; at <= 10*time.Second; at += 250 * time.Millisecond {
-		if out := v.hear(at, "x", 3, message.Message{Kind: message.KindHeartbeat, Term: 5, RequestID: uint64(at)}); len(out) != 1 || out[0].Kind != message.KindHeartbeatAck {
+		if out := v.step(at, "x", 3, message.Message{Kind: message.KindHeartbeat, Term: 5, RequestID: uint64(at)}); len(out) != 1 || out[0].Kind != message.KindHeartbeatAck {
 			t.Fatalf("%+v", out)
 		}
 	}
@@ -73,18 +73,18 @@
 // lease that it may have supported; nor is a message of the leader's same life, or
 // of anybody else's new one, a sign that it is gone.
 func TestARestartedVoterWaits(t *testing.T) {
-	v := restarted(t)
-	v.hear(10*time.Millisecond, "x", 3, message.Message{Kind: message.KindRejectVote})
-	v.hear(20*time.Millisecond, "b", 9, message.Message{Kind: message.KindRejectVote})
-	for _, at := range []time.Duration{30 * time.Millisecond, whole / 2, whole - 1} {
-		if ok, left := v.ask(at, "b", 9, 6); ok || left != whole-at {
+	v := restartedVoter(t)
+	v.step(10*time.Millisecond, "x", 3, message.Message{Kind: message.KindRejectVote})
+	v.step(20*time.Millisecond, "b", 9, message.Message{Kind: message.KindRejectVote})
+	for _, at := range []time.Duration{30 * time.Millisecond, fullWait / 2, fullWait - 1} {
+		if ok, left := v.requestVote(at, "b", 9, 6); ok || left != fullWait-at {
 			t.Errorf("at %v: promised %v, %v left", at, ok, left)
 		}
-		if n := len(v.s.Tick(at).Sends); n > 0 {
+		if n := len(v.replica.Tick(at).Sends); n > 0 {
 			t.Errorf("it stands itself at %v", at)
 		}
 	}
-	if ok, left := v.ask(whole, "b", 9, 6); !ok || left != 0 {
+	if ok, left := v.requestVote(fullWait, "b", 9, 6); !ok || left != 0 {
 		t.Errorf("after the lease: promised %v, leases may stand for %v", ok, left)
 	}
 }
@@ -97,22 +97,22 @@
 		make func(*testing.T) *voter
 		at   time.Duration
 		till time.Duration
-	}{"restarted": {restarted, 300 * time.Millisecond, whole}, "running": {running, last + 300*time.Millisecond, last + whole}} {
+	}{"restarted": {restartedVoter, 300 * time.Millisecond, fullWait}, "running": {runningVoter, last + 300*time.Millisecond, last + fullWait}} {
 		v := x.make(t)
-		v.hear(x.at, "x", 4, message.Message{Kind: message.KindRejectVote})
-		if ok, left := v.ask(x.at+time.Millisecond, "b", 1, 6); !ok || left != x.till-x.at-time.Millisecond {
+		v.step(x.at, "x", 4, message.Message{Kind: message.KindRejectVote})
+		if ok, left := v.requestVote(x.at+time.Millisecond, "b", 1, 6); !ok || left != x.till-x.at-time.Millisecond {
 			t.Errorf("%s: asked by another: promised %v, leases may stand for %v", what, ok, left)
 		}
 		v = x.make(t)
-		if ok, left := v.ask(x.at, "x", 4, 6); !ok || left != x.till-x.at {
+		if ok, left := v.requestVote(x.at, "x", 4, 6); !ok || left != x.till-x.at {
 			t.Errorf("%s: asked by the new life itself: promised %v, leases may stand for %v", what, ok, left)
 		}
 		v = x.make(t) // and a probe finds it free, and it stands itself
-		v.hear(x.at, "x", 4, message.Message{Kind: message.KindRejectVote})
-		if out := v.hear(x.at, "b", 1, message.Message{Kind: message.KindRequestVote, Op: probe, Term: 6, Length: int64(whole)}); len(out) != 1 || out[0].Kind != message.KindGrantVote {
+		v.step(x.at, "x", 4, message.Message{Kind: message.KindRejectVote})
+		if out := v.step(x.at, "b", 1, message.Message{Kind: message.KindRequestVote, Op: opPreVote, Term: 6, Length: int64(fullWait)}); len(out) != 1 || out[0].Kind != message.KindGrantVote {
 			t.Errorf("%s: probed: %+v", what, out)
 		}
-		if n := len(v.s.Tick(x.at + cfg.LeaderLease/4).Sends); n == 0 {
+		if n := len(v.replica.Tick(x.at + cfg.LeaderLease/4).Sends); n == 0 {
 			t.Errorf("%s: it doesn't stand itself", what)
 		}
 	}
@@ -120,15 +120,15 @@
 
 // A candidate of a build that would write at once is promised nothing early.
 func TestNoEarlyPromiseToAnOlderBuild(t *testing.T) {
-	v := running(t)
+	v := runningVoter(t)
 	at := 10*time.Second + 300*time.Millisecond
-	v.hear(at, "x", 4, message.Message{Kind: message.KindRejectVote})
-	for _, op := range []string{probe, ""} {
-		if out := v.hear(at, "b", 1, message.Message{Kind: message.KindRequestVote, Op: op, Term: 6}); len(out) != 1 || out[0].Kind != message.KindRejectVote || out[0].Length != int64(10*time.Second+whole-at) {
+	v.step(at, "x", 4, message.Message{Kind: message.KindRejectVote})
+	for _, op := range []string{opPreVote, ""} {
+		if out := v.step(at, "b", 1, message.Message{Kind: message.KindRequestVote, Op: op, Term: 6}); len(out) != 1 || out[0].Kind != message.KindRejectVote || out[0].Length != int64(10*time.Second+fullWait-at) {
 			t.Errorf("%q: %+v", op, out)
 		}
 	}
-	if out := v.hear(10*time.Second+whole, "b", 1, message.Message{Kind: message.KindRequestVote, Term: 6}); len(out) != 1 || out[0].Kind != message.KindGrantVote {
+	if out := v.step(10*time.Second+fullWait, "b", 1, message.Message{Kind: message.KindRequestVote, Term: 6}); len(out) != 1 || out[0].Kind != message.KindGrantVote {
 		t.Errorf("after the lease: %+v", out)
 	}
 }
@@ -145,12 +145,12 @@
 	}
 	for _, to := range []string{"x", "a"} { // bound to another, or to itself
 		m.VotedFor = to
-		v := &voter{t: t, s: New(cfg, 1, three.Replicas[0], nil, m, digest.NewRecords(), 0, false)}
-		v.hear(time.Millisecond, "x", 99, message.Message{Kind: message.KindRejectVote})
-		if ok, left := v.ask(2*time.Millisecond, "b", 1, 6); ok || left != whole-2*time.Millisecond {
+		v := &voter{t: t, replica: New(cfg, 1, three.Replicas[0], nil, m, digest.NewRecords(), 0, false)}
+		v.step(time.Millisecond, "x", 99, message.Message{Kind: message.KindRejectVote})
+		if ok, left := v.requestVote(2*time.Millisecond, "b", 1, 6); ok || left != fullWait-2*time.Millisecond {
 			t.Errorf("bound to %s: promised %v, %v left", to, ok, left)
 		}
-		if n := len(v.s.Tick(whole - 1).Sends); n > 0 {
+		if n := len(v.replica.Tick(fullWait - 1).Sends); n > 0 {
 			t.Errorf("bound to %s: it stands itself", to)
 		}
 	}
@@ -160,42 +160,42 @@
 // that stand for so long, and b holding its records: a is leader then.
 func (v *voter) elect(now, stand time.Duration) {
 	v.t.Helper()
-	for end := now + 3*time.Second; v.s.mode != asking; now += 10 * time.Millisecond {
+	for end := now + 3*time.Second; v.replica.role != candidate; now += 10 * time.Millisecond {
 		if now > end {
 			v.t.Fatal("it does not stand")
 		}
 		for _, n := range v.tick(now) {
-			if n.Kind == message.KindRequestVote && n.Op == probe && n.To == "b" {
-				if n.Length != int64(whole) {
+			if n.Kind == message.KindRequestVote && n.Op == opPreVote && n.To == "b" {
+				if n.Length != int64(fullWait) {
 					v.t.Errorf("a probe that promises to write nothing for %v", time.Duration(n.Length))
 				}
-				v.self(now, v.hear(now, "b", 1, message.Message{Kind: message.KindGrantVote, Op: probe, Term: v.s.Term(), Group: message.Group{Number: 1}}))
+				v.deliverToSelf(now, v.step(now, "b", 1, message.Message{Kind: message.KindGrantVote, Op: opPreVote, Term: v.replica.Term(), Group: message.Group{Number: 1}}))
 			}
 		}
 	}
-	v.self(now, v.hear(now, "b", 1, message.Message{Kind: message.KindGrantVote, Term: v.s.Term(), Digests: v.s.Records().Digests(), Length: int64(stand), Group: message.Group{Number: 1}}))
-	v.self(now, v.hear(now, "b", 1, message.Message{Kind: message.KindStateInstalled, Term: v.s.Term()}))
-	if !v.s.Leader(now) {
+	v.deliverToSelf(now, v.step(now, "b", 1, message.Message{Kind: message.KindGrantVote, Term: v.replica.Term(), Digests: v.replica.Records().Digests(), Length: int64(stand), Group: message.Group{Number: 1}}))
+	v.deliverToSelf(now, v.step(now, "b", 1, message.Message{Kind: message.KindStateInstalled, Term: v.replica.Term()}))
+	if !v.replica.Leader(now) {
 		v.t.Fatalf("no leader at %v", now)
 	}
 }
 
 func (v *voter) tick(now time.Duration) []message.Message {
 	v.sent = nil
-	v.carry(v.s.Tick(now))
+	v.apply(v.replica.Tick(now))
 	out := v.sent
-	v.self(now, out)
+	v.deliverToSelf(now, out)
 	return out
 }
 
-// self brings the replica its own messages, as control/partition does.
-func (v *voter) self(now time.Duration, list []message.Message) {
+// deliverToSelf brings the replica its own messages, as control/partition does.
+func (v *voter) deliverToSelf(now time.Duration, list []message.Message) {
 	for _, n := range list {
 		if n.To == "a" {
 			n.From, n.Addr, n.Epoch, n.Partition = "a", "a", 1, 1
 			v.sent = nil
-			v.carry(v.s.Step(now, n))
-			v.self(now, v.sent)
+			v.apply(v.replica.Step(now, n))
+			v.deliverToSelf(now, v.sent)
 		}
 	}
 }
@@ -203,19 +203,19 @@
 // A new leader writes nothing for as long as any of its voters says that leases
 // may stand, drift and all; an absurd length is not believed.
 func TestALeaderIsCalmForAsLongAsLeasesStand(t *testing.T) {
-	for stand, want := range map[time.Duration]time.Duration{0: 0, 700 * time.Millisecond: cfg.Wait(700 * time.Millisecond), 1 << 62: cfg.Wait(whole), -time.Hour: 0} {
-		v := restarted(t)
+	for stand, want := range map[time.Duration]time.Duration{0: 0, 700 * time.Millisecond: cfg.Wait(700 * time.Millisecond), 1 << 62: cfg.Wait(fullWait), -time.Hour: 0} {
+		v := restartedVoter(t)
 		v.elect(10*time.Second, stand)
-		if calm := v.s.WritesFrom(); want == 0 && calm != 0 || want > 0 && (calm < 10*time.Second+want || calm > 10*time.Second+want+cfg.LeaderLease) {
+		if calm := v.replica.WritesFrom(); want == 0 && calm != 0 || want > 0 && (calm < 10*time.Second+want || calm > 10*time.Second+want+cfg.LeaderLease) {
 			t.Errorf("leases stand for %v: calm at %v", stand, calm)
 		}
 	}
 	// Its own voice counts like another's: it was bound to x until 11.04 s.
-	v := running(t)
-	v.hear(10*time.Second+100*time.Millisecond, "x", 4, message.Message{Kind: message.KindRejectVote})
+	v := runningVoter(t)
+	v.step(10*time.Second+100*time.Millisecond, "x", 4, message.Message{Kind: message.KindRejectVote})
 	v.elect(10*time.Second+110*time.Millisecond, 0)
-	if calm := v.s.WritesFrom(); calm < 10*time.Second+whole {
-		t.Errorf("calm at %v, though its own voter knew of leases until %v", calm, 10*time.Second+whole)
+	if calm := v.replica.WritesFrom(); calm < 10*time.Second+fullWait {
+		t.Errorf("calm at %v, though its own voter knew of leases until %v", calm, 10*time.Second+fullWait)
 	}
 }
 
@@ -223,25 +223,25 @@
 // gave up, leaves the quiet time to the next one.
 func TestTheQuietTimeIsPassedOn(t *testing.T) {
 	start := func() (*voter, time.Duration) { // b is promised early, for leases under x
-		v := running(t)
-		v.hear(10*time.Second+100*time.Millisecond, "x", 4, message.Message{Kind: message.KindRejectVote})
-		if ok, _ := v.ask(10*time.Second+200*time.Millisecond, "b", 1, 6); !ok {
+		v := runningVoter(t)
+		v.step(10*time.Second+100*time.Millisecond, "x", 4, message.Message{Kind: message.KindRejectVote})
+		if ok, _ := v.requestVote(10*time.Second+200*time.Millisecond, "b", 1, 6); !ok {
 			t.Fatal("not promised")
 		}
 		return v, 10*time.Second + 300*time.Millisecond
 	}
-	stands := 10*time.Second + whole
+	stands := 10*time.Second + fullWait
 	v, at := start()
-	if ok, left := v.ask(at, "b", 1, 7); !ok || left != stands-at {
+	if ok, left := v.requestVote(at, "b", 1, 7); !ok || left != stands-at {
 		t.Errorf("asked again by the same life: promised %v, leases may stand for %v", ok, left)
 	}
 	v, at = start()
-	if ok, _ := v.ask(at, "x", 4, 7); ok {
+	if ok, _ := v.requestVote(at, "x", 4, 7); ok {
 		t.Error("promised to another while the early leader's lease stands")
 	}
 	v, at = start() // b may have granted until its own lease ends, 1.04 s after the promise
-	v.hear(at, "b", 2, message.Message{Kind: message.KindRejectVote})
-	if ok, left := v.ask(at, "x", 4, 7); !ok || left != 10*time.Second+200*time.Millisecond+whole-at {
+	v.step(at, "b", 2, message.Message{Kind: message.KindRejectVote})
+	if ok, left := v.requestVote(at, "x", 4, 7); !ok || left != 10*time.Second+200*time.Millisecond+fullWait-at {
 		t.Errorf("the early leader started anew: promised %v, leases may stand for %v", ok, left)
 	}
 }
@@ -250,36 +250,36 @@
 // nobody if the leader's new life is known, and with the quiet time still told.
 func TestAVoidBindsAsBefore(t *testing.T) {
 	at := 10*time.Second + 100*time.Millisecond
-	v := running(t)
-	v.hear(at, "x", 4, message.Message{Kind: message.KindRejectVote})
-	before := v.s.Meta()
-	if ok, _ := v.ask(at, "b", 1, 6); !ok {
+	v := runningVoter(t)
+	v.step(at, "x", 4, message.Message{Kind: message.KindRejectVote})
+	before := v.replica.Meta()
+	if ok, _ := v.requestVote(at, "b", 1, 6); !ok {
 		t.Fatal("not promised")
 	}
-	v.hear(at, "b", 1, message.Message{Kind: message.KindAbandonTerm, Term: 6})
-	if m := v.s.Meta(); m.VotedTerm != 5 || m.VotedFor != "x" || m.VotedForEpoch != 3 || m.LastComplete != before.LastComplete {
+	v.step(at, "b", 1, message.Message{Kind: message.KindAbandonTerm, Term: 6})
+	if m := v.replica.Meta(); m.VotedTerm != 5 || m.VotedFor != "x" || m.VotedForEpoch != 3 || m.LastComplete != before.LastComplete {
 		t.Errorf("bound to %+v", m)
 	}
-	if ok, left := v.ask(at+time.Millisecond, "x", 4, 7); !ok || left < 10*time.Second+whole-at-time.Millisecond {
+	if ok, left := v.requestVote(at+time.Millisecond, "x", 4, 7); !ok || left < 10*time.Second+fullWait-at-time.Millisecond {
 		t.Errorf("after the void: promised %v, leases may stand for %v", ok, left)
 	}
 
 	// One that waited out the lease supports the leader again, should it be alive.
-	v = running(t)
-	at = 10*time.Second + whole
-	v.ask(at, "b", 1, 6)
-	v.hear(at, "b", 1, message.Message{Kind: message.KindAbandonTerm, Term: 6})
-	if out := v.hear(at, "x", 3, message.Message{Kind: message.KindHeartbeat, Term: 5, RequestID: 1}); len(out) != 1 || out[0].Kind != message.KindHeartbeatAck {
+	v = runningVoter(t)
+	at = 10*time.Second + fullWait
+	v.requestVote(at, "b", 1, 6)
+	v.step(at, "b", 1, message.Message{Kind: message.KindAbandonTerm, Term: 6})
+	if out := v.step(at, "x", 3, message.Message{Kind: message.KindHeartbeat, Term: 5, RequestID: 1}); len(out) != 1 || out[0].Kind != message.KindHeartbeatAck {
 		t.Errorf("after the void: %+v", out)
 	}
 
 	// What it was bound to before is not known any more after a restart: the
 	// void changes nothing, least of all to a lower term.
-	v = running(t)
-	v.ask(at, "b", 1, 6)
-	v.s = New(cfg, 1, three.Replicas[0], nil, v.s.Meta(), digest.NewRecords(), at, false)
-	v.hear(at, "b", 1, message.Message{Kind: message.KindAbandonTerm, Term: 6})
-	if m := v.s.Meta(); m.VotedTerm != 6 || m.VotedFor != "b" {
+	v = runningVoter(t)
+	v.requestVote(at, "b", 1, 6)
+	v.replica = New(cfg, 1, three.Replicas[0], nil, v.replica.Meta(), digest.NewRecords(), at, false)
+	v.step(at, "b", 1, message.Message{Kind: message.KindAbandonTerm, Term: 6})
+	if m := v.replica.Meta(); m.VotedTerm != 6 || m.VotedFor != "b" {
 		t.Errorf("after a restart and a void: bound to %+v", m)
 	}
 }
--- a/control/quorum/folder.go
+++ b/control/quorum/folder.go
@@ -9,8 +9,8 @@
 	"mulleinmast/wire/message"
 )
 
-// history is how many earlier incarnations a folder remembers as its own.
-const history = 8
+// keptIncarnations is how many earlier incarnations a folder remembers as its own.
+const keptIncarnations = 8
 
 // Folder is what the replicas of one daemon share: one data folder, and one
 // incarnation that counts the saves of all of them. So a copy of the folder is
@@ -18,7 +18,7 @@
 type Folder struct {
 	epoch  uint64
 	base   message.SavePoint   // the state that this incarnation started from
-	past   []message.SavePoint // the last state of each earlier incarnation, the latest at the end
+	past   []message.SavePoint // the last state of each earlier incarnation, oldest first; never changed
 	saves  atomic.Uint64       // of this incarnation
 	synced atomic.Uint64       // the latest of them that is known to be on disk
 }
@@ -28,11 +28,11 @@
 // Example: folder := quorum.OpenFolder(epoch, held...)
 func OpenFolder(epoch uint64, held ...Meta) *Folder {
 	f := &Folder{epoch: epoch}
-	last := map[uint64]uint64{}
-	for _, m := range held {
-		for _, s := range append(slices.Clone(m.History), m.State) {
-			if s.Epoch != 0 && s.Epoch != epoch {
-				last[s.Epoch] = max(last[s.Epoch], s.Saves)
+	last := map[uint64]uint64{} // epoch -> saves
+	for _, meta := range held {
+		for _, state := range append(slices.Clone(meta.History), meta.State) {
+			if state.Epoch != 0 && state.Epoch != epoch {
+				last[state.Epoch] = max(last[state.Epoch], state.Saves)
 			}
 		}
 	}
@@ -40,39 +40,39 @@
 		f.past = append(f.past, message.SavePoint{Epoch: epoch, Saves: saves})
 	}
 	slices.SortFunc(f.past, func(a, b message.SavePoint) int { return cmp.Compare(a.Epoch, b.Epoch) })
-	f.past = f.past[max(0, len(f.past)-history):]
+	f.past = f.past[max(0, len(f.past)-keptIncarnations):]
 	if len(f.past) > 0 {
 		f.base = f.past[len(f.past)-1]
 	}
 	return f
 }
 
-// stamp numbers a save.
-func (f *Folder) stamp() message.SavePoint {
+// nextSave numbers a save.
+func (f *Folder) nextSave() message.SavePoint {
 	return message.SavePoint{Epoch: f.epoch, Saves: f.saves.Add(1)}
 }
 
-// onDisk notes that a save is on disk.
-func (f *Folder) onDisk(saves uint64) {
+// noteSynced notes that a save is on disk.
+func (f *Folder) noteSynced(number uint64) {
 	for {
-		was := f.synced.Load()
-		if saves <= was || f.synced.CompareAndSwap(was, saves) {
+		latest := f.synced.Load()
+		if number <= latest || f.synced.CompareAndSwap(latest, number) {
 			return
 		}
 	}
 }
 
-// descends tells whether a state is in the folder's past. A folder that a build
+// descendsFrom tells whether a state is in the folder's past. A folder that a build
 // which doesn't count wrote last claims nothing, nor does one whose past reaches
 // back less far.
-func (f *Folder) descends(from message.SavePoint) bool {
-	if from.Epoch == 0 || f.base.Epoch == 0 {
+func (f *Folder) descendsFrom(state message.SavePoint) bool {
+	if state.Epoch == 0 || f.base.Epoch == 0 {
 		return true
 	}
 	for _, p := range f.past {
-		if p.Epoch == from.Epoch {
-			return from.Saves <= p.Saves
+		if p.Epoch == state.Epoch {
+			return state.Saves <= p.Saves
 		}
 	}
-	return len(f.past) == history && incarnation.Starts(from.Epoch) < incarnation.Starts(f.past[0].Epoch)
+	return len(f.past) == keptIncarnations && incarnation.Starts(state.Epoch) < incarnation.Starts(f.past[0].Epoch)
 }
--- a/control/quorum/incarnation.go
+++ b/control/quorum/incarnation.go
@@ -12,167 +12,190 @@
 // A data folder that was copied, or put back as it was before, makes a voter that
 // has forgotten votes, or two voters of one identity. Replicas see it by this:
 //
-// Each save bears a stamp: the incarnation of the daemon, and the count of its saves.
-// A replica tells its present stamp in each message, and the one that it started
-// from until the other goes by its incarnation. The others remember on disk the
-// incarnation that they go by and its latest stamp; the leader tells the rest of the
-// group what it knows of each.
+// Each save has a save point: the incarnation of the daemon, and the count of its
+// saves. A replica says its present save point in each message, and the one that it
+// started from until the receiver goes by its incarnation. The others remember on
+// disk the incarnation that they go by and its latest save point; the leader tells
+// the rest of the group what it knows of each.
 //
-// A replica counts nothing that comes from an incarnation earlier than the one it
+// A replica takes nothing that comes from an incarnation earlier than the one it
 // goes by, from another one of as many starts, or from a later one that started
-// from an earlier state than is known of it. It tells such a one what it knows. One
-// that is told of an incarnation or a state that isn't in its own past is
+// from an earlier state than is known of it. It answers such a one with what it
+// knows. One that learns of an incarnation or a state that isn't in its own past is
 // superseded: it has no voice any more.
 
-// guard is what a replica knows of incarnations, its own and the others', beside
-// what its Meta keeps.
-type guard struct {
-	folder     *Folder            // none: nothing is told and nobody is judged
-	admitted   map[string]bool    // who goes by this incarnation
-	superseded string             // why this replica has no voice; empty: it has
-	noted      time.Duration      // when what is known of the others was last saved
-	unsaved    bool               // it knows of an incarnation that isn't on its disk
-	changes    uint64             // of what is known of the others
-	told       map[string]uint64  // as leader: up to which change a peer was told
-	telling    map[string]telling // and what it is being told
+// incarnationGuard is what a replica keeps of incarnations, its own and the others',
+// beside what its Meta holds.
+type incarnationGuard struct {
+	folder         *Folder         // nil: nothing is said of incarnations and nobody is judged
+	acknowledgedBy map[string]bool // who goes by this incarnation
+	superseded     string          // why this replica has no voice; empty: it has
+
+	savedAt  time.Duration // when what is known of the others was last saved for its own sake
+	unsaved  bool          // Meta.Peers knows of an incarnation that isn't on the disk
+	versions uint64        // counts the changes of Meta.Peers
+
+	announced  map[string]uint64       // as leader: up to which version a peer knows Meta.Peers
+	announcing map[string]announcement // as leader: what is on its way to a peer
 }
 
-// telling is a round of support that carried what was known then.
-type telling struct{ round, changes uint64 }
+// announcement is a round of heartbeats that carried Meta.Peers as of a version.
+type announcement struct{ round, version uint64 }
+
+// startAnnouncing begins a leadership: nobody has been told anything in it.
+func (g *incarnationGuard) startAnnouncing() {
+	g.announced, g.announcing = map[string]uint64{}, map[string]announcement{}
+}
+
+// noteAnnounced takes a peer's answer to a round of heartbeats.
+func (g *incarnationGuard) noteAnnounced(peer string, round uint64) {
+	if a, ok := g.announcing[peer]; ok && round >= a.round {
+		g.announced[peer] = a.version
+		delete(g.announcing, peer)
+	}
+}
 
-// Superseded tells why this replica has no voice any more, if it hasn't.
+// Superseded tells why this replica has no voice any more; empty: it has.
 //
-// Example: if why := s.Superseded(); why != "" { leave(why) }
-func (s *Replica) Superseded() string { return s.superseded }
+// Example: if why := r.Superseded(); why != "" { leave(why) }
+func (r *Replica) Superseded() string { return r.guard.superseded }
 
 // Supersede takes a replica's voice away: another process or a later state bears
 // its identity.
 //
-// Example: out := s.Supersede("started from a copy of its folder")
-func (s *Replica) Supersede(why string) (o Out) {
-	if s.superseded == "" {
-		s.superseded = why
-		o.Superseded = why
-		s.drop(&o)
+// Example: out := r.Supersede("started from a copy of its folder")
+func (r *Replica) Supersede(why string) (out Out) {
+	if r.guard.superseded == "" {
+		r.guard.superseded = why
+		out.Superseded = why
+		r.stepDown(&out)
 	}
-	return o
+	return out
 }
 
-// knows is what this replica knows of another.
-func (s *Replica) knows(ident string) (p message.PeerIncarnation) {
-	if i := slices.IndexFunc(s.meta.Peers, func(p message.PeerIncarnation) bool { return p.Ident == ident }); i >= 0 {
-		return s.meta.Peers[i]
+// knownPeer is what this replica knows of another.
+func (r *Replica) knownPeer(ident string) message.PeerIncarnation {
+	isIt := func(p message.PeerIncarnation) bool { return p.Ident == ident }
+	if i := slices.IndexFunc(r.meta.Peers, isIt); i >= 0 {
+		return r.meta.Peers[i]
 	}
-	return p
+	return message.PeerIncarnation{}
 }
 
-// note records what is known of another replica. The list is never changed in place:
-// saves that wait for the disk hold it. Daemons that are no replicas go from it.
-func (s *Replica) note(p message.PeerIncarnation) {
-	was := s.knows(p.Ident)
-	if was == p {
+// notePeer records what is known of another replica. The list is never changed in
+// place: saves that wait for the disk hold it. Daemons that are no replicas and no
+// learners leave it.
+func (r *Replica) notePeer(peer message.PeerIncarnation) {
+	before := r.knownPeer(peer.Ident)
+	if before == peer {
 		return
 	}
-	g := s.meta.Group
-	list := slices.DeleteFunc(slices.Clone(s.meta.Peers), func(o message.PeerIncarnation) bool {
-		return o.Ident == p.Ident || g.Number > 0 && !g.Has(o.Ident) && !has(s.learn, o.Ident)
+	group := r.meta.Group
+	others := slices.DeleteFunc(slices.Clone(r.meta.Peers), func(p message.PeerIncarnation) bool {
+		return p.Ident == peer.Ident || group.Number > 0 && !group.Has(p.Ident) && !has(r.learners, p.Ident)
 	})
-	s.meta.Peers = append(list, p)
-	s.changes++
-	s.unsaved = s.unsaved || was.Epoch != p.Epoch
+	r.meta.Peers = append(others, peer)
+	r.guard.versions++
+	r.guard.unsaved = r.guard.unsaved || before.Epoch != peer.Epoch
 }
 
-// trusted tells whether what a message says of us is a replica's word.
-func (s *Replica) trusted(n message.Message) bool {
-	g := s.meta.Group
-	return g.Number > 0 && (g.Has(n.From) || n.Group.Number > g.Number && n.Group.Has(n.From) && n.Group.Has(s.me.Ident))
+// isReplicaOfGroup tells whether what a message says of this replica is the word of
+// a replica of its group, or of a later group that both are in.
+func (r *Replica) isReplicaOfGroup(from message.Sender, group message.Group) bool {
+	own := r.meta.Group
+	isOfLaterGroup := group.Number > own.Number && group.Has(from.Ident) && group.Has(r.self.Ident)
+	return own.Number > 0 && (own.Has(from.Ident) || isOfLaterGroup)
 }
 
-// counts judges a message by the incarnations that it tells of, its sender's and
-// this replica's own; one that doesn't count is answered here.
-func (s *Replica) counts(now time.Duration, n message.Message, o *Out) bool {
-	if s.folder == nil || n.From == s.me.Ident {
-		return s.superseded == ""
+// admits judges a message by what it says of incarnations, its sender's and this
+// replica's own. One that isn't admitted is answered here.
+func (r *Replica) admits(now time.Duration, from message.Sender, claims message.IncarnationClaims, out *Out) bool {
+	if r.guard.folder == nil || from.Ident == r.self.Ident {
+		return r.guard.superseded == ""
 	}
-	if s.superseded != "" {
+	if r.guard.superseded != "" {
 		return false
 	}
-	if n.KnownEpoch != 0 && s.trusted(n) && !s.admittedBy(n, o) {
+	if claims.KnownEpoch != 0 && r.isReplicaOfGroup(from, claims.Group) && !r.isKnownAsItself(from, claims, out) {
 		return false
 	}
-	if incarnation.Starts(n.Epoch) == 0 { // of a build that tells nothing
-		return n.Kind != message.KindIncarnation
+	if incarnation.Starts(claims.Epoch) == 0 { // of a build that says nothing of incarnations
+		return !claims.IsNotice
 	}
-	return s.admit(now, n, o) && n.Kind != message.KindIncarnation
+	return r.admitsSender(now, from, claims, out) && !claims.IsNotice
 }
 
-// admittedBy judges what a peer knows of this replica. One that goes by an earlier
-// incarnation is told of this one first: until then what it says may be meant for
-// a state that this replica has forgotten.
-func (s *Replica) admittedBy(n message.Message, o *Out) bool {
-	switch incarnation.Compare(n.KnownEpoch, s.folder.epoch) {
+// isKnownAsItself judges what a peer knows of this replica, which may supersede it.
+// A peer that goes by an earlier incarnation is told of this one first: until then
+// what it says may be meant for a state that this replica has forgotten.
+func (r *Replica) isKnownAsItself(from message.Sender, claims message.IncarnationClaims, out *Out) bool {
+	ident := from.Ident
+	switch incarnation.Compare(claims.KnownEpoch, r.guard.folder.epoch) {
 	case incarnation.Same:
-		s.admitted[n.From] = true
+		r.guard.acknowledgedBy[ident] = true
 		return true
 	case incarnation.Later:
-		*o = s.Supersede(fmt.Sprintf("%s knows of a later start of this daemon", n.From))
+		*out = r.Supersede(fmt.Sprintf("%s knows of a later start of this daemon", ident))
 		return false
 	case incarnation.Conflict:
-		*o = s.Supersede(fmt.Sprintf("%s knows another process that was started from the same folder", n.From))
+		*out = r.Supersede(fmt.Sprintf("%s knows another process that was started from the same folder", ident))
 		return false
 	}
-	if !s.folder.descends(n.KnownState) {
-		*o = s.Supersede(fmt.Sprintf("%s knows of a later state of this folder, which is an older copy", n.From))
+	if !r.guard.folder.descendsFrom(claims.KnownState) {
+		*out = r.Supersede(fmt.Sprintf("%s knows of a later state of this folder, which is an older copy", ident))
 		return false
 	}
-	delete(s.admitted, n.From)
-	if n.Kind == message.KindIncarnation { // it is answered once its own is judged
+	delete(r.guard.acknowledgedBy, ident)
+	if claims.IsNotice { // it is answered once its own incarnation is judged
 		return true
 	}
-	s.introduce(message.Replica{Ident: n.From, Addr: n.Addr}, o)
+	r.sendNotice(from.Replica, out)
 	return false
 }
 
-// concerns tells whether a message's sender is one whose incarnations are kept:
-// a replica or a standby.
-func (s *Replica) concerns(n message.Message) bool {
-	return s.meta.Group.Number == 0 || s.meta.Group.Has(n.From) || has(s.learn, n.From) || s.trusted(n)
+// isConcerned tells whether a message's sender is one whose incarnations are kept:
+// a replica or a learner.
+func (r *Replica) isConcerned(from message.Sender, group message.Group) bool {
+	return r.meta.Group.Number == 0 || r.meta.Group.Has(from.Ident) || has(r.learners, from.Ident) ||
+		r.isReplicaOfGroup(from, group)
 }
 
-// admit judges a message's sender, and takes in what it tells of itself and, as
-// leader, of others.
-func (s *Replica) admit(now time.Duration, n message.Message, o *Out) bool {
-	if !s.concerns(n) {
+// admitsSender judges a message's sender, and takes in what it says of itself and,
+// as leader, of others.
+func (r *Replica) admitsSender(
+	now time.Duration, from message.Sender, claims message.IncarnationClaims, out *Out,
+) bool {
+	if !r.isConcerned(from, claims.Group) {
 		return true
 	}
-	known := s.knows(n.From)
-	next := message.PeerIncarnation{Ident: n.From, Epoch: n.Epoch, State: known.State}
-	if n.Saves > 0 {
-		next.State = message.SavePoint{Epoch: n.Epoch, Saves: n.Saves}
+	known := r.knownPeer(from.Ident)
+	next := message.PeerIncarnation{Ident: from.Ident, Epoch: claims.Epoch, State: known.State}
+	if claims.Saves > 0 {
+		next.State = message.SavePoint{Epoch: claims.Epoch, Saves: claims.Saves}
 	}
-	switch incarnation.Compare(n.Epoch, known.Epoch) {
+	switch incarnation.Compare(claims.Epoch, known.Epoch) {
 	case incarnation.Same:
-		if known.State.Epoch == n.Epoch {
-			next.State.Saves = max(n.Saves, known.State.Saves)
+		if known.State.Epoch == claims.Epoch {
+			next.State.Saves = max(claims.Saves, known.State.Saves)
 		}
 	case incarnation.Later:
-		if n.State.Epoch != 0 && precedes(n.State, known.State) {
-			s.refuseIncarnation(n, known, o)
+		if claims.StartState.Epoch != 0 && precedes(claims.StartState, known.State) {
+			r.refuseIncarnation(from, known, out)
 			return false
 		}
-		if n.Saves == 0 { // none yet: it is as it started, if it says so
-			next.State = n.State
+		if claims.Saves == 0 { // none yet: it is as it started, if it says so
+			next.State = claims.StartState
 		}
 	default:
-		s.refuseIncarnation(n, known, o)
+		r.refuseIncarnation(from, known, out)
 		return false
 	}
-	s.note(next)
-	for _, p := range n.Peers {
-		s.relayed(p)
+	r.notePeer(next)
+	for _, peer := range claims.Peers {
+		r.noteAnnouncedPeer(peer)
 	}
-	if n.State.Epoch != 0 || n.Kind == message.KindIncarnation && n.KnownEpoch != s.folder.epoch {
-		s.answer(now, message.Replica{Ident: n.From, Addr: n.Addr}, o)
+	if claims.StartState.Epoch != 0 || claims.IsNotice && claims.KnownEpoch != r.guard.folder.epoch {
+		r.answerNewIncarnation(now, from.Replica, out)
 	}
 	return true
 }
@@ -191,107 +214,105 @@
 	return true
 }
 
-// relayed takes in what a leader knows of another replica.
-func (s *Replica) relayed(p message.PeerIncarnation) {
-	known := s.knows(p.Ident)
-	if p.Ident == s.me.Ident || known.Ident == "" && !s.meta.Group.Has(p.Ident) {
+// noteAnnouncedPeer takes in what a leader knows of another replica.
+func (r *Replica) noteAnnouncedPeer(peer message.PeerIncarnation) {
+	known := r.knownPeer(peer.Ident)
+	if peer.Ident == r.self.Ident || known.Ident == "" && !r.meta.Group.Has(peer.Ident) {
 		return
 	}
-	switch incarnation.Compare(p.Epoch, known.Epoch) {
+	switch incarnation.Compare(peer.Epoch, known.Epoch) {
 	case incarnation.Same:
-		if precedes(known.State, p.State) || known.State.Epoch == 0 {
-			s.note(p)
+		if precedes(known.State, peer.State) || known.State.Epoch == 0 {
+			r.notePeer(peer)
 		}
 	case incarnation.Later:
-		s.note(p)
+		r.notePeer(peer)
 	}
 }
 
-// refuseIncarnation tells an incarnation that isn't counted what is known. It goes
-// to where the message came from: its identity may be known elsewhere.
-func (s *Replica) refuseIncarnation(n message.Message, known message.PeerIncarnation, o *Out) {
-	o.Sends = append(o.Sends, message.Envelope{Addr: n.Addr, ExactAddr: true, Message: message.Message{Kind: message.KindIncarnation, Partition: s.partition, To: n.From, KnownEpoch: known.Epoch, KnownState: known.State, Group: s.meta.Group}})
+// refuseIncarnation answers an incarnation that isn't admitted with what is known.
+// It goes to where the message came from: its identity may be known elsewhere.
+func (r *Replica) refuseIncarnation(from message.Sender, known message.PeerIncarnation, out *Out) {
+	notice := message.IncarnationNotice{KnownEpoch: known.Epoch, KnownState: known.State, Group: r.meta.Group}
+	refusal := envelope(from.Replica, notice.Message(r.partition))
+	refusal.ExactAddr = true
+	out.Sends = append(out.Sends, refusal)
 }
 
-// introduce tells a peer which incarnation this is.
-func (s *Replica) introduce(to message.Replica, o *Out) {
-	o.send(to, message.Message{Kind: message.KindIncarnation, Partition: s.partition, Group: s.meta.Group})
+// sendNotice tells a peer which incarnation this is.
+func (r *Replica) sendNotice(to message.Replica, out *Out) {
+	out.send(to, message.IncarnationNotice{Group: r.meta.Group}.Message(r.partition))
 }
 
-// answer tells an incarnation that it is gone by now, and what was asked of it
-// before, which it didn't take.
-func (s *Replica) answer(now time.Duration, to message.Replica, o *Out) {
-	s.introduce(to, o)
-	if !s.meta.Group.Has(to.Ident) {
+// answerNewIncarnation tells an incarnation that this replica goes by it now, and
+// sends again what was asked of it before, which it didn't take.
+func (r *Replica) answerNewIncarnation(now time.Duration, to message.Replica, out *Out) {
+	r.sendNotice(to, out)
+	if !r.meta.Group.Has(to.Ident) {
 		return
 	}
-	switch s.mode {
-	case probing:
-		if !s.probed[to.Ident] {
-			s.askProbe(to, o)
+	switch r.role {
+	case preCandidate:
+		if !r.election.preVotes[to.Ident] {
+			r.requestPreVote(to, out)
 		}
-	case asking:
-		if _, voted := s.votes[to.Ident]; !voted {
-			s.ask(to, o)
+	case candidate:
+		if _, voted := r.election.votes[to.Ident]; !voted {
+			r.requestVote(to, out)
 		}
-	case filling, owning:
-		s.askSupport(to, o)
-		if !s.filled[to.Ident] {
-			s.sendFill(now, to, nil, o)
+	case installing, leader:
+		r.sendHeartbeat(to, out)
+		if !r.copies.installed[to.Ident] {
+			r.sendInstall(now, to, nil, out)
 		}
 	}
 }
 
-// sign has a step's messages tell of incarnations.
-func (s *Replica) sign(o *Out) {
-	if s.folder == nil {
+// claimIncarnations has a step's messages say of incarnations what is known as they leave.
+func (r *Replica) claimIncarnations(out *Out) {
+	if r.guard.folder == nil {
 		return
 	}
-	for i := range o.Sends {
-		n := &o.Sends[i].Message
-		if n.To == s.me.Ident {
+	for i := range out.Sends {
+		m := &out.Sends[i].Message
+		if m.To == r.self.Ident {
 			continue
 		}
-		n.Saves = s.folder.synced.Load()
-		if !s.admitted[n.To] {
-			n.State = s.folder.base
+		m.Saves = r.guard.folder.synced.Load()
+		if !r.guard.acknowledgedBy[m.To] {
+			m.State = r.guard.folder.base
 		}
-		if n.KnownEpoch == 0 {
-			known := s.knows(n.To)
-			if n.KnownEpoch = known.Epoch; n.Kind == message.KindIncarnation {
-				n.KnownState = known.State
-			}
+		if m.KnownEpoch != 0 {
+			continue
+		}
+		known := r.knownPeer(m.To)
+		m.KnownEpoch = known.Epoch
+		if m.Kind == message.KindIncarnation {
+			m.KnownState = known.State
 		}
 	}
 }
 
-// tellPeers has a support carry what is known of the other replicas, until the
-// peer has answered to one that did.
-func (s *Replica) tellPeers(n *message.Message) {
-	if s.folder == nil || n.To == s.me.Ident || s.told[n.To] == s.changes {
-		return
+// announcePeers is what a heartbeat says of the other replicas, until the peer has
+// answered one that did.
+func (r *Replica) announcePeers(to message.Replica) (peers []message.PeerIncarnation) {
+	if r.guard.folder == nil || to.Ident == r.self.Ident || r.guard.announced[to.Ident] == r.guard.versions {
+		return nil
 	}
-	for _, p := range s.meta.Peers {
-		if p.Ident != n.To && s.meta.Group.Has(p.Ident) {
-			n.Peers = append(n.Peers, p)
+	for _, peer := range r.meta.Peers {
+		if peer.Ident != to.Ident && r.meta.Group.Has(peer.Ident) {
+			peers = append(peers, peer)
 		}
 	}
-	s.telling[n.To] = telling{s.round, s.changes}
-}
-
-// heardPeers takes a peer's answer to a support.
-func (s *Replica) heardPeers(n message.Message) {
-	if t, ok := s.telling[n.From]; ok && n.ResponseTo >= t.round {
-		s.told[n.From] = t.changes
-		delete(s.telling, n.From)
-	}
+	r.guard.announcing[to.Ident] = announcement{r.lease.round, r.guard.versions}
+	return peers
 }
 
-// notePeers saves what is known of the others once it says of another incarnation;
-// how far each came goes to the disk with the next save.
-func (s *Replica) notePeers(now time.Duration, o *Out) {
-	if s.unsaved && now-s.noted >= s.cfg.HeartbeatInterval && s.meta.Group.Number > 0 {
-		s.noted = now
-		s.save(o, nil, nil)
+// savePeerIncarnations saves what is known of the others once it says of another
+// incarnation; how far each came goes to the disk with the next save.
+func (r *Replica) savePeerIncarnations(now time.Duration, out *Out) {
+	if r.guard.unsaved && now-r.guard.savedAt >= r.cfg.HeartbeatInterval && r.meta.Group.Number > 0 {
+		r.guard.savedAt = now
+		r.save(out, nil, nil)
 	}
 }
--- a/control/quorum/incarnation_test.go
+++ b/control/quorum/incarnation_test.go
@@ -10,33 +10,33 @@
 	"mulleinmast/wire/message"
 )
 
-// guarded is replica a of three with a folder, and its peer b as the test plays it.
-type guarded struct {
-	t    *testing.T
-	s    *Replica
-	now  time.Duration
-	meta Meta
+// guardedReplica is replica a of three with a folder, and its peer b as the test plays it.
+type guardedReplica struct {
+	t       *testing.T
+	replica *Replica
+	now     time.Duration
+	meta    Meta
 }
 
 const (
-	first  = 1<<32 + 11 // starts of b, each with its nonce
-	twin   = 1<<32 + 12
-	second = 2<<32 + 5
+	first     = 1<<32 + 11 // starts of b, each with its nonce
+	firstTwin = 1<<32 + 12
+	second    = 2<<32 + 5
 )
 
-func openGuarded(t *testing.T, epoch uint64, m Meta) *guarded {
+func openGuarded(t *testing.T, epoch uint64, m Meta) *guardedReplica {
 	m.Group = three
-	return &guarded{t: t, s: New(cfg, 1, three.Replicas[0], OpenFolder(epoch, m), m, digest.NewRecords(), 0, false), meta: m}
+	return &guardedReplica{t: t, replica: New(cfg, 1, three.Replicas[0], OpenFolder(epoch, m), m, digest.NewRecords(), 0, false), meta: m}
 }
 
-// hear hands a message of b over, and gives what a says to b.
-func (g *guarded) hear(n message.Message) (out []message.Message) {
+// step hands a message of b over, and gives what a says to b.
+func (g *guardedReplica) step(n message.Message) (out []message.Message) {
 	n.From, n.Addr, n.To, n.Partition = "b", "b", "a", 1
 	g.now += time.Millisecond
-	o := g.s.Step(g.now, n)
+	o := g.replica.Step(g.now, n)
 	for _, v := range o.Saves {
 		g.meta = v.Meta
-		saved := g.s.Saved(v.Ticket)
+		saved := g.replica.Saved(v.Ticket)
 		o.Sends = append(o.Sends, saved.Sends...)
 	}
 	for _, s := range o.Sends {
@@ -47,8 +47,8 @@
 	return out
 }
 
-// answers counts those of a kind.
-func answers(list []message.Message, kind message.Kind) (n int) {
+// countKind counts those of a kind.
+func countKind(list []message.Message, kind message.Kind) (n int) {
 	for _, m := range list {
 		if m.Kind == kind {
 			n++
@@ -57,8 +57,8 @@
 	return n
 }
 
-func askOf(epoch, known uint64, base message.SavePoint) message.Message {
-	return message.Message{Kind: message.KindRequestVote, Op: probe, Epoch: epoch, Term: 9, Group: three, KnownEpoch: known, State: base, Saves: 0}
+func preVoteRequest(epoch, known uint64, base message.SavePoint) message.Message {
+	return message.Message{Kind: message.KindRequestVote, Op: opPreVote, Epoch: epoch, Term: 9, Group: three, KnownEpoch: known, State: base, Saves: 0}
 }
 
 // What counts of an incarnation, and what it is told that doesn't.
@@ -72,23 +72,23 @@
 		counts bool
 	}{
 		{"the one that is known", first, message.SavePoint{}, true},
-		{"another one of as many starts", twin, message.SavePoint{}, false},
+		{"another one of as many starts", firstTwin, message.SavePoint{}, false},
 		{"an earlier one", 0<<32 + 3, message.SavePoint{}, true}, // of a build that tells nothing: it is judged as before
 		{"a later one from the latest state", second, heard, true},
 		{"a later one from a later state", second, message.SavePoint{Epoch: first, Saves: 9}, true},
 		{"a later one from an earlier state", second, message.SavePoint{Epoch: first, Saves: 4}, false},
-		{"a later one from a copy's state", second, message.SavePoint{Epoch: twin, Saves: 50}, false},
+		{"a later one from a copy's state", second, message.SavePoint{Epoch: firstTwin, Saves: 50}, false},
 		{"a later one that an older build wrote last", second, message.SavePoint{}, true},
 	} {
 		g := openGuarded(t, me, Meta{Peers: []message.PeerIncarnation{{Ident: "b", Epoch: first, State: heard}}})
-		out := g.hear(askOf(x.epoch, me, x.base))
-		if got := answers(out, message.KindGrantVote)+answers(out, message.KindRejectVote) > 0; got != x.counts {
+		out := g.step(preVoteRequest(x.epoch, me, x.base))
+		if got := countKind(out, message.KindGrantVote)+countKind(out, message.KindRejectVote) > 0; got != x.counts {
 			t.Errorf("%s: counted %v: %+v", x.what, got, out)
 		}
 		if x.counts {
 			continue
 		}
-		if answers(out, message.KindIncarnation) != 1 || out[0].KnownEpoch != first || out[0].KnownState != heard {
+		if countKind(out, message.KindIncarnation) != 1 || out[0].KnownEpoch != first || out[0].KnownState != heard {
 			t.Errorf("%s: isn't told what is known: %+v", x.what, out)
 		}
 	}
@@ -114,17 +114,17 @@
 	} {
 		g := openGuarded(t, me, past)
 		x.n.Kind, x.n.Epoch = message.KindIncarnation, first
-		g.hear(x.n)
-		if why := g.s.Superseded(); (why == "") != (x.why == "") || !strings.Contains(why, x.why) {
+		g.step(x.n)
+		if why := g.replica.Superseded(); (why == "") != (x.why == "") || !strings.Contains(why, x.why) {
 			t.Errorf("%s: %q", x.what, why)
 		}
 		if x.why == "" {
 			continue
 		}
-		if out := g.hear(askOf(first, me, message.SavePoint{})); len(out) > 0 {
+		if out := g.step(preVoteRequest(first, me, message.SavePoint{})); len(out) > 0 {
 			t.Errorf("%s: and it says %+v", x.what, out)
 		}
-		if o := g.s.Tick(time.Hour); len(o.Sends)+len(o.Saves) > 0 {
+		if o := g.replica.Tick(time.Hour); len(o.Sends)+len(o.Saves) > 0 {
 			t.Errorf("%s: and it goes on: %+v", x.what, o)
 		}
 	}
@@ -134,8 +134,8 @@
 func TestAStrangerSupersedesNobody(t *testing.T) {
 	g := openGuarded(t, 7<<32+1, Meta{})
 	n := message.Message{Kind: message.KindIncarnation, From: "stranger", Addr: "s", To: "a", Epoch: first, KnownEpoch: 9 << 32, Group: three}
-	g.s.Step(g.now, n)
-	if why := g.s.Superseded(); why != "" {
+	g.replica.Step(g.now, n)
+	if why := g.replica.Superseded(); why != "" {
 		t.Errorf("superseded: %s", why)
 	}
 }
@@ -147,11 +147,11 @@
 	const was, me = 6<<32 + 4, 7<<32 + 1
 	base := message.SavePoint{Epoch: was, Saves: 20}
 	g := openGuarded(t, me, Meta{State: base})
-	out := g.hear(askOf(first, was, message.SavePoint{}))
+	out := g.step(preVoteRequest(first, was, message.SavePoint{}))
 	if len(out) != 1 || out[0].Kind != message.KindIncarnation || out[0].State != base {
 		t.Fatalf("asked of an earlier incarnation: %+v", out)
 	}
-	if out = g.hear(askOf(first, me, message.SavePoint{})); answers(out, message.KindRejectVote)+answers(out, message.KindGrantVote) != 1 {
+	if out = g.step(preVoteRequest(first, me, message.SavePoint{})); countKind(out, message.KindRejectVote)+countKind(out, message.KindGrantVote) != 1 {
 		t.Errorf("asked of this one: %+v", out)
 	}
 }
@@ -161,15 +161,15 @@
 	const me = 7<<32 + 1
 	g := openGuarded(t, me, Meta{Peers: []message.PeerIncarnation{{Ident: "b", Epoch: first}}})
 	var asked int
-	for ; asked == 0 && g.now < 10*whole; g.now += 20 * time.Millisecond {
-		for _, s := range g.s.Tick(g.now).Sends {
+	for ; asked == 0 && g.now < 10*fullWait; g.now += 20 * time.Millisecond {
+		for _, s := range g.replica.Tick(g.now).Sends {
 			if s.Message.To == "b" && s.Message.Kind == message.KindRequestVote {
 				asked++
 			}
 		}
 	}
-	out := g.hear(message.Message{Kind: message.KindIncarnation, Epoch: second, KnownEpoch: first, State: message.SavePoint{Epoch: first, Saves: 2}})
-	if answers(out, message.KindIncarnation) != 1 || answers(out, message.KindRequestVote) != 1 || out[0].KnownEpoch != second {
+	out := g.step(message.Message{Kind: message.KindIncarnation, Epoch: second, KnownEpoch: first, State: message.SavePoint{Epoch: first, Saves: 2}})
+	if countKind(out, message.KindIncarnation) != 1 || countKind(out, message.KindRequestVote) != 1 || out[0].KnownEpoch != second {
 		t.Errorf("a peer that started anew while it was asked: %+v", out)
 	}
 }
@@ -178,9 +178,9 @@
 // saved, and of no daemon that is no replica.
 func TestWhatIsKnownOfOthersIsSaved(t *testing.T) {
 	g := openGuarded(t, 7<<32+1, Meta{})
-	g.hear(message.Message{Kind: message.KindRejectVote, Epoch: first, KnownEpoch: 7<<32 + 1, Saves: 4})
-	g.s.Step(g.now, message.Message{Kind: message.KindRejectVote, From: "stranger", Addr: "s", To: "a", Epoch: first})
-	o := g.s.Tick(g.now + cfg.HeartbeatInterval)
+	g.step(message.Message{Kind: message.KindRejectVote, Epoch: first, KnownEpoch: 7<<32 + 1, Saves: 4})
+	g.replica.Step(g.now, message.Message{Kind: message.KindRejectVote, From: "stranger", Addr: "s", To: "a", Epoch: first})
+	o := g.replica.Tick(g.now + cfg.HeartbeatInterval)
 	if len(o.Saves) != 1 {
 		t.Fatalf("%d saves", len(o.Saves))
 	}
@@ -188,7 +188,7 @@
 	if len(m.Peers) != 1 || m.Peers[0] != (message.PeerIncarnation{Ident: "b", Epoch: first, State: message.SavePoint{Epoch: first, Saves: 4}}) {
 		t.Errorf("saved: %+v", m.Peers)
 	}
-	if o = g.s.Tick(g.now + 3*cfg.HeartbeatInterval); len(o.Saves) != 0 {
+	if o = g.replica.Tick(g.now + 3*cfg.HeartbeatInterval); len(o.Saves) != 0 {
 		t.Errorf("saved again: %+v", o.Saves)
 	}
 }
@@ -197,23 +197,23 @@
 func TestALeaderTellsOfTheOthers(t *testing.T) {
 	w := newTrio(t)
 	for i, replica := range three.Replicas { // with folders
-		m := w.by[replica.Ident]
-		m.s = New(cfg, 1, replica, OpenFolder(incarnation.Number(1, uint32(i+1)), m.meta), m.meta, digest.NewRecords(), 0, false)
+		m := w.members[replica.Ident]
+		m.replica = New(cfg, 1, replica, OpenFolder(incarnation.Number(1, uint32(i+1)), m.meta), m.meta, digest.NewRecords(), 0, false)
 	}
-	w.epochs = true
-	w.pass(3*time.Second, false)
+	w.hasEpochs = true
+	w.advance(3*time.Second, false)
 	lead := w.leader()
 	w.write(lead)
-	w.pass(time.Second, false)
+	w.advance(time.Second, false)
 	for _, r := range three.Replicas {
 		for _, o := range three.Replicas {
-			if known := w.by[r.Ident].s.knows(o.Ident); o.Ident != r.Ident && (known.Epoch == 0 || known.State.Saves == 0) {
+			if known := w.members[r.Ident].replica.knownPeer(o.Ident); o.Ident != r.Ident && (known.Epoch == 0 || known.State.Saves == 0) {
 				t.Errorf("%s, led by %s, knows of %s: %+v", r.Ident, lead, o.Ident, known)
 			}
 		}
 	}
 	o := Out{}
-	w.by[lead].s.beat(w.now, &o)
+	w.members[lead].replica.sendHeartbeats(w.now, &o)
 	for _, s := range o.Sends {
 		if len(s.Message.Peers) > 0 {
 			t.Errorf("%s is told again: %+v", s.Message.To, s.Message.Peers)
@@ -224,11 +224,11 @@
 // A folder's past is that of all its replicas, its last incarnations only.
 func TestAFoldersPast(t *testing.T) {
 	var held []Meta
-	for n := uint64(1); n <= history+3; n++ {
+	for n := uint64(1); n <= keptIncarnations+3; n++ {
 		held = append(held, Meta{State: message.SavePoint{Epoch: n << 32, Saves: n}, History: []message.SavePoint{{Epoch: 1 << 32, Saves: 99}}})
 	}
 	f := OpenFolder(50<<32, held...)
-	if len(f.past) != history || f.base != (message.SavePoint{Epoch: (history + 3) << 32, Saves: history + 3}) {
+	if len(f.past) != keptIncarnations || f.base != (message.SavePoint{Epoch: (keptIncarnations + 3) << 32, Saves: keptIncarnations + 3}) {
 		t.Fatalf("past %v, base %v", f.past, f.base)
 	}
 	for _, x := range []struct {
@@ -241,7 +241,7 @@
 		{message.SavePoint{Epoch: 5<<32 + 1, Saves: 1}, false},
 		{message.SavePoint{}, true},
 	} {
-		if f.descends(x.state) != x.is {
+		if f.descendsFrom(x.state) != x.is {
 			t.Errorf("%v is in its past: %v", x.state, !x.is)
 		}
 	}
--- a/control/quorum/lives_test.go
+++ b/control/quorum/lives_test.go
@@ -30,17 +30,17 @@
 				switch {
 				case n.To == "a":
 					carry(s.Step(now, n))
-				case n.To == "b" && n.Kind == message.KindRequestVote && n.Op == probe:
-					carry(s.Step(now, message.Message{Kind: message.KindGrantVote, Op: probe, From: "b", Addr: "b", Epoch: 1, Term: n.Term, Group: message.Group{Number: three.Number}}))
+				case n.To == "b" && n.Kind == message.KindRequestVote && n.Op == opPreVote:
+					carry(s.Step(now, message.Message{Kind: message.KindGrantVote, Op: opPreVote, From: "b", Addr: "b", Epoch: 1, Term: n.Term, Group: message.Group{Number: three.Number}}))
 				case n.To == "b" && n.Kind == message.KindRequestVote:
 					carry(s.Step(now, message.Message{Kind: message.KindGrantVote, From: "b", Addr: "b", Epoch: 1, Term: n.Term, ResponseTo: x.life, LastComplete: 5, Digests: digest.NewRecords().Digests(), Group: three}))
 				}
 			}
 		}
-		for ; s.Meta().CandidateTerm == 0 && now < 10*whole; now += 20 * time.Millisecond {
+		for ; s.Meta().CandidateTerm == 0 && now < 10*fullWait; now += 20 * time.Millisecond {
 			carry(s.Tick(now))
 		}
-		if won := s.mode == filling || s.mode == owning; won != x.won {
+		if won := s.role == installing || s.role == leader; won != x.won {
 			t.Errorf("promised to %s: won %v", x.what, won)
 		}
 	}
@@ -48,9 +48,9 @@
 
 // A promise says which life of the candidate it is for.
 func TestAPromiseNamesTheLifeThatAsked(t *testing.T) {
-	v := running(t)
-	at := 10*time.Second + whole
-	out := v.hear(at, "b", 7, message.Message{Kind: message.KindRequestVote, Term: 6, Length: int64(whole)})
+	v := runningVoter(t)
+	at := 10*time.Second + fullWait
+	out := v.step(at, "b", 7, message.Message{Kind: message.KindRequestVote, Term: 6, Length: int64(fullWait)})
 	if n := len(out); n == 0 || out[n-1].Kind != message.KindGrantVote || out[n-1].ResponseTo != 7 {
 		t.Errorf("asked by life 7: %+v", out)
 	}
@@ -59,14 +59,14 @@
 // A void of an earlier life does not free a voter from what it promised to the
 // next one under the same term.
 func TestAVoidOfAnEarlierLife(t *testing.T) {
-	v := running(t)
-	at := 10*time.Second + whole
-	v.ask(at, "b", 1, 6)
-	if ok, _ := v.ask(at, "b", 2, 6); !ok {
+	v := runningVoter(t)
+	at := 10*time.Second + fullWait
+	v.requestVote(at, "b", 1, 6)
+	if ok, _ := v.requestVote(at, "b", 2, 6); !ok {
 		t.Fatal("not promised to the next life")
 	}
-	v.hear(at, "b", 1, message.Message{Kind: message.KindAbandonTerm, Term: 6})
-	if m := v.s.Meta(); m.VotedTerm != 6 || m.VotedFor != "b" || m.VotedForEpoch != 2 {
+	v.step(at, "b", 1, message.Message{Kind: message.KindAbandonTerm, Term: 6})
+	if m := v.replica.Meta(); m.VotedTerm != 6 || m.VotedFor != "b" || m.VotedForEpoch != 2 {
 		t.Errorf("after a void of life 1: bound to %+v", m)
 	}
 }
--- a/control/quorum/quorum_test.go
+++ b/control/quorum/quorum_test.go
@@ -11,58 +11,58 @@
 
 var cfg = Config{LeaderLease: time.Second, Drift: 0.02, Margin: 20 * time.Millisecond, HeartbeatInterval: 333 * time.Millisecond}
 
-// alone is a group of one, with messages to itself and saves carried out at once.
-type alone struct {
-	s    *Replica
-	now  time.Duration
-	done []WriteResult
-	drop []string
+// single is a group of one, with messages to itself and saves carried out at once.
+type single struct {
+	replica *Replica
+	now     time.Duration
+	results []WriteResult
+	deleted []string
 }
 
-func (a *alone) carry(o Out) {
-	a.done = append(a.done, o.Results...)
+func (a *single) apply(o Out) {
+	a.results = append(a.results, o.Results...)
 	for _, v := range o.Saves {
-		a.drop = append(a.drop, v.Delete...)
-		a.carry(a.s.Saved(v.Ticket))
+		a.deleted = append(a.deleted, v.Delete...)
+		a.apply(a.replica.Saved(v.Ticket))
 	}
 	for _, m := range o.Sends {
 		m.Message.From, m.Message.Addr = "a", "x"
-		a.carry(a.s.Step(a.now, m.Message))
+		a.apply(a.replica.Step(a.now, m.Message))
 	}
 }
 
-func leader(t *testing.T) *alone {
-	a := &alone{}
+func newSingleLeader(t *testing.T) *single {
+	a := &single{}
 	g := message.Group{Number: 1, Replicas: []message.Replica{{Ident: "a", Addr: "x"}}}
-	a.s = New(cfg, 1, g.Replicas[0], nil, Meta{Group: g}, digest.NewRecords(), 0, false)
+	a.replica = New(cfg, 1, g.Replicas[0], nil, Meta{Group: g}, digest.NewRecords(), 0, false)
 	for ; a.now < 3*time.Second; a.now += 20 * time.Millisecond {
-		a.carry(a.s.Tick(a.now))
-		if a.s.Leader(a.now) && a.now < cfg.Wait(cfg.LeaderLease) {
+		a.apply(a.replica.Tick(a.now))
+		if a.replica.Leader(a.now) && a.now < cfg.Wait(cfg.LeaderLease) {
 			t.Fatal("a restarted replica became leader before a full lease had passed")
 		}
 	}
-	if !a.s.Leader(a.now) {
+	if !a.replica.Leader(a.now) {
 		t.Fatal("no leader")
 	}
 	return a
 }
 
 func TestFloorLetsOldRecordsGo(t *testing.T) {
-	a := leader(t)
+	a := newSingleLeader(t)
 	put := func(key string, val []byte) {
-		o, _ := a.s.Write(a.now, 1, []message.Record{{Key: key, Value: val}})
-		a.carry(o)
+		o, _ := a.replica.Write(a.now, 1, []message.Record{{Key: key, Value: val}})
+		a.apply(o)
 	}
 	put("once/old", nil)
 	put("plan/old", nil)
-	mark, _ := json.Marshal(a.s.LastWritten())
+	mark, _ := json.Marshal(a.replica.LastWritten())
 	put("once/new", nil)
 	put(FloorKey, mark)
-	if len(a.done) != 4 || len(a.drop) != 1 || a.drop[0] != "once/old" {
-		t.Errorf("done %v, dropped %v", a.done, a.drop)
+	if len(a.results) != 4 || len(a.deleted) != 1 || a.deleted[0] != "once/old" {
+		t.Errorf("done %v, dropped %v", a.results, a.deleted)
 	}
 	for key, want := range map[string]bool{"once/old": false, "once/new": true, "plan/old": true} {
-		if _, ok := a.s.Records().Get(key); ok != want {
+		if _, ok := a.replica.Records().Get(key); ok != want {
 			t.Errorf("%s kept: %v", key, ok)
 		}
 	}
@@ -71,19 +71,19 @@
 // A leader whose renewals are not heard is none when its lease ends, and says
 // of a write that it does not know.
 func TestLapsedLeaderDoesNotKnow(t *testing.T) {
-	a := leader(t)
-	o, _ := a.s.Write(a.now, 7, []message.Record{{Key: "k"}})
-	lease := a.s.LeaseEnd()
-	if a.s.Leader(lease) {
+	a := newSingleLeader(t)
+	o, _ := a.replica.Write(a.now, 7, []message.Record{{Key: "k"}})
+	lease := a.replica.LeaseEnd()
+	if a.replica.Leader(lease) {
 		t.Error("leader at the instant its lease ends")
 	}
-	out := a.s.Tick(lease)
+	out := a.replica.Tick(lease)
 	if !out.Lost || len(out.Results) != 1 || out.Results[0] != (WriteResult{7, Uncertain}) {
 		t.Errorf("%+v", out)
 	}
 	a.now = lease
-	a.carry(o) // the write's own messages come late
-	for _, d := range a.done {
+	a.apply(o) // the write's own messages come late
+	for _, d := range a.results {
 		if d.Tag == 7 && d.Outcome == Committed {
 			t.Error("acknowledged after the lease")
 		}
--- a/control/quorum/repair.go
+++ b/control/quorum/repair.go
@@ -1,104 +1,140 @@
 package quorum
 
 import (
-	"strings"
 	"time"
 
 	"mulleinmast/control/digest"
 	"mulleinmast/wire/message"
 )
 
-// Copies of one group that hold the same term are compared in the
-// background, at a steady low rate and not beside writes: the leader sends its
+// Repair: copies of one group that hold the same term are compared in the
+// background, at a steady low rate and not beside writes. The leader sends its
 // digests, a replica whose copy differs sends its own, the leader sends what it
-// has in the ranges that differ. The newer version wins. Nothing of this
-// counts as a vote, and no copy is raised above the leader's term.
+// has in the ranges that differ. The newer version wins. Nothing of this counts as
+// a vote, and no copy is raised above the leader's term.
 
-const compare = "compare"
-
-// every is how many leader leases pass between two looks at one replica, and how
-// many a replica may stay bound to a term above the leader's, with no copy kept
-// up, before the leader takes a higher one.
-const every = 8
-
-func (s *Replica) repair(now time.Duration, o *Out) {
-	if s.mode != owning || len(s.writes) > 0 {
+// compareCopies begins a comparison with each replica whose last is long ago.
+func (r *Replica) compareCopies(now time.Duration, out *Out) {
+	if r.role != leader || len(r.replication.pending) > 0 {
 		return
 	}
-	for _, replica := range s.peers() {
-		if !s.filled[replica.Ident] || replica.Ident == s.me.Ident {
+	for _, peer := range r.peers() {
+		if !r.copies.installed[peer.Ident] || peer.Ident == r.self.Ident {
 			continue
 		}
-		if at, ok := s.seenAt[replica.Ident]; ok && now-at < every*s.cfg.LeaderLease {
+		at, compared := r.copies.comparedAt[peer.Ident]
+		if compared && now-at < repairLeases*r.cfg.LeaderLease {
 			continue
-		} else if s.seenAt[replica.Ident] = now; !ok {
-			continue // it was filled just now
 		}
-		o.send(replica, message.Message{Kind: message.KindInstallState, Op: compare, Partition: s.partition, Term: s.num, Digests: s.records.Digests(), Group: s.meta.Group})
+		r.copies.comparedAt[peer.Ident] = now
+		if !compared {
+			continue // it was installed just now
+		}
+		out.send(peer, message.InstallState{
+			Term: r.term, Purpose: message.InstallForRepair, Digests: r.records.Digests(), Group: r.meta.Group,
+		}.Message(r.partition))
 	}
 }
 
-// compared is a replica's side: its digests, or what the leader sent taken in.
-func (s *Replica) compared(from message.Replica, n message.Message, o *Out) {
-	if n.Ranges == nil {
-		if len(digest.DifferingRanges(s.records.Digests(), n.Digests)) > 0 {
-			o.send(from, message.Message{Kind: message.KindStateMismatch, Op: compare, Partition: s.partition, Term: n.Term, Digests: s.records.Digests()})
-		} else if n.RequestID > 0 { // the leader waits for this copy
-			s.put(o, Save{}, message.Envelope{Addr: from.Addr, Message: message.Message{Kind: message.KindStateInstalled, Op: compare, Partition: s.partition, Term: n.Term, ResponseTo: n.RequestID, To: from.Ident}})
-		}
+// answerRepair is a replica's side of a comparison: it answers with its digests, or
+// takes in what the leader sent and answers with what it holds that is newer.
+func (r *Replica) answerRepair(from message.Sender, m message.InstallState, out *Out) {
+	if m.Ranges == nil {
+		r.answerComparison(from, m, out)
+		return
+	}
+	accepted, newer := r.takeRepair(m)
+	deleted, unknown := r.deleteStray(m)
+	done := message.StateInstalled{
+		Term: m.Term, Purpose: message.InstallForRepair, ResponseTo: m.RequestID, Records: append(newer, unknown...),
+	}
+	r.put(out, Save{Records: accepted, Delete: deleted}, envelope(from.Replica, done.Message(r.partition)))
+}
+
+// answerComparison answers where only digests were sent.
+func (r *Replica) answerComparison(from message.Sender, m message.InstallState, out *Out) {
+	if len(digest.DifferingRanges(r.records.Digests(), m.Digests)) > 0 {
+		out.send(from.Replica, message.StateMismatch{
+			Term: m.Term, Purpose: message.InstallForRepair, Digests: r.records.Digests(),
+		}.Message(r.partition))
 		return
 	}
-	theirs := map[string]message.Record{}
-	var recs, newer []message.Record
-	for _, r := range n.Records {
-		theirs[r.Key] = r
-		own, ok := s.records.Get(r.Key)
+	if m.RequestID > 0 { // the leader waits for this copy
+		done := message.StateInstalled{Term: m.Term, Purpose: message.InstallForRepair, ResponseTo: m.RequestID}
+		r.put(out, Save{}, envelope(from.Replica, done.Message(r.partition)))
+	}
+}
+
+// takeRepair takes the records that the leader's copy has newer, and gives them and
+// those that are newer here. A record of a term above the leader's is nobody's.
+func (r *Replica) takeRepair(m message.InstallState) (accepted, newer []message.Record) {
+	for _, rec := range m.Records {
+		own, ok := r.records.Get(rec.Key)
 		switch {
-		case !ok || own.Version.Less(r.Version) || own.Version.Term > n.Term || own.Version == r.Version && digest.Fingerprint(own) != digest.Fingerprint(r):
-			s.records.Put(r)
-			recs = append(recs, r)
-		case r.Version.Less(own.Version):
+		case !ok || own.Version.Less(rec.Version) || own.Version.Term > m.Term || isSpoilt(own, rec):
+			r.records.Put(rec)
+			accepted = append(accepted, rec)
+		case rec.Version.Less(own.Version):
 			newer = append(newer, own)
 		}
 	}
-	var gone []string
-	floor := floorOf(s.records)
-	for _, sp := range n.Ranges {
-		for own := range s.records.InRange(sp) {
-			if _, ok := theirs[own.Key]; ok {
-				continue
-			}
-			if strings.HasPrefix(own.Key, FloorPrefix) && own.Version.Less(floor) || own.Version.Term > n.Term {
-				gone = append(gone, own.Key)
-			} else {
-				newer = append(newer, own)
+	return accepted, newer
+}
+
+// isSpoilt tells whether two records of one version differ: no version is written twice.
+func isSpoilt(own, rec message.Record) bool {
+	return own.Version == rec.Version && digest.Fingerprint(own) != digest.Fingerprint(rec)
+}
+
+// deleteStray deletes what the leader lacks in the ranges that it sent and that
+// nothing can have written, and gives the keys, and the records that it may lack
+// itself.
+func (r *Replica) deleteStray(m message.InstallState) (deleted []string, unknown []message.Record) {
+	sent := map[string]bool{}
+	for _, rec := range m.Records {
+		sent[rec.Key] = true
+	}
+	floor := floorOf(r.records)
+	for _, span := range m.Ranges {
+		for own := range r.records.InRange(span) {
+			switch {
+			case sent[own.Key]:
+			case isBelow(own, floor) || own.Version.Term > m.Term:
+				deleted = append(deleted, own.Key)
+			default:
+				unknown = append(unknown, own)
 			}
 		}
 	}
-	for _, k := range gone {
-		s.records.Delete(k)
+	for _, key := range deleted {
+		r.records.Delete(key)
 	}
-	s.put(o, Save{Records: recs, Delete: gone}, message.Envelope{Addr: from.Addr, Message: message.Message{Kind: message.KindStateInstalled, Op: compare, Partition: s.partition, Term: n.Term, ResponseTo: n.RequestID, Records: newer, To: from.Ident}})
+	return deleted, unknown
 }
 
-// mend sends a replica what the leader has in the ranges that differ.
-func (s *Replica) mend(to message.Replica, digs []uint64, o *Out) {
-	spans := digest.DifferingRanges(s.records.Digests(), digs)
-	if s.mode != owning || len(s.writes) > 0 && s.behind[to.Ident] == nil || len(spans) == 0 {
+// sendRepair sends a replica what the leader has in the ranges that differ.
+func (r *Replica) sendRepair(to message.Replica, digests []uint64, out *Out) {
+	ranges := digest.DifferingRanges(r.records.Digests(), digests)
+	isBesideWrites := len(r.replication.pending) > 0 && r.copies.lagging[to.Ident] == nil
+	if r.role != leader || isBesideWrites || len(ranges) == 0 {
 		return
 	}
-	s.Repairs++
-	o.send(to, message.Message{Kind: message.KindInstallState, Op: compare, Partition: s.partition, Term: s.num, RequestID: s.seq, Ranges: spans, Records: s.records.RecordsIn(spans), Group: s.meta.Group})
+	r.Repairs++
+	out.send(to, message.InstallState{
+		Term: r.term, Purpose: message.InstallForRepair, RequestID: r.replication.lastRequest,
+		Ranges: ranges, Records: r.records.RecordsIn(ranges), Group: r.meta.Group,
+	}.Message(r.partition))
 }
 
-// reported looks at what a replica has that is newer than the leader's copy was.
+// checkNewer looks at what a replica has that is newer than the leader's copy was.
 // What the leader wrote since explains it; else its own copy is the bad one: it
-// gives the leadership up, and the next term takes the newest of a majority.
-func (s *Replica) reported(n message.Message, o *Out) {
-	for _, r := range n.Records {
-		cur, ok := s.records.Get(r.Key)
-		if s.mode == owning && r.Version.Term <= s.num && (!ok || cur.Version.Less(r.Version)) && !(strings.HasPrefix(r.Key, FloorPrefix) && r.Version.Less(floorOf(s.records))) {
-			s.drop(o)
+// steps down, and the next term takes the newest of a majority.
+func (r *Replica) checkNewer(records []message.Record, out *Out) {
+	for _, rec := range records {
+		own, ok := r.records.Get(rec.Key)
+		lacks := rec.Version.Term <= r.term && (!ok || own.Version.Less(rec.Version))
+		if r.role == leader && lacks && !isBelow(rec, floorOf(r.records)) {
+			r.stepDown(out)
 			return
 		}
 	}
--- a/control/quorum/trio_test.go
+++ b/control/quorum/trio_test.go
@@ -12,33 +12,33 @@
 	"mulleinmast/wire/message"
 )
 
-// member is one replica of a trio with its disk.
-type member struct {
-	s       *Replica
-	cut     bool
-	stuck   bool   // the disk takes nothing
-	queue   []Save // what waits for it
-	meta    Meta   // what is on it
-	records *digest.Records
+// trioMember is one replica of a trio with its disk.
+type trioMember struct {
+	replica     *Replica
+	isCutOff    bool
+	isDiskStuck bool   // the disk takes nothing
+	waiting     []Save // what waits for it
+	meta        Meta   // what is on it
+	records     *digest.Records
 }
 
 // trio is a group of three: messages arrive at once, in order.
 type trio struct {
-	t    *testing.T
-	now  time.Duration
-	by   map[string]*member
-	wait []message.Envelope
-	done []WriteResult
-	tag  uint64
+	t        *testing.T
+	now      time.Duration
+	members  map[string]*trioMember
+	inFlight []message.Envelope
+	results  []WriteResult
+	lastTag  uint64
 
-	epochs bool // each replica has an incarnation of its own
+	hasEpochs bool // each replica has an incarnation of its own
 }
 
 func newTrio(t *testing.T) *trio {
-	w := &trio{t: t, by: map[string]*member{}}
+	w := &trio{t: t, members: map[string]*trioMember{}}
 	for _, replica := range three.Replicas {
-		m := &member{meta: Meta{Group: three}, records: digest.NewRecords()}
-		w.by[replica.Ident] = m
+		m := &trioMember{meta: Meta{Group: three}, records: digest.NewRecords()}
+		w.members[replica.Ident] = m
 		w.start(replica.Ident)
 	}
 	return w
@@ -46,36 +46,36 @@
 
 // start starts a replica from what its disk holds.
 func (w *trio) start(id string) {
-	m := w.by[id]
+	m := w.members[id]
 	records := digest.NewRecords()
 	for r := range m.records.All() {
 		records.Put(r)
 	}
-	m.queue = nil
+	m.waiting = nil
 	i := slices.IndexFunc(three.Replicas, func(s message.Replica) bool { return s.Ident == id })
-	m.s = New(cfg, 1, three.Replicas[i], nil, m.meta, records, w.now, false)
+	m.replica = New(cfg, 1, three.Replicas[i], nil, m.meta, records, w.now, false)
 }
 
-func (w *trio) carry(id string, o Out) {
-	m := w.by[id]
-	w.done = append(w.done, o.Results...)
+func (w *trio) apply(id string, o Out) {
+	m := w.members[id]
+	w.results = append(w.results, o.Results...)
 	for _, s := range o.Sends {
 		s.Message.From, s.Message.Addr, s.Message.Epoch, s.Message.Partition = id, id, 1, 1
-		if w.epochs {
-			s.Message.Epoch = m.s.folder.epoch
+		if w.hasEpochs {
+			s.Message.Epoch = m.replica.guard.folder.epoch
 		}
-		w.wait = append(w.wait, s)
+		w.inFlight = append(w.inFlight, s)
 	}
-	m.queue = append(m.queue, o.Saves...)
+	m.waiting = append(m.waiting, o.Saves...)
 	w.flush(id)
 }
 
 // flush puts on the disk what waits for it.
 func (w *trio) flush(id string) {
-	m := w.by[id]
-	for !m.stuck && len(m.queue) > 0 {
-		v := m.queue[0]
-		m.queue = m.queue[1:]
+	m := w.members[id]
+	for !m.isDiskStuck && len(m.waiting) > 0 {
+		v := m.waiting[0]
+		m.waiting = m.waiting[1:]
 		m.meta = v.Meta
 		for _, sp := range v.WipeRanges {
 			for r := range m.records.InRange(sp) {
@@ -88,30 +88,30 @@
 		for _, r := range v.Records {
 			m.records.Put(r)
 		}
-		w.carry(id, m.s.Saved(v.Ticket))
+		w.apply(id, m.replica.Saved(v.Ticket))
 	}
 }
 
-// settle hands over all messages that are under way.
-func (w *trio) settle() {
-	for len(w.wait) > 0 {
-		m := w.wait[0]
-		w.wait = w.wait[1:]
-		from, to := w.by[m.Message.From], w.by[m.Message.To]
-		if to == nil || from != to && (from.cut || to.cut) {
+// deliver hands over all messages that are under way.
+func (w *trio) deliver() {
+	for len(w.inFlight) > 0 {
+		m := w.inFlight[0]
+		w.inFlight = w.inFlight[1:]
+		from, to := w.members[m.Message.From], w.members[m.Message.To]
+		if to == nil || from != to && (from.isCutOff || to.isCutOff) {
 			continue
 		}
-		w.carry(m.Message.To, to.s.Step(w.now, m.Message))
+		w.apply(m.Message.To, to.replica.Step(w.now, m.Message))
 	}
 }
 
-// pass lets time pass, with a write at the leader at each step if so wished;
+// advance lets time advance, with a write at the leader at each step if so wished;
 // a write's messages are under way until the next step.
-func (w *trio) pass(d time.Duration, writing bool) {
+func (w *trio) advance(d time.Duration, writing bool) {
 	for end := w.now + d; w.now < end; w.now += 25 * time.Millisecond {
-		w.settle()
+		w.deliver()
 		for _, id := range []string{"a", "b", "x"} {
-			w.carry(id, w.by[id].s.Tick(w.now))
+			w.apply(id, w.members[id].replica.Tick(w.now))
 		}
 		if id := w.leader(); writing && id != "" {
 			w.write(id)
@@ -120,15 +120,15 @@
 }
 
 func (w *trio) write(id string) uint64 {
-	w.tag++
-	o, _ := w.by[id].s.Write(w.now, w.tag, []message.Record{{Key: fmt.Sprint("k", w.tag%400), Value: []byte(fmt.Sprint(w.tag))}})
-	w.carry(id, o)
-	return w.tag
+	w.lastTag++
+	o, _ := w.members[id].replica.Write(w.now, w.lastTag, []message.Record{{Key: fmt.Sprint("k", w.lastTag%400), Value: []byte(fmt.Sprint(w.lastTag))}})
+	w.apply(id, o)
+	return w.lastTag
 }
 
 func (w *trio) leader() string {
-	for id, m := range w.by {
-		if m.s.Leader(w.now) {
+	for id, m := range w.members {
+		if m.replica.Leader(w.now) {
 			return id
 		}
 	}
@@ -150,24 +150,24 @@
 // pause, and the leader counts it as whole only then.
 func TestAReturningReplicaIsWholeBesideWrites(t *testing.T) {
 	w := newTrio(t)
-	w.pass(3*time.Second, false)
+	w.advance(3*time.Second, false)
 	own, late := w.leader(), w.other()
-	w.by[late].cut = true
-	w.pass(15*time.Second, true) // 600 changes
+	w.members[late].isCutOff = true
+	w.advance(15*time.Second, true) // 600 changes
 	if w.leader() != own {
 		t.Fatalf("the leader was %q, is %q", own, w.leader())
 	}
-	w.by[late].cut = false
-	w.pass(3*cfg.LeaderLease/2, true)
-	w.settle()
-	if d := digest.DifferingRanges(w.by[own].s.Records().Digests(), w.by[late].s.Records().Digests()); len(d) > 0 {
+	w.members[late].isCutOff = false
+	w.advance(3*cfg.LeaderLease/2, true)
+	w.deliver()
+	if d := digest.DifferingRanges(w.members[own].replica.Records().Digests(), w.members[late].replica.Records().Digests()); len(d) > 0 {
 		t.Errorf("%d of %d ranges differ", len(d), digest.Ranges)
 	}
 }
 
-// rot has a replica restart from a disk that lost a record.
-func (w *trio) rot(id, key string) {
-	m := w.by[id]
+// restartWithout has a replica restart from a disk that lost a record.
+func (w *trio) restartWithout(id, key string) {
+	m := w.members[id]
 	sum := m.meta.Sum(m.records)
 	m.records.Delete(key)
 	m.meta.Incomplete = m.meta.Incomplete || sum != m.meta.Sum(m.records)
@@ -178,31 +178,31 @@
 // has no vote, and the next leader is found when the other is back.
 func TestAReplicaWhoseDiskLostARecordHasNoVote(t *testing.T) {
 	w := newTrio(t)
-	w.pass(3*time.Second, false)
+	w.advance(3*time.Second, false)
 	own, late := w.leader(), w.other()
 	third := "abx"
 	for _, id := range []string{own, late} {
 		third = strings.ReplaceAll(third, id, "")
 	}
-	w.by[late].cut = true // it misses the write
+	w.members[late].isCutOff = true // it misses the write
 	tag := w.write(own)
-	w.settle()
-	if !slices.Contains(w.done, WriteResult{tag, Committed}) {
+	w.deliver()
+	if !slices.Contains(w.results, WriteResult{tag, Committed}) {
 		t.Fatal("not written")
 	}
-	w.rot(third, fmt.Sprint("k", tag))
-	w.by[own].cut, w.by[late].cut = true, false
+	w.restartWithout(third, fmt.Sprint("k", tag))
+	w.members[own].isCutOff, w.members[late].isCutOff = true, false
 	for i := 0; i < 400; i++ {
-		if w.pass(25*time.Millisecond, false); w.by[late].s.Leader(w.now) || w.by[third].s.Leader(w.now) {
-			_, ok := w.by[w.leader()].s.Records().Get(fmt.Sprint("k", tag))
+		if w.advance(25*time.Millisecond, false); w.members[late].replica.Leader(w.now) || w.members[third].replica.Leader(w.now) {
+			_, ok := w.members[w.leader()].replica.Records().Get(fmt.Sprint("k", tag))
 			t.Fatalf("%s leads beside a replica that lost a record; the write is there: %v", w.leader(), ok)
 		}
 	}
-	w.by[own].cut = false
-	w.pass(4*time.Second, false)
-	for id, m := range w.by {
-		if _, ok := m.s.Records().Get(fmt.Sprint("k", tag)); !ok || m.s.Meta().Incomplete || m.meta.Incomplete {
-			t.Errorf("%s: the write is there: %v, short: %v", id, ok, m.s.Meta().Incomplete)
+	w.members[own].isCutOff = false
+	w.advance(4*time.Second, false)
+	for id, m := range w.members {
+		if _, ok := m.replica.Records().Get(fmt.Sprint("k", tag)); !ok || m.replica.Meta().Incomplete || m.meta.Incomplete {
+			t.Errorf("%s: the write is there: %v, short: %v", id, ok, m.replica.Meta().Incomplete)
 		}
 	}
 	if w.leader() == "" {
@@ -214,18 +214,18 @@
 // it for nothing before.
 func TestAShortReplicaIsFilledAtOnce(t *testing.T) {
 	w := newTrio(t)
-	w.pass(3*time.Second, true)
+	w.advance(3*time.Second, true)
 	own, short := w.leader(), w.other()
-	w.rot(short, "k1")
-	if out := w.by[short].s.Step(w.now, message.Message{Kind: message.KindReplicate, Partition: 1, From: own, Addr: own, Term: w.by[own].s.Term(), RequestID: 1, Group: three}); len(out.Saves) > 0 || len(out.Sends) != 1 || out.Sends[0].Message.Kind != message.KindStateMismatch {
+	w.restartWithout(short, "k1")
+	if out := w.members[short].replica.Step(w.now, message.Message{Kind: message.KindReplicate, Partition: 1, From: own, Addr: own, Term: w.members[own].replica.Term(), RequestID: 1, Group: three}); len(out.Saves) > 0 || len(out.Sends) != 1 || out.Sends[0].Message.Kind != message.KindStateMismatch {
 		t.Errorf("a short replica takes a write: %+v", out)
 	}
-	w.pass(2*cfg.HeartbeatInterval, false)
-	w.settle()
-	if m := w.by[short]; m.s.Meta().Incomplete || m.meta.Incomplete {
+	w.advance(2*cfg.HeartbeatInterval, false)
+	w.deliver()
+	if m := w.members[short]; m.replica.Meta().Incomplete || m.meta.Incomplete {
 		t.Error("still short")
 	}
-	if d := digest.DifferingRanges(w.by[own].s.Records().Digests(), w.by[short].s.Records().Digests()); len(d) > 0 {
+	if d := digest.DifferingRanges(w.members[own].replica.Records().Digests(), w.members[short].replica.Records().Digests()); len(d) > 0 {
 		t.Errorf("%d ranges differ", len(d))
 	}
 }
@@ -235,28 +235,28 @@
 // the disk has taken what waits for it.
 func TestALeaderWhoseDiskStallsGivesUp(t *testing.T) {
 	w := newTrio(t)
-	w.pass(3*time.Second, false)
+	w.advance(3*time.Second, false)
 	own := w.leader()
-	w.by[own].stuck = true
-	w.done = nil
+	w.members[own].isDiskStuck = true
+	w.results = nil
 	from := w.now
-	for w.pass(25*time.Millisecond, true); w.by[own].s.Leader(w.now) && w.now < from+10*time.Second; w.pass(25*time.Millisecond, true) {
+	for w.advance(25*time.Millisecond, true); w.members[own].replica.Leader(w.now) && w.now < from+10*time.Second; w.advance(25*time.Millisecond, true) {
 	}
-	if d := w.now - from; d < patience*cfg.LeaderLease || d > patience*cfg.LeaderLease+cfg.HeartbeatInterval {
+	if d := w.now - from; d < stalledLeases*cfg.LeaderLease || d > stalledLeases*cfg.LeaderLease+cfg.HeartbeatInterval {
 		t.Errorf("gave up after %v", d)
 	}
-	if n := len(w.done); n < int(patience*cfg.LeaderLease/(30*time.Millisecond)) || w.done[n-2].Outcome != Committed {
+	if n := len(w.results); n < int(stalledLeases*cfg.LeaderLease/(30*time.Millisecond)) || w.results[n-2].Outcome != Committed {
 		t.Errorf("%d writes settled meanwhile", n)
 	}
-	w.pass(3*time.Second, true)
+	w.advance(3*time.Second, true)
 	if next := w.leader(); next == own || next == "" {
 		t.Fatalf("leader is %q", next)
 	}
-	w.by[own].stuck = false
+	w.members[own].isDiskStuck = false
 	w.flush(own)
-	w.pass(cfg.LeaderLease, true)
-	w.settle()
-	if d := digest.DifferingRanges(w.by[own].s.Records().Digests(), w.by[w.leader()].s.Records().Digests()); len(d) > 0 {
+	w.advance(cfg.LeaderLease, true)
+	w.deliver()
+	if d := digest.DifferingRanges(w.members[own].replica.Records().Digests(), w.members[w.leader()].replica.Records().Digests()); len(d) > 0 {
 		t.Errorf("%d ranges differ", len(d))
 	}
 }
@@ -265,26 +265,26 @@
 // on no disk either: what is read back is what was held.
 func TestWhatADiskHoldsIsWhatItsReplicaHolds(t *testing.T) {
 	w := newTrio(t)
-	w.pass(3*time.Second, true)
+	w.advance(3*time.Second, true)
 	own := w.leader()
 	put := func(recs ...message.Record) {
-		o, _ := w.by[own].s.Write(w.now, 7, recs)
-		w.carry(own, o)
-		w.settle()
+		o, _ := w.members[own].replica.Write(w.now, 7, recs)
+		w.apply(own, o)
+		w.deliver()
 	}
 	put(message.Record{Key: "once/old"})
-	mark, _ := json.Marshal(w.by[own].s.LastWritten())
+	mark, _ := json.Marshal(w.members[own].replica.LastWritten())
 	put(message.Record{Key: "once/new"})
 	put(message.Record{Key: FloorKey, Value: mark})
-	w.by[w.other()].cut = true
-	w.pass(3*time.Second, true)
-	w.by[own].cut = true
-	for _, m := range w.by {
-		m.cut = m.cut && m != w.by[own]
-	}
-	w.pass(4*time.Second, true)
-	for id, m := range w.by {
-		if d := digest.DifferingRanges(m.s.Records().Digests(), m.records.Digests()); len(d) > 0 || m.s.Meta().Sum(m.s.Records()) != m.meta.Sum(m.records) {
+	w.members[w.other()].isCutOff = true
+	w.advance(3*time.Second, true)
+	w.members[own].isCutOff = true
+	for _, m := range w.members {
+		m.isCutOff = m.isCutOff && m != w.members[own]
+	}
+	w.advance(4*time.Second, true)
+	for id, m := range w.members {
+		if d := digest.DifferingRanges(m.replica.Records().Digests(), m.records.Digests()); len(d) > 0 || m.replica.Meta().Sum(m.replica.Records()) != m.meta.Sum(m.records) {
 			t.Errorf("%s: %d ranges of the disk differ", id, len(d))
 		}
 	}
@@ -294,15 +294,15 @@
 // one is.
 func TestACopyThatIsCutShortIsRefused(t *testing.T) {
 	w := newTrio(t)
-	w.pass(3*time.Second, true)
-	own := w.by[w.leader()].s
+	w.advance(3*time.Second, true)
+	own := w.members[w.leader()].replica
 	fresh := New(cfg, 1, three.Replicas[0], nil, Meta{Group: three}, digest.NewRecords(), w.now, false)
 	var o Out
-	own.sendFill(w.now, message.Replica{Ident: "new"}, fresh.Records().Digests(), &o)
+	own.sendInstall(w.now, message.Replica{Ident: "new"}, fresh.Records().Digests(), &o)
 	fill := o.Sends[0].Message
 	fill.From, fill.Addr = w.leader(), w.leader()
 	if fill.From == "a" {
-		fresh.me = three.Replicas[1]
+		fresh.self = three.Replicas[1]
 	}
 	for cut := range fill.Records {
 		short := fill
@@ -320,34 +320,34 @@
 // and a replica that still holds the records brings none back.
 func TestMarksOfWhatIsGoneEndWithTheTerm(t *testing.T) {
 	w := newTrio(t)
-	w.pass(3*time.Second, false)
+	w.advance(3*time.Second, false)
 	own, late := w.leader(), w.other()
 	put := func(i int, dead bool) {
-		o, _ := w.by[own].s.Write(w.now, uint64(1000+i), []message.Record{{Key: fmt.Sprint("berth/", i), Deleted: dead}})
-		w.carry(own, o)
-		w.settle()
+		o, _ := w.members[own].replica.Write(w.now, uint64(1000+i), []message.Record{{Key: fmt.Sprint("berth/", i), Deleted: dead}})
+		w.apply(own, o)
+		w.deliver()
 	}
 	for i := range 300 {
 		put(i, false)
 	}
 	put(300, false)
-	w.by[late].cut = true
+	w.members[late].isCutOff = true
 	for i := range 300 {
 		put(i, true)
 	}
-	if n := w.by[own].s.Records().Size(); n != 301 {
+	if n := w.members[own].replica.Records().Size(); n != 301 {
 		t.Fatalf("%d records", n)
 	}
-	w.by[late].cut, w.by[own].cut = false, true // it has the records still, and the marks are with one
-	w.pass(3*time.Second, false)
+	w.members[late].isCutOff, w.members[own].isCutOff = false, true // it has the records still, and the marks are with one
+	w.advance(3*time.Second, false)
 	if w.leader() == own || w.leader() == "" {
 		t.Fatalf("the leader is %q", w.leader())
 	}
-	w.by[own].cut = false
-	w.pass(3*time.Second, false)
-	for id, m := range w.by {
-		if m.s.Records().Size() != 1 || m.records.Size() != 1 {
-			t.Errorf("%s holds %d records, its disk %d", id, m.s.Records().Size(), m.records.Size())
+	w.members[own].isCutOff = false
+	w.advance(3*time.Second, false)
+	for id, m := range w.members {
+		if m.replica.Records().Size() != 1 || m.records.Size() != 1 {
+			t.Errorf("%s holds %d records, its disk %d", id, m.replica.Records().Size(), m.records.Size())
 		}
 	}
 }
--- a/proof/modelcheck/copy.go
+++ b/proof/modelcheck/copy.go
@@ -198,7 +198,7 @@
 	typeTime  = reflect.TypeFor[time.Duration]()
 	typeBook  = reflect.TypeFor[digest.Records]()
 	noContent = map[string]bool{
-		"born": true, "wonAt": true, "Repairs": true,
+		"leaderSince": true, "Repairs": true,
 		"sentAsPatches": true, "sentInFull": true, "generation": true, "renewCost": true,
 	}
 )
