--- a/control/lease/generation_test.go
+++ b/control/lease/generation_test.go
@@ -9,118 +9,176 @@
 	"mulleinmast/wire/message"
 )
 
-// A snapshot that was read at the root stands only while Gen is the same, so
-// holding a record must change it, and so must freeing it: the leader's own
+// A snapshot that was read at the root stands only while Generation is the same, so
+// suspending a record must change it, and so must resuming it: the leader's own
 // reads once went on from a list that was being written.
 func TestGenerationChangesWhenARootRecordIsSuspended(t *testing.T) {
 	n := New(cfg, 0, message.Replica{Ident: "p", Addr: "p"}, 1)
-	n.BecomeRoot(1, func(key string) message.Record { return message.Record{Key: key} }, func() time.Duration { return time.Hour })
+	records := func(key string) message.Record { return message.Record{Key: key} }
+	n.BecomeRoot(1, records, func() time.Duration { return time.Hour })
 	before := n.Generation()
 	if _, ok := n.Get(0, "k"); !ok {
 		t.Fatal("the root doesn't serve it")
 	}
 	n.Suspend(0, "k", 7)
-	held := n.Generation()
-	if _, ok := n.Get(0, "k"); ok || held == before {
-		t.Errorf("held: served %v, Gen %d after %d", ok, held, before)
+	suspended := n.Generation()
+	if _, ok := n.Get(0, "k"); ok || suspended == before {
+		t.Errorf("suspended: served %v, generation %d after %d", ok, suspended, before)
 	}
 	n.Resume(0, "k")
-	if _, ok := n.Get(0, "k"); !ok || n.Generation() == held || n.Generation() == before {
-		t.Errorf("freed: served %v, Gen %d after %d", ok, n.Generation(), held)
+	if _, ok := n.Get(0, "k"); !ok || n.Generation() == suspended || n.Generation() == before {
+		t.Errorf("resumed: served %v, generation %d after %d", ok, n.Generation(), suspended)
 	}
 	n.ResignRoot()
-	if n.Generation() == held {
-		t.Error("a root that is none any more has the same Gen")
+	if n.Generation() == suspended {
+		t.Error("a root that has resigned has the same generation")
 	}
 }
 
-// As long as Gen is the same and Until has not passed, what was read stands;
+// randomNode is a node that a random sequence of steps drives: a parent "p" whose
+// records only count up, and the leader's writes while the node is the root itself.
+type randomNode struct {
+	*Node
+	now       time.Duration
+	versions  map[string]uint64 // of the stored records, by key
+	suspended map[string]int    // key -> calls of Suspend without their Resume
+	epoch     message.VolumeEpoch
+	sequence  uint64          // of the parent's messages
+	lists     map[uint64]bool // request IDs of lease lists that are not answered
+}
+
+var randomKeys = []string{"a", "b"}
+
+func newRandomNode() *randomNode {
+	r := &randomNode{
+		Node:      New(cfg, 0, message.Replica{Ident: "c", Addr: "c"}, 1),
+		now:       time.Second,
+		versions:  map[string]uint64{"a": 1, "b": 1},
+		suspended: map[string]int{},
+		epoch:     message.VolumeEpoch{Ident: "p", Epoch: 1},
+		lists:     map[uint64]bool{},
+	}
+	for _, key := range randomKeys {
+		r.Pin(r.now, key)
+	}
+	r.take(r.SetParent(r.now, message.Replica{Ident: "p", Addr: "p"}))
+	return r
+}
+
+func (r *randomNode) take(out Out) {
+	for _, s := range out.Sends {
+		if s.Message.Kind == message.KindLeaseList {
+			r.lists[s.Message.RequestID] = true
+		}
+	}
+}
+
+// hear brings a message of the parent's.
+func (r *randomNode) hear(m message.Message) {
+	r.sequence++
+	m.From, m.Addr = "p", "p"
+	header := message.GrantHeader{Sequence: r.sequence, ChildEpoch: 1, VolumeEpoch: r.epoch}
+	r.take(r.Step(r.now, m.WithGrantHeader(header)))
+}
+
+// served is what Get says of one key.
+type served struct {
+	version uint64
+	isValid bool
+}
+
+func (r *randomNode) read() (all [2]served) {
+	for i, key := range randomKeys {
+		record, ok := r.Get(r.now, key)
+		all[i] = served{record.Version.Seq, ok}
+	}
+	return all
+}
+
+// randomSteps are what may happen to a node; each is drawn as often as the others.
+func (r *randomNode) randomSteps(t *rapid.T, key string) []func() {
+	return []func(){
+		func() {
+			passes := []time.Duration{1, time.Millisecond, 300 * time.Millisecond, time.Second}
+			r.now += rapid.SampledFrom(passes).Draw(t, "passes")
+			r.take(r.Tick(r.now))
+		},
+		func() { r.hear(message.ReconnectRequest{}.Message(0)) },
+		r.answerLeaseList,
+		func() { r.grant(key) },
+		func() { r.hear(message.Invalidation{Key: key, Number: 3}.Message(0)) },
+		r.becomeRoot,
+		func() {
+			if r.IsRoot() {
+				r.suspended[key]++
+				r.take(r.Suspend(r.now, key, 1))
+			}
+		},
+		func() {
+			if r.suspended[key] > 0 { // a write is complete: what is suspended may change
+				r.versions[key]++
+				r.suspended[key]--
+				r.take(r.Resume(r.now, key))
+			}
+		},
+		func() {
+			if r.IsRoot() {
+				r.suspended = map[string]int{}
+				r.ResignRoot()
+			}
+		},
+		func() {
+			r.epoch.Epoch++
+			r.hear(message.ReconnectRequest{}.Message(0))
+		},
+	}
+}
+
+// answerLeaseList confirms nothing of one of the lists that are not answered.
+func (r *randomNode) answerLeaseList() {
+	for request := range r.lists {
+		delete(r.lists, request)
+		r.hear(message.Reconciliation{
+			ResponseTo: request, VolumeLease: cfg.VolumeLease, ObjectLease: cfg.ObjectLease,
+		}.Message(0))
+		return
+	}
+}
+
+// grant brings a later version of a record.
+func (r *randomNode) grant(key string) {
+	if r.IsRoot() {
+		return // there a record changes only while it is suspended
+	}
+	r.versions[key]++
+	record := message.Record{Key: key, Version: message.Version{Term: 1, Seq: r.versions[key]}}
+	r.hear(message.LeaseGrant{Records: []message.Record{record}, ObjectLease: cfg.ObjectLease}.Message(0))
+}
+
+func (r *randomNode) becomeRoot() {
+	if r.IsRoot() {
+		return
+	}
+	r.suspended = map[string]int{}
+	records := func(key string) message.Record {
+		return message.Record{Key: key, Version: message.Version{Seq: r.versions[key]}}
+	}
+	r.BecomeRoot(2, records, func() time.Duration { return 10 * time.Second })
+}
+
+// As long as Generation is the same and ValidUntil has not passed, what was read stands;
 // whatever a node goes through.
 func TestReadsStayValidWhileGenerationIsUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		store := map[string]uint64{"a": 1, "b": 1}
-		n := New(cfg, 0, message.Replica{Ident: "c", Addr: "c"}, 1)
-		now, no, held := time.Second, uint64(0), map[string]int{}
-		mark := message.VolumeEpoch{Ident: "p", Epoch: 1}
-		lists := map[uint64]bool{}
-		take := func(o Out) {
-			for _, s := range o.Sends {
-				if s.Message.Kind == message.KindLeaseList {
-					lists[s.Message.RequestID] = true
-				}
-			}
-		}
-		hear := func(m message.Message) {
-			no++
-			m.From, m.Addr, m.VolumeEpoch, m.RequestID, m.Term = "p", "p", mark, no, 1
-			take(n.Step(now, m))
-		}
-		n.Pin(now, "a")
-		n.Pin(now, "b")
-		take(n.SetParent(now, message.Replica{Ident: "p", Addr: "p"}))
-		type seen struct {
-			ver uint64
-			ok  bool
-		}
-		read := func() (out [2]seen) {
-			for i, k := range []string{"a", "b"} {
-				r, ok := n.Get(now, k)
-				out[i] = seen{r.Version.Seq, ok}
-			}
-			return out
-		}
-		gen, until, was := n.Generation(), n.ValidUntil(), read()
+		r := newRandomNode()
+		generation, until, before := r.Generation(), r.ValidUntil(), r.read()
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			key := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key")
-			switch rapid.IntRange(0, 9).Draw(t, "step") {
-			case 0:
-				now += rapid.SampledFrom([]time.Duration{1, time.Millisecond, 300 * time.Millisecond, time.Second}).Draw(t, "passes")
-				take(n.Tick(now))
-			case 1:
-				hear(message.Message{Kind: message.KindReconnect})
-			case 2:
-				for ref := range lists {
-					delete(lists, ref)
-					hear(message.Message{Kind: message.KindReconciled, ResponseTo: ref, Length: int64(cfg.VolumeLease), ObjectLease: int64(cfg.ObjectLease)})
-					break
-				}
-			case 3:
-				if n.IsRoot() {
-					continue // there a record changes only while it is held
-				}
-				store[key]++
-				hear(message.Message{Kind: message.KindGrantLease, Records: []message.Record{{Key: key, Version: message.Version{Term: 1, Seq: store[key]}}}, ObjectLease: int64(cfg.ObjectLease)})
-			case 4:
-				hear(message.Message{Kind: message.KindInvalidate, Key: key, ResponseTo: 3})
-			case 5:
-				if !n.IsRoot() {
-					held = map[string]int{}
-					n.BecomeRoot(2, func(k string) message.Record { return message.Record{Key: k, Version: message.Version{Seq: store[k]}} }, func() time.Duration { return 10 * time.Second })
-				}
-			case 6:
-				if n.IsRoot() {
-					held[key]++
-					take(n.Suspend(now, key, 1))
-				}
-			case 7:
-				if held[key] > 0 { // a write is done: what is held may change
-					store[key]++
-					held[key]--
-					take(n.Resume(now, key))
-				}
-			case 8:
-				if n.IsRoot() {
-					held = map[string]int{}
-					n.ResignRoot()
-				}
-			case 9:
-				mark.Epoch++
-				hear(message.Message{Kind: message.KindReconnect})
-			}
-			if got := read(); n.Generation() == gen && now < until && got != was {
-				t.Fatalf("read %v, then %v, Gen %d all the while", was, got, gen)
+			steps := r.randomSteps(t, rapid.SampledFrom(randomKeys).Draw(t, "key"))
+			steps[rapid.IntRange(0, len(steps)-1).Draw(t, "step")]()
+			if got := r.read(); r.Generation() == generation && r.now < until && got != before {
+				t.Fatalf("read %v, then %v, generation %d all the while", before, got, generation)
 			}
-			gen, until, was = n.Generation(), n.ValidUntil(), read()
+			generation, until, before = r.Generation(), r.ValidUntil(), r.read()
 		}
 	})
 }
--- a/control/lease/lease_test.go
+++ b/control/lease/lease_test.go
@@ -7,69 +7,94 @@
 	"mulleinmast/wire/message"
 )
 
-var cfg = Config{VolumeLease: 800 * time.Millisecond, ObjectLease: 48 * time.Second, Drift: 0.02, Margin: 20 * time.Millisecond, RenewInterval: 266 * time.Millisecond}
+var cfg = Config{
+	VolumeLease: 800 * time.Millisecond, ObjectLease: 48 * time.Second, Drift: 0.02,
+	Margin: 20 * time.Millisecond, RenewInterval: 266 * time.Millisecond,
+}
+
+// connecting is a child that wants one record, and the parent's side of its reconnect.
+type connecting struct {
+	child    *Node
+	epoch    message.VolumeEpoch // of the parent
+	sequence uint64              // of the parent's messages
+}
+
+// newConnecting makes a child of an incarnation that wants the record "k".
+func newConnecting(incarnation uint64, now time.Duration) *connecting {
+	c := &connecting{
+		child: New(cfg, 0, message.Replica{Ident: "c", Addr: "c"}, incarnation),
+		epoch: message.VolumeEpoch{Ident: "p", Epoch: 1},
+	}
+	c.child.Pin(now, "k")
+	c.child.SetParent(now, message.Replica{Ident: "p", Addr: "p"})
+	return c
+}
+
+// hear brings the child a message of the parent's, meant for one of its incarnations.
+func (c *connecting) hear(now time.Duration, incarnation uint64, m message.Message) []message.Envelope {
+	c.sequence++
+	m.From, m.Addr = "p", "p"
+	header := message.GrantHeader{Sequence: c.sequence, ChildEpoch: incarnation, VolumeEpoch: c.epoch}
+	return c.child.Step(now, m.WithGrantHeader(header)).Sends
+}
+
+// reconcile answers a lease list without confirming a record.
+func reconcile(list message.Message) message.Message {
+	return message.Reconciliation{
+		ResponseTo: list.RequestID, VolumeLease: cfg.VolumeLease, ObjectLease: cfg.ObjectLease,
+	}.Message(0)
+}
 
 // Reconnects that overlap each drop what came by a grant since the other's
 // list went out, and once did so for ever with the lease valid all the while:
 // one list at a time, and the record is fetched again.
 func TestOverlappingReconnectsKeepGrantedRecords(t *testing.T) {
-	child := New(cfg, 0, message.Replica{Ident: "c", Addr: "c"}, 1)
-	mark := message.VolumeEpoch{Ident: "p", Epoch: 1}
-	no := uint64(0)
-	hear := func(now time.Duration, n message.Message) []message.Envelope {
-		no++
-		n.From, n.Addr, n.VolumeEpoch, n.RequestID, n.Term = "p", "p", mark, no, 1
-		return child.Step(now, n).Sends
-	}
 	now := time.Second
-	child.Pin(now, "k")
-	child.SetParent(now, message.Replica{Ident: "p", Addr: "p"})
-	list := hear(now, message.Message{Kind: message.KindReconnect})[0].Message
-	if more := hear(now+1, message.Message{Kind: message.KindReconnect}); len(more) != 0 {
+	c := newConnecting(1, now)
+	reconnect := message.ReconnectRequest{}.Message(0)
+	list := c.hear(now, 1, reconnect)[0].Message
+	if more := c.hear(now+1, 1, reconnect); len(more) != 0 {
 		t.Errorf("a second list right after the first: %v", more)
 	}
-	out := hear(now+2, message.Message{Kind: message.KindReconciled, ResponseTo: list.RequestID, Length: int64(cfg.VolumeLease), ObjectLease: int64(cfg.ObjectLease)})
-	if len(out) != 2 || out[0].Message.Kind != message.KindReconnectDone || out[1].Message.Kind != message.KindRenewLease || out[1].Message.VolumeEpoch != mark {
-		t.Fatalf("after the sync: %+v", out)
+	out := c.hear(now+2, 1, reconcile(list))
+	if len(out) != 2 || out[0].Message.Kind != message.KindReconnectDone ||
+		out[1].Message.Kind != message.KindRenewLease || out[1].Message.VolumeEpoch != c.epoch {
+		t.Fatalf("after the reconciliation: %+v", out)
 	}
-	rec := message.Record{Key: "k", Version: message.Version{Term: 1, Seq: 1}}
-	hear(now+3, message.Message{Kind: message.KindGrantLease, Records: []message.Record{rec}, ObjectLease: int64(cfg.ObjectLease)})
-	if more := hear(now+4, message.Message{Kind: message.KindReconnect}); len(more) != 0 {
+	record := message.Record{Key: "k", Version: message.Version{Term: 1, Seq: 1}}
+	grant := message.LeaseGrant{Records: []message.Record{record}, ObjectLease: cfg.ObjectLease}
+	c.hear(now+3, 1, grant.Message(0))
+	if more := c.hear(now+4, 1, reconnect); len(more) != 0 {
 		t.Errorf("a late reconnect was followed: %v", more)
 	}
-	if got, ok := child.Get(now+5, "k"); !ok || got.Version != rec.Version {
+	if got, ok := c.child.Get(now+5, "k"); !ok || got.Version != record.Version {
 		t.Error("the record is not served")
 	}
 	// A later one is followed, and what it does not confirm is dropped.
-	mark = message.VolumeEpoch{Ident: "p", Epoch: 2}
+	c.epoch = message.VolumeEpoch{Ident: "p", Epoch: 2}
 	now += cfg.RenewInterval
-	list = hear(now, message.Message{Kind: message.KindReconnect})[0].Message
+	list = c.hear(now, 1, reconnect)[0].Message
 	if len(list.Records) != 1 {
 		t.Fatalf("%+v", list)
 	}
-	hear(now, message.Message{Kind: message.KindReconciled, ResponseTo: list.RequestID, Length: int64(cfg.VolumeLease), ObjectLease: int64(cfg.ObjectLease)})
-	if _, ok := child.Get(now, "k"); ok {
+	c.hear(now, 1, reconcile(list))
+	if _, ok := c.child.Get(now, "k"); ok {
 		t.Error("an unconfirmed record was kept")
 	}
 }
 
-// What was meant for an earlier life of the child is not taken by the next:
-// the granter would invalidation it there.
+// What was meant for an earlier incarnation of the child is not taken by the next:
+// the granter would withdraw it there.
 func TestGrantForAnEarlierIncarnationIsIgnored(t *testing.T) {
-	for epoch, want := range map[uint64]bool{1: false, 2: true} {
-		child := New(cfg, 0, message.Replica{Ident: "c", Addr: "c"}, 2)
-		mark := message.VolumeEpoch{Ident: "p", Epoch: 1}
-		hear := func(no, num uint64, n message.Message) []message.Envelope {
-			n.From, n.Addr, n.VolumeEpoch, n.RequestID, n.Term = "p", "p", mark, no, num
-			return child.Step(time.Second, n).Sends
-		}
-		child.Pin(time.Second, "k")
-		child.SetParent(time.Second, message.Replica{Ident: "p", Addr: "p"})
-		list := hear(1, 2, message.Message{Kind: message.KindReconnect})[0].Message
-		hear(2, 2, message.Message{Kind: message.KindReconciled, ResponseTo: list.RequestID, Length: int64(cfg.VolumeLease), ObjectLease: int64(cfg.ObjectLease)})
-		hear(3, epoch, message.Message{Kind: message.KindGrantLease, Records: []message.Record{{Key: "k"}}, ObjectLease: int64(cfg.ObjectLease)})
-		if _, ok := child.Get(time.Second, "k"); ok != want {
-			t.Errorf("grant for life %d taken by life 2: %v", epoch, ok)
+	for incarnation, want := range map[uint64]bool{1: false, 2: true} {
+		now := time.Second
+		c := newConnecting(2, now)
+		list := c.hear(now, 2, message.ReconnectRequest{}.Message(0))[0].Message
+		c.hear(now, 2, reconcile(list))
+		grant := message.LeaseGrant{Records: []message.Record{{Key: "k"}}, ObjectLease: cfg.ObjectLease}
+		c.hear(now, incarnation, grant.Message(0))
+		if _, ok := c.child.Get(now, "k"); ok != want {
+			t.Errorf("grant for incarnation %d taken by incarnation 2: %v", incarnation, ok)
 		}
 	}
 }
