--- a/control/quorum/trio_test.go
+++ b/control/quorum/copies_test.go
@@ -148,7 +148,7 @@
 // A replica that was cut off while hundreds of changes were written is whole again
 // within a lease and a half of its return, also while writes go on without a
 // pause, and the leader counts it as whole only then.
-func TestAReturningReplicaIsWholeBesideWrites(t *testing.T) {
+func TestAReturningReplicaCatchesUpBesideWrites(t *testing.T) {
 	w := newTrio(t)
 	w.advance(3*time.Second, false)
 	own, late := w.leader(), w.other()
@@ -176,7 +176,7 @@
 
 // A majority of those who took a write may be one whose disk lost it since: it
 // has no vote, and the next leader is found when the other is back.
-func TestAReplicaWhoseDiskLostARecordHasNoVote(t *testing.T) {
+func TestAnIncompleteReplicaHasNoVote(t *testing.T) {
 	w := newTrio(t)
 	w.advance(3*time.Second, false)
 	own, late := w.leader(), w.other()
@@ -212,7 +212,7 @@
 
 // Such a replica is filled within two beats where there is a leader, which counts
 // it for nothing before.
-func TestAShortReplicaIsFilledAtOnce(t *testing.T) {
+func TestAnIncompleteReplicaIsInstalledAtOnce(t *testing.T) {
 	w := newTrio(t)
 	w.advance(3*time.Second, true)
 	own, short := w.leader(), w.other()
@@ -233,7 +233,7 @@
 // A disk that stalls holds up neither renewals nor writes; its leader leaves the
 // leadership to others by its own clock when that lasts, and stands for none before
 // the disk has taken what waits for it.
-func TestALeaderWhoseDiskStallsGivesUp(t *testing.T) {
+func TestALeaderWhoseDiskStallsStepsDown(t *testing.T) {
 	w := newTrio(t)
 	w.advance(3*time.Second, false)
 	own := w.leader()
@@ -292,7 +292,7 @@
 
 // A copy that is cut short on its way is not taken for a whole one; the whole
 // one is.
-func TestACopyThatIsCutShortIsRefused(t *testing.T) {
+func TestATruncatedInstallIsRefused(t *testing.T) {
 	w := newTrio(t)
 	w.advance(3*time.Second, true)
 	own := w.members[w.leader()].replica
@@ -318,7 +318,7 @@
 
 // Marks of records that are gone last until the next term: then no copy has them,
 // and a replica that still holds the records brings none back.
-func TestMarksOfWhatIsGoneEndWithTheTerm(t *testing.T) {
+func TestTombstonesEndWithTheTerm(t *testing.T) {
 	w := newTrio(t)
 	w.advance(3*time.Second, false)
 	own, late := w.leader(), w.other()
--- a/control/quorum/lives_test.go
+++ b/control/quorum/epoch_test.go
@@ -11,7 +11,7 @@
 // A candidate that ends before its own vote is on disk leaves the same term to
 // its next life. What voters promised to the first, held up on its way, is not
 // the second's: it holds only the records that the first one's copy lacked.
-func TestPromisesToAnEarlierLife(t *testing.T) {
+func TestVotesForAnEarlierIncarnationDoNotCount(t *testing.T) {
 	for _, x := range []struct {
 		what string
 		life uint64 // that b promised to; 0: b is of a build that doesn't say
@@ -47,7 +47,7 @@
 }
 
 // A promise says which life of the candidate it is for.
-func TestAPromiseNamesTheLifeThatAsked(t *testing.T) {
+func TestAVoteNamesTheIncarnationThatAsked(t *testing.T) {
 	v := runningVoter(t)
 	at := 10*time.Second + fullWait
 	out := v.step(at, "b", 7, message.Message{Kind: message.KindRequestVote, Term: 6, Length: int64(fullWait)})
@@ -58,7 +58,7 @@
 
 // A void of an earlier life does not free a voter from what it promised to the
 // next one under the same term.
-func TestAVoidOfAnEarlierLife(t *testing.T) {
+func TestAnEarlierIncarnationAbandonsNoLaterVote(t *testing.T) {
 	v := runningVoter(t)
 	at := 10*time.Second + fullWait
 	v.requestVote(at, "b", 1, 6)
--- a/control/quorum/group_test.go
+++ b/control/quorum/group_test.go
@@ -44,7 +44,7 @@
 
 // Two leaders that each began a step and failed leave groups of their own: the
 // later one's is taken by all, also by the earlier leader.
-func TestGroupsOfTwoLeadersAreToldApart(t *testing.T) {
+func TestTheLaterOfTwoLeadersGroupsWins(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d", "e"})
 	c.advance(2 * time.Second)
 	first, one, two := c.split()
@@ -76,7 +76,7 @@
 
 // A step that its leader began is finished by the next if the newcomer is there,
 // and undone if not.
-func TestTheNextLeaderFinishesOrUndoesAStep(t *testing.T) {
+func TestTheNextLeaderFinishesOrUndoesAGroupChange(t *testing.T) {
 	for _, there := range []bool{true, false} {
 		c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 		c.advance(2 * time.Second)
@@ -111,7 +111,7 @@
 
 // A leader doesn't take itself out, begins no step beside another, takes none
 // that isn't at hand, and none once it was told to end.
-func TestStepsThatDoNotBegin(t *testing.T) {
+func TestGroupChangesThatDoNotBegin(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d", "e", "f"})
 	c.advance(2 * time.Second)
 	own, one, two := c.split()
@@ -146,7 +146,7 @@
 
 // A replica that was replaced while it was bound to a higher term is a standby
 // at once, and keeps no term that it stood with.
-func TestAReplacedReplicaIsAStandby(t *testing.T) {
+func TestAReplacedReplicaBecomesALearner(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 	c.advance(2 * time.Second)
 	_, one, two := c.split()
@@ -172,7 +172,7 @@
 }
 
 // A replica that is told to end says so, and is told from one that is silent.
-func TestWhoEndsAndWhoIsGone(t *testing.T) {
+func TestTerminatingAndLostReplicasDiffer(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, nil)
 	c.advance(2 * time.Second)
 	own, one, two := c.split()
@@ -192,7 +192,7 @@
 // One that was told to end is spared once each other replica has answered to
 // what was sent since: not beside one that was lost just before, and not by a new
 // leader before it knows.
-func TestWhoIsSpared(t *testing.T) {
+func TestWhichReplicaMayLeave(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		c := newCluster(t, []string{"a", "b", "c"}, nil)
 		c.advance(2 * time.Second)
@@ -214,7 +214,7 @@
 
 // A new leader counts from when the one before was last there, so that the replica
 // of one that is lost isn't kept for longer because it led the partition.
-func TestALeaderThatIsLostIsGoneAsSoon(t *testing.T) {
+func TestAnEarlierLeaderIsLostAsSoonAsOthers(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, nil)
 	c.advance(2 * time.Second)
 	first, _, _ := c.split()
@@ -263,7 +263,7 @@
 
 // A stranger's word on a copy, and one that was given before a step began,
 // count for nothing; nor does a standby speak on anything but its copy.
-func TestOnlyTheNewcomersWordCounts(t *testing.T) {
+func TestOnlyTheNewcomerConfirmsItsCopy(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 	c.advance(2 * time.Second)
 	own, one, _ := c.split()
@@ -301,7 +301,7 @@
 
 // A lease that the old replicas gave holds over a change: no second leader is
 // elected by the new ones while it lasts.
-func TestALeaseHoldsOverAChange(t *testing.T) {
+func TestALeaderLeaseHoldsOverAGroupChange(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 	c.advance(2 * time.Second)
 	own, keep, out := c.split()
@@ -337,7 +337,7 @@
 // The new group doesn't stand alone before a majority of the old one has taken
 // the step, whatever the newcomer says: neither in a step of this leader's own
 // nor in one that it learned of in the middle of its term.
-func TestAStepEndsOnlyOnceTheOldMajorityHasIt(t *testing.T) {
+func TestAGroupChangeEndsOnlyOnceTheOldMajorityHasIt(t *testing.T) {
 	for _, learned := range []bool{false, true} {
 		c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 		c.advance(2 * time.Second)
--- a/control/quorum/step_test.go
+++ b/control/quorum/groupchange_test.go
@@ -10,7 +10,7 @@
 // The old group goes only when a majority of the next supports the lease: two
 // steps in one lease would else end at a majority that knows of no leader, and
 // elects a second one beside it.
-func TestTheNextGroupSupportsTheLeaseFirst(t *testing.T) {
+func TestTheNextGroupSupportsTheLeaseBeforeItStandsAlone(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 	c.advance(2 * time.Second)
 	_, out, _ := c.split()
@@ -37,7 +37,7 @@
 // A voter supports a lease only once its vote is on disk: one that restarted
 // without it would take the leader before for the one it is bound to, and if that
 // one has restarted as well, promise itself to another while the lease stands.
-func TestAVoteIsOnDiskBeforeItSupports(t *testing.T) {
+func TestAVoteIsOnDiskBeforeAHeartbeatIsAcked(t *testing.T) {
 	for what, bind := range map[string]message.Message{
 		"it joined the term by a fill": {Kind: message.KindInstallState, Term: 6, Group: three},
 		"it promised":                  {Kind: message.KindRequestVote, Term: 6, Group: three, Length: int64(fullWait)},
@@ -68,7 +68,7 @@
 // What a daemon sent in an earlier life counts for nothing once a later life is
 // known: its void would free a vote that the later life won with, its question
 // would bind the vote to a life that is over.
-func TestMessagesOfAnEarlierLifeAreNobodys(t *testing.T) {
+func TestMessagesOfAnEarlierIncarnationAreIgnored(t *testing.T) {
 	for what, late := range map[string]message.Message{
 		"void": {Kind: message.KindAbandonTerm, Term: 6},
 		"ask":  {Kind: message.KindRequestVote, Term: 6, Length: int64(fullWait)},
@@ -90,7 +90,7 @@
 // A newcomer that is elected while the step which brings it in is under way
 // finishes that step: as leader it holds all that there is. The replica that it
 // replaces is gone for good, so until then the loss of one more would end all.
-func TestANewcomerThatLeadsFinishesItsStep(t *testing.T) {
+func TestANewcomerThatLeadsFinishesItsGroupChange(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 	c.advance(2 * time.Second)
 	first, gone, other := c.split()
--- a/control/quorum/incarnation_test.go
+++ b/control/quorum/incarnation_test.go
@@ -62,7 +62,7 @@
 }
 
 // What counts of an incarnation, and what it is told that doesn't.
-func TestWhichIncarnationsCount(t *testing.T) {
+func TestWhichIncarnationsAreAdmitted(t *testing.T) {
 	const me = 7<<32 + 1
 	heard := message.SavePoint{Epoch: first, Saves: 5}
 	for _, x := range []struct {
@@ -95,7 +95,7 @@
 }
 
 // What takes a replica its voice, and what doesn't.
-func TestWhatSupersedes(t *testing.T) {
+func TestWhatSupersedesAReplica(t *testing.T) {
 	const me = 7<<32 + 1
 	past := Meta{State: message.SavePoint{Epoch: 6<<32 + 4, Saves: 20}, History: []message.SavePoint{{Epoch: 4<<32 + 9, Saves: 3}}}
 	for _, x := range []struct {
@@ -143,7 +143,7 @@
 // A peer that goes by an earlier incarnation is told of this one before it is
 // listened to; once it goes by this one it is heard, and the question that it had
 // asked meanwhile is asked again.
-func TestAPeerIsToldBeforeItIsHeard(t *testing.T) {
+func TestAPeerLearnsOfAnIncarnationBeforeItIsAdmitted(t *testing.T) {
 	const was, me = 6<<32 + 4, 7<<32 + 1
 	base := message.SavePoint{Epoch: was, Saves: 20}
 	g := openGuarded(t, me, Meta{State: base})
@@ -157,7 +157,7 @@
 }
 
 // A candidate asks anew whom it hears to have started meanwhile.
-func TestAQuestionGoesToTheNextIncarnation(t *testing.T) {
+func TestAVoteRequestGoesToTheNextIncarnation(t *testing.T) {
 	const me = 7<<32 + 1
 	g := openGuarded(t, me, Meta{Peers: []message.PeerIncarnation{{Ident: "b", Epoch: first}}})
 	var asked int
@@ -176,7 +176,7 @@
 
 // What is known of the others is on the disk a beat later, though nothing else is
 // saved, and of no daemon that is no replica.
-func TestWhatIsKnownOfOthersIsSaved(t *testing.T) {
+func TestPeerIncarnationsAreSaved(t *testing.T) {
 	g := openGuarded(t, 7<<32+1, Meta{})
 	g.step(message.Message{Kind: message.KindRejectVote, Epoch: first, KnownEpoch: 7<<32 + 1, Saves: 4})
 	g.replica.Step(g.now, message.Message{Kind: message.KindRejectVote, From: "stranger", Addr: "s", To: "a", Epoch: first})
@@ -194,7 +194,7 @@
 }
 
 // A leader tells each replica how far the others came, until it has answered.
-func TestALeaderTellsOfTheOthers(t *testing.T) {
+func TestALeaderAnnouncesPeerIncarnations(t *testing.T) {
 	w := newTrio(t)
 	for i, replica := range three.Replicas { // with folders
 		m := w.members[replica.Ident]
@@ -222,7 +222,7 @@
 }
 
 // A folder's past is that of all its replicas, its last incarnations only.
-func TestAFoldersPast(t *testing.T) {
+func TestTheHistoryOfAFolder(t *testing.T) {
 	var held []Meta
 	for n := uint64(1); n <= keptIncarnations+3; n++ {
 		held = append(held, Meta{State: message.SavePoint{Epoch: n << 32, Saves: n}, History: []message.SavePoint{{Epoch: 1 << 32, Saves: 99}}})
--- a/control/quorum/early_test.go
+++ b/control/quorum/vote_test.go
@@ -72,7 +72,7 @@
 // A restarted voter that knows nothing of the leader's new life waits out the
 // lease that it may have supported; nor is a message of the leader's same life, or
 // of anybody else's new one, a sign that it is gone.
-func TestARestartedVoterWaits(t *testing.T) {
+func TestARestartedVoterWaitsOutTheLease(t *testing.T) {
 	v := restartedVoter(t)
 	v.step(10*time.Millisecond, "x", 3, message.Message{Kind: message.KindRejectVote})
 	v.step(20*time.Millisecond, "b", 9, message.Message{Kind: message.KindRejectVote})
@@ -91,7 +91,7 @@
 
 // A voter that heard of the leader's new life, from whomever it may be asked,
 // promises at once and tells how long leases under the old one may stand.
-func TestAVoterThatHeardOfANewLifePromisesAtOnce(t *testing.T) {
+func TestAVoterVotesAtOnceWhenItsLeaderRestarted(t *testing.T) {
 	last := 10 * time.Second
 	for what, x := range map[string]struct {
 		make func(*testing.T) *voter
@@ -119,7 +119,7 @@
 }
 
 // A candidate of a build that would write at once is promised nothing early.
-func TestNoEarlyPromiseToAnOlderBuild(t *testing.T) {
+func TestNoEarlyVoteForAnEarlierBuild(t *testing.T) {
 	v := runningVoter(t)
 	at := 10*time.Second + 300*time.Millisecond
 	v.step(at, "x", 4, message.Message{Kind: message.KindRejectVote})
@@ -135,7 +135,7 @@
 
 // What the build before wrote names no life: such a voter waits, whatever it
 // hears.
-func TestMetaOfTheOlderBuild(t *testing.T) {
+func TestMetaOfAnEarlierBuild(t *testing.T) {
 	var m Meta
 	if err := json.Unmarshal([]byte(`{"Promised":5,"To":"x","Tried":2,"Set":5,"Group":{"Num":1,"Seats":[{"Ident":"a","Addr":"a"},{"Ident":"b","Addr":"b"},{"Ident":"x","Addr":"x"}]}}`), &m); err != nil {
 		t.Fatal(err)
@@ -202,7 +202,7 @@
 
 // A new leader writes nothing for as long as any of its voters says that leases
 // may stand, drift and all; an absurd length is not believed.
-func TestALeaderIsCalmForAsLongAsLeasesStand(t *testing.T) {
+func TestALeaderWritesNothingWhileEarlierLeasesStand(t *testing.T) {
 	for stand, want := range map[time.Duration]time.Duration{0: 0, 700 * time.Millisecond: cfg.Wait(700 * time.Millisecond), 1 << 62: cfg.Wait(fullWait), -time.Hour: 0} {
 		v := restartedVoter(t)
 		v.elect(10*time.Second, stand)
@@ -221,7 +221,7 @@
 
 // A leader that was elected early and is gone again, by a restart or since it
 // gave up, leaves the quiet time to the next one.
-func TestTheQuietTimeIsPassedOn(t *testing.T) {
+func TestTheWriteDelayIsPassedOnToTheNextLeader(t *testing.T) {
 	start := func() (*voter, time.Duration) { // b is promised early, for leases under x
 		v := runningVoter(t)
 		v.step(10*time.Second+100*time.Millisecond, "x", 4, message.Message{Kind: message.KindRejectVote})
@@ -248,7 +248,7 @@
 
 // A candidate that gives its term up leaves the voter bound as it was: to
 // nobody if the leader's new life is known, and with the quiet time still told.
-func TestAVoidBindsAsBefore(t *testing.T) {
+func TestAnAbandonedTermLeavesTheVoteAsBefore(t *testing.T) {
 	at := 10*time.Second + 100*time.Millisecond
 	v := runningVoter(t)
 	v.step(at, "x", 4, message.Message{Kind: message.KindRejectVote})
--- a/control/quorum/walk_test.go
+++ b/control/quorum/walk_test.go
@@ -212,7 +212,7 @@
 	}
 }
 
-func TestWalksOfReplacement(t *testing.T) {
+func TestRandomWalksOfGroupChanges(t *testing.T) {
 	steps, acked := 0, 0
 	for seed := int64(1); seed <= int64(walks); seed++ {
 		w := &walk{T: t, seed: seed, rng: rand.New(rand.NewSource(seed)), replicas: map[string]*Replica{}, epochs: map[string]uint64{}, disks: map[string]*disk{}, pendingKeys: map[uint64]string{}, ledTerms: map[string]uint64{}, diskFreeAt: map[string]time.Duration{}}
--- a/proof/standin/mutants/rules.sh
+++ b/proof/standin/mutants/rules.sh
@@ -19,17 +19,17 @@
 mutant ends-while-it-changes control/membership TestADaemonHandsOverWhileItsGroupChanges control/membership/view.go 'len(g.Next) > 0 || v.hasReplacement(g)' 'v.hasReplacement(g)'
 mutant prompts-count-as-waiting traffic/forward TestWhoWaitsTooLongIsRefused traffic/forward/admit.go 'may := max(t.TTFTTarget-t.predictedPrefill, t.TTFTTarget/2)' 'may := t.TTFTTarget - t.predictedPrefill'
 # incarnations
-mutant any-incarnation control/quorum TestWhichIncarnationsCount $guard 'if claims.StartState.Epoch != 0 && precedes(claims.StartState, known.State) {' 'if claims.StartState.Epoch != 0 && false {'
-mutant blind-to-itself control/quorum TestWhatSupersedes $guard 'if !r.guard.folder.descendsFrom(claims.KnownState) {' 'if r.guard.folder.descendsFrom(claims.KnownState) && false {'
+mutant any-incarnation control/quorum TestWhichIncarnationsAreAdmitted $guard 'if claims.StartState.Epoch != 0 && precedes(claims.StartState, known.State) {' 'if claims.StartState.Epoch != 0 && false {'
+mutant blind-to-itself control/quorum TestWhatSupersedesAReplica $guard 'if !r.guard.folder.descendsFrom(claims.KnownState) {' 'if r.guard.folder.descendsFrom(claims.KnownState) && false {'
 mutant strangers-count control/quorum TestAStrangerSupersedesNobody $guard 'claims.KnownEpoch != 0 && r.isReplicaOfGroup(from, claims.Group) &&' 'claims.KnownEpoch != 0 &&'
-mutant heard-too-early control/quorum TestAPeerIsToldBeforeItIsHeard $guard 'r.sendNotice(from.Replica, out)
+mutant heard-too-early control/quorum TestAPeerLearnsOfAnIncarnationBeforeItIsAdmitted $guard 'r.sendNotice(from.Replica, out)
 	return false
 }' 'r.sendNotice(from.Replica, out)
 	return true
 }'
-mutant not-asked-anew control/quorum TestAQuestionGoesToTheNextIncarnation $guard 'if !r.election.preVotes[to.Ident] {' 'if r.election.preVotes[to.Ident] {'
-mutant peers-in-memory-only control/quorum TestWhatIsKnownOfOthersIsSaved $guard 'if r.guard.unsaved && now' 'if r.guard.unsaved && r.resigned && now'
-mutant leader-tells-nobody control/quorum TestALeaderTellsOfTheOthers control/quorum/heartbeat.go ', Peers: r.announcePeers(to)}' '}'
+mutant not-asked-anew control/quorum TestAVoteRequestGoesToTheNextIncarnation $guard 'if !r.election.preVotes[to.Ident] {' 'if r.election.preVotes[to.Ident] {'
+mutant peers-in-memory-only control/quorum TestPeerIncarnationsAreSaved $guard 'if r.guard.unsaved && now' 'if r.guard.unsaved && r.resigned && now'
+mutant leader-tells-nobody control/quorum TestALeaderAnnouncesPeerIncarnations control/quorum/heartbeat.go ', Peers: r.announcePeers(to)}' '}'
 mutant superseded-goes-on control/storage TestSupersededStateIsQuarantined control/storage/quarantine.go 'return errSuperseded' 'return s.openState(fleet)'
 mutant left-state-claims control/storage TestRestoredStateDisownsIncarnations control/storage/head.go 'starts += restoredStarts' 'starts += 0'
 mutant spoilt-past-counts control/storage TestCorruptIncarnationsAreDisowned control/storage/load.go 'if r.Past != r.PastSum() {' 'if r.Past == 0 && r.PastSum() != 0 {'
