--- a/control/daemon/contact_test.go
+++ b/control/daemon/calls_test.go
@@ -33,7 +33,7 @@
 		{"lost long before", 10 * session, &membership.View{HasSession: true, Members: []message.Member{disk("a")}, Lost: []membership.LostDaemon{{Member: disk("c"), At: cfg.VolumeLease() - 3*session}}}, true, nil},
 	} {
 		c.clock.Leap(x.wait)
-		c.view.Store(x.view)
+		c.members.view.Store(x.view)
 		got := c.Contact(0)
 		var to []string
 		for _, m := range got.OtherDaemons {
--- a/control/daemon/disk_test.go
+++ b/control/daemon/diskwriter_test.go
@@ -23,29 +23,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := c.arch.SetFull(true); err != nil {
+	if err := c.store.SetFull(true); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 300 {
 		rec := message.Record{Key: fmt.Sprint("k", i%3), Version: message.Version{Term: 1, Seq: uint64(i + 1)}, Value: make([]byte, 1<<18)}
-		c.toDisk([]quorum.Save{{Ticket: uint64(i + 1), Partition: 1, Meta: quorum.Meta{VotedTerm: uint64(i + 1)}, Records: []message.Record{rec}}})
-		if i%100 == 50 && !c.flush(t.Context()) {
+		c.disk.add([]quorum.Save{{Ticket: uint64(i + 1), Partition: 1, Meta: quorum.Meta{VotedTerm: uint64(i + 1)}, Records: []message.Record{rec}}})
+		if i%100 == 50 && !c.disk.flush(t.Context()) {
 			t.Fatal("nothing was tried")
 		}
 	}
-	if s := c.dq.Saves(); len(s) != 1 || len(s[0].Records) != 3 || len(c.dq.Tickets) != 300 || c.refused.Load() != 3 {
-		t.Errorf("%d saves of %d records wait, %d refused", len(s), len(s[0].Records), c.refused.Load())
+	if s := c.disk.waiting.Saves(); len(s) != 1 || len(s[0].Records) != 3 || len(c.disk.waiting.Tickets) != 300 || c.disk.refusals.Load() != 3 {
+		t.Errorf("%d saves of %d records wait, %d refused", len(s), len(s[0].Records), c.disk.refusals.Load())
 	}
-	if err := c.arch.SetFull(false); err != nil {
+	if err := c.store.SetFull(false); err != nil {
 		t.Fatal(err)
 	}
-	for c.flush(t.Context()) {
+	for c.disk.flush(t.Context()) {
 	}
 	said := ""
 	for _, e := range c.Events.Since(0) {
 		said += e.Text + "\n"
 	}
-	if !strings.Contains(said, "full") || !strings.Contains(said, "takes writes again, after it refused 3") {
+	if !strings.Contains(said, "full") || !strings.Contains(said, "takes writes again refused=3") {
 		t.Errorf("said: %s", said)
 	}
 	c.close()
@@ -70,10 +70,10 @@
 	if c.Ready() {
 		t.Error("ready though it never was")
 	}
-	c.ready.Store(true)
+	c.readiness.ready.Store(true)
 	c.member() // as its table is told
-	if c.isReady() || !c.Ready() {
-		t.Errorf("under leases %v, ready %v", c.isReady(), c.Ready())
+	if c.canServe() || !c.Ready() {
+		t.Errorf("under leases %v, ready %v", c.canServe(), c.Ready())
 	}
 	c.clock.Leap(c.Cfg.VolumeLease())
 	if c.Ready() {
--- a/control/daemon/handover.go
+++ b/control/daemon/handover.go
@@ -5,22 +5,48 @@
 	"time"
 )
 
-// handOverRatio is the part of the grace period that a daemon which was told to
-// end waits at most for its replicas to be taken over.
+// handOverRatio is the part of the grace period that a stopping daemon waits at
+// most for its replicas to be taken over.
 const handOverRatio = 0.6
 
-// PartitionsToHandOver counts the partitions that still count on this daemon's copy though a standby
-// could take its place, or is about to; none where the copy is superseded.
+// Leave makes the daemon not ready and resigns its leaderships.
 //
-// Example: if c.PartitionsToHandOver() == 0 { end() }
-func (c *Daemon) PartitionsToHandOver() (n int) {
-	if c.WhySuperseded() != "" {
+// Example: d.Leave(); waitForStreams()
+func (d *Daemon) Leave() {
+	d.readiness.stopFrom.Store(int64(d.Now()))
+	d.readiness.stopping.Store(true)
+	d.readiness.ready.Store(false)
+	d.Events.Debug("stop", "asked to stop")
+	for _, s := range d.shards {
+		s.mu.Lock()
+		if replica := s.replica(); replica != nil {
+			replica.Resign()
+		}
+		s.mu.Unlock()
+	}
+}
+
+// RefusesRequests tells whether the daemon was asked to stop so long ago that the
+// platform has seen it is not ready; until then it still takes requests.
+//
+// Example: if d.RefusesRequests() { refuse() }
+func (d *Daemon) RefusesRequests() bool {
+	return d.readiness.stopping.Load() && d.Now()-time.Duration(d.readiness.stopFrom.Load()) >= d.Cfg.Bounds.Plan
+}
+
+// PartitionsToHandOver counts the partitions that still need this daemon's replica
+// though a learner could take its place, or is about to; none where the replica is
+// superseded.
+//
+// Example: if d.PartitionsToHandOver() == 0 { end() }
+func (d *Daemon) PartitionsToHandOver() (n int) {
+	if d.WhySuperseded() != "" {
 		return 0
 	}
-	v := c.View()
-	for _, s := range c.shards {
+	view := d.View()
+	for _, s := range d.shards {
 		s.mu.Lock()
-		if replica := s.Partition().Replica; replica != nil && v.MustHandOver(replica.Group()) {
+		if replica := s.replica(); replica != nil && view.MustHandOver(replica.Group()) {
 			n++
 		}
 		s.mu.Unlock()
@@ -28,49 +54,63 @@
 	return n
 }
 
-// HandOver returns when no partition counts on this daemon's copy any more, at once
-// if no standby could take its place, and at the latest when the context ends
-// or most of the grace period is over since the daemon was told to end.
+// HandOver returns when no partition needs this daemon's replica any more, at once
+// if no learner could take its place, and at the latest when the context ends or
+// most of the grace period is over since the daemon was asked to stop.
 //
-// Example: c.Leave(); serveOn(); c.HandOver(ctx)
-func (c *Daemon) HandOver(ctx context.Context) {
-	limit := time.Duration(c.stopAt.Load()) + fraction(c.Cfg.GracePeriod, handOverRatio)
-	for c.PartitionsToHandOver() > 0 && c.Now() < limit && pause(ctx, c.Cfg.VolumeLease()/32) {
+// Example: d.Leave(); serveOn(); d.HandOver(ctx)
+func (d *Daemon) HandOver(ctx context.Context) {
+	limit := time.Duration(d.readiness.stopFrom.Load()) + fraction(d.Cfg.GracePeriod, handOverRatio)
+	for d.PartitionsToHandOver() > 0 && d.Now() < limit && sleep(ctx, d.Cfg.VolumeLease()/32) {
 	}
-	if n := c.PartitionsToHandOver(); n > 0 {
-		c.Events.Say("stop", "%d partitions still count on this copy", n)
+	if n := d.PartitionsToHandOver(); n > 0 {
+		d.Events.Info("stop", "partitions still need this replica", "partitions", n)
 	}
 }
 
-// standing is how far a daemon with a disk has come since its start.
-type standing uint8
+// replicaStage is how far a control daemon has come since its start.
+type replicaStage uint8
 
 const (
-	newcomer standing = iota // some partition's copy is missing here
-	holding                  // it has a copy of every partition
-	counting                 // and a vote in every partition
+	stageIncomplete replicaStage = iota // some partition's replica is missing here
+	stageComplete                       // it has all records of every partition
+	stageVoting                         // and a vote in every partition
 )
 
-// reportStanding writes out once when this daemon holds a copy of every partition, and once
-// when every partition counts on it.
-func (c *Daemon) reportStanding() {
-	if c.arch == nil || c.standing == counting {
+// String names a stage in the log.
+//
+// Example: stageVoting.String() == "counts in all partitions"
+func (s replicaStage) String() string {
+	return [...]string{"incomplete", "holds a copy of all partitions", "counts in all partitions"}[s]
+}
+
+// updateReplicaStage writes out once when this daemon has a complete replica of
+// every partition, and once when it has a vote in every partition.
+func (d *Daemon) updateReplicaStage() {
+	if d.store == nil || d.readiness.stage == stageVoting {
 		return
 	}
-	now := counting
-	for _, s := range c.shards {
+	stage := d.replicaStage()
+	if stage <= d.readiness.stage {
+		return
+	}
+	d.readiness.stage = stage
+	d.Events.Info("replicas", stage.String(), "partitions", len(d.shards), "after", d.Now().Round(time.Millisecond))
+}
+
+// replicaStage is the stage that the replicas are at now.
+func (d *Daemon) replicaStage() replicaStage {
+	stage := stageVoting
+	for _, s := range d.shards {
 		s.mu.Lock()
-		g, set := s.Partition().Replica.Group(), s.Partition().Replica.Meta().LastComplete
+		group, complete := s.replica().Group(), s.replica().Meta().LastComplete > 0
 		s.mu.Unlock()
 		switch {
-		case g.Number == 0 || set == 0:
-			return
-		case len(g.Next) > 0 || !g.Has(c.me.Ident):
-			now = holding
+		case group.Number == 0 || !complete:
+			return stageIncomplete
+		case len(group.Next) > 0 || !group.Has(d.self.Ident):
+			stage = stageComplete
 		}
 	}
-	if now > c.standing {
-		c.standing = now
-		c.Events.Say("replicas", "%s %d partitions %v after the start", [...]string{holding: "holds a copy of all", counting: "counts in all"}[now], len(c.shards), c.Now().Round(time.Millisecond))
-	}
+	return stage
 }
--- a/control/daemon/handover_test.go
+++ b/control/daemon/handover_test.go
@@ -14,7 +14,7 @@
 // period; a plain restart isn't held up.
 func TestOnlyAStandbyIsWaitedFor(t *testing.T) {
 	c := alone(t, func(cfg *Config) { cfg.DataFolder, cfg.GracePeriod = t.TempDir(), time.Hour })
-	c.found([]message.Replica{c.me, {Ident: "b", Addr: "127.0.0.1:1"}, {Ident: "c", Addr: "127.0.0.1:2"}})
+	c.bootstrap([]message.Replica{c.self, {Ident: "b", Addr: "127.0.0.1:1"}, {Ident: "c", Addr: "127.0.0.1:2"}})
 	c.Leave()
 	for what, x := range map[string]struct {
 		more []message.Member
@@ -26,7 +26,7 @@
 		"a standby beside another": {[]message.Member{{Ident: "d"}, {Ident: "e", HasDisk: true}}, 2},
 	} {
 		members := append([]message.Member{c.member(), {Ident: "b", HasDisk: true}, {Ident: "c", HasDisk: true}}, x.more...)
-		c.view.Store(&membership.View{Me: members[0], Members: members})
+		c.members.view.Store(&membership.View{Me: members[0], Members: members})
 		if n := c.PartitionsToHandOver(); n != x.held {
 			t.Errorf("%s: %d partitions held, expected %d", what, n, x.held)
 		}
--- a/control/daemon/interface_test.go
+++ b/control/daemon/interface_test.go
@@ -216,7 +216,7 @@
 	if code, answer := c.Call(t.Context(), 0, "plan", []byte(packed), 20*time.Second); code != 200 {
 		t.Fatalf("the first plan: %d %s", code, answer)
 	}
-	await(t, c.Daemon, func() bool { return c.ready.Load() && c.isReady() })
+	await(t, c.Daemon, func() bool { return c.isReady() })
 	call("GET", "/readyz", "")
 	call("GET", "/v1/plan/template", "")
 	call("GET", "/v1/plan", "")
@@ -264,7 +264,7 @@
 	for !so() {
 		select {
 		case <-limit:
-			t.Fatal("not in time: " + c.unready())
+			t.Fatal("not in time: " + c.whyNotReady())
 		case <-c.Changed():
 		case <-often.C:
 		}
--- a/control/daemon/invariants.go
+++ b/control/daemon/invariants.go
@@ -11,10 +11,10 @@
 	savesInOrder = invariant.New("saves_out_of_order", "a partition's saves are told as done in the order in which they were asked for")
 )
 
-// LogViolations has violated invariants of this process told in its log, until
-// restore is called.
+// LogViolations has violated invariants of this process logged, until restore is
+// called.
 //
-// Example: daemon.LogViolations(events)
+// Example: restore := daemon.LogViolations(events)
 func LogViolations(events *eventlog.Log) (restore func()) {
-	return invariant.Report(func(name, text string) { events.Trouble("invariant", "%s: %s", name, text) })
+	return invariant.Report(func(name, text string) { events.Warn("invariant", text, "check", name) })
 }
--- a/control/daemon/invariants_test.go
+++ b/control/daemon/invariants_test.go
@@ -13,12 +13,12 @@
 func TestALowerFenceIsHeldBack(t *testing.T) {
 	s := &shard{}
 	for _, fence := range []uint64{7, 7, 9} {
-		if !s.fenced(placement.Order{Term: fence}) {
+		if !s.checkFence(placement.Order{Term: fence}) {
 			t.Errorf("fence %d is held back", fence)
 		}
 	}
 	before := fenceRises.Count()
-	if s.fenced(placement.Order{Term: 8}) || fenceRises.Count() != before+1 {
+	if s.checkFence(placement.Order{Term: 8}) || fenceRises.Count() != before+1 {
 		t.Errorf("fence 8 after 9: %d counted", fenceRises.Count()-before)
 	}
 	fenceRises.Discount(1)
@@ -28,10 +28,10 @@
 func TestSavesOutOfOrderAreCounted(t *testing.T) {
 	s := &shard{}
 	for _, save := range []uint64{1, 2, 5} {
-		s.wrote(save)
+		s.noteSaved(save)
 	}
 	before := savesInOrder.Count()
-	if s.wrote(4); savesInOrder.Count() != before+1 {
+	if s.noteSaved(4); savesInOrder.Count() != before+1 {
 		t.Errorf("save 4 after 5: %d counted", savesInOrder.Count()-before)
 	}
 	savesInOrder.Discount(1)
@@ -45,7 +45,7 @@
 	check.Hold(false, "%d is odd", 3)
 	check.Discount(1)
 	lines := events.Since(0)
-	if len(lines) != 1 || lines[0].Kind != "trouble invariant" || lines[0].Text != "test_told: 3 is odd" {
+	if len(lines) != 1 || lines[0].Kind != "trouble invariant" || lines[0].Text != "3 is odd check=test_told" {
 		t.Errorf("told: %+v", lines)
 	}
 }
--- /dev/null
+++ b/control/daemon/membership.go
@@ -0,0 +1,156 @@
+package daemon
+
+import (
+	"context"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"mulleinmast/control/membership"
+	"mulleinmast/control/quorum"
+	"mulleinmast/wire/message"
+)
+
+// membershipTicks is how often the session table is ticked in a heartbeat interval.
+const membershipTicks = 4
+
+// memberTable is the session table under its lock, with the view of the fleet that
+// it gave at its last tick.
+type memberTable struct {
+	view atomic.Pointer[membership.View]
+
+	mu    sync.Mutex // guards table
+	table *membership.Table
+}
+
+func newMemberTable(table *membership.Table) *memberTable {
+	t := &memberTable{table: table}
+	t.view.Store(table.View())
+	return t
+}
+
+// step has the table take a message.
+func (t *memberTable) step(now func() time.Duration, m message.Message) membership.Out {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.table.Step(now(), m)
+}
+
+// tick lets time pass in the table and shows what it knows then.
+func (t *memberTable) tick(now func() time.Duration, self message.Member, leaderships []message.Leadership) membership.Out {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	out := t.table.Tick(now(), self, leaderships)
+	t.view.Store(t.table.View())
+	return out
+}
+
+func (t *memberTable) addControlAddrs(addrs ...string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.table.AddControlAddrs(addrs...)
+}
+
+// runMembership lets time pass in the session table, and keeps this daemon's
+// readiness and its entry in the table up to date.
+func (d *Daemon) runMembership(ctx context.Context) error {
+	ticker := time.NewTicker(d.Cfg.MembershipConfig().HeartbeatInterval / membershipTicks)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-ticker.C:
+		}
+		d.tickMembership()
+	}
+}
+
+// tickMembership is one round of runMembership. What needs the shards' locks comes
+// before the table's lock.
+func (d *Daemon) tickMembership() {
+	leaderships := d.leaderships()
+	d.updateReadiness()
+	d.updateReplicaStage()
+	self := d.member()
+	out := d.members.tick(d.Now, self, leaderships)
+	if d.WhySuperseded() != "" { // the session belongs to the other process
+		return
+	}
+	d.SendAll(out.Sends)
+	if out.Bootstrap != nil {
+		d.bootstrap(out.Bootstrap)
+	}
+}
+
+// leaderships are those that the replicas here hold or know of.
+func (d *Daemon) leaderships() (list []message.Leadership) {
+	for _, s := range d.shards {
+		s.mu.Lock()
+		if replica := s.replica(); replica != nil {
+			if s.isLeader(d.Now()) {
+				list = append(list, message.Leadership{Partition: s.partition, Term: replica.Term(), Leader: d.self})
+			} else if known := replica.KnownLeader(); known.Term > 0 {
+				list = append(list, known)
+			}
+		}
+		s.mu.Unlock()
+	}
+	return list
+}
+
+// member is this daemon's entry in the session table.
+func (d *Daemon) member() message.Member {
+	return message.Member{
+		Ident:    d.self.Ident,
+		Epoch:    d.epoch,
+		Addr:     d.self.Addr,
+		HTTPAddr: d.Cfg.HTTPAddr,
+		Zone:     d.Cfg.Zone,
+		HasDisk:  d.store != nil,
+		Ready:    d.isReadyToMembers(),
+		Empty:    d.store != nil && !d.isInAnyGroup(),
+		Build:    Build,
+	}
+}
+
+// isInAnyGroup tells whether a replica here knows of a group: by the replicas, or
+// by the data folder while they aren't made yet.
+func (d *Daemon) isInAnyGroup() bool {
+	for _, s := range d.shards {
+		if s.group().Number > 0 {
+			return true
+		}
+	}
+	if d.shards == nil {
+		for _, held := range d.store.Partitions {
+			if held.Meta.Group.Number > 0 {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// bootstrap makes the first group of every partition, in one transaction.
+func (d *Daemon) bootstrap(replicas []message.Replica) {
+	d.Events.Info("fleet", "nobody knows of a group: the fleet is bootstrapped", "replicas", replicas)
+	sends := d.saveFirstGroups(message.Group{Number: 1, Replicas: replicas})
+	d.SendAll(sends)
+}
+
+// saveFirstGroups takes all shards' locks, so that a vote that a partition grants
+// meanwhile comes to the disk later.
+func (d *Daemon) saveFirstGroups(group message.Group) (sends []message.Envelope) {
+	var saves []quorum.Save
+	for _, s := range d.shards {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+	}
+	for _, s := range d.shards {
+		out := s.controller.Bootstrap(d.Now(), group)
+		saves, sends = append(saves, out.Saves...), append(sends, out.Sends...)
+	}
+	d.disk.add(saves)
+	return sends
+}
--- /dev/null
+++ b/control/daemon/messages.go
@@ -0,0 +1,65 @@
+package daemon
+
+import (
+	"time"
+
+	"mulleinmast/control/leader"
+	"mulleinmast/wire/message"
+)
+
+// send puts a message on the wire. One to this daemon itself never leaves it. A
+// shard's lock may be held.
+func (d *Daemon) send(e message.Envelope) {
+	if e.Message.To == d.self.Ident {
+		e.Message.From, e.Message.Epoch, e.Message.Addr = d.self.Ident, d.epoch, d.self.Addr
+		go d.receive(e.Message)
+		return
+	}
+	// A replica is known by its identity; its machine may have a new address.
+	if member, ok := d.View().Find(e.Message.To); ok && !e.ExactAddr {
+		e.Addr = member.Addr
+	}
+	d.Transport.Send(e)
+}
+
+// SendAll puts messages to other daemons on the wire.
+//
+// Example: d.SendAll(reports.Tick(now, me, members))
+func (d *Daemon) SendAll(list []message.Envelope) {
+	for _, e := range list {
+		d.Transport.Send(e)
+	}
+}
+
+// receive hands a message to the state machine that it is for.
+func (d *Daemon) receive(m message.Message) {
+	switch {
+	case isMembership(m.Kind):
+		d.handleMembership(m)
+	case m.Kind == message.KindLoadReport:
+		if d.OnLoadReport != nil {
+			d.OnLoadReport(m)
+		}
+	case m.Kind == message.KindCallResult:
+		d.calls.step(m)
+	case m.Partition < 0 || m.Partition >= len(d.shards):
+		d.Events.Warn("wire", "message for a partition that isn't here", "from", m.Addr, "kind", m.Kind,
+			"partition", m.Partition, "partitions", len(d.shards))
+	default:
+		d.step(d.shards[m.Partition], func(c *leader.Controller, now time.Duration) leader.Out { return c.Step(now, m) })
+	}
+}
+
+// isMembership tells whether the session table takes a message.
+func isMembership(kind message.Kind) bool {
+	return kind >= message.KindHello && kind <= message.KindCensusAnswer || kind == message.KindBootstrap
+}
+
+// handleMembership has the session table take a message.
+func (d *Daemon) handleMembership(m message.Message) {
+	out := d.members.step(d.Now, m)
+	d.SendAll(out.Sends)
+	if out.Bootstrap != nil {
+		d.bootstrap(out.Bootstrap)
+	}
+}
--- a/control/daemon/metrics.go
+++ b/control/daemon/metrics.go
@@ -9,72 +9,75 @@
 	"mulleinmast/control/invariant"
 )
 
-// measure registers the figures of the control plane.
-func (c *Daemon) measure() {
-	gauge := func(name string, value func() float64) { c.Metrics.NewGauge("mulleinmast_"+name, value) }
-	gauge("ready", func() float64 { return one(c.Ready()) })
-	gauge("members", func() float64 { return float64(len(c.View().Members)) })
+// metricPrefix begins the names of all metrics of this product.
+const metricPrefix = "mulleinmast_"
+
+// registerMetrics registers the metrics of the control plane; the disk writer has
+// registered its own.
+func (d *Daemon) registerMetrics() {
+	gauge := func(name string, value func() float64) { d.Metrics.NewGauge(metricPrefix+name, value) }
+	gauge("ready", func() float64 { return boolValue(d.Ready()) })
+	gauge("members", func() float64 { return float64(len(d.View().Members)) })
 	gauge("plan_version", func() float64 {
-		_, version, _ := c.Plan()
+		_, version, _ := d.Plan()
 		return float64(version)
 	})
-	gauge("partitions_led", func() float64 { return c.partitionsThat((*shard).led, c) })
-	gauge("volume_leases", func() float64 { return c.partitionsThat((*shard).leased, c) })
-	gauge("disk_refusals_in_a_row", func() float64 { return float64(c.refused.Load()) })
-	gauge("records_unreadable", func() float64 { return float64(count(c.unreadable())) })
-	gauge("wire_sent", func() float64 { return float64(c.Transport.Sent.Load()) })
-	gauge("wire_got", func() float64 { return float64(c.Transport.Received.Load()) })
-	gauge("wire_lost", func() float64 { return float64(c.Transport.Dropped.Load()) })
-	gauge("wire_addresses", func() float64 { return float64(c.Transport.Addresses()) })
-	gauge("superseded", func() float64 { return one(c.WhySuperseded() != "") })
-	gauge("records_sent_as_changes", func() float64 { return c.records(func(s *shard) int { return s.Partition().Node.SentAsPatches() }) })
-	gauge("records_sent_whole", func() float64 { return c.records(func(s *shard) int { return s.Partition().Node.SentInFull() }) })
-	c.withdrawn.took = c.Metrics.NewHistogram("mulleinmast_plan_withdrawn_seconds")
-	c.diskWrites = c.Metrics.NewHistogram("mulleinmast_disk_write_seconds")
-	c.terms = c.Metrics.NewCounter("mulleinmast_leaderships_won_total")
+	gauge("superseded", func() float64 { return boolValue(d.WhySuperseded() != "") })
+	gauge("disk_refusals_in_a_row", func() float64 { return float64(d.disk.refusals.Load()) })
+	gauge("records_unreadable", func() float64 {
+		n, _ := d.unreadableRecords()
+		return float64(n)
+	})
+	d.registerPartitionMetrics(gauge)
+	d.registerWireMetrics(gauge)
+	d.planGaps.length = d.Metrics.NewHistogram(metricPrefix + "plan_withdrawn_seconds")
+	d.leadsWon = d.Metrics.NewCounter(metricPrefix + "leaderships_won_total")
 }
 
-func count(n int, _ error) int { return n }
-
-func one(yes bool) float64 {
-	if yes {
-		return 1
+// registerPartitionMetrics registers sums over the partitions.
+func (d *Daemon) registerPartitionMetrics(gauge func(name string, value func() float64)) {
+	sum := func(name string, value func(*shard) float64) {
+		gauge(name, func() float64 { return d.sumOverShards(value) })
 	}
-	return 0
+	sum("partitions_led", func(s *shard) float64 { return boolValue(s.isLeader(d.Now())) })
+	sum("volume_leases", func(s *shard) float64 { return boolValue(d.Now() < s.node().VolumeExpiry()) })
+	sum("records_sent_as_changes", func(s *shard) float64 { return float64(s.node().SentAsPatches()) })
+	sum("records_sent_whole", func(s *shard) float64 { return float64(s.node().SentInFull()) })
 }
 
-func (s *shard) led(c *Daemon) bool { return s.IsLeader(c.Now()) }
-
-func (s *shard) leased(c *Daemon) bool { return c.Now() < s.Partition().Node.VolumeExpiry() }
+// registerWireMetrics registers the counts of messages to and from other daemons.
+func (d *Daemon) registerWireMetrics(gauge func(name string, value func() float64)) {
+	gauge("wire_sent", func() float64 { return float64(d.Transport.Sent.Load()) })
+	gauge("wire_got", func() float64 { return float64(d.Transport.Received.Load()) })
+	gauge("wire_lost", func() float64 { return float64(d.Transport.Dropped.Load()) })
+	gauge("wire_addresses", func() float64 { return float64(d.Transport.Addresses()) })
+}
 
-// partitionsThat counts the partitions of which something is true.
-func (c *Daemon) partitionsThat(is func(*shard, *Daemon) bool, of *Daemon) (n float64) {
-	for _, s := range c.shards {
-		s.mu.Lock()
-		n += one(is(s, of))
-		s.mu.Unlock()
+func boolValue(b bool) float64 {
+	if b {
+		return 1
 	}
-	return n
+	return 0
 }
 
-// records adds up a count of records over the partitions.
-func (c *Daemon) records(count func(*shard) int) (n float64) {
-	for _, s := range c.shards {
+// sumOverShards adds up a value of each partition, taken under its lock.
+func (d *Daemon) sumOverShards(value func(*shard) float64) (sum float64) {
+	for _, s := range d.shards {
 		s.mu.Lock()
-		n += float64(count(s))
+		sum += value(s)
 		s.mu.Unlock()
 	}
-	return n
+	return sum
 }
 
-// WriteMetrics writes the daemon's figures, those of its process, and the counts
-// of violated invariants, as lines that the usual collectors read.
+// WriteMetrics writes the daemon's metrics, those of its process, and the counts of
+// violated invariants, in the Prometheus text format.
 //
-// Example: c.WriteMetrics(w)
-func (c *Daemon) WriteMetrics(w io.Writer) {
-	c.Metrics.WritePrometheus(w)
+// Example: d.WriteMetrics(w)
+func (d *Daemon) WriteMetrics(w io.Writer) {
+	d.Metrics.WritePrometheus(w)
 	for _, check := range invariant.All() {
-		_, _ = fmt.Fprintf(w, "mulleinmast_invariant_violations_total{check=%q} %d\n", check.Name(), check.Count())
+		_, _ = fmt.Fprintf(w, metricPrefix+"invariant_violations_total{check=%q} %d\n", check.Name(), check.Count())
 	}
 	metrics.WriteProcessMetrics(w)
 	metrics.WriteFDMetrics(w)
--- a/control/daemon/open_test.go
+++ b/control/daemon/open_test.go
@@ -32,7 +32,7 @@
 // leased has a daemon's partition adopt a parent and hold its volume lease; what
 // the parent says goes in by the function that it gives.
 func leased(c *Daemon) (hear func(message.Message) []message.Envelope) {
-	node, no := c.shards[0].Partition().Node, uint64(0)
+	node, no := c.shards[0].node(), uint64(0)
 	hear = func(n message.Message) []message.Envelope {
 		no++
 		n.From, n.Addr, n.VolumeEpoch, n.RequestID, n.Term = "p", "p", message.VolumeEpoch{Ident: "p", Epoch: 1}, no, c.epoch
--- /dev/null
+++ b/control/daemon/operator.go
@@ -0,0 +1,231 @@
+package daemon
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"net/netip"
+	"path/filepath"
+	"strconv"
+
+	"mulleinmast/control/eventlog"
+	"mulleinmast/control/fleetconfig"
+	"mulleinmast/control/leader"
+	"mulleinmast/control/leadercall"
+	"mulleinmast/wire/message"
+)
+
+// maxBody bounds the body of an operator's call, in bytes.
+const maxBody = 16 << 20
+
+// notReadyRetryMs is when those who find the daemon not ready should ask again.
+const notReadyRetryMs = 1000
+
+// Operations that a partition's leader carries out.
+const (
+	opPlan        = "plan"
+	opChanges     = "changes"
+	opEvacuate    = "evacuate"
+	opReturn      = "return"
+	opMoveReplica = "seat"
+	opServers     = "servers"
+)
+
+// registerOperatorCalls lays out the calls for operators and the platform.
+func (d *Daemon) registerOperatorCalls() {
+	m := d.Mux
+	m.HandleFunc("GET /livez", d.handleLive)
+	m.HandleFunc("GET /readyz", d.handleReady)
+	m.HandleFunc("GET /v1/plan/template", d.handlePlanTemplate)
+	m.HandleFunc("GET /v1/plan", d.handleGetPlan)
+	m.HandleFunc("PUT /v1/plan", d.handlePutPlan)
+	m.HandleFunc("POST /v1/plan/changes", d.handlePlanChanges)
+	m.HandleFunc("POST /v1/zones/{zone}/{op}", d.handleZone)
+	m.HandleFunc("POST /v1/replicas", d.handleMoveReplica)
+	m.HandleFunc("POST /v1/cells/{zone}/{op}", d.handleZone) // as operators' older scripts call them
+	m.HandleFunc("POST /v1/seats", d.handleMoveReplica)
+	m.HandleFunc("PUT /v1/services/{service}/servers", d.handlePutServers)
+	m.HandleFunc("GET /v1/services/{service}/servers", d.handleGetServers)
+	m.HandleFunc("GET /v1/state", d.handleState)
+	m.HandleFunc("GET /v1/ring", d.handleEvents)
+	if d.store != nil {
+		m.HandleFunc("POST /v1/backup", d.handleBackup)
+	}
+	if d.Cfg.TestSwitches {
+		d.registerTestSwitches()
+	}
+}
+
+func (d *Daemon) handleLive(w http.ResponseWriter, _ *http.Request) {
+	Respond(w, http.StatusOK, leadercall.Response{Result: "live"})
+}
+
+func (d *Daemon) handleReady(w http.ResponseWriter, _ *http.Request) {
+	if !d.isReady() {
+		Respond(w, http.StatusServiceUnavailable, leadercall.Response{Result: "not ready", Reason: d.whyNotReady(), RetryAfterMillis: notReadyRetryMs})
+		return
+	}
+	id, version, _ := d.Plan()
+	Respond(w, http.StatusOK, leadercall.Response{Result: "ready", Plan: id, Version: version})
+}
+
+func (d *Daemon) handlePlanTemplate(w http.ResponseWriter, _ *http.Request) {
+	Respond(w, http.StatusOK, fleetconfig.Template())
+}
+
+func (d *Daemon) handleGetPlan(w http.ResponseWriter, r *http.Request) {
+	rec, ok := d.awaitForCall(r, 0, fleetconfig.PlanKey)
+	if !ok {
+		d.respondUnknown(w, "no valid lease on the plan")
+		return
+	}
+	Respond(w, http.StatusOK, d.plans.Open(rec))
+}
+
+func (d *Daemon) handlePutPlan(w http.ResponseWriter, r *http.Request) {
+	if body, ok := ReadBody(w, r, maxBody); ok {
+		d.forwardCall(w, r, 0, opPlan, body)
+	}
+}
+
+func (d *Daemon) handlePlanChanges(w http.ResponseWriter, r *http.Request) {
+	if body, ok := ReadBody(w, r, maxBody); ok {
+		d.forwardCall(w, r, 0, opChanges, body)
+	}
+}
+
+// handleZone takes a zone out of service, or back.
+func (d *Daemon) handleZone(w http.ResponseWriter, r *http.Request) {
+	op, zone := r.PathValue("op"), r.PathValue("zone")
+	if op != opEvacuate && op != opReturn || !fleetconfig.IsValidName(zone) {
+		respondFaults(w, http.StatusNotFound, fmt.Sprintf("zone %q, op %q: expected a zone's name and evacuate or return", zone, op))
+		return
+	}
+	if !d.hasDaemonIn(zone) { // carried out all the same: it may have servers and no daemon
+		w.Header().Set("Warning", fmt.Sprintf("299 - \"no daemon of the fleet is in zone %s\"", zone))
+	}
+	if _, ok := ReadBody(w, r, maxBody); ok {
+		d.forwardCall(w, r, 0, op, []byte(zone))
+	}
+}
+
+func (d *Daemon) hasDaemonIn(zone string) bool {
+	for range d.View().MembersIn(zone) {
+		return true
+	}
+	return false
+}
+
+// handleMoveReplica gives a replica to another control daemon.
+func (d *Daemon) handleMoveReplica(w http.ResponseWriter, r *http.Request) {
+	body, ok := ReadBody(w, r, maxBody)
+	if !ok {
+		return
+	}
+	var call leader.ReplicaCall
+	faults := fleetconfig.Decode(body, &call)
+	if _, err := netip.ParseAddrPort(call.Addr); err != nil || call.Ident == "" || call.Out == "" {
+		faults.Add("expected out (an identity), ident and addr (ip:port)")
+	}
+	if faults.Any() {
+		respondFaults(w, http.StatusBadRequest, faults.List...)
+		return
+	}
+	d.forwardCall(w, r, 0, opMoveReplica, leadercall.Pack(call))
+}
+
+// handlePutServers takes a service's list of servers.
+func (d *Daemon) handlePutServers(w http.ResponseWriter, r *http.Request) {
+	body, ok := ReadBody(w, r, maxBody)
+	if !ok {
+		return
+	}
+	service := r.PathValue("service")
+	var list fleetconfig.List
+	faults := fleetconfig.Decode(body, &list)
+	if !fleetconfig.IsValidName(service) {
+		faults.Add("service: %q: expected 1 to 64 letters, digits, '.', '_' or '-'", service)
+	}
+	faults.List = append(faults.List, list.Validate().List...)
+	if faults.Any() {
+		respondFaults(w, http.StatusBadRequest, faults.List...)
+		return
+	}
+	d.forwardCall(w, r, d.Partition(service), opServers, leadercall.Pack(leader.ServersCall{Service: service, List: list}))
+}
+
+func (d *Daemon) handleGetServers(w http.ResponseWriter, r *http.Request) {
+	service := r.PathValue("service")
+	if !fleetconfig.IsValidName(service) {
+		respondFaults(w, http.StatusNotFound, "no such service")
+		return
+	}
+	rec, ok := d.awaitForCall(r, d.Partition(service), fleetconfig.ListKey(service))
+	switch {
+	case !ok:
+		d.respondUnknown(w, "")
+	case rec.Deleted:
+		Respond(w, http.StatusNotFound, leadercall.Response{Result: resultUnknown, Reason: "no list for service " + service})
+	default:
+		Respond(w, http.StatusOK, rec.Value)
+	}
+}
+
+func (d *Daemon) handleState(w http.ResponseWriter, _ *http.Request) {
+	Respond(w, http.StatusOK, d.State())
+}
+
+// EventsResponse is the daemon's event log, from an entry on.
+type EventsResponse struct {
+	Addr    string           `json:"addr"` // the daemon's HTTP address
+	Ident   string           `json:"ident"`
+	Entries []eventlog.Entry `json:"lines"`
+}
+
+func (d *Daemon) handleEvents(w http.ResponseWriter, r *http.Request) {
+	since := r.URL.Query().Get("since")
+	number, err := strconv.ParseUint(since, 10, 64)
+	if err != nil && since != "" {
+		respondFaults(w, http.StatusBadRequest, fmt.Sprintf("since: %q: expected a line's number", since))
+		return
+	}
+	Respond(w, http.StatusOK, EventsResponse{Addr: d.Cfg.HTTPAddr, Ident: d.self.Ident, Entries: d.Events.Since(number)})
+}
+
+func (d *Daemon) handleBackup(w http.ResponseWriter, r *http.Request) {
+	path := r.URL.Query().Get("to")
+	if !filepath.IsAbs(path) {
+		respondFaults(w, http.StatusBadRequest, fmt.Sprintf("to: %q: expected the full path of a file that isn't there yet", path))
+		return
+	}
+	if err := d.store.Backup(path); err != nil {
+		Respond(w, http.StatusBadRequest, leadercall.Response{Result: resultNotDone, Reason: err.Error()})
+		return
+	}
+	d.Events.Debug("disk", "backed up", "path", path)
+	Respond(w, http.StatusOK, leadercall.Response{Result: resultDone})
+}
+
+// awaitForCall waits for a record for as long as a call may take that only reads.
+func (d *Daemon) awaitForCall(r *http.Request, partition int, key string) (message.Record, bool) {
+	ctx, cancel := context.WithTimeout(r.Context(), d.Cfg.Bounds.Plan)
+	defer cancel()
+	return d.AwaitRecord(ctx, partition, key)
+}
+
+// respondUnknown answers a call for a record that can't be read now.
+func (d *Daemon) respondUnknown(w http.ResponseWriter, reason string) {
+	Respond(w, http.StatusServiceUnavailable, leadercall.Response{
+		Result:           resultUnknown,
+		Reason:           reason,
+		RetryAfterMillis: d.Cfg.Bounds.Plan.Milliseconds(),
+	})
+}
+
+// forwardCall has a partition's leader carry out an operator's call, and answers
+// with its result.
+func (d *Daemon) forwardCall(w http.ResponseWriter, r *http.Request, partition int, op string, body []byte) {
+	status, response := d.Call(r.Context(), partition, op, body, 2*d.Cfg.Bounds.Plan)
+	d.Events.Debug("call", op, "status", status)
+	Respond(w, status, response)
+}
--- a/control/daemon/readable.go
+++ b/control/daemon/readable.go
@@ -5,45 +5,46 @@
 	"mulleinmast/wire/message"
 )
 
-// mostChecked bounds the records of a partition whose check is remembered; beyond
-// it all are checked once more.
-const mostChecked = 8192
+// maxChecks bounds the records of a partition whose check is remembered; beyond it
+// all are checked once more.
+const maxChecks = 8192
 
-// checked is what the check of one version of a record came to.
-type checked struct {
-	ver message.Version
-	err error
+// readCheck is whether this build can read one version of a record.
+type readCheck struct {
+	version message.Version
+	err     error
 }
 
-// readable tells whether this build can read a record, and says so once a version
+// isReadable tells whether this build can read a record, and logs it once a version
 // if not: nothing may be served by it then. The shard's lock is held.
-func (c *Daemon) readable(s *shard, r message.Record) bool {
-	if known, ok := s.checks[r.Key]; ok && known.ver == r.Version && r.Version != (message.Version{}) {
+func (d *Daemon) isReadable(s *shard, rec message.Record) bool {
+	if known, ok := s.checks[rec.Key]; ok && known.version == rec.Version && rec.Version != (message.Version{}) {
 		return known.err == nil
 	}
-	if s.checks == nil || len(s.checks) >= mostChecked {
-		s.checks = map[string]checked{}
+	if s.checks == nil || len(s.checks) >= maxChecks {
+		s.checks = map[string]readCheck{}
 	}
-	err := leader.CheckReadable(&c.plans, r)
-	s.checks[r.Key] = checked{r.Version, err}
+	err := leader.CheckReadable(&d.plans, rec)
+	s.checks[rec.Key] = readCheck{rec.Version, err}
 	if err != nil {
-		c.Events.Trouble("record", "partition %d: %v; nothing is served by it. If another build wrote it, run that one", s.partition, err)
+		d.Events.Warn("record", "a record can't be read: nothing is served by it. If another build wrote it, run that one",
+			"partition", s.partition, "error", err)
 	}
 	return err == nil
 }
 
-// unreadable counts the records that this build can't read, of those that it
-// was asked for, and tells why of one of them.
-func (c *Daemon) unreadable() (n int, why error) {
-	for _, s := range c.shards {
+// unreadableRecords counts the records that this build can't read, of those that it
+// was asked for, with the error of one of them.
+func (d *Daemon) unreadableRecords() (n int, err error) {
+	for _, s := range d.shards {
 		s.mu.Lock()
-		for _, x := range s.checks {
-			if x.err != nil {
+		for _, check := range s.checks {
+			if check.err != nil {
 				n++
-				why = x.err
+				err = check.err
 			}
 		}
 		s.mu.Unlock()
 	}
-	return n, why
+	return n, err
 }
--- /dev/null
+++ b/control/daemon/records.go
@@ -0,0 +1,128 @@
+package daemon
+
+import (
+	"context"
+	"time"
+
+	"mulleinmast/control/fleetconfig"
+	"mulleinmast/control/leader"
+	"mulleinmast/wire/message"
+)
+
+// Read serves a record from this daemon's cache if both leases are valid now and
+// this build can read it.
+//
+// Example: rec, ok := d.Read(0, fleetconfig.PlanKey)
+func (d *Daemon) Read(partition int, key string) (message.Record, bool) {
+	s := d.shards[partition]
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	rec, ok := s.node().Get(d.Now(), key)
+	return rec, ok && d.isReadable(s, rec)
+}
+
+// ReadAllowingStale serves a record under valid leases or, while its leader can't
+// be reached, as it was when they lapsed: not longer than MaxStaleness after that,
+// and never once it was withdrawn. Requests are routed by it and readiness goes by
+// it; nothing is ordered, written or sent to others on its ground.
+//
+// Example: rec, ok := d.ReadAllowingStale(0, fleetconfig.PlanKey)
+func (d *Daemon) ReadAllowingStale(partition int, key string) (message.Record, bool) {
+	s := d.shards[partition]
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := d.Now()
+	if rec, ok := s.node().Get(now, key); ok {
+		return rec, d.isReadable(s, rec)
+	}
+	rec, lapsed, ok := s.node().LastKnown(now, key)
+	return rec, ok && now < lapsed+d.Cfg.MaxStaleness() && d.isReadable(s, rec)
+}
+
+// StaleUntil is when what ReadAllowingStale serves of a partition ends, unless
+// leases are renewed.
+//
+// Example: if d.Now() < d.StaleUntil(p) { route() }
+func (d *Daemon) StaleUntil(partition int) time.Duration {
+	s := d.shards[partition]
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	now := d.Now()
+	if until := s.node().ValidUntil(); now < until {
+		return until
+	}
+	lapsed, ok := s.node().Lapsed(now)
+	if !ok { // nothing is served until a renewal was asked for in vain
+		return lapsed
+	}
+	return lapsed + d.Cfg.MaxStaleness()
+}
+
+// ValidUntil is when the first of the leases lapses under which this daemon serves
+// a partition's records, unless they are renewed before.
+//
+// Example: if d.Now() < d.ValidUntil(p) { serve() }
+func (d *Daemon) ValidUntil(partition int) time.Duration {
+	s := d.shards[partition]
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.node().ValidUntil()
+}
+
+// Gen is the generation of what a partition serves here: what was read stands as
+// long as Gen is the same and ValidUntil has not passed.
+//
+// Example: gen := d.Gen(p); read(); ...; if d.Gen(p) != gen { readAgain() }
+func (d *Daemon) Gen(partition int) uint64 { return d.shards[partition].generation.Load() }
+
+// Pin has a record kept readable here from now on.
+//
+// Example: d.Pin(p, fleetconfig.ListKey("timetable"))
+func (d *Daemon) Pin(partition int, key string) {
+	d.step(d.shards[partition], func(c *leader.Controller, now time.Duration) leader.Out { return c.Pin(now, key) })
+}
+
+// AwaitRecord waits until a record can be read.
+//
+// Example: rec, ok := d.AwaitRecord(ctx, 0, fleetconfig.PlanKey)
+func (d *Daemon) AwaitRecord(ctx context.Context, partition int, key string) (message.Record, bool) {
+	pinned := false
+	for {
+		changed := d.Changed()
+		if rec, ok := d.Read(partition, key); ok {
+			return rec, true
+		}
+		if !pinned {
+			d.Pin(partition, key)
+			pinned = true
+		}
+		select {
+		case <-ctx.Done():
+			return message.Record{}, false
+		case <-changed:
+		case <-time.After(d.Cfg.VolumeLease() / 16): // a renewed volume lease changes no record
+		}
+	}
+}
+
+// Plan names the plan in force here, if it is under valid leases.
+//
+// Example: id, version, ok := d.Plan()
+func (d *Daemon) Plan() (id string, version uint64, ok bool) {
+	rec, ok := d.Read(0, fleetconfig.PlanKey)
+	if !ok {
+		return "", 0, false
+	}
+	plan := d.plans.Open(rec)
+	return plan.ID, plan.Version, true
+}
+
+// OpenPlan reads a plan record, once a version; the plan is not to be changed.
+//
+// Example: plan := d.OpenPlan(rec)
+func (d *Daemon) OpenPlan(rec message.Record) fleetconfig.Plan { return d.plans.Open(rec) }
+
+// Term is the term of a partition's leader as far as known; attempts carry it.
+//
+// Example: term := d.Term(p)
+func (d *Daemon) Term(partition int) uint64 { return d.View().Leaderships[partition].Term }
--- a/control/daemon/last_test.go
+++ b/control/daemon/records_test.go
@@ -18,7 +18,7 @@
 		steady(cfg)
 		cfg.Bounds.Recover = 1200 * time.Second
 	})
-	cfg, node, hear := c.Cfg, c.shards[0].Partition().Node, leased(c)
+	cfg, node, hear := c.Cfg, c.shards[0].node(), leased(c)
 	beat := cfg.LeaseConfig().RenewInterval
 	hear(message.Message{Kind: message.KindGrantLease, Records: []message.Record{{Key: fleetconfig.PlanKey, Value: []byte("{}")}, {Key: fleetconfig.ZoneKey, Value: []byte("[]")}}, ObjectLease: int64(time.Hour)})
 
@@ -34,8 +34,8 @@
 		t.Helper()
 		_, read := c.Read(0, fleetconfig.PlanKey)
 		_, last := c.ReadAllowingStale(0, fleetconfig.PlanKey)
-		if read != leased || last != served || c.isReady() != served || (c.Now() < c.StaleUntil(0)) != served {
-			t.Errorf("%s: read under leases %v, routed by %v, ready %v, until %v at %v", what, read, last, c.isReady(), c.StaleUntil(0), c.Now())
+		if read != leased || last != served || c.canServe() != served || (c.Now() < c.StaleUntil(0)) != served {
+			t.Errorf("%s: read under leases %v, routed by %v, ready %v, until %v at %v", what, read, last, c.canServe(), c.StaleUntil(0), c.Now())
 		}
 		if _, ok := c.ReadAllowingStale(0, fleetconfig.ReplicaKey); ok {
 			t.Errorf("%s: what was never held is routed by", what)
--- a/control/daemon/source_test.go
+++ b/control/daemon/serverlists_test.go
@@ -24,8 +24,8 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel() // nobody answers here: what counts is that the list was handed on
-	l := listing{term: 1, taken: map[string][]byte{}}
-	if c.pull(ctx, &l); l.seq != 1 {
-		t.Errorf("%d lists handed on, expected 1", l.seq)
+	lists := newListWriter(1, nil)
+	if c.pullServerLists(ctx, lists); lists.sequence != 1 {
+		t.Errorf("%d lists handed on, expected 1", lists.sequence)
 	}
 }
--- a/control/daemon/superseded.go
+++ b/control/daemon/superseded.go
@@ -5,50 +5,53 @@
 	"sync/atomic"
 )
 
-// superseded is how a daemon learns that another process, or a later state, bears
-// the identity of its data folder.
-type superseded struct {
-	once sync.Once
-	why  atomic.Pointer[string]
-	told chan struct{}
+// supersession is whether another process, or a later state, bears the identity of
+// this daemon's data folder, and why.
+type supersession struct {
+	once   sync.Once
+	reason atomic.Pointer[string]
+	done   chan struct{} // closed when no partition speaks for the folder any more
 }
 
-// Superseded is closed once this daemon's state is superseded: it has no voice any
+func newSupersession() *supersession { return &supersession{done: make(chan struct{})} }
+
+// Superseded is closed once this daemon's state is superseded: it has no vote any
 // more and is to end; its next start is an empty one.
 //
-// Example: <-c.Superseded()
-func (c *Daemon) Superseded() <-chan struct{} { return c.superseded.told }
+// Example: <-d.Superseded()
+func (d *Daemon) Superseded() <-chan struct{} { return d.supersession.done }
 
-// WhySuperseded tells why this daemon's state is superseded, if it is.
+// WhySuperseded says why this daemon's state is superseded; empty: it isn't.
 //
-// Example: if why := c.WhySuperseded(); why != "" { leave() }
-func (c *Daemon) WhySuperseded() string {
-	if why := c.superseded.why.Load(); why != nil {
-		return *why
+// Example: if reason := d.WhySuperseded(); reason != "" { leave() }
+func (d *Daemon) WhySuperseded() string {
+	if reason := d.supersession.reason.Load(); reason != nil {
+		return *reason
 	}
 	return ""
 }
 
-// supersede takes all of this daemon's copies their voice. A shard's lock is held.
-func (c *Daemon) supersede(partition int, why string) {
-	c.superseded.once.Do(func() {
-		c.superseded.why.Store(&why)
-		c.ready.Store(false)
-		c.Events.Trouble("disk", "partition %d: %s: the state in %s is superseded and has no vote; this daemon ends, and starts empty the next time", partition, why, c.Cfg.DataFolder)
-		go c.silence(why)
+// supersede takes the vote from all of this daemon's replicas. A shard's lock is held.
+func (d *Daemon) supersede(partition int, reason string) {
+	d.supersession.once.Do(func() {
+		d.supersession.reason.Store(&reason)
+		d.readiness.ready.Store(false)
+		d.Events.Warn("disk", "the state here is superseded and has no vote; this daemon ends, and starts empty the next time",
+			"partition", partition, "reason", reason, "folder", d.Cfg.DataFolder)
+		go d.supersedeAll(reason)
 	})
 }
 
-// silence marks the folder, so that the next start sets the state aside, and has
-// no partition speak for it until then.
-func (c *Daemon) silence(why string) {
-	for _, s := range c.shards {
+// supersedeAll has no partition speak for the folder any more, and marks it, so that
+// the next start sets the state aside.
+func (d *Daemon) supersedeAll(reason string) {
+	for _, s := range d.shards {
 		s.mu.Lock()
-		c.carry(s, s.Supersede(c.Now(), why))
+		d.carryOut(s, s.controller.Supersede(d.Now(), reason))
 		s.mu.Unlock()
 	}
-	if err := c.arch.MarkSuperseded(); err != nil { // it will be told again
-		c.Events.Trouble("disk", "%v", err)
+	if err := d.store.MarkSuperseded(); err != nil { // the next start learns it from the others again
+		d.Events.Warn("disk", "the data folder can't be marked as superseded", "error", err)
 	}
-	close(c.superseded.told)
+	close(d.supersession.done)
 }
--- /dev/null
+++ b/control/daemon/timing.go
@@ -0,0 +1,134 @@
+package daemon
+
+import (
+	"time"
+
+	"mulleinmast/control/lease"
+	"mulleinmast/control/membership"
+	"mulleinmast/control/placement"
+	"mulleinmast/control/quorum"
+)
+
+// Ratios to the plan bound.
+const (
+	volumeLeaseRatio = 0.4
+	marginRatio      = 0.01
+	gainRatio        = 0.01
+	sessionRatio     = 0.6
+	heartbeatRatio   = 0.1
+	slowLinkRatio    = 0.05
+)
+
+// Ratios to the bound in which a leaving server gets no more work.
+const (
+	pollRatio        = 0.08
+	shareRatio       = 0.25
+	usageWindowRatio = 0.8
+)
+
+const (
+	// lostReplicaRatio is the part of the catch-up bound after which a silent replica
+	// goes to a learner: longer than a restart takes, and what is left of the bound is
+	// more than an election and a step of a group change take.
+	lostReplicaRatio = 0.5
+	// resendRatio is the time in which an operator may send an order again, to that
+	// in which it is acknowledged: what a try may be held up on its way.
+	resendRatio = 1.25
+)
+
+func fraction(d time.Duration, ratio float64) time.Duration {
+	return time.Duration(float64(d) * ratio)
+}
+
+// VolumeLease is the length of the volume leases.
+//
+// Example: c.VolumeLease() == 800*time.Millisecond for a plan bound of 2 s
+func (c Config) VolumeLease() time.Duration { return fraction(c.Bounds.Plan, volumeLeaseRatio) }
+
+// margin is added to a lease where it is granted, beside the drift of the clocks.
+func (c Config) margin() time.Duration { return fraction(c.Bounds.Plan, marginRatio) }
+
+// MaxStaleness is how long after its leases lapsed a daemon that can't reach a leader
+// goes on routing requests by the records that it had then.
+//
+// Example: c.MaxStaleness() == 12*time.Second for a recovery bound of 12 s
+func (c Config) MaxStaleness() time.Duration { return c.Bounds.Recover }
+
+// OnceKeyRetention is how long a once key is kept; no request's timeout is longer
+// than half.
+//
+// Example: c.OnceKeyRetention() == 20*time.Minute for a recovery bound of 12 s
+func (c Config) OnceKeyRetention() time.Duration { return 100 * c.Bounds.Recover }
+
+// ResendWindow is for how long after it was taken an operator may send an order
+// again: as long as it waits for an acknowledgement, and what a try may be held up.
+//
+// Example: c.ResendWindow() == 5*time.Second for an acknowledgement within 4 s
+func (c Config) ResendWindow() time.Duration { return fraction(c.AckBound, resendRatio) }
+
+// LeaseConfig is the config of the lease tree.
+//
+// Example: node := lease.New(c.LeaseConfig(), 0, self, epoch)
+func (c Config) LeaseConfig() lease.Config {
+	return lease.Config{
+		VolumeLease:   c.VolumeLease(),
+		ObjectLease:   600 * c.VolumeLease(),
+		Drift:         c.Drift,
+		Margin:        c.margin(),
+		RenewInterval: c.VolumeLease() / 3,
+		MinGain:       fraction(c.Bounds.Plan, gainRatio),
+		LoadInterval:  5 * c.VolumeLease(),
+		MaxRenewals:   2000,
+	}
+}
+
+// QuorumConfig is the config of the partitions' replicas.
+//
+// Example: replica := quorum.New(c.QuorumConfig(), 0, self, folder, meta, records, now, false)
+func (c Config) QuorumConfig() quorum.Config {
+	leaderLease := c.Bounds.Plan / 2
+	return quorum.Config{
+		LeaderLease:       leaderLease,
+		Drift:             c.Drift,
+		Margin:            c.margin(),
+		HeartbeatInterval: leaderLease / 3,
+		LostAfter:         max(fraction(c.CatchUpBound, lostReplicaRatio), leaderLease+leaderLease/2),
+	}
+}
+
+// MembershipConfig is the config of the session table.
+//
+// Example: table := membership.New(c.MembershipConfig(), self, c.Seeds)
+func (c Config) MembershipConfig() membership.Config {
+	return membership.Config{
+		SessionTimeout:    fraction(c.Bounds.Plan, sessionRatio),
+		HeartbeatInterval: fraction(c.Bounds.Plan, heartbeatRatio),
+		MinRelayZone:      3,
+		ToleratedLosses:   c.Losses,
+		FirstStart:        c.FirstStart,
+	}
+}
+
+// PlacementConfig is the config of the servers' controller.
+//
+// Example: p := placement.New(c.PlacementConfig(), term, since)
+func (c Config) PlacementConfig() placement.Config {
+	b := c.Bounds
+	return placement.Config{
+		SwapBound:    b.Swap,
+		PollInterval: fraction(b.Leave, pollRatio),
+		WarmUp:       b.Swap,
+		ShareLength:  fraction(b.Leave, shareRatio),
+		Drift:        c.Drift,
+		Margin:       c.margin(),
+		Dwell:        2 * b.Evacuate,
+		UsageWindow:  fraction(b.Leave, usageWindowRatio),
+		DrainTimeout: 2 * b.Recover,
+		SlowLink:     fraction(b.Plan, slowLinkRatio),
+		MaxFailures:  3,
+		HighUsage:    0.9,
+		LowUsage:     0.6,
+		ListedDwell:  b.Swap,
+		PressWindow:  b.Swap / 8,
+	}
+}
--- a/control/daemon/unreadable_test.go
+++ b/control/daemon/unreadable_test.go
@@ -35,18 +35,18 @@
 				hear(message.Message{Kind: message.KindGrantLease, Records: recs, ObjectLease: int64(time.Hour)})
 			}
 			grant(1, good)
-			if !c.isReady() {
+			if !c.canServe() {
 				t.Fatal("not ready by records in order")
 			}
 			if fault := ended(func() {
 				grant(2, map[string]string{key: val})
 				_, read := c.Read(0, key)
 				_, last := c.ReadAllowingStale(0, key)
-				if read || last || c.isReady() {
-					t.Errorf("read %v, routed by %v, ready %v", read, last, c.isReady())
+				if read || last || c.canServe() {
+					t.Errorf("read %v, routed by %v, ready %v", read, last, c.canServe())
 				}
-				if count(c.unreadable()) != 1 {
-					t.Errorf("%d records can't be read", count(c.unreadable()))
+				if unreadable(c) != 1 {
+					t.Errorf("%d records can't be read", unreadable(c))
 				}
 				if _, _, ok := c.Plan(); ok != (key != fleetconfig.PlanKey) {
 					t.Errorf("a plan is in force: %v", ok)
@@ -55,8 +55,8 @@
 				t.Fatalf("ended by %v", fault)
 			}
 			grant(3, good)
-			if !c.isReady() || count(c.unreadable()) != 0 {
-				t.Errorf("ready %v, %d records can't be read", c.isReady(), count(c.unreadable()))
+			if !c.canServe() || unreadable(c) != 0 {
+				t.Errorf("ready %v, %d records can't be read", c.canServe(), unreadable(c))
 			}
 		})
 	}
@@ -92,8 +92,8 @@
 	if code, answer := again.Call(t.Context(), 0, "changes", next, 5*time.Second); code != leadercall.StatusNotDone || !strings.Contains(string(answer), "can't be read") {
 		t.Errorf("a change: %d %s", code, answer)
 	}
-	if _, ok := again.Read(0, fleetconfig.PlanKey); ok || again.Ready() || count(again.unreadable()) != 1 || !strings.Contains(again.unready(), "can't be read") {
-		t.Errorf("read %v, ready %v, %d records can't be read: %s", ok, again.Ready(), count(again.unreadable()), again.unready())
+	if _, ok := again.Read(0, fleetconfig.PlanKey); ok || again.Ready() || unreadable(again.Daemon) != 1 || !strings.Contains(again.whyNotReady(), "can't be read") {
+		t.Errorf("read %v, ready %v, %d records can't be read: %s", ok, again.Ready(), unreadable(again.Daemon), again.whyNotReady())
 	}
 }
 
@@ -145,3 +145,9 @@
 	defer func() { _ = l.Close() }()
 	return l.Addr().String()
 }
+
+// unreadable counts the records that a daemon can't read.
+func unreadable(d *Daemon) int {
+	n, _ := d.unreadableRecords()
+	return n
+}
--- a/control/eventlog/eventlog.go
+++ b/control/eventlog/eventlog.go
@@ -154,18 +154,3 @@
 	}
 	return append(text, s...)
 }
-
-// Record keeps a line in the ring, as Debug does, of a format and its arguments.
-//
-// Example: events.Record("leader", "won partition %d", 3)
-func (l *Log) Record(kind, format string, args ...any) { l.Debug(kind, fmt.Sprintf(format, args...)) }
-
-// Trouble warns, as Warn does, of a format and its arguments.
-//
-// Example: events.Trouble("disk", "write failed: %v", err)
-func (l *Log) Trouble(kind, format string, args ...any) { l.Warn(kind, fmt.Sprintf(format, args...)) }
-
-// Say informs, as Info does, of a format and its arguments.
-//
-// Example: events.Say("start", "listening on %s", addr)
-func (l *Log) Say(kind, format string, args ...any) { l.Info(kind, fmt.Sprintf(format, args...)) }
--- a/proof/standin/mutants/rules.sh
+++ b/proof/standin/mutants/rules.sh
@@ -15,7 +15,7 @@
 		if has.unread {'
 mutant past-give-up traffic/gateway TestARequestIsGivenUpWhenItsRouteSaysSo traffic/gateway/gateway.go 'c.Deadline = at + time.Duration(r.GiveUpMillis)*time.Millisecond' 'c.Deadline = at + time.Hour'
 mutant weights-passed-over traffic/route TestPickFollowsTheWeights traffic/route/route.go 'if at < s.Weight {' 'if at < 50*s.Weight {'
-mutant unready-at-changes control/daemon TestAChangeMakesNoDaemonUnready control/daemon/host.go ' || c.wasReady(c.Cfg.VolumeLease())' ''
+mutant unready-at-changes control/daemon TestAChangeMakesNoDaemonUnready control/daemon/readiness.go ' || d.readiness.wasReadyWithin(d.Now(), d.Cfg.VolumeLease())' ''
 mutant ends-while-it-changes control/membership TestADaemonHandsOverWhileItsGroupChanges control/membership/view.go 'len(g.Next) > 0 || v.hasReplacement(g)' 'v.hasReplacement(g)'
 mutant prompts-count-as-waiting traffic/forward TestWhoWaitsTooLongIsRefused traffic/forward/admit.go 'may := max(t.TTFTTarget-t.predictedPrefill, t.TTFTTarget/2)' 'may := t.TTFTTarget - t.predictedPrefill'
 # incarnations
