--- a/control/membership/bootstrap_test.go
+++ b/control/membership/bootstrap_test.go
@@ -14,133 +14,141 @@
 // machine is a daemon of a small fleet in which messages are lost, held up or
 // carried over at once, and daemons start anew.
 type machine struct {
-	m     message.Member
-	r     *Table
-	down  bool
-	group []message.Replica // on its disk
-	lives int
+	self   message.Member
+	table  *Table
+	down   bool
+	group  []message.Replica // on its disk
+	starts int
 }
 
 type parcel struct {
 	at       time.Duration
 	from, to string
-	msg      message.Message
+	message  message.Message
 }
 
 type world struct {
-	cfg     Config
-	always  bool // every life counts as the first, as without a platform
-	now     time.Duration
-	seeds   []string
-	list    []*machine
-	by      map[string]*machine
-	mail    []parcel
-	lose    func(p parcel) bool
-	late    func() time.Duration
-	founded map[string]bool // groups that were ever on a disk
-	led     *machine        // the last leader
-	term    uint64          // its term
+	cfg         Config
+	alwaysFirst bool // every start counts as the first, as without a platform
+	now         time.Duration
+	seeds       []string
+	machines    []*machine
+	byAddr      map[string]*machine
+	parcels     []parcel // under way
+	isLost      func(p parcel) bool
+	delay       func() time.Duration
+	formed      map[string]bool // groups that were ever on a disk
+	lastLeader  *machine
+	term        uint64 // its term
 }
 
 // newWorld makes a fleet; each zone is a word of 'd' for machines with a disk
 // and '-' for others, in capitals for seeds ('D', '+').
 func newWorld(losses int, zones ...string) *world {
-	y := &world{cfg: cfg, by: map[string]*machine{}, founded: map[string]bool{}, lose: func(parcel) bool { return false }, late: func() time.Duration { return 0 }}
-	y.cfg.ToleratedLosses, y.cfg.FirstStart = losses, true
+	w := &world{
+		cfg: cfg, byAddr: map[string]*machine{}, formed: map[string]bool{},
+		isLost: func(parcel) bool { return false }, delay: func() time.Duration { return 0 },
+	}
+	w.cfg.ToleratedLosses, w.cfg.FirstStart = losses, true
 	for c, word := range zones {
 		for i, kind := range word {
-			m := &machine{m: message.Member{Addr: fmt.Sprintf("10.%d.0.%d:1", c+1, i+1), Zone: fmt.Sprint("c", c), HasDisk: kind == 'd' || kind == 'D'}}
+			m := &machine{self: message.Member{
+				Addr: fmt.Sprintf("10.%d.0.%d:1", c+1, i+1), Zone: fmt.Sprint("c", c),
+				HasDisk: kind == 'd' || kind == 'D',
+			}}
 			if kind == 'D' || kind == '+' {
-				y.seeds = append(y.seeds, m.m.Addr)
+				w.seeds = append(w.seeds, m.self.Addr)
 			}
-			y.list = append(y.list, m)
-			y.by[m.m.Addr] = m
+			w.machines = append(w.machines, m)
+			w.byAddr[m.self.Addr] = m
 		}
 	}
-	for _, m := range y.list {
-		y.start(m)
+	for _, m := range w.machines {
+		w.start(m)
 	}
-	return y
+	return w
 }
 
-// start gives a machine a new life; its disk stays.
-func (y *world) start(m *machine) {
-	c := y.cfg
-	c.FirstStart = m.lives == 0 || y.always
-	m.lives++
-	m.m.Epoch++
-	m.m.Ident = fmt.Sprintf("%s-%d", m.m.Addr, m.lives)
-	if m.m.HasDisk {
-		m.m.Ident = m.m.Addr
+// start starts a machine anew; its disk stays.
+func (w *world) start(m *machine) {
+	c := w.cfg
+	c.FirstStart = m.starts == 0 || w.alwaysFirst
+	m.starts++
+	m.self.Epoch++
+	m.self.Ident = fmt.Sprintf("%s-%d", m.self.Addr, m.starts)
+	if m.self.HasDisk {
+		m.self.Ident = m.self.Addr
 	}
-	m.m.Empty = m.m.HasDisk && m.group == nil
-	m.r, m.down = New(c, m.m, y.seeds), false
+	m.self.Empty = m.self.HasDisk && m.group == nil
+	m.table, m.down = New(c, m.self, w.seeds), false
 }
 
-func (y *world) carry(m *machine, o Out) {
+func (w *world) carry(m *machine, o Out) {
 	for _, s := range o.Sends {
-		s.Message.From, s.Message.Addr, s.Message.Epoch = m.m.Ident, m.m.Addr, m.m.Epoch
-		if p := (parcel{y.now + y.late(), m.m.Addr, s.Addr, s.Message}); !y.lose(p) {
-			y.mail = append(y.mail, p)
+		s.Message.From, s.Message.Addr, s.Message.Epoch = m.self.Ident, m.self.Addr, m.self.Epoch
+		if p := (parcel{w.now + w.delay(), m.self.Addr, s.Addr, s.Message}); !w.isLost(p) {
+			w.parcels = append(w.parcels, p)
 		}
 	}
 	if o.Bootstrap != nil {
-		y.take(m, o.Bootstrap)
+		w.take(m, o.Bootstrap)
 	}
 }
 
-func (y *world) take(m *machine, replicas []message.Replica) {
-	if m.group == nil && (message.Group{Replicas: replicas}).Has(m.m.Ident) {
+func (w *world) take(m *machine, replicas []message.Replica) {
+	if m.group == nil && (message.Group{Replicas: replicas}).Has(m.self.Ident) {
 		m.group = replicas
-		y.founded[fmt.Sprint(replicas)] = true
+		w.formed[fmt.Sprint(replicas)] = true
 	}
 }
 
-func (y *world) run(d time.Duration) {
-	for end := y.now + d; y.now < end; y.now += 100 * time.Millisecond {
-		for _, m := range y.list {
+func (w *world) run(d time.Duration) {
+	for end := w.now + d; w.now < end; w.now += 100 * time.Millisecond {
+		for _, m := range w.machines {
 			if m.down {
 				continue
 			}
-			m.m.Empty = m.m.HasDisk && m.group == nil
+			m.self.Empty = m.self.HasDisk && m.group == nil
 			var owns []message.Leadership
-			if m.group != nil && y.leader() == m {
-				owns = append(owns, message.Leadership{Term: y.termOf(m), Leader: message.Replica{Ident: m.m.Ident, Addr: m.m.Addr}})
+			if m.group != nil && w.leader() == m {
+				owns = append(owns, message.Leadership{Term: w.termOf(m), Leader: m.self.Replica()})
 			}
-			y.carry(m, m.r.Tick(y.now, m.m, owns))
+			w.carry(m, m.table.Tick(w.now, m.self, owns))
 			for _, s := range m.group { // a replica tells the others of its group, as control/quorum does
-				if to := y.by[s.Addr]; !to.down && !y.lose(parcel{y.now, m.m.Addr, s.Addr, message.Message{Kind: message.KindRequestVote}}) {
-					y.take(to, m.group)
+				to := w.byAddr[s.Addr]
+				vote := parcel{w.now, m.self.Addr, s.Addr, message.Message{Kind: message.KindRequestVote}}
+				if !to.down && !w.isLost(vote) {
+					w.take(to, m.group)
 				}
 			}
 		}
 		for round := 0; round < 4; round++ {
 			var rest []parcel
-			now := y.mail
-			y.mail = nil
+			now := w.parcels
+			w.parcels = nil
 			for _, p := range now {
-				to := y.by[p.to]
+				to := w.byAddr[p.to]
 				switch {
-				case p.at > y.now:
+				case p.at > w.now:
 					rest = append(rest, p)
-				case to != nil && !to.down && (p.msg.To == "" || p.msg.To == to.m.Ident):
-					y.carry(to, to.r.Step(y.now, p.msg))
+				case to != nil && !to.down && (p.message.To == "" || p.message.To == to.self.Ident):
+					w.carry(to, to.table.Step(w.now, p.message))
 				}
 			}
-			y.mail = append(y.mail, rest...)
+			w.parcels = append(w.parcels, rest...)
 		}
 	}
 }
 
 // leader is the first replica of a group that a majority has on its disks.
-func (y *world) leader() *machine {
-	for _, m := range y.list {
+func (w *world) leader() *machine {
+	for _, m := range w.machines {
 		if m.group == nil || m.down {
 			continue
 		}
 		g := message.Group{Number: 1, Replicas: m.group}
 		if g.HasQuorum(func(id string) bool {
-			at := y.by[id] // a disk's identity is its address here
+			at := w.byAddr[id] // a disk's identity is its address here
 			return at != nil && !at.down && slices.Equal(at.group, m.group)
 		}) {
 			return m
@@ -150,33 +158,34 @@
 }
 
 // termOf is the term that a machine leads with: each new leader has a higher one.
-func (y *world) termOf(m *machine) uint64 {
-	if y.led != m {
-		y.led = m
-		y.term++
+func (w *world) termOf(m *machine) uint64 {
+	if w.lastLeader != m {
+		w.lastLeader = m
+		w.term++
 	}
-	return y.term
+	return w.term
 }
 
-// whole tells what is wrong with a fleet that should have formed.
-func (y *world) whole(replicas int) error {
-	if len(y.founded) != 1 {
-		return fmt.Errorf("%d groups: %v", len(y.founded), y.founded)
+// check tells what is wrong with a fleet that should have formed.
+func (w *world) check(replicas int) error {
+	if len(w.formed) != 1 {
+		return fmt.Errorf("%d groups: %v", len(w.formed), w.formed)
 	}
-	own := y.leader()
+	own := w.leader()
 	if own == nil || len(own.group) != replicas {
-		return fmt.Errorf("no leader in a group of %d: %v", replicas, y.founded)
+		return fmt.Errorf("no leader in a group of %d: %v", replicas, w.formed)
 	}
-	for _, m := range y.list {
-		if v := m.r.View(); !m.down && (!v.HasSession || v.Leaderships[0].Term == 0 || len(v.Members) < len(y.list)) {
-			return fmt.Errorf("%s: live %v, leader %v, %d members of %d", m.m.Addr, v.HasSession, v.Leaderships[0], len(v.Members), len(y.list))
+	for _, m := range w.machines {
+		if v := m.table.View(); !m.down && (!v.HasSession || v.Leaderships[0].Term == 0 || len(v.Members) < len(w.machines)) {
+			return fmt.Errorf("%s: live %v, leader %v, %d members of %d",
+				m.self.Addr, v.HasSession, v.Leaderships[0], len(v.Members), len(w.machines))
 		}
 	}
 	return nil
 }
 
 func TestAFleetForms(t *testing.T) {
-	for name, x := range map[string]struct {
+	for name, c := range map[string]struct {
 		losses int
 		zones  []string
 	}{
@@ -188,14 +197,14 @@
 		"two losses, diskless seeds": {2, []string{"+dd-", "+dd-", "+dd-"}},
 		"two losses, disk seeds":     {2, []string{"Dd--", "Dd--", "Dd--", "dd--"}},
 	} {
-		y := newWorld(x.losses, x.zones...)
-		y.run(8 * time.Second)
-		if err := y.whole(2*x.losses + 1); err != nil {
+		w := newWorld(c.losses, c.zones...)
+		w.run(8 * time.Second)
+		if err := w.check(2*c.losses + 1); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
-		if x.losses == 1 && name != "seeds of one zone" {
-			for _, s := range y.leader().group {
-				if name == "three seeds with disks" && !slices.Contains(y.seeds, s.Addr) {
+		if c.losses == 1 && name != "seeds of one zone" {
+			for _, s := range w.leader().group {
+				if name == "three seeds with disks" && !slices.Contains(w.seeds, s.Addr) {
 					t.Errorf("%s: %v is no seed", name, s)
 				}
 			}
@@ -204,16 +213,16 @@
 }
 
 func TestNoBootstrapWithoutEverySeed(t *testing.T) {
-	y := newWorld(1, "+d-", "+d-", "+d-")
-	silent := y.by[y.seeds[2]]
+	w := newWorld(1, "+d-", "+d-", "+d-")
+	silent := w.byAddr[w.seeds[2]]
 	silent.down = true
-	y.run(20 * time.Second)
-	if len(y.founded) > 0 {
-		t.Fatalf("founded without %s: %v", silent.m.Addr, y.founded)
+	w.run(20 * time.Second)
+	if len(w.formed) > 0 {
+		t.Fatalf("founded without %s: %v", silent.self.Addr, w.formed)
 	}
 	silent.down = false
-	y.run(8 * time.Second)
-	if err := y.whole(3); err != nil {
+	w.run(8 * time.Second)
+	if err := w.check(3); err != nil {
 		t.Error(err)
 	}
 }
@@ -221,18 +230,20 @@
 // A member that has a group, or a seed that knows of one, stops any founding;
 // too few disks do, too.
 func TestNoBootstrapBesideAnotherGroup(t *testing.T) {
-	y := newWorld(1, "+d-", "+d-", "+dd")
-	old := y.list[len(y.list)-1]
-	old.group = []message.Replica{{Ident: "x", Addr: "10.7.0.1:1"}, {Ident: old.m.Ident, Addr: old.m.Addr}, {Ident: "y", Addr: "10.7.0.2:1"}}
-	y.by["10.7.0.1:1"], y.by["10.7.0.2:1"] = &machine{down: true}, &machine{down: true}
-	y.run(20 * time.Second)
-	if len(y.founded) > 0 {
-		t.Errorf("founded beside %s: %v", old.m.Addr, y.founded)
+	w := newWorld(1, "+d-", "+d-", "+dd")
+	old := w.machines[len(w.machines)-1]
+	old.group = []message.Replica{
+		{Ident: "x", Addr: "10.7.0.1:1"}, old.self.Replica(), {Ident: "y", Addr: "10.7.0.2:1"},
+	}
+	w.byAddr["10.7.0.1:1"], w.byAddr["10.7.0.2:1"] = &machine{down: true}, &machine{down: true}
+	w.run(20 * time.Second)
+	if len(w.formed) > 0 {
+		t.Errorf("founded beside %s: %v", old.self.Addr, w.formed)
 	}
-	y = newWorld(1, "+d-", "+d-", "+--")
-	y.run(20 * time.Second)
-	if len(y.founded) > 0 {
-		t.Errorf("founded with two disks: %v", y.founded)
+	w = newWorld(1, "+d-", "+d-", "+--")
+	w.run(20 * time.Second)
+	if len(w.formed) > 0 {
+		t.Errorf("founded with two disks: %v", w.formed)
 	}
 }
 
@@ -243,15 +254,15 @@
 	for _, zones := range [][]string{{"+d-", "+d-", "+dd", "d--"}, {"D--", "D--", "D-d", "d--"}} {
 		for at := time.Duration(0); at < 2500*time.Millisecond; at += 100 * time.Millisecond {
 			for _, lost := range []int{0, 3, 6, 7} {
-				y := newWorld(1, zones...)
-				y.lose = func(p parcel) bool {
+				w := newWorld(1, zones...)
+				w.isLost = func(p parcel) bool {
 					bit := 1 << (int(p.to[3]-'1') % 3)
-					return p.msg.Kind == message.KindBootstrap && p.from == y.seeds[0] && lost&bit != 0 && y.now < at+2*time.Second
+					return p.message.Kind == message.KindBootstrap && p.from == w.seeds[0] && lost&bit != 0 && w.now < at+2*time.Second
 				}
-				y.run(at)
-				y.start(y.by[y.seeds[0]])
-				y.run(6 * time.Second)
-				if err := y.whole(3); err != nil {
+				w.run(at)
+				w.start(w.byAddr[w.seeds[0]])
+				w.run(6 * time.Second)
+				if err := w.check(3); err != nil {
 					t.Fatalf("%v restarted after %v, %03b lost: %v", zones, at, lost, err)
 				}
 			}
@@ -265,37 +276,37 @@
 	for seed := int64(1); seed <= 150; seed++ {
 		rng := rand.New(rand.NewSource(seed))
 		zones := [][]string{{"+d-", "+d-", "+dd", "dd-"}, {"D-d", "+dd", "D-d"}, {"d+d", "d-d", "+dd", "+dd"}}[rng.Intn(3)]
-		y := newWorld(1, zones...)
+		w := newWorld(1, zones...)
 		cut := map[string]bool{}
 		loss := rng.Float64() * 0.02
-		y.lose = func(p parcel) bool { return cut[p.from] != cut[p.to] || rng.Float64() < loss }
-		y.late = func() time.Duration {
+		w.isLost = func(p parcel) bool { return cut[p.from] != cut[p.to] || rng.Float64() < loss }
+		w.delay = func() time.Duration {
 			if rng.Float64() < 0.01 {
 				return time.Duration(rng.Intn(6000)) * time.Millisecond
 			}
 			return 0
 		}
 		for i := 0; i < 40; i++ {
-			y.run(time.Duration(50+rng.Intn(300)) * time.Millisecond)
-			switch m := y.list[rng.Intn(len(y.list))]; rng.Intn(60) {
+			w.run(time.Duration(50+rng.Intn(300)) * time.Millisecond)
+			switch m := w.machines[rng.Intn(len(w.machines))]; rng.Intn(60) {
 			case 0:
 				m.down = true
 			case 1, 2:
-				y.start(m)
+				w.start(m)
 			case 3:
-				cut[m.m.Addr] = !cut[m.m.Addr]
+				cut[m.self.Addr] = !cut[m.self.Addr]
 			case 4:
 				cut = map[string]bool{}
 			case 5:
-				if m := y.by[y.seeds[0]]; i > 5 {
-					y.start(m)
+				if m := w.byAddr[w.seeds[0]]; i > 5 {
+					w.start(m)
 				}
 			}
 		}
-		if len(y.founded) > 1 {
-			t.Fatalf("seed %d: %v", seed, y.founded)
+		if len(w.formed) > 1 {
+			t.Fatalf("seed %d: %v", seed, w.formed)
 		}
-		formed += len(y.founded)
+		formed += len(w.formed)
 	}
 	if formed < 100 {
 		t.Errorf("only %d of 150 fleets formed: the runs prove little", formed)
@@ -303,19 +314,22 @@
 }
 
 func TestSpread(t *testing.T) {
-	make := func(zones ...int) (out []message.Member) {
+	members := func(zones ...int) (out []message.Member) {
 		for c, n := range zones {
 			for i := 0; i < n; i++ {
-				out = append(out, message.Member{Ident: fmt.Sprintf("%d.%d", c, i), Addr: fmt.Sprintf("10.%d.0.%d:1", c, i), Zone: fmt.Sprint(c), HasDisk: true})
+				out = append(out, message.Member{
+					Ident: fmt.Sprintf("%d.%d", c, i), Addr: fmt.Sprintf("10.%d.0.%d:1", c, i),
+					Zone: fmt.Sprint(c), HasDisk: true,
+				})
 			}
 		}
 		rand.New(rand.NewSource(int64(len(out)))).Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
 		return out
 	}
-	for _, x := range []struct {
-		zones []int
-		n     int
-		most  int // replicas in one zone
+	for _, c := range []struct {
+		zones     []int // members of each
+		count     int
+		mostInOne int // replicas in one zone
 	}{
 		{[]int{2, 2, 2}, 5, 2},
 		{[]int{2, 2, 2, 2}, 5, 2},
@@ -328,25 +342,28 @@
 		{[]int{1}, 1, 1},
 		{[]int{3, 2}, 1, 1},
 	} {
-		list := make(x.zones...)
-		replicas := Spread(list, nil, x.n)
+		list := members(c.zones...)
+		replicas := Spread(list, nil, c.count)
 		in := map[byte]int{}
 		for _, s := range replicas {
 			in[s.Ident[0]]++
 		}
-		if len(replicas) != x.n || !sort.SliceIsSorted(replicas, func(i, j int) bool { return replicas[i].Addr < replicas[j].Addr }) {
-			t.Errorf("%v: %d replicas asked for, got %v", x.zones, x.n, replicas)
+		isSorted := sort.SliceIsSorted(replicas, func(i, j int) bool { return replicas[i].Addr < replicas[j].Addr })
+		if len(replicas) != c.count || !isSorted {
+			t.Errorf("%v: %d replicas asked for, got %v", c.zones, c.count, replicas)
 		}
-		for c, n := range in {
-			if n > x.most {
-				t.Errorf("%v: %d of %d replicas in zone %c", x.zones, n, x.n, c)
+		for zone, n := range in {
+			if n > c.mostInOne {
+				t.Errorf("%v: %d of %d replicas in zone %c", c.zones, n, c.count, zone)
 			}
 		}
-		if again := Spread(make(x.zones...), nil, x.n); !slices.Equal(replicas, again) {
-			t.Errorf("%v: %v, then %v", x.zones, replicas, again)
+		if again := Spread(members(c.zones...), nil, c.count); !slices.Equal(replicas, again) {
+			t.Errorf("%v: %v, then %v", c.zones, replicas, again)
 		}
 	}
-	if s := Spread(make(3, 3, 3), []string{"10.0.0.2:1", "10.1.0.1:1", "10.2.0.2:1"}, 3); s[0].Addr != "10.0.0.2:1" || s[1].Addr != "10.1.0.1:1" || s[2].Addr != "10.2.0.2:1" {
+	seeds := []string{"10.0.0.2:1", "10.1.0.1:1", "10.2.0.2:1"}
+	s := Spread(members(3, 3, 3), seeds, 3)
+	if s[0].Addr != seeds[0] || s[1].Addr != seeds[1] || s[2].Addr != seeds[2] {
 		t.Errorf("not the seeds: %v", s)
 	}
 }
--- a/control/membership/lost_test.go
+++ b/control/membership/lost_test.go
@@ -8,7 +8,7 @@
 	"mulleinmast/wire/message"
 )
 
-// net carries notes between members, but for those between two sides of a cut.
+// net carries messages between members, but for those between two sides of a cut.
 type net struct {
 	now  time.Duration
 	all  map[string]*Table // by address
@@ -18,7 +18,10 @@
 }
 
 func newNet(seeds func(i int) []string, members ...message.Member) *net {
-	n := &net{all: map[string]*Table{}, self: map[string]message.Member{}, away: map[string]bool{}, owns: map[string][]message.Leadership{}}
+	n := &net{
+		all: map[string]*Table{}, self: map[string]message.Member{},
+		away: map[string]bool{}, owns: map[string][]message.Leadership{},
+	}
 	for i, m := range members {
 		n.join(m, seeds(i))
 	}
--- a/control/membership/membership_test.go
+++ b/control/membership/membership_test.go
@@ -21,7 +21,8 @@
 		a, b := New(cfg, disk("a", "10.0.0.1:1"), nil), New(cfg, disk("b", "10.0.0.2:1"), nil)
 		a.AddControlAddrs("10.0.0.2:1")
 		for i, id := range []string{"old", "new"} {
-			a.Step(time.Duration(i)*100*time.Millisecond, message.Message{Kind: message.KindHello, Self: message.Member{Ident: id, Epoch: 1, Addr: "10.0.0.9:1"}})
+			hello := message.Hello{Self: message.Member{Ident: id, Epoch: 1, Addr: "10.0.0.9:1"}}
+			a.Step(time.Duration(i)*100*time.Millisecond, hello.Message())
 		}
 		for _, m := range a.Tick(time.Second, disk("a", "10.0.0.1:1"), nil).Sends {
 			if m.Message.Kind == message.KindGossip {
@@ -45,7 +46,8 @@
 	for range 20 {
 		a := New(cfg, disk("a", "10.0.0.1:1"), nil)
 		for i, id := range []string{"old", "new"} {
-			a.Step(time.Duration(i)*100*time.Millisecond, message.Message{Kind: message.KindGossip, Self: disk(id, "10.0.0.2:1"), LastComplete: uint64(i + 5)})
+			gossip := message.Gossip{Self: disk(id, "10.0.0.2:1"), Digest: uint64(i + 5)}
+			a.Step(time.Duration(i)*100*time.Millisecond, gossip.Message())
 		}
 		for _, m := range a.Tick(time.Second, disk("a", "10.0.0.1:1"), nil).Sends {
 			if m.Message.Kind == message.KindGossip && m.Addr == "10.0.0.2:1" && m.Message.ResponseTo != 6 {
@@ -58,10 +60,11 @@
 // A seed without a disk holds no session and says who can.
 func TestASeedWithoutADiskRefersToControlDaemons(t *testing.T) {
 	near := New(cfg, message.Member{Ident: "n", Addr: "10.0.0.5:1"}, []string{"10.0.0.1:1"})
-	near.Step(0, message.Message{Kind: message.KindWelcome, Members: []message.Member{disk("a", "10.0.0.1:1"), {Ident: "n", Addr: "10.0.0.5:1"}}})
+	view := []message.Member{disk("a", "10.0.0.1:1"), {Ident: "n", Addr: "10.0.0.5:1"}}
+	near.Step(0, message.Welcome{Members: view}.Message())
 	me := message.Member{Ident: "m", Addr: "10.0.0.6:1"}
 	lost := New(cfg, me, []string{"10.0.0.5:1"})
-	for _, m := range near.Step(0, message.Message{Kind: message.KindHello, Self: me}).Sends {
+	for _, m := range near.Step(0, message.Hello{Self: me}.Message()).Sends {
 		lost.Step(0, m.Message)
 	}
 	if lost.View().HasSession {
@@ -78,34 +81,40 @@
 	}
 }
 
-// Who was steered to a leader goes back to its static parent when another
-// daemon is leader; who was steered to a relay, when another is relay.
+// A daemon that was redirected to a leader goes back to its static parent when another
+// daemon is leader; one that was redirected to a relay, when another is relay.
 func TestARedirectEndsWithItsTarget(t *testing.T) {
-	v := &View{Me: message.Member{Ident: "m", Zone: "c"}, Leaderships: map[int]message.Leadership{0: {Term: 4, Leader: message.Replica{Ident: "a", Addr: "a"}}}, minRelayZone: 2, byIdent: map[string]message.Member{}}
+	v := &View{
+		Me:           message.Member{Ident: "m", Zone: "c"},
+		Leaderships:  map[int]message.Leadership{0: {Term: 4, Leader: message.Replica{Ident: "a", Addr: "a"}}},
+		minRelayZone: 2,
+		byIdent:      map[string]message.Member{},
+	}
 	for _, id := range []string{"a", "b", "m", "r"} {
-		v.Members = append(v.Members, message.Member{Ident: id, Addr: id, Zone: map[bool]string{true: "c", false: "d"}[id == "m" || id == "r"]})
+		zone := map[bool]string{true: "c", false: "d"}[id == "m" || id == "r"]
+		v.Members = append(v.Members, message.Member{Ident: id, Addr: id, Zone: zone})
 		v.byIdent[id] = v.Members[len(v.Members)-1]
 	}
-	g := ParentChooser{VolumeLease: time.Second}
-	static := g.Parent(0, v)
-	g.FollowRedirect(time.Second, message.Replica{Ident: "a", Addr: "a"})
-	if p := g.Parent(2*time.Second, v); p.Ident != "a" {
-		t.Fatalf("not steered: %v, static %v", p, static)
+	chooser := ParentChooser{VolumeLease: time.Second}
+	static := chooser.Parent(0, v)
+	chooser.FollowRedirect(time.Second, message.Replica{Ident: "a", Addr: "a"})
+	if p := chooser.Parent(2*time.Second, v); p.Ident != "a" {
+		t.Fatalf("not redirected: %v, static %v", p, static)
 	}
 	v.Leaderships = map[int]message.Leadership{0: {Term: 5, Leader: message.Replica{Ident: "b", Addr: "b"}}}
-	if p := g.Parent(3*time.Second, v); p.Ident == "a" {
+	if p := chooser.Parent(3*time.Second, v); p.Ident == "a" {
 		t.Error("still at the old leader")
 	}
 	relay := v.Relay(0, "c")
-	g.FollowRedirect(4*time.Second, relay)
-	if p := g.Parent(5*time.Second, v); p != relay && relay.Ident != "m" {
-		t.Errorf("not steered to the relay %v: %v", relay, p)
+	chooser.FollowRedirect(4*time.Second, relay)
+	if p := chooser.Parent(5*time.Second, v); p != relay && relay.Ident != "m" {
+		t.Errorf("not redirected to the relay %v: %v", relay, p)
 	}
 	other := message.Replica{Ident: map[bool]string{true: "q", false: "r"}[relay.Ident == "r"], Addr: "q"}
 	v.byIdent[other.Ident] = message.Member{Ident: other.Ident, Zone: "c"}
-	g.FollowRedirect(6*time.Second, other)
-	if p := g.Parent(7*time.Second, v); p == other {
-		t.Errorf("steered to %v, which is no relay", other)
+	chooser.FollowRedirect(6*time.Second, other)
+	if p := chooser.Parent(7*time.Second, v); p == other {
+		t.Errorf("redirected to %v, which is no relay", other)
 	}
 }
 
@@ -172,14 +181,23 @@
 	}
 }
 
-// What a welcome of an unknown kind holds may be a part of the members: it is not
+// What a welcome of an unknown form holds may be a part of the members: it is not
 // taken for all of them, or a daemon would forget whom to ask.
 func TestAWelcomeOfAnUnknownFormIsNotTheWholeView(t *testing.T) {
-	r := New(Config{SessionTimeout: time.Second, HeartbeatInterval: 100 * time.Millisecond}, message.Member{Ident: "me", Addr: "me:1"}, []string{"seed:1"})
-	whole := []message.Member{{Ident: "a", Addr: "a:1", HasDisk: true}, {Ident: "b", Addr: "b:1", HasDisk: true}, {Ident: "me", Addr: "me:1"}}
-	r.Step(time.Second, message.Message{Kind: message.KindWelcome, Addr: "a:1", Members: whole})
-	r.Step(time.Second, message.Message{Kind: message.KindWelcome, Addr: "a:1", Op: message.WelcomeDiff + "x", Members: whole[2:]})
-	if n := len(r.View().Members); n != 3 || !slices.Contains(r.controlAddrs(), "b:1") {
-		t.Errorf("%d members, control daemons %v", n, r.controlAddrs())
+	cfg := Config{SessionTimeout: time.Second, HeartbeatInterval: 100 * time.Millisecond}
+	table := New(cfg, message.Member{Ident: "me", Addr: "me:1"}, []string{"seed:1"})
+	members := []message.Member{
+		{Ident: "a", Addr: "a:1", HasDisk: true}, {Ident: "b", Addr: "b:1", HasDisk: true}, {Ident: "me", Addr: "me:1"},
+	}
+	for _, welcome := range []message.Welcome{
+		{Members: members},
+		{Form: message.WelcomeDiff + "x", Members: members[2:]},
+	} {
+		m := welcome.Message()
+		m.Addr = "a:1"
+		table.Step(time.Second, m)
+	}
+	if n := len(table.View().Members); n != 3 || !slices.Contains(table.controlAddrs(), "b:1") {
+		t.Errorf("%d members, control daemons %v", n, table.controlAddrs())
 	}
 }
--- a/control/membership/view_test.go
+++ b/control/membership/view_test.go
@@ -9,7 +9,11 @@
 
 // zoneOf is a view of one zone: control daemons first, then the others.
 func zoneOf(control, others int) *View {
-	v := &View{Leaderships: map[int]message.Leadership{0: {Term: 1, Leader: message.Replica{Ident: "far", Addr: "far"}}}, minRelayZone: 3, byIdent: map[string]message.Member{}}
+	v := &View{
+		Leaderships:  map[int]message.Leadership{0: {Term: 1, Leader: message.Replica{Ident: "far", Addr: "far"}}},
+		minRelayZone: 3,
+		byIdent:      map[string]message.Member{},
+	}
 	for i := range control + others {
 		id := fmt.Sprintf("10.0.0.%d:1", i)
 		v.Members = append(v.Members, message.Member{Ident: id, Addr: id, Zone: "c", HasDisk: i < control})
@@ -36,7 +40,8 @@
 		plain := zoneOf(0, c.control+c.others)
 		for p := range 30 {
 			if (p > 0 || !c.wide) && v.Relay(p, "c") != plain.Relay(p, "c") {
-				t.Errorf("%d control daemons of %d, partition %d: relay %v, by weight %v", c.control, len(v.Members), p, v.Relay(p, "c"), plain.Relay(p, "c"))
+				t.Errorf("%d control daemons of %d, partition %d: relay %v, by weight %v",
+					c.control, len(v.Members), p, v.Relay(p, "c"), plain.Relay(p, "c"))
 			}
 			if !control[v.Relay(p, "c").Ident] {
 				byWeight++
@@ -55,7 +60,7 @@
 	}
 }
 
-// A daemon that is told to end hands its replica over where a standby could take its
+// A daemon that is told to end hands its replica over where a spare could take its
 // place, and also while one is about to: as long as the group changes, a majority of
 // the replicas before the change is needed.
 func TestADaemonHandsOverWhileItsGroupChanges(t *testing.T) {
@@ -66,21 +71,30 @@
 		}
 		return list
 	}
-	for what, x := range map[string]struct {
+	group := func(replicas, next []message.Replica) message.Group {
+		return message.Group{Number: 1, Replicas: replicas, Next: next}
+	}
+	for name, c := range map[string]struct {
 		group message.Group
 		waits bool
 	}{
-		"no group":                          {message.Group{}, false},
-		"nobody to take its place":          {message.Group{Number: 1, Replicas: of("a", "b", "c", "d")}, false},
-		"a standby":                         {message.Group{Number: 1, Replicas: of("a", "b", "c")}, true},
-		"the only standby takes its place":  {message.Group{Number: 2, Replicas: of("a", "b", "c"), Next: of("d", "b", "c")}, true},
-		"the only standby takes another's":  {message.Group{Number: 2, Replicas: of("a", "b", "c"), Next: of("a", "b", "d")}, true},
-		"its place was taken":               {message.Group{Number: 3, Replicas: of("d", "b", "c")}, false},
-		"others change and it has no place": {message.Group{Number: 4, Replicas: of("d", "b", "c"), Next: of("d", "b", "e")}, false},
+		"no group":                           {message.Group{}, false},
+		"nobody to take its place":           {group(of("a", "b", "c", "d"), nil), false},
+		"a spare":                            {group(of("a", "b", "c"), nil), true},
+		"the only spare takes its place":     {group(of("a", "b", "c"), of("d", "b", "c")), true},
+		"the only spare takes another's":     {group(of("a", "b", "c"), of("a", "b", "d")), true},
+		"its place was taken":                {group(of("d", "b", "c"), nil), false},
+		"others change, and it has no place": {group(of("d", "b", "c"), of("d", "b", "e")), false},
 	} {
-		v := &View{Me: me, Members: []message.Member{me, {Ident: "b", HasDisk: true}, {Ident: "c", HasDisk: true}, {Ident: "d", HasDisk: true}, {Ident: "e"}}}
-		if got := v.MustHandOver(x.group); got != x.waits {
-			t.Errorf("%s: hands over %v, expected %v", what, got, x.waits)
+		v := &View{Me: me, Members: []message.Member{
+			me,
+			{Ident: "b", HasDisk: true},
+			{Ident: "c", HasDisk: true},
+			{Ident: "d", HasDisk: true},
+			{Ident: "e"},
+		}}
+		if got := v.MustHandOver(c.group); got != c.waits {
+			t.Errorf("%s: hands over %v, expected %v", name, got, c.waits)
 		}
 	}
 }
