--- a/control/clock/clock.go
+++ b/control/clock/clock.go
@@ -11,29 +11,32 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock counts from its making.
+// Clock counts from its making. It is safe for concurrent use.
 type Clock struct {
-	from time.Duration
-	leap atomic.Int64
+	startedAt time.Duration // by the boot-time clock
+	advanced  atomic.Int64  // nanoseconds by which tests put it forward
 }
 
 // New starts a clock at zero.
 //
 // Example: c := clock.New(); c.Now() < time.Second
-func New() *Clock { return &Clock{from: boot()} }
+func New() *Clock { return &Clock{startedAt: bootTime()} }
 
 // Now is the time since the clock was made, suspended time included.
 //
-// Example: if c.Now() < till { serve() }
-func (c *Clock) Now() time.Duration { return boot() - c.from + time.Duration(c.leap.Load()) }
+// Example: if c.Now() < expiry { serve() }
+func (c *Clock) Now() time.Duration {
+	return bootTime() - c.startedAt + time.Duration(c.advanced.Load())
+}
 
-// Leap is a switch for tests: the clock jumps forward while timers stood
-// still, as after a suspend.
+// Advance is for tests: the clock jumps forward while timers stood still, as after a
+// suspend.
 //
-// Example: c.Leap(time.Minute)
-func (c *Clock) Leap(d time.Duration) { c.leap.Add(int64(d)) }
+// Example: c.Advance(time.Minute)
+func (c *Clock) Advance(d time.Duration) { c.advanced.Add(int64(d)) }
 
-func boot() time.Duration {
+// bootTime is the time since the machine booted, suspended time included.
+func bootTime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		panic("no boot-time clock: " + err.Error()) // Linux has had one since 2.6.39
--- a/control/clock/clock_test.go
+++ b/control/clock/clock_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// A suspend shows as a leap: timers stood still, the clock did not.
+// A suspend shows as a jump: timers stood still, the clock did not.
 func TestClockRunsOnDuringSuspend(t *testing.T) {
 	c := New()
-	till := c.Now() + time.Second // a lease
-	c.Leap(2 * time.Second)
-	if c.Now() < till {
+	expiry := c.Now() + time.Second // of a lease
+	c.Advance(2 * time.Second)
+	if c.Now() < expiry {
 		t.Error("a lease of a second outlived a suspend of two")
 	}
-	a := c.Now()
-	if b := c.Now(); b < a {
-		t.Errorf("went back from %v to %v", a, b)
+	before := c.Now()
+	if after := c.Now(); after < before {
+		t.Errorf("went back from %v to %v", before, after)
 	}
 }
--- a/control/daemon/calls.go
+++ b/control/daemon/calls.go
@@ -147,7 +147,7 @@
 func (d *Daemon) otherDaemons(lapsedFor time.Duration) (others []message.Member) {
 	view := d.View()
 	for _, lost := range view.PartitionedFrom() {
-		if lost.At+2*d.Cfg.MembershipConfig().SessionTimeout >= d.Now()-lapsedFor { // by the same cut
+		if lost.LostAt+2*d.Cfg.MembershipConfig().SessionTimeout >= d.Now()-lapsedFor { // by the same cut
 			others = append(others, lost.Member)
 		}
 	}
--- a/control/daemon/calls_test.go
+++ b/control/daemon/calls_test.go
@@ -29,10 +29,10 @@
 		{"lapsed just now", cfg.VolumeLease() + time.Second, &membership.View{HasSession: true, Members: []message.Member{disk("a"), disk("b")}}, false, nil},
 		{"nobody has a leader", 2 * cfg.QuorumConfig().LeaderLease, &membership.View{HasSession: true, Members: []message.Member{disk("a"), disk("b")}}, true, nil},
 		{"no session", 0, &membership.View{Members: []message.Member{disk("a"), {Ident: "x", Addr: "x"}, disk("b")}}, true, []string{"a", "b"}},
-		{"others are lost", 0, &membership.View{HasSession: true, Members: []message.Member{disk("a")}, Lost: []membership.LostDaemon{{Member: disk("c"), At: c.Now() + 3*cfg.VolumeLease()}}}, true, []string{"c"}},
-		{"lost long before", 10 * session, &membership.View{HasSession: true, Members: []message.Member{disk("a")}, Lost: []membership.LostDaemon{{Member: disk("c"), At: cfg.VolumeLease() - 3*session}}}, true, nil},
+		{"others are lost", 0, &membership.View{HasSession: true, Members: []message.Member{disk("a")}, Lost: []membership.LostDaemon{{Member: disk("c"), LostAt: c.Now() + 3*cfg.VolumeLease()}}}, true, []string{"c"}},
+		{"lost long before", 10 * session, &membership.View{HasSession: true, Members: []message.Member{disk("a")}, Lost: []membership.LostDaemon{{Member: disk("c"), LostAt: cfg.VolumeLease() - 3*session}}}, true, nil},
 	} {
-		c.clock.Leap(x.wait)
+		c.clock.Advance(x.wait)
 		c.members.view.Store(x.view)
 		got := c.Contact(0)
 		var to []string
--- a/control/daemon/diskwriter_test.go
+++ b/control/daemon/diskwriter_test.go
@@ -75,7 +75,7 @@
 	if c.canServe() || !c.Ready() {
 		t.Errorf("under leases %v, ready %v", c.canServe(), c.Ready())
 	}
-	c.clock.Leap(c.Cfg.VolumeLease())
+	c.clock.Advance(c.Cfg.VolumeLease())
 	if c.Ready() {
 		t.Error("ready a volume lease later")
 	}
--- a/control/daemon/handover_test.go
+++ b/control/daemon/handover_test.go
@@ -26,7 +26,7 @@
 		"a standby beside another": {[]message.Member{{Ident: "d"}, {Ident: "e", HasDisk: true}}, 2},
 	} {
 		members := append([]message.Member{c.member(), {Ident: "b", HasDisk: true}, {Ident: "c", HasDisk: true}}, x.more...)
-		c.members.view.Store(&membership.View{Me: members[0], Members: members})
+		c.members.view.Store(&membership.View{Self: members[0], Members: members})
 		if n := c.PartitionsToHandOver(); n != x.held {
 			t.Errorf("%s: %d partitions held, expected %d", what, n, x.held)
 		}
@@ -37,6 +37,6 @@
 		c.HandOver(ctx)
 		done()
 	}
-	c.clock.Leap(time.Hour)
+	c.clock.Advance(time.Hour)
 	c.HandOver(context.Background()) // its time is up
 }
--- a/control/daemon/records_test.go
+++ b/control/daemon/records_test.go
@@ -27,7 +27,7 @@
 	}
 	pass := func(d time.Duration) { // awake, with no answer to what is asked
 		for end := c.Now() + d; c.Now() < end; tick() {
-			c.clock.Leap(min(beat/16, max(1, end-c.Now())))
+			c.clock.Advance(min(beat/16, max(1, end-c.Now())))
 		}
 	}
 	check := func(what string, leased, served bool) {
@@ -43,13 +43,13 @@
 	}
 	tick()
 	check("under leases", true, true)
-	c.clock.Leap(cfg.VolumeLease())
+	c.clock.Advance(cfg.VolumeLease())
 	check("suspended while the leases lapsed", false, false)
 	tick()
 	check("awake", false, false)
 	pass(beat)
 	check("asked in vain", false, true)
-	c.clock.Leap(2 * beat)
+	c.clock.Advance(2 * beat)
 	check("suspended once more", false, false)
 	pass(beat)
 	check("asked in vain again", false, true)
--- a/control/daemon/state.go
+++ b/control/daemon/state.go
@@ -45,7 +45,7 @@
 	view := d.View()
 	state := State{
 		Fleet:      d.Cfg.Fleet,
-		Me:         view.Me,
+		Me:         view.Self,
 		Members:    view.Members,
 		Live:       view.HasSession,
 		ZonesOut:   d.zonesOut(),
--- a/control/daemon/testswitches.go
+++ b/control/daemon/testswitches.go
@@ -65,7 +65,7 @@
 		respondFaults(w, http.StatusBadRequest, "by: expected a length of time, such as 30s")
 		return
 	}
-	d.clock.Leap(by)
+	d.clock.Advance(by)
 	state := d.State()
 	response := leapResponse{Result: resultDone, PlanValid: state.PlanValid}
 	for _, p := range state.Partitions {
--- a/control/membership/golden_test.go
+++ b/control/membership/golden_test.go
@@ -161,7 +161,7 @@
 			r.member("  member", m)
 		}
 		for _, l := range v.Lost {
-			r.member(fmt.Sprintf("  lost at %v", l.At), l.Member)
+			r.member(fmt.Sprintf("  lost at %v", l.LostAt), l.Member)
 		}
 		for _, l := range v.PartitionedFrom() {
 			fmt.Fprintf(r.log, "  cut off from %s\n", l.Addr)
@@ -292,7 +292,7 @@
 			show(time.Duration(i*50+45) * time.Second)
 		}
 		for _, live := range []bool{true, true, false, true} {
-			for _, s := range g.ReturnRedirects(live, message.VolumeEpoch{Ident: v.Me.Ident, Epoch: 2}, v) {
+			for _, s := range g.ReturnRedirects(live, message.VolumeEpoch{Ident: v.Self.Ident, Epoch: 2}, v) {
 				b, err := s.Message.MarshalMsg(nil)
 				if err != nil {
 					r.t.Fatal(err)
--- a/control/membership/lost.go
+++ b/control/membership/lost.go
@@ -23,7 +23,7 @@
 // LostDaemon is a control daemon that the view had, and when it went.
 type LostDaemon struct {
 	message.Member
-	At time.Duration // by the clock of the daemon that lost it
+	LostAt time.Duration // by the clock of the daemon that lost it
 }
 
 // noteLost notes what a new view lacks.
@@ -43,7 +43,7 @@
 // forgetLost drops what was lost long ago, and the longest lost beyond a number.
 func (t *Table) forgetLost() {
 	for i, l := range t.lostByTime() {
-		if i >= maxLost || t.now-l.At > rememberLostFor*t.cfg.SessionTimeout {
+		if i >= maxLost || t.now-l.LostAt > rememberLostFor*t.cfg.SessionTimeout {
 			delete(t.lost, l.Addr)
 		}
 	}
@@ -59,7 +59,7 @@
 		list = append(list, l)
 	}
 	slices.SortFunc(list, func(a, b LostDaemon) int {
-		return cmp.Or(cmp.Compare(b.At, a.At), cmp.Compare(a.Addr, b.Addr))
+		return cmp.Or(cmp.Compare(b.LostAt, a.LostAt), cmp.Compare(a.Addr, b.Addr))
 	})
 	return list
 }
@@ -86,7 +86,7 @@
 // Example: for _, l := range view.PartitionedFrom() { sendOnTo(l.Addr) }
 func (v *View) PartitionedFrom() []LostDaemon {
 	n := 0
-	for n < len(v.Lost) && v.Lost[n].At >= v.Lost[0].At-v.lostTogether {
+	for n < len(v.Lost) && v.Lost[n].LostAt >= v.Lost[0].LostAt-v.lostTogether {
 		n++
 	}
 	return v.Lost[:n]
--- a/control/membership/membership_test.go
+++ b/control/membership/membership_test.go
@@ -85,7 +85,7 @@
 // daemon is leader; one that was redirected to a relay, when another is relay.
 func TestARedirectEndsWithItsTarget(t *testing.T) {
 	v := &View{
-		Me:           message.Member{Ident: "m", Zone: "c"},
+		Self:         message.Member{Ident: "m", Zone: "c"},
 		Leaderships:  map[int]message.Leadership{0: {Term: 4, Leader: message.Replica{Ident: "a", Addr: "a"}}},
 		minRelayZone: 2,
 		byIdent:      map[string]message.Member{},
--- a/control/membership/parent.go
+++ b/control/membership/parent.go
@@ -46,7 +46,7 @@
 func (c *ParentChooser) Parent(now time.Duration, v *View) message.Replica {
 	leader := v.Leaderships[c.Partition].Leader
 	switch {
-	case leader.Ident == v.Me.Ident:
+	case leader.Ident == v.Self.Ident:
 		return message.Replica{}
 	case c.isRedirected(now, v, leader):
 		return c.redirect
@@ -61,10 +61,10 @@
 // us hang below a relay's child, with a lease too short to renew in time.
 func (c *ParentChooser) isRedirected(now time.Duration, v *View, leader message.Replica) bool {
 	to := c.redirect.Ident
-	if to == "" || to == v.Me.Ident || now >= c.redirectUntil {
+	if to == "" || to == v.Self.Ident || now >= c.redirectUntil {
 		return false
 	}
-	return to == leader.Ident || to == v.Relay(c.Partition, v.Me.Zone).Ident
+	return to == leader.Ident || to == v.Relay(c.Partition, v.Self.Zone).Ident
 }
 
 // ReturnRedirects are what a relay sends to its zone when its lease is valid again.
@@ -75,14 +75,14 @@
 ) (sends []message.Envelope) {
 	regained := hasLease && !c.hadLease
 	c.hadLease = hasLease
-	if !regained || v.Relay(c.Partition, v.Me.Zone).Ident != v.Me.Ident {
+	if !regained || v.Relay(c.Partition, v.Self.Zone).Ident != v.Self.Ident {
 		return nil
 	}
-	redirect := message.Redirect{Parent: v.Me.Replica(), Reason: message.RedirectReturn}
+	redirect := message.Redirect{Parent: v.Self.Replica(), Reason: message.RedirectReturn}
 	frame := redirect.Message(c.Partition).WithGrantHeader(message.GrantHeader{VolumeEpoch: epoch})
 	leader := v.Leaderships[c.Partition].Leader.Ident
-	for m := range v.MembersIn(v.Me.Zone) {
-		if m.Ident != v.Me.Ident && m.Ident != leader {
+	for m := range v.MembersIn(v.Self.Zone) {
+		if m.Ident != v.Self.Ident && m.Ident != leader {
 			frame.To = m.Ident
 			sends = append(sends, message.Envelope{Addr: m.Addr, Message: frame})
 		}
--- a/control/membership/relay.go
+++ b/control/membership/relay.go
@@ -78,10 +78,10 @@
 // Example: replica := v.Parent(3)
 func (v *View) Parent(partition int) message.Replica {
 	leader := v.Leaderships[partition].Leader
-	if leader.Ident == v.Me.Ident {
+	if leader.Ident == v.Self.Ident {
 		return message.Replica{}
 	}
-	if relay := v.Relay(partition, v.Me.Zone); relay.Ident != "" && relay.Ident != v.Me.Ident {
+	if relay := v.Relay(partition, v.Self.Zone); relay.Ident != "" && relay.Ident != v.Self.Ident {
 		return relay
 	}
 	return leader
--- a/control/membership/view.go
+++ b/control/membership/view.go
@@ -13,7 +13,7 @@
 // View is a snapshot of the fleet; it is never changed once published, and safe for
 // concurrent use.
 type View struct {
-	Me          message.Member
+	Self        message.Member
 	Members     []message.Member           // by address
 	Leaderships map[int]message.Leadership // by partition
 	HasSession  bool                       // our own session stands
@@ -36,7 +36,7 @@
 		return t.published
 	}
 	v := &View{
-		Me:           t.self,
+		Self:         t.self,
 		Members:      append([]message.Member(nil), t.view.members...),
 		Leaderships:  maps.Clone(t.leaderships),
 		HasSession:   t.client.hasSession,
@@ -54,7 +54,7 @@
 
 // isCurrent tells whether a view shows what the table holds.
 func (t *Table) isCurrent(v *View) bool {
-	return v.Me == t.self && v.HasSession == t.client.hasSession && slices.Equal(v.Members, t.view.members) &&
+	return v.Self == t.self && v.HasSession == t.client.hasSession && slices.Equal(v.Members, t.view.members) &&
 		slices.Equal(v.Lost, t.lostByTime()) && maps.Equal(v.Leaderships, t.leaderships)
 }
 
@@ -85,14 +85,14 @@
 //
 // Example: if v.MustHandOver(group) { waitForHandOver() }
 func (v *View) MustHandOver(g message.Group) bool {
-	return g.Has(v.Me.Ident) && (len(g.Next) > 0 || v.hasReplacement(g))
+	return g.Has(v.Self.Ident) && (len(g.Next) > 0 || v.hasReplacement(g))
 }
 
 // hasReplacement tells whether a control daemon other than this one is without a
 // replica in a group.
 func (v *View) hasReplacement(g message.Group) bool {
 	return slices.ContainsFunc(v.Members, func(m message.Member) bool {
-		return m.HasDisk && m.Ident != v.Me.Ident && !g.Has(m.Ident)
+		return m.HasDisk && m.Ident != v.Self.Ident && !g.Has(m.Ident)
 	})
 }
 
--- a/control/membership/view_test.go
+++ b/control/membership/view_test.go
@@ -86,7 +86,7 @@
 		"its place was taken":                {group(of("d", "b", "c"), nil), false},
 		"others change, and it has no place": {group(of("d", "b", "c"), of("d", "b", "e")), false},
 	} {
-		v := &View{Me: me, Members: []message.Member{
+		v := &View{Self: me, Members: []message.Member{
 			me,
 			{Ident: "b", HasDisk: true},
 			{Ident: "c", HasDisk: true},
--- a/traffic/board/tell.go
+++ b/traffic/board/tell.go
@@ -49,7 +49,7 @@
 
 // Tick tells what is due.
 //
-// Example: for _, s := range b.Tick(now, view.Me, view.Members) { send(s) }
+// Example: for _, s := range b.Tick(now, view.Self, view.Members) { send(s) }
 func (b *Board) Tick(now time.Duration, me message.Member, members []message.Member) (out []message.Envelope) {
 	if now < b.next {
 		return nil
--- a/traffic/forward/cold.go
+++ b/traffic/forward/cold.go
@@ -23,7 +23,7 @@
 // and the rate of warming servers are divided among them. One that was not
 // named for long is no longer counted.
 //
-// Example: l.SetDaemons(now, view.Me.Addr, addresses)
+// Example: l.SetDaemons(now, view.Self.Addr, addresses)
 func (l *Dispatcher) SetDaemons(now time.Duration, me string, daemons []string) {
 	l.daemons.me = me
 	l.daemons.seen[me] = now
--- a/traffic/gateway/gateway.go
+++ b/traffic/gateway/gateway.go
@@ -118,7 +118,7 @@
 func (g *Gateway) tell() {
 	v := g.c.View()
 	g.bmu.Lock()
-	out := g.board.Tick(g.c.Now(), v.Me, v.Members)
+	out := g.board.Tick(g.c.Now(), v.Self, v.Members)
 	g.bmu.Unlock()
 	g.c.SendAll(out)
 }
@@ -239,7 +239,7 @@
 	for _, m := range v.Members {
 		daemons = append(daemons, m.Addr)
 	}
-	l.SetDaemons(g.c.Now(), v.Me.Addr, daemons)
+	l.SetDaemons(g.c.Now(), v.Self.Addr, daemons)
 }
 
 func (g *Gateway) told(svc, key string, load forward.Load) {
