--- a/control/quorum/cluster_test.go
+++ b/control/quorum/cluster_test.go
@@ -17,14 +17,14 @@
 	opJoin    = "whole"
 )
 
-// cluster is several replicas of one partition with a wire that loses what lose says;
+// cluster is several replicas of one partition with a network that loses what isLost says;
 // what is saved is on disk at once.
 type cluster struct {
 	t        *testing.T
 	now      time.Duration
 	replicas map[string]*Replica
 	isDown   map[string]bool
-	isLost   func(to string, n message.Message) bool
+	isLost   func(to string, m message.Message) bool
 	results  []WriteResult
 	inFlight []message.Envelope
 }
@@ -38,11 +38,25 @@
 	return out
 }
 
+// isOnly tells whether a list is one message of a kind.
+func isOnly(list []message.Message, kind message.Kind) bool {
+	return len(list) == 1 && list[0].Kind == kind
+}
+
+// differing is the number of ranges in which two sets of records differ.
+func differing(a, b *digest.Records) int {
+	return len(digest.DifferingRanges(a.Digests(), b.Digests()))
+}
+
 // newCluster has the members in a group and the others without one.
 func newCluster(t *testing.T, members, others []string) *cluster {
-	c := &cluster{t: t, replicas: map[string]*Replica{}, isDown: map[string]bool{}, isLost: func(string, message.Message) bool { return false }}
+	c := &cluster{
+		t: t, replicas: map[string]*Replica{}, isDown: map[string]bool{},
+		isLost: func(string, message.Message) bool { return false },
+	}
+	group := message.Group{Number: 1, Replicas: replicasOf(members...)}
 	for _, id := range members {
-		c.replicas[id] = New(clusterConfig, 1, replicaOf(id), nil, Meta{Group: message.Group{Number: 1, Replicas: replicasOf(members...)}}, digest.NewRecords(), 0, true)
+		c.replicas[id] = New(clusterConfig, 1, replicaOf(id), nil, Meta{Group: group}, digest.NewRecords(), 0, true)
 	}
 	for _, id := range others {
 		c.replicas[id] = New(clusterConfig, 1, replicaOf(id), nil, Meta{}, digest.NewRecords(), 0, true)
@@ -50,7 +64,10 @@
 	return c
 }
 
-var clusterConfig = Config{LeaderLease: cfg.LeaderLease, Drift: cfg.Drift, Margin: cfg.Margin, HeartbeatInterval: cfg.HeartbeatInterval, LostAfter: 2 * time.Second}
+var clusterConfig = Config{
+	LeaderLease: cfg.LeaderLease, Drift: cfg.Drift, Margin: cfg.Margin,
+	HeartbeatInterval: cfg.HeartbeatInterval, LostAfter: 2 * time.Second,
+}
 
 func (c *cluster) apply(id string, o Out) {
 	c.results = append(c.results, o.Results...)
@@ -68,15 +85,15 @@
 	for len(c.inFlight) > 0 {
 		m := c.inFlight[0]
 		c.inFlight = c.inFlight[1:]
-		s := c.replicas[m.Message.To]
-		if s == nil || c.isDown[m.Message.To] || c.isDown[m.Message.From] || c.isLost(m.Message.To, m.Message) {
+		r := c.replicas[m.Message.To]
+		if r == nil || c.isDown[m.Message.To] || c.isDown[m.Message.From] || c.isLost(m.Message.To, m.Message) {
 			continue
 		}
-		c.apply(m.Message.To, s.Step(c.now, m.Message))
+		c.apply(m.Message.To, r.Step(c.now, m.Message))
 	}
 }
 
-// advance lets time pass; the leader's works go on if each says so.
+// advance lets time pass; the each runs after each tick of all.
 func (c *cluster) advance(d time.Duration, each ...func()) {
 	for end := c.now + d; c.now < end; c.now += 10 * time.Millisecond {
 		for _, id := range slices.Sorted(maps.Keys(c.replicas)) {
@@ -92,58 +109,59 @@
 	}
 }
 
-// leader is the replica that owns the partition now.
+// leader is the replica that leads the partition now.
 func (c *cluster) leader() (string, *Replica) {
 	c.t.Helper()
 	for _, id := range slices.Sorted(maps.Keys(c.replicas)) {
-		if s := c.replicas[id]; !c.isDown[id] && s.Leader(c.now) {
-			return id, s
+		if r := c.replicas[id]; !c.isDown[id] && r.Leader(c.now) {
+			return id, r
 		}
 	}
 	c.t.Fatalf("no leader at %v", c.now)
 	return "", nil
 }
 
-// write has the leader write a record and tells whether it was said to be written.
+// write has the leader write a record and tells whether it was committed.
 func (c *cluster) write(key string) bool {
-	id, s := c.leader()
+	id, r := c.leader()
 	c.results = nil
-	o, _ := s.Write(c.now, 9, []message.Record{{Key: key, Value: []byte(key)}})
+	o, _ := r.Write(c.now, 9, []message.Record{{Key: key, Value: []byte(key)}})
 	c.apply(id, o)
 	c.deliver()
 	return slices.Contains(c.results, WriteResult{9, Committed})
 }
 
-// maintain has the leader keep copies at standbys, and go on with a step.
+// maintain has the leader keep copies at learners, and go on with a group change.
 func (c *cluster) maintain(ids ...string) func() {
 	return func() {
-		for id, s := range c.replicas {
-			if !c.isDown[id] && s.Leader(c.now) {
-				c.apply(id, s.SetLearners(c.now, replicasOf(ids...)))
-				c.apply(id, s.ContinueChange(c.now, 0))
+		for id, r := range c.replicas {
+			if !c.isDown[id] && r.Leader(c.now) {
+				c.apply(id, r.SetLearners(c.now, replicasOf(ids...)))
+				c.apply(id, r.ContinueChange(c.now, 0))
 			}
 		}
 	}
 }
 
-// replaceReplica has the leader begin a step; it fails the test if it doesn't.
+// replaceReplica has the leader begin a group change; it fails the test if it doesn't.
 func (c *cluster) replaceReplica(out, in string) {
 	c.t.Helper()
-	id, s := c.leader()
-	o, ok := s.ReplaceReplica(c.now, 0, out, replicaOf(in))
+	id, r := c.leader()
+	o, ok := r.ReplaceReplica(c.now, 0, out, replicaOf(in))
 	if !ok {
-		c.t.Fatalf("%v: %s doesn't begin to replace %s by %s: group %+v, at hand %v", c.now, id, out, in, s.Group(), s.LearnerReady(c.now, in))
+		c.t.Fatalf("%v: %s doesn't begin to replace %s by %s: group %+v, ready %v",
+			c.now, id, out, in, r.Group(), r.LearnerReady(c.now, in))
 	}
 	c.apply(id, o)
 }
 
 func (c *cluster) group() string {
-	_, s := c.leader()
+	_, r := c.leader()
 	var ids, next []string
-	for _, x := range s.Group().Replicas {
+	for _, x := range r.Group().Replicas {
 		ids = append(ids, x.Ident)
 	}
-	for _, x := range s.Group().Next {
+	for _, x := range r.Group().Next {
 		next = append(next, x.Ident)
 	}
 	slices.Sort(ids)
@@ -153,7 +171,7 @@
 	return fmt.Sprint(ids)
 }
 
-// split are the members of three that don't own the partition.
+// split are the members of three that don't lead the partition.
 func (c *cluster) split() (own, one, two string) {
 	own, _ = c.leader()
 	rest := slices.DeleteFunc([]string{"a", "b", "c"}, func(id string) bool { return id == own })
--- a/control/quorum/copies_test.go
+++ b/control/quorum/copies_test.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// advance lets time advance, with a write at the leader at each step if so wished;
-// a write's messages are under way until the next step.
+// advance lets time pass, with a write at the leader at each tick if so wished; a
+// write's messages are under way until the next tick.
 func (w *trio) advance(d time.Duration, writing bool) {
 	for end := w.now + d; w.now < end; w.now += 25 * time.Millisecond {
 		w.deliver()
@@ -121,7 +121,8 @@
 
 func (w *trio) write(id string) uint64 {
 	w.lastTag++
-	o, _ := w.members[id].replica.Write(w.now, w.lastTag, []message.Record{{Key: fmt.Sprint("k", w.lastTag%400), Value: []byte(fmt.Sprint(w.lastTag))}})
+	record := message.Record{Key: fmt.Sprint("k", w.lastTag%400), Value: []byte(fmt.Sprint(w.lastTag))}
+	o, _ := w.members[id].replica.Write(w.now, w.lastTag, []message.Record{record})
 	w.apply(id, o)
 	return w.lastTag
 }
@@ -135,6 +136,17 @@
 	return ""
 }
 
+// isMismatch tells whether a step saves nothing and answers only that the state isn't
+// the one that it builds on.
+func isMismatch(out Out) bool {
+	return len(out.Saves) == 0 && len(out.Sends) == 1 && out.Sends[0].Message.Kind == message.KindStateMismatch
+}
+
+// differing is the number of ranges in which two replicas' records differ.
+func (w *trio) differing(a, b string) int {
+	return differing(w.members[a].replica.Records(), w.members[b].replica.Records())
+}
+
 // other is a replica that isn't the leader.
 func (w *trio) other() string {
 	for _, id := range []string{"a", "b", "x"} {
@@ -160,8 +172,8 @@
 	w.members[late].isCutOff = false
 	w.advance(3*cfg.LeaderLease/2, true)
 	w.deliver()
-	if d := digest.DifferingRanges(w.members[own].replica.Records().Digests(), w.members[late].replica.Records().Digests()); len(d) > 0 {
-		t.Errorf("%d of %d ranges differ", len(d), digest.Ranges)
+	if d := w.differing(own, late); d > 0 {
+		t.Errorf("%d of %d ranges differ", d, digest.Ranges)
 	}
 }
 
@@ -193,7 +205,8 @@
 	w.restartWithout(third, fmt.Sprint("k", tag))
 	w.members[own].isCutOff, w.members[late].isCutOff = true, false
 	for i := 0; i < 400; i++ {
-		if w.advance(25*time.Millisecond, false); w.members[late].replica.Leader(w.now) || w.members[third].replica.Leader(w.now) {
+		w.advance(25*time.Millisecond, false)
+		if w.members[late].replica.Leader(w.now) || w.members[third].replica.Leader(w.now) {
 			_, ok := w.members[w.leader()].replica.Records().Get(fmt.Sprint("k", tag))
 			t.Fatalf("%s leads beside a replica that lost a record; the write is there: %v", w.leader(), ok)
 		}
@@ -202,7 +215,7 @@
 	w.advance(4*time.Second, false)
 	for id, m := range w.members {
 		if _, ok := m.replica.Records().Get(fmt.Sprint("k", tag)); !ok || m.replica.Meta().Incomplete || m.meta.Incomplete {
-			t.Errorf("%s: the write is there: %v, short: %v", id, ok, m.replica.Meta().Incomplete)
+			t.Errorf("%s: the write is there: %v, incomplete: %v", id, ok, m.replica.Meta().Incomplete)
 		}
 	}
 	if w.leader() == "" {
@@ -210,28 +223,30 @@
 	}
 }
 
-// Such a replica is filled within two beats where there is a leader, which counts
+// Such a replica is installed within two heartbeats where there is a leader, which counts
 // it for nothing before.
 func TestAnIncompleteReplicaIsInstalledAtOnce(t *testing.T) {
 	w := newTrio(t)
 	w.advance(3*time.Second, true)
 	own, short := w.leader(), w.other()
 	w.restartWithout(short, "k1")
-	if out := w.members[short].replica.Step(w.now, message.Message{Kind: message.KindReplicate, Partition: 1, From: own, Addr: own, Term: w.members[own].replica.Term(), RequestID: 1, Group: three}); len(out.Saves) > 0 || len(out.Sends) != 1 || out.Sends[0].Message.Kind != message.KindStateMismatch {
-		t.Errorf("a short replica takes a write: %+v", out)
+	write := message.Replicate{Term: w.members[own].replica.Term(), RequestID: 1, Group: three}.Message(1)
+	write.From, write.Addr = own, own
+	if out := w.members[short].replica.Step(w.now, write); !isMismatch(out) {
+		t.Errorf("an incomplete replica takes a write: %+v", out)
 	}
 	w.advance(2*cfg.HeartbeatInterval, false)
 	w.deliver()
 	if m := w.members[short]; m.replica.Meta().Incomplete || m.meta.Incomplete {
-		t.Error("still short")
+		t.Error("still incomplete")
 	}
-	if d := digest.DifferingRanges(w.members[own].replica.Records().Digests(), w.members[short].replica.Records().Digests()); len(d) > 0 {
-		t.Errorf("%d ranges differ", len(d))
+	if d := w.differing(own, short); d > 0 {
+		t.Errorf("%d ranges differ", d)
 	}
 }
 
 // A disk that stalls holds up neither renewals nor writes; its leader leaves the
-// leadership to others by its own clock when that lasts, and stands for none before
+// leadership to others by its own clock when that lasts, and is a candidate for none before
 // the disk has taken what waits for it.
 func TestALeaderWhoseDiskStallsStepsDown(t *testing.T) {
 	w := newTrio(t)
@@ -240,12 +255,15 @@
 	w.members[own].isDiskStuck = true
 	w.results = nil
 	from := w.now
-	for w.advance(25*time.Millisecond, true); w.members[own].replica.Leader(w.now) && w.now < from+10*time.Second; w.advance(25*time.Millisecond, true) {
+	w.advance(25*time.Millisecond, true)
+	for w.members[own].replica.Leader(w.now) && w.now < from+10*time.Second {
+		w.advance(25*time.Millisecond, true)
 	}
 	if d := w.now - from; d < stalledLeases*cfg.LeaderLease || d > stalledLeases*cfg.LeaderLease+cfg.HeartbeatInterval {
-		t.Errorf("gave up after %v", d)
+		t.Errorf("stepped down after %v", d)
 	}
-	if n := len(w.results); n < int(stalledLeases*cfg.LeaderLease/(30*time.Millisecond)) || w.results[n-2].Outcome != Committed {
+	most := int(stalledLeases * cfg.LeaderLease / (30 * time.Millisecond))
+	if n := len(w.results); n < most || w.results[n-2].Outcome != Committed {
 		t.Errorf("%d writes settled meanwhile", n)
 	}
 	w.advance(3*time.Second, true)
@@ -256,8 +274,8 @@
 	w.flush(own)
 	w.advance(cfg.LeaderLease, true)
 	w.deliver()
-	if d := digest.DifferingRanges(w.members[own].replica.Records().Digests(), w.members[w.leader()].replica.Records().Digests()); len(d) > 0 {
-		t.Errorf("%d ranges differ", len(d))
+	if d := w.differing(own, w.leader()); d > 0 {
+		t.Errorf("%d ranges differ", d)
 	}
 }
 
@@ -273,9 +291,9 @@
 		w.deliver()
 	}
 	put(message.Record{Key: "once/old"})
-	mark, _ := json.Marshal(w.members[own].replica.LastWritten())
+	floor, _ := json.Marshal(w.members[own].replica.LastWritten())
 	put(message.Record{Key: "once/new"})
-	put(message.Record{Key: FloorKey, Value: mark})
+	put(message.Record{Key: FloorKey, Value: floor})
 	w.members[w.other()].isCutOff = true
 	w.advance(3*time.Second, true)
 	w.members[own].isCutOff = true
@@ -284,8 +302,9 @@
 	}
 	w.advance(4*time.Second, true)
 	for id, m := range w.members {
-		if d := digest.DifferingRanges(m.replica.Records().Digests(), m.records.Digests()); len(d) > 0 || m.replica.Meta().Sum(m.replica.Records()) != m.meta.Sum(m.records) {
-			t.Errorf("%s: %d ranges of the disk differ", id, len(d))
+		d := differing(m.replica.Records(), m.records)
+		if d > 0 || m.replica.Meta().Sum(m.replica.Records()) != m.meta.Sum(m.records) {
+			t.Errorf("%s: %d ranges of the disk differ", id, d)
 		}
 	}
 }
@@ -299,19 +318,21 @@
 	fresh := New(cfg, 1, three.Replicas[0], nil, Meta{Group: three}, digest.NewRecords(), w.now, false)
 	var o Out
 	own.sendInstall(w.now, message.Replica{Ident: "new"}, fresh.Records().Digests(), &o)
-	fill := o.Sends[0].Message
-	fill.From, fill.Addr = w.leader(), w.leader()
-	if fill.From == "a" {
+	install := o.Sends[0].Message
+	install.From, install.Addr = w.leader(), w.leader()
+	if install.From == "a" {
 		fresh.self = three.Replicas[1]
 	}
-	for cut := range fill.Records {
-		short := fill
-		short.Records = fill.Records[:cut]
-		if out := fresh.Step(w.now, short); len(out.Saves) > 0 || fresh.Meta().LastComplete == fill.Term || len(out.Sends) != 1 || out.Sends[0].Message.Kind != message.KindStateMismatch {
-			t.Fatalf("%d of %d records taken for all: %+v", cut, len(fill.Records), out)
+	for cut := range install.Records {
+		short := install
+		short.Records = install.Records[:cut]
+		if out := fresh.Step(w.now, short); !isMismatch(out) || fresh.Meta().LastComplete == install.Term {
+			t.Fatalf("%d of %d records taken for all: %+v", cut, len(install.Records), out)
 		}
 	}
-	if out := fresh.Step(w.now, fill); len(out.Saves) != 1 || fresh.Meta().LastComplete != fill.Term || fresh.Records().Sum() != own.Records().Sum() {
+	out := fresh.Step(w.now, install)
+	isInstalled := fresh.Meta().LastComplete == install.Term && fresh.Records().Sum() == own.Records().Sum()
+	if len(out.Saves) != 1 || !isInstalled {
 		t.Errorf("the whole copy isn't taken: %+v", out)
 	}
 }
@@ -323,7 +344,8 @@
 	w.advance(3*time.Second, false)
 	own, late := w.leader(), w.other()
 	put := func(i int, dead bool) {
-		o, _ := w.members[own].replica.Write(w.now, uint64(1000+i), []message.Record{{Key: fmt.Sprint("berth/", i), Deleted: dead}})
+		record := message.Record{Key: fmt.Sprint("berth/", i), Deleted: dead}
+		o, _ := w.members[own].replica.Write(w.now, uint64(1000+i), []message.Record{record})
 		w.apply(own, o)
 		w.deliver()
 	}
--- a/control/quorum/groupchange_test.go
+++ b/control/quorum/groupchange_test.go
@@ -7,16 +7,16 @@
 	"mulleinmast/wire/message"
 )
 
-// The old group goes only when a majority of the next supports the lease: two
-// steps in one lease would else end at a majority that knows of no leader, and
+// The old group ends only when a majority of the next supports the lease: two group
+// changes in one lease would else end at a majority that knows of no leader, and
 // elects a second one beside it.
 func TestTheNextGroupSupportsTheLeaseBeforeItStandsAlone(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 	c.advance(2 * time.Second)
 	_, out, _ := c.split()
 	c.advance(time.Second, c.maintain("d"))
-	c.isLost = func(_ string, n message.Message) bool {
-		return n.Kind == message.KindHeartbeat || n.Kind == message.KindHeartbeatAck
+	c.isLost = func(_ string, m message.Message) bool {
+		return m.Kind == message.KindHeartbeat || m.Kind == message.KindHeartbeatAck
 	}
 	c.replaceReplica(out, "d")
 	c.deliver()
@@ -24,29 +24,29 @@
 		c.maintain("d")()
 		c.deliver()
 	}
-	if _, s := c.leader(); len(s.Group().Next) == 0 {
+	if _, r := c.leader(); len(r.Group().Next) == 0 {
 		t.Errorf("the old group is gone at once, and nobody of the next supports the lease: %s", c.group())
 	}
 	c.isLost = func(string, message.Message) bool { return false }
 	c.advance(100*time.Millisecond+cfg.HeartbeatInterval, c.maintain("d"))
-	if _, s := c.leader(); len(s.Group().Next) > 0 || s.Group().Has(out) {
-		t.Errorf("the step isn't finished a beat later: %s", c.group())
+	if _, r := c.leader(); len(r.Group().Next) > 0 || r.Group().Has(out) {
+		t.Errorf("the group change isn't finished a heartbeat later: %s", c.group())
 	}
 }
 
 // A voter supports a lease only once its vote is on disk: one that restarted
 // without it would take the leader before for the one it is bound to, and if that
-// one has restarted as well, promise itself to another while the lease stands.
+// one has restarted as well, vote for another while the lease stands.
 func TestAVoteIsOnDiskBeforeAHeartbeatIsAcked(t *testing.T) {
 	for what, bind := range map[string]message.Message{
-		"it joined the term by a fill": {Kind: message.KindInstallState, Term: 6, Group: three},
-		"it promised":                  {Kind: message.KindRequestVote, Term: 6, Group: three, Length: int64(fullWait)},
+		"it joined the term by an install": {Kind: message.KindInstallState, Term: 6, Group: three},
+		"it voted":                         {Kind: message.KindRequestVote, Term: 6, Group: three, Length: int64(fullWait)},
 	} {
 		v := restartedVoter(t)
 		at := 2 * fullWait
-		hear := func(n message.Message) Out {
-			n.From, n.Addr, n.Epoch, n.Partition = "b", "b", 1, 1
-			return v.replica.Step(at, n)
+		hear := func(m message.Message) Out {
+			m.From, m.Addr, m.Epoch, m.Partition = "b", "b", 1, 1
+			return v.replica.Step(at, m)
 		}
 		saves := hear(bind).Saves
 		support := hear(message.Message{Kind: message.KindHeartbeat, Term: 6, RequestID: 1})
@@ -65,9 +65,9 @@
 	}
 }
 
-// What a daemon sent in an earlier life counts for nothing once a later life is
-// known: its void would free a vote that the later life won with, its question
-// would bind the vote to a life that is over.
+// What a daemon sent in an earlier incarnation counts for nothing once a later one is
+// known: its abandoning of a term would free a vote that the later incarnation won
+// with, its vote request would bind the vote to an incarnation that has ended.
 func TestMessagesOfAnEarlierIncarnationAreIgnored(t *testing.T) {
 	for what, late := range map[string]message.Message{
 		"void": {Kind: message.KindAbandonTerm, Term: 6},
@@ -75,20 +75,20 @@
 	} {
 		v := restartedVoter(t)
 		at := 2 * fullWait
-		for life := uint64(1); life <= 2; life++ { // the first life's number was not on its disk yet
-			if ok, _ := v.requestVote(at, "b", life, 6); !ok {
-				t.Fatalf("%s: life %d is not promised", what, life)
+		for epoch := uint64(1); epoch <= 2; epoch++ { // the first incarnation's number was not on its disk yet
+			if ok, _ := v.requestVote(at, "b", epoch, 6); !ok {
+				t.Fatalf("%s: incarnation %d has no vote", what, epoch)
 			}
 		}
 		v.step(at, "b", 1, late)
 		if m := v.replica.Meta(); m.VotedTerm != 6 || m.VotedFor != "b" || m.VotedForEpoch != 2 || v.replica.isUnbound(at+1) {
-			t.Errorf("%s of life 1 after life 2 won: bound to %+v, free %v", what, m, v.replica.isUnbound(at+1))
+			t.Errorf("%s of incarnation 1 after incarnation 2 won: bound to %+v, free %v", what, m, v.replica.isUnbound(at+1))
 		}
 	}
 }
 
-// A newcomer that is elected while the step which brings it in is under way
-// finishes that step: as leader it holds all that there is. The replica that it
+// A newcomer that is elected while the group change which brings it in is under way
+// finishes that group change: as leader it holds all that there is. The replica that it
 // replaces is gone for good, so until then the loss of one more would end all.
 func TestANewcomerThatLeadsFinishesItsGroupChange(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
@@ -96,24 +96,25 @@
 	first, gone, other := c.split()
 	c.advance(time.Second, c.maintain("d"))
 	c.isDown[gone] = true
-	c.isLost = func(_ string, n message.Message) bool { return n.Op == opJoin }
+	c.isLost = func(_ string, m message.Message) bool { return m.Op == opJoin }
 	c.replaceReplica(gone, "d")
 	c.advance(100*time.Millisecond, c.maintain("d"))
-	if _, s := c.leader(); len(s.Group().Next) == 0 || len(c.replicas["d"].Group().Next) == 0 {
-		t.Fatalf("no step: %+v, the newcomer has %+v", s.Group(), c.replicas["d"].Group())
+	if _, r := c.leader(); len(r.Group().Next) == 0 || len(c.replicas["d"].Group().Next) == 0 {
+		t.Fatalf("no group change: %+v, the newcomer has %+v", r.Group(), c.replicas["d"].Group())
 	}
 	c.replicas[first].Resign()
-	others := func(n message.Message) bool { return n.Kind == message.KindRequestVote && n.From != "d" } // nobody else stands
-	c.isLost = func(_ string, n message.Message) bool { return n.Op == opJoin || others(n) }
+	// There is no other candidate.
+	others := func(m message.Message) bool { return m.Kind == message.KindRequestVote && m.From != "d" }
+	c.isLost = func(_ string, m message.Message) bool { return m.Op == opJoin || others(m) }
 	c.advance(3 * time.Second)
-	c.isLost = func(_ string, n message.Message) bool { return others(n) }
+	c.isLost = func(_ string, m message.Message) bool { return others(m) }
 	c.advance(2*time.Second, c.maintain("d"))
-	id, s := c.leader()
+	id, r := c.leader()
 	if id != "d" {
 		t.Fatalf("%s leads", id)
 	}
-	if g := s.Group(); len(g.Next) > 0 || g.Has(gone) || !g.Has("d") {
-		t.Errorf("the step is still under way: %+v", g)
+	if g := r.Group(); len(g.Next) > 0 || g.Has(gone) || !g.Has("d") {
+		t.Errorf("the group change is still under way: %+v", g)
 	}
 	c.isLost = func(string, message.Message) bool { return false }
 	c.isDown[other] = true // one loss after another is what a group bears
--- a/control/quorum/incarnation_test.go
+++ b/control/quorum/incarnation_test.go
@@ -26,14 +26,15 @@
 
 func openGuarded(t *testing.T, epoch uint64, m Meta) *guardedReplica {
 	m.Group = three
-	return &guardedReplica{t: t, replica: New(cfg, 1, three.Replicas[0], OpenFolder(epoch, m), m, digest.NewRecords(), 0, false), meta: m}
+	r := New(cfg, 1, three.Replicas[0], OpenFolder(epoch, m), m, digest.NewRecords(), 0, false)
+	return &guardedReplica{t: t, replica: r, meta: m}
 }
 
-// step hands a message of b over, and gives what a says to b.
-func (g *guardedReplica) step(n message.Message) (out []message.Message) {
-	n.From, n.Addr, n.To, n.Partition = "b", "b", "a", 1
+// step hands a message of b over, and gives what a sends to b.
+func (g *guardedReplica) step(m message.Message) (out []message.Message) {
+	m.From, m.Addr, m.To, m.Partition = "b", "b", "a", 1
 	g.now += time.Millisecond
-	o := g.replica.Step(g.now, n)
+	o := g.replica.Step(g.now, m)
 	for _, v := range o.Saves {
 		g.meta = v.Meta
 		saved := g.replica.Saved(v.Ticket)
@@ -58,7 +59,9 @@
 }
 
 func preVoteRequest(epoch, known uint64, base message.SavePoint) message.Message {
-	return message.Message{Kind: message.KindRequestVote, Op: opPreVote, Epoch: epoch, Term: 9, Group: three, KnownEpoch: known, State: base, Saves: 0}
+	m := message.VoteRequest{Term: 9, PreVote: true, Group: three}.Message(1)
+	m.Epoch, m.KnownEpoch, m.State = epoch, known, base
+	return m
 }
 
 // What counts of an incarnation, and what it is told that doesn't.
@@ -89,7 +92,7 @@
 			continue
 		}
 		if countKind(out, message.KindIncarnation) != 1 || out[0].KnownEpoch != first || out[0].KnownState != heard {
-			t.Errorf("%s: isn't told what is known: %+v", x.what, out)
+			t.Errorf("%s: doesn't learn what is known: %+v", x.what, out)
 		}
 	}
 }
@@ -97,24 +100,27 @@
 // What takes a replica its voice, and what doesn't.
 func TestWhatSupersedesAReplica(t *testing.T) {
 	const me = 7<<32 + 1
-	past := Meta{State: message.SavePoint{Epoch: 6<<32 + 4, Saves: 20}, History: []message.SavePoint{{Epoch: 4<<32 + 9, Saves: 3}}}
+	savePoint := func(epoch, saves uint64) message.SavePoint { return message.SavePoint{Epoch: epoch, Saves: saves} }
+	past := Meta{State: savePoint(6<<32+4, 20), History: []message.SavePoint{savePoint(4<<32+9, 3)}}
 	for _, x := range []struct {
-		what string
-		n    message.Message
-		why  string
+		what       string
+		knownEpoch uint64
+		known      message.SavePoint
+		why        string
 	}{
-		{"it is known", message.Message{KnownEpoch: me}, ""},
-		{"nothing is known", message.Message{}, ""},
-		{"a later start is known", message.Message{KnownEpoch: 8<<32 + 1}, "later start"},
-		{"another one of as many starts", message.Message{KnownEpoch: 7<<32 + 2}, "another process"},
-		{"the last state of the start before", message.Message{KnownEpoch: 6<<32 + 4, KnownState: message.SavePoint{Epoch: 6<<32 + 4, Saves: 20}}, ""},
-		{"a state beyond what the folder holds", message.Message{KnownEpoch: 6<<32 + 4, KnownState: message.SavePoint{Epoch: 6<<32 + 4, Saves: 21}}, "older copy"},
-		{"a start that isn't in the folder's past", message.Message{KnownEpoch: 5<<32 + 1, KnownState: message.SavePoint{Epoch: 5<<32 + 1, Saves: 1}}, "older copy"},
-		{"an early one that is", message.Message{KnownEpoch: 4<<32 + 9, KnownState: message.SavePoint{Epoch: 4<<32 + 9, Saves: 3}}, ""},
+		{"it is known", me, message.SavePoint{}, ""},
+		{"nothing is known", 0, message.SavePoint{}, ""},
+		{"a later start is known", 8<<32 + 1, message.SavePoint{}, "later start"},
+		{"another one of as many starts", 7<<32 + 2, message.SavePoint{}, "another process"},
+		{"the last state of the start before", 6<<32 + 4, savePoint(6<<32+4, 20), ""},
+		{"a state beyond what the folder holds", 6<<32 + 4, savePoint(6<<32+4, 21), "older copy"},
+		{"a start that isn't in the folder's past", 5<<32 + 1, savePoint(5<<32+1, 1), "older copy"},
+		{"an early one that is", 4<<32 + 9, savePoint(4<<32+9, 3), ""},
 	} {
 		g := openGuarded(t, me, past)
-		x.n.Kind, x.n.Epoch = message.KindIncarnation, first
-		g.step(x.n)
+		notice := message.IncarnationNotice{KnownEpoch: x.knownEpoch, KnownState: x.known}.Message(1)
+		notice.Epoch = first
+		g.step(notice)
 		if why := g.replica.Superseded(); (why == "") != (x.why == "") || !strings.Contains(why, x.why) {
 			t.Errorf("%s: %q", x.what, why)
 		}
@@ -133,8 +139,9 @@
 // Nobody but a replica of its group takes a replica its voice.
 func TestAStrangerSupersedesNobody(t *testing.T) {
 	g := openGuarded(t, 7<<32+1, Meta{})
-	n := message.Message{Kind: message.KindIncarnation, From: "stranger", Addr: "s", To: "a", Epoch: first, KnownEpoch: 9 << 32, Group: three}
-	g.replica.Step(g.now, n)
+	m := message.IncarnationNotice{KnownEpoch: 9 << 32, Group: three}.Message(1)
+	m.From, m.Addr, m.To, m.Epoch = "stranger", "s", "a", first
+	g.replica.Step(g.now, m)
 	if why := g.replica.Superseded(); why != "" {
 		t.Errorf("superseded: %s", why)
 	}
@@ -151,7 +158,8 @@
 	if len(out) != 1 || out[0].Kind != message.KindIncarnation || out[0].State != base {
 		t.Fatalf("asked of an earlier incarnation: %+v", out)
 	}
-	if out = g.step(preVoteRequest(first, me, message.SavePoint{})); countKind(out, message.KindRejectVote)+countKind(out, message.KindGrantVote) != 1 {
+	out = g.step(preVoteRequest(first, me, message.SavePoint{}))
+	if countKind(out, message.KindRejectVote)+countKind(out, message.KindGrantVote) != 1 {
 		t.Errorf("asked of this one: %+v", out)
 	}
 }
@@ -168,24 +176,29 @@
 			}
 		}
 	}
-	out := g.step(message.Message{Kind: message.KindIncarnation, Epoch: second, KnownEpoch: first, State: message.SavePoint{Epoch: first, Saves: 2}})
-	if countKind(out, message.KindIncarnation) != 1 || countKind(out, message.KindRequestVote) != 1 || out[0].KnownEpoch != second {
+	notice := message.IncarnationNotice{KnownEpoch: first}.Message(1)
+	notice.Epoch, notice.State = second, message.SavePoint{Epoch: first, Saves: 2}
+	out := g.step(notice)
+	isAsked := countKind(out, message.KindRequestVote) == 1
+	if countKind(out, message.KindIncarnation) != 1 || !isAsked || out[0].KnownEpoch != second {
 		t.Errorf("a peer that started anew while it was asked: %+v", out)
 	}
 }
 
-// What is known of the others is on the disk a beat later, though nothing else is
+// What is known of the others is on the disk a heartbeat later, though nothing else is
 // saved, and of no daemon that is no replica.
 func TestPeerIncarnationsAreSaved(t *testing.T) {
 	g := openGuarded(t, 7<<32+1, Meta{})
 	g.step(message.Message{Kind: message.KindRejectVote, Epoch: first, KnownEpoch: 7<<32 + 1, Saves: 4})
-	g.replica.Step(g.now, message.Message{Kind: message.KindRejectVote, From: "stranger", Addr: "s", To: "a", Epoch: first})
+	stranger := message.Message{Kind: message.KindRejectVote, From: "stranger", Addr: "s", To: "a", Epoch: first}
+	g.replica.Step(g.now, stranger)
 	o := g.replica.Tick(g.now + cfg.HeartbeatInterval)
 	if len(o.Saves) != 1 {
 		t.Fatalf("%d saves", len(o.Saves))
 	}
 	m := o.Saves[0].Meta
-	if len(m.Peers) != 1 || m.Peers[0] != (message.PeerIncarnation{Ident: "b", Epoch: first, State: message.SavePoint{Epoch: first, Saves: 4}}) {
+	want := message.PeerIncarnation{Ident: "b", Epoch: first, State: message.SavePoint{Epoch: first, Saves: 4}}
+	if len(m.Peers) != 1 || m.Peers[0] != want {
 		t.Errorf("saved: %+v", m.Peers)
 	}
 	if o = g.replica.Tick(g.now + 3*cfg.HeartbeatInterval); len(o.Saves) != 0 {
@@ -198,7 +211,8 @@
 	w := newTrio(t)
 	for i, replica := range three.Replicas { // with folders
 		m := w.members[replica.Ident]
-		m.replica = New(cfg, 1, replica, OpenFolder(incarnation.Number(1, uint32(i+1)), m.meta), m.meta, digest.NewRecords(), 0, false)
+		folder := OpenFolder(incarnation.Number(1, uint32(i+1)), m.meta)
+		m.replica = New(cfg, 1, replica, folder, m.meta, digest.NewRecords(), 0, false)
 	}
 	w.hasEpochs = true
 	w.advance(3*time.Second, false)
@@ -207,7 +221,8 @@
 	w.advance(time.Second, false)
 	for _, r := range three.Replicas {
 		for _, o := range three.Replicas {
-			if known := w.members[r.Ident].replica.knownPeer(o.Ident); o.Ident != r.Ident && (known.Epoch == 0 || known.State.Saves == 0) {
+			known := w.members[r.Ident].replica.knownPeer(o.Ident)
+			if o.Ident != r.Ident && (known.Epoch == 0 || known.State.Saves == 0) {
 				t.Errorf("%s, led by %s, knows of %s: %+v", r.Ident, lead, o.Ident, known)
 			}
 		}
@@ -216,19 +231,23 @@
 	w.members[lead].replica.sendHeartbeats(w.now, &o)
 	for _, s := range o.Sends {
 		if len(s.Message.Peers) > 0 {
-			t.Errorf("%s is told again: %+v", s.Message.To, s.Message.Peers)
+			t.Errorf("%s is sent them again: %+v", s.Message.To, s.Message.Peers)
 		}
 	}
 }
 
 // A folder's past is that of all its replicas, its last incarnations only.
 func TestTheHistoryOfAFolder(t *testing.T) {
-	var held []Meta
+	var metas []Meta
 	for n := uint64(1); n <= keptIncarnations+3; n++ {
-		held = append(held, Meta{State: message.SavePoint{Epoch: n << 32, Saves: n}, History: []message.SavePoint{{Epoch: 1 << 32, Saves: 99}}})
+		metas = append(metas, Meta{
+			State:   message.SavePoint{Epoch: n << 32, Saves: n},
+			History: []message.SavePoint{{Epoch: 1 << 32, Saves: 99}},
+		})
 	}
-	f := OpenFolder(50<<32, held...)
-	if len(f.past) != keptIncarnations || f.base != (message.SavePoint{Epoch: (keptIncarnations + 3) << 32, Saves: keptIncarnations + 3}) {
+	f := OpenFolder(50<<32, metas...)
+	latest := message.SavePoint{Epoch: (keptIncarnations + 3) << 32, Saves: keptIncarnations + 3}
+	if len(f.past) != keptIncarnations || f.base != latest {
 		t.Fatalf("past %v, base %v", f.past, f.base)
 	}
 	for _, x := range []struct {
--- a/control/quorum/meta_test.go
+++ b/control/quorum/meta_test.go
@@ -22,7 +22,10 @@
 		Incomplete: true,
 		State:      message.SavePoint{Epoch: 4<<32 + 1, Saves: 20},
 		History:    []message.SavePoint{{Epoch: 2<<32 + 9, Saves: 3}, {Epoch: 3<<32 + 8, Saves: 7}},
-		Peers:      []message.PeerIncarnation{{Ident: "b", Epoch: 2<<32 + 5, State: message.SavePoint{Epoch: 2<<32 + 5, Saves: 41}}, {Ident: "c", Epoch: 1<<32 + 6}},
+		Peers: []message.PeerIncarnation{
+			{Ident: "b", Epoch: 2<<32 + 5, State: message.SavePoint{Epoch: 2<<32 + 5, Saves: 41}},
+			{Ident: "c", Epoch: 1<<32 + 6},
+		},
 	}
 }
 
--- a/control/quorum/replica_test.go
+++ b/control/quorum/replica_test.go
@@ -9,7 +9,10 @@
 	"mulleinmast/wire/message"
 )
 
-var cfg = Config{LeaderLease: time.Second, Drift: 0.02, Margin: 20 * time.Millisecond, HeartbeatInterval: 333 * time.Millisecond}
+var cfg = Config{
+	LeaderLease: time.Second, Drift: 0.02, Margin: 20 * time.Millisecond,
+	HeartbeatInterval: 333 * time.Millisecond,
+}
 
 // single is a group of one, with messages to itself and saves carried out at once.
 type single struct {
@@ -55,9 +58,9 @@
 	}
 	put("once/old", nil)
 	put("plan/old", nil)
-	mark, _ := json.Marshal(a.replica.LastWritten())
+	floor, _ := json.Marshal(a.replica.LastWritten())
 	put("once/new", nil)
-	put(FloorKey, mark)
+	put(FloorKey, floor)
 	if len(a.results) != 4 || len(a.deleted) != 1 || a.deleted[0] != "once/old" {
 		t.Errorf("done %v, dropped %v", a.results, a.deleted)
 	}
--- a/control/quorum/walk_test.go
+++ b/control/quorum/walk_test.go
@@ -65,7 +65,8 @@
 	}
 	for i := range o.Saves { // one after the other
 		w.diskFreeAt[id] = max(w.diskFreeAt[id], w.now+time.Duration(w.rng.Intn(8))*time.Millisecond)
-		w.inFlight = append(w.inFlight, delivery{arrivesAt: w.diskFreeAt[id], save: &o.Saves[i], from: id, epoch: w.epochs[id]})
+		saved := delivery{arrivesAt: w.diskFreeAt[id], save: &o.Saves[i], from: id, epoch: w.epochs[id]}
+		w.inFlight = append(w.inFlight, saved)
 	}
 	for _, d := range o.Results {
 		if d.Outcome == Committed && d.Tag > 0 {
@@ -121,7 +122,8 @@
 	for _, r := range d.records {
 		records.Put(r)
 	}
-	w.replicas[id] = New(clusterConfig, 1, replicaOf(id), OpenFolder(w.epochs[id], d.meta), d.meta, records, w.now, d.meta.Group.Number == 0)
+	folder, isFresh := OpenFolder(w.epochs[id], d.meta), d.meta.Group.Number == 0
+	w.replicas[id] = New(clusterConfig, 1, replicaOf(id), folder, d.meta, records, w.now, isFresh)
 }
 
 // newcomer starts an empty machine.
@@ -155,7 +157,7 @@
 	}
 }
 
-// lead is what a leader's daemon does: it keeps standbys, goes on with a step,
+// lead is what a leader's daemon does: it keeps learners, goes on with a group change,
 // begins one at random, and writes.
 func (w *walk) lead(id string, s *Replica) {
 	var standbys []message.Replica
@@ -212,13 +214,22 @@
 	}
 }
 
+func newWalk(t *testing.T, seed int64) *walk {
+	return &walk{
+		T: t, seed: seed, rng: rand.New(rand.NewSource(seed)),
+		replicas: map[string]*Replica{}, epochs: map[string]uint64{}, disks: map[string]*disk{},
+		pendingKeys: map[uint64]string{}, ledTerms: map[string]uint64{}, diskFreeAt: map[string]time.Duration{},
+	}
+}
+
 func TestRandomWalksOfGroupChanges(t *testing.T) {
 	steps, acked := 0, 0
 	for seed := int64(1); seed <= int64(walks); seed++ {
-		w := &walk{T: t, seed: seed, rng: rand.New(rand.NewSource(seed)), replicas: map[string]*Replica{}, epochs: map[string]uint64{}, disks: map[string]*disk{}, pendingKeys: map[uint64]string{}, ledTerms: map[string]uint64{}, diskFreeAt: map[string]time.Duration{}}
+		w := newWalk(t, seed)
 		first := replicasOf("a", "b", "c")
+		group := message.Group{Number: 1, Replicas: first}
 		for _, s := range first {
-			w.disks[s.Ident] = &disk{meta: Meta{Group: message.Group{Number: 1, Replicas: first}}, records: map[string]message.Record{}}
+			w.disks[s.Ident] = &disk{meta: Meta{Group: group}, records: map[string]message.Record{}}
 			w.start(s.Ident)
 		}
 		w.newcomer()
@@ -243,7 +254,7 @@
 		}
 		steps, acked = steps+w.groupChanges, acked+len(w.committedKeys)
 	}
-	t.Logf("%d walks: %d steps begun, %d writes acknowledged", walks, steps, acked)
+	t.Logf("%d walks: %d group changes begun, %d writes acknowledged", walks, steps, acked)
 	if steps < 3*walks || acked < 50*walks {
 		t.Errorf("too little happened")
 	}
