--- a/wire/message/message_gen.go
+++ b/wire/message/message_gen.go
@@ -6,190 +6,82 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// DecodeMsg implements msgp.Decodable
-func (z *Envelope) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "Addr":
-			z.Addr, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Addr")
-				return
-			}
-		case "ExactAddr":
-			z.ExactAddr, err = dc.ReadBool()
-			if err != nil {
-				err = msgp.WrapError(err, "ExactAddr")
-				return
-			}
-		case "Message":
-			err = z.Message.DecodeMsg(dc)
-			if err != nil {
-				err = msgp.WrapError(err, "Message")
-				return
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *Envelope) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 3
-	// write "Addr"
-	err = en.Append(0x83, 0xa4, 0x41, 0x64, 0x64, 0x72)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Addr)
-	if err != nil {
-		err = msgp.WrapError(err, "Addr")
-		return
-	}
-	// write "ExactAddr"
-	err = en.Append(0xa9, 0x45, 0x78, 0x61, 0x63, 0x74, 0x41, 0x64, 0x64, 0x72)
-	if err != nil {
-		return
-	}
-	err = en.WriteBool(z.ExactAddr)
-	if err != nil {
-		err = msgp.WrapError(err, "ExactAddr")
-		return
-	}
-	// write "Message"
-	err = en.Append(0xa7, 0x4d, 0x65, 0x73, 0x73, 0x61, 0x67, 0x65)
-	if err != nil {
-		return
-	}
-	err = z.Message.EncodeMsg(en)
-	if err != nil {
-		err = msgp.WrapError(err, "Message")
-		return
-	}
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
-func (z *Envelope) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Group) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 3
-	// string "Addr"
-	o = append(o, 0x83, 0xa4, 0x41, 0x64, 0x64, 0x72)
-	o = msgp.AppendString(o, z.Addr)
-	// string "ExactAddr"
-	o = append(o, 0xa9, 0x45, 0x78, 0x61, 0x63, 0x74, 0x41, 0x64, 0x64, 0x72)
-	o = msgp.AppendBool(o, z.ExactAddr)
-	// string "Message"
-	o = append(o, 0xa7, 0x4d, 0x65, 0x73, 0x73, 0x61, 0x67, 0x65)
-	o, err = z.Message.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Message")
-		return
+	// check for omitted fields
+	zb0001Len := uint32(3)
+	var zb0001Mask uint8 /* 3 bits */
+	_ = zb0001Mask
+	if z.Next == nil {
+		zb0001Len--
+		zb0001Mask |= 0x4
 	}
-	return
-}
+	// variable map header, size zb0001Len
+	o = append(o, 0x80|uint8(zb0001Len))
 
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Envelope) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
+	// skip if no fields are to be emitted
+	if zb0001Len != 0 {
+		// string "n"
+		o = append(o, 0xa1, 0x6e)
+		o = msgp.AppendUint64(o, z.Number)
+		// string "s"
+		o = append(o, 0xa1, 0x73)
+		o = msgp.AppendArrayHeader(o, uint32(len(z.Replicas)))
+		for za0001 := range z.Replicas {
+			// map header, size 2
+			// string "i"
+			o = append(o, 0x82, 0xa1, 0x69)
+			o = msgp.AppendString(o, z.Replicas[za0001].Ident)
+			// string "a"
+			o = append(o, 0xa1, 0x61)
+			o = msgp.AppendString(o, z.Replicas[za0001].Addr)
 		}
-		switch msgp.UnsafeString(field) {
-		case "Addr":
-			z.Addr, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Addr")
-				return
-			}
-		case "ExactAddr":
-			z.ExactAddr, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "ExactAddr")
-				return
-			}
-		case "Message":
-			bts, err = z.Message.UnmarshalMsg(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Message")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
+		if (zb0001Mask & 0x4) == 0 { // if not omitted
+			// string "x"
+			o = append(o, 0xa1, 0x78)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.Next)))
+			for za0002 := range z.Next {
+				// map header, size 2
+				// string "i"
+				o = append(o, 0x82, 0xa1, 0x69)
+				o = msgp.AppendString(o, z.Next[za0002].Ident)
+				// string "a"
+				o = append(o, 0xa1, 0x61)
+				o = msgp.AppendString(o, z.Next[za0002].Addr)
 			}
 		}
 	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Envelope) Msgsize() (s int) {
-	s = 1 + 5 + msgp.StringPrefixSize + len(z.Addr) + 10 + msgp.BoolSize + 8 + z.Message.Msgsize()
 	return
 }
 
-// DecodeMsg implements msgp.Decodable
-func (z *Group) DecodeMsg(dc *msgp.Reader) (err error) {
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *Group) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
 	}
 	for zb0001 > 0 {
 		zb0001--
-		field, err = dc.ReadMapKeyPtr()
+		field, bts, err = msgp.ReadMapKeyZC(bts)
 		if err != nil {
 			err = msgp.WrapError(err)
 			return
 		}
 		switch msgp.UnsafeString(field) {
 		case "n":
-			z.Number, err = dc.ReadUint64()
+			z.Number, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Number")
 				return
 			}
 		case "s":
 			var zb0002 uint32
-			zb0002, err = dc.ReadArrayHeader()
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Replicas")
 				return
@@ -201,33 +93,33 @@
 			}
 			for za0001 := range z.Replicas {
 				var zb0003 uint32
-				zb0003, err = dc.ReadMapHeader()
+				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "Replicas", za0001)
 					return
 				}
 				for zb0003 > 0 {
 					zb0003--
-					field, err = dc.ReadMapKeyPtr()
+					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
 						err = msgp.WrapError(err, "Replicas", za0001)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "i":
-						z.Replicas[za0001].Ident, err = dc.ReadString()
+						z.Replicas[za0001].Ident, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
 							err = msgp.WrapError(err, "Replicas", za0001, "Ident")
 							return
 						}
 					case "a":
-						z.Replicas[za0001].Addr, err = dc.ReadString()
+						z.Replicas[za0001].Addr, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
 							err = msgp.WrapError(err, "Replicas", za0001, "Addr")
 							return
 						}
 					default:
-						err = dc.Skip()
+						bts, err = msgp.Skip(bts)
 						if err != nil {
 							err = msgp.WrapError(err, "Replicas", za0001)
 							return
@@ -237,7 +129,7 @@
 			}
 		case "x":
 			var zb0004 uint32
-			zb0004, err = dc.ReadArrayHeader()
+			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Next")
 				return
@@ -249,33 +141,33 @@
 			}
 			for za0002 := range z.Next {
 				var zb0005 uint32
-				zb0005, err = dc.ReadMapHeader()
+				zb0005, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "Next", za0002)
 					return
 				}
 				for zb0005 > 0 {
 					zb0005--
-					field, err = dc.ReadMapKeyPtr()
+					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
 						err = msgp.WrapError(err, "Next", za0002)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "i":
-						z.Next[za0002].Ident, err = dc.ReadString()
+						z.Next[za0002].Ident, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
 							err = msgp.WrapError(err, "Next", za0002, "Ident")
 							return
 						}
 					case "a":
-						z.Next[za0002].Addr, err = dc.ReadString()
+						z.Next[za0002].Addr, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
 							err = msgp.WrapError(err, "Next", za0002, "Addr")
 							return
 						}
 					default:
-						err = dc.Skip()
+						bts, err = msgp.Skip(bts)
 						if err != nil {
 							err = msgp.WrapError(err, "Next", za0002)
 							return
@@ -284,167 +176,199 @@
 				}
 			}
 		default:
-			err = dc.Skip()
+			bts, err = msgp.Skip(bts)
 			if err != nil {
 				err = msgp.WrapError(err)
 				return
 			}
 		}
 	}
+	o = bts
 	return
 }
 
-// EncodeMsg implements msgp.Encodable
-func (z *Group) EncodeMsg(en *msgp.Writer) (err error) {
-	// check for omitted fields
-	zb0001Len := uint32(3)
-	var zb0001Mask uint8 /* 3 bits */
-	_ = zb0001Mask
-	if z.Next == nil {
-		zb0001Len--
-		zb0001Mask |= 0x4
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *Group) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Replicas {
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.Replicas[za0001].Ident) + 2 + msgp.StringPrefixSize + len(z.Replicas[za0001].Addr)
 	}
-	// variable map header, size zb0001Len
-	err = en.Append(0x80 | uint8(zb0001Len))
-	if err != nil {
-		return
+	s += 2 + msgp.ArrayHeaderSize
+	for za0002 := range z.Next {
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.Next[za0002].Ident) + 2 + msgp.StringPrefixSize + len(z.Next[za0002].Addr)
 	}
+	return
+}
 
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		// write "n"
-		err = en.Append(0xa1, 0x6e)
-		if err != nil {
-			return
-		}
-		err = en.WriteUint64(z.Number)
-		if err != nil {
-			err = msgp.WrapError(err, "Number")
-			return
-		}
-		// write "s"
-		err = en.Append(0xa1, 0x73)
+// MarshalMsg implements msgp.Marshaler
+func (z Kind) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	o = msgp.AppendUint8(o, uint8(z))
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *Kind) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	{
+		var zb0001 uint8
+		zb0001, bts, err = msgp.ReadUint8Bytes(bts)
 		if err != nil {
+			err = msgp.WrapError(err)
 			return
 		}
-		err = en.WriteArrayHeader(uint32(len(z.Replicas)))
+		(*z) = Kind(zb0001)
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z Kind) Msgsize() (s int) {
+	s = msgp.Uint8Size
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *Leadership) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 3
+	// string "p"
+	o = append(o, 0x83, 0xa1, 0x70)
+	o = msgp.AppendInt(o, z.Partition)
+	// string "n"
+	o = append(o, 0xa1, 0x6e)
+	o = msgp.AppendUint64(o, z.Term)
+	// string "s"
+	o = append(o, 0xa1, 0x73)
+	// map header, size 2
+	// string "i"
+	o = append(o, 0x82, 0xa1, 0x69)
+	o = msgp.AppendString(o, z.Leader.Ident)
+	// string "a"
+	o = append(o, 0xa1, 0x61)
+	o = msgp.AppendString(o, z.Leader.Addr)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *Leadership) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Replicas")
+			err = msgp.WrapError(err)
 			return
 		}
-		for za0001 := range z.Replicas {
-			// map header, size 2
-			// write "i"
-			err = en.Append(0x82, 0xa1, 0x69)
+		switch msgp.UnsafeString(field) {
+		case "p":
+			z.Partition, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
+				err = msgp.WrapError(err, "Partition")
 				return
 			}
-			err = en.WriteString(z.Replicas[za0001].Ident)
+		case "n":
+			z.Term, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Replicas", za0001, "Ident")
+				err = msgp.WrapError(err, "Term")
 				return
 			}
-			// write "a"
-			err = en.Append(0xa1, 0x61)
-			if err != nil {
-				return
-			}
-			err = en.WriteString(z.Replicas[za0001].Addr)
-			if err != nil {
-				err = msgp.WrapError(err, "Replicas", za0001, "Addr")
-				return
-			}
-		}
-		if (zb0001Mask & 0x4) == 0 { // if not omitted
-			// write "x"
-			err = en.Append(0xa1, 0x78)
-			if err != nil {
-				return
-			}
-			err = en.WriteArrayHeader(uint32(len(z.Next)))
+		case "s":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Next")
+				err = msgp.WrapError(err, "Leader")
 				return
 			}
-			for za0002 := range z.Next {
-				// map header, size 2
-				// write "i"
-				err = en.Append(0x82, 0xa1, 0x69)
-				if err != nil {
-					return
-				}
-				err = en.WriteString(z.Next[za0002].Ident)
-				if err != nil {
-					err = msgp.WrapError(err, "Next", za0002, "Ident")
-					return
-				}
-				// write "a"
-				err = en.Append(0xa1, 0x61)
+			for zb0002 > 0 {
+				zb0002--
+				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
+					err = msgp.WrapError(err, "Leader")
 					return
 				}
-				err = en.WriteString(z.Next[za0002].Addr)
-				if err != nil {
-					err = msgp.WrapError(err, "Next", za0002, "Addr")
-					return
+				switch msgp.UnsafeString(field) {
+				case "i":
+					z.Leader.Ident, bts, err = msgp.ReadStringBytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Leader", "Ident")
+						return
+					}
+				case "a":
+					z.Leader.Addr, bts, err = msgp.ReadStringBytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Leader", "Addr")
+						return
+					}
+				default:
+					bts, err = msgp.Skip(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Leader")
+						return
+					}
 				}
 			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
 		}
 	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *Leadership) Msgsize() (s int) {
+	s = 1 + 2 + msgp.IntSize + 2 + msgp.Uint64Size + 2 + 1 + 2 + msgp.StringPrefixSize + len(z.Leader.Ident) + 2 + msgp.StringPrefixSize + len(z.Leader.Addr)
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Group) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Member) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// check for omitted fields
-	zb0001Len := uint32(3)
-	var zb0001Mask uint8 /* 3 bits */
-	_ = zb0001Mask
-	if z.Next == nil {
-		zb0001Len--
-		zb0001Mask |= 0x4
-	}
-	// variable map header, size zb0001Len
-	o = append(o, 0x80|uint8(zb0001Len))
-
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		// string "n"
-		o = append(o, 0xa1, 0x6e)
-		o = msgp.AppendUint64(o, z.Number)
-		// string "s"
-		o = append(o, 0xa1, 0x73)
-		o = msgp.AppendArrayHeader(o, uint32(len(z.Replicas)))
-		for za0001 := range z.Replicas {
-			// map header, size 2
-			// string "i"
-			o = append(o, 0x82, 0xa1, 0x69)
-			o = msgp.AppendString(o, z.Replicas[za0001].Ident)
-			// string "a"
-			o = append(o, 0xa1, 0x61)
-			o = msgp.AppendString(o, z.Replicas[za0001].Addr)
-		}
-		if (zb0001Mask & 0x4) == 0 { // if not omitted
-			// string "x"
-			o = append(o, 0xa1, 0x78)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Next)))
-			for za0002 := range z.Next {
-				// map header, size 2
-				// string "i"
-				o = append(o, 0x82, 0xa1, 0x69)
-				o = msgp.AppendString(o, z.Next[za0002].Ident)
-				// string "a"
-				o = append(o, 0xa1, 0x61)
-				o = msgp.AppendString(o, z.Next[za0002].Addr)
-			}
-		}
-	}
+	// map header, size 9
+	// string "i"
+	o = append(o, 0x89, 0xa1, 0x69)
+	o = msgp.AppendString(o, z.Ident)
+	// string "e"
+	o = append(o, 0xa1, 0x65)
+	o = msgp.AppendUint64(o, z.Epoch)
+	// string "a"
+	o = append(o, 0xa1, 0x61)
+	o = msgp.AppendString(o, z.Addr)
+	// string "w"
+	o = append(o, 0xa1, 0x77)
+	o = msgp.AppendString(o, z.HTTPAddr)
+	// string "c"
+	o = append(o, 0xa1, 0x63)
+	o = msgp.AppendString(o, z.Zone)
+	// string "d"
+	o = append(o, 0xa1, 0x64)
+	o = msgp.AppendBool(o, z.HasDisk)
+	// string "r"
+	o = append(o, 0xa1, 0x72)
+	o = msgp.AppendBool(o, z.Ready)
+	// string "m"
+	o = append(o, 0xa1, 0x6d)
+	o = msgp.AppendBool(o, z.Empty)
+	// string "b"
+	o = append(o, 0xa1, 0x62)
+	o = msgp.AppendString(o, z.Build)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Group) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Member) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -461,2061 +385,212 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "n":
-			z.Number, bts, err = msgp.ReadUint64Bytes(bts)
+		case "i":
+			z.Ident, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Number")
+				err = msgp.WrapError(err, "Ident")
 				return
 			}
-		case "s":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		case "e":
+			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Replicas")
+				err = msgp.WrapError(err, "Epoch")
 				return
 			}
-			if cap(z.Replicas) >= int(zb0002) {
-				z.Replicas = (z.Replicas)[:zb0002]
-			} else {
-				z.Replicas = make([]Replica, zb0002)
-			}
-			for za0001 := range z.Replicas {
-				var zb0003 uint32
-				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Replicas", za0001)
-					return
-				}
-				for zb0003 > 0 {
-					zb0003--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Replicas", za0001)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "i":
-						z.Replicas[za0001].Ident, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Replicas", za0001, "Ident")
-							return
-						}
-					case "a":
-						z.Replicas[za0001].Addr, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Replicas", za0001, "Addr")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Replicas", za0001)
-							return
-						}
-					}
-				}
+		case "a":
+			z.Addr, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Addr")
+				return
 			}
-		case "x":
-			var zb0004 uint32
-			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		case "w":
+			z.HTTPAddr, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Next")
+				err = msgp.WrapError(err, "HTTPAddr")
 				return
 			}
-			if cap(z.Next) >= int(zb0004) {
-				z.Next = (z.Next)[:zb0004]
-			} else {
-				z.Next = make([]Replica, zb0004)
+		case "c":
+			z.Zone, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Zone")
+				return
 			}
-			for za0002 := range z.Next {
-				var zb0005 uint32
-				zb0005, bts, err = msgp.ReadMapHeaderBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Next", za0002)
-					return
-				}
-				for zb0005 > 0 {
-					zb0005--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Next", za0002)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "i":
-						z.Next[za0002].Ident, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Next", za0002, "Ident")
-							return
-						}
-					case "a":
-						z.Next[za0002].Addr, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Next", za0002, "Addr")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Next", za0002)
-							return
-						}
-					}
-				}
+		case "d":
+			z.HasDisk, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "HasDisk")
+				return
 			}
-		default:
-			bts, err = msgp.Skip(bts)
+		case "r":
+			z.Ready, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err)
+				err = msgp.WrapError(err, "Ready")
 				return
 			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Group) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Replicas {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Replicas[za0001].Ident) + 2 + msgp.StringPrefixSize + len(z.Replicas[za0001].Addr)
-	}
-	s += 2 + msgp.ArrayHeaderSize
-	for za0002 := range z.Next {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Next[za0002].Ident) + 2 + msgp.StringPrefixSize + len(z.Next[za0002].Addr)
-	}
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *Kind) DecodeMsg(dc *msgp.Reader) (err error) {
-	{
-		var zb0001 uint8
-		zb0001, err = dc.ReadUint8()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		(*z) = Kind(zb0001)
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z Kind) EncodeMsg(en *msgp.Writer) (err error) {
-	err = en.WriteUint8(uint8(z))
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z Kind) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	o = msgp.AppendUint8(o, uint8(z))
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Kind) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	{
-		var zb0001 uint8
-		zb0001, bts, err = msgp.ReadUint8Bytes(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		(*z) = Kind(zb0001)
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Kind) Msgsize() (s int) {
-	s = msgp.Uint8Size
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *Leadership) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "p":
-			z.Partition, err = dc.ReadInt()
-			if err != nil {
-				err = msgp.WrapError(err, "Partition")
-				return
-			}
-		case "n":
-			z.Term, err = dc.ReadUint64()
+		case "m":
+			z.Empty, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Term")
+				err = msgp.WrapError(err, "Empty")
 				return
 			}
-		case "s":
-			var zb0002 uint32
-			zb0002, err = dc.ReadMapHeader()
+		case "b":
+			z.Build, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Leader")
+				err = msgp.WrapError(err, "Build")
 				return
 			}
-			for zb0002 > 0 {
-				zb0002--
-				field, err = dc.ReadMapKeyPtr()
-				if err != nil {
-					err = msgp.WrapError(err, "Leader")
-					return
-				}
-				switch msgp.UnsafeString(field) {
-				case "i":
-					z.Leader.Ident, err = dc.ReadString()
-					if err != nil {
-						err = msgp.WrapError(err, "Leader", "Ident")
-						return
-					}
-				case "a":
-					z.Leader.Addr, err = dc.ReadString()
-					if err != nil {
-						err = msgp.WrapError(err, "Leader", "Addr")
-						return
-					}
-				default:
-					err = dc.Skip()
-					if err != nil {
-						err = msgp.WrapError(err, "Leader")
-						return
-					}
-				}
-			}
 		default:
-			err = dc.Skip()
+			bts, err = msgp.Skip(bts)
 			if err != nil {
 				err = msgp.WrapError(err)
 				return
 			}
 		}
 	}
+	o = bts
 	return
 }
 
-// EncodeMsg implements msgp.Encodable
-func (z *Leadership) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 3
-	// write "p"
-	err = en.Append(0x83, 0xa1, 0x70)
-	if err != nil {
-		return
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *Member) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Ident) + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Addr) + 2 + msgp.StringPrefixSize + len(z.HTTPAddr) + 2 + msgp.StringPrefixSize + len(z.Zone) + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + msgp.StringPrefixSize + len(z.Build)
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *Message) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// check for omitted fields
+	zb0001Len := uint32(36)
+	var zb0001Mask uint64 /* 36 bits */
+	_ = zb0001Mask
+	if z.Fleet == "" {
+		zb0001Len--
+		zb0001Mask |= 0x2
 	}
-	err = en.WriteInt(z.Partition)
-	if err != nil {
-		err = msgp.WrapError(err, "Partition")
-		return
+	if z.Partition == 0 {
+		zb0001Len--
+		zb0001Mask |= 0x4
 	}
-	// write "n"
-	err = en.Append(0xa1, 0x6e)
-	if err != nil {
-		return
+	if z.From == "" {
+		zb0001Len--
+		zb0001Mask |= 0x8
 	}
-	err = en.WriteUint64(z.Term)
-	if err != nil {
-		err = msgp.WrapError(err, "Term")
-		return
+	if z.Epoch == 0 {
+		zb0001Len--
+		zb0001Mask |= 0x10
 	}
-	// write "s"
-	err = en.Append(0xa1, 0x73)
-	if err != nil {
-		return
+	if z.Addr == "" {
+		zb0001Len--
+		zb0001Mask |= 0x20
 	}
-	// map header, size 2
-	// write "i"
-	err = en.Append(0x82, 0xa1, 0x69)
-	if err != nil {
-		return
+	if z.To == "" {
+		zb0001Len--
+		zb0001Mask |= 0x40
 	}
-	err = en.WriteString(z.Leader.Ident)
-	if err != nil {
-		err = msgp.WrapError(err, "Leader", "Ident")
-		return
+	if z.RequestID == 0 {
+		zb0001Len--
+		zb0001Mask |= 0x80
 	}
-	// write "a"
-	err = en.Append(0xa1, 0x61)
-	if err != nil {
-		return
+	if z.ResponseTo == 0 {
+		zb0001Len--
+		zb0001Mask |= 0x100
 	}
-	err = en.WriteString(z.Leader.Addr)
-	if err != nil {
-		err = msgp.WrapError(err, "Leader", "Addr")
-		return
+	if z.Term == 0 {
+		zb0001Len--
+		zb0001Mask |= 0x200
 	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Leadership) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 3
-	// string "p"
-	o = append(o, 0x83, 0xa1, 0x70)
-	o = msgp.AppendInt(o, z.Partition)
-	// string "n"
-	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendUint64(o, z.Term)
-	// string "s"
-	o = append(o, 0xa1, 0x73)
-	// map header, size 2
-	// string "i"
-	o = append(o, 0x82, 0xa1, 0x69)
-	o = msgp.AppendString(o, z.Leader.Ident)
-	// string "a"
-	o = append(o, 0xa1, 0x61)
-	o = msgp.AppendString(o, z.Leader.Addr)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Leadership) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
+	if z.LastComplete == 0 {
+		zb0001Len--
+		zb0001Mask |= 0x400
 	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "p":
-			z.Partition, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Partition")
-				return
-			}
-		case "n":
-			z.Term, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Term")
-				return
-			}
-		case "s":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Leader")
-				return
-			}
-			for zb0002 > 0 {
-				zb0002--
-				field, bts, err = msgp.ReadMapKeyZC(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Leader")
-					return
-				}
-				switch msgp.UnsafeString(field) {
-				case "i":
-					z.Leader.Ident, bts, err = msgp.ReadStringBytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Leader", "Ident")
-						return
-					}
-				case "a":
-					z.Leader.Addr, bts, err = msgp.ReadStringBytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Leader", "Addr")
-						return
-					}
-				default:
-					bts, err = msgp.Skip(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Leader")
-						return
-					}
-				}
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
+	if z.VolumeEpoch == (VolumeEpoch{}) {
+		zb0001Len--
+		zb0001Mask |= 0x800
 	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Leadership) Msgsize() (s int) {
-	s = 1 + 2 + msgp.IntSize + 2 + msgp.Uint64Size + 2 + 1 + 2 + msgp.StringPrefixSize + len(z.Leader.Ident) + 2 + msgp.StringPrefixSize + len(z.Leader.Addr)
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *Member) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
+	if z.Key == "" {
+		zb0001Len--
+		zb0001Mask |= 0x1000
 	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "i":
-			z.Ident, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Ident")
-				return
-			}
-		case "e":
-			z.Epoch, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
-				return
-			}
-		case "a":
-			z.Addr, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Addr")
-				return
-			}
-		case "w":
-			z.HTTPAddr, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "HTTPAddr")
-				return
-			}
-		case "c":
-			z.Zone, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Zone")
-				return
-			}
-		case "d":
-			z.HasDisk, err = dc.ReadBool()
-			if err != nil {
-				err = msgp.WrapError(err, "HasDisk")
-				return
-			}
-		case "r":
-			z.Ready, err = dc.ReadBool()
-			if err != nil {
-				err = msgp.WrapError(err, "Ready")
-				return
-			}
-		case "m":
-			z.Empty, err = dc.ReadBool()
-			if err != nil {
-				err = msgp.WrapError(err, "Empty")
-				return
-			}
-		case "b":
-			z.Build, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Build")
-				return
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
+	if z.Version == (Version{}) {
+		zb0001Len--
+		zb0001Mask |= 0x2000
 	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *Member) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 9
-	// write "i"
-	err = en.Append(0x89, 0xa1, 0x69)
-	if err != nil {
-		return
+	if z.Length == 0 {
+		zb0001Len--
+		zb0001Mask |= 0x4000
 	}
-	err = en.WriteString(z.Ident)
-	if err != nil {
-		err = msgp.WrapError(err, "Ident")
-		return
+	if z.ObjectLease == 0 {
+		zb0001Len--
+		zb0001Mask |= 0x8000
 	}
-	// write "e"
-	err = en.Append(0xa1, 0x65)
-	if err != nil {
-		return
+	if z.RenewCost == 0 {
+		zb0001Len--
+		zb0001Mask |= 0x10000
 	}
-	err = en.WriteUint64(z.Epoch)
-	if err != nil {
-		err = msgp.WrapError(err, "Epoch")
-		return
+	if z.Records == nil {
+		zb0001Len--
+		zb0001Mask |= 0x20000
 	}
-	// write "a"
-	err = en.Append(0xa1, 0x61)
-	if err != nil {
-		return
+	if z.Keys == nil {
+		zb0001Len--
+		zb0001Mask |= 0x40000
 	}
-	err = en.WriteString(z.Addr)
-	if err != nil {
-		err = msgp.WrapError(err, "Addr")
-		return
+	if z.Digests == nil {
+		zb0001Len--
+		zb0001Mask |= 0x100000
 	}
-	// write "w"
-	err = en.Append(0xa1, 0x77)
-	if err != nil {
-		return
+	if z.Ranges == nil {
+		zb0001Len--
+		zb0001Mask |= 0x200000
 	}
-	err = en.WriteString(z.HTTPAddr)
-	if err != nil {
-		err = msgp.WrapError(err, "HTTPAddr")
-		return
+	if z.Hint == (Replica{}) {
+		zb0001Len--
+		zb0001Mask |= 0x400000
 	}
-	// write "c"
-	err = en.Append(0xa1, 0x63)
-	if err != nil {
-		return
+	if z.State == (SavePoint{}) {
+		zb0001Len--
+		zb0001Mask |= 0x800000
 	}
-	err = en.WriteString(z.Zone)
-	if err != nil {
-		err = msgp.WrapError(err, "Zone")
-		return
+	if z.Saves == 0 {
+		zb0001Len--
+		zb0001Mask |= 0x1000000
 	}
-	// write "d"
-	err = en.Append(0xa1, 0x64)
-	if err != nil {
-		return
+	if z.KnownEpoch == 0 {
+		zb0001Len--
+		zb0001Mask |= 0x2000000
 	}
-	err = en.WriteBool(z.HasDisk)
-	if err != nil {
-		err = msgp.WrapError(err, "HasDisk")
-		return
+	if z.KnownState == (SavePoint{}) {
+		zb0001Len--
+		zb0001Mask |= 0x4000000
 	}
-	// write "r"
-	err = en.Append(0xa1, 0x72)
-	if err != nil {
-		return
+	if z.Peers == nil {
+		zb0001Len--
+		zb0001Mask |= 0x8000000
 	}
-	err = en.WriteBool(z.Ready)
-	if err != nil {
-		err = msgp.WrapError(err, "Ready")
-		return
+	if z.Members == nil {
+		zb0001Len--
+		zb0001Mask |= 0x20000000
 	}
-	// write "m"
-	err = en.Append(0xa1, 0x6d)
-	if err != nil {
-		return
+	if z.Leaderships == nil {
+		zb0001Len--
+		zb0001Mask |= 0x40000000
 	}
-	err = en.WriteBool(z.Empty)
-	if err != nil {
-		err = msgp.WrapError(err, "Empty")
-		return
+	if z.Op == "" {
+		zb0001Len--
+		zb0001Mask |= 0x80000000
 	}
-	// write "b"
-	err = en.Append(0xa1, 0x62)
-	if err != nil {
-		return
+	if z.Status == 0 {
+		zb0001Len--
+		zb0001Mask |= 0x100000000
 	}
-	err = en.WriteString(z.Build)
-	if err != nil {
-		err = msgp.WrapError(err, "Build")
-		return
+	if z.Body == nil {
+		zb0001Len--
+		zb0001Mask |= 0x200000000
 	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Member) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 9
-	// string "i"
-	o = append(o, 0x89, 0xa1, 0x69)
-	o = msgp.AppendString(o, z.Ident)
-	// string "e"
-	o = append(o, 0xa1, 0x65)
-	o = msgp.AppendUint64(o, z.Epoch)
-	// string "a"
-	o = append(o, 0xa1, 0x61)
-	o = msgp.AppendString(o, z.Addr)
-	// string "w"
-	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendString(o, z.HTTPAddr)
-	// string "c"
-	o = append(o, 0xa1, 0x63)
-	o = msgp.AppendString(o, z.Zone)
-	// string "d"
-	o = append(o, 0xa1, 0x64)
-	o = msgp.AppendBool(o, z.HasDisk)
-	// string "r"
-	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendBool(o, z.Ready)
-	// string "m"
-	o = append(o, 0xa1, 0x6d)
-	o = msgp.AppendBool(o, z.Empty)
-	// string "b"
-	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendString(o, z.Build)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Member) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "i":
-			z.Ident, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Ident")
-				return
-			}
-		case "e":
-			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
-				return
-			}
-		case "a":
-			z.Addr, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Addr")
-				return
-			}
-		case "w":
-			z.HTTPAddr, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "HTTPAddr")
-				return
-			}
-		case "c":
-			z.Zone, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Zone")
-				return
-			}
-		case "d":
-			z.HasDisk, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "HasDisk")
-				return
-			}
-		case "r":
-			z.Ready, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Ready")
-				return
-			}
-		case "m":
-			z.Empty, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Empty")
-				return
-			}
-		case "b":
-			z.Build, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Build")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Member) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Ident) + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Addr) + 2 + msgp.StringPrefixSize + len(z.HTTPAddr) + 2 + msgp.StringPrefixSize + len(z.Zone) + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + msgp.StringPrefixSize + len(z.Build)
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *Message) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "k":
-			{
-				var zb0002 uint8
-				zb0002, err = dc.ReadUint8()
-				if err != nil {
-					err = msgp.WrapError(err, "Kind")
-					return
-				}
-				z.Kind = Kind(zb0002)
-			}
-		case "fl":
-			z.Fleet, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Fleet")
-				return
-			}
-		case "p":
-			z.Partition, err = dc.ReadInt()
-			if err != nil {
-				err = msgp.WrapError(err, "Partition")
-				return
-			}
-		case "f":
-			z.From, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "From")
-				return
-			}
-		case "e":
-			z.Epoch, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
-				return
-			}
-		case "a":
-			z.Addr, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Addr")
-				return
-			}
-		case "to":
-			z.To, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "To")
-				return
-			}
-		case "n":
-			z.RequestID, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "RequestID")
-				return
-			}
-		case "r":
-			z.ResponseTo, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "ResponseTo")
-				return
-			}
-		case "u":
-			z.Term, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "Term")
-				return
-			}
-		case "st":
-			z.LastComplete, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "LastComplete")
-				return
-			}
-		case "m":
-			var zb0003 uint32
-			zb0003, err = dc.ReadMapHeader()
-			if err != nil {
-				err = msgp.WrapError(err, "VolumeEpoch")
-				return
-			}
-			for zb0003 > 0 {
-				zb0003--
-				field, err = dc.ReadMapKeyPtr()
-				if err != nil {
-					err = msgp.WrapError(err, "VolumeEpoch")
-					return
-				}
-				switch msgp.UnsafeString(field) {
-				case "i":
-					z.VolumeEpoch.Ident, err = dc.ReadString()
-					if err != nil {
-						err = msgp.WrapError(err, "VolumeEpoch", "Ident")
-						return
-					}
-				case "e":
-					z.VolumeEpoch.Epoch, err = dc.ReadUint64()
-					if err != nil {
-						err = msgp.WrapError(err, "VolumeEpoch", "Epoch")
-						return
-					}
-				case "t":
-					z.VolumeEpoch.Term, err = dc.ReadUint64()
-					if err != nil {
-						err = msgp.WrapError(err, "VolumeEpoch", "Term")
-						return
-					}
-				default:
-					err = dc.Skip()
-					if err != nil {
-						err = msgp.WrapError(err, "VolumeEpoch")
-						return
-					}
-				}
-			}
-		case "ky":
-			z.Key, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Key")
-				return
-			}
-		case "v":
-			var zb0004 uint32
-			zb0004, err = dc.ReadMapHeader()
-			if err != nil {
-				err = msgp.WrapError(err, "Version")
-				return
-			}
-			for zb0004 > 0 {
-				zb0004--
-				field, err = dc.ReadMapKeyPtr()
-				if err != nil {
-					err = msgp.WrapError(err, "Version")
-					return
-				}
-				switch msgp.UnsafeString(field) {
-				case "t":
-					z.Version.Term, err = dc.ReadUint64()
-					if err != nil {
-						err = msgp.WrapError(err, "Version", "Term")
-						return
-					}
-				case "s":
-					z.Version.Seq, err = dc.ReadUint64()
-					if err != nil {
-						err = msgp.WrapError(err, "Version", "Seq")
-						return
-					}
-				default:
-					err = dc.Skip()
-					if err != nil {
-						err = msgp.WrapError(err, "Version")
-						return
-					}
-				}
-			}
-		case "l":
-			z.Length, err = dc.ReadInt64()
-			if err != nil {
-				err = msgp.WrapError(err, "Length")
-				return
-			}
-		case "lo":
-			z.ObjectLease, err = dc.ReadInt64()
-			if err != nil {
-				err = msgp.WrapError(err, "ObjectLease")
-				return
-			}
-		case "co":
-			z.RenewCost, err = dc.ReadInt64()
-			if err != nil {
-				err = msgp.WrapError(err, "RenewCost")
-				return
-			}
-		case "rs":
-			var zb0005 uint32
-			zb0005, err = dc.ReadArrayHeader()
-			if err != nil {
-				err = msgp.WrapError(err, "Records")
-				return
-			}
-			if cap(z.Records) >= int(zb0005) {
-				z.Records = (z.Records)[:zb0005]
-			} else {
-				z.Records = make([]Record, zb0005)
-			}
-			for za0001 := range z.Records {
-				err = z.Records[za0001].DecodeMsg(dc)
-				if err != nil {
-					err = msgp.WrapError(err, "Records", za0001)
-					return
-				}
-			}
-		case "ks":
-			var zb0006 uint32
-			zb0006, err = dc.ReadArrayHeader()
-			if err != nil {
-				err = msgp.WrapError(err, "Keys")
-				return
-			}
-			if cap(z.Keys) >= int(zb0006) {
-				z.Keys = (z.Keys)[:zb0006]
-			} else {
-				z.Keys = make([]string, zb0006)
-			}
-			for za0002 := range z.Keys {
-				z.Keys[za0002], err = dc.ReadString()
-				if err != nil {
-					err = msgp.WrapError(err, "Keys", za0002)
-					return
-				}
-			}
-		case "g":
-			err = z.Group.DecodeMsg(dc)
-			if err != nil {
-				err = msgp.WrapError(err, "Group")
-				return
-			}
-		case "dg":
-			var zb0007 uint32
-			zb0007, err = dc.ReadArrayHeader()
-			if err != nil {
-				err = msgp.WrapError(err, "Digests")
-				return
-			}
-			if cap(z.Digests) >= int(zb0007) {
-				z.Digests = (z.Digests)[:zb0007]
-			} else {
-				z.Digests = make([]uint64, zb0007)
-			}
-			for za0003 := range z.Digests {
-				z.Digests[za0003], err = dc.ReadUint64()
-				if err != nil {
-					err = msgp.WrapError(err, "Digests", za0003)
-					return
-				}
-			}
-		case "sp":
-			var zb0008 uint32
-			zb0008, err = dc.ReadArrayHeader()
-			if err != nil {
-				err = msgp.WrapError(err, "Ranges")
-				return
-			}
-			if cap(z.Ranges) >= int(zb0008) {
-				z.Ranges = (z.Ranges)[:zb0008]
-			} else {
-				z.Ranges = make([]int, zb0008)
-			}
-			for za0004 := range z.Ranges {
-				z.Ranges[za0004], err = dc.ReadInt()
-				if err != nil {
-					err = msgp.WrapError(err, "Ranges", za0004)
-					return
-				}
-			}
-		case "h":
-			var zb0009 uint32
-			zb0009, err = dc.ReadMapHeader()
-			if err != nil {
-				err = msgp.WrapError(err, "Hint")
-				return
-			}
-			for zb0009 > 0 {
-				zb0009--
-				field, err = dc.ReadMapKeyPtr()
-				if err != nil {
-					err = msgp.WrapError(err, "Hint")
-					return
-				}
-				switch msgp.UnsafeString(field) {
-				case "i":
-					z.Hint.Ident, err = dc.ReadString()
-					if err != nil {
-						err = msgp.WrapError(err, "Hint", "Ident")
-						return
-					}
-				case "a":
-					z.Hint.Addr, err = dc.ReadString()
-					if err != nil {
-						err = msgp.WrapError(err, "Hint", "Addr")
-						return
-					}
-				default:
-					err = dc.Skip()
-					if err != nil {
-						err = msgp.WrapError(err, "Hint")
-						return
-					}
-				}
-			}
-		case "sa":
-			var zb0010 uint32
-			zb0010, err = dc.ReadMapHeader()
-			if err != nil {
-				err = msgp.WrapError(err, "State")
-				return
-			}
-			for zb0010 > 0 {
-				zb0010--
-				field, err = dc.ReadMapKeyPtr()
-				if err != nil {
-					err = msgp.WrapError(err, "State")
-					return
-				}
-				switch msgp.UnsafeString(field) {
-				case "e":
-					z.State.Epoch, err = dc.ReadUint64()
-					if err != nil {
-						err = msgp.WrapError(err, "State", "Epoch")
-						return
-					}
-				case "n":
-					z.State.Saves, err = dc.ReadUint64()
-					if err != nil {
-						err = msgp.WrapError(err, "State", "Saves")
-						return
-					}
-				default:
-					err = dc.Skip()
-					if err != nil {
-						err = msgp.WrapError(err, "State")
-						return
-					}
-				}
-			}
-		case "sv":
-			z.Saves, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "Saves")
-				return
-			}
-		case "kn":
-			z.KnownEpoch, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "KnownEpoch")
-				return
-			}
-		case "kt":
-			var zb0011 uint32
-			zb0011, err = dc.ReadMapHeader()
-			if err != nil {
-				err = msgp.WrapError(err, "KnownState")
-				return
-			}
-			for zb0011 > 0 {
-				zb0011--
-				field, err = dc.ReadMapKeyPtr()
-				if err != nil {
-					err = msgp.WrapError(err, "KnownState")
-					return
-				}
-				switch msgp.UnsafeString(field) {
-				case "e":
-					z.KnownState.Epoch, err = dc.ReadUint64()
-					if err != nil {
-						err = msgp.WrapError(err, "KnownState", "Epoch")
-						return
-					}
-				case "n":
-					z.KnownState.Saves, err = dc.ReadUint64()
-					if err != nil {
-						err = msgp.WrapError(err, "KnownState", "Saves")
-						return
-					}
-				default:
-					err = dc.Skip()
-					if err != nil {
-						err = msgp.WrapError(err, "KnownState")
-						return
-					}
-				}
-			}
-		case "pe":
-			var zb0012 uint32
-			zb0012, err = dc.ReadArrayHeader()
-			if err != nil {
-				err = msgp.WrapError(err, "Peers")
-				return
-			}
-			if cap(z.Peers) >= int(zb0012) {
-				z.Peers = (z.Peers)[:zb0012]
-			} else {
-				z.Peers = make([]PeerIncarnation, zb0012)
-			}
-			for za0005 := range z.Peers {
-				err = z.Peers[za0005].DecodeMsg(dc)
-				if err != nil {
-					err = msgp.WrapError(err, "Peers", za0005)
-					return
-				}
-			}
-		case "me":
-			err = z.Self.DecodeMsg(dc)
-			if err != nil {
-				err = msgp.WrapError(err, "Self")
-				return
-			}
-		case "ms":
-			var zb0013 uint32
-			zb0013, err = dc.ReadArrayHeader()
-			if err != nil {
-				err = msgp.WrapError(err, "Members")
-				return
-			}
-			if cap(z.Members) >= int(zb0013) {
-				z.Members = (z.Members)[:zb0013]
-			} else {
-				z.Members = make([]Member, zb0013)
-			}
-			for za0006 := range z.Members {
-				err = z.Members[za0006].DecodeMsg(dc)
-				if err != nil {
-					err = msgp.WrapError(err, "Members", za0006)
-					return
-				}
-			}
-		case "ow":
-			var zb0014 uint32
-			zb0014, err = dc.ReadArrayHeader()
-			if err != nil {
-				err = msgp.WrapError(err, "Leaderships")
-				return
-			}
-			if cap(z.Leaderships) >= int(zb0014) {
-				z.Leaderships = (z.Leaderships)[:zb0014]
-			} else {
-				z.Leaderships = make([]Leadership, zb0014)
-			}
-			for za0007 := range z.Leaderships {
-				err = z.Leaderships[za0007].DecodeMsg(dc)
-				if err != nil {
-					err = msgp.WrapError(err, "Leaderships", za0007)
-					return
-				}
-			}
-		case "op":
-			z.Op, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Op")
-				return
-			}
-		case "cd":
-			z.Status, err = dc.ReadInt()
-			if err != nil {
-				err = msgp.WrapError(err, "Status")
-				return
-			}
-		case "bd":
-			z.Body, err = dc.ReadBytes(z.Body)
-			if err != nil {
-				err = msgp.WrapError(err, "Body")
-				return
-			}
-		case "y":
-			z.Reason, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Reason")
-				return
-			}
-		case "wv":
-			z.MaxFrameVersion, err = dc.ReadInt()
-			if err != nil {
-				err = msgp.WrapError(err, "MaxFrameVersion")
-				return
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *Message) EncodeMsg(en *msgp.Writer) (err error) {
-	// check for omitted fields
-	zb0001Len := uint32(36)
-	var zb0001Mask uint64 /* 36 bits */
-	_ = zb0001Mask
-	if z.Fleet == "" {
-		zb0001Len--
-		zb0001Mask |= 0x2
-	}
-	if z.Partition == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x4
-	}
-	if z.From == "" {
-		zb0001Len--
-		zb0001Mask |= 0x8
-	}
-	if z.Epoch == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x10
-	}
-	if z.Addr == "" {
-		zb0001Len--
-		zb0001Mask |= 0x20
-	}
-	if z.To == "" {
-		zb0001Len--
-		zb0001Mask |= 0x40
-	}
-	if z.RequestID == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x80
-	}
-	if z.ResponseTo == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x100
-	}
-	if z.Term == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x200
-	}
-	if z.LastComplete == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x400
-	}
-	if z.VolumeEpoch == (VolumeEpoch{}) {
-		zb0001Len--
-		zb0001Mask |= 0x800
-	}
-	if z.Key == "" {
-		zb0001Len--
-		zb0001Mask |= 0x1000
-	}
-	if z.Version == (Version{}) {
-		zb0001Len--
-		zb0001Mask |= 0x2000
-	}
-	if z.Length == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x4000
-	}
-	if z.ObjectLease == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x8000
-	}
-	if z.RenewCost == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x10000
-	}
-	if z.Records == nil {
-		zb0001Len--
-		zb0001Mask |= 0x20000
-	}
-	if z.Keys == nil {
-		zb0001Len--
-		zb0001Mask |= 0x40000
-	}
-	if z.Digests == nil {
-		zb0001Len--
-		zb0001Mask |= 0x100000
-	}
-	if z.Ranges == nil {
-		zb0001Len--
-		zb0001Mask |= 0x200000
-	}
-	if z.Hint == (Replica{}) {
-		zb0001Len--
-		zb0001Mask |= 0x400000
-	}
-	if z.State == (SavePoint{}) {
-		zb0001Len--
-		zb0001Mask |= 0x800000
-	}
-	if z.Saves == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x1000000
-	}
-	if z.KnownEpoch == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x2000000
-	}
-	if z.KnownState == (SavePoint{}) {
-		zb0001Len--
-		zb0001Mask |= 0x4000000
-	}
-	if z.Peers == nil {
-		zb0001Len--
-		zb0001Mask |= 0x8000000
-	}
-	if z.Members == nil {
-		zb0001Len--
-		zb0001Mask |= 0x20000000
-	}
-	if z.Leaderships == nil {
-		zb0001Len--
-		zb0001Mask |= 0x40000000
-	}
-	if z.Op == "" {
-		zb0001Len--
-		zb0001Mask |= 0x80000000
-	}
-	if z.Status == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x100000000
-	}
-	if z.Body == nil {
-		zb0001Len--
-		zb0001Mask |= 0x200000000
-	}
-	if z.Reason == "" {
-		zb0001Len--
-		zb0001Mask |= 0x400000000
-	}
-	if z.MaxFrameVersion == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x800000000
-	}
-	// variable map header, size zb0001Len
-	err = en.WriteMapHeader(zb0001Len)
-	if err != nil {
-		return
-	}
-
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		// write "k"
-		err = en.Append(0xa1, 0x6b)
-		if err != nil {
-			return
-		}
-		err = en.WriteUint8(uint8(z.Kind))
-		if err != nil {
-			err = msgp.WrapError(err, "Kind")
-			return
-		}
-		if (zb0001Mask & 0x2) == 0 { // if not omitted
-			// write "fl"
-			err = en.Append(0xa2, 0x66, 0x6c)
-			if err != nil {
-				return
-			}
-			err = en.WriteString(z.Fleet)
-			if err != nil {
-				err = msgp.WrapError(err, "Fleet")
-				return
-			}
-		}
-		if (zb0001Mask & 0x4) == 0 { // if not omitted
-			// write "p"
-			err = en.Append(0xa1, 0x70)
-			if err != nil {
-				return
-			}
-			err = en.WriteInt(z.Partition)
-			if err != nil {
-				err = msgp.WrapError(err, "Partition")
-				return
-			}
-		}
-		if (zb0001Mask & 0x8) == 0 { // if not omitted
-			// write "f"
-			err = en.Append(0xa1, 0x66)
-			if err != nil {
-				return
-			}
-			err = en.WriteString(z.From)
-			if err != nil {
-				err = msgp.WrapError(err, "From")
-				return
-			}
-		}
-		if (zb0001Mask & 0x10) == 0 { // if not omitted
-			// write "e"
-			err = en.Append(0xa1, 0x65)
-			if err != nil {
-				return
-			}
-			err = en.WriteUint64(z.Epoch)
-			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
-				return
-			}
-		}
-		if (zb0001Mask & 0x20) == 0 { // if not omitted
-			// write "a"
-			err = en.Append(0xa1, 0x61)
-			if err != nil {
-				return
-			}
-			err = en.WriteString(z.Addr)
-			if err != nil {
-				err = msgp.WrapError(err, "Addr")
-				return
-			}
-		}
-		if (zb0001Mask & 0x40) == 0 { // if not omitted
-			// write "to"
-			err = en.Append(0xa2, 0x74, 0x6f)
-			if err != nil {
-				return
-			}
-			err = en.WriteString(z.To)
-			if err != nil {
-				err = msgp.WrapError(err, "To")
-				return
-			}
-		}
-		if (zb0001Mask & 0x80) == 0 { // if not omitted
-			// write "n"
-			err = en.Append(0xa1, 0x6e)
-			if err != nil {
-				return
-			}
-			err = en.WriteUint64(z.RequestID)
-			if err != nil {
-				err = msgp.WrapError(err, "RequestID")
-				return
-			}
-		}
-		if (zb0001Mask & 0x100) == 0 { // if not omitted
-			// write "r"
-			err = en.Append(0xa1, 0x72)
-			if err != nil {
-				return
-			}
-			err = en.WriteUint64(z.ResponseTo)
-			if err != nil {
-				err = msgp.WrapError(err, "ResponseTo")
-				return
-			}
-		}
-		if (zb0001Mask & 0x200) == 0 { // if not omitted
-			// write "u"
-			err = en.Append(0xa1, 0x75)
-			if err != nil {
-				return
-			}
-			err = en.WriteUint64(z.Term)
-			if err != nil {
-				err = msgp.WrapError(err, "Term")
-				return
-			}
-		}
-		if (zb0001Mask & 0x400) == 0 { // if not omitted
-			// write "st"
-			err = en.Append(0xa2, 0x73, 0x74)
-			if err != nil {
-				return
-			}
-			err = en.WriteUint64(z.LastComplete)
-			if err != nil {
-				err = msgp.WrapError(err, "LastComplete")
-				return
-			}
-		}
-		if (zb0001Mask & 0x800) == 0 { // if not omitted
-			// write "m"
-			err = en.Append(0xa1, 0x6d)
-			if err != nil {
-				return
-			}
-			// map header, size 3
-			// write "i"
-			err = en.Append(0x83, 0xa1, 0x69)
-			if err != nil {
-				return
-			}
-			err = en.WriteString(z.VolumeEpoch.Ident)
-			if err != nil {
-				err = msgp.WrapError(err, "VolumeEpoch", "Ident")
-				return
-			}
-			// write "e"
-			err = en.Append(0xa1, 0x65)
-			if err != nil {
-				return
-			}
-			err = en.WriteUint64(z.VolumeEpoch.Epoch)
-			if err != nil {
-				err = msgp.WrapError(err, "VolumeEpoch", "Epoch")
-				return
-			}
-			// write "t"
-			err = en.Append(0xa1, 0x74)
-			if err != nil {
-				return
-			}
-			err = en.WriteUint64(z.VolumeEpoch.Term)
-			if err != nil {
-				err = msgp.WrapError(err, "VolumeEpoch", "Term")
-				return
-			}
-		}
-		if (zb0001Mask & 0x1000) == 0 { // if not omitted
-			// write "ky"
-			err = en.Append(0xa2, 0x6b, 0x79)
-			if err != nil {
-				return
-			}
-			err = en.WriteString(z.Key)
-			if err != nil {
-				err = msgp.WrapError(err, "Key")
-				return
-			}
-		}
-		if (zb0001Mask & 0x2000) == 0 { // if not omitted
-			// write "v"
-			err = en.Append(0xa1, 0x76)
-			if err != nil {
-				return
-			}
-			// map header, size 2
-			// write "t"
-			err = en.Append(0x82, 0xa1, 0x74)
-			if err != nil {
-				return
-			}
-			err = en.WriteUint64(z.Version.Term)
-			if err != nil {
-				err = msgp.WrapError(err, "Version", "Term")
-				return
-			}
-			// write "s"
-			err = en.Append(0xa1, 0x73)
-			if err != nil {
-				return
-			}
-			err = en.WriteUint64(z.Version.Seq)
-			if err != nil {
-				err = msgp.WrapError(err, "Version", "Seq")
-				return
-			}
-		}
-		if (zb0001Mask & 0x4000) == 0 { // if not omitted
-			// write "l"
-			err = en.Append(0xa1, 0x6c)
-			if err != nil {
-				return
-			}
-			err = en.WriteInt64(z.Length)
-			if err != nil {
-				err = msgp.WrapError(err, "Length")
-				return
-			}
-		}
-		if (zb0001Mask & 0x8000) == 0 { // if not omitted
-			// write "lo"
-			err = en.Append(0xa2, 0x6c, 0x6f)
-			if err != nil {
-				return
-			}
-			err = en.WriteInt64(z.ObjectLease)
-			if err != nil {
-				err = msgp.WrapError(err, "ObjectLease")
-				return
-			}
-		}
-		if (zb0001Mask & 0x10000) == 0 { // if not omitted
-			// write "co"
-			err = en.Append(0xa2, 0x63, 0x6f)
-			if err != nil {
-				return
-			}
-			err = en.WriteInt64(z.RenewCost)
-			if err != nil {
-				err = msgp.WrapError(err, "RenewCost")
-				return
-			}
-		}
-		if (zb0001Mask & 0x20000) == 0 { // if not omitted
-			// write "rs"
-			err = en.Append(0xa2, 0x72, 0x73)
-			if err != nil {
-				return
-			}
-			err = en.WriteArrayHeader(uint32(len(z.Records)))
-			if err != nil {
-				err = msgp.WrapError(err, "Records")
-				return
-			}
-			for za0001 := range z.Records {
-				err = z.Records[za0001].EncodeMsg(en)
-				if err != nil {
-					err = msgp.WrapError(err, "Records", za0001)
-					return
-				}
-			}
-		}
-		if (zb0001Mask & 0x40000) == 0 { // if not omitted
-			// write "ks"
-			err = en.Append(0xa2, 0x6b, 0x73)
-			if err != nil {
-				return
-			}
-			err = en.WriteArrayHeader(uint32(len(z.Keys)))
-			if err != nil {
-				err = msgp.WrapError(err, "Keys")
-				return
-			}
-			for za0002 := range z.Keys {
-				err = en.WriteString(z.Keys[za0002])
-				if err != nil {
-					err = msgp.WrapError(err, "Keys", za0002)
-					return
-				}
-			}
-		}
-		// write "g"
-		err = en.Append(0xa1, 0x67)
-		if err != nil {
-			return
-		}
-		err = z.Group.EncodeMsg(en)
-		if err != nil {
-			err = msgp.WrapError(err, "Group")
-			return
-		}
-		if (zb0001Mask & 0x100000) == 0 { // if not omitted
-			// write "dg"
-			err = en.Append(0xa2, 0x64, 0x67)
-			if err != nil {
-				return
-			}
-			err = en.WriteArrayHeader(uint32(len(z.Digests)))
-			if err != nil {
-				err = msgp.WrapError(err, "Digests")
-				return
-			}
-			for za0003 := range z.Digests {
-				err = en.WriteUint64(z.Digests[za0003])
-				if err != nil {
-					err = msgp.WrapError(err, "Digests", za0003)
-					return
-				}
-			}
-		}
-		if (zb0001Mask & 0x200000) == 0 { // if not omitted
-			// write "sp"
-			err = en.Append(0xa2, 0x73, 0x70)
-			if err != nil {
-				return
-			}
-			err = en.WriteArrayHeader(uint32(len(z.Ranges)))
-			if err != nil {
-				err = msgp.WrapError(err, "Ranges")
-				return
-			}
-			for za0004 := range z.Ranges {
-				err = en.WriteInt(z.Ranges[za0004])
-				if err != nil {
-					err = msgp.WrapError(err, "Ranges", za0004)
-					return
-				}
-			}
-		}
-		if (zb0001Mask & 0x400000) == 0 { // if not omitted
-			// write "h"
-			err = en.Append(0xa1, 0x68)
-			if err != nil {
-				return
-			}
-			// map header, size 2
-			// write "i"
-			err = en.Append(0x82, 0xa1, 0x69)
-			if err != nil {
-				return
-			}
-			err = en.WriteString(z.Hint.Ident)
-			if err != nil {
-				err = msgp.WrapError(err, "Hint", "Ident")
-				return
-			}
-			// write "a"
-			err = en.Append(0xa1, 0x61)
-			if err != nil {
-				return
-			}
-			err = en.WriteString(z.Hint.Addr)
-			if err != nil {
-				err = msgp.WrapError(err, "Hint", "Addr")
-				return
-			}
-		}
-		if (zb0001Mask & 0x800000) == 0 { // if not omitted
-			// write "sa"
-			err = en.Append(0xa2, 0x73, 0x61)
-			if err != nil {
-				return
-			}
-			// map header, size 2
-			// write "e"
-			err = en.Append(0x82, 0xa1, 0x65)
-			if err != nil {
-				return
-			}
-			err = en.WriteUint64(z.State.Epoch)
-			if err != nil {
-				err = msgp.WrapError(err, "State", "Epoch")
-				return
-			}
-			// write "n"
-			err = en.Append(0xa1, 0x6e)
-			if err != nil {
-				return
-			}
-			err = en.WriteUint64(z.State.Saves)
-			if err != nil {
-				err = msgp.WrapError(err, "State", "Saves")
-				return
-			}
-		}
-		if (zb0001Mask & 0x1000000) == 0 { // if not omitted
-			// write "sv"
-			err = en.Append(0xa2, 0x73, 0x76)
-			if err != nil {
-				return
-			}
-			err = en.WriteUint64(z.Saves)
-			if err != nil {
-				err = msgp.WrapError(err, "Saves")
-				return
-			}
-		}
-		if (zb0001Mask & 0x2000000) == 0 { // if not omitted
-			// write "kn"
-			err = en.Append(0xa2, 0x6b, 0x6e)
-			if err != nil {
-				return
-			}
-			err = en.WriteUint64(z.KnownEpoch)
-			if err != nil {
-				err = msgp.WrapError(err, "KnownEpoch")
-				return
-			}
-		}
-		if (zb0001Mask & 0x4000000) == 0 { // if not omitted
-			// write "kt"
-			err = en.Append(0xa2, 0x6b, 0x74)
-			if err != nil {
-				return
-			}
-			// map header, size 2
-			// write "e"
-			err = en.Append(0x82, 0xa1, 0x65)
-			if err != nil {
-				return
-			}
-			err = en.WriteUint64(z.KnownState.Epoch)
-			if err != nil {
-				err = msgp.WrapError(err, "KnownState", "Epoch")
-				return
-			}
-			// write "n"
-			err = en.Append(0xa1, 0x6e)
-			if err != nil {
-				return
-			}
-			err = en.WriteUint64(z.KnownState.Saves)
-			if err != nil {
-				err = msgp.WrapError(err, "KnownState", "Saves")
-				return
-			}
-		}
-		if (zb0001Mask & 0x8000000) == 0 { // if not omitted
-			// write "pe"
-			err = en.Append(0xa2, 0x70, 0x65)
-			if err != nil {
-				return
-			}
-			err = en.WriteArrayHeader(uint32(len(z.Peers)))
-			if err != nil {
-				err = msgp.WrapError(err, "Peers")
-				return
-			}
-			for za0005 := range z.Peers {
-				err = z.Peers[za0005].EncodeMsg(en)
-				if err != nil {
-					err = msgp.WrapError(err, "Peers", za0005)
-					return
-				}
-			}
-		}
-		// write "me"
-		err = en.Append(0xa2, 0x6d, 0x65)
-		if err != nil {
-			return
-		}
-		err = z.Self.EncodeMsg(en)
-		if err != nil {
-			err = msgp.WrapError(err, "Self")
-			return
-		}
-		if (zb0001Mask & 0x20000000) == 0 { // if not omitted
-			// write "ms"
-			err = en.Append(0xa2, 0x6d, 0x73)
-			if err != nil {
-				return
-			}
-			err = en.WriteArrayHeader(uint32(len(z.Members)))
-			if err != nil {
-				err = msgp.WrapError(err, "Members")
-				return
-			}
-			for za0006 := range z.Members {
-				err = z.Members[za0006].EncodeMsg(en)
-				if err != nil {
-					err = msgp.WrapError(err, "Members", za0006)
-					return
-				}
-			}
-		}
-		if (zb0001Mask & 0x40000000) == 0 { // if not omitted
-			// write "ow"
-			err = en.Append(0xa2, 0x6f, 0x77)
-			if err != nil {
-				return
-			}
-			err = en.WriteArrayHeader(uint32(len(z.Leaderships)))
-			if err != nil {
-				err = msgp.WrapError(err, "Leaderships")
-				return
-			}
-			for za0007 := range z.Leaderships {
-				err = z.Leaderships[za0007].EncodeMsg(en)
-				if err != nil {
-					err = msgp.WrapError(err, "Leaderships", za0007)
-					return
-				}
-			}
-		}
-		if (zb0001Mask & 0x80000000) == 0 { // if not omitted
-			// write "op"
-			err = en.Append(0xa2, 0x6f, 0x70)
-			if err != nil {
-				return
-			}
-			err = en.WriteString(z.Op)
-			if err != nil {
-				err = msgp.WrapError(err, "Op")
-				return
-			}
-		}
-		if (zb0001Mask & 0x100000000) == 0 { // if not omitted
-			// write "cd"
-			err = en.Append(0xa2, 0x63, 0x64)
-			if err != nil {
-				return
-			}
-			err = en.WriteInt(z.Status)
-			if err != nil {
-				err = msgp.WrapError(err, "Status")
-				return
-			}
-		}
-		if (zb0001Mask & 0x200000000) == 0 { // if not omitted
-			// write "bd"
-			err = en.Append(0xa2, 0x62, 0x64)
-			if err != nil {
-				return
-			}
-			err = en.WriteBytes(z.Body)
-			if err != nil {
-				err = msgp.WrapError(err, "Body")
-				return
-			}
-		}
-		if (zb0001Mask & 0x400000000) == 0 { // if not omitted
-			// write "y"
-			err = en.Append(0xa1, 0x79)
-			if err != nil {
-				return
-			}
-			err = en.WriteString(z.Reason)
-			if err != nil {
-				err = msgp.WrapError(err, "Reason")
-				return
-			}
-		}
-		if (zb0001Mask & 0x800000000) == 0 { // if not omitted
-			// write "wv"
-			err = en.Append(0xa2, 0x77, 0x76)
-			if err != nil {
-				return
-			}
-			err = en.WriteInt(z.MaxFrameVersion)
-			if err != nil {
-				err = msgp.WrapError(err, "MaxFrameVersion")
-				return
-			}
-		}
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Message) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// check for omitted fields
-	zb0001Len := uint32(36)
-	var zb0001Mask uint64 /* 36 bits */
-	_ = zb0001Mask
-	if z.Fleet == "" {
-		zb0001Len--
-		zb0001Mask |= 0x2
-	}
-	if z.Partition == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x4
-	}
-	if z.From == "" {
-		zb0001Len--
-		zb0001Mask |= 0x8
-	}
-	if z.Epoch == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x10
-	}
-	if z.Addr == "" {
-		zb0001Len--
-		zb0001Mask |= 0x20
-	}
-	if z.To == "" {
-		zb0001Len--
-		zb0001Mask |= 0x40
-	}
-	if z.RequestID == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x80
-	}
-	if z.ResponseTo == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x100
-	}
-	if z.Term == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x200
-	}
-	if z.LastComplete == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x400
-	}
-	if z.VolumeEpoch == (VolumeEpoch{}) {
-		zb0001Len--
-		zb0001Mask |= 0x800
-	}
-	if z.Key == "" {
-		zb0001Len--
-		zb0001Mask |= 0x1000
-	}
-	if z.Version == (Version{}) {
-		zb0001Len--
-		zb0001Mask |= 0x2000
-	}
-	if z.Length == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x4000
-	}
-	if z.ObjectLease == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x8000
-	}
-	if z.RenewCost == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x10000
-	}
-	if z.Records == nil {
-		zb0001Len--
-		zb0001Mask |= 0x20000
-	}
-	if z.Keys == nil {
-		zb0001Len--
-		zb0001Mask |= 0x40000
-	}
-	if z.Digests == nil {
-		zb0001Len--
-		zb0001Mask |= 0x100000
-	}
-	if z.Ranges == nil {
-		zb0001Len--
-		zb0001Mask |= 0x200000
-	}
-	if z.Hint == (Replica{}) {
-		zb0001Len--
-		zb0001Mask |= 0x400000
-	}
-	if z.State == (SavePoint{}) {
-		zb0001Len--
-		zb0001Mask |= 0x800000
-	}
-	if z.Saves == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x1000000
-	}
-	if z.KnownEpoch == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x2000000
-	}
-	if z.KnownState == (SavePoint{}) {
-		zb0001Len--
-		zb0001Mask |= 0x4000000
-	}
-	if z.Peers == nil {
-		zb0001Len--
-		zb0001Mask |= 0x8000000
-	}
-	if z.Members == nil {
-		zb0001Len--
-		zb0001Mask |= 0x20000000
-	}
-	if z.Leaderships == nil {
-		zb0001Len--
-		zb0001Mask |= 0x40000000
-	}
-	if z.Op == "" {
-		zb0001Len--
-		zb0001Mask |= 0x80000000
-	}
-	if z.Status == 0 {
-		zb0001Len--
-		zb0001Mask |= 0x100000000
-	}
-	if z.Body == nil {
-		zb0001Len--
-		zb0001Mask |= 0x200000000
-	}
-	if z.Reason == "" {
-		zb0001Len--
-		zb0001Mask |= 0x400000000
+	if z.Reason == "" {
+		zb0001Len--
+		zb0001Mask |= 0x400000000
 	}
 	if z.MaxFrameVersion == 0 {
 		zb0001Len--
@@ -2577,1194 +652,759 @@
 		if (zb0001Mask & 0x400) == 0 { // if not omitted
 			// string "st"
 			o = append(o, 0xa2, 0x73, 0x74)
-			o = msgp.AppendUint64(o, z.LastComplete)
-		}
-		if (zb0001Mask & 0x800) == 0 { // if not omitted
-			// string "m"
-			o = append(o, 0xa1, 0x6d)
-			// map header, size 3
-			// string "i"
-			o = append(o, 0x83, 0xa1, 0x69)
-			o = msgp.AppendString(o, z.VolumeEpoch.Ident)
-			// string "e"
-			o = append(o, 0xa1, 0x65)
-			o = msgp.AppendUint64(o, z.VolumeEpoch.Epoch)
-			// string "t"
-			o = append(o, 0xa1, 0x74)
-			o = msgp.AppendUint64(o, z.VolumeEpoch.Term)
-		}
-		if (zb0001Mask & 0x1000) == 0 { // if not omitted
-			// string "ky"
-			o = append(o, 0xa2, 0x6b, 0x79)
-			o = msgp.AppendString(o, z.Key)
-		}
-		if (zb0001Mask & 0x2000) == 0 { // if not omitted
-			// string "v"
-			o = append(o, 0xa1, 0x76)
-			// map header, size 2
-			// string "t"
-			o = append(o, 0x82, 0xa1, 0x74)
-			o = msgp.AppendUint64(o, z.Version.Term)
-			// string "s"
-			o = append(o, 0xa1, 0x73)
-			o = msgp.AppendUint64(o, z.Version.Seq)
-		}
-		if (zb0001Mask & 0x4000) == 0 { // if not omitted
-			// string "l"
-			o = append(o, 0xa1, 0x6c)
-			o = msgp.AppendInt64(o, z.Length)
-		}
-		if (zb0001Mask & 0x8000) == 0 { // if not omitted
-			// string "lo"
-			o = append(o, 0xa2, 0x6c, 0x6f)
-			o = msgp.AppendInt64(o, z.ObjectLease)
-		}
-		if (zb0001Mask & 0x10000) == 0 { // if not omitted
-			// string "co"
-			o = append(o, 0xa2, 0x63, 0x6f)
-			o = msgp.AppendInt64(o, z.RenewCost)
-		}
-		if (zb0001Mask & 0x20000) == 0 { // if not omitted
-			// string "rs"
-			o = append(o, 0xa2, 0x72, 0x73)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Records)))
-			for za0001 := range z.Records {
-				o, err = z.Records[za0001].MarshalMsg(o)
-				if err != nil {
-					err = msgp.WrapError(err, "Records", za0001)
-					return
-				}
-			}
-		}
-		if (zb0001Mask & 0x40000) == 0 { // if not omitted
-			// string "ks"
-			o = append(o, 0xa2, 0x6b, 0x73)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Keys)))
-			for za0002 := range z.Keys {
-				o = msgp.AppendString(o, z.Keys[za0002])
-			}
-		}
-		// string "g"
-		o = append(o, 0xa1, 0x67)
-		o, err = z.Group.MarshalMsg(o)
-		if err != nil {
-			err = msgp.WrapError(err, "Group")
-			return
-		}
-		if (zb0001Mask & 0x100000) == 0 { // if not omitted
-			// string "dg"
-			o = append(o, 0xa2, 0x64, 0x67)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Digests)))
-			for za0003 := range z.Digests {
-				o = msgp.AppendUint64(o, z.Digests[za0003])
-			}
-		}
-		if (zb0001Mask & 0x200000) == 0 { // if not omitted
-			// string "sp"
-			o = append(o, 0xa2, 0x73, 0x70)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Ranges)))
-			for za0004 := range z.Ranges {
-				o = msgp.AppendInt(o, z.Ranges[za0004])
-			}
-		}
-		if (zb0001Mask & 0x400000) == 0 { // if not omitted
-			// string "h"
-			o = append(o, 0xa1, 0x68)
-			// map header, size 2
-			// string "i"
-			o = append(o, 0x82, 0xa1, 0x69)
-			o = msgp.AppendString(o, z.Hint.Ident)
-			// string "a"
-			o = append(o, 0xa1, 0x61)
-			o = msgp.AppendString(o, z.Hint.Addr)
-		}
-		if (zb0001Mask & 0x800000) == 0 { // if not omitted
-			// string "sa"
-			o = append(o, 0xa2, 0x73, 0x61)
-			// map header, size 2
-			// string "e"
-			o = append(o, 0x82, 0xa1, 0x65)
-			o = msgp.AppendUint64(o, z.State.Epoch)
-			// string "n"
-			o = append(o, 0xa1, 0x6e)
-			o = msgp.AppendUint64(o, z.State.Saves)
-		}
-		if (zb0001Mask & 0x1000000) == 0 { // if not omitted
-			// string "sv"
-			o = append(o, 0xa2, 0x73, 0x76)
-			o = msgp.AppendUint64(o, z.Saves)
-		}
-		if (zb0001Mask & 0x2000000) == 0 { // if not omitted
-			// string "kn"
-			o = append(o, 0xa2, 0x6b, 0x6e)
-			o = msgp.AppendUint64(o, z.KnownEpoch)
-		}
-		if (zb0001Mask & 0x4000000) == 0 { // if not omitted
-			// string "kt"
-			o = append(o, 0xa2, 0x6b, 0x74)
-			// map header, size 2
-			// string "e"
-			o = append(o, 0x82, 0xa1, 0x65)
-			o = msgp.AppendUint64(o, z.KnownState.Epoch)
-			// string "n"
-			o = append(o, 0xa1, 0x6e)
-			o = msgp.AppendUint64(o, z.KnownState.Saves)
-		}
-		if (zb0001Mask & 0x8000000) == 0 { // if not omitted
-			// string "pe"
-			o = append(o, 0xa2, 0x70, 0x65)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Peers)))
-			for za0005 := range z.Peers {
-				o, err = z.Peers[za0005].MarshalMsg(o)
-				if err != nil {
-					err = msgp.WrapError(err, "Peers", za0005)
-					return
-				}
-			}
-		}
-		// string "me"
-		o = append(o, 0xa2, 0x6d, 0x65)
-		o, err = z.Self.MarshalMsg(o)
-		if err != nil {
-			err = msgp.WrapError(err, "Self")
-			return
-		}
-		if (zb0001Mask & 0x20000000) == 0 { // if not omitted
-			// string "ms"
-			o = append(o, 0xa2, 0x6d, 0x73)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Members)))
-			for za0006 := range z.Members {
-				o, err = z.Members[za0006].MarshalMsg(o)
-				if err != nil {
-					err = msgp.WrapError(err, "Members", za0006)
-					return
-				}
-			}
-		}
-		if (zb0001Mask & 0x40000000) == 0 { // if not omitted
-			// string "ow"
-			o = append(o, 0xa2, 0x6f, 0x77)
-			o = msgp.AppendArrayHeader(o, uint32(len(z.Leaderships)))
-			for za0007 := range z.Leaderships {
-				o, err = z.Leaderships[za0007].MarshalMsg(o)
-				if err != nil {
-					err = msgp.WrapError(err, "Leaderships", za0007)
-					return
-				}
-			}
-		}
-		if (zb0001Mask & 0x80000000) == 0 { // if not omitted
-			// string "op"
-			o = append(o, 0xa2, 0x6f, 0x70)
-			o = msgp.AppendString(o, z.Op)
+			o = msgp.AppendUint64(o, z.LastComplete)
 		}
-		if (zb0001Mask & 0x100000000) == 0 { // if not omitted
-			// string "cd"
-			o = append(o, 0xa2, 0x63, 0x64)
-			o = msgp.AppendInt(o, z.Status)
+		if (zb0001Mask & 0x800) == 0 { // if not omitted
+			// string "m"
+			o = append(o, 0xa1, 0x6d)
+			// map header, size 3
+			// string "i"
+			o = append(o, 0x83, 0xa1, 0x69)
+			o = msgp.AppendString(o, z.VolumeEpoch.Ident)
+			// string "e"
+			o = append(o, 0xa1, 0x65)
+			o = msgp.AppendUint64(o, z.VolumeEpoch.Epoch)
+			// string "t"
+			o = append(o, 0xa1, 0x74)
+			o = msgp.AppendUint64(o, z.VolumeEpoch.Term)
 		}
-		if (zb0001Mask & 0x200000000) == 0 { // if not omitted
-			// string "bd"
-			o = append(o, 0xa2, 0x62, 0x64)
-			o = msgp.AppendBytes(o, z.Body)
+		if (zb0001Mask & 0x1000) == 0 { // if not omitted
+			// string "ky"
+			o = append(o, 0xa2, 0x6b, 0x79)
+			o = msgp.AppendString(o, z.Key)
 		}
-		if (zb0001Mask & 0x400000000) == 0 { // if not omitted
-			// string "y"
-			o = append(o, 0xa1, 0x79)
-			o = msgp.AppendString(o, z.Reason)
+		if (zb0001Mask & 0x2000) == 0 { // if not omitted
+			// string "v"
+			o = append(o, 0xa1, 0x76)
+			// map header, size 2
+			// string "t"
+			o = append(o, 0x82, 0xa1, 0x74)
+			o = msgp.AppendUint64(o, z.Version.Term)
+			// string "s"
+			o = append(o, 0xa1, 0x73)
+			o = msgp.AppendUint64(o, z.Version.Seq)
 		}
-		if (zb0001Mask & 0x800000000) == 0 { // if not omitted
-			// string "wv"
-			o = append(o, 0xa2, 0x77, 0x76)
-			o = msgp.AppendInt(o, z.MaxFrameVersion)
+		if (zb0001Mask & 0x4000) == 0 { // if not omitted
+			// string "l"
+			o = append(o, 0xa1, 0x6c)
+			o = msgp.AppendInt64(o, z.Length)
 		}
-	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Message) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
+		if (zb0001Mask & 0x8000) == 0 { // if not omitted
+			// string "lo"
+			o = append(o, 0xa2, 0x6c, 0x6f)
+			o = msgp.AppendInt64(o, z.ObjectLease)
 		}
-		switch msgp.UnsafeString(field) {
-		case "k":
-			{
-				var zb0002 uint8
-				zb0002, bts, err = msgp.ReadUint8Bytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Kind")
-					return
-				}
-				z.Kind = Kind(zb0002)
-			}
-		case "fl":
-			z.Fleet, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Fleet")
-				return
-			}
-		case "p":
-			z.Partition, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Partition")
-				return
-			}
-		case "f":
-			z.From, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "From")
-				return
-			}
-		case "e":
-			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
-				return
-			}
-		case "a":
-			z.Addr, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Addr")
-				return
-			}
-		case "to":
-			z.To, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "To")
-				return
-			}
-		case "n":
-			z.RequestID, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "RequestID")
-				return
-			}
-		case "r":
-			z.ResponseTo, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "ResponseTo")
-				return
-			}
-		case "u":
-			z.Term, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Term")
-				return
-			}
-		case "st":
-			z.LastComplete, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "LastComplete")
-				return
-			}
-		case "m":
-			var zb0003 uint32
-			zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "VolumeEpoch")
-				return
-			}
-			for zb0003 > 0 {
-				zb0003--
-				field, bts, err = msgp.ReadMapKeyZC(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "VolumeEpoch")
-					return
-				}
-				switch msgp.UnsafeString(field) {
-				case "i":
-					z.VolumeEpoch.Ident, bts, err = msgp.ReadStringBytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "VolumeEpoch", "Ident")
-						return
-					}
-				case "e":
-					z.VolumeEpoch.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "VolumeEpoch", "Epoch")
-						return
-					}
-				case "t":
-					z.VolumeEpoch.Term, bts, err = msgp.ReadUint64Bytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "VolumeEpoch", "Term")
-						return
-					}
-				default:
-					bts, err = msgp.Skip(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "VolumeEpoch")
-						return
-					}
-				}
-			}
-		case "ky":
-			z.Key, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Key")
-				return
-			}
-		case "v":
-			var zb0004 uint32
-			zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Version")
-				return
-			}
-			for zb0004 > 0 {
-				zb0004--
-				field, bts, err = msgp.ReadMapKeyZC(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Version")
-					return
-				}
-				switch msgp.UnsafeString(field) {
-				case "t":
-					z.Version.Term, bts, err = msgp.ReadUint64Bytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Version", "Term")
-						return
-					}
-				case "s":
-					z.Version.Seq, bts, err = msgp.ReadUint64Bytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Version", "Seq")
-						return
-					}
-				default:
-					bts, err = msgp.Skip(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Version")
-						return
-					}
-				}
-			}
-		case "l":
-			z.Length, bts, err = msgp.ReadInt64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Length")
-				return
-			}
-		case "lo":
-			z.ObjectLease, bts, err = msgp.ReadInt64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "ObjectLease")
-				return
-			}
-		case "co":
-			z.RenewCost, bts, err = msgp.ReadInt64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "RenewCost")
-				return
-			}
-		case "rs":
-			var zb0005 uint32
-			zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Records")
-				return
-			}
-			if cap(z.Records) >= int(zb0005) {
-				z.Records = (z.Records)[:zb0005]
-			} else {
-				z.Records = make([]Record, zb0005)
-			}
+		if (zb0001Mask & 0x10000) == 0 { // if not omitted
+			// string "co"
+			o = append(o, 0xa2, 0x63, 0x6f)
+			o = msgp.AppendInt64(o, z.RenewCost)
+		}
+		if (zb0001Mask & 0x20000) == 0 { // if not omitted
+			// string "rs"
+			o = append(o, 0xa2, 0x72, 0x73)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.Records)))
 			for za0001 := range z.Records {
-				bts, err = z.Records[za0001].UnmarshalMsg(bts)
+				o, err = z.Records[za0001].MarshalMsg(o)
 				if err != nil {
 					err = msgp.WrapError(err, "Records", za0001)
 					return
 				}
 			}
-		case "ks":
-			var zb0006 uint32
-			zb0006, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Keys")
-				return
-			}
-			if cap(z.Keys) >= int(zb0006) {
-				z.Keys = (z.Keys)[:zb0006]
-			} else {
-				z.Keys = make([]string, zb0006)
-			}
+		}
+		if (zb0001Mask & 0x40000) == 0 { // if not omitted
+			// string "ks"
+			o = append(o, 0xa2, 0x6b, 0x73)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.Keys)))
 			for za0002 := range z.Keys {
-				z.Keys[za0002], bts, err = msgp.ReadStringBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Keys", za0002)
-					return
-				}
-			}
-		case "g":
-			bts, err = z.Group.UnmarshalMsg(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Group")
-				return
+				o = msgp.AppendString(o, z.Keys[za0002])
 			}
-		case "dg":
-			var zb0007 uint32
-			zb0007, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Digests")
-				return
+		}
+		// string "g"
+		o = append(o, 0xa1, 0x67)
+		o, err = z.Group.MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Group")
+			return
+		}
+		if (zb0001Mask & 0x100000) == 0 { // if not omitted
+			// string "dg"
+			o = append(o, 0xa2, 0x64, 0x67)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.Digests)))
+			for za0003 := range z.Digests {
+				o = msgp.AppendUint64(o, z.Digests[za0003])
 			}
-			if cap(z.Digests) >= int(zb0007) {
-				z.Digests = (z.Digests)[:zb0007]
-			} else {
-				z.Digests = make([]uint64, zb0007)
+		}
+		if (zb0001Mask & 0x200000) == 0 { // if not omitted
+			// string "sp"
+			o = append(o, 0xa2, 0x73, 0x70)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.Ranges)))
+			for za0004 := range z.Ranges {
+				o = msgp.AppendInt(o, z.Ranges[za0004])
 			}
-			for za0003 := range z.Digests {
-				z.Digests[za0003], bts, err = msgp.ReadUint64Bytes(bts)
+		}
+		if (zb0001Mask & 0x400000) == 0 { // if not omitted
+			// string "h"
+			o = append(o, 0xa1, 0x68)
+			// map header, size 2
+			// string "i"
+			o = append(o, 0x82, 0xa1, 0x69)
+			o = msgp.AppendString(o, z.Hint.Ident)
+			// string "a"
+			o = append(o, 0xa1, 0x61)
+			o = msgp.AppendString(o, z.Hint.Addr)
+		}
+		if (zb0001Mask & 0x800000) == 0 { // if not omitted
+			// string "sa"
+			o = append(o, 0xa2, 0x73, 0x61)
+			// map header, size 2
+			// string "e"
+			o = append(o, 0x82, 0xa1, 0x65)
+			o = msgp.AppendUint64(o, z.State.Epoch)
+			// string "n"
+			o = append(o, 0xa1, 0x6e)
+			o = msgp.AppendUint64(o, z.State.Saves)
+		}
+		if (zb0001Mask & 0x1000000) == 0 { // if not omitted
+			// string "sv"
+			o = append(o, 0xa2, 0x73, 0x76)
+			o = msgp.AppendUint64(o, z.Saves)
+		}
+		if (zb0001Mask & 0x2000000) == 0 { // if not omitted
+			// string "kn"
+			o = append(o, 0xa2, 0x6b, 0x6e)
+			o = msgp.AppendUint64(o, z.KnownEpoch)
+		}
+		if (zb0001Mask & 0x4000000) == 0 { // if not omitted
+			// string "kt"
+			o = append(o, 0xa2, 0x6b, 0x74)
+			// map header, size 2
+			// string "e"
+			o = append(o, 0x82, 0xa1, 0x65)
+			o = msgp.AppendUint64(o, z.KnownState.Epoch)
+			// string "n"
+			o = append(o, 0xa1, 0x6e)
+			o = msgp.AppendUint64(o, z.KnownState.Saves)
+		}
+		if (zb0001Mask & 0x8000000) == 0 { // if not omitted
+			// string "pe"
+			o = append(o, 0xa2, 0x70, 0x65)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.Peers)))
+			for za0005 := range z.Peers {
+				o, err = z.Peers[za0005].MarshalMsg(o)
 				if err != nil {
-					err = msgp.WrapError(err, "Digests", za0003)
+					err = msgp.WrapError(err, "Peers", za0005)
 					return
 				}
 			}
-		case "sp":
-			var zb0008 uint32
-			zb0008, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Ranges")
-				return
-			}
-			if cap(z.Ranges) >= int(zb0008) {
-				z.Ranges = (z.Ranges)[:zb0008]
-			} else {
-				z.Ranges = make([]int, zb0008)
-			}
-			for za0004 := range z.Ranges {
-				z.Ranges[za0004], bts, err = msgp.ReadIntBytes(bts)
+		}
+		// string "me"
+		o = append(o, 0xa2, 0x6d, 0x65)
+		o, err = z.Self.MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Self")
+			return
+		}
+		if (zb0001Mask & 0x20000000) == 0 { // if not omitted
+			// string "ms"
+			o = append(o, 0xa2, 0x6d, 0x73)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.Members)))
+			for za0006 := range z.Members {
+				o, err = z.Members[za0006].MarshalMsg(o)
 				if err != nil {
-					err = msgp.WrapError(err, "Ranges", za0004)
+					err = msgp.WrapError(err, "Members", za0006)
 					return
 				}
 			}
-		case "h":
-			var zb0009 uint32
-			zb0009, bts, err = msgp.ReadMapHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Hint")
-				return
-			}
-			for zb0009 > 0 {
-				zb0009--
-				field, bts, err = msgp.ReadMapKeyZC(bts)
+		}
+		if (zb0001Mask & 0x40000000) == 0 { // if not omitted
+			// string "ow"
+			o = append(o, 0xa2, 0x6f, 0x77)
+			o = msgp.AppendArrayHeader(o, uint32(len(z.Leaderships)))
+			for za0007 := range z.Leaderships {
+				o, err = z.Leaderships[za0007].MarshalMsg(o)
 				if err != nil {
-					err = msgp.WrapError(err, "Hint")
+					err = msgp.WrapError(err, "Leaderships", za0007)
 					return
 				}
-				switch msgp.UnsafeString(field) {
-				case "i":
-					z.Hint.Ident, bts, err = msgp.ReadStringBytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Hint", "Ident")
-						return
-					}
-				case "a":
-					z.Hint.Addr, bts, err = msgp.ReadStringBytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Hint", "Addr")
-						return
-					}
-				default:
-					bts, err = msgp.Skip(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Hint")
-						return
-					}
-				}
-			}
-		case "sa":
-			var zb0010 uint32
-			zb0010, bts, err = msgp.ReadMapHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "State")
-				return
 			}
-			for zb0010 > 0 {
-				zb0010--
-				field, bts, err = msgp.ReadMapKeyZC(bts)
+		}
+		if (zb0001Mask & 0x80000000) == 0 { // if not omitted
+			// string "op"
+			o = append(o, 0xa2, 0x6f, 0x70)
+			o = msgp.AppendString(o, z.Op)
+		}
+		if (zb0001Mask & 0x100000000) == 0 { // if not omitted
+			// string "cd"
+			o = append(o, 0xa2, 0x63, 0x64)
+			o = msgp.AppendInt(o, z.Status)
+		}
+		if (zb0001Mask & 0x200000000) == 0 { // if not omitted
+			// string "bd"
+			o = append(o, 0xa2, 0x62, 0x64)
+			o = msgp.AppendBytes(o, z.Body)
+		}
+		if (zb0001Mask & 0x400000000) == 0 { // if not omitted
+			// string "y"
+			o = append(o, 0xa1, 0x79)
+			o = msgp.AppendString(o, z.Reason)
+		}
+		if (zb0001Mask & 0x800000000) == 0 { // if not omitted
+			// string "wv"
+			o = append(o, 0xa2, 0x77, 0x76)
+			o = msgp.AppendInt(o, z.MaxFrameVersion)
+		}
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *Message) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "k":
+			{
+				var zb0002 uint8
+				zb0002, bts, err = msgp.ReadUint8Bytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "State")
+					err = msgp.WrapError(err, "Kind")
 					return
 				}
-				switch msgp.UnsafeString(field) {
-				case "e":
-					z.State.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "State", "Epoch")
-						return
-					}
-				case "n":
-					z.State.Saves, bts, err = msgp.ReadUint64Bytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "State", "Saves")
-						return
-					}
-				default:
-					bts, err = msgp.Skip(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "State")
-						return
-					}
-				}
+				z.Kind = Kind(zb0002)
 			}
-		case "sv":
-			z.Saves, bts, err = msgp.ReadUint64Bytes(bts)
+		case "fl":
+			z.Fleet, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Saves")
+				err = msgp.WrapError(err, "Fleet")
 				return
 			}
-		case "kn":
-			z.KnownEpoch, bts, err = msgp.ReadUint64Bytes(bts)
+		case "p":
+			z.Partition, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "KnownEpoch")
+				err = msgp.WrapError(err, "Partition")
 				return
 			}
-		case "kt":
-			var zb0011 uint32
-			zb0011, bts, err = msgp.ReadMapHeaderBytes(bts)
+		case "f":
+			z.From, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "KnownState")
+				err = msgp.WrapError(err, "From")
 				return
 			}
-			for zb0011 > 0 {
-				zb0011--
-				field, bts, err = msgp.ReadMapKeyZC(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "KnownState")
-					return
-				}
-				switch msgp.UnsafeString(field) {
-				case "e":
-					z.KnownState.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "KnownState", "Epoch")
-						return
-					}
-				case "n":
-					z.KnownState.Saves, bts, err = msgp.ReadUint64Bytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "KnownState", "Saves")
-						return
-					}
-				default:
-					bts, err = msgp.Skip(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "KnownState")
-						return
-					}
-				}
-			}
-		case "pe":
-			var zb0012 uint32
-			zb0012, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		case "e":
+			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Peers")
+				err = msgp.WrapError(err, "Epoch")
 				return
 			}
-			if cap(z.Peers) >= int(zb0012) {
-				z.Peers = (z.Peers)[:zb0012]
-			} else {
-				z.Peers = make([]PeerIncarnation, zb0012)
-			}
-			for za0005 := range z.Peers {
-				bts, err = z.Peers[za0005].UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Peers", za0005)
-					return
-				}
-			}
-		case "me":
-			bts, err = z.Self.UnmarshalMsg(bts)
+		case "a":
+			z.Addr, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Self")
+				err = msgp.WrapError(err, "Addr")
 				return
 			}
-		case "ms":
-			var zb0013 uint32
-			zb0013, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		case "to":
+			z.To, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Members")
+				err = msgp.WrapError(err, "To")
 				return
 			}
-			if cap(z.Members) >= int(zb0013) {
-				z.Members = (z.Members)[:zb0013]
-			} else {
-				z.Members = make([]Member, zb0013)
-			}
-			for za0006 := range z.Members {
-				bts, err = z.Members[za0006].UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Members", za0006)
-					return
-				}
-			}
-		case "ow":
-			var zb0014 uint32
-			zb0014, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		case "n":
+			z.RequestID, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Leaderships")
+				err = msgp.WrapError(err, "RequestID")
 				return
 			}
-			if cap(z.Leaderships) >= int(zb0014) {
-				z.Leaderships = (z.Leaderships)[:zb0014]
-			} else {
-				z.Leaderships = make([]Leadership, zb0014)
-			}
-			for za0007 := range z.Leaderships {
-				bts, err = z.Leaderships[za0007].UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Leaderships", za0007)
-					return
-				}
-			}
-		case "op":
-			z.Op, bts, err = msgp.ReadStringBytes(bts)
+		case "r":
+			z.ResponseTo, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Op")
+				err = msgp.WrapError(err, "ResponseTo")
 				return
 			}
-		case "cd":
-			z.Status, bts, err = msgp.ReadIntBytes(bts)
+		case "u":
+			z.Term, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Status")
+				err = msgp.WrapError(err, "Term")
 				return
 			}
-		case "bd":
-			z.Body, bts, err = msgp.ReadBytesBytes(bts, z.Body)
+		case "st":
+			z.LastComplete, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Body")
+				err = msgp.WrapError(err, "LastComplete")
 				return
 			}
-		case "y":
-			z.Reason, bts, err = msgp.ReadStringBytes(bts)
+		case "m":
+			var zb0003 uint32
+			zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Reason")
+				err = msgp.WrapError(err, "VolumeEpoch")
 				return
 			}
-		case "wv":
-			z.MaxFrameVersion, bts, err = msgp.ReadIntBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "MaxFrameVersion")
-				return
+			for zb0003 > 0 {
+				zb0003--
+				field, bts, err = msgp.ReadMapKeyZC(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "VolumeEpoch")
+					return
+				}
+				switch msgp.UnsafeString(field) {
+				case "i":
+					z.VolumeEpoch.Ident, bts, err = msgp.ReadStringBytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "VolumeEpoch", "Ident")
+						return
+					}
+				case "e":
+					z.VolumeEpoch.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "VolumeEpoch", "Epoch")
+						return
+					}
+				case "t":
+					z.VolumeEpoch.Term, bts, err = msgp.ReadUint64Bytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "VolumeEpoch", "Term")
+						return
+					}
+				default:
+					bts, err = msgp.Skip(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "VolumeEpoch")
+						return
+					}
+				}
 			}
-		default:
-			bts, err = msgp.Skip(bts)
+		case "ky":
+			z.Key, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err)
+				err = msgp.WrapError(err, "Key")
 				return
 			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Message) Msgsize() (s int) {
-	s = 3 + 2 + msgp.Uint8Size + 3 + msgp.StringPrefixSize + len(z.Fleet) + 2 + msgp.IntSize + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Addr) + 3 + msgp.StringPrefixSize + len(z.To) + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 3 + msgp.Uint64Size + 2 + 1 + 2 + msgp.StringPrefixSize + len(z.VolumeEpoch.Ident) + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 3 + msgp.StringPrefixSize + len(z.Key) + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Int64Size + 3 + msgp.Int64Size + 3 + msgp.Int64Size + 3 + msgp.ArrayHeaderSize
-	for za0001 := range z.Records {
-		s += z.Records[za0001].Msgsize()
-	}
-	s += 3 + msgp.ArrayHeaderSize
-	for za0002 := range z.Keys {
-		s += msgp.StringPrefixSize + len(z.Keys[za0002])
-	}
-	s += 2 + z.Group.Msgsize() + 3 + msgp.ArrayHeaderSize + (len(z.Digests) * (msgp.Uint64Size)) + 3 + msgp.ArrayHeaderSize + (len(z.Ranges) * (msgp.IntSize)) + 2 + 1 + 2 + msgp.StringPrefixSize + len(z.Hint.Ident) + 2 + msgp.StringPrefixSize + len(z.Hint.Addr) + 3 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 3 + msgp.Uint64Size + 3 + msgp.Uint64Size + 3 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 3 + msgp.ArrayHeaderSize
-	for za0005 := range z.Peers {
-		s += z.Peers[za0005].Msgsize()
-	}
-	s += 3 + z.Self.Msgsize() + 3 + msgp.ArrayHeaderSize
-	for za0006 := range z.Members {
-		s += z.Members[za0006].Msgsize()
-	}
-	s += 3 + msgp.ArrayHeaderSize
-	for za0007 := range z.Leaderships {
-		s += z.Leaderships[za0007].Msgsize()
-	}
-	s += 3 + msgp.StringPrefixSize + len(z.Op) + 3 + msgp.IntSize + 3 + msgp.BytesPrefixSize + len(z.Body) + 2 + msgp.StringPrefixSize + len(z.Reason) + 3 + msgp.IntSize
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *Patch) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "f":
-			var zb0002 uint32
-			zb0002, err = dc.ReadMapHeader()
+		case "v":
+			var zb0004 uint32
+			zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "From")
+				err = msgp.WrapError(err, "Version")
 				return
 			}
-			for zb0002 > 0 {
-				zb0002--
-				field, err = dc.ReadMapKeyPtr()
+			for zb0004 > 0 {
+				zb0004--
+				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "From")
+					err = msgp.WrapError(err, "Version")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "t":
-					z.From.Term, err = dc.ReadUint64()
+					z.Version.Term, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "From", "Term")
+						err = msgp.WrapError(err, "Version", "Term")
 						return
 					}
 				case "s":
-					z.From.Seq, err = dc.ReadUint64()
+					z.Version.Seq, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "From", "Seq")
+						err = msgp.WrapError(err, "Version", "Seq")
 						return
 					}
 				default:
-					err = dc.Skip()
+					bts, err = msgp.Skip(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "From")
+						err = msgp.WrapError(err, "Version")
 						return
 					}
 				}
 			}
-		case "t":
-			var zb0003 uint32
-			zb0003, err = dc.ReadMapHeader()
+		case "l":
+			z.Length, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "To")
+				err = msgp.WrapError(err, "Length")
 				return
 			}
-			for zb0003 > 0 {
-				zb0003--
-				field, err = dc.ReadMapKeyPtr()
+		case "lo":
+			z.ObjectLease, bts, err = msgp.ReadInt64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "ObjectLease")
+				return
+			}
+		case "co":
+			z.RenewCost, bts, err = msgp.ReadInt64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "RenewCost")
+				return
+			}
+		case "rs":
+			var zb0005 uint32
+			zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Records")
+				return
+			}
+			if cap(z.Records) >= int(zb0005) {
+				z.Records = (z.Records)[:zb0005]
+			} else {
+				z.Records = make([]Record, zb0005)
+			}
+			for za0001 := range z.Records {
+				bts, err = z.Records[za0001].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "To")
+					err = msgp.WrapError(err, "Records", za0001)
+					return
+				}
+			}
+		case "ks":
+			var zb0006 uint32
+			zb0006, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Keys")
+				return
+			}
+			if cap(z.Keys) >= int(zb0006) {
+				z.Keys = (z.Keys)[:zb0006]
+			} else {
+				z.Keys = make([]string, zb0006)
+			}
+			for za0002 := range z.Keys {
+				z.Keys[za0002], bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Keys", za0002)
+					return
+				}
+			}
+		case "g":
+			bts, err = z.Group.UnmarshalMsg(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Group")
+				return
+			}
+		case "dg":
+			var zb0007 uint32
+			zb0007, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Digests")
+				return
+			}
+			if cap(z.Digests) >= int(zb0007) {
+				z.Digests = (z.Digests)[:zb0007]
+			} else {
+				z.Digests = make([]uint64, zb0007)
+			}
+			for za0003 := range z.Digests {
+				z.Digests[za0003], bts, err = msgp.ReadUint64Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Digests", za0003)
+					return
+				}
+			}
+		case "sp":
+			var zb0008 uint32
+			zb0008, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Ranges")
+				return
+			}
+			if cap(z.Ranges) >= int(zb0008) {
+				z.Ranges = (z.Ranges)[:zb0008]
+			} else {
+				z.Ranges = make([]int, zb0008)
+			}
+			for za0004 := range z.Ranges {
+				z.Ranges[za0004], bts, err = msgp.ReadIntBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Ranges", za0004)
+					return
+				}
+			}
+		case "h":
+			var zb0009 uint32
+			zb0009, bts, err = msgp.ReadMapHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Hint")
+				return
+			}
+			for zb0009 > 0 {
+				zb0009--
+				field, bts, err = msgp.ReadMapKeyZC(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Hint")
 					return
 				}
 				switch msgp.UnsafeString(field) {
-				case "t":
-					z.To.Term, err = dc.ReadUint64()
+				case "i":
+					z.Hint.Ident, bts, err = msgp.ReadStringBytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "To", "Term")
+						err = msgp.WrapError(err, "Hint", "Ident")
 						return
 					}
-				case "s":
-					z.To.Seq, err = dc.ReadUint64()
+				case "a":
+					z.Hint.Addr, bts, err = msgp.ReadStringBytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "To", "Seq")
+						err = msgp.WrapError(err, "Hint", "Addr")
 						return
 					}
 				default:
-					err = dc.Skip()
+					bts, err = msgp.Skip(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "To")
+						err = msgp.WrapError(err, "Hint")
 						return
 					}
 				}
 			}
-		case "p":
-			z.Delta, err = dc.ReadBytes(z.Delta)
-			if err != nil {
-				err = msgp.WrapError(err, "Delta")
-				return
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *Patch) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 3
-	// write "f"
-	err = en.Append(0x83, 0xa1, 0x66)
-	if err != nil {
-		return
-	}
-	// map header, size 2
-	// write "t"
-	err = en.Append(0x82, 0xa1, 0x74)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.From.Term)
-	if err != nil {
-		err = msgp.WrapError(err, "From", "Term")
-		return
-	}
-	// write "s"
-	err = en.Append(0xa1, 0x73)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.From.Seq)
-	if err != nil {
-		err = msgp.WrapError(err, "From", "Seq")
-		return
-	}
-	// write "t"
-	err = en.Append(0xa1, 0x74)
-	if err != nil {
-		return
-	}
-	// map header, size 2
-	// write "t"
-	err = en.Append(0x82, 0xa1, 0x74)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.To.Term)
-	if err != nil {
-		err = msgp.WrapError(err, "To", "Term")
-		return
-	}
-	// write "s"
-	err = en.Append(0xa1, 0x73)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.To.Seq)
-	if err != nil {
-		err = msgp.WrapError(err, "To", "Seq")
-		return
-	}
-	// write "p"
-	err = en.Append(0xa1, 0x70)
-	if err != nil {
-		return
-	}
-	err = en.WriteBytes(z.Delta)
-	if err != nil {
-		err = msgp.WrapError(err, "Delta")
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Patch) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 3
-	// string "f"
-	o = append(o, 0x83, 0xa1, 0x66)
-	// map header, size 2
-	// string "t"
-	o = append(o, 0x82, 0xa1, 0x74)
-	o = msgp.AppendUint64(o, z.From.Term)
-	// string "s"
-	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendUint64(o, z.From.Seq)
-	// string "t"
-	o = append(o, 0xa1, 0x74)
-	// map header, size 2
-	// string "t"
-	o = append(o, 0x82, 0xa1, 0x74)
-	o = msgp.AppendUint64(o, z.To.Term)
-	// string "s"
-	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendUint64(o, z.To.Seq)
-	// string "p"
-	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendBytes(o, z.Delta)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Patch) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "f":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
+		case "sa":
+			var zb0010 uint32
+			zb0010, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "From")
+				err = msgp.WrapError(err, "State")
 				return
 			}
-			for zb0002 > 0 {
-				zb0002--
+			for zb0010 > 0 {
+				zb0010--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "From")
+					err = msgp.WrapError(err, "State")
 					return
 				}
 				switch msgp.UnsafeString(field) {
-				case "t":
-					z.From.Term, bts, err = msgp.ReadUint64Bytes(bts)
+				case "e":
+					z.State.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "From", "Term")
+						err = msgp.WrapError(err, "State", "Epoch")
 						return
 					}
-				case "s":
-					z.From.Seq, bts, err = msgp.ReadUint64Bytes(bts)
+				case "n":
+					z.State.Saves, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "From", "Seq")
+						err = msgp.WrapError(err, "State", "Saves")
 						return
 					}
 				default:
 					bts, err = msgp.Skip(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "From")
+						err = msgp.WrapError(err, "State")
 						return
 					}
 				}
 			}
-		case "t":
-			var zb0003 uint32
-			zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+		case "sv":
+			z.Saves, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "To")
+				err = msgp.WrapError(err, "Saves")
 				return
 			}
-			for zb0003 > 0 {
-				zb0003--
+		case "kn":
+			z.KnownEpoch, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "KnownEpoch")
+				return
+			}
+		case "kt":
+			var zb0011 uint32
+			zb0011, bts, err = msgp.ReadMapHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "KnownState")
+				return
+			}
+			for zb0011 > 0 {
+				zb0011--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "To")
+					err = msgp.WrapError(err, "KnownState")
 					return
 				}
 				switch msgp.UnsafeString(field) {
-				case "t":
-					z.To.Term, bts, err = msgp.ReadUint64Bytes(bts)
+				case "e":
+					z.KnownState.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "To", "Term")
+						err = msgp.WrapError(err, "KnownState", "Epoch")
 						return
 					}
-				case "s":
-					z.To.Seq, bts, err = msgp.ReadUint64Bytes(bts)
+				case "n":
+					z.KnownState.Saves, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "To", "Seq")
+						err = msgp.WrapError(err, "KnownState", "Saves")
 						return
 					}
 				default:
 					bts, err = msgp.Skip(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "To")
+						err = msgp.WrapError(err, "KnownState")
 						return
 					}
 				}
 			}
-		case "p":
-			z.Delta, bts, err = msgp.ReadBytesBytes(bts, z.Delta)
+		case "pe":
+			var zb0012 uint32
+			zb0012, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Delta")
+				err = msgp.WrapError(err, "Peers")
 				return
 			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
+			if cap(z.Peers) >= int(zb0012) {
+				z.Peers = (z.Peers)[:zb0012]
+			} else {
+				z.Peers = make([]PeerIncarnation, zb0012)
 			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Patch) Msgsize() (s int) {
-	s = 1 + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.BytesPrefixSize + len(z.Delta)
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *PeerIncarnation) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "i":
-			z.Ident, err = dc.ReadString()
+			for za0005 := range z.Peers {
+				bts, err = z.Peers[za0005].UnmarshalMsg(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Peers", za0005)
+					return
+				}
+			}
+		case "me":
+			bts, err = z.Self.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Ident")
+				err = msgp.WrapError(err, "Self")
 				return
 			}
-		case "e":
-			z.Epoch, err = dc.ReadUint64()
+		case "ms":
+			var zb0013 uint32
+			zb0013, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
+				err = msgp.WrapError(err, "Members")
 				return
 			}
-		case "s":
-			var zb0002 uint32
-			zb0002, err = dc.ReadMapHeader()
+			if cap(z.Members) >= int(zb0013) {
+				z.Members = (z.Members)[:zb0013]
+			} else {
+				z.Members = make([]Member, zb0013)
+			}
+			for za0006 := range z.Members {
+				bts, err = z.Members[za0006].UnmarshalMsg(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Members", za0006)
+					return
+				}
+			}
+		case "ow":
+			var zb0014 uint32
+			zb0014, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "State")
+				err = msgp.WrapError(err, "Leaderships")
 				return
 			}
-			for zb0002 > 0 {
-				zb0002--
-				field, err = dc.ReadMapKeyPtr()
+			if cap(z.Leaderships) >= int(zb0014) {
+				z.Leaderships = (z.Leaderships)[:zb0014]
+			} else {
+				z.Leaderships = make([]Leadership, zb0014)
+			}
+			for za0007 := range z.Leaderships {
+				bts, err = z.Leaderships[za0007].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "State")
+					err = msgp.WrapError(err, "Leaderships", za0007)
 					return
 				}
-				switch msgp.UnsafeString(field) {
-				case "e":
-					z.State.Epoch, err = dc.ReadUint64()
-					if err != nil {
-						err = msgp.WrapError(err, "State", "Epoch")
-						return
-					}
-				case "n":
-					z.State.Saves, err = dc.ReadUint64()
-					if err != nil {
-						err = msgp.WrapError(err, "State", "Saves")
-						return
-					}
-				default:
-					err = dc.Skip()
-					if err != nil {
-						err = msgp.WrapError(err, "State")
-						return
-					}
-				}
+			}
+		case "op":
+			z.Op, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Op")
+				return
+			}
+		case "cd":
+			z.Status, bts, err = msgp.ReadIntBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Status")
+				return
+			}
+		case "bd":
+			z.Body, bts, err = msgp.ReadBytesBytes(bts, z.Body)
+			if err != nil {
+				err = msgp.WrapError(err, "Body")
+				return
+			}
+		case "y":
+			z.Reason, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Reason")
+				return
+			}
+		case "wv":
+			z.MaxFrameVersion, bts, err = msgp.ReadIntBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "MaxFrameVersion")
+				return
 			}
 		default:
-			err = dc.Skip()
+			bts, err = msgp.Skip(bts)
 			if err != nil {
 				err = msgp.WrapError(err)
 				return
 			}
 		}
 	}
+	o = bts
 	return
 }
 
-// EncodeMsg implements msgp.Encodable
-func (z *PeerIncarnation) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 3
-	// write "i"
-	err = en.Append(0x83, 0xa1, 0x69)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Ident)
-	if err != nil {
-		err = msgp.WrapError(err, "Ident")
-		return
-	}
-	// write "e"
-	err = en.Append(0xa1, 0x65)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.Epoch)
-	if err != nil {
-		err = msgp.WrapError(err, "Epoch")
-		return
-	}
-	// write "s"
-	err = en.Append(0xa1, 0x73)
-	if err != nil {
-		return
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *Message) Msgsize() (s int) {
+	s = 3 + 2 + msgp.Uint8Size + 3 + msgp.StringPrefixSize + len(z.Fleet) + 2 + msgp.IntSize + 2 + msgp.StringPrefixSize + len(z.From) + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Addr) + 3 + msgp.StringPrefixSize + len(z.To) + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 3 + msgp.Uint64Size + 2 + 1 + 2 + msgp.StringPrefixSize + len(z.VolumeEpoch.Ident) + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 3 + msgp.StringPrefixSize + len(z.Key) + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Int64Size + 3 + msgp.Int64Size + 3 + msgp.Int64Size + 3 + msgp.ArrayHeaderSize
+	for za0001 := range z.Records {
+		s += z.Records[za0001].Msgsize()
 	}
-	// map header, size 2
-	// write "e"
-	err = en.Append(0x82, 0xa1, 0x65)
-	if err != nil {
-		return
+	s += 3 + msgp.ArrayHeaderSize
+	for za0002 := range z.Keys {
+		s += msgp.StringPrefixSize + len(z.Keys[za0002])
 	}
-	err = en.WriteUint64(z.State.Epoch)
-	if err != nil {
-		err = msgp.WrapError(err, "State", "Epoch")
-		return
+	s += 2 + z.Group.Msgsize() + 3 + msgp.ArrayHeaderSize + (len(z.Digests) * (msgp.Uint64Size)) + 3 + msgp.ArrayHeaderSize + (len(z.Ranges) * (msgp.IntSize)) + 2 + 1 + 2 + msgp.StringPrefixSize + len(z.Hint.Ident) + 2 + msgp.StringPrefixSize + len(z.Hint.Addr) + 3 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 3 + msgp.Uint64Size + 3 + msgp.Uint64Size + 3 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 3 + msgp.ArrayHeaderSize
+	for za0005 := range z.Peers {
+		s += z.Peers[za0005].Msgsize()
 	}
-	// write "n"
-	err = en.Append(0xa1, 0x6e)
-	if err != nil {
-		return
+	s += 3 + z.Self.Msgsize() + 3 + msgp.ArrayHeaderSize
+	for za0006 := range z.Members {
+		s += z.Members[za0006].Msgsize()
 	}
-	err = en.WriteUint64(z.State.Saves)
-	if err != nil {
-		err = msgp.WrapError(err, "State", "Saves")
-		return
+	s += 3 + msgp.ArrayHeaderSize
+	for za0007 := range z.Leaderships {
+		s += z.Leaderships[za0007].Msgsize()
 	}
+	s += 3 + msgp.StringPrefixSize + len(z.Op) + 3 + msgp.IntSize + 3 + msgp.BytesPrefixSize + len(z.Body) + 2 + msgp.StringPrefixSize + len(z.Reason) + 3 + msgp.IntSize
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *PeerIncarnation) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *Patch) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 3
-	// string "i"
-	o = append(o, 0x83, 0xa1, 0x69)
-	o = msgp.AppendString(o, z.Ident)
-	// string "e"
-	o = append(o, 0xa1, 0x65)
-	o = msgp.AppendUint64(o, z.Epoch)
+	// string "f"
+	o = append(o, 0x83, 0xa1, 0x66)
+	// map header, size 2
+	// string "t"
+	o = append(o, 0x82, 0xa1, 0x74)
+	o = msgp.AppendUint64(o, z.From.Term)
+	// string "s"
+	o = append(o, 0xa1, 0x73)
+	o = msgp.AppendUint64(o, z.From.Seq)
+	// string "t"
+	o = append(o, 0xa1, 0x74)
+	// map header, size 2
+	// string "t"
+	o = append(o, 0x82, 0xa1, 0x74)
+	o = msgp.AppendUint64(o, z.To.Term)
 	// string "s"
 	o = append(o, 0xa1, 0x73)
-	// map header, size 2
-	// string "e"
-	o = append(o, 0x82, 0xa1, 0x65)
-	o = msgp.AppendUint64(o, z.State.Epoch)
-	// string "n"
-	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendUint64(o, z.State.Saves)
+	o = msgp.AppendUint64(o, z.To.Seq)
+	// string "p"
+	o = append(o, 0xa1, 0x70)
+	o = msgp.AppendBytes(o, z.Delta)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *PeerIncarnation) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *Patch) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -3781,300 +1421,202 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "i":
-			z.Ident, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Ident")
-				return
-			}
-		case "e":
-			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
-				return
-			}
-		case "s":
+		case "f":
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "State")
+				err = msgp.WrapError(err, "From")
 				return
 			}
 			for zb0002 > 0 {
 				zb0002--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "State")
+					err = msgp.WrapError(err, "From")
 					return
 				}
 				switch msgp.UnsafeString(field) {
-				case "e":
-					z.State.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+				case "t":
+					z.From.Term, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "State", "Epoch")
+						err = msgp.WrapError(err, "From", "Term")
 						return
 					}
-				case "n":
-					z.State.Saves, bts, err = msgp.ReadUint64Bytes(bts)
+				case "s":
+					z.From.Seq, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "State", "Saves")
+						err = msgp.WrapError(err, "From", "Seq")
 						return
 					}
 				default:
 					bts, err = msgp.Skip(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "State")
+						err = msgp.WrapError(err, "From")
 						return
 					}
 				}
 			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *PeerIncarnation) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Ident) + 2 + msgp.Uint64Size + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *Record) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "k":
-			z.Key, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Key")
-				return
-			}
-		case "v":
-			var zb0002 uint32
-			zb0002, err = dc.ReadMapHeader()
+		case "t":
+			var zb0003 uint32
+			zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Version")
+				err = msgp.WrapError(err, "To")
 				return
 			}
-			for zb0002 > 0 {
-				zb0002--
-				field, err = dc.ReadMapKeyPtr()
+			for zb0003 > 0 {
+				zb0003--
+				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Version")
+					err = msgp.WrapError(err, "To")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "t":
-					z.Version.Term, err = dc.ReadUint64()
+					z.To.Term, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Version", "Term")
+						err = msgp.WrapError(err, "To", "Term")
 						return
 					}
 				case "s":
-					z.Version.Seq, err = dc.ReadUint64()
+					z.To.Seq, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Version", "Seq")
+						err = msgp.WrapError(err, "To", "Seq")
 						return
 					}
 				default:
-					err = dc.Skip()
+					bts, err = msgp.Skip(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Version")
+						err = msgp.WrapError(err, "To")
 						return
 					}
 				}
 			}
-		case "b":
-			z.Value, err = dc.ReadBytes(z.Value)
-			if err != nil {
-				err = msgp.WrapError(err, "Value")
-				return
-			}
-		case "d":
-			z.Deleted, err = dc.ReadBool()
-			if err != nil {
-				err = msgp.WrapError(err, "Deleted")
-				return
-			}
-		case "h":
-			z.Patched, err = dc.ReadBool()
-			if err != nil {
-				err = msgp.WrapError(err, "Patched")
-				return
-			}
-		case "l":
-			var zb0003 uint32
-			zb0003, err = dc.ReadArrayHeader()
+		case "p":
+			z.Delta, bts, err = msgp.ReadBytesBytes(bts, z.Delta)
 			if err != nil {
-				err = msgp.WrapError(err, "Patches")
+				err = msgp.WrapError(err, "Delta")
 				return
 			}
-			if cap(z.Patches) >= int(zb0003) {
-				z.Patches = (z.Patches)[:zb0003]
-			} else {
-				z.Patches = make([]Patch, zb0003)
-			}
-			for za0001 := range z.Patches {
-				err = z.Patches[za0001].DecodeMsg(dc)
-				if err != nil {
-					err = msgp.WrapError(err, "Patches", za0001)
-					return
-				}
-			}
 		default:
-			err = dc.Skip()
+			bts, err = msgp.Skip(bts)
 			if err != nil {
 				err = msgp.WrapError(err)
 				return
 			}
 		}
 	}
+	o = bts
 	return
 }
 
-// EncodeMsg implements msgp.Encodable
-func (z *Record) EncodeMsg(en *msgp.Writer) (err error) {
-	// check for omitted fields
-	zb0001Len := uint32(6)
-	var zb0001Mask uint8 /* 6 bits */
-	_ = zb0001Mask
-	if z.Value == nil {
-		zb0001Len--
-		zb0001Mask |= 0x4
-	}
-	if z.Deleted == false {
-		zb0001Len--
-		zb0001Mask |= 0x8
-	}
-	if z.Patched == false {
-		zb0001Len--
-		zb0001Mask |= 0x10
-	}
-	if z.Patches == nil {
-		zb0001Len--
-		zb0001Mask |= 0x20
-	}
-	// variable map header, size zb0001Len
-	err = en.Append(0x80 | uint8(zb0001Len))
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *Patch) Msgsize() (s int) {
+	s = 1 + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.BytesPrefixSize + len(z.Delta)
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *PeerIncarnation) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 3
+	// string "i"
+	o = append(o, 0x83, 0xa1, 0x69)
+	o = msgp.AppendString(o, z.Ident)
+	// string "e"
+	o = append(o, 0xa1, 0x65)
+	o = msgp.AppendUint64(o, z.Epoch)
+	// string "s"
+	o = append(o, 0xa1, 0x73)
+	// map header, size 2
+	// string "e"
+	o = append(o, 0x82, 0xa1, 0x65)
+	o = msgp.AppendUint64(o, z.State.Epoch)
+	// string "n"
+	o = append(o, 0xa1, 0x6e)
+	o = msgp.AppendUint64(o, z.State.Saves)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *PeerIncarnation) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
 	if err != nil {
+		err = msgp.WrapError(err)
 		return
 	}
-
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		// write "k"
-		err = en.Append(0xa1, 0x6b)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.Key)
-		if err != nil {
-			err = msgp.WrapError(err, "Key")
-			return
-		}
-		// write "v"
-		err = en.Append(0xa1, 0x76)
-		if err != nil {
-			return
-		}
-		// map header, size 2
-		// write "t"
-		err = en.Append(0x82, 0xa1, 0x74)
-		if err != nil {
-			return
-		}
-		err = en.WriteUint64(z.Version.Term)
-		if err != nil {
-			err = msgp.WrapError(err, "Version", "Term")
-			return
-		}
-		// write "s"
-		err = en.Append(0xa1, 0x73)
-		if err != nil {
-			return
-		}
-		err = en.WriteUint64(z.Version.Seq)
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "Version", "Seq")
+			err = msgp.WrapError(err)
 			return
 		}
-		if (zb0001Mask & 0x4) == 0 { // if not omitted
-			// write "b"
-			err = en.Append(0xa1, 0x62)
-			if err != nil {
-				return
-			}
-			err = en.WriteBytes(z.Value)
-			if err != nil {
-				err = msgp.WrapError(err, "Value")
-				return
-			}
-		}
-		if (zb0001Mask & 0x8) == 0 { // if not omitted
-			// write "d"
-			err = en.Append(0xa1, 0x64)
-			if err != nil {
-				return
-			}
-			err = en.WriteBool(z.Deleted)
-			if err != nil {
-				err = msgp.WrapError(err, "Deleted")
-				return
-			}
-		}
-		if (zb0001Mask & 0x10) == 0 { // if not omitted
-			// write "h"
-			err = en.Append(0xa1, 0x68)
-			if err != nil {
-				return
-			}
-			err = en.WriteBool(z.Patched)
+		switch msgp.UnsafeString(field) {
+		case "i":
+			z.Ident, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Patched")
+				err = msgp.WrapError(err, "Ident")
 				return
 			}
-		}
-		if (zb0001Mask & 0x20) == 0 { // if not omitted
-			// write "l"
-			err = en.Append(0xa1, 0x6c)
+		case "e":
+			z.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
+				err = msgp.WrapError(err, "Epoch")
 				return
 			}
-			err = en.WriteArrayHeader(uint32(len(z.Patches)))
+		case "s":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Patches")
+				err = msgp.WrapError(err, "State")
 				return
 			}
-			for za0001 := range z.Patches {
-				err = z.Patches[za0001].EncodeMsg(en)
+			for zb0002 > 0 {
+				zb0002--
+				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Patches", za0001)
+					err = msgp.WrapError(err, "State")
 					return
 				}
+				switch msgp.UnsafeString(field) {
+				case "e":
+					z.State.Epoch, bts, err = msgp.ReadUint64Bytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "State", "Epoch")
+						return
+					}
+				case "n":
+					z.State.Saves, bts, err = msgp.ReadUint64Bytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "State", "Saves")
+						return
+					}
+				default:
+					bts, err = msgp.Skip(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "State")
+						return
+					}
+				}
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
 			}
 		}
 	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *PeerIncarnation) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Ident) + 2 + msgp.Uint64Size + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size
 	return
 }
 
@@ -4266,73 +1808,6 @@
 	return
 }
 
-// DecodeMsg implements msgp.Decodable
-func (z *Replica) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "i":
-			z.Ident, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Ident")
-				return
-			}
-		case "a":
-			z.Addr, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Addr")
-				return
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z Replica) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 2
-	// write "i"
-	err = en.Append(0x82, 0xa1, 0x69)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Ident)
-	if err != nil {
-		err = msgp.WrapError(err, "Ident")
-		return
-	}
-	// write "a"
-	err = en.Append(0xa1, 0x61)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Addr)
-	if err != nil {
-		err = msgp.WrapError(err, "Addr")
-		return
-	}
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
 func (z Replica) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -4394,73 +1869,6 @@
 	return
 }
 
-// DecodeMsg implements msgp.Decodable
-func (z *SavePoint) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "e":
-			z.Epoch, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
-				return
-			}
-		case "n":
-			z.Saves, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "Saves")
-				return
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z SavePoint) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 2
-	// write "e"
-	err = en.Append(0x82, 0xa1, 0x65)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.Epoch)
-	if err != nil {
-		err = msgp.WrapError(err, "Epoch")
-		return
-	}
-	// write "n"
-	err = en.Append(0xa1, 0x6e)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.Saves)
-	if err != nil {
-		err = msgp.WrapError(err, "Saves")
-		return
-	}
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
 func (z SavePoint) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -4522,73 +1930,6 @@
 	return
 }
 
-// DecodeMsg implements msgp.Decodable
-func (z *Version) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "t":
-			z.Term, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "Term")
-				return
-			}
-		case "s":
-			z.Seq, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "Seq")
-				return
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z Version) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 2
-	// write "t"
-	err = en.Append(0x82, 0xa1, 0x74)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.Term)
-	if err != nil {
-		err = msgp.WrapError(err, "Term")
-		return
-	}
-	// write "s"
-	err = en.Append(0xa1, 0x73)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.Seq)
-	if err != nil {
-		err = msgp.WrapError(err, "Seq")
-		return
-	}
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
 func (z Version) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -4650,89 +1991,6 @@
 	return
 }
 
-// DecodeMsg implements msgp.Decodable
-func (z *VolumeEpoch) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "i":
-			z.Ident, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Ident")
-				return
-			}
-		case "e":
-			z.Epoch, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "Epoch")
-				return
-			}
-		case "t":
-			z.Term, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "Term")
-				return
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z VolumeEpoch) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 3
-	// write "i"
-	err = en.Append(0x83, 0xa1, 0x69)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Ident)
-	if err != nil {
-		err = msgp.WrapError(err, "Ident")
-		return
-	}
-	// write "e"
-	err = en.Append(0xa1, 0x65)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.Epoch)
-	if err != nil {
-		err = msgp.WrapError(err, "Epoch")
-		return
-	}
-	// write "t"
-	err = en.Append(0xa1, 0x74)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.Term)
-	if err != nil {
-		err = msgp.WrapError(err, "Term")
-		return
-	}
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
 func (z VolumeEpoch) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
