--- a/control/digest/digest_test.go
+++ b/control/digest/digest_test.go
@@ -9,20 +9,24 @@
 	"mulleinmast/wire/message"
 )
 
-// Whatever is put, taken and dropped, digests are those of what is in the
+// Whatever is put, put if newer and deleted, digests are those of what is in the
 // records; two records differ in just the ranges whose records do, in value too.
 func TestDigestsFollowTheRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := NewRecords()
 		for i := 0; i < 60; i++ {
-			r := message.Record{Key: fmt.Sprint("k", rapid.IntRange(0, 20).Draw(t, "key")), Version: message.Version{Term: 1, Seq: uint64(rapid.IntRange(0, 5).Draw(t, "seq"))}, Value: []byte{byte(i)}}
+			r := message.Record{
+				Key:     fmt.Sprint("k", rapid.IntRange(0, 20).Draw(t, "key")),
+				Version: message.Version{Term: 1, Seq: uint64(rapid.IntRange(0, 5).Draw(t, "seq"))},
+				Value:   []byte{byte(i)},
+			}
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
 				a.Put(r)
 			case 1:
 				old, had := a.Get(r.Key)
-				if took := a.PutNewer(r); took != (!had || old.Version.Less(r.Version)) {
-					t.Fatalf("took %v: %v over %v", took, r.Version, old.Version)
+				if put := a.PutNewer(r); put != (!had || old.Version.Less(r.Version)) {
+					t.Fatalf("put %v: %v over %v", put, r.Version, old.Version)
 				}
 			case 2:
 				a.Delete(r.Key)
@@ -37,11 +41,11 @@
 		if d := DifferingRanges(a.Digests(), b.Digests()); len(d) > 0 || n != a.Size() {
 			t.Fatalf("a copy differs in %v, %d records of %d", d, n, a.Size())
 		}
-		for r := range a.All() { // one record spoilt
+		for r := range a.All() { // one record altered
 			r.Value = append([]byte{1}, r.Value...)
 			b.Put(r)
 			if d := DifferingRanges(a.Digests(), b.Digests()); len(d) != 1 || d[0] != RangeOf(r.Key) {
-				t.Fatalf("%s spoilt, ranges %v differ", r.Key, d)
+				t.Fatalf("%s altered, ranges %v differ", r.Key, d)
 			}
 			return
 		}
--- a/control/incarnation/incarnation.go
+++ b/control/incarnation/incarnation.go
@@ -1,7 +1,7 @@
 // Package incarnation numbers the starts of a daemon that has a data folder. The
-// number counts the starts of the folder and bears a nonce that is drawn at each
-// start, so that two processes that were started from copies of one folder are
-// told apart, also where both counted to the same number.
+// number (elsewhere an epoch) counts the starts of the folder and bears a nonce that is
+// drawn at each start, so that two processes that were started from copies of one
+// folder are told apart, also where both counted to the same number.
 package incarnation
 
 import "fmt"
@@ -9,8 +9,9 @@
 // nonceBits is the length of the nonce, below the count.
 const nonceBits = 32
 
-// MaxNonce is the largest nonce. Folders hold it in place of the one that was drawn, so
-// that a build that knows of no nonce and adds one to the number counts a start.
+// MaxNonce is the largest nonce. No start draws it: folders hold it in place of the one
+// that was drawn, so that a build that knows of no nonce and adds one to the number
+// counts a start.
 const MaxNonce = 1<<nonceBits - 1
 
 // Number joins a count of starts and a nonce.
@@ -40,22 +41,22 @@
 
 // The orders of two incarnations of one identity.
 const (
-	Same Order = iota
-	Earlier
-	Later
-	Conflict // as many starts, and not the same one: two copies of one folder run
+	Same     Order = iota
+	Earlier        // fewer starts
+	Later          // more starts
+	Conflict       // as many starts, and not the same one: two copies of one folder run
 )
 
 // Compare tells how an incarnation stands to another one of the same identity.
 //
-// Example: incarnation.Compare(mine, known) == incarnation.Conflict
-func Compare(a, b uint64) Order {
+// Example: incarnation.Compare(own, known) == incarnation.Conflict
+func Compare(epoch, other uint64) Order {
 	switch {
-	case a == b:
+	case epoch == other:
 		return Same
-	case Starts(a) == Starts(b) && Starts(a) > 0:
+	case Starts(epoch) == Starts(other) && Starts(epoch) > 0:
 		return Conflict
-	case a < b:
+	case epoch < other:
 		return Earlier
 	}
 	return Later
--- a/control/incarnation/incarnation_test.go
+++ b/control/incarnation/incarnation_test.go
@@ -2,23 +2,25 @@
 
 import "testing"
 
-func TestOrders(t *testing.T) {
-	for _, x := range []struct {
-		what string
-		a, b uint64
-		want Order
+func TestCompare(t *testing.T) {
+	for _, c := range []struct {
+		name         string
+		epoch, other uint64
+		want         Order
 	}{
 		{"one start", Number(3, 7), Number(3, 7), Same},
 		{"a later start with a lower nonce", Number(4, 1), Number(3, 9), Later},
 		{"an earlier start with a higher nonce", Number(3, 9), Number(4, 1), Earlier},
 		{"two copies", Number(3, 7), Number(3, 8), Conflict},
-		{"two copies, the other way round", Number(3, 8), Number(3, 7), Conflict},
+		{"two copies, the other one first", Number(3, 8), Number(3, 7), Conflict},
 		{"starts of a build without nonces", 5, 6, Earlier},
 		{"a build without nonces, and then this one", Number(1, 0), 900, Later},
 		{"one step past what a folder holds", Number(4, MaxNonce) + 1, Number(4, 12), Later},
 	} {
-		if got := Compare(x.a, x.b); got != x.want {
-			t.Errorf("%s: %d, expected %d", x.what, got, x.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			if got := Compare(c.epoch, c.other); got != c.want {
+				t.Errorf("%d, expected %d", got, c.want)
+			}
+		})
 	}
 }
--- a/control/invariant/invariant.go
+++ b/control/invariant/invariant.go
@@ -16,40 +16,43 @@
 
 // Check is one condition with the count of its violations.
 type Check struct {
-	name  string
-	means string
-	count atomic.Int64
+	name       string // as metrics bear it
+	means      string // what holds, for people
+	violations atomic.Int64
 }
 
-var (
-	mu       sync.Mutex
-	checks   []*Check
-	reporter atomic.Pointer[func(name, text string)]
-)
+// registry holds all checks of the process.
+var registry struct {
+	mu     sync.Mutex // guards checks
+	checks []*Check
+}
+
+// reporter hears of each violation; nil: nobody does.
+var reporter atomic.Pointer[func(name, text string)]
 
 // New registers a check under a name that metrics can bear; means says what
 // holds, for people.
 //
 // Example: var once = invariant.New("unsafe_run_twice", "a request that may not be repeated is run once")
 func New(name, means string) *Check {
-	mu.Lock()
-	defer mu.Unlock()
+	registry.mu.Lock()
+	defer registry.mu.Unlock()
 	c := &Check{name: name, means: means}
-	checks = append(checks, c)
+	registry.checks = append(registry.checks, c)
 	return c
 }
 
 // Hold counts and reports a violation unless the condition holds, and returns
-// the condition.
+// the condition. format and args say, as in fmt.Sprintf, what is violated and where.
 //
 // Example: if !once.Hold(sends == 1, "%s was sent %d times", id, sends) { refuse() }
-func (c *Check) Hold(condition bool, how string, args ...any) bool {
+func (c *Check) Hold(condition bool, format string, args ...any) bool {
 	if condition {
 		return true
 	}
-	c.count.Add(1)
+	c.violations.Add(1)
 	if report := reporter.Load(); report != nil {
-		(*report)(c.name, fmt.Sprintf(how, args...))
+		(*report)(c.name, fmt.Sprintf(format, args...))
 	}
 	return false
 }
@@ -67,20 +70,20 @@
 // Count is the number of violations since the start of the process.
 //
 // Example: if once.Count() > 0 { alarm() }
-func (c *Check) Count() int64 { return c.count.Load() }
+func (c *Check) Count() int64 { return c.violations.Load() }
 
 // Discount takes violations that a test made on purpose off the count.
 //
 // Example: defer once.Discount(1)
-func (c *Check) Discount(violations int64) { c.count.Add(-violations) }
+func (c *Check) Discount(violations int64) { c.violations.Add(-violations) }
 
 // All lists the checks by name.
 //
 // Example: for _, c := range invariant.All() { fmt.Println(c.Name(), c.Count()) }
 func All() []*Check {
-	mu.Lock()
-	defer mu.Unlock()
-	list := slices.Clone(checks)
+	registry.mu.Lock()
+	defer registry.mu.Unlock()
+	list := slices.Clone(registry.checks)
 	slices.SortFunc(list, func(a, b *Check) int { return strings.Compare(a.name, b.name) })
 	return list
 }
