--- a/control/daemon/calls.go
+++ b/control/daemon/calls.go
@@ -39,7 +39,9 @@
 }
 
 // start begins a call; its result comes on the channel.
-func (t *callTracker) start(partition int, op string, body []byte, timeout time.Duration) (number uint64, result <-chan leadercall.Result) {
+func (t *callTracker) start(
+	partition int, op string, body []byte, timeout time.Duration,
+) (number uint64, result <-chan leadercall.Result) {
 	done := make(chan leadercall.Result, 1)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -103,7 +105,8 @@
 		return done.Status, done.Body
 	case <-ctx.Done():
 		d.calls.drop(number)
-		return leadercall.StatusUncertain, leadercall.Pack(leadercall.Response{Result: "uncertain", Reason: "the caller went away"})
+		response := leadercall.Response{Result: resultUncertain, Reason: "the caller went away"}
+		return leadercall.StatusUncertain, leadercall.Pack(response)
 	}
 }
 
@@ -111,7 +114,9 @@
 // share's length counts from the moment before the call, which is returned too.
 //
 // Example: share, from, ok := d.RequestSlots(ctx, p, demand, 200*time.Millisecond)
-func (d *Daemon) RequestSlots(ctx context.Context, partition int, demand placement.Demand, timeout time.Duration) (share placement.Share, from time.Duration, ok bool) {
+func (d *Daemon) RequestSlots(
+	ctx context.Context, partition int, demand placement.Demand, timeout time.Duration,
+) (share placement.Share, from time.Duration, ok bool) {
 	from = d.Now()
 	status, body := d.Call(ctx, partition, opDemand, leadercall.Pack(demand), timeout)
 	if status != http.StatusOK || json.Unmarshal(body, &share) != nil {
--- a/control/daemon/calls_test.go
+++ b/control/daemon/calls_test.go
@@ -1,6 +1,7 @@
 package daemon
 
 import (
+	"slices"
 	"testing"
 	"time"
 
@@ -11,36 +12,42 @@
 // Whether a daemon is cut off goes by its own lease and clock. Callers are sent
 // to control daemons that the same cut took away, or that a daemon without a
 // session can't reach; while nobody has a leader they are sent nowhere.
-func TestWhereACutOffDaemonSendsCallers(t *testing.T) {
-	c := alone(t, steady)
-	cfg := c.Cfg
-	leased(c)
-
-	disk := func(addr string) message.Member { return message.Member{Ident: addr, Addr: addr, HasDisk: true} }
-	session := cfg.MembershipConfig().SessionTimeout
-	for _, x := range []struct {
-		what string
-		wait time.Duration
-		view *membership.View
-		away bool
-		to   []string
+func TestContactNamesOtherDaemonsWhenCutOff(t *testing.T) {
+	d := openAlone(t, withLongLeases)
+	grantVolumeLease(d)
+	volumeLease, session := d.Cfg.VolumeLease(), d.Cfg.MembershipConfig().SessionTimeout
+	control := func(addr string) message.Member { return message.Member{Ident: addr, Addr: addr, HasDisk: true} }
+	withSession := &membership.View{HasSession: true, Members: []message.Member{control("a"), control("b")}}
+	withoutSession := &membership.View{Members: []message.Member{control("a"), {Ident: "x", Addr: "x"}, control("b")}}
+	without := func(addr string, since time.Duration) *membership.View {
+		lost := []membership.LostDaemon{{Member: control(addr), LostAt: since}}
+		return &membership.View{HasSession: true, Members: []message.Member{control("a")}, Lost: lost}
+	}
+	start := d.Now()
+	for _, c := range []struct { // one after another on one clock
+		name        string
+		wait        time.Duration
+		view        *membership.View
+		lapsed      bool
+		unreachable bool
+		others      []string
 	}{
-		{"in touch", 0, &membership.View{HasSession: true, Members: []message.Member{disk("a"), disk("b")}}, false, nil},
-		{"lapsed just now", cfg.VolumeLease() + time.Second, &membership.View{HasSession: true, Members: []message.Member{disk("a"), disk("b")}}, false, nil},
-		{"nobody has a leader", 2 * cfg.QuorumConfig().LeaderLease, &membership.View{HasSession: true, Members: []message.Member{disk("a"), disk("b")}}, true, nil},
-		{"no session", 0, &membership.View{Members: []message.Member{disk("a"), {Ident: "x", Addr: "x"}, disk("b")}}, true, []string{"a", "b"}},
-		{"others are lost", 0, &membership.View{HasSession: true, Members: []message.Member{disk("a")}, Lost: []membership.LostDaemon{{Member: disk("c"), LostAt: c.Now() + 3*cfg.VolumeLease()}}}, true, []string{"c"}},
-		{"lost long before", 10 * session, &membership.View{HasSession: true, Members: []message.Member{disk("a")}, Lost: []membership.LostDaemon{{Member: disk("c"), LostAt: cfg.VolumeLease() - 3*session}}}, true, nil},
+		{"in touch", 0, withSession, false, false, nil},
+		{"lapsed just now", volumeLease + time.Second, withSession, true, false, nil},
+		{"nobody has a leader", 2 * d.Cfg.QuorumConfig().LeaderLease, withSession, true, true, nil},
+		{"no session", 0, withoutSession, true, true, []string{"a", "b"}},
+		{"others are lost", 0, without("c", start+3*volumeLease), true, true, []string{"c"}},
+		{"lost long before", 10 * session, without("c", volumeLease-3*session), true, true, nil},
 	} {
-		c.clock.Advance(x.wait)
-		c.members.view.Store(x.view)
-		got := c.Contact(0)
-		var to []string
+		d.clock.Advance(c.wait)
+		d.members.view.Store(c.view)
+		got := d.Contact(0)
+		var others []string
 		for _, m := range got.OtherDaemons {
-			to = append(to, m.Addr)
+			others = append(others, m.Addr)
 		}
-		if got.LeaderUnreachable != x.away || (got.LapsedFor > 0) != (x.what != "in touch") || len(to) != len(x.to) || len(to) > 0 && (to[0] != x.to[0] || to[len(to)-1] != x.to[len(to)-1]) {
-			t.Errorf("%s: %+v; sent to %v, expected %v", x.what, got, to, x.to)
+		if got.LeaderUnreachable != c.unreachable || (got.LapsedFor > 0) != c.lapsed || !slices.Equal(others, c.others) {
+			t.Errorf("%s: %+v; callers are sent to %v, expected %v", c.name, got, others, c.others)
 		}
 	}
 }
--- a/control/daemon/config.go
+++ b/control/daemon/config.go
@@ -18,14 +18,14 @@
 	Plan     time.Duration // an acknowledged plan is in force everywhere within this; default 2 s
 	Leave    time.Duration // a leaving server gets no request after this; default 3 s
 	Evacuate time.Duration // an evacuated zone gets no request after this; default 5 s
-	Swap     time.Duration // a server's role never changes within this after another leader may have changed it; default 3 s
+	Swap     time.Duration // a server's role rests this long after another leader may have changed it; default 3 s
 	Recover  time.Duration // service is whole again within this after a failure; default 12 s
 }
 
 // Config is the configuration of one daemon. The file and the flags set the first
 // group of fields; the platform's driver sets the others too.
 type Config struct {
-	Fleet        string   // name of the fleet, alike on all its daemons: 1 to 64 letters, digits, '.', '_' or '-'; default "mulleinmast"
+	Fleet        string   // name of the fleet, alike on all its daemons: 1 to 64 of [A-Za-z0-9._-]; default "mulleinmast"
 	WireAddr     string   // ip:port for other daemons, as they reach it; required
 	HTTPAddr     string   // ip:port for clients, the platform and operators; required
 	Zone         string   // name of this machine's zone, like Fleet; default "zone-1"
@@ -34,12 +34,14 @@
 	Partitions   int      // of the services, beside the configuration's, alike on all daemons for good: 1 to 64; default 8
 	Drift        float64  // most by which one clock outruns another, as a ratio: 0 to 0.2; default 0.02
 	Bounds       Bounds
-	QueueLimit   int     // requests that may wait, per service: 1 to 1,048,576; default 512
-	TestSwitches bool    // opens the calls by which tests bring failures about; default false
-	EventLogSize int     // entries of the event log's ring: 16 to 1,048,576; default 4,096
-	Losses       int     // control daemons that may be lost at once, so that the first group has twice as many replicas and one: 0 to 4; default 1
-	FirstStart   bool    // the fleet may start for the first time; false: a group is joined, never founded; default true
-	AdmitRatio   float64 // a request is refused at once that would wait for others longer than this times its route's target; 0: none is; up to 100; default 3
+	QueueLimit   int  // requests that may wait, per service: 1 to 1,048,576; default 512
+	TestSwitches bool // opens the calls by which tests bring failures about; default false
+	EventLogSize int  // entries of the event log's ring: 16 to 1,048,576; default 4,096
+	Losses       int  // control daemons that may be lost at once, 0 to 4; the first group has 2*Losses+1; default 1
+	FirstStart   bool // the fleet may start for the first time; false: a group is joined, never founded; default true
+	// AdmitRatio has a request refused at once that would wait for others longer than
+	// this times its route's target: up to 100, 0: none is; default 3.
+	AdmitRatio float64
 
 	InTouchAfter time.Duration // for how long a machine is well before bounds hold for it; default 3 s
 	CatchUpBound time.Duration // after this a successor counts like the machine that it replaced; default 4 s
@@ -153,9 +155,11 @@
 	f.IntVar(&c.QueueLimit, "queue", c.QueueLimit, "most requests waiting, per service")
 	f.BoolVar(&c.TestSwitches, "test-switches", false, "open the switches that tests use (never in production)")
 	f.Usage = func() {
-		_, _ = fmt.Fprintf(w, "usage: %s [flags]\n\nRuns one daemon of a router fleet. SIGTERM lets it finish its streams and go.\n"+
+		_, _ = fmt.Fprintf(w, "usage: %s [flags]\n\n"+
+			"Runs one daemon of a router fleet. SIGTERM lets it finish its streams and go.\n"+
 			"Exit codes: 0 stopped as asked, 1 failed while running, 2 bad flags or config, 3 bad data folder, "+
-			"4 an address can't be used, 5 the state in the data folder is superseded (started again it begins empty).\n\n", program)
+			"4 an address can't be used, 5 the state in the data folder is superseded (started again it begins empty).\n\n",
+			program)
 		f.PrintDefaults()
 	}
 	return f
@@ -197,8 +201,8 @@
 		return
 	}
 	var file configFile
-	if bad := fleetconfig.Decode(text, &file); bad.Any() {
-		faults.Add("config %s: %s", path, strings.Join(bad.List, "; "))
+	if wrong := fleetconfig.Decode(text, &file); wrong.Any() {
+		faults.Add("config %s: %s", path, strings.Join(wrong.List, "; "))
 		return
 	}
 	setIfGiven(&c.Fleet, file.Fleet)
--- a/control/daemon/config_test.go
+++ b/control/daemon/config_test.go
@@ -4,50 +4,67 @@
 	"io"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 )
 
-func TestConfigFaultsAreNamedAtOnce(t *testing.T) {
-	read := func(args ...string) error {
-		_, err := ReadConfig("mulleinmast", args, io.Discard)
-		return err
-	}
-	ok := []string{"-wire", "10.0.0.1:7000", "-web", "10.0.0.1:8000", "-seeds", "10.0.0.1:7000,10.0.0.2:7000,10.0.0.3:7000"}
-	if err := read(ok...); err != nil {
+// validFlags are enough for a daemon.
+var validFlags = []string{
+	"-wire", "10.0.0.1:7000", "-web", "10.0.0.1:8000",
+	"-seeds", "10.0.0.1:7000,10.0.0.2:7000,10.0.0.3:7000",
+}
+
+// readFlags reads valid flags with more behind them.
+func readFlags(more ...string) (Config, error) {
+	return ReadConfig("mulleinmast", slices.Concat(validFlags, more), io.Discard)
+}
+
+func TestConfigFaultsAreReportedTogether(t *testing.T) {
+	if _, err := readFlags(); err != nil {
 		t.Fatal(err)
 	}
-	for want, more := range map[string][]string{
-		"web:":          {"-web", "localhost"},
-		"both are":      {"-web", "10.0.0.1:7000"},
-		"stands twice":  {"-seeds", "10.0.0.1:7000,10.0.0.1:7000,10.0.0.3:7000"},
-		"one to three":  {"-seeds", "10.0.0.1:7000,10.0.0.2:7000,10.0.0.3:7000,10.0.0.4:7000"},
-		"losses:":       {"-losses", "9"},
-		"wildcard":      {"-wire", "0.0.0.0:7000"},
-		"zone:":         {"-zone", "a b"},
-		"partitions:":   {"-partitions", "0"},
-		"is not a flag": {"stray"},
-		"no such file":  {"-config", "/nowhere/c.json"},
+	for _, c := range []struct {
+		want string
+		more []string
+	}{
+		{"web:", []string{"-web", "localhost"}},
+		{"both are", []string{"-web", "10.0.0.1:7000"}},
+		{"stands twice", []string{"-seeds", "10.0.0.1:7000,10.0.0.1:7000,10.0.0.3:7000"}},
+		{"one to three", []string{"-seeds", "10.0.0.1:7000,10.0.0.2:7000,10.0.0.3:7000,10.0.0.4:7000"}},
+		{"losses:", []string{"-losses", "9"}},
+		{"wildcard", []string{"-wire", "0.0.0.0:7000"}},
+		{"zone:", []string{"-zone", "a b"}},
+		{"partitions:", []string{"-partitions", "0"}},
+		{"is not a flag", []string{"stray"}},
+		{"no such file", []string{"-config", "/nowhere/c.json"}},
 	} {
-		if err := read(append(append([]string(nil), ok...), more...)...); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", want, err)
-		}
+		t.Run(c.want, func(t *testing.T) {
+			if _, err := readFlags(c.more...); err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("%v: %v", c.more, err)
+			}
+		})
 	}
-	if err := read(); err == nil || strings.Count(err.Error(), "\n") < 2 {
+	if _, err := ReadConfig("mulleinmast", nil, io.Discard); err == nil || strings.Count(err.Error(), "\n") < 2 {
 		t.Errorf("several faults at once: %v", err)
 	}
+}
+
+func TestFlagsWinOverTheConfigFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.json")
-	if err := os.WriteFile(path, []byte(`{"wire":"10.0.0.9:7000","zone":"north","bound_plan":"4s"}`), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	c, err := ReadConfig("mulleinmast", append(append([]string(nil), ok...), "-config", path), io.Discard)
-	if err != nil || c.WireAddr != "10.0.0.1:7000" || c.Zone != "north" || c.VolumeLease().Milliseconds() != 1600 {
-		t.Errorf("file and flags: %+v %v", c, err)
+	write := func(text string) {
+		t.Helper()
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
 	}
-	if err := os.WriteFile(path, []byte(`{"wier":"x","bound_plan":"soon"}`), 0o600); err != nil {
-		t.Fatal(err)
+	write(`{"wire":"10.0.0.9:7000","zone":"north","bound_plan":"4s"}`)
+	cfg, err := readFlags("-config", path)
+	if err != nil || cfg.WireAddr != "10.0.0.1:7000" || cfg.Zone != "north" || cfg.VolumeLease().Milliseconds() != 1600 {
+		t.Errorf("file and flags: %+v %v", cfg, err)
 	}
-	if err := read(append(append([]string(nil), ok...), "-config", path)...); err == nil || !strings.Contains(err.Error(), "wier") {
+	write(`{"wier":"x","bound_plan":"soon"}`)
+	if _, err := readFlags("-config", path); err == nil || !strings.Contains(err.Error(), "wier") {
 		t.Errorf("unknown field: %v", err)
 	}
 }
--- a/control/daemon/diskwriter.go
+++ b/control/daemon/diskwriter.go
@@ -47,9 +47,9 @@
 }
 
 // add queues saves. A shard's lock may be held.
-func (w *diskWriter) add(saves []quorum.Save) {
+func (w *diskWriter) add(list []quorum.Save) {
 	w.mu.Lock()
-	for _, save := range saves {
+	for _, save := range list {
 		w.waiting.Add(save)
 	}
 	w.mu.Unlock()
@@ -86,7 +86,7 @@
 	if err := w.write(batch); err != nil {
 		w.events.Warn("disk", "a write was refused", "error", err)
 		w.refusals.Add(1)
-		w.putBack(batch)
+		w.requeue(batch)
 		sleep(ctx, w.volumeLease/4)
 		return true
 	}
@@ -119,7 +119,7 @@
 	return batch
 }
 
-func (w *diskWriter) putBack(batch storage.Batch) {
+func (w *diskWriter) requeue(batch storage.Batch) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	batch.Append(w.waiting)
@@ -137,7 +137,8 @@
 
 // noteSaved checks that saves are reported in order.
 func (s *shard) noteSaved(save uint64) {
-	savesInOrder.Hold(save > s.lastSave, "partition %d: save %d is reported as done after save %d", s.partition, save, s.lastSave)
+	savesInOrder.Hold(save > s.lastSave, "partition %d: save %d is reported as done after save %d",
+		s.partition, save, s.lastSave)
 	s.lastSave = save
 }
 
--- a/control/daemon/diskwriter_test.go
+++ b/control/daemon/diskwriter_test.go
@@ -2,88 +2,65 @@
 
 import (
 	"fmt"
-	"io"
 	"strings"
 	"testing"
 	"time"
 
-	"mulleinmast/control/eventlog"
 	"mulleinmast/control/quorum"
 	"mulleinmast/control/storage"
 	"mulleinmast/wire/message"
 )
 
 // What a full disk refuses waits, in order and bounded by the state, and is
-// written with what came later once there is room; the daemon says both.
-func TestWhatAFullDiskRefusesIsWrittenLater(t *testing.T) {
-	cfg := Default()
-	cfg.WireAddr, cfg.HTTPAddr, cfg.Partitions, cfg.DataFolder = "127.0.0.1:0", "127.0.0.1:0", 1, t.TempDir()
-	cfg.Bounds.Plan = 20 * time.Millisecond // a refused write is soon tried again
-	c, err := Open(cfg, eventlog.New(256, io.Discard))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if err := c.store.SetFull(true); err != nil {
+// written with what came later once there is room; both are logged.
+func TestRefusedWritesAreWrittenLater(t *testing.T) {
+	d := openAlone(t, func(cfg *Config) {
+		cfg.DataFolder = t.TempDir()
+		cfg.Bounds.Plan = 20 * time.Millisecond // a refused write is soon tried again
+	})
+	if err := d.store.SetFull(true); err != nil {
 		t.Fatal(err)
 	}
-	for i := range 300 {
-		rec := message.Record{Key: fmt.Sprint("k", i%3), Version: message.Version{Term: 1, Seq: uint64(i + 1)}, Value: make([]byte, 1<<18)}
-		c.disk.add([]quorum.Save{{Ticket: uint64(i + 1), Partition: 1, Meta: quorum.Meta{VotedTerm: uint64(i + 1)}, Records: []message.Record{rec}}})
-		if i%100 == 50 && !c.disk.flush(t.Context()) {
+	const saves, keys, valueSize = 300, 3, 1 << 18
+	for i := range saves {
+		number := uint64(i + 1)
+		rec := message.Record{
+			Key:     fmt.Sprint("k", i%keys),
+			Version: message.Version{Term: 1, Seq: number},
+			Value:   make([]byte, valueSize),
+		}
+		meta := quorum.Meta{VotedTerm: number}
+		d.disk.add([]quorum.Save{{Ticket: number, Partition: 1, Meta: meta, Records: []message.Record{rec}}})
+		if i%100 == 50 && !d.disk.flush(t.Context()) {
 			t.Fatal("nothing was tried")
 		}
 	}
-	if s := c.disk.waiting.Saves(); len(s) != 1 || len(s[0].Records) != 3 || len(c.disk.waiting.Tickets) != 300 || c.disk.refusals.Load() != 3 {
-		t.Errorf("%d saves of %d records wait, %d refused", len(s), len(s[0].Records), c.disk.refusals.Load())
+	waiting, refused := d.disk.waiting.Saves(), d.disk.refusals.Load()
+	if len(waiting) != 1 || len(waiting[0].Records) != keys || len(d.disk.waiting.Tickets) != saves || refused != 3 {
+		t.Errorf("%d saves of %d records wait, %d refused", len(waiting), len(waiting[0].Records), refused)
 	}
-	if err := c.store.SetFull(false); err != nil {
+	if err := d.store.SetFull(false); err != nil {
 		t.Fatal(err)
 	}
-	for c.disk.flush(t.Context()) {
+	for d.disk.flush(t.Context()) {
 	}
-	said := ""
-	for _, e := range c.Events.Since(0) {
-		said += e.Text + "\n"
+	var logged strings.Builder
+	for _, entry := range d.Events.Since(0) {
+		logged.WriteString(entry.Text + "\n")
 	}
-	if !strings.Contains(said, "full") || !strings.Contains(said, "takes writes again refused=3") {
-		t.Errorf("said: %s", said)
+	if !strings.Contains(logged.String(), "full") || !strings.Contains(logged.String(), "takes writes again refused=3") {
+		t.Errorf("logged: %s", logged.String())
 	}
-	c.close()
-	a, err := storage.Open(cfg.DataFolder, cfg.Fleet)
+	d.close()
+	store, err := storage.Open(d.Cfg.DataFolder, d.Cfg.Fleet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer a.Close()
-	h := a.Partitions[1]
-	for k, seq := range map[string]uint64{"k0": 298, "k1": 299, "k2": 300} {
-		if r, _ := h.Records.Get(k); r.Version.Seq != seq || h.Meta.VotedTerm != 300 {
-			t.Errorf("%s is of change %d, the promise of %d", k, r.Version.Seq, h.Meta.VotedTerm)
+	defer store.Close()
+	state := store.Partitions[1]
+	for key, seq := range map[string]uint64{"k0": 298, "k1": 299, "k2": 300} {
+		if rec, _ := state.Records.Get(key); rec.Version.Seq != seq || state.Meta.VotedTerm != saves {
+			t.Errorf("%s is of change %d, the vote of term %d", key, rec.Version.Seq, state.Meta.VotedTerm)
 		}
 	}
 }
-
-// A row of changes withdraws the configuration again and again for a moment:
-// that makes no daemon unready, a volume lease without it does, and an order to
-// stop at once.
-func TestAChangeMakesNoDaemonUnready(t *testing.T) {
-	c := alone(t, steady)
-	if c.Ready() {
-		t.Error("ready though it never was")
-	}
-	c.readiness.ready.Store(true)
-	c.member() // as its table is told
-	if c.canServe() || !c.Ready() {
-		t.Errorf("under leases %v, ready %v", c.canServe(), c.Ready())
-	}
-	c.clock.Advance(c.Cfg.VolumeLease())
-	if c.Ready() {
-		t.Error("ready a volume lease later")
-	}
-	c.member()
-	if !c.Ready() {
-		t.Error("not ready again")
-	}
-	if c.Leave(); c.Ready() {
-		t.Error("ready though told to stop")
-	}
-}
--- a/control/daemon/handover_test.go
+++ b/control/daemon/handover_test.go
@@ -9,34 +9,38 @@
 	"mulleinmast/wire/message"
 )
 
-// A daemon that was told to end waits for its replicas to be taken over only
-// where a standby is there to take them, and not beyond its part of the grace
-// period; a plain restart isn't held up.
-func TestOnlyAStandbyIsWaitedFor(t *testing.T) {
-	c := alone(t, func(cfg *Config) { cfg.DataFolder, cfg.GracePeriod = t.TempDir(), time.Hour })
-	c.bootstrap([]message.Replica{c.self, {Ident: "b", Addr: "127.0.0.1:1"}, {Ident: "c", Addr: "127.0.0.1:2"}})
-	c.Leave()
-	for what, x := range map[string]struct {
-		more []message.Member
-		held int
+// A daemon that was asked to stop waits for its replicas to be taken over only
+// where a learner can take them, and not beyond its part of the grace period; a
+// plain restart isn't held up.
+func TestHandOverWaitsForLearnersAlone(t *testing.T) {
+	d := openAlone(t, func(cfg *Config) { cfg.DataFolder, cfg.GracePeriod = t.TempDir(), time.Hour })
+	d.bootstrap([]message.Replica{d.self, {Ident: "b", Addr: "127.0.0.1:1"}, {Ident: "c", Addr: "127.0.0.1:2"}})
+	d.Leave()
+	group := []message.Member{d.member(), {Ident: "b", HasDisk: true}, {Ident: "c", HasDisk: true}}
+	for _, c := range []struct {
+		name   string
+		others []message.Member
+		want   int
 	}{
-		"nobody else":              {nil, 0},
-		"a daemon without a disk":  {[]message.Member{{Ident: "d"}}, 0},
-		"a standby":                {[]message.Member{{Ident: "d", HasDisk: true}}, 2},
-		"a standby beside another": {[]message.Member{{Ident: "d"}, {Ident: "e", HasDisk: true}}, 2},
+		{"nobody else", nil, 0},
+		{"a daemon without a disk", []message.Member{{Ident: "d"}}, 0},
+		{"a learner", []message.Member{{Ident: "d", HasDisk: true}}, 2},
+		{"a learner beside another", []message.Member{{Ident: "d"}, {Ident: "e", HasDisk: true}}, 2},
 	} {
-		members := append([]message.Member{c.member(), {Ident: "b", HasDisk: true}, {Ident: "c", HasDisk: true}}, x.more...)
-		c.members.view.Store(&membership.View{Self: members[0], Members: members})
-		if n := c.PartitionsToHandOver(); n != x.held {
-			t.Errorf("%s: %d partitions held, expected %d", what, n, x.held)
-		}
-		ctx, done := context.WithCancel(context.Background())
-		if x.held > 0 {
-			done() // else it waits for most of an hour
-		}
-		c.HandOver(ctx)
-		done()
+		t.Run(c.name, func(t *testing.T) {
+			members := append(append([]message.Member{}, group...), c.others...)
+			d.members.view.Store(&membership.View{Self: members[0], Members: members})
+			if n := d.PartitionsToHandOver(); n != c.want {
+				t.Errorf("%d partitions to hand over, expected %d", n, c.want)
+			}
+			ctx, cancel := context.WithCancel(t.Context())
+			defer cancel()
+			if c.want > 0 {
+				cancel() // else it waits for most of an hour
+			}
+			d.HandOver(ctx)
+		})
 	}
-	c.clock.Advance(time.Hour)
-	c.HandOver(context.Background()) // its time is up
+	d.clock.Advance(time.Hour)
+	d.HandOver(t.Context()) // its time is up
 }
--- a/control/daemon/interface_test.go
+++ b/control/daemon/interface_test.go
@@ -60,12 +60,12 @@
 	}
 }
 
-// filled sets every exported field below a value, by its type alone.
-func filled(v reflect.Value) {
+// fill sets every exported field below a value, by its type alone.
+func fill(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		filled(v.Elem())
+		fill(v.Elem())
 	case reflect.Struct:
 		if at, ok := v.Addr().Interface().(*time.Time); ok {
 			*at = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
@@ -73,7 +73,7 @@
 		}
 		for i := range v.NumField() {
 			if v.Type().Field(i).IsExported() {
-				filled(v.Field(i))
+				fill(v.Field(i))
 			}
 		}
 	case reflect.Slice:
@@ -82,15 +82,15 @@
 			return
 		}
 		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		filled(v.Index(0))
+		fill(v.Index(0))
 	case reflect.Array:
 		for i := range v.Len() {
-			filled(v.Index(i))
+			fill(v.Index(i))
 		}
 	case reflect.Map:
 		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-		filled(key)
-		filled(value)
+		fill(key)
+		fill(value)
 		v.Set(reflect.MakeMap(v.Type()))
 		v.SetMapIndex(key, value)
 	case reflect.Interface:
@@ -114,8 +114,8 @@
 func TestOperatorJSONKeepsItsNames(t *testing.T) {
 	var text strings.Builder
 	for _, x := range []struct {
-		what string
-		of   any
+		name  string
+		value any
 	}{
 		{"answer to a call", new(leadercall.Response)},
 		{"plan", new(fleetconfig.Plan)},
@@ -129,12 +129,12 @@
 		{"state of a daemon", new(State)},
 		{"line of the log", new(eventlog.Entry)},
 	} {
-		filled(reflect.ValueOf(x.of).Elem())
-		packed, err := json.MarshalIndent(x.of, "", "  ")
+		fill(reflect.ValueOf(x.value).Elem())
+		packed, err := json.MarshalIndent(x.value, "", "  ")
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&text, "%s: %s\n", x.what, packed)
+		fmt.Fprintf(&text, "%s: %s\n", x.name, packed)
 	}
 	golden(t, "operator-types.txt", text.String())
 }
@@ -191,44 +191,47 @@
 
 // Each call of the operator's interface at a daemon that is a fleet by itself.
 func TestOperatorCallsKeepTheirAnswers(t *testing.T) {
-	cfg := Default()
-	cfg.WireAddr, cfg.HTTPAddr, cfg.Partitions, cfg.DataFolder, cfg.Losses = freeAddress(t), freeAddress(t), 1, t.TempDir(), 0
-	cfg.Seeds = []string{cfg.WireAddr}
-	c, plan := runDaemon(t, cfg), `{"id":"first","tenants":[],"services":[{"name":"m","prefill_servers":1,"decode_servers":1}]}`
+	cfg := singleDaemonConfig(t)
+	d, plan := runDaemon(t, cfg), string(firstPlan())
+	unknownField := `{"id":"first","tenants":[],"services":[{"name":"m","prefill_servers":1,"decode_servers":1}]}`
 	backup := filepath.Join(t.TempDir(), "backup")
-	packed := string(leadercall.Pack(fleetconfig.Plan{ID: "first", Tenants: []fleetconfig.Tenant{}, Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}))
-	servers := string(leadercall.Pack(fleetconfig.List{Version: 1, Servers: []fleetconfig.Server{{Addr: "10.0.0.9:80", Zone: "north", Capacity: 1}}}))
+	servers := string(leadercall.Pack(fleetconfig.List{
+		Version: 1,
+		Servers: []fleetconfig.Server{{Addr: "10.0.0.9:80", Zone: "north", Capacity: 1}},
+	}))
 	var text strings.Builder
-	call := func(method, path, body string) int {
-		w, r := httptest.NewRecorder(), httptest.NewRequestWithContext(t.Context(), method, path, strings.NewReader(body))
-		c.Mux.ServeHTTP(w, r)
+	call := func(method, path, body string) {
+		w := httptest.NewRecorder()
+		r := httptest.NewRequestWithContext(t.Context(), method, path, strings.NewReader(body))
+		d.Mux.ServeHTTP(w, r)
 		fmt.Fprintf(&text, "%s %s\n%d", method, maskedText(path, []string{backup}), w.Code)
 		for _, name := range []string{"Content-Type", "Retry-After", "Warning", "Allow"} {
 			if v := w.Header().Get(name); v != "" {
 				fmt.Fprintf(&text, " %s: %s;", name, v)
 			}
 		}
-		fmt.Fprintf(&text, "\n%s\n", masked(w.Body.Bytes(), c.Ident(), cfg.WireAddr, cfg.HTTPAddr, cfg.DataFolder, backup))
-		return w.Code
+		fmt.Fprintf(&text, "\n%s\n", masked(w.Body.Bytes(), d.Ident(), cfg.WireAddr, cfg.HTTPAddr, cfg.DataFolder, backup))
 	}
 	call("GET", "/livez", "")
 	call("GET", "/readyz", "")
-	if code, answer := c.Call(t.Context(), 0, "plan", []byte(packed), 20*time.Second); code != 200 {
-		t.Fatalf("the first plan: %d %s", code, answer)
+	if status, answer := d.Call(t.Context(), 0, opPlan, []byte(plan), 20*time.Second); status != http.StatusOK {
+		t.Fatalf("the first plan: %d %s", status, answer)
 	}
-	await(t, c.Daemon, func() bool { return c.isReady() })
+	await(t, d.Daemon, d.isReady)
 	call("GET", "/readyz", "")
 	call("GET", "/v1/plan/template", "")
 	call("GET", "/v1/plan", "")
-	call("PUT", "/v1/plan", packed)
 	call("PUT", "/v1/plan", plan)
+	call("PUT", "/v1/plan", unknownField)
 	call("PUT", "/v1/plan", `{"id":1}`)
 	call("POST", "/v1/plan/changes", `{"id":"next","base":1,"changes":[{"op":"drop-tenant","name":"x"}]}`)
 	call("POST", "/v1/zones/north/evacuate", "")
-	await(t, c.Daemon, func() bool {
-		state := c.State()
-		return len(state.ZonesOut) == 1 && state.Live && state.PlanValid && state.Me.Ready && !state.Me.Empty && state.Members[0] == state.Me &&
-			state.Partitions[0].LedHere && state.Partitions[1].LedHere && len(c.View().Leaderships) == len(state.Partitions)
+	await(t, d.Daemon, func() bool {
+		state := d.State()
+		member := state.Me.Ready && !state.Me.Empty && state.Members[0] == state.Me
+		leads := state.Partitions[0].LedHere && state.Partitions[1].LedHere
+		known := len(d.View().Leaderships) == len(state.Partitions)
+		return len(state.ZonesOut) == 1 && state.Live && state.PlanValid && member && leads && known
 	})
 	call("GET", "/v1/state", "")
 	call("POST", "/v1/zones/zone-1/return", "")
@@ -250,22 +253,22 @@
 	call("POST", "/v1/backup?to="+backup, "")
 	call("DELETE", "/v1/plan", "")
 	call("POST", "/test/cut", "[]")
-	c.Leave()
+	d.Leave()
 	call("GET", "/readyz", "")
 	golden(t, "operator-calls.txt", text.String())
 }
 
 // await waits until something is so, looked at whenever records change and often
 // between.
-func await(t *testing.T, c *Daemon, so func() bool) {
+func await(t *testing.T, d *Daemon, so func() bool) {
 	t.Helper()
 	limit, often := time.After(20*time.Second), time.NewTicker(10*time.Millisecond)
 	defer often.Stop()
 	for !so() {
 		select {
 		case <-limit:
-			t.Fatal("not in time: " + c.whyNotReady())
-		case <-c.Changed():
+			t.Fatal("not in time: " + d.whyNotReady())
+		case <-d.Changed():
 		case <-often.C:
 		}
 	}
@@ -273,12 +276,23 @@
 
 // The switches that tests use keep their paths and answers.
 func TestSwitchesKeepTheirAnswers(t *testing.T) {
-	c := alone(t, func(cfg *Config) { steady(cfg); cfg.TestSwitches = true })
+	d := openAlone(t, func(cfg *Config) { withLongLeases(cfg); cfg.TestSwitches = true })
 	var text strings.Builder
-	for _, call := range [][2]string{{"cut", `["10.0.0.1:1"]`}, {"cut", "x"}, {"deaf", "[]"}, {"slow?for=300ms", ""}, {"slow", ""}, {"stall?for=1s", ""}, {"leap?by=30s", ""}, {"leap", ""}, {"full?on=1", ""}} {
+	for _, call := range []struct{ path, body string }{
+		{"/test/cut", `["10.0.0.1:1"]`},
+		{"/test/cut", "x"},
+		{"/test/deaf", "[]"},
+		{"/test/slow?for=300ms", ""},
+		{"/test/slow", ""},
+		{"/test/stall?for=1s", ""},
+		{"/test/leap?by=30s", ""},
+		{"/test/leap", ""},
+		{"/test/full?on=1", ""},
+	} {
 		w := httptest.NewRecorder()
-		c.Mux.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), "POST", "/test/"+call[0], strings.NewReader(call[1])))
-		fmt.Fprintf(&text, "POST /test/%s %s\n%d %s", call[0], call[1], w.Code, w.Body)
+		r := httptest.NewRequestWithContext(t.Context(), "POST", call.path, strings.NewReader(call.body))
+		d.Mux.ServeHTTP(w, r)
+		fmt.Fprintf(&text, "POST %s %s\n%d %s", call.path, call.body, w.Code, w.Body)
 	}
 	golden(t, "switches.txt", text.String())
 }
@@ -311,7 +325,7 @@
 		})
 	}
 	slices.Sort(paths)
-	c := alone(t, func(cfg *Config) { cfg.DataFolder, cfg.TestSwitches = t.TempDir(), true })
+	d := openAlone(t, func(cfg *Config) { cfg.DataFolder, cfg.TestSwitches = t.TempDir(), true })
 	for _, path := range paths {
 		method, place, _ := strings.Cut(path, " ")
 		place = strings.NewReplacer("{", "", "}", "").Replace(place)
@@ -319,7 +333,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, pattern := c.Mux.Handler(r); pattern != path {
+		if _, pattern := d.Mux.Handler(r); pattern != path {
 			t.Errorf("%s is served by %q", path, pattern)
 		}
 	}
@@ -328,8 +342,8 @@
 
 // The figures of the control plane keep their names.
 func TestMetricsKeepTheirNames(t *testing.T) {
-	c := alone(t, func(*Config) {})
-	names := c.Metrics.ListMetricNames()
+	d := openAlone(t, func(*Config) {})
+	names := d.Metrics.ListMetricNames()
 	slices.Sort(names)
 	golden(t, "metrics.txt", strings.Join(names, "\n")+"\n")
 }
@@ -366,10 +380,12 @@
 	show("file", "-config", "testdata/settings.json")
 	show("faults of a file", "-config", "testdata/faulty.json")
 	show("no file", "-config", "testdata/nowhere.json")
-	show("flags", "-fleet", "f1", "-wire", "10.0.0.1:1", "-web", "10.0.0.1:2", "-zone", "z1", "-seeds", "10.0.0.3:3,10.0.0.4:4", "-data", "d1", "-partitions", "5",
-		"-drift", "0.06", "-losses", "3", "-first=false", "-admit", "7.5", "-queue", "88", "-test-switches")
+	show("flags", "-fleet", "f1", "-wire", "10.0.0.1:1", "-web", "10.0.0.1:2", "-zone", "z1",
+		"-seeds", "10.0.0.3:3,10.0.0.4:4", "-data", "d1", "-partitions", "5", "-drift", "0.06",
+		"-losses", "3", "-first=false", "-admit", "7.5", "-queue", "88", "-test-switches")
 	show("over the file", "-config", "testdata/settings.json", "-zone", "z1", "-queue", "88")
-	show("faults", "-fleet", "a b", "-wire", "0.0.0.0:1", "-web", "x", "-zone", "", "-seeds", "x,x", "-partitions", "65", "-drift", "0.3", "-losses", "5", "-admit", "101", "-queue", "0", "stray")
+	show("faults", "-fleet", "a b", "-wire", "0.0.0.0:1", "-web", "x", "-zone", "", "-seeds", "x,x",
+		"-partitions", "65", "-drift", "0.3", "-losses", "5", "-admit", "101", "-queue", "0", "stray")
 	for _, set := range []func(*Config){
 		func(c *Config) { c.Bounds.Plan = 0 },
 		func(c *Config) { c.Bounds.Leave = 0 },
--- a/control/daemon/invariants.go
+++ b/control/daemon/invariants.go
@@ -7,8 +7,10 @@
 
 // Conditions of a process that must hold at all times.
 var (
-	fenceRises   = invariant.New("order_fence_went_back", "orders for a partition's servers never bear a lower fence than before")
-	savesInOrder = invariant.New("saves_out_of_order", "a partition's saves are told as done in the order in which they were asked for")
+	fenceRises = invariant.New("order_fence_went_back",
+		"orders for a partition's servers never bear a lower fence than before")
+	savesInOrder = invariant.New("saves_out_of_order",
+		"a partition's saves are told as done in the order in which they were asked for")
 )
 
 // LogViolations has violated invariants of this process logged, until restore is
--- a/control/daemon/invariants_test.go
+++ b/control/daemon/invariants_test.go
@@ -9,12 +9,12 @@
 	"mulleinmast/control/placement"
 )
 
-// An order with a lower fence than one before is counted and held back.
-func TestALowerFenceIsHeldBack(t *testing.T) {
+// An order with a lower fence than one before is counted and refused.
+func TestLowerFenceIsRefused(t *testing.T) {
 	s := &shard{}
 	for _, fence := range []uint64{7, 7, 9} {
 		if !s.checkFence(placement.Order{Term: fence}) {
-			t.Errorf("fence %d is held back", fence)
+			t.Errorf("fence %d is refused", fence)
 		}
 	}
 	before := fenceRises.Count()
@@ -24,7 +24,7 @@
 	fenceRises.Discount(1)
 }
 
-// A save that is told as done after a later one is counted.
+// A save that is reported as done after a later one is counted.
 func TestSavesOutOfOrderAreCounted(t *testing.T) {
 	s := &shard{}
 	for _, save := range []uint64{1, 2, 5} {
@@ -37,15 +37,15 @@
 	savesInOrder.Discount(1)
 }
 
-// A violation is told in the daemon's log, beside its count.
-func TestViolationsAreTold(t *testing.T) {
+// A violation stands in the daemon's log, beside its count.
+func TestViolationsAreLogged(t *testing.T) {
 	events := eventlog.New(8, io.Discard)
 	defer LogViolations(events)()
-	check := invariant.New("test_told", "nothing is odd")
+	check := invariant.New("test_logged", "nothing is odd")
 	check.Hold(false, "%d is odd", 3)
 	check.Discount(1)
 	lines := events.Since(0)
-	if len(lines) != 1 || lines[0].Kind != "trouble invariant" || lines[0].Text != "3 is odd check=test_told" {
-		t.Errorf("told: %+v", lines)
+	if len(lines) != 1 || lines[0].Kind != "trouble invariant" || lines[0].Text != "3 is odd check=test_logged" {
+		t.Errorf("logged: %+v", lines)
 	}
 }
--- a/control/daemon/membership.go
+++ b/control/daemon/membership.go
@@ -37,7 +37,9 @@
 }
 
 // tick lets time pass in the table and shows what it knows then.
-func (t *memberTable) tick(now func() time.Duration, self message.Member, leaderships []message.Leadership) membership.Out {
+func (t *memberTable) tick(
+	now func() time.Duration, self message.Member, leaderships []message.Leadership,
+) membership.Out {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := t.table.Tick(now(), self, leaderships)
--- a/control/daemon/open.go
+++ b/control/daemon/open.go
@@ -107,7 +107,8 @@
 		d.Events.Info("disk", "the state was damaged: it is set aside and this daemon starts empty", moved...)
 	}
 	if store.CorruptRecords > 0 {
-		d.Events.Info("disk", "damaged records count as missing; the other replicas have them", "records", store.CorruptRecords)
+		d.Events.Info("disk", "damaged records count as missing; the other replicas have them",
+			"records", store.CorruptRecords)
 	}
 	if len(store.IncompletePartitions) > 0 {
 		d.Events.Info("disk", "partitions are not what was written: they have no vote until the other replicas "+
--- a/control/daemon/open_test.go
+++ b/control/daemon/open_test.go
@@ -1,7 +1,10 @@
 package daemon
 
 import (
+	"context"
 	"io"
+	"net"
+	"sync"
 	"testing"
 	"time"
 
@@ -9,37 +12,84 @@
 	"mulleinmast/wire/message"
 )
 
-// alone opens a daemon with one partition and no disk that has met nobody; more
-// changes its config first.
-func alone(t *testing.T, more func(*Config)) *Daemon {
+// openAlone opens a daemon with one partition and no disk that has met nobody;
+// change alters its config first.
+func openAlone(t *testing.T, change func(*Config)) *Daemon {
 	t.Helper()
 	cfg := Default()
 	cfg.WireAddr, cfg.HTTPAddr, cfg.Partitions = "127.0.0.1:0", "127.0.0.1:0", 1
-	more(&cfg)
-	c, err := Open(cfg, eventlog.New(64, io.Discard))
+	change(&cfg)
+	d, err := Open(cfg, eventlog.New(256, io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(c.close)
-	return c
+	t.Cleanup(d.close)
+	return d
 }
 
-// steady gives leases of minutes: a pause of this machine is nothing then.
-func steady(cfg *Config) {
+// withLongLeases gives leases of minutes: a pause of this machine is nothing then.
+func withLongLeases(cfg *Config) {
 	cfg.Bounds.Plan = 200 * time.Second
 }
 
-// leased has a daemon's partition adopt a parent and hold its volume lease; what
-// the parent says goes in by the function that it gives.
-func leased(c *Daemon) (hear func(message.Message) []message.Envelope) {
-	node, no := c.shards[0].node(), uint64(0)
-	hear = func(n message.Message) []message.Envelope {
-		no++
-		n.From, n.Addr, n.VolumeEpoch, n.RequestID, n.Term = "p", "p", message.VolumeEpoch{Ident: "p", Epoch: 1}, no, c.epoch
-		return node.Step(c.Now(), n).Sends
+// singleDaemonConfig is that of a fleet of one control daemon.
+func singleDaemonConfig(t *testing.T) Config {
+	t.Helper()
+	cfg := Default()
+	cfg.WireAddr, cfg.HTTPAddr, cfg.DataFolder = freeAddr(t), freeAddr(t), t.TempDir()
+	cfg.Partitions, cfg.Losses = 1, 0
+	cfg.Seeds = []string{cfg.WireAddr}
+	return cfg
+}
+
+// grantVolumeLease has a daemon's partition adopt a parent and get a volume lease of
+// it; fromParent hands it messages of the parent.
+func grantVolumeLease(d *Daemon) (fromParent func(message.Message) []message.Envelope) {
+	node, number := d.shards[0].node(), uint64(0)
+	parent := message.Replica{Ident: "p", Addr: "p"}
+	fromParent = func(m message.Message) []message.Envelope {
+		number++
+		m.From, m.Addr, m.VolumeEpoch = parent.Ident, parent.Addr, message.VolumeEpoch{Ident: parent.Ident, Epoch: 1}
+		m.RequestID, m.Term = number, d.epoch
+		return node.Step(d.Now(), m).Sends
+	}
+	node.SetParent(d.Now(), parent)
+	list := fromParent(message.Message{Kind: message.KindReconnect})[0].Message
+	fromParent(message.Message{
+		Kind:        message.KindReconciled,
+		ResponseTo:  list.RequestID,
+		Length:      int64(d.Cfg.VolumeLease()),
+		ObjectLease: int64(time.Hour),
+	})
+	return fromParent
+}
+
+// running is a daemon with its loops.
+type running struct {
+	*Daemon
+	stop func()
+}
+
+func runDaemon(t *testing.T, cfg Config) running {
+	t.Helper()
+	d, err := Open(cfg, eventlog.New(64, io.Discard))
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(t.Context())
+	var wait sync.WaitGroup
+	wait.Go(func() { _ = d.Run(ctx) })
+	stop := sync.OnceFunc(func() { cancel(); wait.Wait() })
+	t.Cleanup(stop)
+	return running{d, stop}
+}
+
+func freeAddr(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
 	}
-	node.SetParent(c.Now(), message.Replica{Ident: "p", Addr: "p"})
-	list := hear(message.Message{Kind: message.KindReconnect})[0].Message
-	hear(message.Message{Kind: message.KindReconciled, ResponseTo: list.RequestID, Length: int64(c.Cfg.VolumeLease()), ObjectLease: int64(time.Hour)})
-	return hear
+	defer func() { _ = listener.Close() }()
+	return listener.Addr().String()
 }
--- a/control/daemon/operator.go
+++ b/control/daemon/operator.go
@@ -18,8 +18,8 @@
 // maxBody bounds the body of an operator's call, in bytes.
 const maxBody = 16 << 20
 
-// notReadyRetryMs is when those who find the daemon not ready should ask again.
-const notReadyRetryMs = 1000
+// notReadyRetryMillis is when those who find the daemon not ready should ask again.
+const notReadyRetryMillis = 1000
 
 // Operations that a partition's leader carries out.
 const (
@@ -62,7 +62,11 @@
 
 func (d *Daemon) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if !d.isReady() {
-		Respond(w, http.StatusServiceUnavailable, leadercall.Response{Result: "not ready", Reason: d.whyNotReady(), RetryAfterMillis: notReadyRetryMs})
+		Respond(w, http.StatusServiceUnavailable, leadercall.Response{
+			Result:           "not ready",
+			Reason:           d.whyNotReady(),
+			RetryAfterMillis: notReadyRetryMillis,
+		})
 		return
 	}
 	id, version, _ := d.Plan()
@@ -98,7 +102,8 @@
 func (d *Daemon) handleZone(w http.ResponseWriter, r *http.Request) {
 	op, zone := r.PathValue("op"), r.PathValue("zone")
 	if op != opEvacuate && op != opReturn || !fleetconfig.IsValidName(zone) {
-		respondFaults(w, http.StatusNotFound, fmt.Sprintf("zone %q, op %q: expected a zone's name and evacuate or return", zone, op))
+		respondFaults(w, http.StatusNotFound,
+			fmt.Sprintf("zone %q, op %q: expected a zone's name and evacuate or return", zone, op))
 		return
 	}
 	if !d.hasDaemonIn(zone) { // carried out all the same: it may have servers and no daemon
@@ -195,7 +200,8 @@
 func (d *Daemon) handleBackup(w http.ResponseWriter, r *http.Request) {
 	path := r.URL.Query().Get("to")
 	if !filepath.IsAbs(path) {
-		respondFaults(w, http.StatusBadRequest, fmt.Sprintf("to: %q: expected the full path of a file that isn't there yet", path))
+		respondFaults(w, http.StatusBadRequest,
+			fmt.Sprintf("to: %q: expected the full path of a file that isn't there yet", path))
 		return
 	}
 	if err := d.store.Backup(path); err != nil {
--- a/control/daemon/reconcile.go
+++ b/control/daemon/reconcile.go
@@ -23,7 +23,7 @@
 // OrderSender gives a server an order. allowed is asked just before the first byte
 // goes out. An error means that the server may or may not have taken the order.
 type OrderSender interface {
-	Order(ctx context.Context, o placement.Order, holder string, allowed func() bool) error
+	Order(ctx context.Context, o placement.Order, ident string, allowed func() bool) error
 }
 
 // noDriver stands for the calls to model servers while no driver is set.
--- a/control/daemon/records_test.go
+++ b/control/daemon/records_test.go
@@ -9,55 +9,63 @@
 	"mulleinmast/wire/message"
 )
 
-// A daemon that can't reach a leader routes, and is ready, by what it held when
-// its leases lapsed: not before a renewal was asked for in vain, not as soon as
-// it wakes from a standstill, and never once Overrun has passed; what is read
-// and told elsewhere needs leases all the while.
-func TestNothingIsServedAfterTheOverrun(t *testing.T) {
-	c := alone(t, func(cfg *Config) {
-		steady(cfg)
+// A daemon that can't reach a leader routes, and is ready, by the records that it
+// had when its leases lapsed: not before a renewal was asked for in vain, not as
+// soon as it wakes from a suspend, and never once MaxStaleness has passed; what is
+// read under leases needs them all the while.
+func TestStaleReadsEndWithMaxStaleness(t *testing.T) {
+	d := openAlone(t, func(cfg *Config) {
+		withLongLeases(cfg)
 		cfg.Bounds.Recover = 1200 * time.Second
 	})
-	cfg, node, hear := c.Cfg, c.shards[0].node(), leased(c)
-	beat := cfg.LeaseConfig().RenewInterval
-	hear(message.Message{Kind: message.KindGrantLease, Records: []message.Record{{Key: fleetconfig.PlanKey, Value: []byte("{}")}, {Key: fleetconfig.ZoneKey, Value: []byte("[]")}}, ObjectLease: int64(time.Hour)})
+	node, fromParent := d.shards[0].node(), grantVolumeLease(d)
+	maxStaleness, interval := d.Cfg.MaxStaleness(), d.Cfg.LeaseConfig().RenewInterval
+	fromParent(message.Message{
+		Kind: message.KindGrantLease,
+		Records: []message.Record{
+			{Key: fleetconfig.PlanKey, Value: []byte("{}")},
+			{Key: fleetconfig.ZoneKey, Value: []byte("[]")},
+		},
+		ObjectLease: int64(time.Hour),
+	})
 
 	tick := func() {
-		c.step(c.shards[0], func(m *leader.Controller, now time.Duration) leader.Out { return m.Tick(now) })
+		d.step(d.shards[0], func(c *leader.Controller, now time.Duration) leader.Out { return c.Tick(now) })
 	}
-	pass := func(d time.Duration) { // awake, with no answer to what is asked
-		for end := c.Now() + d; c.Now() < end; tick() {
-			c.clock.Advance(min(beat/16, max(1, end-c.Now())))
+	pass := func(length time.Duration) { // awake, with no answer to what is asked
+		for end := d.Now() + length; d.Now() < end; tick() {
+			d.clock.Advance(min(interval/16, max(1, end-d.Now())))
 		}
 	}
-	check := func(what string, leased, served bool) {
+	check := func(moment string, leased, served bool) {
 		t.Helper()
-		_, read := c.Read(0, fleetconfig.PlanKey)
-		_, last := c.ReadAllowingStale(0, fleetconfig.PlanKey)
-		if read != leased || last != served || c.canServe() != served || (c.Now() < c.StaleUntil(0)) != served {
-			t.Errorf("%s: read under leases %v, routed by %v, ready %v, until %v at %v", what, read, last, c.canServe(), c.StaleUntil(0), c.Now())
+		_, read := d.Read(0, fleetconfig.PlanKey)
+		_, stale := d.ReadAllowingStale(0, fleetconfig.PlanKey)
+		if read != leased || stale != served || d.canServe() != served || (d.Now() < d.StaleUntil(0)) != served {
+			t.Errorf("%s: read under leases %v, routed by %v, ready %v, until %v at %v",
+				moment, read, stale, d.canServe(), d.StaleUntil(0), d.Now())
 		}
-		if _, ok := c.ReadAllowingStale(0, fleetconfig.ReplicaKey); ok {
-			t.Errorf("%s: what was never held is routed by", what)
+		if _, ok := d.ReadAllowingStale(0, fleetconfig.ReplicaKey); ok {
+			t.Errorf("%s: a record that was never here is routed by", moment)
 		}
 	}
 	tick()
 	check("under leases", true, true)
-	c.clock.Advance(cfg.VolumeLease())
+	d.clock.Advance(d.Cfg.VolumeLease())
 	check("suspended while the leases lapsed", false, false)
 	tick()
 	check("awake", false, false)
-	pass(beat)
+	pass(interval)
 	check("asked in vain", false, true)
-	c.clock.Advance(2 * beat)
+	d.clock.Advance(2 * interval)
 	check("suspended once more", false, false)
-	pass(beat)
+	pass(interval)
 	check("asked in vain again", false, true)
-	lapsed, _ := node.Lapsed(c.Now())
-	pass(lapsed + cfg.MaxStaleness() - c.Now() - beat/4)
-	check("just before the overrun", false, true)
-	pass(lapsed + cfg.MaxStaleness() - c.Now())
-	check("after the overrun", false, false)
-	pass(10 * cfg.MaxStaleness())
-	check("long after the overrun", false, false)
+	lapsed, _ := node.Lapsed(d.Now())
+	pass(lapsed + maxStaleness - d.Now() - interval/4)
+	check("just before the limit", false, true)
+	pass(lapsed + maxStaleness - d.Now())
+	check("after the limit", false, false)
+	pass(10 * maxStaleness)
+	check("long after the limit", false, false)
 }
--- a/control/daemon/response.go
+++ b/control/daemon/response.go
@@ -17,6 +17,7 @@
 	resultNotDone    = "not done"
 	resultBadRequest = "broken"
 	resultUnknown    = "not known"
+	resultUncertain  = "uncertain"
 )
 
 // Respond writes a JSON answer: a value, or bytes that are JSON already. One that the
--- a/control/daemon/superseded.go
+++ b/control/daemon/superseded.go
@@ -36,7 +36,7 @@
 	d.supersession.once.Do(func() {
 		d.supersession.reason.Store(&reason)
 		d.readiness.ready.Store(false)
-		d.Events.Warn("disk", "the state here is superseded and has no vote; this daemon ends, and starts empty the next time",
+		d.Events.Warn("disk", "the state here is superseded and has no vote; this daemon ends, and starts empty next time",
 			"partition", partition, "reason", reason, "folder", d.Cfg.DataFolder)
 		go d.supersedeAll(reason)
 	})
--- a/control/daemon/unreadable_test.go
+++ b/control/daemon/unreadable_test.go
@@ -1,15 +1,11 @@
 package daemon
 
 import (
-	"context"
-	"io"
-	"net"
+	"net/http"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
-	"mulleinmast/control/eventlog"
 	"mulleinmast/control/fleetconfig"
 	"mulleinmast/control/leadercall"
 	"mulleinmast/control/quorum"
@@ -17,137 +13,128 @@
 	"mulleinmast/wire/message"
 )
 
+const planOfAnotherBuild = "m\xffof another build"
+
 // A record that this build can't read is served to nobody here, whatever the
-// leases say, and the daemon goes on: it isn't ready, tells why, and is again
-// once a record comes that can be read.
-func TestARecordThatCanNotBeReadIsServedToNobody(t *testing.T) {
-	good := map[string]string{fleetconfig.PlanKey: "{}", fleetconfig.ZoneKey: `["north"]`}
-	for key, val := range map[string]string{fleetconfig.PlanKey: "m\xffof another build", fleetconfig.ZoneKey: `{"zones":["north"]}`} {
-		t.Run(key, func(t *testing.T) {
-			c := alone(t, steady)
-			hear := leased(c)
-			grant := func(seq uint64, vals map[string]string) {
-				var recs []message.Record
-				for k, v := range vals {
-					hear(message.Message{Kind: message.KindInvalidate, Key: k})
-					recs = append(recs, message.Record{Key: k, Value: []byte(v), Version: message.Version{Term: 1, Seq: seq}})
+// leases say, and the daemon goes on: it isn't ready, says why, and is again once
+// a record comes that can be read.
+func TestUnreadableRecordIsNotServed(t *testing.T) {
+	readable := map[string]string{fleetconfig.PlanKey: "{}", fleetconfig.ZoneKey: `["north"]`}
+	for _, c := range []struct{ name, key, value string }{
+		{"plan", fleetconfig.PlanKey, planOfAnotherBuild},
+		{"zones", fleetconfig.ZoneKey, `{"zones":["north"]}`},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			d := openAlone(t, withLongLeases)
+			fromParent := grantVolumeLease(d)
+			grant := func(seq uint64, values map[string]string) {
+				var records []message.Record
+				version := message.Version{Term: 1, Seq: seq}
+				for key, value := range values {
+					fromParent(message.Message{Kind: message.KindInvalidate, Key: key})
+					records = append(records, message.Record{Key: key, Value: []byte(value), Version: version})
 				}
-				hear(message.Message{Kind: message.KindGrantLease, Records: recs, ObjectLease: int64(time.Hour)})
+				fromParent(message.Message{Kind: message.KindGrantLease, Records: records, ObjectLease: int64(time.Hour)})
 			}
-			grant(1, good)
-			if !c.canServe() {
+			grant(1, readable)
+			if !d.canServe() {
 				t.Fatal("not ready by records in order")
 			}
-			if fault := ended(func() {
-				grant(2, map[string]string{key: val})
-				_, read := c.Read(0, key)
-				_, last := c.ReadAllowingStale(0, key)
-				if read || last || c.canServe() {
-					t.Errorf("read %v, routed by %v, ready %v", read, last, c.canServe())
+			if fault := recovered(func() {
+				grant(2, map[string]string{c.key: c.value})
+				_, read := d.Read(0, c.key)
+				_, stale := d.ReadAllowingStale(0, c.key)
+				if read || stale || d.canServe() {
+					t.Errorf("read %v, routed by %v, ready %v", read, stale, d.canServe())
 				}
-				if unreadable(c) != 1 {
-					t.Errorf("%d records can't be read", unreadable(c))
+				if unreadable(d) != 1 {
+					t.Errorf("%d records can't be read", unreadable(d))
 				}
-				if _, _, ok := c.Plan(); ok != (key != fleetconfig.PlanKey) {
+				if _, _, ok := d.Plan(); ok != (c.key != fleetconfig.PlanKey) {
 					t.Errorf("a plan is in force: %v", ok)
 				}
 			}); fault != nil {
 				t.Fatalf("ended by %v", fault)
 			}
-			grant(3, good)
-			if !c.canServe() || unreadable(c) != 0 {
-				t.Errorf("ready %v, %d records can't be read", c.canServe(), unreadable(c))
+			grant(3, readable)
+			if !d.canServe() || unreadable(d) != 0 {
+				t.Errorf("ready %v, %d records can't be read", d.canServe(), unreadable(d))
 			}
 		})
 	}
 }
 
-// ended is what stopped f, nil if nothing did.
-func ended(f func()) (fault any) {
+// recovered is the panic that stopped f; nil: none did.
+func recovered(f func()) (fault any) {
 	defer func() { fault = recover() }()
 	f()
 	return nil
 }
 
-// A folder that holds such a record, with its checksum in order, ends no daemon:
-// it leads, what doesn't need the record is done, what does is told that its end
-// isn't clear, and the daemon says why it isn't ready.
-func TestAFolderWithARecordThatCanNotBeRead(t *testing.T) {
-	cfg := Default()
-	cfg.WireAddr, cfg.HTTPAddr, cfg.Partitions, cfg.DataFolder, cfg.Losses = freeAddress(t), freeAddress(t), 1, t.TempDir(), 0
-	cfg.Seeds = []string{cfg.WireAddr}
+// unreadable counts the records that a daemon can't read.
+func unreadable(d *Daemon) int {
+	n, _ := d.unreadableRecords()
+	return n
+}
+
+// A folder with such a record, its checksum in order, ends no daemon: it leads,
+// what doesn't need the record is done, what does is answered that it isn't done,
+// and the daemon says why it isn't ready.
+func TestDaemonRunsWithUnreadableRecordOnDisk(t *testing.T) {
+	cfg := singleDaemonConfig(t)
 	first := runDaemon(t, cfg)
-	change := leadercall.Pack(fleetconfig.Plan{ID: "first", Tenants: []fleetconfig.Tenant{}, Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}})
-	if code, answer := first.Call(t.Context(), 0, "plan", change, 20*time.Second); code != 200 {
-		t.Fatalf("the first plan: %d %s", code, answer)
+	if status, answer := first.Call(t.Context(), 0, opPlan, firstPlan(), 20*time.Second); status != http.StatusOK {
+		t.Fatalf("the first plan: %d %s", status, answer)
 	}
 	first.stop()
-	spoilPlan(t, cfg)
+	overwritePlan(t, cfg, planOfAnotherBuild)
 
-	again := runDaemon(t, cfg)
-	if code, answer := again.Call(t.Context(), 0, "evacuate", []byte("north"), 20*time.Second); code != 200 {
-		t.Errorf("an evacuation: %d %s", code, answer)
-	}
-	next := leadercall.Pack(fleetconfig.Changes{ID: "next", Base: 1, Changes: []fleetconfig.Change{{Op: "drop-tenant", Name: "x"}}})
-	if code, answer := again.Call(t.Context(), 0, "changes", next, 5*time.Second); code != leadercall.StatusNotDone || !strings.Contains(string(answer), "can't be read") {
-		t.Errorf("a change: %d %s", code, answer)
+	second := runDaemon(t, cfg)
+	if status, answer := second.Call(t.Context(), 0, opEvacuate, []byte("north"), 20*time.Second); status != 200 {
+		t.Errorf("an evacuation: %d %s", status, answer)
 	}
-	if _, ok := again.Read(0, fleetconfig.PlanKey); ok || again.Ready() || unreadable(again.Daemon) != 1 || !strings.Contains(again.whyNotReady(), "can't be read") {
-		t.Errorf("read %v, ready %v, %d records can't be read: %s", ok, again.Ready(), unreadable(again.Daemon), again.whyNotReady())
+	changes := leadercall.Pack(fleetconfig.Changes{
+		ID:      "next",
+		Base:    1,
+		Changes: []fleetconfig.Change{{Op: "drop-tenant", Name: "x"}},
+	})
+	status, answer := second.Call(t.Context(), 0, opChanges, changes, 5*time.Second)
+	if status != leadercall.StatusNotDone || !strings.Contains(string(answer), "can't be read") {
+		t.Errorf("a change: %d %s", status, answer)
 	}
-}
-
-// spoilPlan puts a plan of an unknown shape in a folder, as another build might.
-func spoilPlan(t *testing.T, cfg Config) {
-	t.Helper()
-	a, err := storage.Open(cfg.DataFolder, cfg.Fleet)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer a.Close()
-	held := a.Partitions[0]
-	rec, ok := held.Records.Get(fleetconfig.PlanKey)
-	if !ok {
-		t.Fatal("no plan on disk")
+	reason := second.whyNotReady()
+	if _, ok := second.Read(0, fleetconfig.PlanKey); ok || second.Ready() {
+		t.Errorf("read %v, ready %v", ok, second.Ready())
 	}
-	rec.Value = []byte("m\xffof another build")
-	if err := a.Write([]quorum.Save{{Meta: held.Meta, Records: []message.Record{rec}}}); err != nil {
-		t.Fatal(err)
+	if unreadable(second.Daemon) != 1 || !strings.Contains(reason, "can't be read") {
+		t.Errorf("%d records can't be read: %s", unreadable(second.Daemon), reason)
 	}
 }
 
-// running is a daemon with its loops.
-type running struct {
-	*Daemon
-	stop func()
+// firstPlan is a plan of one service, packed.
+func firstPlan() []byte {
+	return leadercall.Pack(fleetconfig.Plan{
+		ID:       "first",
+		Tenants:  []fleetconfig.Tenant{},
+		Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}},
+	})
 }
 
-func runDaemon(t *testing.T, cfg Config) running {
+// overwritePlan puts another value in the plan's record on disk.
+func overwritePlan(t *testing.T, cfg Config, value string) {
 	t.Helper()
-	c, err := Open(cfg, eventlog.New(64, io.Discard))
+	store, err := storage.Open(cfg.DataFolder, cfg.Fleet)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithCancel(t.Context())
-	var wait sync.WaitGroup
-	wait.Go(func() { _ = c.Run(ctx) })
-	stop := sync.OnceFunc(func() { cancel(); wait.Wait() })
-	t.Cleanup(stop)
-	return running{c, stop}
-}
-
-func freeAddress(t *testing.T) string {
-	t.Helper()
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
+	defer store.Close()
+	state := store.Partitions[0]
+	rec, ok := state.Records.Get(fleetconfig.PlanKey)
+	if !ok {
+		t.Fatal("no plan on disk")
+	}
+	rec.Value = []byte(value)
+	if err := store.Write([]quorum.Save{{Meta: state.Meta, Records: []message.Record{rec}}}); err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = l.Close() }()
-	return l.Addr().String()
-}
-
-// unreadable counts the records that a daemon can't read.
-func unreadable(d *Daemon) int {
-	n, _ := d.unreadableRecords()
-	return n
 }
