--- a/control/membership/membership_test.go
+++ b/control/membership/membership_test.go
@@ -118,65 +118,23 @@
 	}
 }
 
-// newLeader is the first of the control daemons that are not cut off.
-func newLeader(core []string, cut string) string {
-	if core[0] == cut {
-		return core[1]
-	}
-	return core[0]
-}
-
 // A control daemon that hears of half or fewer of the others may not know the
 // leaders: its members leave it for one that does.
 func TestAMemberLeavesAnIsolatedControlDaemon(t *testing.T) {
 	cfg := Config{SessionTimeout: time.Second, HeartbeatInterval: 100 * time.Millisecond, MinRelayZone: 3}
-	seeds := []string{"10.0.0.1:1", "10.0.1.1:1", "10.0.2.1:1"}
-	var all []*Table
-	for i, a := range append(seeds, "10.0.0.2:1") {
-		me := message.Member{Ident: a, Addr: a, Zone: "c", Epoch: 1, HasDisk: i < 3}
-		all = append(all, New(cfg, me, seeds))
-	}
-	member, home, cut := all[3], "", ""
-	at := map[string]*Table{}
-	for i, r := range all {
-		at[append(seeds, "10.0.0.2:1")[i]] = r
-	}
-	run := func(from, to time.Duration) {
-		for now := from; now < to; now += 10 * time.Millisecond {
-			for i, r := range all {
-				me := r.self
-				me.HasDisk = i < 3
-				var owns []message.Leadership
-				if cut != "" && me.Addr == newLeader(seeds, cut) {
-					owns = []message.Leadership{{Partition: 0, Term: 2, Leader: message.Replica{Ident: me.Addr, Addr: me.Addr}}}
-				}
-				queue := r.Tick(now, me, owns).Sends
-				for len(queue) > 0 {
-					m := queue[0]
-					queue = queue[1:]
-					to, from := at[m.Addr], me.Addr
-					if m.Message.From != "" {
-						from = m.Message.From
-					}
-					if to == nil || m.Addr == from || to.self.HasDisk && at[from].self.HasDisk && (m.Addr == cut || from == cut) {
-						continue
-					}
-					m.Message.From, m.Message.Addr = from, from
-					for _, back := range to.Step(now, m.Message).Sends {
-						back.Message.From = m.Addr
-						queue = append(queue, back)
-					}
-				}
-			}
-		}
-	}
-	run(0, 2*time.Second)
-	if home = member.client.home; home == "" {
+	seeds := []string{addrOf(1), addrOf(2), addrOf(3)}
+	members := append(controlDaemons(3), message.Member{Ident: "m", Epoch: 1, Addr: addrOf(4)})
+	f := newSmallFleet(cfg, func(int) []string { return seeds }, members...)
+	f.run(2 * time.Second)
+	member := f.tables[addrOf(4)]
+	home := member.client.home
+	if home == "" {
 		t.Fatal("no session")
 	}
-	cut = home
-	run(2*time.Second, 6*time.Second)
-	if member.client.home == cut || member.leaderships[0].Term != 2 {
+	f.isCutOff[home] = true
+	f.lead(seeds[(slices.Index(seeds, home)+1)%len(seeds)], 2)
+	f.run(4 * time.Second)
+	if member.client.home == home || member.leaderships[0].Term != 2 {
 		t.Errorf("still with %s, knows leader %+v", member.client.home, member.leaderships[0])
 	}
 }
