--- a/control/storage/batch_test.go
+++ b/control/storage/batch_test.go
@@ -53,7 +53,8 @@
 		}
 		a.Append(b)
 		saves := a.Saves()
-		if len(saves) != 1 || len(a.Tickets) != n || a.Tickets[n-1] != (Ticket{3, uint64(n)}) || saves[0].Meta.VotedTerm != uint64(n-1) || saves[0].Sum != uint64(n-1) {
+		if len(saves) != 1 || len(a.Tickets) != n || a.Tickets[n-1] != (Ticket{3, uint64(n)}) ||
+			saves[0].Meta.VotedTerm != uint64(n-1) || saves[0].Sum != uint64(n-1) {
 			t.Fatalf("%d saves, %v given", len(saves), a.Tickets)
 		}
 		apply(all, saves[0])
@@ -67,7 +68,10 @@
 func TestBatchIsBoundedByTheState(t *testing.T) {
 	var b Batch
 	for i := range 2000 {
-		b.Add(quorum.Save{Ticket: uint64(i + 1), Records: []message.Record{{Key: "plan/now", Version: message.Version{Term: 1, Seq: uint64(i)}, Value: make([]byte, 1000)}}})
+		r := message.Record{
+			Key: "plan/now", Version: message.Version{Term: 1, Seq: uint64(i)}, Value: make([]byte, 1000),
+		}
+		b.Add(quorum.Save{Ticket: uint64(i + 1), Records: []message.Record{r}})
 	}
 	if s := b.Saves(); len(s) != 1 || len(s[0].Records) != 1 || s[0].Records[0].Version.Seq != 1999 {
 		t.Errorf("%d saves, %d records", len(s), len(s[0].Records))
--- a/control/storage/golden_test.go
+++ b/control/storage/golden_test.go
@@ -45,10 +45,16 @@
 				Group: message.Group{
 					Number: 4, Replicas: goldenReplicas(goldenIdent + " b c"), Next: goldenReplicas(goldenIdent + " b d"),
 				},
-				State:   message.SavePoint{Epoch: incarnation.Number(1, 17), Saves: 12},
-				History: []message.SavePoint{{Epoch: incarnation.Number(1, 3), Saves: 2}, {Epoch: incarnation.Number(1, 4), Saves: 9}},
+				State: message.SavePoint{Epoch: incarnation.Number(1, 17), Saves: 12},
+				History: []message.SavePoint{
+					{Epoch: incarnation.Number(1, 3), Saves: 2},
+					{Epoch: incarnation.Number(1, 4), Saves: 9},
+				},
 				Peers: []message.PeerIncarnation{
-					{Ident: "b", Epoch: incarnation.Number(3, 21), State: message.SavePoint{Epoch: incarnation.Number(3, 21), Saves: 40}},
+					{
+						Ident: "b", Epoch: incarnation.Number(3, 21),
+						State: message.SavePoint{Epoch: incarnation.Number(3, 21), Saves: 40},
+					},
 					{Ident: "c", Epoch: incarnation.Number(9, 2)},
 				},
 			},
@@ -61,8 +67,11 @@
 		},
 		{
 			Partition: 2,
-			Meta:      quorum.Meta{VotedTerm: 2, VotedFor: "c", LastComplete: 1, Group: message.Group{Number: 1, Replicas: goldenReplicas("c " + goldenIdent)}, Incomplete: true},
-			Records:   []message.Record{{Key: "plan/now", Version: message.Version{Term: 1, Seq: 1}, Value: []byte("old")}},
+			Meta: quorum.Meta{
+				VotedTerm: 2, VotedFor: "c", LastComplete: 1, Incomplete: true,
+				Group: message.Group{Number: 1, Replicas: goldenReplicas("c " + goldenIdent)},
+			},
+			Records: []message.Record{{Key: "plan/now", Version: message.Version{Term: 1, Seq: 1}, Value: []byte("old")}},
 		},
 		{Partition: 5, Meta: quorum.Meta{Group: message.Group{Number: 1, Replicas: goldenReplicas(goldenIdent)}}},
 	}
@@ -134,8 +143,10 @@
 // expectGolden checks that an open folder holds what the folders of testdata do.
 func expectGolden(t *testing.T, store *Store, want []quorum.Save) {
 	t.Helper()
-	if store.Empty || store.QuarantinePath != "" || store.CorruptRecords != 0 || len(store.IncompletePartitions) > 0 || store.Ident != goldenIdent {
-		t.Fatalf("empty %v, moved %q, spoilt %d, short %v, identity %s", store.Empty, store.QuarantinePath, store.CorruptRecords, store.IncompletePartitions, store.Ident)
+	if store.Empty || store.QuarantinePath != "" || store.CorruptRecords != 0 ||
+		len(store.IncompletePartitions) > 0 || store.Ident != goldenIdent {
+		t.Fatalf("empty %v, set aside as %q, corrupt %d, incomplete %v, identity %s", store.Empty,
+			store.QuarantinePath, store.CorruptRecords, store.IncompletePartitions, store.Ident)
 	}
 	if len(store.Partitions) != len(want) {
 		t.Errorf("%d partitions instead of %d", len(store.Partitions), len(want))
@@ -153,8 +164,9 @@
 			t.Errorf("partition %d: other records", s.Partition)
 		}
 		for _, r := range s.Records {
-			if held, ok := got.Records.Get(r.Key); !ok || held.Version != r.Version || held.Deleted != r.Deleted || string(held.Value) != string(r.Value) {
-				t.Errorf("partition %d: %+v instead of %+v", s.Partition, held, r)
+			there, ok := got.Records.Get(r.Key)
+			if !ok || there.Version != r.Version || there.Deleted != r.Deleted || string(there.Value) != string(r.Value) {
+				t.Errorf("partition %d: %+v instead of %+v", s.Partition, there, r)
 			}
 		}
 	}
@@ -191,7 +203,8 @@
 	dir := goldenFolder(t, "superseded")
 	store := open(t, dir)
 	defer store.Close()
-	if !store.WasSuperseded || store.WasBackup || !store.Empty || store.Ident == goldenIdent || len(store.Partitions) > 0 || incarnation.Starts(store.Epoch) != 1 {
+	if !store.WasSuperseded || store.WasBackup || !store.Empty || store.Ident == goldenIdent ||
+		len(store.Partitions) > 0 || incarnation.Starts(store.Epoch) != 1 {
 		t.Errorf("%+v", store)
 	}
 	if !strings.HasPrefix(store.QuarantinePath, filepath.Join(dir, "state.db.superseded-")) {
@@ -209,7 +222,8 @@
 		dir := goldenFolder(t, "backup")
 		store := open(t, dir)
 		defer store.Close()
-		if !store.WasBackup || store.WasSuperseded || !store.Empty || store.Ident == goldenIdent || len(store.Partitions) > 0 {
+		if !store.WasBackup || store.WasSuperseded || !store.Empty || store.Ident == goldenIdent ||
+			len(store.Partitions) > 0 {
 			t.Errorf("%+v", store)
 		}
 		if !strings.HasPrefix(store.QuarantinePath, filepath.Join(dir, "state.db.back-up-")) {
@@ -250,7 +264,8 @@
 	for _, c := range []struct{ name, query, golden string }{
 		{"head", "select k||' '||v from meta order by k", "head.txt"},
 		{"replicas", "select part||' '||v from seat order by part", "replicas.txt"},
-		{"records", "select part||' '||key||' '||span||' '||term||' '||seq||' '||dead||' '||hex(val) from rec order by part, key", "records.txt"},
+		{"records", "select part||' '||key||' '||span||' '||term||' '||seq||' '||dead||' '||hex(val) " +
+			"from rec order by part, key", "records.txt"},
 		{"sums", "select part||' '||key||' '||term||' '||seq||' '||sum from sums order by part, key", "sums.txt"},
 		{"tables", "select sql from sqlite_schema where sql is not null order by name", "tables.txt"},
 	} {
--- a/control/storage/quarantine_test.go
+++ b/control/storage/quarantine_test.go
@@ -48,7 +48,12 @@
 func TestRestoredStateDisownsIncarnations(t *testing.T) {
 	dir := t.TempDir()
 	store := open(t, dir)
-	past := quorum.Meta{Group: message.Group{Number: 1}, State: message.SavePoint{Epoch: store.Epoch, Saves: 4}, Peers: []message.PeerIncarnation{{Ident: "b", Epoch: 9 << 32}}, History: []message.SavePoint{{Epoch: 1 << 32, Saves: 2}}}
+	past := quorum.Meta{
+		Group:   message.Group{Number: 1},
+		State:   message.SavePoint{Epoch: store.Epoch, Saves: 4},
+		Peers:   []message.PeerIncarnation{{Ident: "b", Epoch: 9 << 32}},
+		History: []message.SavePoint{{Epoch: 1 << 32, Saves: 2}},
+	}
 	if err := store.Write([]quorum.Save{{Partition: 1, Meta: past}}); err != nil {
 		t.Fatal(err)
 	}
@@ -74,7 +79,12 @@
 func TestCorruptIncarnationsAreDisowned(t *testing.T) {
 	dir := t.TempDir()
 	store := open(t, dir)
-	meta := quorum.Meta{VotedTerm: 4, Group: message.Group{Number: 1}, State: message.SavePoint{Epoch: store.Epoch, Saves: 4}, Peers: []message.PeerIncarnation{{Ident: "b", Epoch: 9 << 32}}}
+	meta := quorum.Meta{
+		VotedTerm: 4,
+		Group:     message.Group{Number: 1},
+		State:     message.SavePoint{Epoch: store.Epoch, Saves: 4},
+		Peers:     []message.PeerIncarnation{{Ident: "b", Epoch: 9 << 32}},
+	}
 	if err := store.Write([]quorum.Save{{Partition: 1, Meta: meta}}); err != nil {
 		t.Fatal(err)
 	}
@@ -89,7 +99,8 @@
 	store.Close()
 	store = open(t, dir)
 	defer store.Close()
-	if m := store.Partitions[1].Meta; m.State.Epoch != 0 || len(m.Peers) > 0 || m.VotedTerm != 4 || len(store.IncompletePartitions) > 0 {
-		t.Errorf("spoilt: %+v, short %v", m, store.IncompletePartitions)
+	m := store.Partitions[1].Meta
+	if m.State.Epoch != 0 || len(m.Peers) > 0 || m.VotedTerm != 4 || len(store.IncompletePartitions) > 0 {
+		t.Errorf("altered: %+v, incomplete %v", m, store.IncompletePartitions)
 	}
 }
