--- a/control/partition/writesfrom_test.go
+++ b/control/partition/writesfrom_test.go
@@ -24,6 +24,25 @@
 	return New(number, self, 2, replica, lease.New(leaseConfig, number, self, 2))
 }
 
+// expectReturn has the daemon lead again, which it must at once, with writes deferred;
+// it gives the time.
+func expectReturn(t *testing.T, p *Partition) (now time.Duration) {
+	t.Helper()
+	for ; !p.Leader(now); now += 10 * time.Millisecond {
+		syncSaves(p, now, p.Tick(now))
+	}
+	if now > 200*time.Millisecond {
+		t.Fatalf("leader after %v", now)
+	}
+	if wait := quorumConfig.Wait(quorumConfig.LeaderLease); p.WritesFrom() < wait {
+		t.Fatalf("writes from %v, though leases of the incarnation before may stand for %v", p.WritesFrom(), wait)
+	}
+	if r, ok := p.Node.Get(now, "k"); !ok || string(r.Value) != "old" {
+		t.Errorf("what is in force is not served: %q %v", r.Value, ok)
+	}
+	return now
+}
+
 // A daemon that led the partition, was killed and is back leads it again at once:
 // it serves and grants what was in force, and writes nothing, nor changes its
 // group, until leases that it had granted before have lapsed. Then what waited
@@ -31,20 +50,8 @@
 func TestReturningLeaderDefersWrites(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		p := returningLeader()
-		var now time.Duration
+		now := expectReturn(t, p)
 		sync := func(out Out) Out { return syncSaves(p, now, out) }
-		for ; !p.Leader(now); now += 10 * time.Millisecond {
-			sync(p.Tick(now))
-		}
-		if now > 200*time.Millisecond {
-			t.Fatalf("leader after %v", now)
-		}
-		if wait := quorumConfig.Wait(quorumConfig.LeaderLease); p.WritesFrom() < wait {
-			t.Fatalf("writes from %v, though leases of the incarnation before may stand for %v", p.WritesFrom(), wait)
-		}
-		if r, ok := p.Node.Get(now, "k"); !ok || string(r.Value) != "old" {
-			t.Errorf("what is in force is not served: %q %v", r.Value, ok)
-		}
 		granted := connectChild(p, now, sync, "k").Sends
 		if len(granted) != 1 || granted[0].Message.Length == 0 || len(granted[0].Message.Records) != 1 {
 			t.Errorf("a child is not granted leases: %+v", granted)
--- a/wire/message/json_test.go
+++ b/wire/message/json_test.go
@@ -10,10 +10,10 @@
 // answers to operators and in dumps. The literals of Go name no field, so that each
 // field must be there.
 func TestJSONIsThatOfEarlierBuilds(t *testing.T) {
-	ver := Version{7, 9}
+	version := Version{7, 9}
 	replica := Replica{"a", "10.0.0.1:7"}
 	const (
-		verJSON     = `{"Term":7,"Seq":9}`
+		versionJSON = `{"Term":7,"Seq":9}`
 		replicaJSON = `{"Ident":"a","Addr":"10.0.0.1:7"}`
 		savedJSON   = `{"Epoch":5,"Saves":6}`
 	)
@@ -22,7 +22,7 @@
 		value any
 		want  string
 	}{
-		{"version", ver, verJSON},
+		{"version", version, versionJSON},
 		{"replica", replica, replicaJSON},
 		{
 			"group",
@@ -31,19 +31,25 @@
 		},
 		{"group without a change", Group{3, []Replica{replica}, nil}, `{"Num":3,"Seats":[` + replicaJSON + `],"Next":null}`},
 		{"save point", SavePoint{5, 6}, savedJSON},
-		{"incarnation of a peer", PeerIncarnation{"b", 8, SavePoint{5, 6}}, `{"Ident":"b","Epoch":8,"State":` + savedJSON + `}`},
+		{
+			"incarnation of a peer",
+			PeerIncarnation{"b", 8, SavePoint{5, 6}},
+			`{"Ident":"b","Epoch":8,"State":` + savedJSON + `}`,
+		},
 		{"incarnation of a peer without a save point", PeerIncarnation{"b", 8, SavePoint{}}, `{"Ident":"b","Epoch":8}`},
 		{
 			"member",
 			Member{"a", 2, "10.0.0.1:7", "10.0.0.1:80", "z", true, true, true, "26498f9"},
-			`{"ident":"a","epoch":2,"addr":"10.0.0.1:7","web":"10.0.0.1:80","cell":"z","disk":true,"ready":true,"empty":true,"build":"26498f9"}`,
+			`{"ident":"a","epoch":2,"addr":"10.0.0.1:7","web":"10.0.0.1:80","cell":"z",` +
+				`"disk":true,"ready":true,"empty":true,"build":"26498f9"}`,
 		},
 		{"leadership", Leadership{3, 4, replica}, `{"part":3,"num":4,"seat":` + replicaJSON + `}`},
 		{"volume epoch", VolumeEpoch{"a", 2, 7}, `{"Ident":"a","Epoch":2,"Term":7}`},
 		{
 			"record",
-			Record{"k", ver, []byte("v"), true, true, []Patch{{ver, ver, []byte("p")}}},
-			`{"Key":"k","Ver":` + verJSON + `,"Val":"dg==","Dead":true,"Held":true,"Links":[{"From":` + verJSON + `,"To":` + verJSON + `,"Patch":"cA=="}]}`,
+			Record{"k", version, []byte("v"), true, true, []Patch{{version, version, []byte("p")}}},
+			`{"Key":"k","Ver":` + versionJSON + `,"Val":"dg==","Dead":true,"Held":true,` +
+				`"Links":[{"From":` + versionJSON + `,"To":` + versionJSON + `,"Patch":"cA=="}]}`,
 		},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -52,7 +58,8 @@
 				t.Errorf("is  %s, %v\nwas %s", got, err, c.want)
 			}
 			read := reflect.New(reflect.TypeOf(c.value))
-			if err := json.Unmarshal([]byte(c.want), read.Interface()); err != nil || !reflect.DeepEqual(read.Elem().Interface(), c.value) {
+			err = json.Unmarshal([]byte(c.want), read.Interface())
+			if err != nil || !reflect.DeepEqual(read.Elem().Interface(), c.value) {
 				t.Errorf("%s is read as %+v, %v", c.want, read.Elem().Interface(), err)
 			}
 		})
