--- a/doc_test.go
+++ b/doc_test.go
@@ -88,7 +88,7 @@
 // packages of this module must be declared in them.
 func TestExamplesNameWhatIsThere(t *testing.T) {
 	declared := map[string]map[string]bool{}
-	each(t, func(path string, _ []byte, file *ast.File) {
+	each(t, func(_ string, _ []byte, file *ast.File) {
 		names := declared[file.Name.Name]
 		if names == nil {
 			names = map[string]bool{}
--- a/proof/fakeserver/fakeserver.go
+++ b/proof/fakeserver/fakeserver.go
@@ -100,7 +100,7 @@
 	respond(w, code, map[string]string{"result": result, "why": why})
 }
 
-func (d *FakeServer) usage(w http.ResponseWriter, r *http.Request) {
+func (d *FakeServer) usage(w http.ResponseWriter, _ *http.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	links := map[string]int{}
--- a/proof/knownred/judge.go
+++ b/proof/knownred/judge.go
@@ -66,7 +66,7 @@
 }
 
 func (j *Judge) take(e event) {
-	fmt.Fprint(j.out, e.Output)
+	_, _ = fmt.Fprint(j.out, e.Output)
 	switch {
 	case e.Action == "build-fail":
 		j.broken = append(j.broken, e.ImportPath+" doesn't build")
@@ -103,9 +103,9 @@
 	for _, entry := range j.entries {
 		switch {
 		case j.failed[entry.Test]:
-			fmt.Fprintf(j.out, "KNOWN RED: %s: %s (%s)\n", entry.Test, entry.Cause, entry.Issue)
+			_, _ = fmt.Fprintf(j.out, "KNOWN RED: %s: %s (%s)\n", entry.Test, entry.Cause, entry.Issue)
 		case j.passed[entry.Test]:
-			fmt.Fprintf(j.out, "LISTED BUT PASSES: %s: take it off the list (%s)\n", entry.Test, entry.Issue)
+			_, _ = fmt.Fprintf(j.out, "LISTED BUT PASSES: %s: take it off the list (%s)\n", entry.Test, entry.Issue)
 		default:
 			j.broken = append(j.broken, entry.Test+" is listed and wasn't run")
 		}
@@ -126,7 +126,7 @@
 		j.broken = append(j.broken, fmt.Sprintf("go test ended with %d and no test failed", status))
 	}
 	for _, what := range append(unexplained, j.broken...) {
-		fmt.Fprintln(j.out, "NOT PASSED OVER:", what)
+		_, _ = fmt.Fprintln(j.out, "NOT PASSED OVER:", what)
 	}
 	return len(unexplained)+len(j.broken) == 0
 }
--- a/proof/sim/sim.go
+++ b/proof/sim/sim.go
@@ -75,8 +75,7 @@
 	if o.Many > 0 {
 		w.at(6*time.Second, w.events)
 	}
-	for w.now < o.Length && w.step() && len(w.res.History) <= 400000 {
-	}
+	w.run()
 	w.last()
 	w.res.Renewal = w.cost / time.Duration(max(1, w.costs))
 	w.res.Broken = Check(w.res.History)
@@ -99,6 +98,18 @@
 	w.q.Add(w.now+d, f)
 }
 
+// maxHistory is the number of events after which a run ends: it goes round in circles.
+const maxHistory = 400000
+
+// run lets things happen until the run has its length, or nothing more comes.
+func (w *world) run() {
+	for w.now < w.o.Length && w.step() {
+		if len(w.res.History) > maxHistory {
+			return
+		}
+	}
+}
+
 // step lets the next thing happen, if there is any.
 func (w *world) step() bool {
 	at, do, ok := w.q.Next()
@@ -132,19 +143,19 @@
 	}
 }
 
-// leaders messages every daemon that takes itself for a leader at this moment.
+// leaders notes every daemon that takes itself for a leader at this moment.
 func (w *world) leaders() {
 	for p := 0; p <= w.o.Partitions; p++ {
-		any := false
+		found := false
 		for _, n := range w.nodes {
 			if n.up && p < len(n.parts) && n.frozen <= w.now && n.parts[p].IsLeader(n.local()) {
 				w.note(Event{Kind: Owning, Node: n.name, Partition: p})
-				any = true
+				found = true
 			}
 		}
-		w.vacancy(p, any)
+		w.vacancy(p, found)
 		if p == 0 {
-			if any {
+			if found {
 				w.ledAt = w.now
 			} else if w.ledAt > 0 {
 				w.res.Gap = max(w.res.Gap, w.now-w.ledAt)
--- a/proof/standin/entry/entry.go
+++ b/proof/standin/entry/entry.go
@@ -31,7 +31,6 @@
 	missed map[string]int // by daemon; absent: it has not answered yet
 	in     map[string]bool
 	looks  int
-	news   chan struct{}
 }
 
 // New makes an address over the daemons that list names.
@@ -39,7 +38,7 @@
 // Example: e := entry.New(fleet.Daemons)
 func New(list func() []Daemon) *Entry {
 	return &Entry{
-		list: list, missed: map[string]int{}, in: map[string]bool{}, news: make(chan struct{}),
+		list: list, missed: map[string]int{}, in: map[string]bool{},
 		web: &http.Client{Timeout: 900 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}},
 	}
 }
@@ -80,8 +79,6 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.looks++
-	close(e.news)
-	e.news = make(chan struct{})
 }
 
 func (e *Entry) ask(ctx context.Context, d Daemon) bool {
@@ -113,15 +110,6 @@
 	return n
 }
 
-// News is closed at the next look.
-//
-// Example: <-e.News()
-func (e *Entry) News() <-chan struct{} {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.news
-}
-
 // Pick passes a client's connection on; a further try reaches another daemon.
 //
 // Example: d, ok := e.Pick("c-17", "north", 0)
--- a/proof/standin/fleet/fleet.go
+++ b/proof/standin/fleet/fleet.go
@@ -62,8 +62,7 @@
 	life     int
 	troubles []*record.Trouble // that go on
 	seeds    []string
-	gone     bool   // removed for good
-	program  string // that it runs from its next start on; none: the fleet's
+	gone     bool // removed for good
 }
 
 // Fleet is a running fleet.
@@ -227,24 +226,12 @@
 func (f *Fleet) build(m *Machine) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if m.program != "" {
-		return m.program
-	}
 	if f.Old != "" && (m.life+slices.Index(f.list, m))%2 == 0 {
 		return f.Old
 	}
 	return f.Program
 }
 
-// Install has a machine run another build from its next start on.
-//
-// Example: f.Install(m, newer); f.Term(m); err := f.Up(m)
-func (f *Fleet) Install(m *Machine, program string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	m.program = program
-}
-
 // begin records that trouble begins.
 func (f *Fleet) begin(m *Machine, what string, planned bool) {
 	t := &record.Trouble{Daemon: m.Name, Core: m.Core, What: what, From: f.log.Now(), Planned: planned}
--- a/traffic/slots/slots.go
+++ b/traffic/slots/slots.go
@@ -110,21 +110,21 @@
 		}
 	}
 	if w.Side == Read && float64(same) >= part*float64(q.cfg.Most) {
-		q.refuse(now, w, "this tenant's part of the queue is full", ahead)
+		q.refuse(w, "this tenant's part of the queue is full", ahead)
 		return
 	}
 	if est := time.Duration(ahead) * q.pace[w.Side]; now+est >= w.Due {
-		q.refuse(now, w, "its deadline would pass in the queue", ahead)
+		q.refuse(w, "its deadline would pass in the queue", ahead)
 		return
 	}
 	if len(q.list) >= q.cfg.Most {
 		worst := q.list[len(q.list)-1]
 		if !less(w, worst) || worst.Prio == w.Prio {
-			q.refuse(now, w, "the queue is full", ahead)
+			q.refuse(w, "the queue is full", ahead)
 			return
 		}
 		q.list = q.list[:len(q.list)-1]
-		q.refuse(now, worst, "displaced by a more urgent request", len(q.list))
+		q.refuse(worst, "displaced by a more urgent request", len(q.list))
 	}
 	at := sort.Search(len(q.list), func(i int) bool { return less(w, q.list[i]) })
 	q.list = append(q.list, nil)
@@ -133,7 +133,7 @@
 	q.Turn(now)
 }
 
-func (q *Queue) refuse(now time.Duration, w *Wait, why string, ahead int) {
+func (q *Queue) refuse(w *Wait, why string, ahead int) {
 	q.out = append(q.out, Ticket{ID: w.ID, Refused: true, Why: why, After: q.After(w.Side, ahead)})
 }
 
@@ -203,7 +203,7 @@
 	}
 	q.list = rest
 	for _, w := range late {
-		q.refuse(now, w, "its deadline would pass in the queue", len(rest))
+		q.refuse(w, "its deadline would pass in the queue", len(rest))
 	}
 }
 
