--- a/cmd/mulleinctl/queries_test.go
+++ b/cmd/mulleinctl/queries_test.go
@@ -52,8 +52,8 @@
 	} {
 		for _, asJSON := range []bool{false, true} {
 			var out bytes.Buffer
-			s := &shell{to: []string{addr}, asJS: asJSON, web: http.DefaultClient, out: &out}
-			code := s.run(strings.Fields(query))
+			s := &shell{daemons: []string{addr}, asJSON: asJSON, http: http.DefaultClient, out: &out}
+			code := s.query(strings.Fields(query))
 			fmt.Fprintf(&all, "%s, JSON %v: %d\n%s\n", query, asJSON, code, strings.ReplaceAll(out.String(), addr, "ADDR"))
 			if asJSON && query != "help" && out.Len() > 0 && !json.Valid(out.Bytes()) {
 				t.Errorf("%s: not JSON: %s", query, out.String())
--- a/cmd/mulleinmast/main.go
+++ b/cmd/mulleinmast/main.go
@@ -18,128 +18,178 @@
 	"mulleinmast/traffic/nativeapi"
 )
 
+// Exit codes, as the usage text names them.
+const (
+	exitStopped    = 0
+	exitFailed     = 1
+	exitBadConfig  = 2
+	exitBadFolder  = 3
+	exitBadAddress = 4
+	exitSuperseded = 5 // started again the daemon begins empty
+)
+
 func main() { os.Exit(run()) }
 
 func run() int {
-	orders, started := catch(), make(chan struct{})
-	go orders.endDuringStart(started)
-	boot, ours, err := platform.Boot(os.Getenv)
-	var cfg daemon.Config
-	if ours && err == nil {
-		cfg = boot.Config()
-		cfg.TestSwitches = slices.Contains(os.Args[1:], "-test-switches") // never so on the platform
-	} else if !ours {
-		cfg, err = daemon.ReadConfig("mulleinmast", os.Args[1:], os.Stderr)
-	}
+	signals, started := catchSignals(), make(chan struct{})
+	go signals.exitDuringStart(started)
+	s, err := readSettings(os.Args[1:])
 	if errors.Is(err, daemon.ErrHelp) {
-		return 0
+		return exitStopped
 	}
 	if err != nil {
 		_, _ = fmt.Fprintf(os.Stderr, "mulleinmast: bad config:\n%v\n", err)
-		return 2
+		return exitBadConfig
 	}
-	if cfg.Cores > 0 {
-		runtime.GOMAXPROCS(cfg.Cores)
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	p, err := start(ctx, s)
+	if err != nil {
+		_, _ = fmt.Fprintf(os.Stderr, "mulleinmast: %v\n", err)
+		return exitCode(err)
 	}
-	if cfg.MemoryLimit > 0 {
-		debug.SetMemoryLimit(cfg.MemoryLimit)
+	close(started)
+	go func() {
+		p.stopWhenAsked(ctx, signals)
+		cancel()
+	}()
+	if err := p.daemon.Run(ctx); err != nil {
+		p.daemon.Events.Warn("stop", "failed", "error", err)
+		return exitFailed
 	}
-	events := eventlog.New(cfg.EventLogSize, os.Stderr)
+	p.daemon.Events.Info("stop", "stopped")
+	if p.daemon.WhySuperseded() != "" {
+		return exitSuperseded
+	}
+	return exitStopped
+}
+
+// settings are the daemon's configuration and where it came from.
+type settings struct {
+	daemon.Config
+	platform   platform.Settings
+	onPlatform bool // the platform's settings file is named
+	verbose    bool // every entry of the event log is written out
+}
+
+// readSettings reads the platform's settings where it names them, else the flags.
+func readSettings(args []string) (s settings, err error) {
+	s.platform, s.onPlatform, err = platform.Boot(os.Getenv)
+	if !s.onPlatform {
+		s.Config, err = daemon.ReadConfig("mulleinmast", args, os.Stderr)
+		return s, err
+	}
+	if err != nil {
+		return s, err
+	}
+	s.Config = s.platform.Config()
+	s.TestSwitches = slices.Contains(args, "-test-switches") // never so on the platform
+	s.verbose = slices.Contains(args, "-say")
+	return s, nil
+}
+
+// process is the daemon with what serves clients.
+type process struct {
+	daemon *daemon.Daemon
+	api    *nativeapi.API
+	host   *platform.Host // nil outside the platform
+}
+
+// start opens the daemon and hooks the drivers in. Nothing runs yet.
+func start(ctx context.Context, s settings) (*process, error) {
+	limitResources(s.Config)
+	events := eventlog.New(s.EventLogSize, os.Stderr)
+	events.Verbose = s.verbose
 	daemon.LogViolations(events)
-	events.Verbose = ours && slices.Contains(os.Args[1:], "-say") // every line is written out at once
-	c, err := daemon.Open(cfg, events)
+	d, err := daemon.Open(s.Config, events)
 	if err != nil {
-		return fail(err)
+		return nil, err
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	defer stop()
-	d := nativeapi.New(ctx, c)
-	// The servers' list and the front of the platform are hooked in here.
-	var host *platform.Host
-	if ours {
-		if host, err = platform.Start(boot, c, nil); err != nil {
-			return fail(err)
+	p := &process{daemon: d, api: nativeapi.New(ctx, d)}
+	if s.onPlatform {
+		if p.host, err = platform.Start(s.platform, d, nil); err != nil {
+			return nil, err
 		}
 	}
-	events.Info("start", "started", "fleet", cfg.Fleet, "zone", cfg.Zone, "wire", cfg.WireAddr, "web", cfg.HTTPAddr,
-		"identity", c.Ident(), "seeds", cfg.Seeds)
-	close(started)
-	go func() {
-		leave, cut := context.WithCancel(ctx)
-		defer cut()
-		follow(orders, host, c.Superseded())
-		go func() {
-			<-orders.hurry
-			cut()
-		}()
-		if host != nil {
-			host.Stop(leave)
-		} else {
-			finish(leave, c, d)
-		}
-		stop()
-	}()
-	if err := c.Run(ctx); err != nil {
-		events.Warn("stop", "failed", "error", err)
-		return 1
+	events.Info("start", "started", "fleet", s.Fleet, "zone", s.Zone, "wire", s.WireAddr, "web", s.HTTPAddr,
+		"identity", d.Ident(), "seeds", s.Seeds)
+	return p, nil
+}
+
+// limitResources keeps the process within its share of the machine.
+func limitResources(cfg daemon.Config) {
+	if cfg.Cores > 0 {
+		runtime.GOMAXPROCS(cfg.Cores)
 	}
-	events.Info("stop", "stopped")
-	if c.WhySuperseded() != "" {
-		return exitSuperseded
+	if cfg.MemoryLimit > 0 {
+		debug.SetMemoryLimit(cfg.MemoryLimit)
 	}
-	return 0
 }
 
-// exitSuperseded is the exit code of a daemon whose state is superseded: started
-// again it begins empty.
-const exitSuperseded = 5
+// stopWhenAsked waits until the process is to end and finishes what is under way; a
+// second interrupt cuts that short.
+func (p *process) stopWhenAsked(ctx context.Context, signals *signals) {
+	p.awaitStop(signals)
+	ctx, cut := context.WithCancel(ctx)
+	defer cut()
+	go func() {
+		<-signals.hurry
+		cut()
+	}()
+	if p.host != nil {
+		p.host.Stop(ctx)
+	} else {
+		p.finishRequests(ctx)
+	}
+}
 
-// follow has the settings read anew when they have changed, and returns when the
-// process is to end.
-func follow(orders *signals, host *platform.Host, superseded <-chan struct{}) {
+// awaitStop returns when the process is to end; until then it has the settings read
+// anew when they have changed.
+func (p *process) awaitStop(signals *signals) {
 	for {
 		select {
-		case <-orders.stop:
+		case <-signals.stop:
 			return
-		case <-superseded:
+		case <-p.daemon.Superseded():
 			return
-		case <-orders.reload:
-			if host != nil {
-				host.Reload()
+		case <-signals.reload:
+			if p.host != nil {
+				p.host.Reload()
 			}
 		}
 	}
 }
 
-func fail(err error) int {
-	_, _ = fmt.Fprintf(os.Stderr, "mulleinmast: %v\n", err)
-	switch {
-	case storage.Error.Has(err):
-		return 3
-	case daemon.AddressError.Has(err):
-		return 4
-	}
-	return 1
-}
-
-// finish takes requests until those who check have seen that we are not ready,
-// and waits for the streams that have begun.
-func finish(ctx context.Context, c *daemon.Daemon, d *nativeapi.API) {
-	c.Leave()
-	limit := time.After(c.Cfg.Bounds.Recover)
-	t := time.NewTicker(c.Cfg.VolumeLease() / 16)
-	defer t.Stop()
+// finishRequests takes requests until those who check have seen that the daemon is
+// not ready, and waits for the streams that have begun.
+func (p *process) finishRequests(ctx context.Context) {
+	d := p.daemon
+	d.Leave()
+	limit := time.After(d.Cfg.Bounds.Recover)
+	ticker := time.NewTicker(d.Cfg.VolumeLease() / 16)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-limit:
 			return
-		case <-t.C:
-			if c.RefusesRequests() && d.Open() == 0 {
-				c.HandOver(ctx)
-				return
-			}
+		case <-ticker.C:
+		}
+		if d.RefusesRequests() && p.api.Open() == 0 {
+			d.HandOver(ctx)
+			return
 		}
 	}
 }
+
+// exitCode is that of a daemon that couldn't start.
+func exitCode(err error) int {
+	switch {
+	case storage.Error.Has(err):
+		return exitBadFolder
+	case daemon.AddressError.Has(err):
+		return exitBadAddress
+	}
+	return exitFailed
+}
--- a/cmd/mulleinmast/signals.go
+++ b/cmd/mulleinmast/signals.go
@@ -6,27 +6,27 @@
 	"syscall"
 )
 
-// signals are the orders that reach the process, from its first step to its last.
+// signals are what the process was asked to do, from its first step to its last.
 type signals struct {
 	reload chan struct{} // the settings have changed
-	stop   chan struct{} // closed by the first order to end; the same order again changes nothing
+	stop   chan struct{} // closed by the first signal to end; the same signal again changes nothing
 	hurry  chan struct{} // closed when somebody at a terminal interrupts once more
 }
 
-// catch takes all signals that mean something from now on. It comes before
+// catchSignals takes all signals that mean something from now on. It comes before
 // anything that may take time: without it SIGHUP ends a process.
-func catch() *signals {
+func catchSignals() *signals {
 	s := &signals{reload: make(chan struct{}, 1), stop: make(chan struct{}), hurry: make(chan struct{})}
-	got := make(chan os.Signal, 8)
-	signal.Notify(got, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	go s.hear(got)
+	received := make(chan os.Signal, 8)
+	signal.Notify(received, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
+	go s.run(received)
 	return s
 }
 
-// hear turns signals into orders.
-func (s *signals) hear(got <-chan os.Signal) {
+// run passes the signals on.
+func (s *signals) run(received <-chan os.Signal) {
 	stopping, hurrying := false, false
-	for sig := range got {
+	for sig := range received {
 		switch {
 		case sig == syscall.SIGHUP:
 			select {
@@ -43,16 +43,16 @@
 	}
 }
 
-// endDuringStart ends the process if it is told to before it has started:
+// exitDuringStart ends the process if it is asked to before it has started:
 // nothing is under way, and what is on disk is as after a kill.
-func (s *signals) endDuringStart(started <-chan struct{}) {
+func (s *signals) exitDuringStart(started <-chan struct{}) {
 	select {
 	case <-started:
 	case <-s.stop:
 		select {
 		case <-started: // both: it stops in order
 		default:
-			os.Exit(0)
+			os.Exit(exitStopped)
 		}
 	}
 }
