--- a/control/storage/batch_test.go
+++ b/control/storage/batch_test.go
@@ -12,17 +12,17 @@
 )
 
 // apply is what a save leaves behind.
-func apply(b *digest.Records, s quorum.Save) {
+func apply(records *digest.Records, s quorum.Save) {
 	for _, span := range s.WipeRanges {
-		for r := range b.InRange(span) {
-			b.Delete(r.Key)
+		for r := range records.InRange(span) {
+			records.Delete(r.Key)
 		}
 	}
 	for _, r := range s.Records {
-		b.Put(r)
+		records.Put(r)
 	}
 	for _, k := range s.Delete {
-		b.Delete(k)
+		records.Delete(k)
 	}
 }
 
@@ -30,8 +30,8 @@
 // failed and was put before what came later.
 func TestBatchEqualsItsSavesInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		one, all := digest.NewRecords(), digest.NewRecords()
-		var a, b Batch
+		oneByOne, atOnce := digest.NewRecords(), digest.NewRecords()
+		var first, later Batch
 		n := rapid.IntRange(1, 40).Draw(t, "n")
 		cut := rapid.IntRange(0, n).Draw(t, "cut")
 		for i := range n {
@@ -44,22 +44,22 @@
 			for _, k := range rapid.SliceOfN(key, 0, 2).Draw(t, "wipe") {
 				s.WipeRanges = append(s.WipeRanges, digest.RangeOf(k))
 			}
-			apply(one, s)
+			apply(oneByOne, s)
 			if i < cut {
-				a.Add(s)
+				first.Add(s)
 			} else {
-				b.Add(s)
+				later.Add(s)
 			}
 		}
-		a.Append(b)
-		saves := a.Saves()
-		if len(saves) != 1 || len(a.Tickets) != n || a.Tickets[n-1] != (Ticket{3, uint64(n)}) ||
+		first.Append(later)
+		saves := first.Saves()
+		if len(saves) != 1 || len(first.Tickets) != n || first.Tickets[n-1] != (Ticket{3, uint64(n)}) ||
 			saves[0].Meta.VotedTerm != uint64(n-1) || saves[0].Sum != uint64(n-1) {
-			t.Fatalf("%d saves, %v given", len(saves), a.Tickets)
+			t.Fatalf("%d saves, tickets %v", len(saves), first.Tickets)
 		}
-		apply(all, saves[0])
-		if one.Sum() != all.Sum() {
-			t.Fatalf("%d records one after another, %d at once", one.Size(), all.Size())
+		apply(atOnce, saves[0])
+		if oneByOne.Sum() != atOnce.Sum() {
+			t.Fatalf("%d records one after another, %d at once", oneByOne.Size(), atOnce.Size())
 		}
 	})
 }
--- a/control/storage/crash_test.go
+++ b/control/storage/crash_test.go
@@ -48,12 +48,12 @@
 			t.Fatal(err)
 		}
 	}
-	a, err := Open(dir, "f")
+	store, err := Open(dir, "f")
 	if err != nil {
 		return err.Error()
 	}
-	defer a.Close()
-	return a.state()
+	defer store.Close()
+	return store.state()
 }
 
 func (s *Store) state() string {
@@ -146,35 +146,37 @@
 // later ones there; any of them.
 func TestTruncatedBatchIsWholeOrAbsent(t *testing.T) {
 	s := fillFolder(t, 1)
-	a := read(t, s.dir)
+	earlier := read(t, s.dir)
 	s.write(t)
-	b := read(t, s.dir)
-	if len(b.wal) <= len(a.wal) || !bytes.Equal(a.db, b.db) || !bytes.Equal(a.wal, b.wal[:len(a.wal)]) {
-		t.Fatalf("the batch wasn't appended to the log: %d, then %d bytes", len(a.wal), len(b.wal))
+	later := read(t, s.dir)
+	if len(later.wal) <= len(earlier.wal) || !bytes.Equal(earlier.db, later.db) ||
+		!bytes.Equal(earlier.wal, later.wal[:len(earlier.wal)]) {
+		t.Fatalf("the batch wasn't appended to the log: %d, then %d bytes", len(earlier.wal), len(later.wal))
 	}
-	before, after := a.state(t), b.state(t)
+	before, after := earlier.state(t), later.state(t)
 	if before == after {
 		t.Fatal("the batch changes nothing")
 	}
-	from, frames := len(a.wal), (len(b.wal)-len(a.wal))/(frameHead+page)
+	from, frames := len(earlier.wal), (len(later.wal)-len(earlier.wal))/(frameHead+page)
 	for i := range frames {
 		at := from + i*(frameHead+page)
 		cuts := []int{0, 4, 8, frameHead - 1, frameHead, frameHead + 512, frameHead + page/2, frameHead + page - 1}
 		for _, cut := range cuts {
-			expect(t, fmt.Sprintf("cut at byte %d of frame %d of %d", cut, i, frames), files{b.db, b.wal[:at+cut]}, before)
+			what := fmt.Sprintf("cut at byte %d of frame %d of %d", cut, i, frames)
+			expect(t, what, files{later.db, later.wal[:at+cut]}, before)
 		}
 		faults := map[string]func([]byte){
 			"missing": func(x []byte) { clear(x) },
 			"torn":    func(x []byte) { clear(x[frameHead+512:]) },
 		}
 		for what, spoil := range faults {
-			wal := bytes.Clone(b.wal)
+			wal := bytes.Clone(later.wal)
 			spoil(wal[at : at+frameHead+page])
-			expect(t, fmt.Sprintf("frame %d of %d %s", i, frames, what), files{b.db, wal}, before)
+			expect(t, fmt.Sprintf("frame %d of %d %s", i, frames, what), files{later.db, wal}, before)
 		}
 	}
 	for range 40 {
-		wal := bytes.Clone(b.wal)
+		wal := bytes.Clone(later.wal)
 		lost := 0
 		for i := range frames {
 			if at := from + i*(frameHead+page); s.rng.Intn(3) == 0 {
@@ -183,31 +185,31 @@
 			}
 		}
 		if lost > 0 {
-			expect(t, fmt.Sprintf("%d of %d frames missing", lost, frames), files{b.db, wal}, before)
+			expect(t, fmt.Sprintf("%d of %d frames missing", lost, frames), files{later.db, wal}, before)
 		}
 	}
-	expect(t, "whole", b, after)
+	expect(t, "whole", later, after)
 }
 
 // The log is copied into the file: any of its pages may be there, missing or
 // torn while the log still is; nothing is lost.
 func TestPartialCheckpointLosesNothing(t *testing.T) {
 	s := fillFolder(t, 2)
-	a := read(t, s.dir)
-	want := a.state(t)
+	earlier := read(t, s.dir)
+	want := earlier.state(t)
 	if _, err := s.db.Exec("pragma wal_checkpoint(passive)"); err != nil {
 		t.Fatal(err)
 	}
-	b := read(t, s.dir)
-	if bytes.Equal(a.db, b.db) {
+	later := read(t, s.dir)
+	if bytes.Equal(earlier.db, later.db) {
 		t.Fatal("nothing was copied")
 	}
 	for try := range 60 {
-		db := bytes.Clone(b.db)
+		db := bytes.Clone(later.db)
 		for at := 0; at+page <= len(db); at += page {
 			old := make([]byte, page)
-			if at+page <= len(a.db) {
-				copy(old, a.db[at:])
+			if at+page <= len(earlier.db) {
+				copy(old, earlier.db[at:])
 			}
 			switch s.rng.Intn(3) {
 			case 0: // missing
@@ -216,12 +218,12 @@
 				copy(db[at+512:at+page], old[512:])
 			}
 		}
-		if len(a.db) > page && try%2 == 0 {
-			db = db[:max(len(a.db), len(db)/2/page*page)]
+		if len(earlier.db) > page && try%2 == 0 {
+			db = db[:max(len(earlier.db), len(db)/2/page*page)]
 		}
-		expect(t, fmt.Sprintf("copied in part, try %d", try), files{db, a.wal}, want)
+		expect(t, fmt.Sprintf("copied in part, try %d", try), files{db, earlier.wal}, want)
 	}
-	expect(t, "copied", b, want)
+	expect(t, "copied", later, want)
 }
 
 // The log begins anew over what was copied: its new head is on disk before any
@@ -231,42 +233,42 @@
 	if _, err := s.db.Exec("pragma wal_checkpoint(passive)"); err != nil {
 		t.Fatal(err)
 	}
-	a := read(t, s.dir)
+	earlier := read(t, s.dir)
 	s.write(t)
-	b := read(t, s.dir)
-	if bytes.Equal(a.wal[:walHead], b.wal[:walHead]) || len(a.wal) != len(b.wal) {
+	later := read(t, s.dir)
+	if bytes.Equal(earlier.wal[:walHead], later.wal[:walHead]) || len(earlier.wal) != len(later.wal) {
 		t.Fatal("the log didn't begin anew")
 	}
-	before, after := a.state(t), b.state(t)
-	torn := bytes.Clone(a.wal)
-	copy(torn[:16], b.wal[:16])
-	expect(t, "head torn", files{b.db, torn}, before)
+	before, after := earlier.state(t), later.state(t)
+	torn := bytes.Clone(earlier.wal)
+	copy(torn[:16], later.wal[:16])
+	expect(t, "head torn", files{later.db, torn}, before)
 	written := 0
-	for i := 0; walHead+(i+1)*(frameHead+page) <= len(a.wal); i++ {
+	for i := 0; walHead+(i+1)*(frameHead+page) <= len(earlier.wal); i++ {
 		at := walHead + i*(frameHead+page)
-		if !bytes.Equal(a.wal[at:at+frameHead+page], b.wal[at:at+frameHead+page]) {
+		if !bytes.Equal(earlier.wal[at:at+frameHead+page], later.wal[at:at+frameHead+page]) {
 			written = i + 1
 		}
 	}
 	for try := range 80 {
-		wal := bytes.Clone(b.wal)
+		wal := bytes.Clone(later.wal)
 		lost := 0
 		for i := range written {
 			at := walHead + i*(frameHead+page)
 			switch s.rng.Intn(4) {
 			case 0:
-				copy(wal[at:at+frameHead+page], a.wal[at:])
+				copy(wal[at:at+frameHead+page], earlier.wal[at:])
 				lost++
 			case 1:
-				copy(wal[at+frameHead+512:at+frameHead+page], a.wal[at+frameHead+512:])
+				copy(wal[at+frameHead+512:at+frameHead+page], earlier.wal[at+frameHead+512:])
 				lost++
 			}
 		}
 		if lost > 0 {
-			expect(t, fmt.Sprintf("begun anew in part, try %d", try), files{b.db, wal}, before, after)
+			expect(t, fmt.Sprintf("begun anew in part, try %d", try), files{later.db, wal}, before, after)
 		}
 	}
-	expect(t, "begun anew", b, after)
+	expect(t, "begun anew", later, after)
 }
 
 // A folder that is cut short while it is made is an empty one; one whose old log
@@ -301,16 +303,16 @@
 			t.Fatal(err)
 		}
 		s.Close()
-		a := open(t, s.dir)
-		if !slices.Equal(a.IncompletePartitions, []int{0}) ||
-			!a.Partitions[0].Meta.Incomplete || a.Partitions[1].Meta.Incomplete {
-			t.Errorf("%s: short %v", what, a.IncompletePartitions)
+		store := open(t, s.dir)
+		if !slices.Equal(store.IncompletePartitions, []int{0}) ||
+			!store.Partitions[0].Meta.Incomplete || store.Partitions[1].Meta.Incomplete {
+			t.Errorf("%s: short %v", what, store.IncompletePartitions)
 		}
-		a.Close()
-		a = open(t, s.dir) // and it stays so until it is filled
-		if !a.Partitions[0].Meta.Incomplete {
+		store.Close()
+		store = open(t, s.dir) // and it stays so until it is filled
+		if !store.Partitions[0].Meta.Incomplete {
 			t.Errorf("%s: whole after another start", what)
 		}
-		a.Close()
+		store.Close()
 	}
 }
--- a/wire/message/message.go
+++ b/wire/message/message.go
@@ -127,13 +127,16 @@
 }
 
 // SavePoint names a state of a replica: as of so many saves of one incarnation of its
-// daemon. The zero value is that of builds that don't count saves.
+// daemon. The zero value is that of builds that don't count saves. Disks hold a checksum
+// of it as fmt prints it (quorum.Meta.PastSum): it has no String method, and its fields
+// keep their order.
 type SavePoint struct {
 	Epoch uint64 `msg:"e" json:"Epoch"` // the incarnation
 	Saves uint64 `msg:"n" json:"Saves"` // counted from 1
 }
 
-// PeerIncarnation is what one replica knows of another.
+// PeerIncarnation is what one replica knows of another. As for a SavePoint, how fmt
+// prints it stays.
 type PeerIncarnation struct {
 	Ident string    `msg:"i" json:"Ident"`
 	Epoch uint64    `msg:"e" json:"Epoch"`          // the incarnation that the other goes by
