--- a/control/daemon/handover.go
+++ b/control/daemon/handover.go
@@ -9,6 +9,9 @@
 // most for its replicas to be taken over.
 const handOverRatio = 0.6
 
+// handOverTicks is how often it looks in a volume lease whether they are.
+const handOverTicks = 32
+
 // Leave makes the daemon not ready and resigns its leaderships.
 //
 // Example: d.Leave(); waitForStreams()
@@ -61,7 +64,10 @@
 // Example: d.Leave(); serveOn(); d.HandOver(ctx)
 func (d *Daemon) HandOver(ctx context.Context) {
 	limit := time.Duration(d.readiness.stopFrom.Load()) + fraction(d.Cfg.GracePeriod, handOverRatio)
-	for d.PartitionsToHandOver() > 0 && d.Now() < limit && sleep(ctx, d.Cfg.VolumeLease()/32) {
+	for d.PartitionsToHandOver() > 0 && d.Now() < limit {
+		if !sleep(ctx, d.Cfg.VolumeLease()/handOverTicks) {
+			break
+		}
 	}
 	if n := d.PartitionsToHandOver(); n > 0 {
 		d.Events.Info("stop", "partitions still need this replica", "partitions", n)
