--- a/control/daemon/records.go
+++ b/control/daemon/records.go
@@ -69,11 +69,11 @@
 	return s.node().ValidUntil()
 }
 
-// Gen is the generation of what a partition serves here: what was read stands as
-// long as Gen is the same and ValidUntil has not passed.
+// Generation counts the changes of what a partition serves here: what was read stands as
+// long as Generation is the same and ValidUntil has not passed.
 //
-// Example: gen := d.Gen(p); read(); ...; if d.Gen(p) != gen { readAgain() }
-func (d *Daemon) Gen(partition int) uint64 { return d.shards[partition].generation.Load() }
+// Example: gen := d.Generation(p); read(); ...; if d.Generation(p) != gen { readAgain() }
+func (d *Daemon) Generation(partition int) uint64 { return d.shards[partition].generation.Load() }
 
 // Pin has a record kept readable here from now on.
 //
--- a/proof/hollow/client.go
+++ b/proof/hollow/client.go
@@ -28,10 +28,10 @@
 	return rec, true
 }
 
-// Gen never changes.
+// Generation never changes.
 //
-// Example: r.Gen(1) == 1
-func (records) Gen(int) uint64 { return 1 }
+// Example: r.Generation(1) == 1
+func (records) Generation(int) uint64 { return 1 }
 
 // Until is far off.
 //
--- a/proof/overload/front.go
+++ b/proof/overload/front.go
@@ -20,10 +20,10 @@
 	blind time.Duration // until when its leases don't stand
 }
 
-// Gen counts the changes of the records.
+// Generation counts the changes of the records.
 //
-// Example: f.Gen(0)
-func (f *front) Gen(int) uint64 { return f.w.gen }
+// Example: f.Generation(0)
+func (f *front) Generation(int) uint64 { return f.w.gen }
 
 // Until is when the leases lapse.
 //
--- a/traffic/forward/lane.go
+++ b/traffic/forward/lane.go
@@ -138,7 +138,7 @@
 // refreshServers makes the table of servers anew if a record changed or a lease lapsed;
 // it tells whether all that it needs stands under valid leases now.
 func (l *Dispatcher) refreshServers(now time.Duration) bool {
-	gen := [2]uint64{l.source.Gen(0), l.source.Gen(l.partition)}
+	gen := [2]uint64{l.source.Generation(0), l.source.Generation(l.partition)}
 	if gen == l.generations && now < l.validUntil {
 		return true
 	}
--- a/traffic/forward/look_test.go
+++ b/traffic/forward/look_test.go
@@ -8,7 +8,7 @@
 	"mulleinmast/control/placement"
 )
 
-// Leases that lapse and come back change no record, so Gen stays as it was: the
+// Leases that lapse and come back change no record, so Generation stays as it was: the
 // servers are read again all the same, as they were dropped in between.
 func TestServersComeBackWithTheLeases(t *testing.T) {
 	now := time.Second
--- a/traffic/forward/model_test.go
+++ b/traffic/forward/model_test.go
@@ -26,7 +26,7 @@
 	held  bool // the list is being written
 }
 
-func (r *records) Gen(int) uint64          { return r.gen }
+func (r *records) Generation(int) uint64   { return r.gen }
 func (r *records) Until(int) time.Duration { return r.until }
 
 func (r *records) Read(partition int, key string) (message.Record, bool) {
--- a/traffic/forward/shape.go
+++ b/traffic/forward/shape.go
@@ -55,8 +55,8 @@
 type Source interface {
 	// Read serves a record of a part.
 	Read(partition int, key string) (message.Record, bool)
-	// Gen counts the changes of what a part serves.
-	Gen(partition int) uint64
+	// Generation counts the changes of what a part serves.
+	Generation(partition int) uint64
 	// Until is when the first of a part's leases lapses.
 	Until(partition int) time.Duration
 }
--- a/traffic/gateway/gateway.go
+++ b/traffic/gateway/gateway.go
@@ -251,7 +251,7 @@
 
 // sheet is the plan that requests are routed by now.
 func (g *Gateway) sheet() (*sheet, bool) {
-	s, gen := g.plan.Load(), g.c.Gen(0)
+	s, gen := g.plan.Load(), g.c.Generation(0)
 	if s != nil && s.gen == gen && g.c.Now() < s.until {
 		return s, true
 	}
