--- a/control/daemon/diskwriter.go
+++ b/control/daemon/diskwriter.go
@@ -77,7 +77,7 @@
 // tried until it works or the daemon is stopped.
 func (w *diskWriter) flush(ctx context.Context) bool {
 	batch := w.takeWaiting()
-	if batch.Empty() || ctx.Err() != nil {
+	if batch.IsEmpty() || ctx.Err() != nil {
 		return false
 	}
 	if delay := w.delay.Load(); delay > 0 {
--- a/control/leader/call.go
+++ b/control/leader/call.go
@@ -57,7 +57,7 @@
 		c.handleDemand(now, from, call)
 		return c.finishStep(partition.Out{})
 	}
-	if !c.partition.Leader(now) { // only the leader may find fault with a call
+	if !c.partition.IsLeader(now) { // only the leader may find fault with a call
 		c.respond(from, call, answer{status: leadercall.StatusNotLeader})
 		return c.finishStep(partition.Out{})
 	}
--- a/control/leader/demand.go
+++ b/control/leader/demand.go
@@ -37,7 +37,7 @@
 // mayShare tells whether shares may be given out: shares of an earlier leader may stand
 // until this one may write.
 func (c *Controller) mayShare(now time.Duration) bool {
-	return c.partition.Leader(now) && c.placement != nil && now >= c.partition.WritesFrom()
+	return c.partition.IsLeader(now) && c.placement != nil && now >= c.partition.WritesFrom()
 }
 
 // isOvertaken tells whether a later demand of the same daemon came before this
--- a/control/leader/leader.go
+++ b/control/leader/leader.go
@@ -82,7 +82,7 @@
 // IsLeader tells whether this daemon holds the partition's leadership now.
 //
 // Example: if c.IsLeader(now) { reconcile() }
-func (c *Controller) IsLeader(now time.Duration) bool { return c.partition.Leader(now) }
+func (c *Controller) IsLeader(now time.Duration) bool { return c.partition.IsLeader(now) }
 
 // Step takes a message: of the leases, of the group, or a call.
 //
--- a/control/leader/reconcile.go
+++ b/control/leader/reconcile.go
@@ -18,7 +18,7 @@
 //
 // Example: out := c.Reconcile(now, view)
 func (c *Controller) Reconcile(now time.Duration, view ClusterView) (out Out) {
-	if !c.partition.Leader(now) {
+	if !c.partition.IsLeader(now) {
 		c.placement = nil
 		return out
 	}
@@ -134,7 +134,7 @@
 //
 // Example: if c.MayOrder(now, order.Term) { send(order) }
 func (c *Controller) MayOrder(now time.Duration, term uint64) bool {
-	return c.placement != nil && c.partition.Leader(now) && c.partition.Replica.Term() == term
+	return c.placement != nil && c.partition.IsLeader(now) && c.partition.Replica.Term() == term
 }
 
 // HandlePoll takes a server's answer to a poll of a term; ok is false where it gave none.
--- a/control/partition/batch.go
+++ b/control/partition/batch.go
@@ -152,7 +152,7 @@
 		return
 	}
 	b.stage = committing
-	if !p.Leader(now) { // nothing was committed
+	if !p.IsLeader(now) { // nothing was committed
 		delete(p.running, tag)
 		out.Results = append(out.Results, b.results(NotLeader)...)
 		return
--- a/control/partition/helpers_test.go
+++ b/control/partition/helpers_test.go
@@ -49,7 +49,7 @@
 	p = New(number, self, 1, replica, lease.New(leaseConfig, number, self, 1))
 	var now time.Duration
 	sync = func(out Out) Out { return syncSaves(p, now, out) }
-	for now = 0; !p.Leader(now); now += 10 * time.Millisecond {
+	for now = 0; !p.IsLeader(now); now += 10 * time.Millisecond {
 		if now > time.Minute {
 			t.Fatal("no leader")
 		}
--- a/control/partition/job.go
+++ b/control/partition/job.go
@@ -67,7 +67,7 @@
 //
 // Example: out := p.Submit(now, 17, job)
 func (p *Partition) Submit(now time.Duration, tag uint64, j Job) (out Out) {
-	if !p.Leader(now) {
+	if !p.IsLeader(now) {
 		out.Results = append(out.Results, Result{Tag: tag, Outcome: NotLeader})
 		return out
 	}
--- a/control/partition/partition.go
+++ b/control/partition/partition.go
@@ -49,14 +49,16 @@
 	return p
 }
 
-// Leader tells whether this daemon is the partition's leader now.
+// IsLeader tells whether this daemon is the partition's leader now.
 //
-// Example: if !p.Leader(now) { passOn() }
-func (p *Partition) Leader(now time.Duration) bool { return p.Replica != nil && p.Replica.Leader(now) }
+// Example: if !p.IsLeader(now) { passOn() }
+func (p *Partition) IsLeader(now time.Duration) bool {
+	return p.Replica != nil && p.Replica.Leader(now)
+}
 
 // mayWrite tells whether this daemon is the leader and leases that a leader before it
 // granted have lapsed.
-func (p *Partition) mayWrite(now time.Duration) bool { return p.Leader(now) && now >= p.WritesFrom() }
+func (p *Partition) mayWrite(now time.Duration) bool { return p.IsLeader(now) && now >= p.WritesFrom() }
 
 // read is a record as the leader has it; one that isn't there counts as deleted.
 func (p *Partition) read(key string) message.Record {
--- a/control/partition/writesfrom_test.go
+++ b/control/partition/writesfrom_test.go
@@ -28,7 +28,7 @@
 // it gives the time.
 func expectReturn(t *testing.T, p *Partition) (now time.Duration) {
 	t.Helper()
-	for ; !p.Leader(now); now += 10 * time.Millisecond {
+	for ; !p.IsLeader(now); now += 10 * time.Millisecond {
 		syncSaves(p, now, p.Tick(now))
 	}
 	if now > 200*time.Millisecond {
--- a/control/storage/batch.go
+++ b/control/storage/batch.go
@@ -33,10 +33,10 @@
 	deleted map[string]bool
 }
 
-// Empty tells whether nothing waits.
+// IsEmpty tells whether nothing waits.
 //
-// Example: if b.Empty() { sleep() }
-func (b *Batch) Empty() bool { return len(b.Tickets) == 0 }
+// Example: if b.IsEmpty() { sleep() }
+func (b *Batch) IsEmpty() bool { return len(b.Tickets) == 0 }
 
 // Add puts a save after those that are in the batch.
 //
--- a/proof/modelcheck/world.go
+++ b/proof/modelcheck/world.go
@@ -83,7 +83,7 @@
 	return time.Duration(float64(now) * d.rate)
 }
 
-func (d *daemon) leads(now time.Duration) bool { return d.up && d.sec.Leader(d.local(now)) }
+func (d *daemon) leads(now time.Duration) bool { return d.up && d.sec.IsLeader(d.local(now)) }
 
 // packet is a message on its way. One that is held is delivered only when an
 // event says so.
--- a/wire/message/kind.go
+++ b/wire/message/kind.go
@@ -77,7 +77,7 @@
 	return fmt.Sprintf("kind-%d", uint8(k))
 }
 
-// Known tells whether k is a kind of this version.
+// IsKnown tells whether k is a kind of this version.
 //
-// Example: message.Kind(200).Known() == false
-func (k Kind) Known() bool { return k > KindNone && k < kindEnd }
+// Example: message.Kind(200).IsKnown() == false
+func (k Kind) IsKnown() bool { return k > KindNone && k < kindEnd }
--- a/wire/transport/frame.go
+++ b/wire/transport/frame.go
@@ -101,7 +101,7 @@
 	if len(rest) > 0 {
 		return Error.Wrap(fmt.Errorf("%d bytes left over in a frame: %w", len(rest), ErrMalformed))
 	}
-	if !m.Kind.Known() {
+	if !m.Kind.IsKnown() {
 		return Error.Wrap(fmt.Errorf("message of unknown kind %d: %w", m.Kind, ErrUnknownKind))
 	}
 	return nil
--- a/wire/transport/golden_test.go
+++ b/wire/transport/golden_test.go
@@ -109,7 +109,7 @@
 			add(fmt.Sprint(name, "/", i), b, m)
 		}
 	}
-	for kind := message.Kind(1); kind.Known(); kind++ {
+	for kind := message.Kind(1); kind.IsKnown(); kind++ {
 		name := fmt.Sprintf("%d %s", kind, kind)
 		full := fullMessage(t, kind)
 		packed(name+" whole", full)
