--- a/cmd/mulleinmast/metrics_test.go
+++ b/cmd/mulleinmast/metrics_test.go
@@ -31,7 +31,8 @@
 	}
 	nativeapi.New(t.Context(), c)
 	local := "127.0.0.1:0"
-	if _, err := platform.Start(platform.Settings{Listen: platform.Listen{Public: local, Readiness: local, Control: local}}, c, nil); err != nil {
+	settings := platform.Settings{Listen: platform.Listen{Public: local, Readiness: local, Control: local}}
+	if _, err := platform.Start(settings, c, nil); err != nil {
 		t.Fatal(err)
 	}
 	written := httptest.NewRecorder()
--- a/control/daemon/interface_test.go
+++ b/control/daemon/interface_test.go
@@ -189,43 +189,68 @@
 	return wallTime.ReplaceAllString(s, "<time>")
 }
 
+// transcript records calls at a daemon with their answers, what varies masked.
+type transcript struct {
+	strings.Builder
+	d      *Daemon
+	inPath []string // what varies in paths
+	inBody []string // and in answers
+}
+
+func (c *transcript) call(t *testing.T, method, path, body string) {
+	t.Helper()
+	w := httptest.NewRecorder()
+	r := httptest.NewRequestWithContext(t.Context(), method, path, strings.NewReader(body))
+	c.d.Mux.ServeHTTP(w, r)
+	_, _ = fmt.Fprintf(c, "%s %s\n%d", method, maskedText(path, c.inPath), w.Code)
+	for _, name := range []string{"Content-Type", "Retry-After", "Warning", "Allow"} {
+		if v := w.Header().Get(name); v != "" {
+			_, _ = fmt.Fprintf(c, " %s: %s;", name, v)
+		}
+	}
+	_, _ = fmt.Fprintf(c, "\n%s\n", masked(w.Body.Bytes(), c.inBody...))
+}
+
+// operatorCall is a call with its method and path, as the mux has them.
+type operatorCall struct{ route, body string }
+
+func (c *transcript) calls(t *testing.T, list []operatorCall) {
+	t.Helper()
+	for _, call := range list {
+		method, path, _ := strings.Cut(call.route, " ")
+		path = strings.NewReplacer("{zone}", "north", "{op}", "return").Replace(path)
+		c.call(t, method, path, call.body)
+	}
+}
+
 // Each call of the operator's interface at a daemon that is a fleet by itself.
 func TestOperatorCallsKeepTheirAnswers(t *testing.T) {
-	cfg := singleDaemonConfig(t)
+	cfg, backup := singleDaemonConfig(t), filepath.Join(t.TempDir(), "backup")
 	d, plan := runDaemon(t, cfg), string(firstPlan())
-	unknownField := `{"id":"first","tenants":[],"services":[{"name":"m","prefill_servers":1,"decode_servers":1}]}`
-	backup := filepath.Join(t.TempDir(), "backup")
 	servers := string(leadercall.Pack(fleetconfig.List{
 		Version: 1,
 		Servers: []fleetconfig.Server{{Addr: "10.0.0.9:80", Zone: "north", Capacity: 1}},
 	}))
-	var text strings.Builder
-	call := func(method, path, body string) {
-		w := httptest.NewRecorder()
-		r := httptest.NewRequestWithContext(t.Context(), method, path, strings.NewReader(body))
-		d.Mux.ServeHTTP(w, r)
-		fmt.Fprintf(&text, "%s %s\n%d", method, maskedText(path, []string{backup}), w.Code)
-		for _, name := range []string{"Content-Type", "Retry-After", "Warning", "Allow"} {
-			if v := w.Header().Get(name); v != "" {
-				fmt.Fprintf(&text, " %s: %s;", name, v)
-			}
-		}
-		fmt.Fprintf(&text, "\n%s\n", masked(w.Body.Bytes(), d.Ident(), cfg.WireAddr, cfg.HTTPAddr, cfg.DataFolder, backup))
+	out := &transcript{
+		d:      d.Daemon,
+		inPath: []string{backup},
+		inBody: []string{d.Ident(), cfg.WireAddr, cfg.HTTPAddr, cfg.DataFolder, backup},
 	}
-	call("GET", "/livez", "")
-	call("GET", "/readyz", "")
+	out.calls(t, []operatorCall{{"GET /livez", ""}, {"GET /readyz", ""}})
 	if status, answer := d.Call(t.Context(), 0, opPlan, []byte(plan), 20*time.Second); status != http.StatusOK {
 		t.Fatalf("the first plan: %d %s", status, answer)
 	}
 	await(t, d.Daemon, d.isReady)
-	call("GET", "/readyz", "")
-	call("GET", "/v1/plan/template", "")
-	call("GET", "/v1/plan", "")
-	call("PUT", "/v1/plan", plan)
-	call("PUT", "/v1/plan", unknownField)
-	call("PUT", "/v1/plan", `{"id":1}`)
-	call("POST", "/v1/plan/changes", `{"id":"next","base":1,"changes":[{"op":"drop-tenant","name":"x"}]}`)
-	call("POST", "/v1/zones/north/evacuate", "")
+	out.calls(t, []operatorCall{
+		{"GET /readyz", ""},
+		{"GET /v1/plan/template", ""},
+		{"GET /v1/plan", ""},
+		{"PUT /v1/plan", plan},
+		{"PUT /v1/plan", `{"id":"first","tenants":[],"services":[{"name":"m","prefill_servers":1,"decode_servers":1}]}`},
+		{"PUT /v1/plan", `{"id":1}`},
+		{"POST /v1/plan/changes", `{"id":"next","base":1,"changes":[{"op":"drop-tenant","name":"x"}]}`},
+		{"POST /v1/zones/north/evacuate", ""},
+	})
 	await(t, d.Daemon, func() bool {
 		state := d.State()
 		member := state.Me.Ready && !state.Me.Empty && state.Members[0] == state.Me
@@ -233,29 +258,29 @@
 		known := len(d.View().Leaderships) == len(state.Partitions)
 		return len(state.ZonesOut) == 1 && state.Live && state.PlanValid && member && leads && known
 	})
-	call("GET", "/v1/state", "")
-	call("POST", "/v1/zones/zone-1/return", "")
-	method, path, _ := strings.Cut("POST /v1/cells/{zone}/{op}", " ")
-	call(method, strings.NewReplacer("{zone}", "north", "{op}", "return").Replace(path), "")
-	call("POST", "/v1/zones/north/leave", "")
-	call("POST", "/v1/replicas", `{"out":""}`)
-	method, path, _ = strings.Cut("POST /v1/seats", " ")
-	call(method, path, `{"out":"a","ident":"b","addr":"10.0.0.1:1"}`)
-	call("PUT", "/v1/services/m/servers", servers)
-	call("PUT", "/v1/services/m/servers", `{"version":0,"servers":[{"addr":"x"}]}`)
-	call("GET", "/v1/services/m/servers", "")
-	call("GET", "/v1/services/n/servers", "")
-	call("GET", "/v1/services/a%20b/servers", "")
-	call("GET", "/v1/ring", "")
-	call("GET", "/v1/ring?since=x", "")
-	call("POST", "/v1/backup?to=relative", "")
-	call("POST", "/v1/backup?to="+backup, "")
-	call("POST", "/v1/backup?to="+backup, "")
-	call("DELETE", "/v1/plan", "")
-	call("POST", "/test/cut", "[]")
+	out.calls(t, []operatorCall{
+		{"GET /v1/state", ""},
+		{"POST /v1/zones/zone-1/return", ""},
+		{"POST /v1/cells/{zone}/{op}", ""},
+		{"POST /v1/zones/north/leave", ""},
+		{"POST /v1/replicas", `{"out":""}`},
+		{"POST /v1/seats", `{"out":"a","ident":"b","addr":"10.0.0.1:1"}`},
+		{"PUT /v1/services/m/servers", servers},
+		{"PUT /v1/services/m/servers", `{"version":0,"servers":[{"addr":"x"}]}`},
+		{"GET /v1/services/m/servers", ""},
+		{"GET /v1/services/n/servers", ""},
+		{"GET /v1/services/a%20b/servers", ""},
+		{"GET /v1/ring", ""},
+		{"GET /v1/ring?since=x", ""},
+		{"POST /v1/backup?to=relative", ""},
+		{"POST /v1/backup?to=" + backup, ""},
+		{"POST /v1/backup?to=" + backup, ""},
+		{"DELETE /v1/plan", ""},
+		{"POST /test/cut", "[]"},
+	})
 	d.Leave()
-	call("GET", "/readyz", "")
-	golden(t, "operator-calls.txt", text.String())
+	out.calls(t, []operatorCall{{"GET /readyz", ""}})
+	golden(t, "operator-calls.txt", out.String())
 }
 
 // await waits until something is so, looked at whenever records change and often
--- a/control/daemon/open.go
+++ b/control/daemon/open.go
@@ -144,8 +144,8 @@
 func (d *Daemon) openMembership() *membership.Table {
 	table := membership.New(d.Cfg.MembershipConfig(), d.member(), d.Cfg.Seeds)
 	if d.store != nil {
-		for _, held := range d.store.Partitions {
-			for _, replica := range held.Meta.Group.All() {
+		for _, state := range d.store.Partitions {
+			for _, replica := range state.Meta.Group.All() {
 				table.AddControlAddrs(replica.Addr)
 			}
 		}
@@ -175,8 +175,8 @@
 		return nil
 	}
 	var metas []quorum.Meta
-	for _, held := range d.store.Partitions {
-		metas = append(metas, held.Meta)
+	for _, state := range d.store.Partitions {
+		metas = append(metas, state.Meta)
 	}
 	return quorum.OpenFolder(d.epoch, metas...)
 }
@@ -187,12 +187,12 @@
 	if d.store == nil {
 		return nil
 	}
-	held, ok := d.store.Partitions[p]
+	state, ok := d.store.Partitions[p]
 	if !ok {
-		held = storage.PartitionState{Records: digest.NewRecords()}
+		state = storage.PartitionState{Records: digest.NewRecords()}
 	}
-	isNew := held.Meta.Group.Number == 0
-	return quorum.New(d.Cfg.QuorumConfig(), p, d.self, folder, held.Meta, held.Records, now, isNew)
+	isNew := state.Meta.Group.Number == 0
+	return quorum.New(d.Cfg.QuorumConfig(), p, d.self, folder, state.Meta, state.Records, now, isNew)
 }
 
 // newLeaseNode makes a partition's node of the lease tree.
--- a/control/eventlog/eventlog_test.go
+++ b/control/eventlog/eventlog_test.go
@@ -13,17 +13,17 @@
 
 func TestFieldsStandBehindTheMessage(t *testing.T) {
 	for _, c := range []struct {
-		name, want string
-		message    string
-		fields     []any
+		name, message string
+		fields        []any
+		want          string
 	}{
-		{"no fields", "stopped", "stopped", nil},
-		{"numbers and durations", "leadership lost partition=3 after=1.5s", "leadership lost", []any{"partition", 3, "after", 1500 * time.Millisecond}},
-		{"a value of several words", `write failed error="disk is full"`, "write failed", []any{"error", errors.New("disk is full")}},
-		{"a list", `seeds seeds="[a b]"`, "seeds", []any{"seeds", []string{"a", "b"}}},
-		{"an empty value", `zone zone=""`, "zone", []any{"zone", ""}},
-		{"a key without a value", `odd key=(none)`, "odd", []any{"key"}},
-		{"a message that looks like a format", "100%d", "100%d", nil},
+		{"no fields", "stopped", nil, "stopped"},
+		{"numbers and durations", "lost", []any{"partition", 3, "after", 1500 * time.Millisecond}, "lost partition=3 after=1.5s"},
+		{"a value of several words", "failed", []any{"error", errors.New("disk is full")}, `failed error="disk is full"`},
+		{"a list", "seeds", []any{"seeds", []string{"a", "b"}}, `seeds seeds="[a b]"`},
+		{"an empty value", "zone", []any{"zone", ""}, `zone zone=""`},
+		{"a key without a value", "odd", []any{"key"}, "odd key=(none)"},
+		{"a message that looks like a format", "100%d", nil, "100%d"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := render(c.message, c.fields); got != c.want {
@@ -47,19 +47,37 @@
 }
 
 // What stays in the ring, what is written out, and when.
-func TestLevelsSayWhatIsWrittenOut(t *testing.T) {
+func TestLevelsDecideWhatIsWritten(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		verbose bool
 		log     func(*Log)
 		want    []string
 	}{
-		{"debug stays in the ring", false, func(l *Log) { l.Debug("a", "x") }, nil},
-		{"info is written at once", false, func(l *Log) { l.Debug("a", "x"); l.Info("b", "y", "n", 1) }, []string{"b:y n=1"}},
-		{"a warning brings what came before", false, func(l *Log) { l.Debug("a", "x"); l.Warn("b", "y") }, []string{"a:x", "trouble-b:y"}},
-		{"a second warning waits", false, func(l *Log) { l.Warn("a", "x"); l.Warn("b", "y") }, []string{"trouble-a:x"}},
-		{"a later warning brings only what is new", false, func(l *Log) { l.Warn("a", "x"); l.flushedAt = time.Time{}; l.Debug("c", "z"); l.Warn("b", "y") }, []string{"trouble-a:x", "c:z", "trouble-b:y"}},
-		{"verbose writes everything", true, func(l *Log) { l.Debug("a", "x") }, []string{"a:x"}},
+		{"debug stays in the ring", false, func(l *Log) {
+			l.Debug("a", "x")
+		}, nil},
+		{"info is written at once", false, func(l *Log) {
+			l.Debug("a", "x")
+			l.Info("b", "y", "n", 1)
+		}, []string{"b:y n=1"}},
+		{"a warning brings what came before", false, func(l *Log) {
+			l.Debug("a", "x")
+			l.Warn("b", "y")
+		}, []string{"a:x", "trouble-b:y"}},
+		{"a second warning waits", false, func(l *Log) {
+			l.Warn("a", "x")
+			l.Warn("b", "y")
+		}, []string{"trouble-a:x"}},
+		{"a later warning brings only what is new", false, func(l *Log) {
+			l.Warn("a", "x")
+			l.flushedAt = time.Time{}
+			l.Debug("c", "z")
+			l.Warn("b", "y")
+		}, []string{"trouble-a:x", "c:z", "trouble-b:y"}},
+		{"verbose writes everything", true, func(l *Log) {
+			l.Debug("a", "x")
+		}, []string{"a:x"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
