--- a/control/placement/balance.go
+++ b/control/placement/balance.go
@@ -1,160 +1,209 @@
 package placement
 
-import (
-	"fmt"
-	"time"
+import "fmt"
+
+// Where the platform lists the servers' roles, sides are balanced by the pressure on their servers: on average,
+// as a fraction of what requests bear.
+const (
+	highPressure     = 0.5     // from then on a side is short
+	lowPressure      = 0.4     // up to this the other side can spare a server: its pressure with one less
+	maxPressureRatio = 0.8     // and its pressure then is at most this fraction of the pressed side's
+	pressureWeight   = 1.0 / 8 // of a new value in the average of a server's pressure
+	deniedSwapBounds = 4       // swap bounds that the list may deny an order before it is given again: what runs there may go on for long
 )
 
-// listed tells whether the platform lists the parts of these servers.
-func (h *Controller) listed(keys []string) bool {
-	for _, k := range keys {
-		if h.servers[k].told != "" {
+// hasListedRoles tells whether the platform lists the roles of these servers.
+func (r *round) hasListedRoles() bool {
+	for _, key := range r.keys {
+		if r.servers[key].hasListedRole() {
 			return true
 		}
 	}
 	return false
 }
 
-// enter gives a server that the platform lists with a part its first record. A
-// new one takes the part that keeps the share of prefill servers: it isn't used while
-// it warms up, so a change costs least now.
-func (h *Controller) enter(now time.Duration, key string, s *server, count map[string]int, o *Out) {
-	part := s.told
-	if s.ordered != "" {
-		part = s.ordered
-	}
-	if want, ok := h.share[s.svc]; ok && s.cold && part == s.told {
-		read, all := float64(count[Prefill]), float64(count[Prefill]+count[Decode]+1)
-		switch {
-		case part == Prefill && count[Decode] > 0 && read+1 > want*all+0.5 && count[Prefill] > 0:
-			part = Decode
-		case part == Decode && count[Prefill] > 0 && read < want*all-0.5 && count[Decode] > 0:
-			part = Prefill
-		}
-	}
-	if part != s.ordered {
-		count[part]++
-		h.order(now, key, s, part, "keeps the sides in proportion", o)
+// enterListed gives a server that the platform lists with a role its first record. A
+// new one takes the role that keeps the proportion of the sides: it isn't used while
+// it warms up, so that a change costs least now.
+func (r *round) enterListed(key string, s *server, count map[string]int) {
+	role := s.listing.role
+	if s.order.role != "" {
+		role = s.order.role
+	}
+	if s.listing.warming && role == s.listing.role {
+		role = r.proportionateRole(role, count)
+	}
+	count[role]++
+	if role != s.order.role {
+		r.order(key, s, role, "keeps the sides in proportion")
 		return
 	}
-	count[part]++
-	b := ServerRecord{Addr: s.Addr, Zone: s.Zone, Capacity: s.Capacity, Role: part, Status: s.fresh()}
-	if part != s.told {
-		b.Status = Warming
+	status := s.listedStatus()
+	if role != s.listing.role {
+		status = Warming
 	}
-	h.write(o, key, s, b, "listed")
+	r.write(key, s, s.firstRecord(role, status), "listed")
+}
+
+// proportionateRole is the role for one server more that keeps the fraction of prefill servers as it was.
+func (r *round) proportionateRole(role string, count map[string]int) string {
+	share, ok := r.prefillShare[r.service]
+	if !ok || count[Prefill] == 0 || count[Decode] == 0 {
+		return role
+	}
+	prefill, wanted := float64(count[Prefill]), share*float64(count[Prefill]+count[Decode]+1)
+	switch {
+	case role == Prefill && prefill+1 > wanted+0.5:
+		return Decode
+	case role == Decode && prefill < wanted-0.5:
+		return Prefill
+	}
+	return role
 }
 
-// odd orders again what the platform's list goes on denying.
-func (h *Controller) odd(now time.Duration, key string, s *server, o *Out) {
-	if s.told == s.Role || s.leaving() {
-		s.oddAt = 0
+// repeatDeniedOrder orders again what the platform's list goes on denying.
+func (r *round) repeatDeniedOrder(key string, s *server) {
+	if s.listing.role == s.Role || s.isLeaving() {
+		s.listing.deniedSince = 0
 		return
 	}
-	if s.oddAt == 0 {
-		s.oddAt = now
+	if s.listing.deniedSince == 0 {
+		s.listing.deniedSince = r.now
 	}
-	if now-s.oddAt > 4*h.cfg.SwapBound { // what was running there may go on for long
-		s.oddAt = now
-		h.order(now, key, s, s.Role, "again", o)
+	if r.now-s.listing.deniedSince > deniedSwapBounds*r.cfg.SwapBound {
+		s.listing.deniedSince = r.now
+		r.order(key, s, s.Role, "again")
 	}
 }
 
-// balance shifts a server of a listed service from the side that is at ease to
-// the one that has been pressed, never the last, never below the plan; and to one
-// that has none left.
-func (h *Controller) balance(now time.Duration, svc string, keys []string, o *Out) {
-	if h.Pressure == nil || !h.listed(keys) {
-		return
-	}
-	side := map[string][]string{}
-	present := map[string]int{}
-	moving, all := false, 0
-	for _, k := range keys {
-		s := h.servers[k]
-		if !s.listed || s.leaving() || s.Role == "" {
+// sides are the servers of one service whose roles the platform lists, by the role
+// that they play.
+type sides struct {
+	inUse      map[string][]string // keys of those that requests go to now
+	present    map[string]int      // those that warm up, too: they are in use soon
+	all        int
+	isShifting bool // one of them is shifting, or the list doesn't follow an order yet
+}
+
+// observeSides counts the sides and takes the pressure on their servers into the averages.
+func (r *round) observeSides() sides {
+	s := sides{inUse: map[string][]string{}, present: map[string]int{}}
+	for _, key := range r.keys {
+		server := r.servers[key]
+		if !server.listed || server.isLeaving() || server.Role == "" {
 			continue
 		}
-		all++
-		moving = moving || s.NextRole != "" || s.ordering || s.told != s.Role
-		now := h.Pressure(svc, s.key())
-		s.strain.Prefill += (now.Prefill - s.strain.Prefill) / 8
-		s.strain.Decode += (now.Decode - s.strain.Decode) / 8
-		if s.NextRole == "" && s.Status != Dark {
-			present[s.Role]++
+		s.all++
+		s.isShifting = s.isShifting || server.NextRole != "" || server.order.pending || server.listing.role != server.Role
+		server.observed.pressure.average(r.Pressure(r.service, server.key()))
+		if server.NextRole == "" && server.Status != Dark {
+			s.present[server.Role]++
 		}
-		if s.Status == Up && s.NextRole == "" {
-			side[s.Role] = append(side[s.Role], k)
+		if server.isInUse() {
+			s.inUse[server.Role] = append(s.inUse[server.Role], key)
 		}
 	}
-	prefillServers, decodeServers := len(side[Prefill]), len(side[Decode])
-	if _, ok := h.share[svc]; !ok && all > 0 && prefillServers+decodeServers == all {
-		h.share[svc] = float64(prefillServers) / float64(all)
+	return s
+}
+
+// average takes a new value into a moving average.
+func (p *Pressure) average(now Pressure) {
+	p.Prefill += (now.Prefill - p.Prefill) * pressureWeight
+	p.Decode += (now.Decode - p.Decode) * pressureWeight
+}
+
+// of is the pressure on the requests that a role serves.
+func (p Pressure) of(role string) float64 {
+	if role == Decode {
+		return p.Decode
+	}
+	return p.Prefill
+}
+
+// balanceListed shifts a server of a listed service from the side that is at ease to
+// the one that has been pressed, never the last one, never below the plan's least; and to a side
+// that has none left.
+func (r *round) balanceListed() {
+	if r.Pressure == nil || !r.hasListedRoles() {
+		return
+	}
+	s := r.observeSides()
+	prefill, decode := len(s.inUse[Prefill]), len(s.inUse[Decode])
+	if _, ok := r.prefillShare[r.service]; !ok && s.all > 0 && prefill+decode == s.all {
+		r.prefillShare[r.service] = float64(prefill) / float64(s.all)
 	}
-	if moving || now-h.moved[svc] < h.cfg.ListedDwell || !h.mayOrder(now) {
+	if s.isShifting || r.now-r.lastShift[r.service] < r.cfg.ListedDwell || !r.mayOrder(r.now) {
 		return
 	}
-	if h.fillVacant(now, svc, sides{inUse: side, present: present}, o) || prefillServers == 0 || decodeServers == 0 {
+	if r.fillVacant(s) || prefill == 0 || decode == 0 {
 		return
 	}
-	read, write := 0.0, 0.0
-	for _, k := range side[Prefill] {
-		read += h.servers[k].strain.Prefill
-	}
-	for _, k := range side[Decode] {
-		write += h.servers[k].strain.Decode
-	}
-	least := h.plan[svc]
-	for _, x := range []struct {
-		to, from      string
-		press, relief float64 // mean strain of the side that gains, of the other with one less
-		spare         bool
-	}{
-		{Decode, Prefill, write / float64(decodeServers), read / float64(max(1, prefillServers-1)), prefillServers > max(1, least.PrefillServers)},
-		{Prefill, Decode, read / float64(prefillServers), write / float64(max(1, decodeServers-1)), decodeServers > max(1, least.DecodeServers)},
-	} {
-		key := svc + "/" + x.to
-		if !x.spare || x.press < 0.5 || x.relief > 0.4 || x.relief > x.press*0.8 {
-			delete(h.short, key)
-			continue
-		}
-		if _, ok := h.short[key]; !ok {
-			h.short[key] = now
+	for _, to := range []string{Decode, Prefill} {
+		if r.relieve(to, s) {
+			return
 		}
-		if now-h.short[key] < h.cfg.PressWindow {
-			continue
-		}
-		delete(h.short, key)
-		if x.to == Prefill {
-			prefillServers++
-		} else {
-			prefillServers--
-		}
-		h.share[svc] = float64(prefillServers) / float64(all)
-		h.shiftTo(now, svc, x.to, side[x.from], fmt.Sprintf("%s side is pressed %.2f, %s side would be %.2f with one less", x.to, x.press, x.from, x.relief), o)
-		return
 	}
 }
 
-// easiest is the server with the least to do, of the zone that has most of them.
-func (h *Controller) easiest(keys []string) (best string) {
+// relieve shifts a server to a side that has been pressed for a while, and tells whether it did.
+func (r *round) relieve(to string, s sides) bool {
+	from := otherRole(to)
+	side := shortage{service: r.service, role: to}
+	pressure := r.totalPressure(to, s) / float64(len(s.inUse[to]))
+	withOneLess := r.totalPressure(from, s) / float64(max(1, len(s.inUse[from])-1))
+	canSpare := len(s.inUse[from]) > r.leastServers(from)
+	if !canSpare || pressure < highPressure || withOneLess > lowPressure || withOneLess > pressure*maxPressureRatio {
+		delete(r.shortSince, side)
+		return false
+	}
+	if r.shortFor(r.now, side) < r.cfg.PressWindow {
+		return false
+	}
+	delete(r.shortSince, side)
+	prefill := len(s.inUse[Prefill]) - 1
+	if to == Prefill {
+		prefill = len(s.inUse[Prefill]) + 1
+	}
+	r.prefillShare[r.service] = float64(prefill) / float64(s.all)
+	r.shiftLeastPressed(s.inUse[from], to, fmt.Sprintf(
+		"%s side is pressed %.2f, %s side would be %.2f with one less", to, pressure, from, withOneLess,
+	))
+	return true
+}
+
+// totalPressure is the sum over the servers of a side that are in use.
+func (r *round) totalPressure(role string, s sides) (sum float64) {
+	for _, key := range s.inUse[role] {
+		sum += r.servers[key].observed.pressure.of(role)
+	}
+	return sum
+}
+
+// shiftLeastPressed begins the shift of the server of a side that has the least to do.
+func (r *round) shiftLeastPressed(from []string, to, reason string) {
+	r.beginShift(r.leastPressed(from), to, reason)
+}
+
+// leastPressed is the server with the least to do, of the zone that has most of them.
+func (r *round) leastPressed(keys []string) (least string) {
 	zones := map[string]int{}
-	for _, k := range keys {
-		zones[h.servers[k].Zone]++
+	for _, key := range keys {
+		zones[r.servers[key].Zone]++
 	}
-	for _, k := range keys {
-		s, b := h.servers[k], h.servers[best]
-		if b == nil || zones[s.Zone] > zones[b.Zone] || zones[s.Zone] == zones[b.Zone] && s.strain.Prefill+s.strain.Decode < b.strain.Prefill+b.strain.Decode {
-			best = k
+	for _, key := range keys {
+		if least == "" || r.isBetterToShift(r.servers[key], r.servers[least], zones) {
+			least = key
 		}
 	}
-	return best
+	return least
 }
 
-// key names the server within its service.
-func (s *server) key() string {
-	if s.id != "" {
-		return s.id
+// isBetterToShift compares two servers of a side that has so many in each zone.
+func (r *round) isBetterToShift(s, other *server, zones map[string]int) bool {
+	if zones[s.Zone] != zones[other.Zone] {
+		return zones[s.Zone] > zones[other.Zone]
 	}
-	return s.Addr
+	return s.observed.pressure.total() < other.observed.pressure.total()
 }
+
+func (p Pressure) total() float64 { return p.Prefill + p.Decode }
--- a/control/placement/pairs.go
+++ b/control/placement/pairs.go
@@ -2,49 +2,60 @@
 
 import (
 	"fmt"
-	"sort"
+	"slices"
 	"time"
 )
 
-// pairs keeps for each prefill server the decode servers that it may hand to: the same zone
-// first, fast links only, at least two where there are two. Servers whose parts
-// the platform tells are paired by the daemons, for each request: a record
+// updatePairs keeps for each prefill server the decode servers that it may hand to. Servers whose
+// roles the platform lists are paired by the daemons, for each request: a record
 // that names all decode servers would be written anew for each that comes or goes.
-func (h *Controller) pairs(keys []string, o *Out) {
+func (r *round) updatePairs() {
 	var decodeServers []*server
-	for _, k := range keys {
-		if s := h.servers[k]; s.listed && s.Role == Decode && s.NextRole == "" && s.Status != Dark && !s.leaving() {
+	for _, key := range r.keys {
+		s := r.servers[key]
+		if s.listed && s.Role == Decode && s.NextRole == "" && s.Status != Dark && !s.isLeaving() {
 			decodeServers = append(decodeServers, s)
 		}
 	}
-	for _, k := range keys {
-		s := h.servers[k]
-		if !s.listed || s.writing || s.Role != Prefill || s.NextRole != "" || s.told != "" {
+	for _, key := range r.keys {
+		s := r.servers[key]
+		if !s.listed || s.writePending || s.Role != Prefill || s.NextRole != "" || s.hasListedRole() {
 			continue
 		}
-		rank := func(m *server) int {
-			n := 0
-			if m.Zone != s.Zone {
-				n = 1
-			}
-			if ms, ok := s.usage.LinkMillis[m.Addr]; ok && time.Duration(ms)*time.Millisecond > h.cfg.SlowLink {
-				n += 2
-			}
-			return n
-		}
-		list := append([]*server(nil), decodeServers...)
-		sort.SliceStable(list, func(i, j int) bool { return rank(list[i]) < rank(list[j]) })
-		var pairs []string
-		for i, m := range list {
-			if rank(m) < 2 || i < 1 {
-				pairs = append(pairs, m.Addr)
-			}
+		pairs := r.pairsOf(s, decodeServers)
+		if slices.Equal(pairs, s.Pairs) {
+			continue
 		}
-		sort.Strings(pairs)
-		if fmt.Sprint(pairs) != fmt.Sprint(s.Pairs) {
-			b := s.ServerRecord
-			b.Pairs = pairs
-			h.write(o, k, s, b, fmt.Sprintf("pairs with %d decode servers", len(pairs)))
+		record := s.ServerRecord
+		record.Pairs = pairs
+		r.write(key, s, record, fmt.Sprintf("pairs with %d decode servers", len(pairs)))
+	}
+}
+
+// slowLink is the penalty of a slow link in linkPenalty.
+const slowLink = 2
+
+// linkPenalty ranks a decode server for a prefill server: the same zone first, fast links first of all.
+func (r *round) linkPenalty(prefill, decode *server) (penalty int) {
+	if decode.Zone != prefill.Zone {
+		penalty = 1
+	}
+	link, ok := prefill.observed.usage.LinkMillis[decode.Addr]
+	if ok && time.Duration(link)*time.Millisecond > r.cfg.SlowLink {
+		penalty += slowLink
+	}
+	return penalty
+}
+
+// pairsOf lists the decode servers that a prefill server hands to: those with fast links; where there are none, the best one.
+func (r *round) pairsOf(prefill *server, decodeServers []*server) (pairs []string) {
+	ranked := slices.Clone(decodeServers)
+	slices.SortStableFunc(ranked, func(a, b *server) int { return r.linkPenalty(prefill, a) - r.linkPenalty(prefill, b) })
+	for i, decode := range ranked {
+		if i == 0 || r.linkPenalty(prefill, decode) < slowLink {
+			pairs = append(pairs, decode.Addr)
 		}
 	}
+	slices.Sort(pairs)
+	return pairs
 }
--- a/control/placement/placement.go
+++ b/control/placement/placement.go
@@ -1,8 +1,8 @@
-// Package placement is the leader's hold on its servers: it polls their usage,
-// decides which part each plays and which decode servers a prefill server hands to, orders
-// them, and divides their slots among the daemons. It is the only holder; a
-// new one gives no order until the swap bound has passed. A plain state
-// machine, run once a tick over a table of servers and a table of daemons.
+// Package placement is the leader's control of the model servers of its partition: it polls
+// their usage, decides which role each plays and which decode servers a prefill server
+// hands to, orders them, and divides their slots among the daemons. It is the only
+// controller; a new one gives no order until the swap bound has passed. A plain state
+// machine: each Reconcile brings the observed state of the servers nearer to the desired one.
 package placement
 
 import (
@@ -10,192 +10,178 @@
 	"fmt"
 	"maps"
 	"slices"
-	"sort"
 	"time"
 
 	"mulleinmast/control/fleetconfig"
 )
 
-// Config holds the bounds the holder works by.
+// Config holds the bounds that the controller works by.
 type Config struct {
-	SwapBound    time.Duration // no order before this has passed since an older holder could act
+	SwapBound    time.Duration // no order before this has passed since an older controller could act
 	PollInterval time.Duration
-	WarmUp       time.Duration // a warming server's slots ramp up over this
-	ShareLength  time.Duration // length of a slot share
-	Drift        float64
-	Margin,
-	Dwell time.Duration // least time between shifts of part in a service
-	UsageWindow  time.Duration // usage is averaged over this
-	DrainTimeout time.Duration // in-flight work of a leaving part is waited for this long
+	WarmUp       time.Duration // a warming server's slots rise over this
+	ShareLength  time.Duration // of a share of slots; daemons renew them earlier
+	Drift        float64       // bound on the drift between two clocks, as a fraction
+	Margin       time.Duration // beside Drift, against the granularity of clocks
+	Dwell        time.Duration // least time between shifts of role in a service
+	UsageWindow  time.Duration // utilization is averaged over this; a side is short for as long before a shift
+	DrainTimeout time.Duration // requests in flight at a server that leaves its role are waited for this long
 	SlowLink     time.Duration // a link slower than this loses its pair
 	MaxFailures  int           // failed polls that make a server dark
-	ListedDwell  time.Duration // least time between shifts where the platform lists the parts
-	PressWindow  time.Duration // a side is pressed this long before a server is shifted to it
-	HighUsage    float64       // usage above which a side is short
-	LowUsage     float64       // usage below which a side can spare a server
+	ListedDwell  time.Duration // least time between shifts where the platform lists the roles
+	PressWindow  time.Duration // a side is pressed for this long before a server is shifted to it
+	HighUsage    float64       // demand for a side's slots, as a fraction of them, above which the side is short
+	LowUsage     float64       // and below which it can spare a server
 }
 
-// Out is what a tick asks for.
+// Out is what a reconciliation asks for.
 type Out struct {
-	Polls  []string
+	Polls  []string // keys of server records
 	Orders []Order
 	Writes []Write
-	Notes  []string // what was decided and why, for the ring
+	Notes  []string // what was decided and why, for the event log
 }
 
-type server struct {
-	ServerRecord
-	svc      string
-	listed   bool
-	id       string // of this life, where the platform gives one
-	told     string // the part it plays by the platform's word; it isn't polled then
-	cold     bool   // warming up by the platform's word
-	out      bool   // leaves by the list, the plan or an evacuation
-	usage    Usage
-	seen     bool
-	pollAt   time.Duration
-	polling  bool
-	born     time.Duration // the latest that it can have started, by the poll at bornAt
-	bornAt   time.Duration
-	anew     bool // it started anew and its record doesn't say so yet
-	fails    int
-	busy     float64 // smoothed usage
-	warmAt   time.Duration
-	leftAt   time.Duration
-	oddAt    time.Duration // since when the platform's word differs from the record
-	strain   Pressure      // smoothed
-	ordered  string
-	ordering bool
-	writing  bool
-	orderAt  time.Duration
-}
+// Controller is the state machine for the services of one partition, under one term.
+// It is not safe for concurrent use.
+type Controller struct {
+	cfg       Config
+	term      uint64
+	since     time.Duration      // from then on no older controller could act
+	lastOrder uint64             // number of the last order
+	servers   map[string]*server // by key of the server's record
+	daemons   map[string]*daemon // by "service/identity"
 
-// leaving: nothing new goes there, whoever said so.
-func (s *server) leaving() bool { return s.out || s.seen && s.usage.Leaving }
+	// Desired state, from the fleet's configuration.
+	services  map[string]fleetconfig.Service // of the plan in force, by name
+	evacuated map[string]bool                // zones
 
-// Controller is the state machine for the services of one part.
-type Controller struct {
-	cfg     Config
-	term    uint64
-	since   time.Duration
-	servers map[string]*server // by server record key
-	daemons map[string]*daemon // by service and identity
-	moved   map[string]time.Duration
-	short   map[string]time.Duration // since when a side of a service is short
-	no      uint64
-	plan    map[string]fleetconfig.Service
-	share   map[string]float64 // of a service's listed servers that are to read
-	// Pressure tells how hard a server is pressed; none: nobody knows.
+	// What shifts of role go by.
+	lastShift    map[string]time.Duration   // by service: when a server last began to leave its role
+	shortSince   map[shortage]time.Duration // since when a side of a service has been short; absent: it isn't
+	prefillShare map[string]float64         // by service: the fraction of its listed servers that is to prefill
+	// Pressure says how hard a server of a service is pressed; nil: not known.
 	Pressure func(service, server string) Pressure
-	out      map[string]bool // evacuated zones
 }
 
-// New makes the holder of a new term; since is when no older one could act.
+// New makes the controller of a new term; from since on no older one could act.
 //
-// Example: h := placement.New(cfg, replica.Term(), replica.LeaderSince())
+// Example: c := placement.New(cfg, replica.Term(), replica.LeaderSince())
 func New(cfg Config, term uint64, since time.Duration) *Controller {
 	return &Controller{
-		cfg: cfg, term: term, since: since, servers: map[string]*server{}, daemons: map[string]*daemon{},
-		share: map[string]float64{}, moved: map[string]time.Duration{}, short: map[string]time.Duration{}, plan: map[string]fleetconfig.Service{}, out: map[string]bool{},
+		cfg: cfg, term: term, since: since,
+		servers: map[string]*server{}, daemons: map[string]*daemon{},
+		services: map[string]fleetconfig.Service{}, evacuated: map[string]bool{},
+		lastShift: map[string]time.Duration{}, shortSince: map[shortage]time.Duration{}, prefillShare: map[string]float64{},
 	}
 }
 
-// SetPlan tells the holder of the plan and the evacuated zones in force.
+// SetPlan takes the plan and the evacuated zones in force.
 //
-// Example: h.SetPlan(plan, zones)
-func (h *Controller) SetPlan(p fleetconfig.Plan, out map[string]bool) {
-	h.plan = map[string]fleetconfig.Service{}
-	for _, s := range p.Services {
-		h.plan[s.Name] = s
+// Example: c.SetPlan(plan, zones)
+func (c *Controller) SetPlan(plan fleetconfig.Plan, evacuated map[string]bool) {
+	c.services = map[string]fleetconfig.Service{}
+	for _, service := range plan.Services {
+		c.services[service.Name] = service
 	}
-	h.out = out
+	c.evacuated = evacuated
 }
 
-// LoadService tells the holder a service's list and server records as they are committed.
+// LoadService takes a service's list of servers and their records as they are committed.
 //
-// Example: h.LoadService(now, "timetable", list, server records)
-func (h *Controller) LoadService(now time.Duration, svc string, list fleetconfig.List, serverRecords map[string]ServerRecord) {
-	skip := map[string]bool{}
-	for _, a := range h.plan[svc].Exclude {
-		skip[a] = true
+// Example: c.LoadService(now, "timetable", list, serverRecords)
+func (c *Controller) LoadService(
+	now time.Duration, service string, list fleetconfig.List, records map[string]ServerRecord,
+) {
+	excluded := map[string]bool{}
+	for _, addr := range c.services[service].Exclude {
+		excluded[addr] = true
 	}
-	for _, s := range h.servers {
-		if s.svc == svc {
+	for _, s := range c.servers {
+		if s.service == service {
 			s.listed = false
 		}
 	}
-	for _, e := range list.Servers {
-		key := fleetconfig.ServerRecordKey(svc, e.Key())
-		s := h.servers[key]
+	for _, entry := range list.Servers {
+		key := fleetconfig.ServerRecordKey(service, entry.Key())
+		s := c.servers[key]
 		if s == nil {
-			s = &server{svc: svc, warmAt: now}
-			h.servers[key] = s
+			s = &server{service: service, warmingSince: now}
+			c.servers[key] = s
 		}
 		s.listed = true
-		s.out = e.Leaving || skip[e.Addr] || h.out[e.Zone]
-		if b, ok := serverRecords[key]; ok {
-			if !s.writing {
-				s.ServerRecord = b
-			}
-		} else if !s.writing {
-			s.ServerRecord = ServerRecord{}
+		s.withdrawn = entry.Leaving || excluded[entry.Addr] || c.evacuated[entry.Zone]
+		if !s.writePending {
+			s.ServerRecord = records[key] // none: it is new
 		}
-		s.Addr, s.Zone, s.Capacity = e.Addr, e.Zone, e.Capacity
-		h.listing(s, e)
+		s.Addr, s.Zone, s.Capacity = entry.Addr, entry.Zone, entry.Capacity
+		s.takeListing(entry)
 	}
-	for key, b := range serverRecords {
-		if h.servers[key] == nil {
-			h.servers[key] = &server{ServerRecord: b, svc: svc}
+	for key, record := range records {
+		if c.servers[key] == nil {
+			c.servers[key] = &server{ServerRecord: record, service: service}
 		}
 	}
 }
 
-// HandleWritten takes the fate of a write.
+// HandleWritten takes the outcome of a write; ok tells that the record is committed.
 //
-// Example: h.HandleWritten(key, server record, true)
-func (h *Controller) HandleWritten(key string, b ServerRecord, ok bool) {
-	if s := h.servers[key]; s != nil {
-		s.writing = false
-		if ok {
-			c := s.Capacity
-			s.ServerRecord = b
-			s.Capacity = c
-			s.anew = s.anew && b.Status != Dark
-		}
+// Example: c.HandleWritten(key, record, true)
+func (c *Controller) HandleWritten(key string, record ServerRecord, ok bool) {
+	s := c.servers[key]
+	if s == nil {
+		return
+	}
+	s.writePending = false
+	if !ok {
+		return
 	}
+	record.Capacity = s.Capacity // as the list has it by now
+	s.ServerRecord = record
+	s.restarted = s.restarted && record.Status != Dark
 }
 
-func (h *Controller) write(o *Out, key string, s *server, b ServerRecord, why string) {
-	s.writing = true
-	val, _ := json.Marshal(b)
-	o.Writes = append(o.Writes, Write{Key: key, Value: val})
-	o.Notes = append(o.Notes, fmt.Sprintf("%s %s: %s/%s to=%q (%s)", s.svc, b.Addr, b.Role, b.Status, b.NextRole, why))
+// round is one reconciliation of the servers of one service.
+type round struct {
+	*Controller
+	now     time.Duration
+	service string
+	keys    []string // of the records of the service's servers, sorted
+	out     *Out
 }
 
-// Reconcile runs the systems over the tables.
+// Reconcile asks for the polls, orders and writes that bring the servers nearer to their desired state.
 //
-// Example: out := h.Reconcile(now)
-func (h *Controller) Reconcile(now time.Duration) (o Out) {
-	by := map[string][]string{}
-	for key, s := range h.servers {
-		by[s.svc] = append(by[s.svc], key)
+// Example: out := c.Reconcile(now)
+func (c *Controller) Reconcile(now time.Duration) (out Out) {
+	keys := map[string][]string{}
+	for key, s := range c.servers {
+		keys[s.service] = append(keys[s.service], key)
 	}
-	for _, svc := range sorted(by) {
-		keys := by[svc]
-		sort.Strings(keys)
-		h.poll(now, keys, &o)
-		h.status(now, keys, &o)
-		keys = slices.DeleteFunc(keys, func(k string) bool { return h.servers[k] == nil }) // gone for good
-		h.parts(now, svc, keys, &o)
-		h.balance(now, svc, keys, &o)
-		h.pairs(keys, &o)
+	for _, service := range sortedKeys(keys) {
+		r := &round{Controller: c, now: now, service: service, keys: keys[service], out: &out}
+		slices.Sort(r.keys)
+		r.pollServers()
+		r.updateStatuses()
+		r.keys = slices.DeleteFunc(r.keys, func(key string) bool { return c.servers[key] == nil }) // deleted by now
+		r.assignRoles()
+		r.balanceListed()
+		r.updatePairs()
 	}
-	for id, d := range h.daemons {
-		if now-d.at > 10*h.cfg.ShareLength {
-			delete(h.daemons, id)
-		}
-	}
-	return o
+	c.forgetSilentDaemons(now)
+	return out
+}
+
+// write asks for a server record to be written.
+func (r *round) write(key string, s *server, record ServerRecord, reason string) {
+	s.writePending = true
+	value, _ := json.Marshal(record)
+	r.out.Writes = append(r.out.Writes, Write{Key: key, Value: value})
+	r.note("%s %s: %s/%s to=%q (%s)", s.service, record.Addr, record.Role, record.Status, record.NextRole, reason)
+}
+
+func (r *round) note(format string, args ...any) {
+	r.out.Notes = append(r.out.Notes, fmt.Sprintf(format, args...))
 }
 
-func sorted[T any](m map[string]T) []string { return slices.Sorted(maps.Keys(m)) }
+func sortedKeys[T any](m map[string]T) []string { return slices.Sorted(maps.Keys(m)) }
--- a/control/placement/placement_test.go
+++ b/control/placement/placement_test.go
@@ -232,7 +232,7 @@
 // A server that was killed and is back between two polls is a new one, even if
 // it is up for longer than it was when last seen; and a new holder sees that a
 // server which its record calls up is warming.
-func TestANewLifeIsSeen(t *testing.T) {
+func TestARestartIsSeen(t *testing.T) {
 	h, l := fleet(2)
 	serverRecords := map[string]ServerRecord{}
 	drive(h, l, 0, 12*time.Second, serverRecords, idle)
@@ -249,8 +249,8 @@
 	now += 900 * time.Millisecond // killed, and back for longer than the 100 ms seen last
 	again.Reconcile(now)
 	again.HandlePoll(now, key, Usage{UptimeMillis: 500}, true)
-	if s := again.servers[key]; !s.anew || again.total(now, s) != 0 {
-		t.Error("a new life was taken for the old one")
+	if s := again.servers[key]; !s.restarted || again.slots(now, s) != 0 {
+		t.Error("a restarted server was taken for the earlier process")
 	}
 	next := New(cfg, 2, now)
 	next.SetPlan(fleetconfig.Plan{Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}, nil)
@@ -273,7 +273,7 @@
 
 // A server that doesn't say its uptime is used all the same, and is told its
 // part again when it comes back from the dark.
-func TestServersThatDoNotSayTheirUptime(t *testing.T) {
+func TestServersWithoutUptimeAreUsed(t *testing.T) {
 	h, l := fleet(2)
 	serverRecords := map[string]ServerRecord{}
 	said := 0
--- a/control/placement/shares.go
+++ b/control/placement/shares.go
@@ -1,203 +1,257 @@
 package placement
 
 import (
-	"sort"
+	"slices"
 	"time"
 
 	"mulleinmast/control/fleetconfig"
 )
 
+// daemon is what the controller knows of one daemon's use of a service.
+type daemon struct {
+	demand    Demand // the latest
+	askedAt   time.Duration
+	grants    []grant // those that may still be in use
+	lastShare uint64  // counts the shares that it was given
+}
+
+// grant is a share that a daemon was given.
 type grant struct {
-	no    uint64
-	till  time.Duration
-	slots map[string]int
+	number  uint64        // see Share.Number
+	expires time.Duration // by our clock; it counts from when it was given, the daemon from when it asked
+	slots   map[string]int
 }
 
-type daemon struct {
-	want   Demand
-	at     time.Duration
-	grants []grant
-	no     uint64
+// mayFill is the most slots of a server that a daemon may be filling.
+func (d *daemon) mayFill(now time.Duration, addr string) int {
+	slots := d.demand.InFlight[addr]
+	for _, g := range d.grants {
+		if now < g.expires {
+			slots = max(slots, g.slots[addr])
+		}
+	}
+	return slots
+}
+
+// dropGrants forgets the grants that have expired, or that a later one took the place of: the daemon has that by now.
+func (d *daemon) dropGrants(now time.Duration) {
+	d.grants = slices.DeleteFunc(d.grants, func(g grant) bool { return g.number < d.demand.AckedShare || now >= g.expires })
+}
+
+// silentShares is after how many lengths of a share a daemon that asks for none is forgotten.
+const silentShares = 10
+
+func (c *Controller) forgetSilentDaemons(now time.Duration) {
+	for key, d := range c.daemons {
+		if now-d.askedAt > silentShares*c.cfg.ShareLength {
+			delete(c.daemons, key)
+		}
+	}
+}
+
+// inFlight is how many requests daemons have at a server of a service.
+func (c *Controller) inFlight(service, addr string) (requests int) {
+	for _, d := range c.daemons {
+		if d.demand.Service == service {
+			requests += d.demand.InFlight[addr]
+		}
+	}
+	return requests
+}
+
+// demand is how many requests wait for or hold a server of a role, over all daemons.
+func (c *Controller) demand(service, role string) (requests int) {
+	for _, d := range c.daemons {
+		if d.demand.Service == service {
+			for _, n := range d.demand.of(role) {
+				requests += n
+			}
+		}
+	}
+	return requests
 }
 
-// total is how many slots of a server may be out at daemons now.
-func (h *Controller) total(now time.Duration, s *server) int {
-	if !s.listed || s.leaving() || s.NextRole != "" || s.Status == Dark || !s.seen || s.anew || s.fails >= h.cfg.MaxFailures || s.Role == "" {
+// slots is how many slots of a server daemons may fill now, all together.
+func (c *Controller) slots(now time.Duration, s *server) int {
+	if !c.isServing(s) {
 		return 0
 	}
-	n := s.Capacity
-	if s.Status == Warming || h.young(s) {
-		n = max(1, int(float64(s.Capacity)*min(1, float64(now-s.warmAt)/float64(h.cfg.WarmUp))/2))
+	slots := s.Capacity
+	if s.Status == Warming || c.isWarming(s) {
+		warm := min(1, float64(now-s.warmingSince)/float64(c.cfg.WarmUp))
+		slots = max(1, int(float64(s.Capacity)*warm/2))
 	}
 	// Work that no daemon accounts for still fills the server.
-	if stray := s.usage.Active - h.held(s.svc, s.Addr); s.seen && stray > 0 {
-		n -= stray
+	if stray := s.observed.usage.Active - c.inFlight(s.service, s.Addr); stray > 0 {
+		slots -= stray
 	}
-	return max(0, n)
+	return max(0, slots)
 }
 
-// out is the most slots of a server that a daemon may be filling.
-func (d *daemon) out(now time.Duration, addr string) int {
-	n := d.want.InFlight[addr]
-	for _, g := range d.grants {
-		if now < g.till {
-			n = max(n, g.slots[addr])
-		}
-	}
-	return n
+// isServing tells whether a server may get work at all.
+func (c *Controller) isServing(s *server) bool {
+	return s.listed && !s.isLeaving() && s.Role != "" && s.NextRole == "" && s.Status != Dark &&
+		s.observed.known && !s.restarted && !c.isDark(s)
 }
 
-// HandleDemand takes a daemon's want and returns its share, as many slots as the
-// urgent demand over the whole fleet leaves it, never more than are free.
+// HandleDemand takes a daemon's demand and returns its share: as many slots as the
+// more urgent demand over the whole fleet leaves it, never more than are free. It is valid no longer
+// than the leader lease is, of which leaseLeft is left.
 //
-// Example: share := h.HandleDemand(now, ident, want, left)
-func (h *Controller) HandleDemand(now time.Duration, ident string, w Demand, left time.Duration) Share {
-	id := w.Service + "/" + ident
-	d := h.daemons[id]
+// Example: share := c.HandleDemand(now, ident, demand, leaseLeft)
+func (c *Controller) HandleDemand(now time.Duration, ident string, demand Demand, leaseLeft time.Duration) Share {
+	key := demand.Service + "/" + ident
+	d := c.daemons[key]
 	if d == nil {
 		d = &daemon{}
-		h.daemons[id] = d
-	}
-	d.want, d.at = w, now
-	// Calls that failed under daemons' hands count like failed polls, and bring
-	// the next poll on at once.
-	for addr := range w.Failures {
-		if s := h.servers[fleetconfig.ServerRecordKey(w.Service, addr)]; s != nil && now-s.pollAt > h.cfg.PollInterval/8 {
-			s.fails++
-			s.pollAt = now - h.cfg.PollInterval
-		}
+		c.daemons[key] = d
 	}
-	keep := d.grants[:0]
-	for _, g := range d.grants {
-		if g.no >= w.AckedShare && now < g.till {
-			keep = append(keep, g)
-		}
-	}
-	d.grants = keep
-	length := min(h.cfg.ShareLength, left)
-	sh := Share{Slots: map[string]int{}, Length: int64(max(0, length))}
+	d.demand, d.askedAt = demand, now
+	c.countFailures(now, demand)
+	d.dropGrants(now)
+	length := min(c.cfg.ShareLength, leaseLeft)
+	share := Share{Slots: map[string]int{}, Length: int64(max(0, length))}
 	if length > 0 {
-		h.divide(now, id, d, w.Service, Prefill, sh.Slots)
-		h.divide(now, id, d, w.Service, Decode, sh.Slots)
+		c.divide(now, key, Prefill, share.Slots)
+		c.divide(now, key, Decode, share.Slots)
 	}
-	d.no++
-	sh.Number = h.term<<32 | d.no
-	d.grants = append(d.grants, grant{no: sh.Number, till: now + length + time.Duration(float64(length)*h.cfg.Drift) + h.cfg.Margin, slots: sh.Slots})
-	return sh
+	d.lastShare++
+	share.Number = c.term<<32 | d.lastShare
+	expires := now + length + time.Duration(float64(length)*c.cfg.Drift) + c.cfg.Margin
+	d.grants = append(d.grants, grant{number: share.Number, expires: expires, slots: share.Slots})
+	return share
 }
 
-// quota is a daemon's part of n slots: by priority first, within one priority
-// by demand, and half of what nobody needs in equal parts. The other half is
-// kept so that new demand finds something at once. What doesn't divide evenly
-// goes round among the daemons, so that none waits for ever.
-func (h *Controller) quota(now time.Duration, svc, id, part string, n int) int {
-	var ids []string
-	for k, d := range h.daemons {
-		if d.want.Service == svc {
-			ids = append(ids, k)
-		}
-	}
-	sort.Strings(ids)
-	need := func(k string, p int) int {
-		if part == Decode {
-			return h.daemons[k].want.Decode[p]
-		}
-		return h.daemons[k].want.Prefill[p]
-	}
-	left, mine := n, 0
-	for p := 0; p < 10 && left > 0; p++ {
-		sum := 0
-		for _, k := range ids {
-			sum += need(k, p)
-		}
-		give := min(left, sum)
-		if sum == 0 {
-			continue
+// countFailures counts calls that failed at daemons like failed polls, and brings the next poll on at once.
+func (c *Controller) countFailures(now time.Duration, demand Demand) {
+	for addr := range demand.Failures {
+		s := c.servers[fleetconfig.ServerRecordKey(demand.Service, addr)]
+		if s != nil && now-s.observed.polledAt > c.cfg.PollInterval/8 {
+			s.observed.failures++
+			s.observed.polledAt = now - c.cfg.PollInterval
 		}
-		mine += apportion(give, sum, ids, id, int(now/h.cfg.ShareLength), func(k string) int { return need(k, p) })
-		left -= give
 	}
-	return mine + apportion(left/2, len(ids), ids, id, 0, func(string) int { return 1 })
 }
 
-// apportion is one's whole part of give by weight; the rest goes round from a
-// place that moves with the turn.
-func apportion(give, sum int, ids []string, id string, turn int, weight func(string) int) int {
-	rest, mine := give, 0
-	for _, k := range ids {
-		n := give * weight(k) / max(1, sum)
-		rest -= n
-		if k == id {
-			mine = n
-		}
-	}
-	for i := range ids {
-		k := ids[(i+turn)%len(ids)]
-		if rest == 0 {
-			break
-		}
-		if give*weight(k)%max(1, sum) > 0 {
-			rest--
-			if k == id {
-				mine++
-			}
-		}
-	}
-	return mine
+// offer is a server whose slots are divided.
+type offer struct {
+	addr string
+	free int // slots that no other daemon may be filling
 }
 
-func (h *Controller) divide(now time.Duration, id string, d *daemon, svc, part string, slots map[string]int) {
-	type row struct {
-		addr string
-		free int
-	}
-	var rows []row
-	all := 0
-	for _, key := range sorted(h.servers) {
-		s := h.servers[key]
-		if s.svc != svc || s.Role != part {
+// offers lists the servers of a role, and how many slots they have in all, for the daemon of a key.
+func (c *Controller) offers(now time.Duration, daemonKey, service, role string) (offers []offer, all int) {
+	for _, key := range sortedKeys(c.servers) {
+		s := c.servers[key]
+		if s.service != service || s.Role != role {
 			continue
 		}
-		n := h.total(now, s)
-		all += n
-		for k, o := range h.daemons {
-			if k != id && o.want.Service == svc {
-				n -= o.out(now, s.Addr)
+		slots := c.slots(now, s)
+		all += slots
+		for otherKey, other := range c.daemons {
+			if otherKey != daemonKey && other.demand.Service == service {
+				slots -= other.mayFill(now, s.Addr)
 			}
 		}
-		rows = append(rows, row{s.Addr, max(0, n)})
+		offers = append(offers, offer{s.Addr, max(0, slots)})
 	}
-	if len(rows) == 0 {
+	return offers, all
+}
+
+// divide gives a daemon its quota of the slots of a role: at servers where it has requests in flight first, then at
+// the prefill servers that have a wanted prefix, then one by one from a place of the daemon's own.
+func (c *Controller) divide(now time.Duration, daemonKey, role string, slots map[string]int) {
+	demand := &c.daemons[daemonKey].demand
+	offers, all := c.offers(now, daemonKey, demand.Service, role)
+	if len(offers) == 0 {
 		return
 	}
-	left := h.quota(now, svc, id, part, all)
-	// What is in flight counts first, then the prefill servers that hold a wanted
-	// prefix, then round and round from a place of the daemon's own.
-	give := func(i, n int) {
-		n = min(n, rows[i].free, left)
+	left := c.quota(now, demand.Service, daemonKey, role, all)
+	give := func(o *offer, n int) {
+		n = min(n, o.free, left)
 		if n > 0 {
-			slots[rows[i].addr] += n
-			rows[i].free -= n
+			slots[o.addr] += n
+			o.free -= n
 			left -= n
 		}
 	}
-	for i := range rows {
-		give(i, d.want.InFlight[rows[i].addr])
+	for i := range offers {
+		give(&offers[i], demand.InFlight[offers[i].addr])
 	}
-	for i := range rows {
-		give(i, d.want.PrefixHits[rows[i].addr])
+	for i := range offers {
+		give(&offers[i], demand.PrefixHits[offers[i].addr])
 	}
-	at := 0
-	for _, c := range id {
-		at = at*31 + int(c)
+	at := startingPlace(daemonKey, len(offers))
+	for exhausted := 0; left > 0 && exhausted < len(offers); at = (at + 1) % len(offers) {
+		if offers[at].free == 0 {
+			exhausted++
+			continue
+		}
+		exhausted = 0
+		give(&offers[at], 1)
 	}
-	at = (at%len(rows) + len(rows)) % len(rows)
-	for idle := 0; left > 0 && idle < len(rows); at = (at + 1) % len(rows) {
-		if rows[at].free == 0 {
-			idle++
+}
+
+// startingPlace is a daemon's own among so many, by a hash of its key.
+func startingPlace(daemonKey string, places int) int {
+	hash := 0
+	for _, char := range daemonKey {
+		hash = hash*31 + int(char)
+	}
+	return (hash%places + places) % places
+}
+
+// quota is a daemon's share of so many slots: by priority first, within one priority
+// by demand, and half of what nobody needs in equal shares. The other half is
+// kept so that new demand finds something at once. What doesn't divide evenly
+// goes round among the daemons, so that none waits for ever.
+func (c *Controller) quota(now time.Duration, service, daemonKey, role string, slots int) int {
+	var keys []string
+	for key, d := range c.daemons {
+		if d.demand.Service == service {
+			keys = append(keys, key)
+		}
+	}
+	slices.Sort(keys)
+	left, quota := slots, 0
+	for priority := 0; priority < Priorities && left > 0; priority++ {
+		need := func(key string) int { return c.daemons[key].demand.of(role)[priority] }
+		needed := 0
+		for _, key := range keys {
+			needed += need(key)
+		}
+		if needed == 0 {
 			continue
 		}
-		idle = 0
-		give(at, 1)
+		given := min(left, needed)
+		quota += apportion(given, needed, keys, daemonKey, int(now/c.cfg.ShareLength), need)
+		left -= given
+	}
+	return quota + apportion(left/2, len(keys), keys, daemonKey, 0, func(string) int { return 1 })
+}
+
+// apportion is what one of some keys gets of so many slots, by weight; what doesn't divide evenly goes round
+// from a place that moves with the turn.
+func apportion(slots, totalWeight int, keys []string, key string, turn int, weight func(string) int) (quota int) {
+	rest := slots
+	for _, other := range keys {
+		n := slots * weight(other) / max(1, totalWeight)
+		rest -= n
+		if other == key {
+			quota = n
+		}
+	}
+	for i := range keys {
+		other := keys[(i+turn)%len(keys)]
+		if rest == 0 {
+			break
+		}
+		if slots*weight(other)%max(1, totalWeight) > 0 {
+			rest--
+			if other == key {
+				quota++
+			}
+		}
 	}
+	return quota
 }
--- a/control/placement/status.go
+++ b/control/placement/status.go
@@ -1,125 +1,136 @@
 package placement
 
-import (
-	"fmt"
-	"time"
+import "time"
 
-	"mulleinmast/control/fleetconfig"
-)
-
-// HandlePoll takes a server's answer to a poll, or its silence.
+// HandlePoll takes a server's answer to a poll; ok is false where it gave none.
 //
-// Example: h.HandlePoll(now, key, usage, true)
-func (h *Controller) HandlePoll(now time.Duration, key string, u Usage, ok bool) {
-	s := h.servers[key]
+// Example: c.HandlePoll(now, key, usage, true)
+func (c *Controller) HandlePoll(now time.Duration, key string, usage Usage, ok bool) {
+	s := c.servers[key]
 	if s == nil {
 		return
 	}
-	s.polling = false
+	seen := &s.observed
+	seen.pollPending = false
 	if !ok {
-		s.fails++
+		seen.failures++
 		return
 	}
-	// It was born between these two moments of our clock. If that is after the
-	// latest that it can have been before, it is another life, however long its
-	// uptime: what it played is gone.
-	// A server that doesn't say its uptime is known to be new by having been dark.
-	up := time.Duration(u.UptimeMillis) * time.Millisecond
-	drift := time.Duration(float64(now-s.bornAt)*h.cfg.Drift) + h.cfg.Margin
-	if s.seen && u.UptimeMillis > 0 && s.usage.UptimeMillis > 0 && (u.UptimeMillis < s.usage.UptimeMillis || s.pollAt-up > s.born+drift) {
-		s.anew, s.ordered, s.warmAt = true, "", now
+	uptime := time.Duration(usage.UptimeMillis) * time.Millisecond
+	if c.hasRestarted(now, seen, usage) {
+		s.restarted, s.order.role, s.warmingSince = true, "", now
 	}
-	s.born, s.bornAt = now-up, now
-	if s.fails >= h.cfg.MaxFailures { // it may have started anew: say its part again
-		s.warmAt, s.ordered = now, ""
+	seen.startedBy, seen.startSeenAt = now-uptime, now
+	if seen.failures >= c.cfg.MaxFailures { // it may have restarted: its role is ordered again
+		s.warmingSince, s.order.role = now, ""
 	}
-	s.fails, s.seen, s.usage = 0, true, u
-	part := float64(h.cfg.PollInterval) / float64(h.cfg.UsageWindow)
-	s.busy += (float64(u.Active)/float64(max(1, s.Capacity)) - s.busy) * min(1, part)
+	seen.failures, seen.known, seen.usage = 0, true, usage
+	weight := float64(c.cfg.PollInterval) / float64(c.cfg.UsageWindow)
+	seen.utilization += (float64(usage.Active)/float64(max(1, s.Capacity)) - seen.utilization) * min(1, weight)
 }
 
-// young tells whether a server is warming up, by its own word or its uptime.
-func (h *Controller) young(s *server) bool {
-	if s.told != "" {
-		return s.cold
+// hasRestarted tells whether a server that answers a poll has restarted since it was seen last. It started
+// between its poll and the answer, less its uptime, by our clock; if that is later than it can have started
+// before, it is another process, however long its uptime. A server that doesn't say its uptime is known to
+// be another only by having been dark.
+func (c *Controller) hasRestarted(now time.Duration, seen *observation, usage Usage) bool {
+	if !seen.known || usage.UptimeMillis <= 0 || seen.usage.UptimeMillis <= 0 {
+		return false
 	}
-	return s.seen && (s.usage.Warming || s.usage.UptimeMillis > 0 && time.Duration(s.usage.UptimeMillis)*time.Millisecond < h.cfg.WarmUp)
+	uptime := time.Duration(usage.UptimeMillis) * time.Millisecond
+	drift := time.Duration(float64(now-seen.startSeenAt)*c.cfg.Drift) + c.cfg.Margin
+	return usage.UptimeMillis < seen.usage.UptimeMillis || seen.polledAt-uptime > seen.startedBy+drift
 }
 
-func (h *Controller) poll(now time.Duration, keys []string, o *Out) {
-	for _, key := range keys {
-		s := h.servers[key]
-		if s.listed && s.told == "" && !s.polling && now-s.pollAt >= h.cfg.PollInterval {
-			s.polling, s.pollAt = true, now
-			o.Polls = append(o.Polls, key)
-		}
+// isWarming tells whether a server is warming up, by its own report, its uptime or the platform's list.
+func (c *Controller) isWarming(s *server) bool {
+	if s.hasListedRole() {
+		return s.listing.warming
 	}
+	uptime := time.Duration(s.observed.usage.UptimeMillis) * time.Millisecond
+	return s.observed.known && (s.observed.usage.Warming || uptime > 0 && uptime < c.cfg.WarmUp)
 }
 
-// status writes what the polls and the list say, and removes what left.
-func (h *Controller) status(now time.Duration, keys []string, o *Out) {
-	for _, key := range keys {
-		s := h.servers[key]
-		if s.writing {
-			continue
-		}
-		if !s.listed {
-			if s.Role == "" && s.Status == "" {
-				delete(h.servers, key)
-				continue
-			}
-			s.writing = true
-			o.Writes = append(o.Writes, Write{Key: key, Delete: true})
-			o.Notes = append(o.Notes, fmt.Sprintf("%s %s: no longer listed", s.svc, s.Addr))
-			continue
-		}
-		if s.Role == "" {
-			continue
+// isDark tells whether so many polls failed that a server counts as dark.
+func (c *Controller) isDark(s *server) bool { return s.observed.failures >= c.cfg.MaxFailures }
+
+// pollServers polls the servers whose roles the platform doesn't list.
+func (r *round) pollServers() {
+	for _, key := range r.keys {
+		s := r.servers[key]
+		seen := &s.observed
+		if s.listed && !s.hasListedRole() && !seen.pollPending && r.now-seen.polledAt >= r.cfg.PollInterval {
+			seen.pollPending, seen.polledAt = true, r.now
+			r.out.Polls = append(r.out.Polls, key)
 		}
-		b := s.ServerRecord
+	}
+}
+
+// updateStatuses writes what the polls and the list say, and deletes what is no longer listed.
+func (r *round) updateStatuses() {
+	for _, key := range r.keys {
+		s := r.servers[key]
 		switch {
-		case (s.anew || s.fails >= h.cfg.MaxFailures) && s.Status != Dark:
-			b.Status, b.NextRole = Dark, ""
-			h.write(o, key, s, b, "polls fail or it started anew")
-		case s.fails == 0 && s.seen && s.Status == Dark && s.ordered == s.Role:
-			s.warmAt = now
-			b.Status = Warming
-			h.write(o, key, s, b, "back")
-		case s.Status == Up && s.NextRole == "" && h.young(s) && !s.leaving(): // an earlier holder left it so
-			s.warmAt = now
-			b.Status = Warming
-			h.write(o, key, s, b, "warms up")
-		case s.leaving() && s.NextRole == "" && (s.Status == Up || s.Status == Warming):
-			b.Status = Leaving
-			h.write(o, key, s, b, "leaving")
-		case !s.leaving() && s.NextRole == "" && s.Status == Leaving:
-			s.warmAt = now
-			b.Status = Warming
-			h.write(o, key, s, b, "stays")
-		case s.Status == Warming && (s.told != "" || now-s.warmAt >= h.cfg.WarmUp) && s.fails == 0 && s.seen && !h.young(s) && (s.told == "" || s.told == s.Role):
-			b.Status = Up
-			h.write(o, key, s, b, "warm")
+		case s.writePending:
+		case !s.listed:
+			r.removeServer(key, s)
+		case s.Role != "":
+			r.updateStatus(key, s)
 		}
 	}
 }
 
-// fresh is the status of a server that the platform lists with its part.
-func (s *server) fresh() string {
-	if s.cold {
-		return Warming
+// removeServer deletes the record of a server that is no longer listed, then forgets it.
+func (r *round) removeServer(key string, s *server) {
+	if s.Role == "" && s.Status == "" {
+		delete(r.servers, key)
+		return
 	}
-	return Up
+	s.writePending = true
+	r.out.Writes = append(r.out.Writes, Write{Key: key, Delete: true})
+	r.note("%s %s: no longer listed", s.service, s.Addr)
 }
 
-// listing takes what the platform's list says of a server beside its place.
-// A part named there counts as ordered until this holder orders another; it
-// lags behind an order, so a changed word is followed, a standing one is not.
-func (h *Controller) listing(s *server, e fleetconfig.Server) {
-	if e.Role == "" {
-		return
+// updateStatus writes another status of a server, if the one in its record no longer holds.
+func (r *round) updateStatus(key string, s *server) {
+	stays := s.NextRole == ""
+	answers := s.observed.failures == 0 && s.observed.known
+	switch {
+	case (s.restarted || r.isDark(s)) && s.Status != Dark:
+		record := s.ServerRecord
+		record.Status, record.NextRole = Dark, ""
+		r.write(key, s, record, "polls fail or it started anew")
+	case answers && s.Status == Dark && s.order.role == s.Role:
+		r.writeWarming(key, s, "back")
+	case s.isInUse() && r.isWarming(s) && !s.isLeaving(): // an earlier controller left it so
+		r.writeWarming(key, s, "warms up")
+	case s.isLeaving() && stays && (s.Status == Up || s.Status == Warming):
+		r.writeStatus(key, s, Leaving, "leaving")
+	case !s.isLeaving() && stays && s.Status == Leaving:
+		r.writeWarming(key, s, "stays")
+	case s.Status == Warming && answers && r.isWarm(s):
+		r.writeStatus(key, s, Up, "warm")
+	}
+}
+
+// isWarm tells whether a warming server is to be used fully.
+func (r *round) isWarm(s *server) bool {
+	if r.isWarming(s) {
+		return false
 	}
-	if s.told != e.Role && !s.ordering {
-		s.ordered = e.Role
+	if s.hasListedRole() {
+		return s.listing.role == s.Role
 	}
-	s.id, s.told, s.cold, s.seen = e.ID, e.Role, e.Warming, true
+	return r.now-s.warmingSince >= r.cfg.WarmUp
+}
+
+func (r *round) writeWarming(key string, s *server, reason string) {
+	s.warmingSince = r.now
+	r.writeStatus(key, s, Warming, reason)
+}
+
+func (r *round) writeStatus(key string, s *server, status, reason string) {
+	record := s.ServerRecord
+	record.Status = status
+	r.write(key, s, record, reason)
 }
