--- a/control/quorum/candidate.go
+++ b/control/quorum/candidate.go
@@ -228,7 +228,7 @@
 	}
 }
 
-// isElecting tells whether this replica is a candidate, or asks whether it could be.
+// isElecting reports whether this replica is a candidate, or asks whether it could be.
 func (r *Replica) isElecting() bool { return r.role == preCandidate || r.role == candidate }
 
 // electionDelay spaces candidates out: the replica that is first in this
--- a/control/quorum/contact.go
+++ b/control/quorum/contact.go
@@ -10,7 +10,7 @@
 // stays after the leadership, until the next one.
 type contact struct {
 	answeredAt       map[string]time.Duration // nil before the first leadership
-	terminatingSince map[string]time.Duration // since when a daemon is known to have been asked to end
+	terminatingSince map[string]time.Duration // since when a daemon is known to be terminating
 }
 
 // contactAtTakeOver begins to watch the replicas at the start of a leadership: those
@@ -41,7 +41,7 @@
 	}
 }
 
-// noteTerminating records whether a daemon was asked to end.
+// noteTerminating records whether a daemon is terminating.
 func (r *Replica) noteTerminating(now time.Duration, from message.Sender, m message.HeartbeatAck) {
 	if r.contact.answeredAt == nil || m.Term != r.term {
 		return
@@ -62,21 +62,21 @@
 	return now - r.contact.answeredAt[ident]
 }
 
-// MissedHeartbeats tells whether a replica left two heartbeats without an answer.
+// MissedHeartbeats reports whether a replica left two heartbeats without an answer.
 //
 // Example: if r.MissedHeartbeats(now, "c") && another.Addr == c.Addr { replace() }
 func (r *Replica) MissedHeartbeats(now time.Duration, ident string) bool {
 	return ident != r.self.Ident && r.SilentFor(now, ident) >= 2*r.cfg.HeartbeatInterval
 }
 
-// IsLost tells whether a replica was silent for so long that a learner takes its place.
+// IsLost reports whether a replica was silent for so long that a learner takes its place.
 //
 // Example: if r.IsLost(now, "c") { replace() }
 func (r *Replica) IsLost(now time.Duration, ident string) bool {
 	return ident != r.self.Ident && r.SilentFor(now, ident) >= r.cfg.LostAfter
 }
 
-// IsTerminating tells whether a replica's daemon was asked to end.
+// IsTerminating reports whether a replica's daemon is terminating.
 //
 // Example: if r.IsTerminating("c") { replace() }
 func (r *Replica) IsTerminating(ident string) bool {
@@ -84,9 +84,9 @@
 	return terminating
 }
 
-// MayLeave tells whether a replica whose daemon was asked to end may leave at once:
+// MayLeave reports whether a replica whose daemon is terminating may leave at once:
 // each other one has answered a heartbeat that was sent since that was known. One
-// that has not may be lost, and a learner is kept for it.
+// that has not may be lost, and a learner is reserved for it.
 //
 // Example: if r.IsTerminating("c") && r.MayLeave(now, "c") { replace() }
 func (r *Replica) MayLeave(now time.Duration, ident string) bool {
@@ -102,7 +102,7 @@
 	return true
 }
 
-// LearnerReady tells whether a learner holds a copy, answered of late and stays.
+// LearnerReady reports whether a learner holds a copy, answered lately and isn't terminating.
 //
 // Example: if r.LearnerReady(now, "d") { out, _ := r.ReplaceReplica(now, 0, "c", d) }
 func (r *Replica) LearnerReady(now time.Duration, ident string) bool {
--- a/control/quorum/disk.go
+++ b/control/quorum/disk.go
@@ -10,8 +10,8 @@
 	"mulleinmast/wire/message"
 )
 
-// Save is something to be synced to disk; the replica is told by Saved(Ticket) when
-// it is. A later save of a partition is written after an earlier one.
+// Save is something to be synced to disk; Saved(Ticket) is called when it is. The
+// saves of a partition are written in their order.
 type Save struct {
 	Ticket     uint64 // counted up by the replica
 	Partition  int
@@ -55,10 +55,10 @@
 // voteIsInNextSave notes that no save made so far holds the present vote.
 func (q *diskQueue) voteIsInNextSave() { q.voteTicket = q.lastTicket + 1 }
 
-// isVoteUnsaved tells whether the present vote waits for a save to be made.
+// isVoteUnsaved reports whether the present vote waits for a save to be made.
 func (q *diskQueue) isVoteUnsaved() bool { return q.voteTicket > q.lastTicket }
 
-// isPending tells whether a save isn't on disk yet.
+// isPending reports whether a save isn't on disk yet.
 func (q *diskQueue) isPending(ticket uint64) bool {
 	return len(q.pending) > 0 && q.pending[0].ticket <= ticket
 }
@@ -75,7 +75,7 @@
 	return number
 }
 
-// isDiskStalled tells whether the disk has kept a save waiting too long.
+// isDiskStalled reports whether the disk has kept a save waiting too long.
 func (r *Replica) isDiskStalled(now time.Duration) bool {
 	return len(r.disk.pending) > 0 && now-r.disk.pending[0].madeAt >= stalledLeases*r.cfg.LeaderLease
 }
@@ -102,7 +102,7 @@
 	}
 }
 
-// Saved tells the replica that a save is on disk.
+// Saved takes the news that a save is on disk, and sends what waited for it.
 //
 // Example: out := r.Saved(save.Ticket)
 func (r *Replica) Saved(ticket uint64) Out {
@@ -147,7 +147,7 @@
 	return v
 }
 
-// isBelow tells whether a record is one that is no longer kept below a floor.
+// isBelow reports whether a record is one that is no longer kept below a floor.
 func isBelow(rec message.Record, floor message.Version) bool {
 	return strings.HasPrefix(rec.Key, FloorPrefix) && rec.Version.Less(floor)
 }
--- a/control/quorum/folder.go
+++ b/control/quorum/folder.go
@@ -23,13 +23,13 @@
 	synced atomic.Uint64       // the latest of them that is known to be on disk
 }
 
-// OpenFolder begins an incarnation over what a folder's replicas held.
+// OpenFolder begins an incarnation over the stored state of a folder's replicas.
 //
-// Example: folder := quorum.OpenFolder(epoch, held...)
-func OpenFolder(epoch uint64, held ...Meta) *Folder {
+// Example: folder := quorum.OpenFolder(epoch, metas...)
+func OpenFolder(epoch uint64, metas ...Meta) *Folder {
 	f := &Folder{epoch: epoch}
 	last := map[uint64]uint64{} // epoch -> saves
-	for _, meta := range held {
+	for _, meta := range metas {
 		for _, state := range append(slices.Clone(meta.History), meta.State) {
 			if state.Epoch != 0 && state.Epoch != epoch {
 				last[state.Epoch] = max(last[state.Epoch], state.Saves)
@@ -62,7 +62,7 @@
 	}
 }
 
-// descendsFrom tells whether a state is in the folder's past. A folder that a build
+// descendsFrom reports whether a state is in the folder's past. A folder that a build
 // which doesn't count wrote last claims nothing, nor does one whose past reaches
 // back less far.
 func (f *Folder) descendsFrom(state message.SavePoint) bool {
--- a/control/quorum/group.go
+++ b/control/quorum/group.go
@@ -11,7 +11,7 @@
 // A group changes one replica at a time. A learner is first sent a copy and every
 // write, without a vote; then the leader makes a joint group of the old replicas
 // and the new, in which both majorities are needed. Once that group is committed,
-// the newcomer has said that it holds all that the leader held when the change
+// the newcomer has confirmed that it holds all that the leader held when the change
 // began, and both majorities have renewed the leader's lease, the new replicas
 // stand alone: so none of them elects another leader while that lasts. Either way
 // is open until then: the change is undone if the newcomer falls silent. The next
@@ -39,7 +39,7 @@
 	}
 	r.joinGroup(now, group)
 	r.save(&out, nil, nil)
-	// Tell the others of the group, so that each is a candidate for the partitions
+	// Bring the group to the others, so that each is a candidate for the partitions
 	// where it comes first and the leaderships are spread from the start.
 	for _, replica := range group.Replicas {
 		if replica.Ident != r.self.Ident {
@@ -73,10 +73,10 @@
 	r.meta.Group = group
 }
 
-// hasVoice tells whether a message of a kind is from somebody who has a say here:
-// replicas in everything, learners where they answer for their copies, and others
-// where they may tell of a group that this replica doesn't know yet.
-func (r *Replica) hasVoice(from message.Sender, kind message.Kind, term uint64) bool {
+// isParticipant reports whether a message of a kind is from a participant: replicas
+// are in everything, learners where they answer for their copies, and others where
+// they may bring a group that this replica doesn't know yet.
+func (r *Replica) isParticipant(from message.Sender, kind message.Kind, term uint64) bool {
 	if r.meta.Group.Number == 0 || r.meta.Group.Has(from.Ident) {
 		return true
 	}
@@ -156,10 +156,10 @@
 	return out, true
 }
 
-// isChanging tells whether a change of the group is under way.
+// isChanging reports whether a change of the group is under way.
 func (r *Replica) isChanging() bool { return len(r.meta.Group.Next) > 0 || r.isChangeUncommitted() }
 
-// isChangeUncommitted tells whether no majority has the last group that this leader made.
+// isChangeUncommitted reports whether no majority has the last group that this leader made.
 func (r *Replica) isChangeUncommitted() bool { return r.replication.pending[r.change.request] != nil }
 
 // ContinueChange goes on with the change that is under way, this leader's or an
@@ -188,8 +188,8 @@
 	return out
 }
 
-// checkNewcomers asks the newcomers of a change whose word is missing again. It
-// tells whether all hold the whole state, and whether one of them is lost.
+// checkNewcomers asks the newcomers of a change that haven't confirmed again. It
+// reports whether all hold the complete state, and whether one of them is lost.
 func (r *Replica) checkNewcomers(now time.Duration, group message.Group, out *Out) (isReady, isLost bool) {
 	isReady = true
 	for _, replica := range group.Next {
@@ -204,8 +204,8 @@
 	return isReady, isLost
 }
 
-// isComplete tells whether a newcomer holds all that the leader holds, on its disk:
-// by its own word or, of the leader itself, because its copy was saved.
+// isComplete reports whether a newcomer holds all that the leader holds, on its disk:
+// by its own answer or, of the leader itself, because its copy was saved.
 func (r *Replica) isComplete(ident string) bool {
 	if ident == r.self.Ident {
 		return r.copies.installed[ident]
@@ -252,7 +252,7 @@
 	}.Message(r.partition))
 }
 
-// answerJoin is a newcomer's side: it says that it holds all, once it does and
+// answerJoin is a newcomer's side: it confirms that it holds all, once it does and
 // that is on disk, or what it has.
 func (r *Replica) answerJoin(from message.Sender, m message.InstallState, out *Out) {
 	if m.Ranges == nil && len(digest.DifferingRanges(r.records.Digests(), m.Digests)) > 0 {
@@ -263,7 +263,7 @@
 	}
 	var accepted []message.Record
 	for _, rec := range m.Records {
-		if own, ok := r.records.Get(rec.Key); !ok || own.Version.Less(rec.Version) || isSpoilt(own, rec) {
+		if own, ok := r.records.Get(rec.Key); !ok || own.Version.Less(rec.Version) || conflicts(own, rec) {
 			r.records.Put(rec)
 			accepted = append(accepted, rec)
 		}
@@ -272,7 +272,7 @@
 	r.save(out, nil, accepted, envelope(from.Replica, done.Message(r.partition)))
 }
 
-// noteComplete takes a newcomer's word that it holds all; one that was given before
+// noteComplete takes a newcomer's answer that it holds all; one that was given before
 // this change began counts for nothing.
 func (r *Replica) noteComplete(from message.Sender, groupNumber uint64) {
 	if len(r.meta.Group.Next) > 0 && groupNumber == r.meta.Group.Number {
--- a/control/quorum/group_test.go
+++ b/control/quorum/group_test.go
@@ -84,9 +84,10 @@
 		first, one, two := c.split()
 		c.advance(time.Second, c.maintain("d"))
 		c.replaceReplica(one, "d")
-		c.isLost = func(to string, m message.Message) bool {
+		// The group change stands, and no word that d holds all.
+		c.isLost = func(_ string, m message.Message) bool {
 			return m.Op == opJoin || m.Kind == message.KindStateInstalled
-		} // the group change stands, and no word that d holds all
+		}
 		c.deliver()
 		if _, r := c.leader(); len(r.Group().Next) == 0 || len(c.replicas[two].Group().Next) == 0 {
 			t.Fatalf("no group change: %+v, %s has %+v", r.Group(), two, c.replicas[two].Group())
@@ -283,7 +284,7 @@
 	own, one, _ := c.split()
 	c.advance(time.Second, c.maintain("d"))
 	r := c.replicas[own]
-	c.isLost = func(to string, m message.Message) bool { return m.Op == opJoin }
+	c.isLost = func(_ string, m message.Message) bool { return m.Op == opJoin }
 	c.replaceReplica(one, "d")
 	c.deliver()
 	number := r.Group().Number
--- a/control/quorum/heartbeat.go
+++ b/control/quorum/heartbeat.go
@@ -7,7 +7,7 @@
 )
 
 // The leader lease: a leader acts only while a majority supports it, and every
-// voter supports nobody else for a lease's length after it last said so.
+// voter supports nobody else for a lease's length after it last acknowledged a heartbeat.
 
 // openRounds is how many rounds of heartbeats may be under way at once; answers to
 // earlier ones renew nothing.
@@ -92,7 +92,7 @@
 	r.support.known = message.Leadership{Partition: r.partition, Term: m.Term, Leader: from.Replica}
 	r.support.knownAt = now
 	r.ackHeartbeat(from.Replica, message.HeartbeatAck{Term: m.Term, Round: m.Round, Terminating: r.resigned}, out)
-	if r.meta.Incomplete { // the leader may take this copy for a whole one
+	if r.meta.Incomplete { // the leader may believe that this copy is complete
 		out.send(from.Replica, message.StateMismatch{Term: m.Term, Digests: r.records.Digests()}.Message(r.partition))
 	}
 }
--- a/control/quorum/incarnation.go
+++ b/control/quorum/incarnation.go
@@ -13,26 +13,26 @@
 // has forgotten votes, or two voters of one identity. Replicas see it by this:
 //
 // Each save has a save point: the incarnation of the daemon, and the count of its
-// saves. A replica says its present save point in each message, and the one that it
-// started from until the receiver goes by its incarnation. The others remember on
-// disk the incarnation that they go by and its latest save point; the leader tells
-// the rest of the group what it knows of each.
+// saves. A replica claims its present save point in each message, and the one that it
+// started from until the receiver recognizes its incarnation. The others remember on
+// disk the incarnation that they recognize and its latest save point; the leader
+// announces to the rest of the group what it knows of each.
 //
-// A replica takes nothing that comes from an incarnation earlier than the one it
-// goes by, from another one of as many starts, or from a later one that started
-// from an earlier state than is known of it. It answers such a one with what it
-// knows. One that learns of an incarnation or a state that isn't in its own past is
-// superseded: it has no voice any more.
+// A replica admits nothing from an incarnation earlier than the one it recognizes,
+// from another one of as many starts, or from a later one that started from an
+// earlier state than is known of it. It answers such a one with what it knows. One
+// that learns of an incarnation or a state that isn't in its own past is superseded:
+// it takes no part any more.
 
 // incarnationGuard is what a replica keeps of incarnations, its own and the others',
 // beside what its Meta holds.
 type incarnationGuard struct {
-	folder         *Folder         // nil: nothing is said of incarnations and nobody is judged
-	acknowledgedBy map[string]bool // who goes by this incarnation
-	superseded     string          // why this replica has no voice; empty: it has
+	folder         *Folder         // nil: no incarnation is claimed or checked
+	acknowledgedBy map[string]bool // who recognizes this incarnation
+	superseded     string          // why this replica takes no part any more; empty: it does
 
 	savedAt  time.Duration // when what is known of the others was last saved for its own sake
-	unsaved  bool          // Meta.Peers knows of an incarnation that isn't on the disk
+	unsaved  bool          // Meta.Peers has an incarnation that isn't on the disk
 	versions uint64        // counts the changes of Meta.Peers
 
 	announced  map[string]uint64       // as leader: up to which version a peer knows Meta.Peers
@@ -42,7 +42,7 @@
 // announcement is a round of heartbeats that carried Meta.Peers as of a version.
 type announcement struct{ round, version uint64 }
 
-// startAnnouncing begins a leadership: nobody has been told anything in it.
+// startAnnouncing begins a leadership, in which nothing was announced yet.
 func (g *incarnationGuard) startAnnouncing() {
 	g.announced, g.announcing = map[string]uint64{}, map[string]announcement{}
 }
@@ -55,13 +55,13 @@
 	}
 }
 
-// Superseded tells why this replica has no voice any more; empty: it has.
+// Superseded is why this replica takes no part any more; empty: it does.
 //
 // Example: if why := r.Superseded(); why != "" { leave(why) }
 func (r *Replica) Superseded() string { return r.guard.superseded }
 
-// Supersede takes a replica's voice away: another process or a later state bears
-// its identity.
+// Supersede ends a replica's part in the group: another process or a later state
+// has its identity.
 //
 // Example: out := r.Supersede("started from a copy of its folder")
 func (r *Replica) Supersede(why string) (out Out) {
@@ -99,7 +99,7 @@
 	r.guard.unsaved = r.guard.unsaved || before.Epoch != peer.Epoch
 }
 
-// isReplicaOfGroup tells whether what a message says of this replica is the word of
+// isReplicaOfGroup reports whether a message that claims to know this replica is from
 // a replica of its group, or of a later group that both are in.
 func (r *Replica) isReplicaOfGroup(from message.Sender, group message.Group) bool {
 	own := r.meta.Group
@@ -107,7 +107,7 @@
 	return own.Number > 0 && (own.Has(from.Ident) || isOfLaterGroup)
 }
 
-// admits judges a message by what it says of incarnations, its sender's and this
+// admits checks a message by its claims of incarnations, its sender's and this
 // replica's own. One that isn't admitted is answered here.
 func (r *Replica) admits(now time.Duration, from message.Sender, claims message.IncarnationClaims, out *Out) bool {
 	if r.guard.folder == nil || from.Ident == r.self.Ident {
@@ -119,15 +119,15 @@
 	if claims.KnownEpoch != 0 && r.isReplicaOfGroup(from, claims.Group) && !r.isKnownAsItself(from, claims, out) {
 		return false
 	}
-	if incarnation.Starts(claims.Epoch) == 0 { // of a build that says nothing of incarnations
+	if incarnation.Starts(claims.Epoch) == 0 { // of a build that claims none
 		return !claims.IsNotice
 	}
 	return r.admitsSender(now, from, claims, out) && !claims.IsNotice
 }
 
-// isKnownAsItself judges what a peer knows of this replica, which may supersede it.
-// A peer that goes by an earlier incarnation is told of this one first: until then
-// what it says may be meant for a state that this replica has forgotten.
+// isKnownAsItself checks what a peer knows of this replica, which may supersede it.
+// A peer that recognizes an earlier incarnation is sent this one first: until then
+// its messages may be meant for a state that this replica has forgotten.
 func (r *Replica) isKnownAsItself(from message.Sender, claims message.IncarnationClaims, out *Out) bool {
 	ident := from.Ident
 	switch incarnation.Compare(claims.KnownEpoch, r.guard.folder.epoch) {
@@ -146,22 +146,22 @@
 		return false
 	}
 	delete(r.guard.acknowledgedBy, ident)
-	if claims.IsNotice { // it is answered once its own incarnation is judged
+	if claims.IsNotice { // it is answered once its own incarnation is checked
 		return true
 	}
 	r.sendNotice(from.Replica, out)
 	return false
 }
 
-// isConcerned tells whether a message's sender is one whose incarnations are kept:
+// isConcerned reports whether a message's sender is one whose incarnations are recorded:
 // a replica or a learner.
 func (r *Replica) isConcerned(from message.Sender, group message.Group) bool {
 	return r.meta.Group.Number == 0 || r.meta.Group.Has(from.Ident) || has(r.learners, from.Ident) ||
 		r.isReplicaOfGroup(from, group)
 }
 
-// admitsSender judges a message's sender, and takes in what it says of itself and,
-// as leader, of others.
+// admitsSender checks a message's sender, and records what it claims of itself and,
+// as leader, announces of others.
 func (r *Replica) admitsSender(
 	now time.Duration, from message.Sender, claims message.IncarnationClaims, out *Out,
 ) bool {
@@ -183,7 +183,7 @@
 			r.refuseIncarnation(from, known, out)
 			return false
 		}
-		if claims.Saves == 0 { // none yet: it is as it started, if it says so
+		if claims.Saves == 0 { // none yet: it is as it started, if it claims a state
 			next.State = claims.StartState
 		}
 	default:
@@ -200,7 +200,7 @@
 	return true
 }
 
-// precedes tells whether a state can't have come after another one.
+// precedes reports whether a state can't have come after another one.
 func precedes(a, b message.SavePoint) bool {
 	if b.Epoch == 0 {
 		return false
@@ -214,7 +214,7 @@
 	return true
 }
 
-// noteAnnouncedPeer takes in what a leader knows of another replica.
+// noteAnnouncedPeer records what a leader knows of another replica.
 func (r *Replica) noteAnnouncedPeer(peer message.PeerIncarnation) {
 	known := r.knownPeer(peer.Ident)
 	if peer.Ident == r.self.Ident || known.Ident == "" && !r.meta.Group.Has(peer.Ident) {
@@ -239,13 +239,13 @@
 	out.Sends = append(out.Sends, refusal)
 }
 
-// sendNotice tells a peer which incarnation this is.
+// sendNotice sends a peer the claim of this incarnation, for its answer.
 func (r *Replica) sendNotice(to message.Replica, out *Out) {
 	out.send(to, message.IncarnationNotice{Group: r.meta.Group}.Message(r.partition))
 }
 
-// answerNewIncarnation tells an incarnation that this replica goes by it now, and
-// sends again what was asked of it before, which it didn't take.
+// answerNewIncarnation tells an incarnation that this replica recognizes it now, and
+// sends again what the one before was sent and has not answered.
 func (r *Replica) answerNewIncarnation(now time.Duration, to message.Replica, out *Out) {
 	r.sendNotice(to, out)
 	if !r.meta.Group.Has(to.Ident) {
@@ -268,7 +268,8 @@
 	}
 }
 
-// claimIncarnations has a step's messages say of incarnations what is known as they leave.
+// claimIncarnations adds to a step's messages the claims of incarnations as they are
+// when the messages leave.
 func (r *Replica) claimIncarnations(out *Out) {
 	if r.guard.folder == nil {
 		return
@@ -293,8 +294,8 @@
 	}
 }
 
-// announcePeers is what a heartbeat says of the other replicas, until the peer has
-// answered one that did.
+// announcePeers is what a heartbeat announces of the other replicas, until the peer
+// has answered one that did.
 func (r *Replica) announcePeers(to message.Replica) (peers []message.PeerIncarnation) {
 	if r.guard.folder == nil || to.Ident == r.self.Ident || r.guard.announced[to.Ident] == r.guard.versions {
 		return nil
@@ -308,8 +309,8 @@
 	return peers
 }
 
-// savePeerIncarnations saves what is known of the others once it says of another
-// incarnation; how far each came goes to the disk with the next save.
+// savePeerIncarnations saves what is known of the others once one has another
+// incarnation; their save points go to the disk with the next save.
 func (r *Replica) savePeerIncarnations(now time.Duration, out *Out) {
 	if r.guard.unsaved && now-r.guard.savedAt >= r.cfg.HeartbeatInterval && r.meta.Group.Number > 0 {
 		r.guard.savedAt = now
--- a/control/quorum/install.go
+++ b/control/quorum/install.go
@@ -15,7 +15,7 @@
 	installed     map[string]bool          // holds the leader's term
 	installSentAt map[string]time.Duration // when it was last sent an install, for a term or to join
 	comparedAt    map[string]time.Duration // when it was last compared; see repair.go
-	complete      map[string]bool          // newcomers of the present group change that hold the whole state
+	complete      map[string]bool          // newcomers of the present group change that hold the complete state
 	lagging       map[string]*lagging      // who missed writes
 }
 
@@ -81,7 +81,7 @@
 		r.answerRepair(from, m, out)
 	case m.Purpose == message.InstallForJoin:
 		r.answerJoin(from, m, out)
-	default: // installed already, or before writes of this term: only what is newer is taken
+	default: // installed already, or before writes of this term: only newer records are put
 		r.save(out, nil, r.putNewer(m.Records), r.installed(from, m.Term))
 	}
 }
@@ -94,7 +94,7 @@
 	r.disk.voteIsInNextSave()
 }
 
-// replaceRecords replaces the ranges that the leader sent, whole, if the records
+// replaceRecords replaces all of the ranges that the leader sent, if the records
 // are still those that the leader knew of, and if what results is what the leader
 // has: a copy that was cut short on its way is none. A build that sends no checksum
 // is believed.
@@ -130,7 +130,7 @@
 	return envelope(from.Replica, message.StateInstalled{Term: term}.Message(r.partition))
 }
 
-// handleStateInstalled takes a peer's word that its disk holds what it was sent.
+// handleStateInstalled takes a peer's answer that its disk holds what it was sent.
 func (r *Replica) handleStateInstalled(
 	now time.Duration, from message.Sender, m message.StateInstalled, out *Out,
 ) {
--- a/control/quorum/lagging.go
+++ b/control/quorum/lagging.go
@@ -9,7 +9,7 @@
 )
 
 // Catching up, beside what is being written: a replica that was away while hundreds
-// of writes came is sent the ranges that differ, once, and is whole when its disk
+// of writes came is sent the ranges that differ, once, and is complete when its disk
 // has them.
 
 // lagging is a replica or learner that a write was committed without.
@@ -74,7 +74,7 @@
 	}
 }
 
-// noteCaughtUp takes a peer's word that its disk has all up to a write.
+// noteCaughtUp takes a peer's answer that its disk has all up to a write.
 func (r *Replica) noteCaughtUp(from message.Sender, request uint64) {
 	if l := r.copies.lagging[from.Ident]; l != nil && request >= l.lastMissed {
 		delete(r.copies.lagging, from.Ident)
--- a/control/quorum/meta.go
+++ b/control/quorum/meta.go
@@ -41,12 +41,12 @@
 	m.VotedTerm, m.VotedFor, m.VotedForEpoch = v.term, v.candidate, v.candidateEpoch
 }
 
-// isVotedFor tells whether a candidate has the vote in a term.
+// isVotedFor reports whether a candidate has the vote in a term.
 func (m *Meta) isVotedFor(term uint64, candidate string) bool {
 	return m.VotedTerm == term && m.VotedFor == candidate
 }
 
-// holdsTerm tells whether the records were made equal to those of a term's leader
+// holdsTerm reports whether the records were made equal to those of a term's leader
 // and none was lost since.
 func (m *Meta) holdsTerm(term uint64) bool { return m.LastComplete == term && !m.Incomplete }
 
@@ -81,8 +81,8 @@
 	return h.Sum64() | 1 // 0 is none
 }
 
-// PastSum is a checksum of what a replica's state says of incarnations; 0 if it
-// says nothing. A build that knows of none reads the rest of the state by Sum alone.
+// PastSum is a checksum of the part of a replica's state that is about incarnations; 0
+// if that is empty. A build that knows of none reads the rest of the state by Sum alone.
 // It is of the fields' values as %v prints them: their order and kinds are stored.
 //
 // Example: trusted := row.Past == row.PastSum()
--- a/control/quorum/repair.go
+++ b/control/quorum/repair.go
@@ -66,12 +66,12 @@
 }
 
 // takeRepair takes the records that the leader's copy has newer, and gives them and
-// those that are newer here. A record of a term above the leader's is nobody's.
+// those that are newer here. A record of a term above the leader's was never committed.
 func (r *Replica) takeRepair(m message.InstallState) (accepted, newer []message.Record) {
 	for _, rec := range m.Records {
 		own, ok := r.records.Get(rec.Key)
 		switch {
-		case !ok || own.Version.Less(rec.Version) || own.Version.Term > m.Term || isSpoilt(own, rec):
+		case !ok || own.Version.Less(rec.Version) || own.Version.Term > m.Term || conflicts(own, rec):
 			r.records.Put(rec)
 			accepted = append(accepted, rec)
 		case rec.Version.Less(own.Version):
@@ -81,8 +81,9 @@
 	return accepted, newer
 }
 
-// isSpoilt tells whether two records of one version differ: no version is written twice.
-func isSpoilt(own, rec message.Record) bool {
+// conflicts reports whether two records of one version differ, of which one must be
+// damaged: no version is written twice.
+func conflicts(own, rec message.Record) bool {
 	return own.Version == rec.Version && digest.Fingerprint(own) != digest.Fingerprint(rec)
 }
 
@@ -127,7 +128,7 @@
 }
 
 // checkNewer looks at what a replica has that is newer than the leader's copy was.
-// What the leader wrote since explains it; else its own copy is the bad one: it
+// What the leader wrote since explains it; else its own copy is the damaged one: it
 // steps down, and the next term takes the newest of a majority.
 func (r *Replica) checkNewer(records []message.Record, out *Out) {
 	for _, rec := range records {
--- a/control/quorum/replica.go
+++ b/control/quorum/replica.go
@@ -62,7 +62,7 @@
 	Results []WriteResult
 	Won     bool // became leader
 	Lost    bool // is no longer leader
-	// Superseded says why this replica has no voice from now on, if it just lost it.
+	// Superseded is why this replica takes no part from now on, if that was just found.
 	Superseded string
 }
 
@@ -103,7 +103,7 @@
 	records *digest.Records
 
 	now      time.Duration // of the step under way
-	resigned bool          // renews nothing, stands for nothing and takes on nothing any more
+	resigned bool          // renews no lease and begins no election any more
 
 	role role
 	term uint64 // as candidate or leader; the last one it was that in
@@ -131,8 +131,8 @@
 
 // New makes a replica from what the disk held. It waits out one full lease after
 // its start before it votes, since it may have supported a leader until then;
-// fresh says that it has never voted. Without a folder it neither tells of
-// incarnations nor judges them.
+// fresh means that it has never voted. Without a folder it neither claims an
+// incarnation nor checks those of others.
 //
 // Example: r := quorum.New(cfg, 0, self, folder, meta, records, now, false)
 func New(
@@ -165,7 +165,7 @@
 // Example: if now >= r.WritesFrom() { write() }
 func (r *Replica) WritesFrom() time.Duration { return r.writesFrom }
 
-// Leader tells whether this replica is leader and its lease valid now.
+// Leader reports whether this replica is leader and its lease valid now.
 //
 // Example: if r.Leader(now) { grant() }
 func (r *Replica) Leader(now time.Duration) bool { return r.role == leader && now < r.lease.end }
@@ -205,7 +205,7 @@
 // Example: r.Meta().LastComplete
 func (r *Replica) Meta() Meta { return r.meta }
 
-// Resign lets the leadership lapse: nothing is renewed and nothing is taken on.
+// Resign lets the leadership lapse: nothing is renewed and no election is begun.
 //
 // Example: r.Resign()
 func (r *Replica) Resign() { r.resigned = true }
@@ -217,7 +217,7 @@
 	r.now = now
 	defer func() { r.claimIncarnations(&out) }()
 	from := m.Sender()
-	if !r.admits(now, from, m.IncarnationClaims(), &out) || !r.hasVoice(from, m.Kind, m.Term) || r.isOutdated(from) {
+	if !r.admits(now, from, m.IncarnationClaims(), &out) || !r.isParticipant(from, m.Kind, m.Term) || r.isOutdated(from) {
 		return out
 	}
 	r.noteEpoch(now, from)
@@ -281,13 +281,13 @@
 	return out
 }
 
-// mustStepDown tells whether a candidate or leader leaves its place to others
+// mustStepDown reports whether a candidate or leader leaves its place to others
 // before its lease ends.
 func (r *Replica) mustStepDown(now time.Duration) bool {
 	return r.role != follower && r.isDiskStalled(now) || r.isOutvoted(now)
 }
 
-// isOutvoted tells whether a voter stayed bound to a term above this leader's for
+// isOutvoted reports whether a voter stayed bound to a term above this leader's for
 // so long that only a higher term wins it back. A leader with writes under way
 // waits for these.
 func (r *Replica) isOutvoted(now time.Duration) bool {
@@ -302,7 +302,7 @@
 	return false
 }
 
-// mayLead tells whether this replica may be, or become, a leader at all.
+// mayLead reports whether this replica may be, or become, a leader at all.
 func (r *Replica) mayLead(now time.Duration) bool {
 	return !r.resigned && !r.meta.Incomplete && !r.isDiskStalled(now) && r.meta.Group.Has(r.self.Ident)
 }
@@ -357,10 +357,10 @@
 	r.lease.forgetRounds()
 }
 
-// isTakingOverOrLeader tells whether this replica won the election of its term.
+// isTakingOverOrLeader reports whether this replica won the election of its term.
 func (r *Replica) isTakingOverOrLeader() bool { return r.role == installing || r.role == leader }
 
-// leadsTerm tells whether an answer under a term is one to this replica's own
+// leadsTerm reports whether an answer under a term is one to this replica's own
 // installs, heartbeats or writes.
 func (r *Replica) leadsTerm(term uint64) bool { return r.isTakingOverOrLeader() && r.term == term }
 
@@ -375,5 +375,5 @@
 	return list
 }
 
-// has tells whether a list holds an identity.
+// has reports whether a list holds an identity.
 func has(list []message.Replica, ident string) bool { return message.Group{Replicas: list}.Has(ident) }
--- a/control/quorum/replicate.go
+++ b/control/quorum/replicate.go
@@ -12,8 +12,8 @@
 // number of the version of a record in it.
 type replication struct {
 	lastRequest uint64            // of the present term
-	pending     map[uint64]*write // not taken by a majority yet
-	partial     map[uint64]*write // taken by a majority and not by all: their records are forgotten
+	pending     map[uint64]*write // not acknowledged by a majority yet
+	partial     map[uint64]*write // acknowledged by a majority and not by all: their records are forgotten
 }
 
 // write is one that is being replicated.
@@ -83,7 +83,7 @@
 	r.sendWrite(request, w, out)
 }
 
-// sendWrite sends a write to whoever has not taken it yet.
+// sendWrite sends a write to whoever has not acknowledged it yet.
 func (r *Replica) sendWrite(request uint64, w *write, out *Out) {
 	for _, peer := range r.peers() {
 		if !w.acks[peer.Ident] {
@@ -153,7 +153,7 @@
 	r.replication.commit(m.ResponseTo, w, r.peers())
 	outcome := Committed
 	if now >= r.lease.end {
-		outcome = Uncertain // it will most likely be found, but this replica may not say so
+		outcome = Uncertain // it will most likely be found, but only the next leader knows
 	}
 	out.Results = append(out.Results, WriteResult{Tag: w.tag, Outcome: outcome})
 }
--- a/control/quorum/vote.go
+++ b/control/quorum/vote.go
@@ -28,22 +28,22 @@
 	before vote   // what the replica was bound to until then
 }
 
-// isLeaderRestarted tells whether the leader that this replica is bound to is known
+// isLeaderRestarted reports whether the leader that this replica is bound to is known
 // to be no more: its daemon has started anew since, and a new incarnation holds no
 // leadership.
 func (r *Replica) isLeaderRestarted() bool {
 	return r.meta.VotedForEpoch > 0 && r.epochs[r.meta.VotedFor] > r.meta.VotedForEpoch
 }
 
-// isUnbound tells whether this replica may support another leader now: the lease
+// isUnbound reports whether this replica may support another leader now: the lease
 // that it supported has lapsed, or its leader has restarted. In the second case
-// leases granted under that one may still be valid, so the next leader is told how
-// long to write nothing.
+// leases granted under that one may still be valid, so the vote for the next
+// leader says for how long it must write nothing.
 func (r *Replica) isUnbound(now time.Duration) bool {
 	return now >= r.support.until || r.isLeaderRestarted()
 }
 
-// canVote tells whether a candidate can have this replica's vote now. One that
+// canVote reports whether a candidate can have this replica's vote now. One that
 // would not wait until earlier leases lapse before it writes, as an earlier
 // build's, waits for the vote instead.
 func (r *Replica) canVote(now time.Duration, candidate string, writeDelay time.Duration) bool {
@@ -51,8 +51,8 @@
 		r.isLeaderRestarted() && writeDelay >= r.support.until-now
 }
 
-// isOutdated tells whether a message comes from an incarnation that has ended
-// since. What it says holds for nobody any more.
+// isOutdated reports whether a message comes from an incarnation that has ended
+// since.
 func (r *Replica) isOutdated(from message.Sender) bool {
 	return from.Epoch < r.epochs[from.Ident]
 }
@@ -91,7 +91,7 @@
 	}
 }
 
-// canVoteIn tells whether this replica has a vote in a candidate's group, whose
+// canVoteIn reports whether this replica has a vote in a candidate's group, whose
 // later number it takes over.
 func (r *Replica) canVoteIn(now time.Duration, candidate string, group message.Group) bool {
 	own := r.meta.Group
@@ -105,7 +105,7 @@
 	return own.Number != 0 && own.Has(r.self.Ident) && sameReplicas(own, group)
 }
 
-// sameReplicas tells whether two groups are one.
+// sameReplicas reports whether two groups are one.
 func sameReplicas(a, b message.Group) bool {
 	sameIdent := func(x, y message.Replica) bool { return x.Ident == y.Ident }
 	return a.Number == b.Number &&
--- a/control/quorum/walk_test.go
+++ b/control/quorum/walk_test.go
@@ -137,18 +137,19 @@
 func (w *walk) check() {
 	var leaders []string
 	for _, id := range slices.Sorted(maps.Keys(w.replicas)) {
-		s := w.replicas[id]
-		if !s.Leader(w.now) {
+		r := w.replicas[id]
+		if !r.Leader(w.now) {
 			continue
 		}
-		leaders = append(leaders, fmt.Sprintf("%s in term %d", id, s.Term()))
-		if w.ledTerms[id] == s.Term() {
+		leaders = append(leaders, fmt.Sprintf("%s in term %d", id, r.Term()))
+		if w.ledTerms[id] == r.Term() {
 			continue
 		}
-		w.ledTerms[id] = s.Term()
+		w.ledTerms[id] = r.Term()
 		for _, k := range w.committedKeys {
-			if _, ok := s.Records().Get(k); !ok {
-				w.Fatalf("seed %d at %v: %s leads in term %d without %s, group %+v", w.seed, w.now, id, s.Term(), k, s.Group())
+			if _, ok := r.Records().Get(k); !ok {
+				w.Fatalf("seed %d at %v: %s leads in term %d without %s, group %+v",
+					w.seed, w.now, id, r.Term(), k, r.Group())
 			}
 		}
 	}
@@ -159,18 +160,18 @@
 
 // lead is what a leader's daemon does: it keeps learners, goes on with a group change,
 // begins one at random, and writes.
-func (w *walk) lead(id string, s *Replica) {
-	var standbys []message.Replica
+func (w *walk) lead(id string, r *Replica) {
+	var learners []message.Replica
 	for _, other := range slices.Sorted(maps.Keys(w.replicas)) {
 		if w.rng.Intn(20) > 0 {
-			standbys = append(standbys, replicaOf(other))
+			learners = append(learners, replicaOf(other))
 		}
 	}
-	w.apply(id, s.SetLearners(w.now, standbys))
-	w.apply(id, s.ContinueChange(w.now, 0))
-	if g := s.Group(); w.rng.Intn(8) == 0 && len(standbys) > 0 {
+	w.apply(id, r.SetLearners(w.now, learners))
+	w.apply(id, r.ContinueChange(w.now, 0))
+	if g := r.Group(); w.rng.Intn(8) == 0 && len(learners) > 0 {
 		out := g.Replicas[w.rng.Intn(len(g.Replicas))].Ident
-		if o, ok := s.ReplaceReplica(w.now, 0, out, standbys[w.rng.Intn(len(standbys))]); ok {
+		if o, ok := r.ReplaceReplica(w.now, 0, out, learners[w.rng.Intn(len(learners))]); ok {
 			w.groupChanges++
 			w.apply(id, o)
 		}
@@ -179,7 +180,7 @@
 		w.lastTag++
 		key := fmt.Sprintf("k%d", w.lastTag)
 		w.pendingKeys[w.lastTag] = key
-		o, _ := s.Write(w.now, w.lastTag, []message.Record{{Key: key}})
+		o, _ := r.Write(w.now, w.lastTag, []message.Record{{Key: key}})
 		w.apply(id, o)
 	}
 }
@@ -187,8 +188,8 @@
 // canLose tells whether the loss of a machine leaves a majority of all sets that
 // some daemon goes by, of machines that have stood long enough to count.
 func (w *walk) canLose(id string) bool {
-	for _, s := range w.replicas {
-		g := s.Group()
+	for _, r := range w.replicas {
+		g := r.Group()
 		if g.Number > 0 && !g.HasQuorum(func(x string) bool { return x != id && w.replicas[x] != nil }) {
 			return false
 		}
@@ -222,6 +223,26 @@
 	}
 }
 
+// step lets a little time pass everywhere, and perhaps brings a fault about.
+func (w *walk) step() {
+	for _, id := range slices.Sorted(maps.Keys(w.replicas)) {
+		r := w.replicas[id]
+		w.apply(id, r.Tick(w.now))
+		w.deliver()
+		if r.Leader(w.now) && r.WritesFrom() <= w.now && w.rng.Intn(10) == 0 {
+			w.lead(id, r)
+		}
+		w.deliver()
+	}
+	w.check()
+	if w.rng.Intn(300) == 0 {
+		w.injectFault()
+	}
+	if w.rng.Intn(1600) == 0 {
+		w.mayLoseMachine = true
+	}
+}
+
 func TestRandomWalksOfGroupChanges(t *testing.T) {
 	steps, acked := 0, 0
 	for seed := int64(1); seed <= int64(walks); seed++ {
@@ -235,22 +256,7 @@
 		w.newcomer()
 		w.newcomer()
 		for ; w.now < 25*time.Second; w.now += 5 * time.Millisecond {
-			for _, id := range slices.Sorted(maps.Keys(w.replicas)) {
-				s := w.replicas[id]
-				w.apply(id, s.Tick(w.now))
-				w.deliver()
-				if s.Leader(w.now) && s.WritesFrom() <= w.now && w.rng.Intn(10) == 0 {
-					w.lead(id, s)
-				}
-				w.deliver()
-			}
-			w.check()
-			if w.rng.Intn(300) == 0 {
-				w.injectFault()
-			}
-			if w.rng.Intn(1600) == 0 {
-				w.mayLoseMachine = true
-			}
+			w.step()
 		}
 		steps, acked = steps+w.groupChanges, acked+len(w.committedKeys)
 	}
