--- a/proof/modelcheck/check.go
+++ b/proof/modelcheck/check.go
@@ -21,43 +21,45 @@
 	}
 }
 
-// won: one leader a term.
-func (w *world) won(i int) {
+// checkElected: one leader a term.
+func (w *world) checkElected(i int) {
 	d := w.daemons[i]
-	term, life := d.sec.Replica.Term(), fmt.Sprintf("%s#%d", d.me.Ident, d.epoch)
-	w.say("%s leads under term %d with group %d %s", life, term, d.sec.Replica.Group().Number, names(d.sec.Replica.Group()))
-	if other, ok := w.leads[term]; ok && other != life {
-		w.breaks("one leader a term: %s and %s both led under term %d", other, life, term)
+	term, incarnation := d.partition.Replica.Term(), fmt.Sprintf("%s#%d", d.self.Ident, d.epoch)
+	group := d.partition.Replica.Group()
+	w.log("%s leads under term %d with group %d %s", incarnation, term, group.Number, names(group))
+	if other, ok := w.leaders[term]; ok && other != incarnation {
+		w.breaks("one leader a term: %s and %s both led under term %d", other, incarnation, term)
 	}
-	w.leads[term] = life
+	w.leaders[term] = incarnation
 }
 
-// told: at most one acknowledged change on a base, and none while a lease
+// checkAcknowledged: at most one acknowledged change on a base, and none while a lease
 // stands under which the state before it may be read.
-func (w *world) told(i int, r partition.Result) {
+func (w *world) checkAcknowledged(i int, r partition.Result) {
 	d := w.daemons[i]
 	c := &w.changes[r.Tag-1]
-	c.fate = r.Outcome
-	w.say("change %c: %v", c.tag, r.Outcome)
+	c.outcome = r.Outcome
+	w.log("change %c: %v", c.tag, r.Outcome)
 	if r.Outcome != partition.Done {
 		return
 	}
 	for k, o := range w.changes {
-		if k != int(r.Tag-1) && o.fate == partition.Done && o.base == c.base {
+		if k != int(r.Tag-1) && o.outcome == partition.Done && o.base == c.base {
 			w.breaks("one change on a base: %c and %c were both acknowledged on base %d", o.tag, c.tag, c.base)
 		}
 	}
 	for _, g := range w.grants {
-		if g.end > w.now && (g.daemon != i || g.epoch != d.epoch || g.term != d.sec.Replica.Term()) {
-			w.breaks("no old read: change %c is acknowledged under term %d while leases of term %d stand for %v", c.tag, d.sec.Replica.Term(), g.term, g.end-w.now)
+		if g.end > w.now && (g.daemon != i || g.epoch != d.epoch || g.term != d.partition.Replica.Term()) {
+			w.breaks("no old read: change %c is acknowledged under term %d while leases of term %d stand for %v",
+				c.tag, d.partition.Replica.Term(), g.term, g.end-w.now)
 		}
 	}
-	rec, _ := d.sec.Replica.Records().Get(key)
+	rec, _ := d.partition.Replica.Records().Get(key)
 	at := strings.IndexByte(string(rec.Value), c.tag)
 	if at < 0 {
 		w.breaks("no write lost: change %c is acknowledged, its leader holds %q", c.tag, rec.Value)
-	} else if at >= len(w.seen) { // what follows may be the next change, under way
-		w.seen = string(rec.Value[:at+1])
+	} else if at >= len(w.lastRead) { // what follows may be the next change, under way
+		w.lastRead = string(rec.Value[:at+1])
 	}
 }
 
@@ -65,7 +67,7 @@
 func (w *world) check() {
 	w.oneLeader()
 	w.reads()
-	w.held()
+	w.checkMajority()
 }
 
 // oneLeader: never two leaders with valid leases.
@@ -77,7 +79,8 @@
 		}
 		if last >= 0 {
 			o := w.daemons[last]
-			w.breaks("one leader: %s under term %d and %s under term %d both have valid leases", o.me.Ident, o.sec.Replica.Term(), d.me.Ident, d.sec.Replica.Term())
+			w.breaks("one leader: %s under term %d and %s under term %d both have valid leases",
+				o.self.Ident, o.partition.Replica.Term(), d.self.Ident, d.partition.Replica.Term())
 		}
 		last = i
 		if !w.setup.Tree {
@@ -89,8 +92,8 @@
 // granted notes for how long leases below a leader may stand.
 func (w *world) granted(i int) {
 	d := w.daemons[i]
-	end := w.now + min(tree.VolumeLease, d.sec.Replica.LeaseEnd()-d.local(w.now))
-	g := grant{i, d.epoch, d.sec.Replica.Term(), end}
+	end := w.now + min(leaseConfig.VolumeLease, d.partition.Replica.LeaseEnd()-d.local(w.now))
+	g := grant{i, d.epoch, d.partition.Replica.Term(), end}
 	for k, o := range w.grants {
 		if o.daemon == g.daemon && o.epoch == g.epoch && o.term == g.term {
 			w.grants[k].end = max(o.end, end)
@@ -104,23 +107,24 @@
 // before, and nothing that was refused.
 func (w *world) reads() {
 	for _, d := range w.daemons {
-		if !d.up {
+		if !d.isUp {
 			continue
 		}
-		rec, ok := d.sec.Node.Get(d.local(w.now), key)
+		rec, ok := d.partition.Node.Get(d.local(w.now), key)
 		if !ok {
 			continue
 		}
-		if !strings.HasPrefix(string(rec.Value), w.seen) {
-			w.breaks("no old read: %s serves %q after %q", d.me.Ident, rec.Value, w.seen)
+		if !strings.HasPrefix(string(rec.Value), w.lastRead) {
+			w.breaks("no old read: %s serves %q after %q", d.self.Ident, rec.Value, w.lastRead)
 		}
-		if len(rec.Value) > len(w.seen) {
-			w.seen = string(rec.Value)
+		if len(rec.Value) > len(w.lastRead) {
+			w.lastRead = string(rec.Value)
 		}
 	}
 	for _, c := range w.changes {
-		if (c.fate == partition.NotLeader || c.fate == partition.Unchanged) && strings.IndexByte(w.seen, c.tag) >= 0 {
-			w.breaks("refused is refused: change %c was refused (%v) and is in force", c.tag, c.fate)
+		isRefused := c.outcome == partition.NotLeader || c.outcome == partition.Unchanged
+		if isRefused && strings.IndexByte(w.lastRead, c.tag) >= 0 {
+			w.breaks("refused is refused: change %c was refused (%v) and is in force", c.tag, c.outcome)
 		}
 	}
 }
@@ -138,30 +142,30 @@
 	peers []message.PeerIncarnation
 }
 
-// held: whatever majority comes together next, under any group that a replica
+// checkMajority: whatever majority comes together next, under any group that a replica
 // may still stand for, holds all that was acknowledged or read.
-func (w *world) held() {
-	if w.seen == "" || w.setup.Twins {
+func (w *world) checkMajority() {
+	if w.lastRead == "" || w.setup.Twins {
 		return // of two copies each may be elected, and not both: that is looked at as it happens
 	}
 	var disks, mems []copyOf
 	for _, d := range w.daemons {
-		if !d.store {
+		if !d.hasDisk {
 			continue
 		}
-		if d.up && d.sec.Replica.Superseded() != "" {
+		if d.isUp && d.partition.Replica.Superseded() != "" {
 			continue // it has no voice, and starts anew as another one
 		}
-		c := copyOf{ident: d.me.Ident, group: d.disk.meta.Group, set: d.disk.meta.LastComplete, peers: d.disk.meta.Peers}
+		c := copyOf{ident: d.self.Ident, group: d.disk.meta.Group, set: d.disk.meta.LastComplete, peers: d.disk.meta.Peers}
 		c.epoch, c.base = d.startsAs()
-		if r, ok := d.disk.recs[key]; ok {
+		if r, ok := d.disk.records[key]; ok {
 			c.val, c.ver = string(r.Value), r.Version
 		}
 		disks = append(disks, c)
-		if d.up {
-			m := d.sec.Replica.Meta()
+		if d.isUp {
+			m := d.partition.Replica.Meta()
 			c.group, c.set, c.peers, c.val, c.ver = m.Group, m.LastComplete, m.Peers, "", message.Version{}
-			if r, ok := d.sec.Replica.Records().Get(key); ok {
+			if r, ok := d.partition.Replica.Records().Get(key); ok {
 				c.val, c.ver = string(r.Value), r.Version
 			}
 		}
@@ -181,8 +185,10 @@
 			if mask>>k&1 == 0 || !c.group.Has(c.ident) || !c.group.HasQuorum(in) {
 				continue
 			}
-			if val, ok := elect(copies, mask, c.group); ok && !strings.HasPrefix(val, w.seen) {
-				w.breaks("a majority holds all: %q was acknowledged or read, but %s with group %d %s may be elected by %s, %s, and finds %q", w.seen, c.ident, c.group.Number, names(c.group), members(copies, mask), how, val)
+			if val, ok := elect(copies, mask, c.group); ok && !strings.HasPrefix(val, w.lastRead) {
+				w.breaks("a majority holds all: %q was acknowledged or read, "+
+					"but %s with group %d %s may be elected by %s, %s, and finds %q",
+					w.lastRead, c.ident, c.group.Number, names(c.group), members(copies, mask), how, val)
 				return
 			}
 		}
@@ -190,7 +196,7 @@
 }
 
 // elect is what a candidate with this group would find at these replicas; ok
-// tells whether all of them are members and would vote for it.
+// reports whether all of them are members and would vote for it.
 func elect(copies []copyOf, mask int, g message.Group) (val string, ok bool) {
 	var set uint64
 	var ver message.Version
@@ -232,20 +238,20 @@
 		h.word(d.hash(w.now))
 	}
 	var held uint64
-	for _, p := range w.net {
-		if p.held {
-			held += p.sum
+	for _, p := range w.packets {
+		if p.isHeld {
+			held += p.hash
 		} else {
-			h.word(p.sum)
+			h.word(p.hash)
 		}
 	}
 	h.word(held)
-	for _, c := range w.cut {
+	for _, c := range w.cuts {
 		h.word(uint64(c[0]<<8 | c[1]))
 	}
 	h.value(reflect.ValueOf(w.spent))
 	for _, c := range w.changes {
-		h.word(uint64(c.tag)<<16 | uint64(c.base)<<8 | uint64(c.fate))
+		h.word(uint64(c.tag)<<16 | uint64(c.base)<<8 | uint64(c.outcome))
 	}
 	for _, g := range w.grants {
 		if g.end > w.now {
@@ -253,28 +259,28 @@
 			h.word(uint64(g.end - w.now))
 		}
 	}
-	h.text(w.seen)
-	for _, s := range w.want {
+	h.text(w.lastRead)
+	for _, s := range w.wantedReplicas {
 		h.text(s.Ident)
 	}
 	return h.sum
 }
 
 func (d *daemon) hash(now time.Duration) uint64 {
-	if d.sum != 0 && d.sumAt == now {
-		return d.sum
+	if d.cachedHash != 0 && d.cachedAt == now {
+		return d.cachedHash
 	}
 	h := hasher{now: d.local(now), seen: map[unsafe.Pointer]bool{}}
-	h.text(d.me.Ident)
+	h.text(d.self.Ident)
 	h.word(d.epoch)
-	h.value(reflect.ValueOf(d.up))
-	h.value(reflect.ValueOf(d.stalled))
+	h.value(reflect.ValueOf(d.isUp))
+	h.value(reflect.ValueOf(d.isStalled))
 	h.value(reflect.ValueOf(d.disk))
-	h.value(reflect.ValueOf(d.pend))
-	if d.sec != nil {
-		h.value(reflect.ValueOf(d.sec))
+	h.value(reflect.ValueOf(d.pendingSaves))
+	if d.partition != nil {
+		h.value(reflect.ValueOf(d.partition))
 	}
-	d.sum, d.sumAt = h.sum, now
+	d.cachedHash, d.cachedAt = h.sum, now
 	return h.sum
 }
 
--- a/proof/modelcheck/copy.go
+++ b/proof/modelcheck/copy.go
@@ -122,7 +122,7 @@
 	switch v.Kind() {
 	case reflect.Struct:
 		out.Set(v)
-		if v.Type() == typeBook { // the model has one key: no other range is ever written
+		if v.Type() == typeRecords { // the model has one key: no other range is ever written
 			maps, old := settable(out.FieldByName("recs")), settable(v.FieldByName("recs"))
 			maps.Index(span).Set(c.value(old.Index(span)))
 			return
@@ -141,11 +141,11 @@
 
 var span = digest.RangeOf(key)
 
-var deep sync.Map // reflect.Type of a struct -> []int
+var copiedFields sync.Map // reflect.Type of a struct -> []int
 
 // deepFields lists the fields that an assignment doesn't copy.
 func deepFields(t reflect.Type) (list []int) {
-	if known, ok := deep.Load(t); ok {
+	if known, ok := copiedFields.Load(t); ok {
 		return known.([]int)
 	}
 	for i := range t.NumField() {
@@ -153,13 +153,13 @@
 			list = append(list, i)
 		}
 	}
-	deep.Store(t, list)
+	copiedFields.Store(t, list)
 	return list
 }
 
 var flats sync.Map // reflect.Type -> bool
 
-// flat tells whether a plain assignment copies a value of this type.
+// flat reports whether a plain assignment copies a value of this type.
 func flat(t reflect.Type) bool {
 	if known, ok := flats.Load(t); ok {
 		return known.(bool)
@@ -192,12 +192,12 @@
 }
 
 // forgotten is how long ago a time lies at which all earlier ones look the same.
-const forgotten = 10 * lead
+const forgotten = 10 * leaderLease
 
 var (
-	typeTime  = reflect.TypeFor[time.Duration]()
-	typeBook  = reflect.TypeFor[digest.Records]()
-	noContent = map[string]bool{
+	typeTime    = reflect.TypeFor[time.Duration]()
+	typeRecords = reflect.TypeFor[digest.Records]()
+	noContent   = map[string]bool{
 		"leaderSince": true, "Repairs": true,
 		"sentAsPatches": true, "sentInFull": true, "generation": true, "renewCost": true,
 	}
@@ -274,7 +274,7 @@
 
 func (h *hasher) fields(v reflect.Value) {
 	t := v.Type()
-	if t == typeBook {
+	if t == typeRecords {
 		h.value(v.FieldByName("digs").Index(span))
 		return
 	}
@@ -283,11 +283,11 @@
 	}
 }
 
-var told sync.Map // reflect.Type of a struct -> []int
+var hashedFields sync.Map // reflect.Type of a struct -> []int
 
 // hashFields lists the fields by which states are told apart.
 func hashFields(t reflect.Type) (list []int) {
-	if known, ok := told.Load(t); ok {
+	if known, ok := hashedFields.Load(t); ok {
 		return known.([]int)
 	}
 	for i := range t.NumField() {
@@ -295,6 +295,6 @@
 			list = append(list, i)
 		}
 	}
-	told.Store(t, list)
+	hashedFields.Store(t, list)
 	return list
 }
--- a/proof/modelcheck/event.go
+++ b/proof/modelcheck/event.go
@@ -88,7 +88,8 @@
 }
 
 func (b Bounds) sum() int {
-	return b.Crash + b.Wipe + b.Stall + b.Drop + b.Double + b.Hold + b.Cut + b.Lapse + b.Tick + b.Write + b.Want + b.Copy + b.PutBack + b.Beside
+	return b.Crash + b.Wipe + b.Stall + b.Drop + b.Double + b.Hold + b.Cut + b.Lapse + b.Tick +
+		b.Write + b.Want + b.Copy + b.PutBack + b.Beside
 }
 
 // events lists what may happen next within the bounds.
@@ -98,26 +99,26 @@
 	}
 	add := func(k Kind, at, with int) { out = append(out, Event{k, int8(at), int16(with)}) }
 	add(Step, 0, 0)
-	for k, p := range w.net {
-		if p.held {
+	for k, p := range w.packets {
+		if p.isHeld {
 			add(Release, 0, k)
 		}
 	}
-	if len(w.cut) > 0 {
+	if len(w.cuts) > 0 {
 		add(Heal, 0, 0)
 	}
 	for i, d := range w.daemons {
-		if !d.up {
+		if !d.isUp {
 			add(Restart, i, 0)
 			continue
 		}
-		if len(d.pend) > 0 {
+		if len(d.pendingSaves) > 0 {
 			add(Sync, i, 0)
 		}
 		if may(Crash) {
 			add(Crash, i, 0)
 		}
-		if may(Stall) && d.store && !d.stalled {
+		if may(Stall) && d.hasDisk && !d.isStalled {
 			add(Stall, i, 0)
 		}
 		if may(Tick) {
@@ -128,28 +129,28 @@
 		}
 		if may(Cut) {
 			for j := range w.daemons {
-				if j != i && !slices.Contains(w.cut, [2]int{i, j}) {
+				if j != i && !slices.Contains(w.cuts, [2]int{i, j}) {
 					add(Cut, i, j)
 				}
 			}
 		}
 	}
 	for i, d := range w.daemons {
-		if d.store && may(Wipe) && w.maywipe(i) {
+		if d.hasDisk && may(Wipe) && w.mayWipe(i) {
 			add(Wipe, i, 0)
 		}
-		if d.store && may(Copy) {
+		if d.hasDisk && may(Copy) {
 			add(Copy, i, 0)
 		}
 		for _, kind := range []Kind{PutBack, Beside} {
-			if d.copied != nil && may(kind) && w.older(i) {
+			if d.diskCopy != nil && may(kind) && w.older(i) {
 				add(kind, i, 0)
 			}
 		}
 	}
 	for _, kind := range []Kind{Drop, Double, Hold} {
-		for k, p := range w.net {
-			if !p.held && may(kind) {
+		for k, p := range w.packets {
+			if !p.isHeld && may(kind) {
 				add(kind, 0, k)
 			}
 		}
@@ -158,9 +159,9 @@
 		add(Lapse, 0, 0)
 	}
 	if may(Want) {
-		for out := range w.want {
+		for out := range w.wantedReplicas {
 			for in, d := range w.daemons {
-				if d.store && !(message.Group{Replicas: w.want}).Has(d.me.Ident) {
+				if d.hasDisk && !(message.Group{Replicas: w.wantedReplicas}).Has(d.self.Ident) {
 					add(Want, out, in)
 				}
 			}
@@ -169,15 +170,15 @@
 	return out
 }
 
-// maywipe tells whether the loss of this disk is one that the fleet must bear:
+// mayWipe reports whether the loss of this disk is one that the fleet must bear:
 // no other disk was lost since the group was last whole.
-func (w *world) maywipe(int) bool {
+func (w *world) mayWipe(int) bool {
 	for _, d := range w.daemons {
-		if !d.store {
+		if !d.hasDisk {
 			continue
 		}
 		for _, s := range d.disk.meta.Group.All() {
-			if at := w.find(s.Ident); (at < 0 || w.daemons[at].stale) && !w.settled() {
+			if at := w.daemonOf(s.Ident); (at < 0 || w.daemons[at].isStale) && !w.isSettled() {
 				return false
 			}
 		}
@@ -195,63 +196,63 @@
 	case Step:
 		w.step()
 	case Restart:
-		w.say("%s restarts", w.daemons[i].me.Ident)
+		w.log("%s restarts", w.daemons[i].self.Ident)
 		w.start(i)
 	case Release, Arrive:
-		w.say("deliver %s", w.show(w.net[k]))
+		w.log("deliver %s", w.show(w.packets[k]))
 		w.deliver(k)
 	case Sync:
-		w.say("the disk of %s completes a write", w.daemons[i].me.Ident)
-		w.own(i)
+		w.log("the disk of %s completes a write", w.daemons[i].self.Ident)
+		w.mutable(i)
 		w.sync(i)
 	case Heal:
-		w.say("cuts end")
-		w.cut = nil
+		w.log("cuts end")
+		w.cuts = nil
 	case Write:
 		w.write(i)
 	case Want:
-		w.say("wanted: %s in place of %s", w.daemons[k].me.Ident, w.want[i].Ident)
-		w.want = slices.Clone(w.want)
-		w.want[i] = w.daemons[k].me
+		w.log("wanted: %s in place of %s", w.daemons[k].self.Ident, w.wantedReplicas[i].Ident)
+		w.wantedReplicas = slices.Clone(w.wantedReplicas)
+		w.wantedReplicas[i] = w.daemons[k].self
 	case Crash, Wipe:
-		w.say("%s of %s", [...]string{"crash", "loss of the disk"}[e.Kind-Crash], w.daemons[i].me.Ident)
+		w.log("%s of %s", [...]string{"crash", "loss of the disk"}[e.Kind-Crash], w.daemons[i].self.Ident)
 		w.crash(i, e.Kind == Wipe)
 	case Stall:
-		w.say("the disk of %s stalls", w.daemons[i].me.Ident)
-		w.own(i).stalled = true
+		w.log("the disk of %s stalls", w.daemons[i].self.Ident)
+		w.mutable(i).isStalled = true
 	case Drop:
-		w.say("lost: %s", w.show(w.net[k]))
-		w.net = slices.Delete(w.net, k, k+1)
+		w.log("lost: %s", w.show(w.packets[k]))
+		w.packets = slices.Delete(w.packets, k, k+1)
 	case Double:
-		w.say("doubled: %s", w.show(w.net[k]))
-		p := w.net[k]
-		p.held = true
+		w.log("doubled: %s", w.show(w.packets[k]))
+		p := w.packets[k]
+		p.isHeld = true
 		w.deliver(k)
-		w.net = append(w.net, p)
+		w.packets = append(w.packets, p)
 	case Hold:
-		w.say("held: %s", w.show(w.net[k]))
-		w.net[k].held = true
+		w.log("held: %s", w.show(w.packets[k]))
+		w.packets[k].isHeld = true
 	case Cut:
-		w.say("cut from %s to %s", w.daemons[i].me.Ident, w.daemons[k].me.Ident)
-		w.cut = append(w.cut, [2]int{i, k})
+		w.log("cut from %s to %s", w.daemons[i].self.Ident, w.daemons[k].self.Ident)
+		w.cuts = append(w.cuts, [2]int{i, k})
 	case Lapse:
-		w.say("every lease lapses")
-		w.now += votes.Wait(lead)
+		w.log("every lease lapses")
+		w.now += quorumConfig.Wait(leaderLease)
 	case Tick:
-		w.say("%s lets time pass", w.daemons[i].me.Ident)
+		w.log("%s lets time pass", w.daemons[i].self.Ident)
 		w.tick(i)
 	case Copy:
-		w.say("the disk of %s is copied", w.daemons[i].me.Ident)
+		w.log("the disk of %s is copied", w.daemons[i].self.Ident)
 		w.copyDisk(i)
 	case PutBack:
-		w.say("%s starts from the copy of its disk", w.daemons[i].me.Ident)
+		w.log("%s starts from the copy of its disk", w.daemons[i].self.Ident)
 		w.putBack(i)
 	case Beside:
-		w.say("the copy of %s is started beside it", w.daemons[i].me.Ident)
+		w.log("the copy of %s is started beside it", w.daemons[i].self.Ident)
 		w.beside(i)
 	case Pass:
-		w.now += grid * time.Duration(1+k) / 4
-		w.say("it is %v", w.now-100*lead)
+		w.now += timeStep * time.Duration(1+k) / 4
+		w.log("it is %v", w.now-100*leaderLease)
 	}
 	w.check()
 }
@@ -259,10 +260,10 @@
 func (w *world) crash(i int, wipe bool) {
 	d := *w.daemons[i]
 	w.daemons[i] = &d
-	d.up, d.sec, d.pend, d.sum, d.stalled = false, nil, nil, 0, false
+	d.isUp, d.partition, d.pendingSaves, d.cachedHash, d.isStalled = false, nil, nil, 0, false
 	if wipe {
-		d.disk, d.epoch, d.copied, d.stale = disk{}, 0, nil, false
-		if w.setup.Plant != sameName {
+		d.disk, d.epoch, d.diskCopy, d.isStale = disk{}, 0, nil, false
+		if w.setup.Plant != reusedIdentity {
 			w.rename(i)
 		}
 	}
@@ -271,9 +272,9 @@
 // write asks a leader for a change that names what was last read as its base, as
 // two writers do that don't know of each other.
 func (w *world) write(i int) {
-	c := change{tag: byte('a' + len(w.changes)), base: len(w.seen)}
+	c := change{tag: byte('a' + len(w.changes)), base: len(w.lastRead)}
 	w.changes = append(w.changes, c)
-	w.say("change %c on base %d is asked of %s", c.tag, c.base, w.daemons[i].me.Ident)
+	w.log("change %c on base %d is asked of %s", c.tag, c.base, w.daemons[i].self.Ident)
 	base := w.setup.Plant.base(c.base)
 	j := partition.Job{Keys: []string{key}, Mergeable: true, Build: func(read lease.RecordSource) ([]message.Record, any) {
 		cur := read(key)
@@ -282,5 +283,7 @@
 		}
 		return []message.Record{{Key: key, Value: append(slices.Clone(cur.Value), c.tag)}}, nil
 	}}
-	w.do(i, func(d *daemon, now time.Duration) partition.Out { return d.sec.Submit(now, uint64(len(w.changes)), j) })
+	w.do(i, func(d *daemon, now time.Duration) partition.Out {
+		return d.partition.Submit(now, uint64(len(w.changes)), j)
+	})
 }
--- a/proof/modelcheck/explore.go
+++ b/proof/modelcheck/explore.go
@@ -176,7 +176,7 @@
 	}
 	r.States, r.Depth = r.Events, r.Events
 	r.Acked = w.acknowledgedCount()
-	r.Terms = len(w.leads)
+	r.Terms = len(w.leaders)
 	r.Copies = w.spent.PutBack + w.spent.Beside
 	if r.Broken = w.broken; w.broken != "" {
 		r.Trace = lines[max(0, len(lines)-120):]
--- a/proof/modelcheck/folders_test.go
+++ b/proof/modelcheck/folders_test.go
@@ -18,7 +18,7 @@
 		for i := range w.daemons {
 			for j := range w.daemons {
 				if mask>>i&1 != mask>>j&1 {
-					w.cut = append(w.cut, [2]int{i, j})
+					w.cuts = append(w.cuts, [2]int{i, j})
 				}
 			}
 		}
@@ -42,10 +42,10 @@
 // voice from then on.
 func healed(t *testing.T, w *world) {
 	t.Helper()
-	w.cut, w.broken = nil, ""
+	w.cuts, w.broken = nil, ""
 	voices := func() (n int) {
 		for _, i := range []int{0, 3} {
-			if d := w.daemons[i]; d.me == w.daemons[0].me && d.sec.Replica.Superseded() == "" {
+			if d := w.daemons[i]; d.self == w.daemons[0].self && d.partition.Replica.Superseded() == "" {
 				n++
 			}
 		}
@@ -84,19 +84,19 @@
 		if !w.older(i) {
 			t.Fatal("the others never hear how far the copied one came")
 		}
-		was, size := w.daemons[i].me, len(w.daemons)
+		was, size := w.daemons[i].self, len(w.daemons)
 		w.apply(Event{Kind: start, At: int8(i)})
 		at := i
 		if start == Beside {
 			at = size
 		}
-		for n := 0; n < 200 && w.daemons[at].me == was; n++ {
+		for n := 0; n < 200 && w.daemons[at].self == was; n++ {
 			w.apply(Event{Kind: Step})
 		}
-		if w.daemons[at].me == was || w.broken != "" {
+		if w.daemons[at].self == was || w.broken != "" {
 			t.Errorf("start %d: still %s; %s", start, was.Ident, w.broken)
 		}
-		if start == Beside && (w.daemons[i].me != was || w.daemons[i].sec.Replica.Superseded() != "") {
+		if start == Beside && (w.daemons[i].self != was || w.daemons[i].partition.Replica.Superseded() != "") {
 			t.Error("the one that had gone on was superseded, too")
 		}
 	}
--- a/proof/modelcheck/modelcheck_test.go
+++ b/proof/modelcheck/modelcheck_test.go
@@ -31,7 +31,8 @@
 		}
 	}
 	if acked < 30 || terms < 60 || copies < 3 {
-		t.Errorf("%d changes acknowledged under %d terms, %d older copies started: the walks get nowhere", acked, terms, copies)
+		t.Errorf("%d changes acknowledged under %d terms, %d older copies started: the walks get nowhere",
+			acked, terms, copies)
 	}
 	t.Logf("%d changes acknowledged, %d terms, %d older copies started", acked, terms, copies)
 }
@@ -59,7 +60,10 @@
 // The explorer finds a planted fault too, by the shortest way, and tells it; the
 // same way leads there again.
 func TestTheShortestTraceIsTold(t *testing.T) {
-	s := Scope{Name: "planted", Setup: Setup{Replicas: 3, Plant: noBase}, Most: Bounds{Write: 2, Crash: 1}, Total: 3, Depth: 12}
+	s := Scope{
+		Name: "planted", Setup: Setup{Replicas: 3, Plant: ignoredBase},
+		Most: Bounds{Write: 2, Crash: 1}, Total: 3, Depth: 12,
+	}
 	r := Explore(s)
 	if !strings.HasPrefix(r.Broken, "one change on a base") || r.Events > 6 || len(r.Trace) < 4 || r.Whole {
 		t.Errorf("two changes on one base are six events away: two orders, and four rounds of messages: %v", r)
@@ -82,7 +86,7 @@
 			}
 		}
 		for _, d := range w.daemons {
-			d.sum = 0 // look at it anew
+			d.cachedHash = 0 // look at it anew
 		}
 		if w.hash() != before {
 			t.Fatalf("after %d steps: an event in a copy changed the state", n)
--- a/proof/modelcheck/net.go
+++ b/proof/modelcheck/net.go
@@ -12,13 +12,13 @@
 // emit puts a message on the line, unless that is cut.
 func (w *world) emit(from int, m message.Envelope) {
 	d := w.daemons[from]
-	m.Message.From, m.Message.Epoch, m.Message.Addr = d.me.Ident, d.epoch, d.me.Addr
+	m.Message.From, m.Message.Epoch, m.Message.Addr = d.self.Ident, d.epoch, d.self.Addr
 	for to, o := range w.daemons { // where two bear one identity each hears what is meant for either
-		if o.me.Ident != m.Message.To || slices.Contains(w.cut, [2]int{from, to}) {
+		if o.self.Ident != m.Message.To || slices.Contains(w.cuts, [2]int{from, to}) {
 			continue
 		}
 		for _, n := range w.setup.Plant.message(w, to, m.Message) {
-			w.net = append(w.net, packet{from: from, to: to, note: n, sum: packetSum(from, to, n)})
+			w.packets = append(w.packets, packet{from: from, to: to, message: n, hash: packetSum(from, to, n)})
 		}
 	}
 }
@@ -26,20 +26,20 @@
 // deliver takes a message off the line and hands it to its daemon, if that is
 // still the one it was meant for.
 func (w *world) deliver(k int) {
-	p := w.net[k]
-	w.net = slices.Delete(w.net, k, k+1)
-	if d := w.daemons[p.to]; d.up && d.me.Ident == p.note.To {
-		w.do(p.to, func(d *daemon, now time.Duration) partition.Out { return d.sec.Step(now, p.note) })
+	p := w.packets[k]
+	w.packets = slices.Delete(w.packets, k, k+1)
+	if d := w.daemons[p.to]; d.isUp && d.self.Ident == p.message.To {
+		w.do(p.to, func(d *daemon, now time.Duration) partition.Out { return d.partition.Step(now, p.message) })
 	}
 }
 
 // head is the message that arrives next if nothing goes wrong, or -1.
 func (w *world) head() int {
-	return slices.IndexFunc(w.net, func(p packet) bool { return !p.held })
+	return slices.IndexFunc(w.packets, func(p packet) bool { return !p.isHeld })
 }
 
 func (w *world) show(p packet) string {
-	n := p.note
+	n := p.message
 	extra := ""
 	if n.Op != "" {
 		extra = " " + n.Op
--- a/proof/modelcheck/walk.go
+++ b/proof/modelcheck/walk.go
@@ -13,7 +13,10 @@
 
 func newMood(rng *rand.Rand) mood {
 	pick := func(of ...int) int { return of[rng.Intn(len(of))] }
-	return mood{crash: pick(0, 2, 8), lose: pick(0, 10, 60), late: pick(0, 40, 200), cut: pick(0, 2, 10), stall: pick(0, 4, 20), rush: pick(1, 2, 4), wish: pick(1, 5, 20), wipe: pick(0, 2, 6)}
+	return mood{
+		crash: pick(0, 2, 8), lose: pick(0, 10, 60), late: pick(0, 40, 200), cut: pick(0, 2, 10),
+		stall: pick(0, 4, 20), rush: pick(1, 2, 4), wish: pick(1, 5, 20), wipe: pick(0, 2, 6),
+	}
 }
 
 // chance draws the next event of a walk; not every draw is one that can happen.
@@ -27,22 +30,22 @@
 	}
 	switch {
 	case in(m.crash):
-		return Event{Crash, int8(i), 0}, d.up
+		return Event{Crash, int8(i), 0}, d.isUp
 	case in(20):
-		return Event{Restart, int8(i), 0}, !d.up
+		return Event{Restart, int8(i), 0}, !d.isUp
 	case in(m.cut):
 		j := rng.Intn(len(w.daemons))
-		return Event{Cut, int8(i), int16(j)}, i != j && len(w.cut) < 4 && !slices.Contains(w.cut, [2]int{i, j})
+		return Event{Cut, int8(i), int16(j)}, i != j && len(w.cuts) < 4 && !slices.Contains(w.cuts, [2]int{i, j})
 	case in(5):
-		return Event{Heal, 0, 0}, len(w.cut) > 0
+		return Event{Heal, 0, 0}, len(w.cuts) > 0
 	case in(m.stall):
-		return Event{Stall, int8(i), 0}, d.up && d.store && !d.stalled
+		return Event{Stall, int8(i), 0}, d.isUp && d.hasDisk && !d.isStalled
 	case in(20):
-		return Event{Sync, int8(i), 0}, len(d.pend) > 0
+		return Event{Sync, int8(i), 0}, len(d.pendingSaves) > 0
 	case in(m.wipe):
-		return Event{Wipe, int8(i), 0}, d.store && w.maywipe(i)
+		return Event{Wipe, int8(i), 0}, d.hasDisk && w.mayWipe(i)
 	case w.setup.Copies && in(m.wish):
-		return Event{Copy, int8(i), 0}, d.store && d.copied == nil
+		return Event{Copy, int8(i), 0}, d.hasDisk && d.diskCopy == nil
 	case w.setup.Copies && in(m.wish):
 		return Event{PutBack, int8(i), 0}, w.older(i)
 	case w.setup.Copies && in(m.wish/2):
@@ -65,35 +68,35 @@
 	case in(15 * m.rush):
 		return Event{Pass, 0, int16(rng.Intn(4))}, true
 	case in(40 * m.rush):
-		return Event{Tick, int8(i), 0}, d.up
+		return Event{Tick, int8(i), 0}, d.isUp
 	}
 	k := w.head()
 	return Event{Arrive, 0, int16(k)}, k >= 0
 }
 
 func (w *world) any(rng *rand.Rand) (int, bool) {
-	if len(w.net) == 0 {
+	if len(w.packets) == 0 {
 		return 0, false
 	}
-	return rng.Intn(len(w.net)), true
+	return rng.Intn(len(w.packets)), true
 }
 
 // wish wants one replica exchanged: rather one whose disk is lost.
 func (w *world) wish(rng *rand.Rand) (Event, bool) {
-	out := rng.Intn(len(w.want))
-	for i, s := range w.want {
-		if w.find(s.Ident) < 0 {
+	out := rng.Intn(len(w.wantedReplicas))
+	for i, s := range w.wantedReplicas {
+		if w.daemonOf(s.Ident) < 0 {
 			out = i
 		}
 	}
 	in := rng.Intn(len(w.daemons))
 	d := w.daemons[in]
-	return Event{Want, int8(out), int16(in)}, d.store && !(message.Group{Replicas: w.want}).Has(d.me.Ident)
+	return Event{Want, int8(out), int16(in)}, d.hasDisk && !(message.Group{Replicas: w.wantedReplicas}).Has(d.self.Ident)
 }
 
 func (w *world) acknowledgedCount() (n int) {
 	for _, c := range w.changes {
-		if c.fate == partition.Done {
+		if c.outcome == partition.Done {
 			n++
 		}
 	}
