--- a/control/fleetconfig/taken_test.go
+++ b/control/fleetconfig/accepted_test.go
@@ -74,7 +74,7 @@
 	held := map[string]message.Record{}
 	read := func(key string) message.Record { return held[key] }
 	total, most := 0, 0
-	for i := range uint64(2*takenPages*takenOnPage + 5) {
+	for i := range uint64(2*pages*pageEntries + 5) {
 		taken := ReadAcceptedChanges(read)
 		for _, r := range taken.Add(AcceptedChange{ID: fmt.Sprint(i), Version: i + 1}) {
 			held[r.Key], most = r, max(most, len(r.Value))
@@ -83,18 +83,18 @@
 	for _, r := range held {
 		total += len(r.Value)
 	}
-	if bound := takenHead + takenOnPage*takenBytes; most > bound || len(held) > takenPages || total > takenPages*bound {
+	if bound := headBytes + pageEntries*entryBytes; most > bound || len(held) > pages || total > pages*bound {
 		t.Errorf("%d records of %d bytes, the longest of %d", len(held), total, most)
 	}
 	taken, known := ReadAcceptedChanges(read), 0
-	for i := range uint64(2*takenPages*takenOnPage + 5) {
+	for i := range uint64(2*pages*pageEntries + 5) {
 		if version, ok := taken.Find(fmt.Sprint(i), 0); ok && version == i+1 {
 			known++
-		} else if i > takenPages*takenOnPage+takenOnPage+5 {
+		} else if i > pages*pageEntries+pageEntries+5 {
 			t.Fatalf("%d of the last is forgotten", i)
 		}
 	}
-	if known < (takenPages-1)*takenOnPage {
+	if known < (pages-1)*pageEntries {
 		t.Errorf("%d are known", known)
 	}
 }
@@ -139,11 +139,11 @@
 			held[r.Key] = r
 		}
 	}
-	for i := range uint64(3 * takenOnPage) {
+	for i := range uint64(3 * pageEntries) {
 		add(fmt.Sprint(i), i+1)
 	}
-	delete(held, takenKeys[0])
-	held[takenKeys[1]] = message.Record{Key: takenKeys[1], Value: []byte("short")}
+	delete(held, pageKeys[0])
+	held[pageKeys[1]] = message.Record{Key: pageKeys[1], Value: []byte("short")}
 	add("next", 500)
 	taken := ReadAcceptedChanges(read)
 	for id, want := range map[string]bool{"0": false, "40": false, "70": true, "next": true} {
--- a/control/fleetconfig/change.go
+++ b/control/fleetconfig/change.go
@@ -7,70 +7,87 @@
 
 // Change is one named change to the plan in force.
 type Change struct {
-	Op      string   `json:"op"`
-	Name    string   `json:"name,omitempty"`
+	Op      string   `json:"op"`             // one of the operations below
+	Name    string   `json:"name,omitempty"` // of what is dropped, or of the service of a server
 	Tenant  *Tenant  `json:"tenant,omitempty"`
 	Service *Service `json:"service,omitempty"`
 	Route   *Route   `json:"route,omitempty"`
 	Limits  *Limits  `json:"limits,omitempty"`
-	Server  string   `json:"server,omitempty"`
+	Server  string   `json:"server,omitempty"`  // address of the server that is excluded or included
 	Needs   int      `json:"needs,omitempty"`   // the format that a build must read; 0: any
 	Lenient bool     `json:"lenient,omitempty"` // to drop what isn't there is no fault
 }
 
-// Changes is a set of named changes, taken all or none, in their order.
+// Changes is a set of named changes, accepted all or none, in their order.
 type Changes struct {
-	ID      string   `json:"id"`
-	Base    uint64   `json:"base"`
+	ID      string   `json:"id"`               // the operator's; the same id again gets the same answer
+	Base    uint64   `json:"base"`             // version of the plan that they are for
 	Number  uint64   `json:"number,omitempty"` // see Plan.Number
 	Changes []Change `json:"changes"`
 }
 
-const ops = "expected set-tenant, drop-tenant, set-service, drop-service, set-route, drop-route, set-limits, set-needs, exclude-server or include-server"
+// The operations of a change. Operators' programs name them.
+const (
+	OpSetTenant     = "set-tenant"
+	OpDropTenant    = "drop-tenant"
+	OpSetService    = "set-service"
+	OpDropService   = "drop-service"
+	OpSetRoute      = "set-route"
+	OpDropRoute     = "drop-route"
+	OpSetLimits     = "set-limits"
+	OpSetNeeds      = "set-needs"
+	OpExcludeServer = "exclude-server" // a server of a service gets no work
+	OpIncludeServer = "include-server" // it does again
+)
+
+const opExpected = "expected set-tenant, drop-tenant, set-service, drop-service, set-route, drop-route, " +
+	"set-limits, set-needs, exclude-server or include-server"
 
-// list is a plan's items under change, found by name; what is dropped is
-// taken out at the end, so that places hold until then.
-type list[T any] struct {
-	items []T
-	at    map[string]int
-	gone  map[int]bool
+// itemList is a plan's items under change, found by name; what is dropped is
+// removed at the end, so that places hold until then.
+type itemList[T any] struct {
+	items   []T
+	places  map[string]int // by name; of those that aren't dropped
+	dropped map[int]bool   // places
 }
 
-func newList[T any](items []T, name func(*T) string) *list[T] {
-	l := &list[T]{items: slices.Clone(items), at: make(map[string]int, len(items)), gone: map[int]bool{}}
+func newItemList[T any](items []T, name func(*T) string) *itemList[T] {
+	l := &itemList[T]{items: slices.Clone(items), places: make(map[string]int, len(items)), dropped: map[int]bool{}}
 	for i := range l.items {
-		l.at[name(&l.items[i])] = i
+		l.places[name(&l.items[i])] = i
 	}
 	return l
 }
 
 // set replaces the item of that name in its place or adds it at the end.
-func (l *list[T]) set(name string, x T) {
-	if i, ok := l.at[name]; ok {
-		l.items[i] = x
+func (l *itemList[T]) set(name string, item T) {
+	if i, ok := l.places[name]; ok {
+		l.items[i] = item
 		return
 	}
-	l.at[name] = len(l.items)
-	l.items = append(l.items, x)
+	l.places[name] = len(l.items)
+	l.items = append(l.items, item)
 }
 
-func (l *list[T]) drop(name string) bool {
-	i, ok := l.at[name]
+// drop tells whether there was an item of that name.
+func (l *itemList[T]) drop(name string) bool {
+	i, ok := l.places[name]
 	if ok {
-		l.gone[i] = true
-		delete(l.at, name)
+		l.dropped[i] = true
+		delete(l.places, name)
 	}
 	return ok
 }
 
-func (l *list[T]) left() []T {
-	if len(l.gone) == 0 {
+// remaining are the items that aren't dropped, in their order.
+func (l *itemList[T]) remaining() []T {
+	if len(l.dropped) == 0 {
 		return l.items
 	}
-	out := make([]T, 0, len(l.items)-len(l.gone))
-	for i, x := range l.items {
-		if !l.gone[i] {
-			out = append(out, x)
+	out := make([]T, 0, len(l.items)-len(l.dropped))
+	for i, item := range l.items {
+		if !l.dropped[i] {
+			out = append(out, item)
 		}
 	}
 	return out
@@ -78,104 +95,125 @@
 
 // draft is a plan under change.
 type draft struct {
-	tenants  *list[Tenant]
-	services *list[Service]
-	routes   *list[Route]
+	tenants  *itemList[Tenant]
+	services *itemList[Service]
+	routes   *itemList[Route]
 	limits   Limits
 	needs    int
 }
 
+func newDraft(p Plan) *draft {
+	d := &draft{
+		tenants:  newItemList(p.Tenants, func(t *Tenant) string { return t.Name }),
+		services: newItemList(p.Services, func(s *Service) string { return s.Name }),
+		routes:   newItemList(p.Routes, func(r *Route) string { return r.Name }),
+		limits:   p.Limits, needs: p.Needs,
+	}
+	for i := range d.services.items {
+		d.services.items[i].Exclude = slices.Clone(d.services.items[i].Exclude) // the plan in force keeps its own
+	}
+	return d
+}
+
 // Apply applies named changes to a copy of the plan; faults name the change.
 //
 // Example: next, f := plan.Apply(changes)
 func (p Plan) Apply(c Changes) (Plan, Faults) {
 	var f Faults
-	d := draft{
-		tenants:  newList(p.Tenants, func(t *Tenant) string { return t.Name }),
-		services: newList(p.Services, func(s *Service) string { return s.Name }),
-		routes:   newList(p.Routes, func(r *Route) string { return r.Name }), limits: p.Limits, needs: p.Needs,
-	}
-	for i := range d.services.items {
-		d.services.items[i].Exclude = slices.Clone(d.services.items[i].Exclude)
-	}
+	d := newDraft(p)
 	if len(c.Changes) == 0 && c.Number == 0 {
 		f.Add("changes: none given")
 	}
-	for i, ch := range c.Changes {
-		if why := d.apply(ch); why != "" {
-			f.Add("changes[%d] %q: %s", i, ch.Op, why)
+	for i, change := range c.Changes {
+		if fault := d.apply(change); fault != "" {
+			f.Add("changes[%d] %q: %s", i, change.Op, fault)
 		}
 	}
 	if f.Any() {
 		return p, f
 	}
-	out := p
-	out.ID, out.Number = c.ID, c.Number
-	out.Tenants, out.Services, out.Routes, out.Limits, out.Needs = d.tenants.left(), d.services.left(), d.routes.left(), d.limits, d.needs
-	return out, out.Validate()
+	next := p
+	next.ID, next.Number = c.ID, c.Number
+	next.Tenants, next.Services, next.Routes = d.tenants.remaining(), d.services.remaining(), d.routes.remaining()
+	next.Limits, next.Needs = d.limits, d.needs
+	return next, next.Validate()
 }
 
-func (d *draft) apply(c Change) string {
+// apply makes one change; the fault is "" if it could.
+func (d *draft) apply(c Change) (fault string) {
 	switch c.Op {
-	case "set-tenant":
-		if c.Tenant == nil {
-			return "needs a tenant"
-		}
+	case OpSetTenant, OpSetService, OpSetRoute, OpSetLimits:
+		return d.set(c)
+	case OpDropTenant, OpDropService, OpDropRoute:
+		return d.drop(c)
+	case OpSetNeeds:
+		d.needs = c.Needs
+		return ""
+	case OpExcludeServer, OpIncludeServer:
+		return d.exclude(c)
+	default:
+		return opExpected
+	}
+}
+
+// set adds an item or replaces the one of its name.
+func (d *draft) set(c Change) (fault string) {
+	switch {
+	case c.Op == OpSetTenant && c.Tenant != nil:
 		d.tenants.set(c.Tenant.Name, *c.Tenant)
-	case "drop-tenant":
-		if !d.tenants.drop(c.Name) && !c.Lenient {
-			return fmt.Sprintf("no tenant %q", c.Name)
-		}
-	case "set-service":
-		if c.Service == nil {
-			return "needs a service"
-		}
+	case c.Op == OpSetTenant:
+		return "needs a tenant"
+	case c.Op == OpSetService && c.Service != nil:
 		d.services.set(c.Service.Name, *c.Service)
-	case "drop-service":
-		if !d.services.drop(c.Name) && !c.Lenient {
-			return fmt.Sprintf("no service %q", c.Name)
-		}
-	case "set-route":
-		if c.Route == nil {
-			return "needs a route"
-		}
+	case c.Op == OpSetService:
+		return "needs a service"
+	case c.Op == OpSetRoute && c.Route != nil:
 		d.routes.set(c.Route.Name, *c.Route)
-	case "drop-route":
-		if !d.routes.drop(c.Name) && !c.Lenient {
-			return fmt.Sprintf("no route %q", c.Name)
-		}
-	case "set-limits":
-		if c.Limits == nil {
-			return "needs limits"
-		}
+	case c.Op == OpSetRoute:
+		return "needs a route"
+	case c.Limits != nil:
 		d.limits = *c.Limits
-	case "set-needs":
-		d.needs = c.Needs
-	case "exclude-server", "include-server":
-		return d.exclude(c)
 	default:
-		return ops
+		return "needs limits"
+	}
+	return ""
+}
+
+// drop removes an item by its name.
+func (d *draft) drop(c Change) (fault string) {
+	kind, ok := "", false
+	switch c.Op {
+	case OpDropTenant:
+		kind, ok = "tenant", d.tenants.drop(c.Name)
+	case OpDropService:
+		kind, ok = "service", d.services.drop(c.Name)
+	case OpDropRoute:
+		kind, ok = "route", d.routes.drop(c.Name)
+	}
+	if !ok && !c.Lenient {
+		return fmt.Sprintf("no %s %q", kind, c.Name)
 	}
 	return ""
 }
 
-func (d *draft) exclude(c Change) string {
-	i, ok := d.services.at[c.Name]
+// exclude adds a server to those of a service that get no work, or takes it from them.
+func (d *draft) exclude(c Change) (fault string) {
+	i, ok := d.services.places[c.Name]
 	if !ok {
 		return fmt.Sprintf("no service %q", c.Name)
 	}
-	if err := address(c.Server); err != nil {
+	if err := validateAddress(c.Server); err != nil {
 		return "server " + err.Error()
 	}
-	var rest []string
-	for _, a := range d.services.items[i].Exclude {
-		if a != c.Server {
-			rest = append(rest, a)
+	var excluded []string
+	for _, addr := range d.services.items[i].Exclude {
+		if addr != c.Server {
+			excluded = append(excluded, addr)
 		}
 	}
-	if c.Op == "exclude-server" {
-		rest = append(rest, c.Server)
+	if c.Op == OpExcludeServer {
+		excluded = append(excluded, c.Server)
 	}
-	d.services.items[i].Exclude = rest
+	d.services.items[i].Exclude = excluded
 	return ""
 }
--- a/control/fleetconfig/codec_test.go
+++ b/control/fleetconfig/codec_test.go
@@ -130,7 +130,7 @@
 	p.Routes[700].GiveUpMillis = 17
 	to := recordOf(b, p)
 	patch := Codec{}.Patch(from, to)
-	base, err := kept(from)
+	base, err := uncompressed(from)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/control/fleetconfig/fleetconfig_gen.go
+++ b/control/fleetconfig/fleetconfig_gen.go
@@ -9,16 +9,20 @@
 )
 
 // MarshalMsg implements msgp.Marshaler
-func (z Codec) MarshalMsg(b []byte) (o []byte, err error) {
+func (z AcceptedChange) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 0
-	_ = z
-	o = append(o, 0x80)
+	// map header, size 2
+	// string "id"
+	o = append(o, 0x82, 0xa2, 0x69, 0x64)
+	o = msgp.AppendString(o, z.ID)
+	// string "version"
+	o = append(o, 0xa7, 0x76, 0x65, 0x72, 0x73, 0x69, 0x6f, 0x6e)
+	o = msgp.AppendUint64(o, z.Version)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Codec) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *AcceptedChange) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -35,6 +39,18 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
+		case "id":
+			z.ID, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "ID")
+				return
+			}
+		case "version":
+			z.Version, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Version")
+				return
+			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -48,8 +64,8 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Codec) Msgsize() (s int) {
-	s = 1
+func (z AcceptedChange) Msgsize() (s int) {
+	s = 1 + 3 + msgp.StringPrefixSize + len(z.ID) + 8 + msgp.Uint64Size
 	return
 }
 
@@ -147,13 +163,13 @@
 		case "header_wait_ms":
 			z.HeaderTimeoutMillis, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "HeaderWait")
+				err = msgp.WrapError(err, "HeaderTimeoutMillis")
 				return
 			}
 		case "idle_ms":
 			z.IdleTimeoutMillis, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Idle")
+				err = msgp.WrapError(err, "IdleTimeoutMillis")
 				return
 			}
 		case "raw":
@@ -184,67 +200,6 @@
 	return
 }
 
-// MarshalMsg implements msgp.Marshaler
-func (z AcceptedChange) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "id"
-	o = append(o, 0x82, 0xa2, 0x69, 0x64)
-	o = msgp.AppendString(o, z.ID)
-	// string "version"
-	o = append(o, 0xa7, 0x76, 0x65, 0x72, 0x73, 0x69, 0x6f, 0x6e)
-	o = msgp.AppendUint64(o, z.Version)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *AcceptedChange) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "id":
-			z.ID, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "ID")
-				return
-			}
-		case "version":
-			z.Version, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Version")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z AcceptedChange) Msgsize() (s int) {
-	s = 1 + 3 + msgp.StringPrefixSize + len(z.ID) + 8 + msgp.Uint64Size
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
 func (z *Plan) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -489,7 +444,7 @@
 			var zb0006 uint32
 			zb0006, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Past")
+				err = msgp.WrapError(err, "PastChanges")
 				return
 			}
 			if cap(z.PastChanges) >= int(zb0006) {
@@ -501,33 +456,33 @@
 				var zb0007 uint32
 				zb0007, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Past", za0004)
+					err = msgp.WrapError(err, "PastChanges", za0004)
 					return
 				}
 				for zb0007 > 0 {
 					zb0007--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Past", za0004)
+						err = msgp.WrapError(err, "PastChanges", za0004)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "id":
 						z.PastChanges[za0004].ID, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Past", za0004, "ID")
+							err = msgp.WrapError(err, "PastChanges", za0004, "ID")
 							return
 						}
 					case "version":
 						z.PastChanges[za0004].Version, bts, err = msgp.ReadUint64Bytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Past", za0004, "Version")
+							err = msgp.WrapError(err, "PastChanges", za0004, "Version")
 							return
 						}
 					default:
 						bts, err = msgp.Skip(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Past", za0004)
+							err = msgp.WrapError(err, "PastChanges", za0004)
 							return
 						}
 					}
@@ -723,19 +678,19 @@
 		case "give_up_ms":
 			z.GiveUpMillis, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "GiveUp")
+				err = msgp.WrapError(err, "GiveUpMillis")
 				return
 			}
 		case "target_ms":
 			z.TargetMillis, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Target")
+				err = msgp.WrapError(err, "TargetMillis")
 				return
 			}
 		case "gap_ms":
 			z.GapMillis, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Gap")
+				err = msgp.WrapError(err, "GapMillis")
 				return
 			}
 		case "urgency":
@@ -747,7 +702,7 @@
 		case "tries":
 			z.MaxAttempts, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Tries")
+				err = msgp.WrapError(err, "MaxAttempts")
 				return
 			}
 		case "sticky":
@@ -814,7 +769,7 @@
 			var zb0004 uint32
 			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Homes")
+				err = msgp.WrapError(err, "Regions")
 				return
 			}
 			if cap(z.Regions) >= int(zb0004) {
@@ -825,7 +780,7 @@
 			for za0002 := range z.Regions {
 				z.Regions[za0002], bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Homes", za0002)
+					err = msgp.WrapError(err, "Regions", za0002)
 					return
 				}
 			}
@@ -1080,25 +1035,25 @@
 		case "status":
 			z.StatusPath, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Status")
+				err = msgp.WrapError(err, "StatusPath")
 				return
 			}
 		case "conns":
 			z.MaxConnections, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Conns")
+				err = msgp.WrapError(err, "MaxConnections")
 				return
 			}
 		case "cold_s":
 			z.WarmUpSeconds, bts, err = msgp.ReadFloat64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "ColdFor")
+				err = msgp.WrapError(err, "WarmUpSeconds")
 				return
 			}
 		case "cold_rate":
 			z.WarmUpRate, bts, err = msgp.ReadFloat64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "ColdRate")
+				err = msgp.WrapError(err, "WarmUpRate")
 				return
 			}
 		case "slots":
@@ -1110,7 +1065,7 @@
 		case "memory":
 			z.MemoryTokens, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Memory")
+				err = msgp.WrapError(err, "MemoryTokens")
 				return
 			}
 		case "token_bytes":
@@ -1128,19 +1083,19 @@
 		case "stride":
 			z.TokensPerEvent, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Stride")
+				err = msgp.WrapError(err, "TokensPerEvent")
 				return
 			}
 		case "hold_s":
 			z.HandleSeconds, bts, err = msgp.ReadFloat64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Hold")
+				err = msgp.WrapError(err, "HandleSeconds")
 				return
 			}
 		case "switch_s":
 			z.SwitchSeconds, bts, err = msgp.ReadFloat64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Switch")
+				err = msgp.WrapError(err, "SwitchSeconds")
 				return
 			}
 		case "models":
@@ -1259,51 +1214,6 @@
 	return
 }
 
-// MarshalMsg implements msgp.Marshaler
-func (z AcceptedChanges) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 0
-	_ = z
-	o = append(o, 0x80)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *AcceptedChanges) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z AcceptedChanges) Msgsize() (s int) {
-	s = 1
-	return
-}
-
 // MarshalMsg implements msgp.Marshaler
 func (z *Tenant) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
@@ -1396,13 +1306,13 @@
 		case "budget_ms":
 			z.TimeoutMillis, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Timeout")
+				err = msgp.WrapError(err, "TimeoutMillis")
 				return
 			}
 		case "queue":
 			z.QueueFraction, bts, err = msgp.ReadFloat64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Queue")
+				err = msgp.WrapError(err, "QueueFraction")
 				return
 			}
 		default:
--- a/control/fleetconfig/format.go
+++ b/control/fleetconfig/format.go
@@ -5,15 +5,15 @@
 	"strconv"
 )
 
-// formatRead is the newest format of plans that this build reads; a test's build may
-// be told another.
+// formatRead is the newest format of plans that this build reads; a test's build sets
+// another at link time.
 var formatRead = "1"
 
-// mostFormat bounds the format that a plan may need.
-const mostFormat = 1000
+// maxFormat bounds the format that a plan may need.
+const maxFormat = 1000
 
 // NewestFormat is the newest format of plans that this build reads and serves by. A plan
-// says which it needs; what a build can't read it serves nothing by.
+// says which it needs; by what a build can't read it serves nothing.
 //
 // Example: if plan.Needs > fleetconfig.NewestFormat() { serveNothing() }
 func NewestFormat() int {
@@ -24,8 +24,8 @@
 	return n
 }
 
-// unfit gives the error of a plan that needs a newer format than this build reads.
-func (p Plan) unfit() error {
+// checkFormat gives the error of a plan that needs a newer format than this build reads.
+func (p Plan) checkFormat() error {
 	if p.Needs <= NewestFormat() {
 		return nil
 	}
--- a/control/fleetconfig/openapi/openapi.go
+++ b/control/fleetconfig/openapi/openapi.go
@@ -5,55 +5,67 @@
 import (
 	"encoding/json"
 	"fmt"
-	"sort"
+	"maps"
+	"slices"
 
 	"github.com/getkin/kin-openapi/openapi3"
 
 	"mulleinmast/control/fleetconfig"
 )
 
+// modelExtension names the model of an operation.
+const modelExtension = "x-model"
+
 // Read turns an OpenAPI document into named changes, to be sent with an id and
 // the plan's current version as base.
 //
-// Example: c, f := openapi.Read(file)
-func Read(doc []byte) (out fleetconfig.Changes, f fleetconfig.Faults) {
+// Example: changes, faults := openapi.Read(file)
+func Read(doc []byte) (changes fleetconfig.Changes, faults fleetconfig.Faults) {
 	spec, err := openapi3.NewLoader().LoadFromData(doc)
 	if err != nil {
-		f.Add("openapi: %v", err)
-		return out, f
+		faults.Add("openapi: %v", err)
+		return changes, faults
+	}
+	models := readModels(spec, &faults)
+	for _, model := range slices.Sorted(maps.Keys(models)) {
+		service := &fleetconfig.Service{Name: model, PrefillServers: 1, DecodeServers: 1}
+		changes.Changes = append(changes.Changes, fleetconfig.Change{Op: fleetconfig.OpSetService, Service: service})
+	}
+	if len(models) == 0 && !faults.Any() {
+		faults.Add("openapi: no operation names a model (%s)", modelExtension)
 	}
-	models := map[string]string{}
+	return changes, faults
+}
+
+// readModels gives the names of the models of all operations.
+func readModels(spec *openapi3.T, faults *fleetconfig.Faults) map[string]bool {
+	models := map[string]bool{}
 	for path, item := range spec.Paths.Map() {
-		for verb, op := range item.Operations() {
-			v, ok := op.Extensions["x-model"]
+		for verb, operation := range item.Operations() {
+			extension, ok := operation.Extensions[modelExtension]
 			if !ok {
 				continue
 			}
-			name := ""
-			if raw, isRaw := v.(json.RawMessage); isRaw {
-				if err := json.Unmarshal(raw, &name); err != nil {
-					f.Add("%s %s: x-model: %v", verb, path, err)
-				}
-			} else {
-				name = fmt.Sprint(v)
+			name, err := modelName(extension)
+			if err != nil {
+				faults.Add("%s %s: %s: %v", verb, path, modelExtension, err)
 			}
 			if !fleetconfig.IsValidName(name) {
-				f.Add("%s %s: x-model: %q: expected 1 to 64 letters, digits, '.', '_' or '-'", verb, path, name)
+				faults.Add("%s %s: %s: %q: expected 1 to 64 letters, digits, '.', '_' or '-'", verb, path, modelExtension, name)
 				continue
 			}
-			models[name] = path
+			models[name] = true
 		}
 	}
-	names := make([]string, 0, len(models))
-	for n := range models {
-		names = append(names, n)
-	}
-	sort.Strings(names)
-	for _, n := range names {
-		out.Changes = append(out.Changes, fleetconfig.Change{Op: "set-service", Service: &fleetconfig.Service{Name: n, PrefillServers: 1, DecodeServers: 1}})
-	}
-	if len(names) == 0 && !f.Any() {
-		f.Add("openapi: no operation names a model (x-model)")
+	return models
+}
+
+// modelName is the value of the extension, which the loader may have left as JSON.
+func modelName(extension any) (name string, err error) {
+	raw, isRaw := extension.(json.RawMessage)
+	if !isRaw {
+		return fmt.Sprint(extension), nil
 	}
-	return out, f
+	err = json.Unmarshal(raw, &name)
+	return name, err
 }
--- a/control/fleetconfig/route_test.go
+++ b/control/fleetconfig/route_test.go
@@ -205,7 +205,7 @@
 			t.Errorf("opened: %.20q", out)
 		}
 	}
-	if _, err := EncodeCall(Plan{Raw: bytes.Repeat([]byte("1"), mostPlan)}); err == nil {
+	if _, err := EncodeCall(Plan{Raw: bytes.Repeat([]byte("1"), maxPlanBytes)}); err == nil {
 		t.Error("a plan is packed that could not be opened")
 	}
 	if _, err := EncodeCall(Plan{Raw: json.RawMessage("{")}); err == nil {
--- /dev/null
+++ b/control/fleetconfig/validate.go
@@ -0,0 +1,156 @@
+package fleetconfig
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"net/netip"
+	"regexp"
+	"slices"
+	"strings"
+	"unicode/utf8"
+
+	v "github.com/go-ozzo/ozzo-validation/v4"
+)
+
+// Faults collects everything that is wrong with an input.
+type Faults struct {
+	List []string `json:"faults"`
+}
+
+// Add records a fault.
+//
+// Example: f.Add("tenants[%d].name: %v", i, err)
+func (f *Faults) Add(format string, args ...any) {
+	f.List = append(f.List, fmt.Sprintf(format, args...))
+}
+
+// Any tells whether a fault was recorded.
+//
+// Example: if f.Any() { respond(400, f) }
+func (f Faults) Any() bool { return len(f.List) > 0 }
+
+// addError records the faults of an item; those of its fields one by one, by their names.
+func (f *Faults) addError(where string, err error) {
+	if err == nil {
+		return
+	}
+	var fields v.Errors
+	if !errors.As(err, &fields) {
+		f.Add("%s: %v", where, err)
+		return
+	}
+	for _, name := range slices.Sorted(maps.Keys(fields)) {
+		f.addError(where+"."+name, fields[name])
+	}
+}
+
+// Decode reads JSON strictly: unknown fields and trailing bytes are faults.
+//
+// Example: f := fleetconfig.Decode(body, &plan)
+func Decode(b []byte, to any) (f Faults) {
+	d := json.NewDecoder(bytes.NewReader(b))
+	d.DisallowUnknownFields()
+	if err := d.Decode(to); err != nil {
+		f.Add("body: %v (at byte %d)", err, d.InputOffset())
+	} else if d.More() {
+		f.Add("body: more than one JSON value (at byte %d)", d.InputOffset())
+	}
+	return f
+}
+
+var namePattern = regexp.MustCompile(`^[a-zA-Z0-9][a-zA-Z0-9._-]{0,63}$`)
+
+const nameExpected = "expected 1 to 64 letters, digits, '.', '_' or '-'"
+
+// IsValidName tells whether a name may stand in a key.
+//
+// Example: fleetconfig.IsValidName("north") == true
+func IsValidName(s string) bool { return namePattern.MatchString(s) && !strings.Contains(s, "/") }
+
+// IsValidServiceName tells whether a service may have that name.
+//
+// Example: fleetconfig.IsValidServiceName("time table") == true
+func IsValidServiceName(s string) bool {
+	return s != "" && len(s) <= 1024 && !strings.Contains(s, "/") && utf8.ValidString(s)
+}
+
+// Validate lists every fault of the plan.
+//
+// Example: if f := plan.Validate(); f.Any() { ... }
+func (p Plan) Validate() (f Faults) {
+	f.addError("plan", v.ValidateStruct(&p,
+		v.Field(&p.ID, v.Required, v.Match(namePattern).Error(nameExpected)),
+		v.Field(&p.Needs, v.Min(0), v.Max(maxFormat)),
+		v.Field(&p.Tenants, v.Length(0, MaxTenants)),
+		v.Field(&p.Services, v.Length(0, MaxServices))))
+	services := p.validateServices(&f)
+	p.validateTenants(services, &f)
+	p.validateRoutes(services, &f)
+	return f
+}
+
+// validateServices lists the faults of the services, and gives the names of all of them.
+func (p Plan) validateServices(f *Faults) (names map[string]bool) {
+	names = map[string]bool{}
+	for i, s := range p.Services {
+		at := fmt.Sprintf("services[%d]", i)
+		f.addError(at, s.validate())
+		if names[s.Name] {
+			f.Add("%s.name: %q stands twice", at, s.Name)
+		}
+		names[s.Name] = true
+	}
+	return names
+}
+
+func (p Plan) validateTenants(services map[string]bool, f *Faults) {
+	places := map[string]int{} // by name
+	for i, t := range p.Tenants {
+		at := fmt.Sprintf("tenants[%d]", i)
+		f.addError(at, t.validate())
+		if j, ok := places[t.Name]; ok {
+			f.Add("%s.name: %q stands already in tenants[%d]", at, t.Name, j)
+		}
+		places[t.Name] = i
+		for _, service := range t.Services {
+			if !services[service] {
+				f.Add("%s.services: no service %q in the plan", at, service)
+			}
+		}
+	}
+}
+
+func (t Tenant) validate() error {
+	return v.ValidateStruct(&t,
+		v.Field(&t.Name, v.Required, v.Match(namePattern).Error(nameExpected)),
+		v.Field(&t.Priority, v.Min(0), v.Max(9)),
+		v.Field(&t.TimeoutMillis, v.Required, v.Min(1), v.Max(600000)),
+		v.Field(&t.QueueFraction, v.Required, v.Min(0.001), v.Max(1.0)))
+}
+
+func (s Service) validate() error {
+	return v.ValidateStruct(&s,
+		v.Field(&s.Name, v.Required, v.By(validateServiceName)),
+		v.Field(&s.PrefillServers, v.Required, v.Min(1)),
+		v.Field(&s.DecodeServers, v.Required, v.Min(1)),
+		v.Field(&s.Exclude, v.Each(v.By(validateAddress))))
+}
+
+// validateServiceName is lenient: a name has only to fit into the records' keys.
+func validateServiceName(x any) error {
+	if s, _ := x.(string); !IsValidServiceName(s) {
+		return fmt.Errorf("%.80q: expected 1 to 1024 bytes without a '/'", s)
+	}
+	return nil
+}
+
+func validateAddress(x any) error {
+	s, _ := x.(string)
+	if _, err := netip.ParseAddrPort(s); err != nil {
+		return fmt.Errorf("%q: expected an IP address and port", s)
+	}
+	return nil
+}
--- a/control/fleetconfig/fleetconfig_test.go
+++ b/control/fleetconfig/validate_test.go
@@ -114,7 +114,7 @@
 	if f.Any() || next.Needs != 0 {
 		t.Errorf("needs nothing any more: %v %d", f, next.Needs)
 	}
-	for _, needs := range []int{-1, mostFormat + 1} {
+	for _, needs := range []int{-1, maxFormat + 1} {
 		if p.Needs = needs; !p.Validate().Any() {
 			t.Errorf("a format of %d is in order", needs)
 		}
