--- a/proof/hollow/client.go
+++ b/proof/hollow/client.go
@@ -8,9 +8,9 @@
 	"mulleinmast/control/fleetconfig"
 	"mulleinmast/control/leadercall"
 	"mulleinmast/control/placement"
-	"mulleinmast/traffic/board"
 	"mulleinmast/traffic/forward"
 	"mulleinmast/traffic/gateway"
+	"mulleinmast/traffic/loadreport"
 	"mulleinmast/wire/message"
 )
 
@@ -39,21 +39,21 @@
 func (records) Until(int) time.Duration { return 1 << 60 }
 
 // hints are a board without other daemons.
-type hints struct{ *board.Board }
+type hints struct{ *loadreport.Reporter }
 
 // AddLoad records work sent to a server.
 //
 // Example: h.AddLoad(server, 1460, 0)
 func (h hints) AddLoad(server string, tokens, writing int) {
-	h.Board.Begin(board.Name("", server), tokens, writing)
+	h.Reporter.AddLoad(loadreport.ServerID("", server), tokens, writing)
 }
 
 // Load is what is under way at a server.
 //
 // Example: tokens, writing, pause := h.Load(now, server)
 func (h hints) Load(now time.Duration, server string) (tokens, writing int, pause time.Duration) {
-	u := h.Board.Load(now, board.Name("", server))
-	return u.Tokens, u.Writing, 0
+	u := h.Reporter.Load(now, loadreport.ServerID("", server))
+	return u.Tokens, u.Decoding, 0
 }
 
 // ObserveInterTokenLatency messages nothing.
@@ -65,28 +65,28 @@
 //
 // Example: h.CallEnded(now, server, true)
 func (h hints) CallEnded(now time.Duration, server string, answered bool) {
-	h.Board.Came(now, board.Name("", server), answered)
+	h.Reporter.CallEnded(now, loadreport.ServerID("", server), answered)
 }
 
 // IsDown tells whether a server most likely answers nobody.
 //
 // Example: h.IsDown(now, server) == false
 func (h hints) IsDown(now time.Duration, server string) bool {
-	return h.Board.Down(now, board.Name("", server))
+	return h.Reporter.IsDown(now, loadreport.ServerID("", server))
 }
 
 // RecordPrefix records that a server has a prompt.
 //
 // Example: h.RecordPrefix(prefix, server, 1460)
 func (h hints) RecordPrefix(prefix uint64, server string, tokens int) {
-	h.Board.Keeps(prefix, board.Name("", server), tokens)
+	h.Reporter.RecordPrefix(prefix, loadreport.ServerID("", server), tokens)
 }
 
 // HasPrefix tells whether a server keeps a prompt.
 //
 // Example: if h.HasPrefix(prefix, server) { prefer(server) }
 func (h hints) HasPrefix(prefix uint64, server string) bool {
-	return h.Board.Has(prefix, board.Name("", server))
+	return h.Reporter.HasPrefix(prefix, loadreport.ServerID("", server))
 }
 
 // Requests takes a number of hollow requests through one model's decisions on
@@ -110,7 +110,7 @@
 		r[key] = message.Record{Key: key, Version: message.Version{Term: 1, Seq: 1}, Value: leadercall.Pack(placement.ServerRecord{Addr: s.Addr, Zone: s.Zone, Capacity: 16, Role: part, Status: placement.Up})}
 	}
 	r[fleetconfig.ListKey(model(0))] = message.Record{Key: fleetconfig.ListKey(model(0)), Version: message.Version{Term: 1, Seq: 1}, Value: leadercall.Pack(list)}
-	l := forward.New(gateway.Config(daemon.Default()), model(0), 1, r, hints{board.New(gateway.BoardConfig(daemon.Default()))})
+	l := forward.New(gateway.Config(daemon.Default()), model(0), 1, r, hints{loadreport.New(gateway.LoadReportConfig(daemon.Default()))})
 	type trip struct {
 		id   string
 		move forward.Decision
--- a/proof/overload/front.go
+++ b/proof/overload/front.go
@@ -6,8 +6,8 @@
 
 	"mulleinmast/control/fleetconfig"
 	"mulleinmast/control/placement"
-	"mulleinmast/traffic/board"
 	"mulleinmast/traffic/forward"
+	"mulleinmast/traffic/loadreport"
 	"mulleinmast/wire/message"
 )
 
@@ -16,7 +16,7 @@
 	w     *world
 	me    message.Member
 	lane  *forward.Dispatcher
-	board *board.Board
+	board *loadreport.Reporter
 	blind time.Duration // until when its leases don't stand
 }
 
@@ -80,12 +80,12 @@
 	}
 	f.lane.SetDaemons(f.w.now, f.me.Addr, addrs)
 	for _, s := range f.w.servers {
-		f.board.Memory(board.Name(service, s.key), memory)
+		f.board.SetCacheSize(loadreport.ServerID(service, s.key), memory)
 	}
 	for _, m := range f.board.Tick(f.w.now, f.me, members) {
 		for _, o := range f.w.daemons {
 			if o.me.Ident == m.Message.To {
-				f.w.after(hop, func() { o.board.Hear(o.w.now, m.Message) })
+				f.w.after(hop, func() { o.board.Step(o.w.now, m.Message) })
 			}
 		}
 	}
@@ -99,53 +99,53 @@
 //
 // Example: h.AddLoad("server-01", 900, 0)
 func (h hints) AddLoad(server string, tokens, writing int) {
-	h.f.board.Begin(board.Name(service, server), tokens, writing)
+	h.f.board.AddLoad(loadreport.ServerID(service, server), tokens, writing)
 }
 
 // Load is what is under way at a server.
 //
 // Example: tokens, writing, pause := h.Load(now, "server-01")
 func (h hints) Load(now time.Duration, server string) (tokens, writing int, pause time.Duration) {
-	u := h.f.board.Load(now, board.Name(service, server))
-	if u.Writing > 0 {
-		pause = time.Duration(u.Pause/u.Writing) * time.Millisecond
+	u := h.f.board.Load(now, loadreport.ServerID(service, server))
+	if u.Decoding > 0 {
+		pause = time.Duration(u.InterTokenSum/u.Decoding) * time.Millisecond
 	}
-	return u.Tokens, u.Writing, pause
+	return u.Tokens, u.Decoding, pause
 }
 
 // ObserveInterTokenLatency records the time between two events.
 //
 // Example: h.ObserveInterTokenLatency("server-01", 40*time.Millisecond)
 func (h hints) ObserveInterTokenLatency(server string, d time.Duration) {
-	h.f.board.Paused(board.Name(service, server), d)
+	h.f.board.ObserveInterTokenLatency(loadreport.ServerID(service, server), d)
 }
 
 // CallEnded records the end of a call.
 //
 // Example: h.CallEnded(now, "server-01", true)
 func (h hints) CallEnded(now time.Duration, server string, answered bool) {
-	h.f.board.Came(now, board.Name(service, server), answered)
+	h.f.board.CallEnded(now, loadreport.ServerID(service, server), answered)
 }
 
 // IsDown tells whether a server most likely answers nobody.
 //
 // Example: h.IsDown(now, "server-01")
 func (h hints) IsDown(now time.Duration, server string) bool {
-	return h.f.board.Down(now, board.Name(service, server))
+	return h.f.board.IsDown(now, loadreport.ServerID(service, server))
 }
 
 // RecordPrefix records that a server keeps a prompt.
 //
 // Example: h.RecordPrefix(prefix, "server-01", 900)
 func (h hints) RecordPrefix(prefix uint64, server string, tokens int) {
-	h.f.board.Keeps(prefix, board.Name(service, server), tokens)
+	h.f.board.RecordPrefix(prefix, loadreport.ServerID(service, server), tokens)
 }
 
 // HasPrefix tells whether a server keeps a prompt's shared parts.
 //
 // Example: h.HasPrefix(prefix, "server-01")
 func (h hints) HasPrefix(prefix uint64, server string) bool {
-	return h.f.board.Has(prefix, board.Name(service, server))
+	return h.f.board.HasPrefix(prefix, loadreport.ServerID(service, server))
 }
 
 // try is one try of a client at one daemon.
--- a/proof/overload/overload.go
+++ b/proof/overload/overload.go
@@ -13,9 +13,9 @@
 	"mulleinmast/control/daemon"
 	"mulleinmast/control/placement"
 	"mulleinmast/proof/eventqueue"
-	"mulleinmast/traffic/board"
 	"mulleinmast/traffic/forward"
 	"mulleinmast/traffic/gateway"
+	"mulleinmast/traffic/loadreport"
 	"mulleinmast/wire/message"
 )
 
@@ -232,7 +232,7 @@
 
 // newFront makes a daemon with its lane and its board.
 func (w *world) newFront(i int) *front {
-	f := &front{w: w, me: message.Member{Ident: fmt.Sprint("daemon-", i), Addr: fmt.Sprintf("10.0.0.%d:1", i), Zone: zoneOf(i), Build: daemon.Build}, board: board.New(gateway.BoardConfig(w.cfg))}
+	f := &front{w: w, me: message.Member{Ident: fmt.Sprint("daemon-", i), Addr: fmt.Sprintf("10.0.0.%d:1", i), Zone: zoneOf(i), Build: daemon.Build}, board: loadreport.New(gateway.LoadReportConfig(w.cfg))}
 	c := gateway.Config(w.cfg)
 	c.Zone, c.RetrySlack = f.me.Zone, 200
 	f.lane = forward.New(c, service, 1, f, hints{f})
--- a/proof/standin/mutants/answers.sh
+++ b/proof/standin/mutants/answers.sh
@@ -12,7 +12,7 @@
 mutant any-id platform $spoilt $exchange 'len(got) == 1 && got[0] == id' 'len(got) >= 1'
 mutant no-seal platform $spoilt platform/engine.go 'len(r.Header[hdrSeal]) != 1 ||' 'len(r.Header[hdrSeal]) > 9 ||'
 mutant not-run-success platform $spoilt platform/engine.go ' || r.StatusCode < 400' ''
-mutant unsafe-resent platform $spoilt traffic/forward/trip.go 'last.Known == attempt.Lost && last.Phase == attempt.Decode && !t.Repeatable' 'last.Known == attempt.Lost && last.Phase == attempt.Decode && !t.Repeatable && t.arrivedAt < 0'
+mutant unsafe-resent platform $spoilt traffic/forward/request.go 'last.Known == attempt.Lost && last.Phase == attempt.Decode && !r.Repeatable' 'last.Known == attempt.Lost && last.Phase == attempt.Decode && !r.Repeatable && r.arrivedAt < 0'
 mutant reset-is-not-sent platform $spoilt $exchange 's.n == 0 && s.err != nil' 's.n >= 0'
 mutant whole-when-reset platform $spoilt platform/answer.go 'a.whole = err == io.EOF
 		return nil, "", err' 'a.whole = err == io.EOF
--- a/proof/standin/mutants/invariants.sh
+++ b/proof/standin/mutants/invariants.sh
@@ -28,13 +28,13 @@
 	fi
 }
 
-trip=traffic/forward/trip.go
-seen lost-call lane_accounts clients $trip 'st.inFlight--' 'st.inFlight -= len(t.Service) - len(t.Service)'
-seen id-taken-twice lane_accounts clients $trip 'if l.pending[c.ID] != nil {' 'if l.pending[c.ID] != nil && c.ID == "" {'
+trip=traffic/forward/request.go
+seen lost-call lane_accounts clients $trip 'st.inFlight--' 'st.inFlight -= len(r.Service) - len(r.Service)'
+seen id-taken-twice lane_accounts clients $trip 'if d.pending[c.ID] != nil {' 'if d.pending[c.ID] != nil && c.ID == "" {'
 seen no-bound retries_over_allowance servers traffic/attempt/attempt.go 'return float64(again+1) <= b.Rate*float64(first)+float64(b.Slack)' 'return true' platform/settings.go 'Slack: int(t.RetrySlack)' 'Slack: 0'
-seen sent-again unsafe_run_twice servers $trip 'last.Known == attempt.Lost && last.Phase == attempt.Decode && !t.Repeatable' 'last.Known == attempt.Lost && last.Phase == attempt.Decode && t.ID == ""'
-seen false-promise refused_after_run servers $trip 'return l.finish(now, t, Unknown, last.Why)' 'return l.finish(now, t, Refuse, last.Why)'
-seen spliced stream_spliced servers $trip 'last.Known == attempt.First && !(t.Resumable && t.Repeatable)' 'last.Known == attempt.First && t.ID == ""'
+seen sent-again unsafe_run_twice servers $trip 'last.Known == attempt.Lost && last.Phase == attempt.Decode && !r.Repeatable' 'last.Known == attempt.Lost && last.Phase == attempt.Decode && r.ID == ""'
+seen false-promise refused_after_run servers $trip 'return d.finish(now, r, Unknown, last.Why)' 'return d.finish(now, r, Refuse, last.Why)'
+seen spliced stream_spliced servers $trip 'last.Known == attempt.First && !(r.Resumable && r.Repeatable)' 'last.Known == attempt.First && r.ID == ""'
 seen stray-answer answer_not_of_request servers platform/exchange.go 'case names(res.Header, id):' 'case names(res.Header, id) || id != "":'
 seen no-seal success_without_seal servers platform/engine.go 'if why := unfit(r); why != "" {' 'if why := unfit(r); why == "never" {'
 seen long-lease lease_outlasts_granter kill control/lease/downstream.go 'return max(0, min(n.cfg.VolumeLease, n.VolumeExpiry()-now))' 'return n.cfg.VolumeLease'
--- a/proof/standin/mutants/mutants.sh
+++ b/proof/standin/mutants/mutants.sh
@@ -27,16 +27,16 @@
 	fi
 }
 
-lane=traffic/forward/lane.go engine=platform/engine.go gate=traffic/gateway/gateway.go
+lane=traffic/forward/dispatcher.go engine=platform/engine.go gate=traffic/gateway/gateway.go
 mutant drain release 120 DRAIN $lane 's.Leaving || out[s.Zone]' 'out[s.Zone]' $lane '|| b.Status != placement.Up && b.Status != placement.Warming' ''
 mutant evacuation evacuate 80 EVAC $lane 's.Leaving || out[s.Zone]' 's.Leaving || out[""]' $lane '|| b.Status != placement.Up && b.Status != placement.Warming' ''
 mutant stray-answer garble 120 MIXED platform/exchange.go 'return id == "" && len(got) == 0 || len(got) == 1 && got[0] == id' 'return id != "never" || len(got) == 0'
 mutant no-seal garble 80 MIXED $engine 'if why := unfit(r); why != "" {' 'if why := unfit(r); why == "never" {'
 mutant run-twice garble 120 TWICE $gate 'Repeatable: r.Kind == "safe" ||' 'Repeatable: true ||'
 mutant false-promise garble 80 REFUSED traffic/gateway/run.go 'w.Fail(http.StatusBadGateway, m.Reason)' 'w.Refuse(503, 1e8, m.Reason)'
-mutant old-plan config 80 CONFIG $gate 's.gen == gen && g.c.Now() < s.until {' 'g.c.Now() < s.until+60e9 {'
+mutant old-plan config 80 CONFIG $gate 's.generation == gen && g.daemon.Now() < s.validUntil {' 'g.daemon.Now() < s.validUntil+60e9 {'
 mutant no-bound lapse 200 BUDGET traffic/attempt/attempt.go 'return float64(again+1) <= b.Rate*float64(first)+float64(b.Slack)' 'return true'
-mutant from-the-start garble 120 ORDER $engine 'if last != "" {' 'if last == "never" {' traffic/gateway/run.go 'resumed && first && !follows' 'resumed && first && has.unread && !follows'
+mutant from-the-start garble 120 ORDER $engine 'if last != "" {' 'if last == "never" {' traffic/gateway/run.go 'resumed && first && !follows' 'resumed && first && has.clientGone && !follows'
 mutant ends-as-whole garble 120 ORDER platform/front.go 'if c.broken && (r.ProtoAtLeast(1, 1) || !reset(c.rc)) {' 'if c.broken && c.rc == nil {'
 mutant cut-at-sigterm roll 200 LOST platform/start.go 'h.c.Leave()
 	select {' 'if h.c.Leave(); h.s.Zone != "" {
@@ -46,9 +46,9 @@
 mutant any-server crash 150 ROUTE $engine 'h.Set(hdrExpect, m.Server.Key)' 'h.Del(hdrExpect)'
 mutant no-query calm 40 UNASKED $engine 'target := req.URL.Opaque' 'target, _, _ := strings.Cut(req.URL.Opaque, "?")'
 mutant no-route calm 80 DENIED $gate 'case !ok:
-		g.early(q, w, http.StatusNotFound, "no route")' 'case !ok || dice(q.ID)%20 == 0:
-		g.early(q, w, http.StatusNotFound, "no route")'
-mutant cold-as-warm release 200 FAILBACK traffic/forward/choose.go '|| s.Warming && !l.acceptsWarmup(now, s.Key)' '' traffic/forward/choose.go 'if s.Warming {' 'if s.Warming && now < 0 {'
+		g.rejectEarly(q, w, http.StatusNotFound, "no route")' 'case !ok || requestHash(q.ID)%20 == 0:
+		g.rejectEarly(q, w, http.StatusNotFound, "no route")'
+mutant cold-as-warm release 200 FAILBACK traffic/forward/filter.go '|| s.Warming && !d.acceptsWarmup(now, s.Key)' '' traffic/forward/score.go 'if o.Warming {' 'if o.Warming && o.wait < 0 {'
 mutant hasty-holder pressed 60 ONE control/daemon/timing.go 'SwapBound:    b.Swap,' 'SwapBound:    0,'
 mutant another-number config 40 CONFIG platform/write.go 'max(p.Version, p.Number)' 'max(p.Version, p.Number)+1'
 mutant invalid-taken race 40 CONFIG control/fleetconfig/route.go 'r.GiveUpMillis < 1' 'r.GiveUpMillis < 0' control/fleetconfig/route.go 'v.Field(&r.GiveUpMillis, v.Required, v.Min(1))' 'v.Field(&r.GiveUpMillis, v.Min(0))'
--- a/proof/standin/mutants/rules.sh
+++ b/proof/standin/mutants/rules.sh
@@ -8,16 +8,16 @@
 
 guard=control/quorum/incarnation.go patches=control/lease/patches.go
 # rules of the users that no other script breaks
-mutant tries-unbounded traffic/forward TestNoMoreServersThanTries traffic/forward/trip.go 't.countedSends >= t.maxAttempts() ||' 't.countedSends >= 9+t.maxAttempts() ||'
+mutant tries-unbounded traffic/forward TestNoMoreServersThanTries traffic/forward/request.go 'r.countedSends >= r.maxAttempts() ||' 'r.countedSends >= 9+r.maxAttempts() ||'
 mutant whole-time platform TestAServerIsHandedTheTimeThatIsLeft platform/exchange.go 'max(1, (due-e.now()).Milliseconds())' '3600000'
 mutant goes-on-for-nobody traffic/gateway TestAClientThatIsGone traffic/gateway/run.go 'for !m.Action.Final() {
-		if ctx.Err() != nil || has.unread {' 'for !m.Action.Final() {
-		if has.unread {'
+		if ctx.Err() != nil || has.clientGone {' 'for !m.Action.Final() {
+		if has.clientGone {'
 mutant past-give-up traffic/gateway TestARequestIsGivenUpWhenItsRouteSaysSo traffic/gateway/gateway.go 'c.Deadline = at + time.Duration(r.GiveUpMillis)*time.Millisecond' 'c.Deadline = at + time.Hour'
 mutant weights-passed-over traffic/route TestPickFollowsTheWeights traffic/route/route.go 'if at < s.Weight {' 'if at < 50*s.Weight {'
 mutant unready-at-changes control/daemon TestAChangeMakesNoDaemonUnready control/daemon/readiness.go ' || d.readiness.wasReadyWithin(d.Now(), d.Cfg.VolumeLease())' ''
 mutant ends-while-it-changes control/membership TestADaemonHandsOverWhileItsGroupChanges control/membership/view.go 'len(g.Next) > 0 || v.hasReplacement(g)' 'v.hasReplacement(g)'
-mutant prompts-count-as-waiting traffic/forward TestWhoWaitsTooLongIsRefused traffic/forward/admit.go 'may := max(t.TTFTTarget-t.predictedPrefill, t.TTFTTarget/2)' 'may := t.TTFTTarget - t.predictedPrefill'
+mutant prompts-count-as-waiting traffic/forward TestWhoWaitsTooLongIsRefused traffic/forward/admission.go 'may := max(r.TTFTTarget-r.predictedPrefill, r.TTFTTarget/2)' 'may := r.TTFTTarget - r.predictedPrefill'
 # incarnations
 mutant any-incarnation control/quorum TestWhichIncarnationsAreAdmitted $guard 'if claims.StartState.Epoch != 0 && precedes(claims.StartState, known.State) {' 'if claims.StartState.Epoch != 0 && false {'
 mutant blind-to-itself control/quorum TestWhatSupersedesAReplica $guard 'if !r.guard.folder.descendsFrom(claims.KnownState) {' 'if r.guard.folder.descendsFrom(claims.KnownState) && false {'
@@ -41,6 +41,6 @@
 mutant refused-by-what-is-lost control/partition TestMergedJobsFailTogether control/partition/batch.go 'case j.writesNought && outcome == Done:' 'case j.writesNought:'
 mutant format-not-asked control/leader TestAPlanThatNotAllDaemonsRead control/leader/configcalls.go 'format > 0 && p.Needs > format' 'format > 9 && p.Needs > format'
 # what is told of the servers' load
-mutant all-is-told traffic/board TestWhatADaemonIsToldIsBounded traffic/board/tell.go 'if !takesParts(to) {' 'if takesParts(to) {'
-mutant never-in-turn traffic/board TestWhoMissedATellingKnowsAllInTurn traffic/board/part.go 'key%inTurn == t.turn%inTurn &&' 'key%inTurn == t.turn%inTurn && t.turn == 0 &&'
+mutant all-is-told traffic/loadreport TestWhatADaemonIsToldIsBounded traffic/loadreport/exchange.go 'if !readsChanges(to) {' 'if readsChanges(to) {'
+mutant never-in-turn traffic/loadreport TestWhoMissedATellingKnowsAllInTurn traffic/loadreport/changes.go 'key%refreshReports == t.turn%refreshReports &&' 'key%refreshReports == t.turn%refreshReports && t.turn == 0 &&'
 exit $missed
--- /dev/null
+++ b/traffic/forward/dispatcher.go
@@ -0,0 +1,234 @@
+package forward
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"mulleinmast/control/fleetconfig"
+	"mulleinmast/control/placement"
+	"mulleinmast/traffic/attempt"
+	"mulleinmast/wire/message"
+)
+
+// serverStats is what this daemon knows of a server by its own requests.
+type serverStats struct {
+	inFlight            int // calls under way from this daemon
+	load                Load
+	loadAt              time.Duration
+	consecutiveFailures int // calls in a row that it didn't answer
+	backoffUntil        time.Duration
+	seenAt              time.Duration
+	warmupSentAt        time.Duration // last send while it was warming
+}
+
+// Dispatcher is the state machine of one service on one daemon.
+type Dispatcher struct {
+	cfg       Config
+	service   string
+	partition int
+	source    Source
+
+	load LoadReporter
+
+	generations        [2]uint64
+	complete           bool // servable is what was read at these generations
+	validUntil         time.Duration
+	servable           map[string]Server
+	sortedKeys         []string // of servable, so that equal choices fall alike
+	recordKeys         []string // of the list and of the records of its servers
+	listedServers      []fleetconfig.Server
+	records            map[string]record
+	listVersion        message.Version
+	stats              map[string]*serverStats
+	prefillRate        float64       // tokens read in a ms, measured
+	shortestTTFT       time.Duration // the shortest TTFT target of any request
+	shortestInterToken time.Duration // the shortest inter-token target of any request
+
+	daemons       daemonSet
+	warmup        WarmupLimit
+	warmupSpacing map[string]time.Duration // between sends to a warming server; below 0: none
+
+	retries attempt.Bucket
+	window  windowCount
+	pending map[string]*pendingRequest
+	counts  Counts
+}
+
+// New makes a dispatcher for a service whose records stand in the given part.
+//
+// Example: d := forward.New(cfg, "timetable", 3, daemon, board)
+func New(cfg Config, svc string, partition int, src Source, board LoadReporter) *Dispatcher {
+	return &Dispatcher{
+		cfg: cfg, service: svc, partition: partition, source: src, load: board, servable: map[string]Server{}, daemons: daemonSet{seen: map[string]time.Duration{}}, warmupSpacing: map[string]time.Duration{}, stats: map[string]*serverStats{}, prefillRate: cfg.PrefillRate,
+		retries: attempt.Bucket{Rate: cfg.RetryRatio, Window: cfg.RetryWindow}, pending: map[string]*pendingRequest{},
+	}
+}
+
+// Counts are the dispatcher's numbers so far.
+//
+// Example: n := d.Counts().Served
+func (d *Dispatcher) Counts() Counts { return d.counts }
+
+// Servers lists the servers in use, as the last look had them.
+//
+// Example: for _, s := range d.Servers() { show(s) }
+func (d *Dispatcher) Servers() []Server {
+	out := make([]Server, 0, len(d.servable))
+	for _, s := range d.servable {
+		out = append(out, s)
+	}
+	return out
+}
+
+// InFlight is the number of requests under way.
+//
+// Example: for d.InFlight() > 0 { wait() }
+func (d *Dispatcher) InFlight() int { return len(d.pending) }
+
+// Keys lists the records that the dispatcher reads, for its user to keep wanted.
+//
+// Example: for _, k := range d.Keys() { daemon.Pin(part, k) }
+func (d *Dispatcher) Keys() []string {
+	list := fleetconfig.ListKey(d.service)
+	rec, ok := d.source.Read(d.partition, list)
+	if !ok {
+		return []string{list}
+	}
+	d.readList(rec)
+	return d.recordKeys
+}
+
+// readList reads a list of servers, once a version.
+func (d *Dispatcher) readList(rec message.Record) []fleetconfig.Server {
+	if d.recordKeys == nil || d.listVersion != rec.Version {
+		d.listedServers = fleetconfig.OpenList(rec).Servers
+		d.recordKeys, d.listVersion = []string{rec.Key}, rec.Version
+		known := make(map[string]record, len(d.listedServers))
+		for _, s := range d.listedServers {
+			key := fleetconfig.ServerRecordKey(d.service, s.Key())
+			d.recordKeys = append(d.recordKeys, key)
+			if r, ok := d.records[key]; ok {
+				known[key] = r
+			}
+		}
+		d.records = known
+	}
+	return d.listedServers
+}
+
+// record is a server's record as it was read.
+type record struct {
+	ver message.Version
+	placement.ServerRecord
+	ok bool
+}
+
+// readRecord reads a server's record, once a version.
+func (d *Dispatcher) readRecord(rec message.Record) record {
+	r, known := d.records[rec.Key]
+	if !known || r.ver != rec.Version || rec.Deleted == r.ok {
+		r = record{ver: rec.Version}
+		r.ServerRecord, r.ok = placement.OpenServerRecord(rec)
+		d.records[rec.Key] = r
+	}
+	return r
+}
+
+// refreshServers reads the servable servers anew if a record changed or a lease
+// lapsed; it tells whether all that it needs stands under valid leases now.
+func (d *Dispatcher) refreshServers(now time.Duration) bool {
+	gen := [2]uint64{d.source.Generation(0), d.source.Generation(d.partition)}
+	if gen == d.generations && now < d.validUntil {
+		return true
+	}
+	d.validUntil = min(d.source.Until(0), d.source.Until(d.partition))
+	if d.complete && gen == d.generations && now < d.validUntil {
+		return true
+	}
+	d.generations, d.complete = gen, false
+	clear(d.servable)
+	d.sortedKeys = nil
+	listed, okList := d.source.Read(d.partition, fleetconfig.ListKey(d.service))
+	zones, okZones := d.source.Read(0, fleetconfig.ZoneKey)
+	if !okList || !okZones || now >= d.validUntil {
+		d.validUntil = 0
+		return false
+	}
+	out := fleetconfig.OpenZones(zones)
+	for i, s := range d.readList(listed) {
+		if s.Leaving || out[s.Zone] {
+			continue
+		}
+		rec, ok := d.source.Read(d.partition, d.recordKeys[i+1])
+		if !ok {
+			continue
+		}
+		b := d.readRecord(rec)
+		if s.Role != "" && s.Role != b.Role { // the list says that it has not taken its role yet
+			continue
+		}
+		if !b.ok || b.NextRole != "" || b.Status != placement.Up && b.Status != placement.Warming {
+			continue
+		}
+		d.servable[s.Key()] = Server{Key: s.Key(), Addr: s.Addr, Zone: s.Zone, Part: b.Role, Slots: s.Capacity, Warming: b.Status == placement.Warming}
+	}
+	d.sortedKeys = slices.Sorted(maps.Keys(d.servable))
+	for key, st := range d.stats {
+		if _, ok := d.servable[key]; !ok && st.inFlight == 0 && now-st.seenAt > 10*d.cfg.RetryWindow {
+			delete(d.stats, key)
+		}
+	}
+	d.complete = true
+	return true
+}
+
+func (d *Dispatcher) statsOf(key string) *serverStats {
+	st := d.stats[key]
+	if st == nil {
+		st = &serverStats{}
+		d.stats[key] = st
+	}
+	return st
+}
+
+// Pressure is the load of a server beside the targets: the wait before it reads a
+// prompt in parts of the TTFT target, the pause between its events in parts of the
+// inter-token target.
+//
+// Example: read, write := d.Pressure(now, server.Key)
+func (d *Dispatcher) Pressure(now time.Duration, key string) (read, write float64) {
+	tokens, _, pause := d.load.Load(now, key)
+	pace := d.prefillRate
+	if d.servable[key].Part != placement.Prefill {
+		pace /= 2
+	}
+	if d.shortestTTFT > 0 {
+		read = float64(prefillTime(tokens, pace)) / float64(d.shortestTTFT)
+	}
+	if d.shortestInterToken > 0 {
+		write = float64(pause) / float64(d.shortestInterToken)
+	}
+	return read, write
+}
+
+// MaySend checks records, leases and deadline once more, just before a call's first
+// byte goes out.
+//
+// Example: if !d.MaySend(now, id, move) { return forward.Blocked }
+func (d *Dispatcher) MaySend(now time.Duration, id string, m Decision) bool {
+	r := d.pending[id]
+	if r == nil || r.attemptNumber != m.Attempt || now >= r.Deadline || !d.refreshServers(now) {
+		return false
+	}
+	row, ok := d.servable[m.Server.Key]
+	return ok && row.Part == m.Server.Part && row.Addr == m.Server.Addr
+}
+
+// LoadReported takes the load that a server reported with an answer.
+//
+// Example: d.LoadReported(now, server.Key, forward.Load{Running: 3, Slots: 8})
+func (d *Dispatcher) LoadReported(now time.Duration, key string, load Load) {
+	st := d.statsOf(key)
+	st.load, st.loadAt, st.seenAt = load, now, now
+}
--- a/traffic/forward/choose_test.go
+++ b/traffic/forward/pick_test.go
@@ -7,14 +7,13 @@
 
 // A server's rank is the number of servers that come before it, up to three.
 func TestRanksAreThoseOfTheOrder(t *testing.T) {
-	l := &Dispatcher{}
 	for _, n := range []int{0, 1, 2, 3, 4, 50} {
 		var list []Server
 		for i := range n {
 			list = append(list, Server{Key: fmt.Sprintf("srv-%d", i)})
 		}
 		for key := range uint64(20) {
-			got := l.affinityRanks(list, key)
+			got := affinityRanks(list, key)
 			for _, s := range list {
 				before := 0
 				for _, o := range list {
--- a/traffic/forward/shape.go
+++ b/traffic/forward/types.go
@@ -1,8 +1,14 @@
 // Package forward decides what becomes of each client's request on one daemon:
-// which server reads its prompt, which one writes its answer, what is done
+// which server prefills its prompt, which one decodes the answer, what is done
 // when one of them fails, and how the request ends. It is a plain state
 // machine for one service: it takes requests, outcomes of calls and time, and
-// returns the next move. traffic/gateway carries the moves out.
+// returns the next decision. traffic/gateway carries the decisions out.
+//
+// The files: request.go is a request and its attempts, decision after decision;
+// filter.go, score.go and pick.go choose a server, affinity.go ranks servers for
+// a shared prefix; admission.go bounds waits and retries, warmup.go what new
+// servers get; dispatcher.go is the view of the records; load.go is the interface
+// to the load of all daemons.
 package forward
 
 import (
@@ -17,17 +23,17 @@
 	Tokens int
 }
 
-// Request is one try of a client, as the route lets it in.
+// Request is one try of a client, as its route lets it in.
 type Request struct {
 	ID                           string
 	Service                      string
 	Repeatable                   bool // it may run more than once
 	Resumable                    bool // a stream that broke off may go on at another server
-	Disaggregated                bool // its prompt may be read apart from the writing
-	ContinuesStream              bool // the client itself goes on with a stream
+	Disaggregated                bool // prefill and decode may be on two servers
+	ContinuesStream              bool // the client itself resumes a stream
 	Urgency                      int  // 0 is first, 9 last
 	LeastUrgency                 int  // the urgency of the least urgent route
-	MaxAttempts                  int  // most servers that it may be sent to
+	MaxAttempts                  int  // servers that it may be sent to, at most
 	TTFTTarget                   time.Duration
 	InterTokenTarget             time.Duration // longest pause between events that is in time
 	Deadline                     time.Duration // on the daemon's clock
@@ -39,13 +45,13 @@
 // Config holds the bounds a dispatcher works by.
 type Config struct {
 	Zone             string
-	RetryRatio       float64       // second sends over first ones in every Window
+	RetryRatio       float64       // retries over first sends in every RetryWindow
 	RetryWindow      time.Duration // see attempt.Bucket
-	RetrySlack       int           // second sends beyond that, of all daemons
+	RetrySlack       int           // retries beyond that, of all daemons together
 	MaxWait          time.Duration // that a request waits for leases and servers
-	MaxPredictedWait float64       // a request is refused at once that would wait for others so long that it is late: beyond this part of its aim; 0: none is
-	FailureBackoff   time.Duration // a server that failed is passed by this long
-	RejectionBackoff time.Duration // and one that turned a request away
+	MaxPredictedWait float64       // in parts of the TTFT target: who is predicted to wait for longer is refused at once; 0: nobody is
+	FailureBackoff   time.Duration // a server that failed is passed over for so long
+	RejectionBackoff time.Duration // and one that rejected a request
 	RetryAfter       time.Duration // when to come back, where nothing better is known
 	PrefillRate      float64       // tokens read in a ms, before any was measured
 	Weights          Weights
@@ -53,11 +59,11 @@
 
 // Source reads records under valid leases.
 type Source interface {
-	// Read serves a record of a part.
+	// Read serves a record of a partition.
 	Read(partition int, key string) (message.Record, bool)
-	// Generation counts the changes of what a part serves.
+	// Generation counts the changes of what a partition serves.
 	Generation(partition int) uint64
-	// Until is when the first of a part's leases lapses.
+	// Until is when the first of a partition's leases lapses.
 	Until(partition int) time.Duration
 }
 
@@ -69,10 +75,10 @@
 	Warming         bool
 }
 
-// Handle is prompt memory that a reading server keeps for one request.
+// Handle names the KV cache that a prefill left on a server, for one request and attempt.
 type Handle struct {
 	ID        string
-	RequestID string // the request that it was read for
+	RequestID string // the request that was prefilled
 	Attempt   int    // and the attempt
 	Server    Server
 	Tokens    int
@@ -86,10 +92,10 @@
 	OK          Outcome = iota
 	NotSent             // nothing reached the server
 	Overloaded          // the server did not and will not run it: no place
-	WrongServer         // it did not run it: it is another server, or plays another part
-	HandleLost          // it did not run it: the prompt's memory can't be had
+	WrongServer         // it did not run it: it is another server, or has another role
+	HandleLost          // it did not run it: the KV cache can't be had
 	Lost                // sent, and no whole answer
-	Blocked             // not sent: a record or lease was gone at the last look
+	Blocked             // not sent: MaySend said no
 )
 
 // String names an outcome.
@@ -99,16 +105,16 @@
 	return [...]string{"ok", "not sent", "full", "moved", "gone", "lost", "barred"}[o]
 }
 
-// Load is what a server told of itself with an answer.
+// Load is what a server reported of itself with an answer.
 type Load struct{ Running, Waiting, Slots int }
 
-// Action says what a move is.
+// Action says what a decision is.
 type Action uint8
 
-// The kinds of moves.
+// The actions.
 const (
 	Wait      Action = iota + 1 // for leases or servers, then ask again
-	Prefill                     // have a server read the prompt
+	Prefill                     // have a server read the prompt and keep its KV cache
 	Decode                      // have a server write the answer
 	Refuse                      // final: it has not run and never will
 	Unknown                     // final: it may have run
@@ -117,16 +123,16 @@
 	Duplicate                   // final: another request of its id is under way
 )
 
-// String names a kind.
+// String names an action, as logs and figures have it.
 //
-// Example: forward.Read.String() == "read"
+// Example: forward.Prefill.String() == "read"
 func (k Action) String() string {
 	return [...]string{"none", "wait", "read", "write", "refuse", "unknown", "break", "done", "duplicate"}[k]
 }
 
-// Final tells whether the request ends with this move.
+// Final tells whether the request ends with this action.
 //
-// Example: if move.Kind.Final() { respond(move) }
+// Example: if decision.Action.Final() { respond(decision) }
 func (k Action) Final() bool { return k >= Refuse }
 
 // Decision is what to do next for a request.
@@ -134,13 +140,13 @@
 	Action         Action
 	Attempt        int // the attempt
 	Server         Server
-	Handle         *Handle       // of a Write: the memory to take up; none: it reads the prompt itself
+	Handle         *Handle       // of a Decode: the KV cache to take up; none: the server reads the prompt itself
 	Until          time.Duration // of a Wait; of a call: it is given up then
-	Priority       int           // what the server is to be told of its urgency: 0 is first, 9 last
-	ReleaseHandles []Handle      // memory that won't be taken up
+	Priority       int           // for the server: 0 is first, 9 last
+	ReleaseHandles []Handle      // KV caches that won't be taken up
 	RetryAfter     time.Duration // of a Refuse: when to come back
 	Reason         string
-	Trace          []string // of a final move: the sends so far, each with its outcome
+	Trace          []string // of a final decision: the sends, each with its outcome
 }
 
 // Counts are a dispatcher's numbers.
--- a/traffic/gateway/audit.go
+++ b/traffic/gateway/audit.go
@@ -17,23 +17,23 @@
 // audit follows one request by what its calls brought, apart from the ledger
 // by which its moves are decided.
 type audit struct {
-	call forward.Request
-	ran  bool // a server may have run it
+	request    forward.Request
+	mayHaveRun bool // a server may have run it
 }
 
-// sends checks a call that is about to have the request run.
-func (a *audit) sends(begun bool) {
-	runsOnce.Hold(a.call.Repeatable || !a.ran, "%s is sent again", a.call.ID)
-	oneRun.Hold(!begun || a.call.Resumable, "%s goes on at another server", a.call.ID)
+// beforeSend checks a call that is about to have the request run.
+func (a *audit) beforeSend(begun bool) {
+	runsOnce.Hold(a.request.Repeatable || !a.mayHaveRun, "%s is sent again", a.request.ID)
+	oneRun.Hold(!begun || a.request.Resumable, "%s goes on at another server", a.request.ID)
 }
 
-// sent takes the outcome of such a call.
-func (a *audit) sent(out forward.Outcome) {
-	a.ran = a.ran || out == forward.OK || out == forward.Lost
+// afterSend takes the outcome of such a call.
+func (a *audit) afterSend(out forward.Outcome) {
+	a.mayHaveRun = a.mayHaveRun || out == forward.OK || out == forward.Lost
 }
 
-// ends checks the last move; it tells whether the request may end by it.
-func (a *audit) ends(m forward.Decision, begun bool) bool {
-	refusedUnrun.Hold(m.Action != forward.Refuse || a.call.Repeatable || !a.ran, "%s is refused: %s", a.call.ID, m.Reason)
-	return alwaysAnswers.Hold(m.Action != forward.Done || begun, "%s has no answer", a.call.ID)
+// checkEnd checks the last move; it tells whether the request may end by it.
+func (a *audit) checkEnd(m forward.Decision, begun bool) bool {
+	refusedUnrun.Hold(m.Action != forward.Refuse || a.request.Repeatable || !a.mayHaveRun, "%s is refused: %s", a.request.ID, m.Reason)
+	return alwaysAnswers.Hold(m.Action != forward.Done || begun, "%s has no answer", a.request.ID)
 }
--- a/traffic/gateway/cut_test.go
+++ b/traffic/gateway/cut_test.go
@@ -22,8 +22,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := g.c.Cfg
-	cfg.DataFolder, cfg.Seeds, cfg.Bounds.Recover = "", []string{g.c.Cfg.WireAddr}, overrun
+	cfg := g.daemon.Cfg
+	cfg.DataFolder, cfg.Seeds, cfg.Bounds.Recover = "", []string{g.daemon.Cfg.WireAddr}, overrun
 	for _, at := range []*string{&cfg.WireAddr, &cfg.HTTPAddr} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -83,25 +83,25 @@
 	if got := ask("/none/"); got != "refuse 503" || sure {
 		t.Errorf("before it knew any configuration: %q, limits in force %v", got, sure)
 	}
-	g.c.Transport.DropPeers.Store(nil)
-	soon(t, g.c, "the first request served", func() bool { return ask("/unsafe/") == "head 200 a" })
-	soon(t, g.c, "in touch, no such route", func() bool { return ask("/none/") == "fail 404" })
-	g.c.Transport.DropPeers.Store(&map[string]bool{"*": true})
-	soon(t, g.c, "last records", func() bool {
-		_, leased := g.c.Read(0, fleetconfig.PlanKey)
-		_, last := g.c.ReadAllowingStale(0, fleetconfig.PlanKey)
+	g.daemon.Transport.DropPeers.Store(nil)
+	soon(t, g.daemon, "the first request served", func() bool { return ask("/unsafe/") == "head 200 a" })
+	soon(t, g.daemon, "in touch, no such route", func() bool { return ask("/none/") == "fail 404" })
+	g.daemon.Transport.DropPeers.Store(&map[string]bool{"*": true})
+	soon(t, g.daemon, "last records", func() bool {
+		_, leased := g.daemon.Read(0, fleetconfig.PlanKey)
+		_, last := g.daemon.ReadAllowingStale(0, fleetconfig.PlanKey)
 		return !leased && last
 	})
-	until := g.c.Now() + g.c.Cfg.MaxStaleness()
-	soon(t, g.c, "cut off, served by last records", func() bool { return ask("/unsafe/") == "head 200 a" })
+	until := g.daemon.Now() + g.daemon.Cfg.MaxStaleness()
+	soon(t, g.daemon, "cut off, served by last records", func() bool { return ask("/unsafe/") == "head 200 a" })
 	expect("cut off", "/none/", "refuse 503")
 	if _, sure := g.BodyBytes(); sure {
 		t.Error("cut off: its limits count as those in force")
 	}
-	soon(t, g.c, "the end of the overrun", func() bool { return g.c.Now() > until })
+	soon(t, g.daemon, "the end of the overrun", func() bool { return g.daemon.Now() > until })
 	expect("cut off for long", "/unsafe/", "refuse 503")
 	expect("cut off for long", "/none/", "refuse 503")
-	g.c.Transport.DropPeers.Store(nil)
-	soon(t, g.c, "back in touch", func() bool { return ask("/unsafe/") == "head 200 a" })
-	soon(t, g.c, "back in touch, no such route", func() bool { return ask("/none/") == "fail 404" })
+	g.daemon.Transport.DropPeers.Store(nil)
+	soon(t, g.daemon, "back in touch", func() bool { return ask("/unsafe/") == "head 200 a" })
+	soon(t, g.daemon, "back in touch, no such route", func() bool { return ask("/none/") == "fail 404" })
 }
--- a/traffic/gateway/gateway.go
+++ b/traffic/gateway/gateway.go
@@ -10,56 +10,56 @@
 	"mulleinmast/control/daemon"
 	"mulleinmast/control/fleetconfig"
 	"mulleinmast/control/placement"
-	"mulleinmast/traffic/board"
 	"mulleinmast/traffic/forward"
+	"mulleinmast/traffic/loadreport"
 	"mulleinmast/traffic/route"
 	"mulleinmast/wire/message"
 )
 
-// lane is one service's shard: the machine under its lock.
-type lane struct {
+// dispatcher is one service's shard: the machine under its lock.
+type dispatcher struct {
 	mu sync.Mutex
 	*forward.Dispatcher
 	partition int
 	pinned    map[string]bool
-	strain    atomic.Pointer[map[string]placement.Pressure] // by server, as keep saw it
+	pressure  atomic.Pointer[map[string]placement.Pressure] // by server, as keep saw it
 }
 
-// sheet is the plan in force, made ready for look-ups.
-type sheet struct {
-	gen   uint64
-	until time.Duration
-	ver   message.Version
-	table *route.Table
-	plan  fleetconfig.Plan
-	least int             // the urgency of the least urgent route
-	split map[string]bool // services whose servers have two halves
+// activePlan is the plan in force, made ready for look-ups.
+type activePlan struct {
+	generation    uint64
+	validUntil    time.Duration
+	version       message.Version
+	table         *route.Table
+	plan          fleetconfig.Plan
+	leastUrgency  int             // the urgency of the least urgent route
+	disaggregated map[string]bool // services whose servers have two halves
 }
 
 // Gateway serves clients.
 type Gateway struct {
-	c      *daemon.Daemon
-	eng    Engines
-	cfg    forward.Config
-	mu     sync.Mutex
-	list   map[string]*lane
-	plan   atomic.Pointer[sheet]
-	open   atomic.Int64
-	report *report
+	daemon      *daemon.Daemon
+	engines     Engines
+	cfg         forward.Config
+	mu          sync.Mutex
+	dispatchers map[string]*dispatcher
+	plan        atomic.Pointer[activePlan]
+	inFlight    atomic.Int64
+	report      *report
 
-	bmu   sync.Mutex
-	board *board.Board
+	loadMu sync.Mutex
+	loads  *loadreport.Reporter
 }
 
 // New makes a gateway on a daemon.
 //
 // Example: g := gateway.New(c, engines)
 func New(c *daemon.Daemon, eng Engines) *Gateway {
-	g := &Gateway{c: c, eng: eng, cfg: Config(c.Cfg), list: map[string]*lane{}, board: board.New(BoardConfig(c.Cfg)), report: newReport(c.Metrics)}
+	g := &Gateway{daemon: c, engines: eng, cfg: Config(c.Cfg), dispatchers: map[string]*dispatcher{}, loads: loadreport.New(LoadReportConfig(c.Cfg)), report: newReport(c.Metrics)}
 	c.Explainers = append(c.Explainers, g.report.explain)
-	c.Metrics.NewGauge("mulleinmast_requests_open", func() float64 { return float64(g.open.Load()) })
-	eng.Told(g.told)
-	c.OnLoadReport, c.Pressure = g.hint, g.strain
+	c.Metrics.NewGauge("mulleinmast_requests_open", func() float64 { return float64(g.inFlight.Load()) })
+	eng.Told(g.loadReported)
+	c.OnLoadReport, c.Pressure = g.receiveLoadReport, g.pressure
 	return g
 }
 
@@ -74,12 +74,12 @@
 	}
 }
 
-// BoardConfig is the board's bounds, as ratios to those in the daemon's config.
+// LoadReportConfig is the board's bounds, as ratios to those in the daemon's config.
 //
-// Example: b := board.New(gateway.BoardConfig(cfg))
-func BoardConfig(c daemon.Config) board.Config {
+// Example: b := loadreport.New(gateway.LoadReportConfig(cfg))
+func LoadReportConfig(c daemon.Config) loadreport.Config {
 	beat := c.Bounds.Plan / 8
-	return board.Config{Beat: beat, Old: 5 * beat, Most: 128, Keep: 0.7, Size: 1 << 14}
+	return loadreport.Config{Interval: beat, MaxAge: 5 * beat, MaxPrefixes: 128, CachedFraction: 0.7, MaxRemembered: 1 << 14}
 }
 
 // source reads the records that requests are routed by.
@@ -97,54 +97,54 @@
 // Example: if now < source.Until(p) { route() }
 func (s source) Until(partition int) time.Duration { return s.StaleUntil(partition) }
 
-// strain tells the servers' holder how hard one of them is pressed. The holder
+// pressure tells the servers' holder how hard one of them is pressed. The holder
 // asks under its part's lock, and a dispatcher reads that part under its own: what
 // keep last saw is told, without the dispatcher's lock.
-func (g *Gateway) strain(svc, key string) placement.Pressure {
-	if all := g.lane(svc).strain.Load(); all != nil {
+func (g *Gateway) pressure(svc, key string) placement.Pressure {
+	if all := g.dispatcherOf(svc).pressure.Load(); all != nil {
 		return (*all)[key]
 	}
 	return placement.Pressure{}
 }
 
-// hint takes another daemon's telling.
-func (g *Gateway) hint(n message.Message) {
-	g.bmu.Lock()
-	defer g.bmu.Unlock()
-	g.board.Hear(g.c.Now(), n)
+// receiveLoadReport takes another daemon's load report.
+func (g *Gateway) receiveLoadReport(n message.Message) {
+	g.loadMu.Lock()
+	defer g.loadMu.Unlock()
+	g.loads.Step(g.daemon.Now(), n)
 }
 
-// tell tells the other daemons what is due.
-func (g *Gateway) tell() {
-	v := g.c.View()
-	g.bmu.Lock()
-	out := g.board.Tick(g.c.Now(), v.Self, v.Members)
-	g.bmu.Unlock()
-	g.c.SendAll(out)
+// sendLoadReports sends the load reports that are due.
+func (g *Gateway) sendLoadReports() {
+	v := g.daemon.View()
+	g.loadMu.Lock()
+	out := g.loads.Tick(g.daemon.Now(), v.Self, v.Members)
+	g.loadMu.Unlock()
+	g.daemon.SendAll(out)
 }
 
 // Open is the number of requests under way.
 //
 // Example: for g.Open() > 0 { wait() }
-func (g *Gateway) Open() int64 { return g.open.Load() }
+func (g *Gateway) Open() int64 { return g.inFlight.Load() }
 
 // Run keeps the records wanted that the lanes read, until the context ends.
 //
 // Example: supervisor.Add(g.Run)
 func (g *Gateway) Run(ctx context.Context) error {
-	beat := BoardConfig(g.c.Cfg).Beat
+	beat := LoadReportConfig(g.daemon.Cfg).Interval
 	t := time.NewTicker(beat)
 	defer t.Stop()
 	soon := time.NewTimer(0)
 	defer soon.Stop()
-	news := g.c.Changed()
-	summary := time.NewTicker(summaryBeats * beat)
+	news := g.daemon.Changed()
+	summary := time.NewTicker(summaryIntervals * beat)
 	defer summary.Stop()
 	for whole := true; ; {
-		g.tell()
-		if s, ok := g.sheet(); ok {
+		g.sendLoadReports()
+		if s, ok := g.readPlan(); ok {
 			for _, svc := range s.plan.Services {
-				l := g.lane(svc.Name)
+				l := g.dispatcherOf(svc.Name)
 				g.keep(l)
 				if whole {
 					g.measure(l, svc)
@@ -158,56 +158,56 @@
 			soon.Reset(beat / 16)
 			whole, news = false, nil
 		case <-soon.C:
-			whole, news = false, g.c.Changed()
+			whole, news = false, g.daemon.Changed()
 		case <-summary.C:
 			whole = false
 			if text := g.report.summary(); text != "" {
-				g.c.Events.Info("requests", "not served since the last line: "+text)
+				g.daemon.Events.Info("requests", "not served since the last line: "+text)
 			}
 		case <-t.C:
 			whole = true
 			if news == nil {
-				news = g.c.Changed()
+				news = g.daemon.Changed()
 			}
 		}
 	}
 }
 
 // measure takes what changes all the time: the fleet, and the servers' strain.
-func (g *Gateway) measure(l *lane, svc fleetconfig.Service) {
+func (g *Gateway) measure(l *dispatcher, svc fleetconfig.Service) {
 	servers := g.strained(l, svc)
-	g.bmu.Lock()
+	g.loadMu.Lock()
 	for _, s := range servers {
-		g.board.Memory(board.Name(svc.Name, s.Key), svc.MemoryTokens)
+		g.loads.SetCacheSize(loadreport.ServerID(svc.Name, s.Key), svc.MemoryTokens)
 	}
-	g.bmu.Unlock()
+	g.loadMu.Unlock()
 }
 
 // strained takes the strain of a dispatcher's servers and lists them.
-func (g *Gateway) strained(l *lane, svc fleetconfig.Service) []forward.Server {
+func (g *Gateway) strained(l *dispatcher, svc fleetconfig.Service) []forward.Server {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	g.fleet(l)
-	l.SetWarmupLimit(forward.WarmupLimit{Rate: svc.WarmUpRate, Over: g.c.Cfg.WarmUp.Over, Slack: g.c.Cfg.WarmUp.Slack})
+	l.SetWarmupLimit(forward.WarmupLimit{Rate: svc.WarmUpRate, Over: g.daemon.Cfg.WarmUp.Over, Slack: g.daemon.Cfg.WarmUp.Slack})
 	servers := l.Servers()
 	strain := make(map[string]placement.Pressure, len(servers))
 	for _, s := range servers {
-		read, write := l.Pressure(g.c.Now(), s.Key)
+		read, write := l.Pressure(g.daemon.Now(), s.Key)
 		strain[s.Key] = placement.Pressure{Prefill: read, Decode: write}
 	}
-	l.strain.Store(&strain)
+	l.pressure.Store(&strain)
 	return servers
 }
 
 // keep has the records wanted that a dispatcher reads.
-func (g *Gateway) keep(l *lane) {
+func (g *Gateway) keep(l *dispatcher) {
 	for _, k := range l.unpinned() {
-		g.c.Pin(l.partition, k)
+		g.daemon.Pin(l.partition, k)
 	}
 }
 
 // unpinned lists the records that the dispatcher reads and that are not wanted yet.
-func (l *lane) unpinned() (fresh []string) {
+func (l *dispatcher) unpinned() (fresh []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, k := range l.Keys() {
@@ -219,63 +219,63 @@
 	return fresh
 }
 
-func (g *Gateway) lane(svc string) *lane {
+func (g *Gateway) dispatcherOf(svc string) *dispatcher {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	l := g.list[svc]
+	l := g.dispatchers[svc]
 	if l == nil {
-		p := g.c.Partition(svc)
-		l = &lane{partition: p, pinned: map[string]bool{}, Dispatcher: forward.New(g.cfg, svc, p, source{g.c}, notes{g, svc})}
+		p := g.daemon.Partition(svc)
+		l = &dispatcher{partition: p, pinned: map[string]bool{}, Dispatcher: forward.New(g.cfg, svc, p, source{g.daemon}, serviceLoads{g, svc})}
 		g.fleet(l)
-		g.list[svc] = l
+		g.dispatchers[svc] = l
 	}
 	return l
 }
 
 // fleet tells a dispatcher which daemons there are.
-func (g *Gateway) fleet(l *lane) {
-	v := g.c.View()
+func (g *Gateway) fleet(l *dispatcher) {
+	v := g.daemon.View()
 	daemons := make([]string, 0, len(v.Members))
 	for _, m := range v.Members {
 		daemons = append(daemons, m.Addr)
 	}
-	l.SetDaemons(g.c.Now(), v.Self.Addr, daemons)
+	l.SetDaemons(g.daemon.Now(), v.Self.Addr, daemons)
 }
 
-func (g *Gateway) told(svc, key string, load forward.Load) {
-	l := g.lane(svc)
+func (g *Gateway) loadReported(svc, key string, load forward.Load) {
+	l := g.dispatcherOf(svc)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.LoadReported(g.c.Now(), key, load)
+	l.LoadReported(g.daemon.Now(), key, load)
 }
 
-// sheet is the plan that requests are routed by now.
-func (g *Gateway) sheet() (*sheet, bool) {
-	s, gen := g.plan.Load(), g.c.Generation(0)
-	if s != nil && s.gen == gen && g.c.Now() < s.until {
+// readPlan is the plan that requests are routed by now.
+func (g *Gateway) readPlan() (*activePlan, bool) {
+	s, gen := g.plan.Load(), g.daemon.Generation(0)
+	if s != nil && s.generation == gen && g.daemon.Now() < s.validUntil {
 		return s, true
 	}
-	until := g.c.StaleUntil(0)
-	rec, ok := g.c.ReadAllowingStale(0, fleetconfig.PlanKey)
+	until := g.daemon.StaleUntil(0)
+	rec, ok := g.daemon.ReadAllowingStale(0, fleetconfig.PlanKey)
 	if !ok || rec.Deleted {
 		return nil, false
 	}
-	if s != nil && s.ver == rec.Version {
+	if s != nil && s.version == rec.Version {
 		n := *s
-		n.gen, n.until = gen, until
+		n.generation, n.validUntil = gen, until
 		g.plan.Store(&n)
 		return &n, true
 	}
-	p := g.c.OpenPlan(rec)
+	p := g.daemon.OpenPlan(rec)
 	if s != nil {
 		planGoesOn.Hold(p.Version >= s.plan.Version, "version %d after version %d", p.Version, s.plan.Version)
 	}
-	n := &sheet{gen: gen, until: until, ver: rec.Version, plan: p, table: route.New(p), split: map[string]bool{}}
+	n := &activePlan{generation: gen, validUntil: until, version: rec.Version, plan: p, table: route.New(p), disaggregated: map[string]bool{}}
 	for _, v := range p.Services {
-		n.split[v.Name] = v.TokenBytes > 0
+		n.disaggregated[v.Name] = v.TokenBytes > 0
 	}
 	for _, r := range p.Routes {
-		n.least = max(n.least, r.Urgency)
+		n.leastUrgency = max(n.leastUrgency, r.Urgency)
 	}
 	g.plan.Store(n)
 	return n, true
@@ -287,7 +287,7 @@
 //
 // Example: most, sure := g.BodyBytes()
 func (g *Gateway) BodyBytes() (most int64, sure bool) {
-	if s, ok := g.leased(); ok {
+	if s, ok := g.leasedPlan(); ok {
 		return int64(s.plan.Limits.BodyBytes), true
 	}
 	if s := g.plan.Load(); s != nil {
@@ -296,32 +296,32 @@
 	return 0, false
 }
 
-// leased is the plan if it stands under valid leases now. Requests are routed by
+// leasedPlan is the plan if it stands under valid leases now. Requests are routed by
 // the last plan too, for a while; what ends one for good needs this.
-func (g *Gateway) leased() (*sheet, bool) {
-	rec, ok := g.c.Read(0, fleetconfig.PlanKey)
+func (g *Gateway) leasedPlan() (*activePlan, bool) {
+	rec, ok := g.daemon.Read(0, fleetconfig.PlanKey)
 	if !ok || rec.Deleted {
 		return nil, false
 	}
-	s, ok := g.sheet()
-	return s, ok && s.ver == rec.Version
+	s, ok := g.readPlan()
+	return s, ok && s.version == rec.Version
 }
 
 // match finds a request's route. That there is none is certain only by a plan
 // under leases: one that comes back within a short while is waited for.
-func (g *Gateway) match(ctx context.Context, q *Request, s *sheet) (r *fleetconfig.Route, of *sheet, ok, certain bool) {
+func (g *Gateway) match(ctx context.Context, q *Request, s *activePlan) (r *fleetconfig.Route, of *activePlan, ok, certain bool) {
 	if r, ok = s.table.Match(q.Host, q.Path); ok {
 		return r, s, true, true
 	}
-	s, certain = g.await(ctx, min(g.patience(q), g.cfg.RetryAfter), g.leased)
+	s, certain = g.await(ctx, min(g.maxWait(q), g.cfg.RetryAfter), g.leasedPlan)
 	if certain {
 		r, ok = s.table.Match(q.Host, q.Path)
 	}
 	return r, s, ok, certain
 }
 
-// patience is how long a request waits for a plan.
-func (g *Gateway) patience(q *Request) time.Duration {
+// maxWait is how long a request waits for a plan.
+func (g *Gateway) maxWait(q *Request) time.Duration {
 	if q.Left > 0 {
 		return min(g.cfg.MaxWait, q.Left/2)
 	}
@@ -329,13 +329,13 @@
 }
 
 // await waits a short while for a plan.
-func (g *Gateway) await(ctx context.Context, most time.Duration, plan func() (*sheet, bool)) (*sheet, bool) {
+func (g *Gateway) await(ctx context.Context, most time.Duration, plan func() (*activePlan, bool)) (*activePlan, bool) {
 	t := time.NewTimer(most)
 	defer t.Stop()
 	beat := time.NewTicker(max(time.Millisecond, most/16))
 	defer beat.Stop()
 	for {
-		news := g.c.Changed()
+		news := g.daemon.Changed()
 		if s, ok := plan(); ok {
 			return s, true
 		}
@@ -354,30 +354,30 @@
 //
 // Example: g.Serve(r.Context(), request, client)
 func (g *Gateway) Serve(ctx context.Context, q *Request, w Client) {
-	g.open.Add(1)
-	defer g.open.Add(-1)
-	at := g.c.Now()
-	s, ok := g.await(ctx, g.patience(q), g.sheet)
+	g.inFlight.Add(1)
+	defer g.inFlight.Add(-1)
+	at := g.daemon.Now()
+	s, ok := g.await(ctx, g.maxWait(q), g.readPlan)
 	if !ok {
-		g.early(q, w, http.StatusServiceUnavailable, "no valid lease on the configuration here")
+		g.rejectEarly(q, w, http.StatusServiceUnavailable, "no valid lease on the configuration here")
 		return
 	}
 	r, s, ok, certain := g.match(ctx, q, s)
 	switch {
 	case !certain:
-		g.early(q, w, http.StatusServiceUnavailable, "no such route in the last configuration known here")
+		g.rejectEarly(q, w, http.StatusServiceUnavailable, "no such route in the last configuration known here")
 		return
 	case !ok:
-		g.early(q, w, http.StatusNotFound, "no route")
+		g.rejectEarly(q, w, http.StatusNotFound, "no route")
 		return
 	}
 	c := forward.Request{
 		ID: q.ID, Repeatable: r.Kind == "safe" || r.Kind == "stream" && r.Resume, Resumable: r.Kind == "stream" && r.Resume, ContinuesStream: q.Last != "",
-		Urgency: r.Urgency, LeastUrgency: s.least, MaxAttempts: r.MaxAttempts, TTFTTarget: time.Duration(r.TargetMillis) * time.Millisecond, InterTokenTarget: time.Duration(r.GapMillis) * time.Millisecond,
+		Urgency: r.Urgency, LeastUrgency: s.leastUrgency, MaxAttempts: r.MaxAttempts, TTFTTarget: time.Duration(r.TargetMillis) * time.Millisecond, InterTokenTarget: time.Duration(r.GapMillis) * time.Millisecond,
 		Parts: q.Parts, InputTokens: q.In, MaxOutputTokens: q.Out, BodyBytes: len(q.Body),
 	}
-	c.Service = route.Pick(r, dice(q.ID))
-	c.Disaggregated = r.Kind == "stream" && s.split[c.Service]
+	c.Service = route.Pick(r, requestHash(q.ID))
+	c.Disaggregated = r.Kind == "stream" && s.disaggregated[c.Service]
 	c.Deadline = at + time.Duration(r.GiveUpMillis)*time.Millisecond
 	if q.Left > 0 {
 		c.Deadline = min(c.Deadline, at+q.Left)
@@ -385,5 +385,5 @@
 	if c.TTFTTarget == 0 {
 		c.TTFTTarget = (c.Deadline - at) / 4
 	}
-	g.run(ctx, q, c, w)
+	g.execute(ctx, q, c, w)
 }
--- a/traffic/gateway/gateway_test.go
+++ b/traffic/gateway/gateway_test.go
@@ -105,10 +105,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.eng = f
-	l := g.lane("one")
+	g.engines = f
+	l := g.dispatcherOf("one")
 	l.mu.Lock()
-	l.Dispatcher = forward.New(g.cfg, "one", l.partition, source{g.c}, notes{g, "one"})
+	l.Dispatcher = forward.New(g.cfg, "one", l.partition, source{g.daemon}, serviceLoads{g, "one"})
 	g.fleet(l)
 	l.mu.Unlock()
 	requests++
@@ -251,7 +251,7 @@
 			select {
 			case <-limit:
 				t.Fatalf("%s: freed %q, expected %q", x.what, freed, x.freed)
-			case <-time.After(g.c.Cfg.VolumeLease() / 64):
+			case <-time.After(g.daemon.Cfg.VolumeLease() / 64):
 			}
 		}
 		if got := strings.Join(log, " "); got != x.gets || strings.Join(f.calls, "|") != x.calls {
@@ -274,7 +274,7 @@
 		<-ctx.Done()
 		return nil, forward.Lost
 	}}
-	g.eng = f
+	g.engines = f
 	e := &ears{}
 	g.Serve(ctx, &Request{ID: "gone", Host: "h.example", Path: "/resume/", Header: http.Header{}}, e)
 	if len(f.calls) != 1 || !slices.Equal(e.log, []string{"break"}) || g.Open() != 0 {
@@ -282,7 +282,7 @@
 	}
 	ctx, cut = context.WithCancel(context.Background())
 	f = &fake{read: func(int, forward.Decision) forward.Outcome { cut(); return forward.OK }, write: outcomes(events(1, 2, nil))}
-	g.eng = f
+	g.engines = f
 	q := &Request{ID: "gone-2", Host: "h.example", Path: "/stream/", Header: http.Header{}}
 	long(q)
 	g.Serve(ctx, q, &ears{})
@@ -299,7 +299,7 @@
 		select {
 		case <-limit:
 			t.Fatal("its memory is not freed")
-		case <-time.After(g.c.Cfg.VolumeLease() / 64):
+		case <-time.After(g.daemon.Cfg.VolumeLease() / 64):
 		}
 	}
 }
@@ -325,7 +325,7 @@
 	for _, left := range []time.Duration{0, time.Hour, time.Second} {
 		var until time.Duration
 		f := &fake{write: func(_ int, _ context.Context, m forward.Decision, _ string) (Answer, forward.Outcome) {
-			until = m.Until - g.c.Now()
+			until = m.Until - g.daemon.Now()
 			return nil, forward.Lost
 		}}
 		serve(t, f, "/stream/", &ears{}, func(q *Request) { q.Left = left })
--- a/traffic/gateway/report.go
+++ b/traffic/gateway/report.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	keptStories  = 512 // of requests that were not served
-	mostReasons  = 48  // told apart; others are counted together
-	summaryBeats = 40  // of the board's, between two lines on what was not served
-	otherReason  = "other"
+	maxTraces        = 512 // of requests that were not served
+	maxReasons       = 48  // told apart; others are counted together
+	summaryIntervals = 40  // of the board's, between two lines on what was not served
+	otherReason      = "other"
 )
 
-// Story is what became of one request that was not served, for those who ask
+// RequestTrace is what became of one request that was not served, for those who ask
 // afterwards.
-type Story struct {
+type RequestTrace struct {
 	Request string    `json:"request"`
 	Wall    time.Time `json:"wall"` // of its end; for people
 	Host    string    `json:"host"`
@@ -41,7 +41,7 @@
 	set *metrics.Set
 
 	mu      sync.Mutex
-	stories [keptStories]Story
+	stories [maxTraces]RequestTrace
 	next    int
 	reasons map[string]bool
 	since   map[string]int // ends and reasons since the last summary
@@ -55,7 +55,7 @@
 func (r *report) reason(why string) string {
 	short, _, _ := strings.Cut(why, ":")
 	if !r.reasons[short] {
-		if len(r.reasons) >= mostReasons {
+		if len(r.reasons) >= maxReasons {
 			return otherReason
 		}
 		r.reasons[short] = true
@@ -71,14 +71,14 @@
 func (r *report) served() { r.count(forward.Done.String(), "") }
 
 // failed counts a request that was not served and keeps its story.
-func (r *report) failed(s Story) {
+func (r *report) failed(s RequestTrace) {
 	s.Wall = time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	why := r.reason(s.Why)
 	r.since[s.End+", "+why]++
 	r.count(s.End, why)
-	r.stories[r.next%keptStories] = s
+	r.stories[r.next%maxTraces] = s
 	r.next++
 }
 
@@ -86,8 +86,8 @@
 func (r *report) explain(id string) (out []any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i := max(0, r.next-keptStories); i < r.next; i++ {
-		if s := r.stories[i%keptStories]; id == "all" || s.Request == id {
+	for i := max(0, r.next-maxTraces); i < r.next; i++ {
+		if s := r.stories[i%maxTraces]; id == "all" || s.Request == id {
 			out = append(out, s)
 		}
 	}
@@ -107,8 +107,8 @@
 	return strings.Join(parts, "; ")
 }
 
-// early ends a request that comes to no dispatcher.
-func (g *Gateway) early(q *Request, w Client, status int, why string) {
+// rejectEarly ends a request that comes to no dispatcher.
+func (g *Gateway) rejectEarly(q *Request, w Client, status int, why string) {
 	if status == http.StatusServiceUnavailable {
 		w.Refuse(status, g.cfg.RetryAfter, why)
 	} else {
@@ -129,7 +129,7 @@
 	case http.StatusServiceUnavailable, http.StatusRequestTimeout:
 		end = forward.Refuse.String()
 	}
-	g.report.failed(Story{Request: id, End: end, Why: why})
+	g.report.failed(RequestTrace{Request: id, End: end, Why: why})
 }
 
 // finished notes the end of a request that was taken in at a time.
@@ -138,6 +138,6 @@
 		g.report.served()
 		return
 	}
-	g.c.Events.Debug("request", m.Reason, "request", c.ID, "result", m.Action)
-	g.report.failed(Story{Request: q.ID, Host: q.Host, Path: q.Path, Service: c.Service, End: m.Action.String(), Why: m.Reason, Took: took.Milliseconds(), Steps: m.Trace})
+	g.daemon.Events.Debug("request", m.Reason, "request", c.ID, "result", m.Action)
+	g.report.failed(RequestTrace{Request: q.ID, Host: q.Host, Path: q.Path, Service: c.Service, End: m.Action.String(), Why: m.Reason, Took: took.Milliseconds(), Steps: m.Trace})
 }
--- a/traffic/gateway/report_test.go
+++ b/traffic/gateway/report_test.go
@@ -30,7 +30,7 @@
 	if len(stories) != 1 {
 		t.Fatalf("%d stories: %v", len(stories), stories)
 	}
-	s := stories[0].(Story)
+	s := stories[0].(RequestTrace)
 	if s.Request != id || s.Service != "one" || s.End != "unknown" || s.Why != "by script" || len(s.Steps) != 1 || !strings.Contains(s.Steps[0], "lost after") {
 		t.Errorf("the story: %+v", s)
 	}
@@ -38,7 +38,7 @@
 		t.Errorf("the summary: %q", text)
 	}
 	var figures bytes.Buffer
-	g.c.WriteMetrics(&figures)
+	g.daemon.WriteMetrics(&figures)
 	for _, line := range []string{`mulleinmast_requests_total{end="unknown",why="by script"}`, "mulleinmast_requests_open 0", `mulleinmast_invariant_violations_total{check="unsafe_run_twice"} 0`, "process_open_fds ", "mulleinmast_disk_write_seconds_count "} {
 		if !strings.Contains(figures.String(), line) {
 			t.Errorf("no %s among the figures:\n%s", line, figures.String())
@@ -50,11 +50,11 @@
 func TestARequestWithoutARouteIsExplained(t *testing.T) {
 	serve(t, &fake{}, "/nowhere/", &ears{}, func(q *Request) { q.ID = "no-route" })
 	g, _ := gate()
-	if stories := g.report.explain("no-route"); len(stories) != 1 || stories[0].(Story).Why != "no route" {
+	if stories := g.report.explain("no-route"); len(stories) != 1 || stories[0].(RequestTrace).Why != "no route" {
 		t.Errorf("%v", stories)
 	}
 	g.Unread("cut", 0, "the client broke off")
-	if stories := g.report.explain("cut"); len(stories) != 1 || stories[0].(Story).End != "break" {
+	if stories := g.report.explain("cut"); len(stories) != 1 || stories[0].(RequestTrace).End != "break" {
 		t.Errorf("%v", stories)
 	}
 }
@@ -62,14 +62,14 @@
 // However many reasons and requests there are, a bounded number is kept.
 func TestReportsAreBounded(t *testing.T) {
 	g, _ := gate()
-	r := newReport(g.c.Metrics)
-	for i := range 3 * keptStories {
-		r.failed(Story{Request: fmt.Sprint(i), End: "refuse", Why: fmt.Sprintf("reason %d: details", i)})
+	r := newReport(g.daemon.Metrics)
+	for i := range 3 * maxTraces {
+		r.failed(RequestTrace{Request: fmt.Sprint(i), End: "refuse", Why: fmt.Sprintf("reason %d: details", i)})
 	}
-	if n := len(r.explain("all")); n != keptStories {
+	if n := len(r.explain("all")); n != maxTraces {
 		t.Errorf("%d stories are kept", n)
 	}
-	if len(r.reasons) > mostReasons || r.reason("one more") != otherReason {
+	if len(r.reasons) > maxReasons || r.reason("one more") != otherReason {
 		t.Errorf("%d reasons are told apart", len(r.reasons))
 	}
 }
@@ -81,22 +81,22 @@
 		check *invariant.Check
 		do    func(a *audit) bool
 	}{
-		"a second send after one that may have run": {runsOnce, func(a *audit) bool { a.sent(forward.Lost); a.sends(false); return true }},
+		"a second send after one that may have run": {runsOnce, func(a *audit) bool { a.afterSend(forward.Lost); a.beforeSend(false); return true }},
 		"a refusal after it may have run": {refusedUnrun, func(a *audit) bool {
-			a.sent(forward.Lost)
-			return a.ends(forward.Decision{Action: forward.Refuse}, false)
+			a.afterSend(forward.Lost)
+			return a.checkEnd(forward.Decision{Action: forward.Refuse}, false)
 		}},
-		"an answer that goes on with another run": {oneRun, func(a *audit) bool { a.sends(true); return true }},
-		"an end without an answer":                {alwaysAnswers, func(a *audit) bool { return !a.ends(forward.Decision{Action: forward.Done}, false) }},
+		"an answer that goes on with another run": {oneRun, func(a *audit) bool { a.beforeSend(true); return true }},
+		"an end without an answer":                {alwaysAnswers, func(a *audit) bool { return !a.checkEnd(forward.Decision{Action: forward.Done}, false) }},
 	} {
 		quiet, before := x.check.Count(), x.check.Count()
-		fine := audit{call: once}
-		fine.sends(false)
-		fine.sent(forward.OK)
-		if !fine.ends(forward.Decision{Action: forward.Done}, true) || x.check.Count() != quiet {
+		fine := audit{request: once}
+		fine.beforeSend(false)
+		fine.afterSend(forward.OK)
+		if !fine.checkEnd(forward.Decision{Action: forward.Done}, true) || x.check.Count() != quiet {
 			t.Errorf("%s: a request in order is counted", what)
 		}
-		if !x.do(&audit{call: once}) || x.check.Count() != before+1 {
+		if !x.do(&audit{request: once}) || x.check.Count() != before+1 {
 			t.Errorf("%s: not counted", what)
 		}
 		x.check.Discount(1)
@@ -109,15 +109,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, ok := g.sheet()
+	s, ok := g.readPlan()
 	if !ok {
 		t.Fatal("no plan")
 	}
 	newer := *s
-	newer.plan.Version, newer.ver.Seq, newer.gen = s.plan.Version+5, s.ver.Seq+1, s.gen-1
+	newer.plan.Version, newer.version.Seq, newer.generation = s.plan.Version+5, s.version.Seq+1, s.generation-1
 	g.plan.Store(&newer)
 	before := planGoesOn.Count()
-	if _, ok := g.sheet(); !ok || planGoesOn.Count() == before {
+	if _, ok := g.readPlan(); !ok || planGoesOn.Count() == before {
 		t.Errorf("%d counted", planGoesOn.Count()-before)
 	}
 	planGoesOn.Discount(planGoesOn.Count() - before)
--- a/traffic/gateway/sameid_test.go
+++ b/traffic/gateway/sameid_test.go
@@ -54,7 +54,7 @@
 			<-goOn
 			return events(1, 2, nil), forward.OK
 		}}
-		g.eng = f
+		g.engines = f
 		first := start(g, "same", path, &ears{})
 		<-taken
 		second := start(g, "same", path, &ears{})
@@ -87,7 +87,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.eng = &fake{write: outcomes(events(1, 1, nil), events(1, 1, nil))}
+	g.engines = &fake{write: outcomes(events(1, 1, nil), events(1, 1, nil))}
 	for range 2 {
 		if got := gets(start(g, "again", "/resume/", &ears{})); !slices.Equal(got, []string{"head 200", "1;"}) {
 			t.Errorf("it gets %q", got)
--- a/traffic/gateway/unread_test.go
+++ b/traffic/gateway/unread_test.go
@@ -18,7 +18,7 @@
 			t.Fatal(err)
 		}
 		f := &fake{write: outcomes(events(1, 9, nil), events(2, 9, nil), events(3, 9, nil))}
-		g.eng = f
+		g.engines = f
 		e := &ears{full: true, late: make(chan struct{})}
 		ended := make(chan struct{})
 		go func() {
@@ -33,8 +33,8 @@
 		if e.left <= 0 || e.left > time.Second || !slices.Equal(e.log, []string{"head 200", "1;", "break"}) {
 			t.Errorf("%s: it may wait %v and gets %q", path, e.left, e.log)
 		}
-		if len(f.calls) != 1 || g.lane("one").Counts().Abandoned != 1 {
-			t.Errorf("%s: servers get %q, %d clients left", path, f.calls, g.lane("one").Counts().Abandoned)
+		if len(f.calls) != 1 || g.dispatcherOf("one").Counts().Abandoned != 1 {
+			t.Errorf("%s: servers get %q, %d clients left", path, f.calls, g.dispatcherOf("one").Counts().Abandoned)
 		}
 	}
 }
@@ -46,9 +46,9 @@
 		t.Errorf("the client gets %q, servers %q", log, f.calls)
 	}
 	g, _ := gate()
-	down := notes{g, "one"}
-	for _, s := range g.lane("one").Servers() {
-		if down.IsDown(g.c.Now(), s.Key) {
+	down := serviceLoads{g, "one"}
+	for _, s := range g.dispatcherOf("one").Servers() {
+		if down.IsDown(g.daemon.Now(), s.Key) {
 			t.Errorf("%s is thought to answer nobody", s.Key)
 		}
 	}
--- a/traffic/board/flow_test.go
+++ b/traffic/loadreport/exchange_test.go
@@ -1,4 +1,4 @@
-package board
+package loadreport
 
 import (
 	"fmt"
@@ -14,15 +14,15 @@
 	t       *testing.T
 	now     time.Duration
 	members []message.Member
-	boards  map[string]*Board
+	boards  map[string]*Reporter
 	bytes   map[string]int // to a daemon
 	lose    func(to string) bool
 }
 
-var told = Config{Beat: 250 * time.Millisecond, Old: 1250 * time.Millisecond, Most: 128, Keep: 0.7, Size: 1 << 14}
+var told = Config{Interval: 250 * time.Millisecond, MaxAge: 1250 * time.Millisecond, MaxPrefixes: 128, CachedFraction: 0.7, MaxRemembered: 1 << 14}
 
 func newZone(t *testing.T, daemons int) *zone {
-	z := &zone{t: t, now: time.Second, boards: map[string]*Board{}, bytes: map[string]int{}}
+	z := &zone{t: t, now: time.Second, boards: map[string]*Reporter{}, bytes: map[string]int{}}
 	for i := range daemons {
 		m := message.Member{Ident: fmt.Sprint("d", i), Addr: fmt.Sprintf("10.0.0.%d:1", i), Zone: "north", Build: "2/1"}
 		z.members = append(z.members, m)
@@ -40,32 +40,32 @@
 				z.t.Fatal(err)
 			}
 			if z.bytes[s.Message.To] += len(b); z.lose == nil || !z.lose(s.Message.To) {
-				z.boards[s.Message.To].Hear(z.now, s.Message)
+				z.boards[s.Message.To].Step(z.now, s.Message)
 			}
 		}
 	}
-	z.now += told.Beat
+	z.now += told.Interval
 }
 
-func server(i int) uint64 { return Name("s", fmt.Sprint("server-", i)) }
+func server(i int) uint64 { return ServerID("s", fmt.Sprint("server-", i)) }
 
-// What a daemon is told of the servers' load is bounded, however many there are: at
+// What a daemon is sent of the servers' load is bounded, however many there are: at
 // most 14 KB a second, whatever changes.
 func TestWhatADaemonIsToldIsBounded(t *testing.T) {
 	const servers, seconds = 3800, 6
 	z := newZone(t, 20)
-	for n := range seconds * int(time.Second/told.Beat) {
+	for n := range seconds * int(time.Second/told.Interval) {
 		for i, m := range z.members {
 			for k := range 40 { // requests begin everywhere all the time
-				z.boards[m.Ident].Begin(server((n*977+i*131+k*17)%servers), 100+n, 1)
+				z.boards[m.Ident].AddLoad(server((n*977+i*131+k*17)%servers), 100+n, 1)
 			}
 		}
-		if n == 4 { // the first tellings are of much at once
+		if n == 4 { // the first reports are of much at once
 			clear(z.bytes)
 		}
 		z.beat()
 	}
-	head := Head(z.members, "north").Ident
+	head := ZoneHead(z.members, "north").Ident
 	for _, m := range z.members {
 		if each := z.bytes[m.Ident] / (seconds - 1); m.Ident != head && each > 14<<10 {
 			t.Fatalf("%s is told %d bytes a second of %d servers", m.Ident, each, servers)
@@ -78,7 +78,7 @@
 	for i := range servers {
 		sum := 0
 		for _, m := range z.members {
-			sum += z.boards[m.Ident].own[server(i)].Tokens
+			sum += z.boards[m.Ident].local[server(i)].Tokens
 		}
 		if z.boards[ident].Load(z.now, server(i)).Tokens != sum {
 			return false
@@ -98,43 +98,43 @@
 	return most
 }
 
-// Up to as many servers as one telling holds, each daemon knows all after three
-// beats: its own telling, its head's, and what both take.
+// Up to as many servers as one report holds, each daemon knows all after three
+// beats: its own report, its head's, and what both take.
 func TestAChangeIsToldInThreeBeats(t *testing.T) {
 	z := newZone(t, 6)
-	for i := range mostUses {
-		z.boards[z.members[i%6].Ident].Begin(server(i), 100+i, 1)
+	for i := range maxChanges {
+		z.boards[z.members[i%6].Ident].AddLoad(server(i), 100+i, 1)
 	}
 	for _, m := range z.members {
-		if n := z.until(4, func() bool { return z.equal(m.Ident, mostUses) }); n > 3 {
+		if n := z.until(4, func() bool { return z.equal(m.Ident, maxChanges) }); n > 3 {
 			t.Errorf("%s doesn't know all after %d beats", m.Ident, n)
 		}
 	}
-	for i := range mostUses { // and that it is over
-		z.boards[z.members[i%6].Ident].Begin(server(i), -100-i, -1)
+	for i := range maxChanges { // and that it is over
+		z.boards[z.members[i%6].Ident].AddLoad(server(i), -100-i, -1)
 	}
 	for range 3 {
 		z.beat()
 	}
 	for _, m := range z.members {
-		if !z.equal(m.Ident, mostUses) {
+		if !z.equal(m.Ident, maxChanges) {
 			t.Errorf("%s doesn't know what has ended", m.Ident)
 		}
 	}
 }
 
-// Who missed tellings, or joins, knows all again once all have come up in turn.
+// Who missed reports, or joins, knows all again once all have come up in turn.
 func TestWhoMissedATellingKnowsAllInTurn(t *testing.T) {
 	const servers = 200
 	z := newZone(t, 6)
-	head := Head(z.members, "north").Ident
+	head := ZoneHead(z.members, "north").Ident
 	deaf := z.members[0].Ident
 	if deaf == head {
 		deaf = z.members[1].Ident
 	}
 	z.lose = func(to string) bool { return to == deaf }
 	for i := range servers {
-		z.boards[head].Begin(server(i), 100+i, 1)
+		z.boards[head].AddLoad(server(i), 100+i, 1)
 	}
 	for range 8 {
 		z.beat()
@@ -143,12 +143,12 @@
 		t.Fatal("it missed nothing")
 	}
 	z.lose = nil
-	if n := z.until(3*inTurn, func() bool { return z.equal(deaf, servers) }); n > inTurn+2 {
+	if n := z.until(3*refreshReports, func() bool { return z.equal(deaf, servers) }); n > refreshReports+2 {
 		t.Errorf("it knows all after %d tellings", n)
 	}
 	z.members = append(z.members, message.Member{Ident: "new", Addr: "10.0.0.99:1", Zone: "north", Build: "2/1"})
 	z.boards["new"] = New(told)
-	if n := z.until(3*inTurn, func() bool { return z.equal("new", servers) }); n > inTurn+4 {
+	if n := z.until(3*refreshReports, func() bool { return z.equal("new", servers) }); n > refreshReports+4 {
 		t.Errorf("one that joins knows all after %d tellings", n)
 	}
 }
@@ -157,37 +157,37 @@
 func TestAnOlderBuildIsToldAll(t *testing.T) {
 	z := newZone(t, 4)
 	old := 0
-	if Head(z.members, "north").Ident == z.members[old].Ident {
+	if ZoneHead(z.members, "north").Ident == z.members[old].Ident {
 		old = 1
 	}
-	z.members[old].Build = before
+	z.members[old].Build = lastBuildWithoutChanges
 	for i := range 300 {
-		z.boards[Head(z.members, "north").Ident].Begin(server(i), 100, 1)
+		z.boards[ZoneHead(z.members, "north").Ident].AddLoad(server(i), 100, 1)
 	}
 	for range 2 {
 		z.beat()
 	}
-	for _, s := range z.boards[Head(z.members, "north").Ident].Tick(z.now, Head(z.members, "north"), z.members) {
-		var sheet Sheet
+	for _, s := range z.boards[ZoneHead(z.members, "north").Ident].Tick(z.now, ZoneHead(z.members, "north"), z.members) {
+		var sheet Report
 		if _, err := sheet.UnmarshalMsg(s.Message.Body); err != nil {
 			t.Fatal(err)
 		}
-		if isOld := s.Message.To == z.members[old].Ident; isOld && (sheet.Kind != whole || len(sheet.Uses) != 300 || len(sheet.Changes) > 0) || !isOld && (sheet.Kind != wholePart || len(sheet.Uses) > 0) {
-			t.Errorf("%s is told sheet %d of %d uses, %d changes", s.Message.To, sheet.Kind, len(sheet.Uses), len(sheet.Changes))
+		if isOld := s.Message.To == z.members[old].Ident; isOld && (sheet.Kind != fleetReport || len(sheet.Loads) != 300 || len(sheet.Changes) > 0) || !isOld && (sheet.Kind != fleetChanges || len(sheet.Loads) > 0) {
+			t.Errorf("%s is told sheet %d of %d uses, %d changes", s.Message.To, sheet.Kind, len(sheet.Loads), len(sheet.Changes))
 		}
 	}
 }
 
 // In a crowded zone the head is a control daemon, if there is one: its link is wide.
 func TestTheHeadOfACrowdedZoneIsAControlDaemon(t *testing.T) {
-	for _, n := range []int{crowd - 1, crowd, 40} {
+	for _, n := range []int{controlHeadFrom - 1, controlHeadFrom, 40} {
 		z := newZone(t, n)
 		wide := 3
-		if Head(z.members, "north").Ident == z.members[wide].Ident {
+		if ZoneHead(z.members, "north").Ident == z.members[wide].Ident {
 			wide = 4
 		}
 		z.members[wide].HasDisk = true
-		if got := Head(z.members, "north").Ident == z.members[wide].Ident; got != (n >= crowd) {
+		if got := ZoneHead(z.members, "north").Ident == z.members[wide].Ident; got != (n >= controlHeadFrom) {
 			t.Errorf("%d members: the control daemon is the head: %v", n, got)
 		}
 	}
