--- a/control/partition/partition.go
+++ b/control/partition/partition.go
@@ -53,7 +53,7 @@
 //
 // Example: if !p.IsLeader(now) { passOn() }
 func (p *Partition) IsLeader(now time.Duration) bool {
-	return p.Replica != nil && p.Replica.Leader(now)
+	return p.Replica != nil && p.Replica.IsLeader(now)
 }
 
 // mayWrite tells whether this daemon is the leader and leases that a leader before it
--- a/control/quorum/cluster_test.go
+++ b/control/quorum/cluster_test.go
@@ -113,7 +113,7 @@
 func (c *cluster) leader() (string, *Replica) {
 	c.t.Helper()
 	for _, id := range slices.Sorted(maps.Keys(c.replicas)) {
-		if r := c.replicas[id]; !c.isDown[id] && r.Leader(c.now) {
+		if r := c.replicas[id]; !c.isDown[id] && r.IsLeader(c.now) {
 			return id, r
 		}
 	}
@@ -135,7 +135,7 @@
 func (c *cluster) maintain(ids ...string) func() {
 	return func() {
 		for id, r := range c.replicas {
-			if !c.isDown[id] && r.Leader(c.now) {
+			if !c.isDown[id] && r.IsLeader(c.now) {
 				c.apply(id, r.SetLearners(c.now, replicasOf(ids...)))
 				c.apply(id, r.ContinueChange(c.now, 0))
 			}
--- a/control/quorum/contact.go
+++ b/control/quorum/contact.go
@@ -107,6 +107,6 @@
 // Example: if r.LearnerReady(now, "d") { out, _ := r.ReplaceReplica(now, 0, "c", d) }
 func (r *Replica) LearnerReady(now time.Duration, ident string) bool {
 	at, answered := r.contact.answeredAt[ident]
-	return r.Leader(now) && has(r.learners, ident) && r.copies.installed[ident] &&
+	return r.IsLeader(now) && has(r.learners, ident) && r.copies.installed[ident] &&
 		answered && now-at < r.cfg.LeaderLease && !r.IsTerminating(ident)
 }
--- a/control/quorum/copies_test.go
+++ b/control/quorum/copies_test.go
@@ -129,7 +129,7 @@
 
 func (w *trio) leader() string {
 	for id, m := range w.members {
-		if m.replica.Leader(w.now) {
+		if m.replica.IsLeader(w.now) {
 			return id
 		}
 	}
@@ -206,7 +206,7 @@
 	w.members[own].isCutOff, w.members[late].isCutOff = true, false
 	for i := 0; i < 400; i++ {
 		w.advance(25*time.Millisecond, false)
-		if w.members[late].replica.Leader(w.now) || w.members[third].replica.Leader(w.now) {
+		if w.members[late].replica.IsLeader(w.now) || w.members[third].replica.IsLeader(w.now) {
 			_, ok := w.members[w.leader()].replica.Records().Get(fmt.Sprint("k", tag))
 			t.Fatalf("%s leads beside a replica that lost a record; the write is there: %v", w.leader(), ok)
 		}
@@ -256,7 +256,7 @@
 	w.results = nil
 	from := w.now
 	w.advance(25*time.Millisecond, true)
-	for w.members[own].replica.Leader(w.now) && w.now < from+10*time.Second {
+	for w.members[own].replica.IsLeader(w.now) && w.now < from+10*time.Second {
 		w.advance(25*time.Millisecond, true)
 	}
 	if d := w.now - from; d < stalledLeases*cfg.LeaderLease || d > stalledLeases*cfg.LeaderLease+cfg.HeartbeatInterval {
--- a/control/quorum/group.go
+++ b/control/quorum/group.go
@@ -94,7 +94,7 @@
 //
 // Example: out := r.SetLearners(now, standbys)
 func (r *Replica) SetLearners(now time.Duration, list []message.Replica) (out Out) {
-	if !r.Leader(now) {
+	if !r.IsLeader(now) {
 		return out
 	}
 	defer func() { r.claimIncarnations(&out) }()
@@ -171,7 +171,7 @@
 // Example: out := r.ContinueChange(now, 0)
 func (r *Replica) ContinueChange(now time.Duration, tag uint64) (out Out) {
 	group := r.meta.Group
-	if !r.Leader(now) || len(group.Next) == 0 {
+	if !r.IsLeader(now) || len(group.Next) == 0 {
 		return out
 	}
 	defer func() { r.claimIncarnations(&out) }()
--- a/control/quorum/group_test.go
+++ b/control/quorum/group_test.go
@@ -311,7 +311,7 @@
 	rejection.From, rejection.Addr = one, one
 	c.apply(own, r.Step(c.now, rejection))
 	c.advance(repairLeases*clusterConfig.LeaderLease+time.Second, c.maintain(one))
-	if !r.Leader(c.now) {
+	if !r.IsLeader(c.now) {
 		t.Error("a learner's refusal ended the leadership")
 	}
 }
@@ -326,7 +326,7 @@
 	step := func() {
 		leaders := 0
 		for _, r := range c.replicas {
-			if r.Leader(c.now) {
+			if r.IsLeader(c.now) {
 				leaders++
 			}
 		}
--- a/control/quorum/replica.go
+++ b/control/quorum/replica.go
@@ -165,10 +165,10 @@
 // Example: if now >= r.WritesFrom() { write() }
 func (r *Replica) WritesFrom() time.Duration { return r.writesFrom }
 
-// Leader reports whether this replica is leader and its lease valid now.
+// IsLeader reports whether this replica is leader and its lease valid now.
 //
-// Example: if r.Leader(now) { grant() }
-func (r *Replica) Leader(now time.Duration) bool { return r.role == leader && now < r.lease.end }
+// Example: if r.IsLeader(now) { grant() }
+func (r *Replica) IsLeader(now time.Duration) bool { return r.role == leader && now < r.lease.end }
 
 // Term is the term in which this replica is leader or candidate, or was last.
 //
--- a/control/quorum/replica_test.go
+++ b/control/quorum/replica_test.go
@@ -40,11 +40,11 @@
 	a.replica = New(cfg, 1, g.Replicas[0], nil, Meta{Group: g}, digest.NewRecords(), 0, false)
 	for ; a.now < 3*time.Second; a.now += 20 * time.Millisecond {
 		a.apply(a.replica.Tick(a.now))
-		if a.replica.Leader(a.now) && a.now < cfg.Wait(cfg.LeaderLease) {
+		if a.replica.IsLeader(a.now) && a.now < cfg.Wait(cfg.LeaderLease) {
 			t.Fatal("a restarted replica became leader before a full lease had passed")
 		}
 	}
-	if !a.replica.Leader(a.now) {
+	if !a.replica.IsLeader(a.now) {
 		t.Fatal("no leader")
 	}
 	return a
@@ -77,7 +77,7 @@
 	a := newSingleLeader(t)
 	o, _ := a.replica.Write(a.now, 7, []message.Record{{Key: "k"}})
 	lease := a.replica.LeaseEnd()
-	if a.replica.Leader(lease) {
+	if a.replica.IsLeader(lease) {
 		t.Error("leader at the instant its lease ends")
 	}
 	out := a.replica.Tick(lease)
--- a/control/quorum/vote_test.go
+++ b/control/quorum/vote_test.go
@@ -192,7 +192,7 @@
 	}
 	v.deliverToSelf(now, v.step(now, "b", 1, grant.Message(1)))
 	v.deliverToSelf(now, v.step(now, "b", 1, message.StateInstalled{Term: v.replica.Term()}.Message(1)))
-	if !v.replica.Leader(now) {
+	if !v.replica.IsLeader(now) {
 		v.t.Fatalf("no leader at %v", now)
 	}
 }
--- a/control/quorum/walk_test.go
+++ b/control/quorum/walk_test.go
@@ -138,7 +138,7 @@
 	var leaders []string
 	for _, id := range slices.Sorted(maps.Keys(w.replicas)) {
 		r := w.replicas[id]
-		if !r.Leader(w.now) {
+		if !r.IsLeader(w.now) {
 			continue
 		}
 		leaders = append(leaders, fmt.Sprintf("%s in term %d", id, r.Term()))
@@ -229,7 +229,7 @@
 		r := w.replicas[id]
 		w.apply(id, r.Tick(w.now))
 		w.deliver()
-		if r.Leader(w.now) && r.WritesFrom() <= w.now && w.rng.Intn(10) == 0 {
+		if r.IsLeader(w.now) && r.WritesFrom() <= w.now && w.rng.Intn(10) == 0 {
 			w.lead(id, r)
 		}
 		w.deliver()
