--- a/doc_test.go
+++ b/doc_test.go
@@ -172,3 +172,60 @@
 		}
 	}
 }
+
+// namedItem is a name in code marks, with its package or type before it or not.
+var namedItem = regexp.MustCompile("`([A-Za-z]\\w*(?:\\.[A-Za-z]\\w*)*)`")
+
+// declaredNames are the names of all packages, functions, types, fields, constants
+// and variables of the module.
+func declaredNames(t *testing.T) map[string]bool {
+	t.Helper()
+	names := map[string]bool{}
+	each(t, func(path string, _ []byte, file *ast.File) {
+		names[file.Name.Name] = true
+		names[filepath.Base(filepath.Dir(path))] = true
+		ast.Inspect(file, func(n ast.Node) bool {
+			switch n := n.(type) {
+			case *ast.FuncDecl:
+				names[n.Name.Name] = true
+			case *ast.TypeSpec:
+				names[n.Name.Name] = true
+			case *ast.ValueSpec:
+				for _, name := range n.Names {
+					names[name.Name] = true
+				}
+			case *ast.Field:
+				for _, name := range n.Names {
+					names[name.Name] = true
+				}
+			}
+			return true
+		})
+	})
+	return names
+}
+
+// The pages for newcomers lead to the code by its names.
+func TestPagesForNewcomersNameItemsThatAreThere(t *testing.T) {
+	declared := declaredNames(t)
+	for _, page := range []string{"docs/architecture.md", "docs/glossary.md"} {
+		text, err := os.ReadFile(page)
+		if err != nil {
+			t.Fatal(err)
+		}
+		found := namedItem.FindAllStringSubmatch(string(text), -1)
+		if len(found) < 20 {
+			t.Errorf("%s: only %d names were found", page, len(found))
+		}
+		for _, item := range found {
+			if strings.HasSuffix(item[1], ".go") {
+				continue // a file
+			}
+			for name := range strings.SplitSeq(item[1], ".") {
+				if !declared[name] {
+					t.Errorf("%s names %s: %s isn't there", page, item[1], name)
+				}
+			}
+		}
+	}
+}
