--- a/control/fleetconfig/encode.go
+++ b/control/fleetconfig/encode.go
@@ -47,7 +47,8 @@
 		return nil, Error.New("%d bytes, at most %d are taken", len(b), maxPlanBytes)
 	}
 	// One worker and a small window: plans are small and seldom written.
-	w, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(1<<20))
+	w, err := zstd.NewWriter(nil,
+		zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true), zstd.WithWindowSize(1<<20))
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
--- a/control/fleetconfig/judge.go
+++ b/control/fleetconfig/judge.go
@@ -60,7 +60,8 @@
 //
 // Example: records, verdict, err := fleetconfig.Decide(read, plans, "id-1", 4, 7, next)
 func Decide(
-	read func(key string) message.Record, plans *PlanReader, id string, base, number uint64, next func(Plan) (Plan, Faults),
+	read func(key string) message.Record, plans *PlanReader,
+	id string, base, number uint64, next func(Plan) (Plan, Faults),
 ) ([]message.Record, Verdict, error) {
 	current, err := plans.Read(read(PlanKey))
 	if err != nil {
--- a/control/fleetconfig/list.go
+++ b/control/fleetconfig/list.go
@@ -32,7 +32,8 @@
 
 // List is a service's servers as the platform names them.
 type List struct {
-	Version uint64   `json:"version,omitempty"` // the platform's own count; a lower one is in conflict; 0: it doesn't count
+	// Version is the platform's own count; a list with a lower one is in conflict. 0: it doesn't count.
+	Version uint64   `json:"version,omitempty"`
 	Servers []Server `json:"servers"`
 }
 
--- a/control/fleetconfig/route.go
+++ b/control/fleetconfig/route.go
@@ -32,7 +32,7 @@
 	Kind         string          `json:"kind"`                // Safe, Unsafe or Stream
 	GiveUpMillis int             `json:"give_up_ms"`          // longest that a request is held; 1 or more
 	TargetMillis int             `json:"target_ms,omitempty"` // an answer within it earns its full worth
-	GapMillis    int             `json:"gap_ms,omitempty"`    // longest pause between a stream's events that is still in time
+	GapMillis    int             `json:"gap_ms,omitempty"`    // longest pause between a stream's events that is in time
 	Urgency      int             `json:"urgency"`             // 0 is the most urgent
 	MaxAttempts  int             `json:"tries,omitempty"`     // servers that one request may be sent to
 	Sticky       bool            `json:"sticky,omitempty"`    // requests that share a prompt should meet at a server
@@ -55,7 +55,8 @@
 //
 // Example: fleetconfig.Limits{}.IsZero() == true
 func (l Limits) IsZero() bool {
-	return l.HeaderBytes == 0 && l.BodyBytes == 0 && l.HeaderTimeoutMillis == 0 && l.IdleTimeoutMillis == 0 && len(l.Raw) == 0
+	isUnbounded := l.HeaderBytes == 0 && l.BodyBytes == 0 && l.HeaderTimeoutMillis == 0 && l.IdleTimeoutMillis == 0
+	return isUnbounded && len(l.Raw) == 0
 }
 
 // Place is what no two routes share: the host as it is compared, and the prefix.
--- a/control/leader/call.go
+++ b/control/leader/call.go
@@ -25,7 +25,8 @@
 	Addr  string `json:"addr"`  // of that daemon: IP address and port
 }
 
-// ClaimCall is the body of leadercall.OpClaim and leadercall.OpRelease: a once key is claimed, or its request's end reported.
+// ClaimCall is the body of leadercall.OpClaim and leadercall.OpRelease: a once key is claimed,
+// or the end of its request reported.
 type ClaimCall struct {
 	Key   string           `json:"Key"` // tenant and key; see OnceKey
 	Claim leadercall.Claim `json:"Claim"`
--- a/control/leader/configcalls.go
+++ b/control/leader/configcalls.go
@@ -53,7 +53,7 @@
 }
 
 func (r request) planJob(change planChange) partition.Job {
-	return partition.Job{Keys: []string{fleetconfig.PlanKey}, Mergeable: true, Build: func(read lease.RecordSource) ([]message.Record, any) {
+	build := func(read lease.RecordSource) ([]message.Record, any) {
 		unreadable := ""
 		next := func(current fleetconfig.Plan) (fleetconfig.Plan, fleetconfig.Faults) {
 			plan, faults := change.next(current)
@@ -70,7 +70,8 @@
 			return nil, leadercall.Response{Result: leadercall.ResultNotDone, Reason: unreadable}
 		}
 		return records, verdict
-	}}
+	}
+	return partition.Job{Keys: []string{fleetconfig.PlanKey}, Mergeable: true, Build: build}
 }
 
 // whyUnreadable tells why a plan can't be accepted: there are daemons that couldn't read it. "": all can.
@@ -79,7 +80,8 @@
 		return ""
 	}
 	if format := r.readableFormat(); format > 0 && p.Needs > format {
-		return fmt.Sprintf("the plan needs a build that reads format %d, and there are daemons that read up to %d", p.Needs, format)
+		return fmt.Sprintf(
+			"the plan needs a build that reads format %d, and there are daemons that read up to %d", p.Needs, format)
 	}
 	return ""
 }
@@ -87,7 +89,7 @@
 // handleZone evacuates a zone or ends its evacuation.
 func (r request) handleZone(op, zone string) partition.Job {
 	evacuated := op == leadercall.OpEvacuate
-	return r.onceOnly(op+"/"+zone, partition.Job{Keys: []string{fleetconfig.ZoneKey}, Build: func(read lease.RecordSource) ([]message.Record, any) {
+	build := func(read lease.RecordSource) ([]message.Record, any) {
 		zones, err := fleetconfig.ReadZones(read(fleetconfig.ZoneKey))
 		if err != nil {
 			return nil, unclear(err)
@@ -97,7 +99,8 @@
 		}
 		zones[zone] = evacuated
 		return []message.Record{{Key: fleetconfig.ZoneKey, Value: fleetconfig.EncodeZones(zones)}}, responseDone
-	}})
+	}
+	return r.onceOnly(op+"/"+zone, partition.Job{Keys: []string{fleetconfig.ZoneKey}, Build: build})
 }
 
 // handleReplica changes the replicas that an operator wants: those that were wanted
@@ -107,7 +110,7 @@
 	if err != nil {
 		return partition.Job{}, err
 	}
-	return r.onceOnly("", partition.Job{Keys: []string{fleetconfig.ReplicaKey}, Build: func(read lease.RecordSource) ([]message.Record, any) {
+	build := func(read lease.RecordSource) ([]message.Record, any) {
 		desired, err := readReplicas(read(fleetconfig.ReplicaKey))
 		if err != nil {
 			return nil, unclear(err)
@@ -126,7 +129,8 @@
 		}
 		reason := fmt.Sprintf("no replica of %q in %v", in.Out, desired)
 		return nil, leadercall.Response{Result: leadercall.ResultNotDone, Reason: reason}
-	}}), nil
+	}
+	return r.onceOnly("", partition.Job{Keys: []string{fleetconfig.ReplicaKey}, Build: build}), nil
 }
 
 func isReplica(replicas []message.Replica, ident string) bool {
--- a/control/leader/repeats.go
+++ b/control/leader/repeats.go
@@ -98,7 +98,7 @@
 	if r.id == "" {
 		return job
 	}
-	return partition.Job{Keys: append([]string{pastCallsKey}, job.Keys...), Build: func(read lease.RecordSource) ([]message.Record, any) {
+	build := func(read lease.RecordSource) ([]message.Record, any) {
 		past, err := readPastCalls(read(pastCallsKey))
 		if err != nil {
 			return nil, unclear(err)
@@ -124,7 +124,8 @@
 		}
 		past = r.orders.prune(append(past, pastCall{Call: r.id, Response: response, Order: order}))
 		return append(records, message.Record{Key: pastCallsKey, Value: leadercall.Pack(past)}), response
-	}}
+	}
+	return partition.Job{Keys: append([]string{pastCallsKey}, job.Keys...), Build: build}
 }
 
 // isRemembered tells whether an order was accepted, and may still be sent again by its caller.
@@ -135,8 +136,9 @@
 // lateRepeat is the response to an order that may be a late repeat of one that was undone since.
 func (r request) lateRepeat(order string) leadercall.Response {
 	return leadercall.Response{
-		Result:           leadercall.ResultUnclear,
-		Reason:           "the same order was taken a moment ago and undone since; it is carried out again once it can't be a late repeat",
+		Result: leadercall.ResultUnclear,
+		Reason: "the same order was taken a moment ago and undone since; " +
+			"it is carried out again once it can't be a late repeat",
 		RetryAfterMillis: r.orders.repeatableFor(order).Milliseconds(),
 	}
 }
--- a/control/leader/replicas.go
+++ b/control/leader/replicas.go
@@ -82,7 +82,8 @@
 // next names the replica that is to leave and the learner that takes its place; none: nothing is
 // to be done, or no learner is ready.
 func (c replicaChoice) next() (leaving string, joining message.Replica) {
-	for _, mustLeave := range []func(message.Replica) bool{c.isSucceeded, c.isLost, c.isMissingBesideTerminating, c.isTerminating} {
+	reasons := []func(message.Replica) bool{c.isSucceeded, c.isLost, c.isMissingBesideTerminating, c.isTerminating}
+	for _, mustLeave := range reasons {
 		for _, replica := range c.group.Replicas {
 			if replica.Ident == c.self || !mustLeave(replica) {
 				continue
--- a/control/leader/servicecalls.go
+++ b/control/leader/servicecalls.go
@@ -48,7 +48,8 @@
 		inForce, err := fleetconfig.ReadList(current)
 		if err == nil && in.List.Version > 0 && in.List.Version <= inForce.Version {
 			return nil, leadercall.Response{
-				Result: leadercall.ResultConflict, Version: inForce.Version, Reason: "a list of a later or the same version is in force",
+				Result: leadercall.ResultConflict, Version: inForce.Version,
+				Reason: "a list of a later or the same version is in force",
 			}
 		}
 		return []message.Record{next}, responseDone
@@ -61,7 +62,8 @@
 	if err != nil {
 		return partition.Job{}, err
 	}
-	return onceKeyJob(in.Key, func(k onceKey) (*leadercall.Claim, leadercall.Response) { return k.claimFor(in.Claim) }), nil
+	change := func(k onceKey) (*leadercall.Claim, leadercall.Response) { return k.claimFor(in.Claim) }
+	return onceKeyJob(in.Key, change), nil
 }
 
 // handleRelease takes the end of a once key's request: it gives the key back, or was done under it.
@@ -70,7 +72,8 @@
 	if err != nil {
 		return partition.Job{}, err
 	}
-	return onceKeyJob(in.Key, func(k onceKey) (*leadercall.Claim, leadercall.Response) { return k.release(in.Claim) }), nil
+	change := func(k onceKey) (*leadercall.Claim, leadercall.Response) { return k.release(in.Claim) }
+	return onceKeyJob(in.Key, change), nil
 }
 
 // onceKeyJob changes the record of a once key; change gives what to write, nil for nothing.
@@ -100,22 +103,22 @@
 
 // claimFor claims the key for a request. One that gave the key back before its claim arrived
 // can't claim it any more, also when other requests had the key since.
-func (k onceKey) claimFor(wanted leadercall.Claim) (*leadercall.Claim, leadercall.Response) {
-	isHolder := k.claim.Request == wanted.Request
-	if isHolder && k.claim.State == wanted.State {
+func (k onceKey) claimFor(claim leadercall.Claim) (*leadercall.Claim, leadercall.Response) {
+	isSameRequest := k.claim.Request == claim.Request
+	if isSameRequest && k.claim.State == claim.State {
 		return nil, responseDone
 	}
-	isHeld := k.exists && k.claim.State != leadercall.ClaimReleased
-	if isHolder || isHeld || k.wasReleasedBy(wanted.Request) {
+	isTaken := k.exists && k.claim.State != leadercall.ClaimReleased
+	if isSameRequest || isTaken || k.wasReleasedBy(claim.Request) {
 		known := k.claim
 		known.Past = nil
 		return nil, leadercall.Response{Result: leadercall.ResultDuplicate, Claim: &known}
 	}
-	wanted.Past = nil
+	claim.Past = nil
 	if k.exists {
-		wanted.Past = withRequest(k.claim.Past, k.claim.Request)
+		claim.Past = withRequest(k.claim.Past, k.claim.Request)
 	}
-	return &wanted, responseDone
+	return &claim, responseDone
 }
 
 // release takes the end of a request: of the one that has the key, or of one whose claim may still be on its way.
--- a/control/leadercall/leadercall.go
+++ b/control/leadercall/leadercall.go
@@ -20,7 +20,7 @@
 	StatusNotLeader = http.StatusMisdirectedRequest // the daemon is not the leader; nothing was done
 	StatusUncertain = http.StatusGatewayTimeout     // it isn't known what became of the call
 	StatusNotDone   = http.StatusServiceUnavailable // nothing was done; it may be sent again later
-	StatusBehind    = http.StatusTooEarly           // the call is based on another version than the present one, which the result names
+	StatusBehind    = http.StatusTooEarly           // its basis is not the present version, which the result names
 )
 
 // unknownBasis is the basis of a call that no leader has named one to yet: no record has it.
@@ -91,7 +91,8 @@
 //
 // Example: id, out := c.Start(now, leader, 0, leadercall.OpPlan, body, now+4*time.Second, false)
 func (c *Calls) Start(
-	now time.Duration, leader message.Replica, partition int, op string, body []byte, deadline time.Duration, singleTry bool,
+	now time.Duration, leader message.Replica, partition int,
+	op string, body []byte, deadline time.Duration, singleTry bool,
 ) (callID uint64, out Out) {
 	c.lastID++
 	started := &call{
--- a/control/placement/balance.go
+++ b/control/placement/balance.go
@@ -9,7 +9,7 @@
 	lowPressure      = 0.4     // up to this the other side can spare a server: its pressure with one less
 	maxPressureRatio = 0.8     // and its pressure then is at most this fraction of the pressed side's
 	pressureWeight   = 1.0 / 8 // of a new value in the average of a server's pressure
-	deniedSwapBounds = 4       // swap bounds that the list may deny an order before it is given again: what runs there may go on for long
+	deniedSwapBounds = 4       // that the list may deny an order before it is given again: requests there may go on
 )
 
 // hasListedRoles tells whether the platform lists the roles of these servers.
@@ -51,11 +51,11 @@
 	if !ok || count[Prefill] == 0 || count[Decode] == 0 {
 		return role
 	}
-	prefill, wanted := float64(count[Prefill]), share*float64(count[Prefill]+count[Decode]+1)
+	prefill, proportionate := float64(count[Prefill]), share*float64(count[Prefill]+count[Decode]+1)
 	switch {
-	case role == Prefill && prefill+1 > wanted+0.5:
+	case role == Prefill && prefill+1 > proportionate+0.5:
 		return Decode
-	case role == Decode && prefill < wanted-0.5:
+	case role == Decode && prefill < proportionate-0.5:
 		return Prefill
 	}
 	return role
--- a/control/placement/pairs.go
+++ b/control/placement/pairs.go
@@ -47,7 +47,8 @@
 	return penalty
 }
 
-// pairsOf lists the decode servers that a prefill server hands to: those with fast links; where there are none, the best one.
+// pairsOf lists the decode servers that a prefill server hands to: those with fast links; where there
+// are none, the best one.
 func (r *round) pairsOf(prefill *server, decodeServers []*server) (pairs []string) {
 	ranked := slices.Clone(decodeServers)
 	slices.SortStableFunc(ranked, func(a, b *server) int { return r.linkPenalty(prefill, a) - r.linkPenalty(prefill, b) })
--- a/control/placement/rows.go
+++ b/control/placement/rows.go
@@ -21,8 +21,9 @@
 	for _, key := range sortedKeys(c.servers) {
 		s := c.servers[key]
 		row := Row{
-			ServerRecord: s.ServerRecord, Service: s.service, Active: s.observed.usage.Active, Utilization: s.observed.utilization,
-			Failures: s.observed.failures, Slots: c.slots(now, s), Withdrawn: s.isLeaving(),
+			ServerRecord: s.ServerRecord, Service: s.service, Active: s.observed.usage.Active,
+			Utilization: s.observed.utilization, Failures: s.observed.failures,
+			Slots: c.slots(now, s), Withdrawn: s.isLeaving(),
 		}
 		for _, d := range c.daemons {
 			if d.demand.Service == s.service {
--- a/control/placement/shares.go
+++ b/control/placement/shares.go
@@ -35,7 +35,9 @@
 
 // dropGrants forgets the grants that have expired, or that a later one took the place of: the daemon has that by now.
 func (d *daemon) dropGrants(now time.Duration) {
-	d.grants = slices.DeleteFunc(d.grants, func(g grant) bool { return g.number < d.demand.AckedShare || now >= g.expires })
+	d.grants = slices.DeleteFunc(d.grants, func(g grant) bool {
+		return g.number < d.demand.AckedShare || now >= g.expires
+	})
 }
 
 // silentShares is after how many lengths of a share a daemon that asks for none is forgotten.
--- a/wire/message/call.go
+++ b/wire/message/call.go
@@ -17,7 +17,8 @@
 // Example: frame := message.Call{RequestID: 7, CallID: 6, Op: "servers"}.Message(3)
 func (c Call) Message(partition int) Message {
 	return Message{
-		Kind: KindCall, Partition: partition, RequestID: c.RequestID, ResponseTo: c.CallID, Op: c.Op, Body: c.Body, Version: c.Basis,
+		Kind: KindCall, Partition: partition, RequestID: c.RequestID, ResponseTo: c.CallID,
+		Op: c.Op, Body: c.Body, Version: c.Basis,
 	}
 }
 
@@ -41,7 +42,8 @@
 // Example: frame := message.CallResult{RequestID: 7, Status: 200}.Message(3)
 func (r CallResult) Message(partition int) Message {
 	return Message{
-		Kind: KindCallResult, Partition: partition, ResponseTo: r.RequestID, Status: r.Status, Body: r.Body, Version: r.Basis,
+		Kind: KindCallResult, Partition: partition, ResponseTo: r.RequestID,
+		Status: r.Status, Body: r.Body, Version: r.Basis,
 	}
 }
 
