--- a/control/placement/placement_test.go
+++ b/control/placement/placement_test.go
@@ -16,32 +16,32 @@
 	Dwell: 10 * time.Second, UsageWindow: 2400 * time.Millisecond, DrainTimeout: 24 * time.Second, SlowLink: 100 * time.Millisecond, MaxFailures: 3, HighUsage: 0.9, LowUsage: 0.6,
 }
 
-func fleet(n int) (*Controller, fleetconfig.List) {
-	h := New(cfg, 1, 0)
-	h.SetPlan(fleetconfig.Plan{Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}, nil)
-	var l fleetconfig.List
+func newPolledFleet(n int) (*Controller, fleetconfig.List) {
+	c := New(cfg, 1, 0)
+	c.SetPlan(fleetconfig.Plan{Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}, nil)
+	var list fleetconfig.List
 	for i := 0; i < n; i++ {
-		l.Servers = append(l.Servers, fleetconfig.Server{Addr: fmt.Sprintf("10.0.0.%d:1", i+1), Zone: "a", Capacity: 8})
+		list.Servers = append(list.Servers, fleetconfig.Server{Addr: fmt.Sprintf("10.0.0.%d:1", i+1), Zone: "a", Capacity: 8})
 	}
-	return h, l
+	return c, list
 }
 
-// drive runs the holder against perfect servers and returns the orders seen.
-func drive(h *Controller, l fleetconfig.List, from, to time.Duration, serverRecords map[string]ServerRecord, active func(string) int) (orders []Order, at []time.Duration) {
+// drive runs the controller against perfect servers and returns the orders seen.
+func drive(c *Controller, list fleetconfig.List, from, to time.Duration, serverRecords map[string]ServerRecord, active func(string) int) (orders []Order, at []time.Duration) {
 	for now := from; now < to; now += 50 * time.Millisecond {
-		h.LoadService(now, "m", l, serverRecords)
-		o := h.Reconcile(now)
+		c.LoadService(now, "m", list, serverRecords)
+		o := c.Reconcile(now)
 		for _, k := range o.Polls {
-			h.HandlePoll(now, k, Usage{Active: active(k), UptimeMillis: int64(now/time.Millisecond) + 100000}, true)
+			c.HandlePoll(now, k, Usage{Active: active(k), UptimeMillis: int64(now/time.Millisecond) + 100000}, true)
 		}
 		for _, x := range o.Orders {
 			orders, at = append(orders, x), append(at, now)
-			h.HandleOrdered(now, x.Key, x, true)
+			c.HandleOrdered(now, x.Key, x, true)
 		}
 		for _, w := range o.Writes {
 			b, _ := OpenServerRecord(message.Record{Key: w.Key, Value: w.Value, Deleted: w.Delete})
 			serverRecords[w.Key] = b
-			h.HandleWritten(w.Key, b, true)
+			c.HandleWritten(w.Key, b, true)
 		}
 	}
 	return orders, at
@@ -50,25 +50,25 @@
 func idle(string) int { return 0 }
 
 func TestNoOrderBeforeTheSwapBound(t *testing.T) {
-	h, l := fleet(4)
-	orders, at := drive(h, l, 0, 5*time.Second, map[string]ServerRecord{}, idle)
+	c, list := newPolledFleet(4)
+	orders, at := drive(c, list, 0, 5*time.Second, map[string]ServerRecord{}, idle)
 	if len(orders) != 4 {
 		t.Fatalf("orders: %v", orders)
 	}
 	for i := range at {
 		if at[i] < cfg.SwapBound {
-			t.Errorf("an order %v after an older holder could act", at[i])
+			t.Errorf("an order %v after an older controller could act", at[i])
 		}
 	}
 }
 
 func TestShiftFollowsTheMix(t *testing.T) {
-	h, l := fleet(6)
+	c, list := newPolledFleet(6)
 	serverRecords := map[string]ServerRecord{}
-	drive(h, l, 0, 8*time.Second, serverRecords, idle)
-	count := func(part string) (n int) {
+	drive(c, list, 0, 8*time.Second, serverRecords, idle)
+	count := func(role string) (n int) {
 		for _, b := range serverRecords {
-			if b.Role == part && b.NextRole == "" {
+			if b.Role == role && b.NextRole == "" {
 				n++
 			}
 		}
@@ -80,8 +80,8 @@
 	var w Demand
 	w.Service, w.Prefill[4], w.Decode[4] = "m", 60, 2
 	for now := 8 * time.Second; now < 80*time.Second; now += time.Second {
-		h.HandleDemand(now, "d", w, time.Second)
-		drive(h, l, now, now+time.Second, serverRecords, idle)
+		c.HandleDemand(now, "d", w, time.Second)
+		drive(c, list, now, now+time.Second, serverRecords, idle)
 	}
 	if count(Decode) != 1 || count(Prefill) != 5 {
 		t.Errorf("after long prompts only: %d prefill servers, %d decode servers", count(Prefill), count(Decode))
@@ -97,9 +97,9 @@
 // filling never exceed a server's capacity.
 func TestSharesNeverExceedCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		h, l := fleet(3)
+		c, list := newPolledFleet(3)
 		serverRecords := map[string]ServerRecord{}
-		drive(h, l, 0, 12*time.Second, serverRecords, idle)
+		drive(c, list, 0, 12*time.Second, serverRecords, idle)
 		type box struct {
 			share Share
 			till  time.Duration
@@ -119,7 +119,7 @@
 			w.Service, w.AckedShare, w.InFlight = "m", b.share.Number, b.held
 			w.Prefill[rapid.IntRange(0, 9).Draw(t, "prio")] = rapid.IntRange(0, 40).Draw(t, "read")
 			w.Decode[rapid.IntRange(0, 9).Draw(t, "mprio")] = rapid.IntRange(0, 40).Draw(t, "make")
-			sh := h.HandleDemand(now, id, w, time.Second)
+			sh := c.HandleDemand(now, id, w, time.Second)
 			if rapid.IntRange(0, 4).Draw(t, "lost") > 0 { // else the answer is lost
 				b.share, b.till = sh, now+time.Duration(sh.Length)
 			}
@@ -133,7 +133,7 @@
 					b.held[a]--
 				}
 			}
-			for _, s := range l.Servers {
+			for _, s := range list.Servers {
 				sum := 0
 				for _, x := range boxes {
 					n := x.held[s.Addr]
@@ -151,9 +151,9 @@
 }
 
 func TestUrgentDemandFirst(t *testing.T) {
-	h, l := fleet(4)
+	c, list := newPolledFleet(4)
 	serverRecords := map[string]ServerRecord{}
-	drive(h, l, 0, 12*time.Second, serverRecords, idle)
+	drive(c, list, 0, 12*time.Second, serverRecords, idle)
 	var low, top Demand
 	low.Service, low.Prefill[8] = "m", 100
 	top.Service, top.Prefill[0] = "m", 14
@@ -170,8 +170,8 @@
 	for i := 0; i < 20; i++ {
 		now += 90 * time.Millisecond
 		low.AckedShare, top.AckedShare = a.Number, b.Number
-		a = h.HandleDemand(now, "low", low, time.Second)
-		b = h.HandleDemand(now, "top", top, time.Second)
+		a = c.HandleDemand(now, "low", low, time.Second)
+		b = c.HandleDemand(now, "top", top, time.Second)
 	}
 	if sum(b) < 14 || sum(a) > 2 {
 		t.Errorf("urgent daemon has %d slots, the other %d of 16", sum(b), sum(a))
@@ -181,15 +181,15 @@
 // With more daemons than slots, those with nothing to do hold none back from
 // those that wait, and those that wait alike are served in turn.
 func TestIdleDaemonsHoldNothingBack(t *testing.T) {
-	h, l := fleet(2)
+	c, list := newPolledFleet(2)
 	serverRecords := map[string]ServerRecord{}
-	drive(h, l, 0, 12*time.Second, serverRecords, idle)
+	drive(c, list, 0, 12*time.Second, serverRecords, idle)
 	acks := map[string]uint64{}
 	got := map[string]int{}
 	ask := func(now time.Duration, id string, waiting int) {
 		w := Demand{Service: "m", AckedShare: acks[id]}
 		w.Decode[4] = waiting
-		s := h.HandleDemand(now, id, w, time.Second)
+		s := c.HandleDemand(now, id, w, time.Second)
 		acks[id] = s.Number
 		for a, n := range s.Slots {
 			if serverRecords[fleetconfig.ServerRecordKey("m", a)].Role == Decode {
@@ -230,20 +230,20 @@
 }
 
 // A server that was killed and is back between two polls is a new one, even if
-// it is up for longer than it was when last seen; and a new holder sees that a
+// it is up for longer than it was when last seen; and a new controller sees that a
 // server which its record calls up is warming.
 func TestARestartIsSeen(t *testing.T) {
-	h, l := fleet(2)
+	c, list := newPolledFleet(2)
 	serverRecords := map[string]ServerRecord{}
-	drive(h, l, 0, 12*time.Second, serverRecords, idle)
-	key := fleetconfig.ServerRecordKey("m", l.Servers[0].Addr)
+	drive(c, list, 0, 12*time.Second, serverRecords, idle)
+	key := fleetconfig.ServerRecordKey("m", list.Servers[0].Addr)
 	if serverRecords[key].Status != Up {
 		t.Fatalf("not up: %+v", serverRecords[key])
 	}
 	now := 12 * time.Second
 	again := New(cfg, 2, now)
 	again.SetPlan(fleetconfig.Plan{Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}, nil)
-	again.LoadService(now, "m", l, map[string]ServerRecord{key: serverRecords[key]})
+	again.LoadService(now, "m", list, map[string]ServerRecord{key: serverRecords[key]})
 	again.Reconcile(now)
 	again.HandlePoll(now, key, Usage{UptimeMillis: 100}, true)
 	now += 900 * time.Millisecond // killed, and back for longer than the 100 ms seen last
@@ -256,14 +256,14 @@
 	next.SetPlan(fleetconfig.Plan{Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}, nil)
 	b := serverRecords[key]
 	b.Status = Up
-	next.LoadService(now, "m", l, map[string]ServerRecord{key: b})
+	next.LoadService(now, "m", list, map[string]ServerRecord{key: b})
 	slots := func() int {
 		var w Demand
 		w.Service, w.Prefill[0], w.Decode[0] = "m", 99, 99
-		return next.HandleDemand(now, "d", w, time.Second).Slots[l.Servers[0].Addr]
+		return next.HandleDemand(now, "d", w, time.Second).Slots[list.Servers[0].Addr]
 	}
 	if n := slots(); n > 0 {
-		t.Errorf("%d slots on a server that this holder has not seen yet", n)
+		t.Errorf("%d slots on a server that this controller has not seen yet", n)
 	}
 	next.HandlePoll(now, key, Usage{UptimeMillis: 1000, Warming: true}, true)
 	if n := slots(); n < 1 || n > 2 {
@@ -272,26 +272,26 @@
 }
 
 // A server that doesn't say its uptime is used all the same, and is told its
-// part again when it comes back from the dark.
+// role again when it comes back from the dark.
 func TestServersWithoutUptimeAreUsed(t *testing.T) {
-	h, l := fleet(2)
+	c, list := newPolledFleet(2)
 	serverRecords := map[string]ServerRecord{}
-	said := 0
+	orders := 0
 	run := func(from, to time.Duration, ok bool) {
 		for now := from; now < to; now += 50 * time.Millisecond {
-			h.LoadService(now, "m", l, serverRecords)
-			o := h.Reconcile(now)
+			c.LoadService(now, "m", list, serverRecords)
+			o := c.Reconcile(now)
 			for _, k := range o.Polls {
-				h.HandlePoll(now, k, Usage{}, ok)
+				c.HandlePoll(now, k, Usage{}, ok)
 			}
 			for _, x := range o.Orders {
-				said++
-				h.HandleOrdered(now, x.Key, x, true)
+				orders++
+				c.HandleOrdered(now, x.Key, x, true)
 			}
 			for _, w := range o.Writes {
 				b, _ := OpenServerRecord(message.Record{Key: w.Key, Value: w.Value})
 				serverRecords[w.Key] = b
-				h.HandleWritten(w.Key, b, true)
+				c.HandleWritten(w.Key, b, true)
 			}
 		}
 	}
@@ -304,15 +304,15 @@
 		return n
 	}
 	run(0, 12*time.Second, true)
-	if up() != 2 || said != 2 {
-		t.Fatalf("%d of 2 up after %d orders: %v", up(), said, serverRecords)
+	if up() != 2 || orders != 2 {
+		t.Fatalf("%d of 2 up after %d orders: %v", up(), orders, serverRecords)
 	}
 	run(12*time.Second, 15*time.Second, false)
 	if up() != 0 {
 		t.Errorf("dark servers are up: %v", serverRecords)
 	}
 	run(15*time.Second, 25*time.Second, true)
-	if up() != 2 || said != 4 {
-		t.Errorf("back: %d of 2 up after %d orders: %v", up(), said, serverRecords)
+	if up() != 2 || orders != 4 {
+		t.Errorf("back: %d of 2 up after %d orders: %v", up(), orders, serverRecords)
 	}
 }
--- a/control/placement/vacant_test.go
+++ b/control/placement/vacant_test.go
@@ -8,12 +8,12 @@
 )
 
 // Where the last server of a side leaves, is lost or falls silent, another takes
-// its part: without a decode server nothing is served.
+// its role: without a decode server nothing is served.
 func TestASideWithoutServersGetsOne(t *testing.T) {
-	gone := func(s *site, id string) {
+	leave := func(s *listedFleet, id string) {
 		s.set(id, func(e *fleetconfig.Server) { e.Leaving = true })
 	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		name            string
 		prefill, decode int
 		leave           string
@@ -26,25 +26,25 @@
 		{"the only prefill server of two", 1, 1, "s0", 0, 1},
 		{"one of two decode servers", 1, 2, "s2", 1, 1},
 	} {
-		s := newSite(t, x.prefill, x.decode, fleetconfig.Service{})
+		s := newListedFleet(t, test.prefill, test.decode, fleetconfig.Service{})
 		s.run(10 * time.Second)
-		gone(s, x.leave)
+		leave(s, test.leave)
 		s.run(20 * time.Second)
-		if s.count(Prefill) != x.wantPrefill || s.count(Decode) != x.wantDecode {
-			t.Errorf("%s leaves: %d prefill and %d decode servers in use, expected %d and %d; orders %v", x.name, s.count(Prefill), s.count(Decode), x.wantPrefill, x.wantDecode, s.orders)
+		if s.countInUse(Prefill) != test.wantPrefill || s.countInUse(Decode) != test.wantDecode {
+			t.Errorf("%s leaves: %d prefill and %d decode servers in use, expected %d and %d; orders %v", test.name, s.countInUse(Prefill), s.countInUse(Decode), test.wantPrefill, test.wantDecode, s.orders)
 		}
 	}
 }
 
 // A server that warms up is there soon: nothing is shifted for its sake.
 func TestAServerThatWarmsUpFillsItsSide(t *testing.T) {
-	s := newSite(t, 1, 1, fleetconfig.Service{})
+	s := newListedFleet(t, 1, 1, fleetconfig.Service{})
 	s.run(10 * time.Second)
 	s.add(Decode, true)
 	s.run(time.Second)
 	s.set("s1", func(e *fleetconfig.Server) { e.Leaving = true })
 	s.run(10 * time.Second)
-	if len(s.shifts) > 0 || s.count(Prefill) != 1 {
-		t.Errorf("shifts at %v, %d prefill servers in use", s.shifts, s.count(Prefill))
+	if len(s.shifts) > 0 || s.countInUse(Prefill) != 1 {
+		t.Errorf("shifts at %v, %d prefill servers in use", s.shifts, s.countInUse(Prefill))
 	}
 }
