--- a/control/fleetconfig/accepted_test.go
+++ b/control/fleetconfig/accepted_test.go
@@ -7,23 +7,23 @@
 	"mulleinmast/wire/message"
 )
 
-// shelf holds the records of a part, as its leader reads and writes them.
-type shelf struct {
-	held  map[string]message.Record
-	plans PlanReader
-	seq   uint64
-	bytes int // of the records of the last write
+// testRecords holds the records of a part, as its leader reads and writes them.
+type testRecords struct {
+	stored map[string]message.Record
+	plans  PlanReader
+	seq    uint64
+	bytes  int // of the records of the last write
 }
 
-func (s *shelf) read(key string) message.Record {
-	if r, ok := s.held[key]; ok {
+func (s *testRecords) read(key string) message.Record {
+	if r, ok := s.stored[key]; ok {
 		return r
 	}
 	return message.Record{Key: key, Deleted: true}
 }
 
-func (s *shelf) change(id string, base, number uint64) Verdict {
-	p := good()
+func (s *testRecords) change(id string, base, number uint64) Verdict {
+	p := validPlan()
 	p.ID, p.Number = id, number
 	recs, v, err := Decide(s.read, &s.plans, id, base, number, func(Plan) (Plan, Faults) { return p, p.Validate() })
 	if err != nil {
@@ -33,7 +33,7 @@
 	for _, r := range recs {
 		s.seq++
 		r.Version = message.Version{Term: 1, Seq: s.seq}
-		s.held[r.Key] = r
+		s.stored[r.Key] = r
 		s.bytes += len(r.Value)
 	}
 	return v
@@ -42,7 +42,7 @@
 // A change that was accepted is acknowledged again with thousands of others in
 // between, and one that was in conflict stays in conflict; neither comes into force.
 func TestAnAcceptedChangeIsKnownAfterThousands(t *testing.T) {
-	s := &shelf{held: map[string]message.Record{}}
+	s := &testRecords{stored: map[string]message.Record{}}
 	const changes = 5000
 	version := func(i uint64) uint64 { return 3 * i }
 	for i := uint64(1); i <= changes; i++ {
@@ -53,7 +53,7 @@
 			t.Fatalf("a second change on version %d: %+v", version(i-1), v)
 		}
 		if s.bytes != 0 {
-			t.Fatalf("a in conflict change wrote %d bytes", s.bytes)
+			t.Fatalf("a change in conflict wrote %d bytes", s.bytes)
 		}
 	}
 	for _, i := range []uint64{1, 2, 31, 32, 33, 64, 65, 200, 900, changes - 1, changes} {
@@ -71,24 +71,24 @@
 
 // The memory has a bound, and so has each write of it.
 func TestTheMemoryOfChangesIsBounded(t *testing.T) {
-	held := map[string]message.Record{}
-	read := func(key string) message.Record { return held[key] }
+	stored := map[string]message.Record{}
+	read := func(key string) message.Record { return stored[key] }
 	total, most := 0, 0
 	for i := range uint64(2*pages*pageEntries + 5) {
-		taken := ReadAcceptedChanges(read)
-		for _, r := range taken.Add(AcceptedChange{ID: fmt.Sprint(i), Version: i + 1}) {
-			held[r.Key], most = r, max(most, len(r.Value))
+		accepted := ReadAcceptedChanges(read)
+		for _, r := range accepted.Add(AcceptedChange{ID: fmt.Sprint(i), Version: i + 1}) {
+			stored[r.Key], most = r, max(most, len(r.Value))
 		}
 	}
-	for _, r := range held {
+	for _, r := range stored {
 		total += len(r.Value)
 	}
-	if bound := headBytes + pageEntries*entryBytes; most > bound || len(held) > pages || total > pages*bound {
-		t.Errorf("%d records of %d bytes, the longest of %d", len(held), total, most)
+	if bound := headBytes + pageEntries*entryBytes; most > bound || len(stored) > pages || total > pages*bound {
+		t.Errorf("%d records of %d bytes, the longest of %d", len(stored), total, most)
 	}
-	taken, known := ReadAcceptedChanges(read), 0
+	accepted, known := ReadAcceptedChanges(read), 0
 	for i := range uint64(2*pages*pageEntries + 5) {
-		if version, ok := taken.Find(fmt.Sprint(i), 0); ok && version == i+1 {
+		if version, ok := accepted.Find(fmt.Sprint(i), 0); ok && version == i+1 {
 			known++
 		} else if i > pages*pageEntries+pageEntries+5 {
 			t.Fatalf("%d of the last is forgotten", i)
@@ -102,8 +102,8 @@
 // What a build before this one kept in the plan's record is known, and moves
 // into the pages with the next change.
 func TestOlderMemoryMoves(t *testing.T) {
-	s := &shelf{held: map[string]message.Record{}}
-	old := good()
+	s := &testRecords{stored: map[string]message.Record{}}
+	old := validPlan()
 	old.ID, old.Version = "o64", 64
 	for i := range uint64(64) {
 		old.PastChanges = append(old.PastChanges, AcceptedChange{ID: fmt.Sprint("o", i+1), Version: i + 1})
@@ -112,7 +112,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.held[PlanKey] = message.Record{Key: PlanKey, Version: message.Version{Term: 1, Seq: 1}, Value: val}
+	s.stored[PlanKey] = message.Record{Key: PlanKey, Version: message.Version{Term: 1, Seq: 1}, Value: val}
 	known := func(when string) {
 		t.Helper()
 		for i := range uint64(64) {
@@ -131,27 +131,27 @@
 
 // A record that isn't a page, or a page that is lost, is none, and stops nothing.
 func TestADamagedPageIsNone(t *testing.T) {
-	held := map[string]message.Record{}
-	read := func(key string) message.Record { return held[key] }
+	stored := map[string]message.Record{}
+	read := func(key string) message.Record { return stored[key] }
 	add := func(id string, version uint64) {
-		taken := ReadAcceptedChanges(read)
-		for _, r := range taken.Add(AcceptedChange{ID: id, Version: version}) {
-			held[r.Key] = r
+		accepted := ReadAcceptedChanges(read)
+		for _, r := range accepted.Add(AcceptedChange{ID: id, Version: version}) {
+			stored[r.Key] = r
 		}
 	}
 	for i := range uint64(3 * pageEntries) {
 		add(fmt.Sprint(i), i+1)
 	}
-	delete(held, pageKeys[0])
-	held[pageKeys[1]] = message.Record{Key: pageKeys[1], Value: []byte("short")}
+	delete(stored, pageKeys[0])
+	stored[pageKeys[1]] = message.Record{Key: pageKeys[1], Value: []byte("short")}
 	add("next", 500)
-	taken := ReadAcceptedChanges(read)
+	accepted := ReadAcceptedChanges(read)
 	for id, want := range map[string]bool{"0": false, "40": false, "70": true, "next": true} {
-		if _, ok := taken.Find(id, 0); ok != want {
+		if _, ok := accepted.Find(id, 0); ok != want {
 			t.Errorf("%s is known: %v", id, ok)
 		}
 	}
-	if _, ok := taken.Find("next", 501); ok {
+	if _, ok := accepted.Find("next", 501); ok {
 		t.Error("an id with another number is known")
 	}
 }
--- a/control/fleetconfig/codec_test.go
+++ b/control/fleetconfig/codec_test.go
@@ -32,19 +32,19 @@
 // and from what a daemon keeps, and the plan that comes of it is the one that was sent.
 func TestAPatchIsAsLongAsItsChange(t *testing.T) {
 	p := planOf(1500)
-	whole := recordOf(t, p)
-	held := whole
+	stored := recordOf(t, p)
+	kept := stored
 	for n := range 20 {
 		next := p
 		next.Version, next.ID = p.Version+3, fmt.Sprintf("%032x", n*12345)
 		next.Routes = append([]Route(nil), p.Routes...)
 		next.Routes[(n*97)%1500].GiveUpMillis = 1000 + n
 		to := recordOf(t, next)
-		patch := Codec{}.Patch(whole, to)
+		patch := Codec{}.Patch(stored, to)
 		if len(patch) == 0 || len(patch) > 200 {
 			t.Fatalf("change %d: a patch of %d bytes for a plan of %d", n, len(patch), len(to))
 		}
-		val, err := Codec{}.Apply(held, patch)
+		val, err := Codec{}.Apply(kept, patch)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -55,12 +55,12 @@
 		if again := (Codec{}).Whole(val); string(again) != string(to) {
 			t.Fatalf("change %d: packed again it is another value", n)
 		}
-		p, whole, held = next, to, val
+		p, stored, kept = next, to, val
 	}
 }
 
-// A patch tells that it is applied to another value than it was made from, and one
-// that was cut short or spoilt tells so too.
+// Applying a patch to another value than it was made from is an error, and so is
+// one that was cut short or corrupted.
 func TestAPatchFitsOnlyItsBase(t *testing.T) {
 	a, b := planOf(200), planOf(200)
 	b.Routes[7].GiveUpMillis = 17
@@ -74,10 +74,10 @@
 		t.Error("applied to another base")
 	}
 	for i := range patch {
-		bad := append([]byte(nil), patch...)
-		bad[i] ^= 0x20
-		if val, err := (Codec{}).Apply(recordOf(t, a), bad); err == nil && string(val[1:]) != plainOf(t, b) {
-			t.Fatalf("byte %d spoilt: taken as another value", i)
+		damaged := append([]byte(nil), patch...)
+		damaged[i] ^= 0x20
+		if val, err := (Codec{}).Apply(recordOf(t, a), damaged); err == nil && string(val[1:]) != plainOf(t, b) {
+			t.Fatalf("byte %d corrupted: read as another value", i)
 		}
 		if _, err := (Codec{}).Apply(recordOf(t, a), patch[:i]); err == nil && i > 0 {
 			t.Fatalf("taken when cut to %d bytes", i)
--- a/control/fleetconfig/route_test.go
+++ b/control/fleetconfig/route_test.go
@@ -13,8 +13,8 @@
 	"mulleinmast/wire/message"
 )
 
-func routed() Plan {
-	p := good()
+func routedPlan() Plan {
+	p := validPlan()
 	p.Routes = []Route{
 		{Name: "r1", Host: "a.example", Prefix: "/x/", Kind: Safe, GiveUpMillis: 100, Services: []Share{{"m", 1}}},
 		{Name: "r2", Host: "a.example", Prefix: "/y/", Kind: Stream, GiveUpMillis: 100, Services: []Share{{"m", 0}, {"m", 9}}},
@@ -23,7 +23,7 @@
 }
 
 func TestEveryFaultOfARouteIsNamed(t *testing.T) {
-	if f := routed().Validate(); f.Any() {
+	if f := routedPlan().Validate(); f.Any() {
 		t.Fatal(f)
 	}
 	for where, change := range map[string]func(*Plan){
@@ -41,19 +41,19 @@
 			p.Services = append([]Service{{Name: "a/b", PrefillServers: 1, DecodeServers: 1}}, p.Services...)
 		},
 	} {
-		p := routed()
+		p := routedPlan()
 		change(&p)
 		f := p.Validate()
 		if len(f.List) != 1 || !strings.HasPrefix(f.List[0], where) {
 			t.Errorf("%s: got %v", where, f.List)
 		}
 	}
-	p := routed()
+	p := routedPlan()
 	p.Routes[0].Services, p.Routes[1].GiveUpMillis, p.Routes[1].Kind = []Share{{"n", 0}}, 0, ""
 	if f := p.Validate(); len(f.List) != 4 {
 		t.Errorf("four faults at once: %v", f.List)
 	}
-	p = routed()
+	p = routedPlan()
 	p.Services = append(p.Services, Service{Name: "Ünïcode: any name \"goes\"", PrefillServers: 1, DecodeServers: 1})
 	if f := p.Validate(); f.Any() {
 		t.Errorf("a service's odd name: %v", f)
@@ -62,18 +62,18 @@
 
 // An operator's own number becomes the version if it is above the one in
 // force; a plan without one counts on from there.
-func TestNumbers(t *testing.T) {
+func TestAnOperatorsNumberBecomesTheVersion(t *testing.T) {
 	to := func(p Plan, number uint64) func(Plan) (Plan, Faults) {
 		p.Number = number
 		return func(Plan) (Plan, Faults) { return p, p.Validate() }
 	}
-	s := &shelf{held: map[string]message.Record{}}
+	s := &testRecords{stored: map[string]message.Record{}}
 	for i, x := range []struct {
 		id     string
 		base   uint64
 		number uint64
 		result string
-		ver    uint64
+		want   uint64 // version
 	}{
 		{"a", 0, 5, "taken", 5},
 		{"b", 5, 5, "broken", 5},
@@ -85,26 +85,26 @@
 		{"e", 5, 12, "taken", 12},
 		{"g", 0, 14, "beaten", 13},
 	} {
-		recs, v, err := Decide(s.read, new(PlanReader), x.id, x.base, x.number, to(routed(), x.number))
-		if err != nil || v.Result != x.result || v.Version != x.ver || (v.Result == "broken") != (len(v.Faults) == 1) {
-			t.Errorf("%d: %+v %v, expected %s %d", i, v, err, x.result, x.ver)
+		recs, v, err := Decide(s.read, new(PlanReader), x.id, x.base, x.number, to(routedPlan(), x.number))
+		if err != nil || v.Result != x.result || v.Version != x.want || (v.Result == "broken") != (len(v.Faults) == 1) {
+			t.Errorf("%d: %+v %v, expected %s %d", i, v, err, x.result, x.want)
 		}
 		for _, r := range recs {
-			s.held[r.Key] = r
+			s.stored[r.Key] = r
 		}
-		if cur := OpenPlan(s.read(PlanKey)); len(recs) > 0 && (cur.Version != x.ver || cur.Number != 0) {
+		if cur := OpenPlan(s.read(PlanKey)); len(recs) > 0 && (cur.Version != x.want || cur.Number != 0) {
 			t.Errorf("%d: version %d, number %d in force", i, cur.Version, cur.Number)
 		}
 	}
-	bad := routed()
-	bad.Routes[0].GiveUpMillis = 0
-	if _, v := Judge(OpenPlan(s.read(PlanKey)), "z", 13, to(bad, 13)); len(v.Faults) != 2 {
-		t.Errorf("a broken plan with an old number: %v", v.Faults)
+	invalid := routedPlan()
+	invalid.Routes[0].GiveUpMillis = 0
+	if _, v := Judge(OpenPlan(s.read(PlanKey)), "z", 13, to(invalid, 13)); len(v.Faults) != 2 {
+		t.Errorf("an invalid plan with an old number: %v", v.Faults)
 	}
 }
 
 func TestChangesOfRoutes(t *testing.T) {
-	p := routed()
+	p := routedPlan()
 	r := p.Routes[0]
 	r.GiveUpMillis = 7
 	added := r
@@ -116,7 +116,7 @@
 		{Op: "drop-route", Name: "r9", Lenient: true},
 		{Op: "set-limits", Limits: &Limits{IdleTimeoutMillis: 3}},
 	}})
-	if f.Any() || next.Number != 8 || next.Limits.IdleTimeoutMillis != 3 || !reflect.DeepEqual(next.Routes, []Route{r, added}) || !reflect.DeepEqual(p, routed()) {
+	if f.Any() || next.Number != 8 || next.Limits.IdleTimeoutMillis != 3 || !reflect.DeepEqual(next.Routes, []Route{r, added}) || !reflect.DeepEqual(p, routedPlan()) {
 		t.Errorf("%+v %v", next, f)
 	}
 	for want, c := range map[string]Change{
@@ -134,7 +134,7 @@
 // the same changes done one by one would be.
 func TestChangesAgainstAPlainList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := routed()
+		p := routedPlan()
 		p.Routes = nil
 		var plain []Route
 		for range rapid.IntRange(1, 4).Draw(t, "sets") {
@@ -175,8 +175,8 @@
 }
 
 // Records of either form open to the same plan; a packed one is shorter.
-func TestOpenTakesPlainAndPackedRecords(t *testing.T) {
-	p := routed()
+func TestPlainAndCompressedRecordsAreRead(t *testing.T) {
+	p := routedPlan()
 	p.Version = 3
 	p.Raw = json.RawMessage(`{"more":"<&>"}`)
 	for i := range 900 {
@@ -200,8 +200,8 @@
 	if b.Raw = nil; !reflect.DeepEqual(a, p) || !reflect.DeepEqual(b, p) {
 		t.Error("not the same plan")
 	}
-	for _, bad := range [][]byte{packed[:len(packed)/2], append([]byte("zz"), packed...), []byte("z")} {
-		if out, err := Decompress(bad); err == nil && len(out) > 0 {
+	for _, damaged := range [][]byte{packed[:len(packed)/2], append([]byte("zz"), packed...), []byte("z")} {
+		if out, err := Decompress(damaged); err == nil && len(out) > 0 {
 			t.Errorf("opened: %.20q", out)
 		}
 	}
@@ -213,7 +213,7 @@
 	}
 }
 
-func TestHost(t *testing.T) {
+func TestNormalizeHost(t *testing.T) {
 	for in, want := range map[string]string{"": "", "a": "a", "A.Example": "a.example", "a:80": "a", "[::1]:80": "[::1]", "[::1]": "[::1]", "::1": "::1", "a:": "a", ":80": ""} {
 		if got := NormalizeHost(in); got != want {
 			t.Errorf("%q: %q, expected %q", in, got, want)
@@ -223,7 +223,7 @@
 
 // BenchmarkJudge is the leader's share of a change to a plan of 3000 routes.
 func BenchmarkJudge(b *testing.B) {
-	p := routed()
+	p := routedPlan()
 	for i := range 3000 {
 		r := p.Routes[0]
 		r.Name, r.Prefix = fmt.Sprint("n", i), fmt.Sprintf("/n%d/", i)
--- a/control/fleetconfig/validate_test.go
+++ b/control/fleetconfig/validate_test.go
@@ -9,13 +9,13 @@
 	"mulleinmast/wire/message"
 )
 
-func good() Plan {
+func validPlan() Plan {
 	return Plan{ID: "a", Tenants: []Tenant{{Name: "x", Priority: 1, TimeoutMillis: 100, QueueFraction: 0.5}}, Services: []Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}
 }
 
-// The good plan is changed in one place at a time; each change is named.
+// The valid plan is changed in one place at a time; each change is named.
 func TestEveryFaultOfAPlanIsNamed(t *testing.T) {
-	if f := good().Validate(); f.Any() {
+	if f := validPlan().Validate(); f.Any() {
 		t.Fatal(f)
 	}
 	for where, change := range map[string]func(*Plan){
@@ -30,14 +30,14 @@
 		"services[0].readers":   func(p *Plan) { p.Services[0].PrefillServers = 0 },
 		"services[0].exclude.0": func(p *Plan) { p.Services[0].Exclude = []string{"nowhere"} },
 	} {
-		p := good()
+		p := validPlan()
 		change(&p)
 		f := p.Validate()
 		if len(f.List) != 1 || !strings.HasPrefix(f.List[0], where) {
 			t.Errorf("%s: got %v", where, f.List)
 		}
 	}
-	p := good()
+	p := validPlan()
 	p.ID, p.Tenants[0].Priority, p.Services[0].DecodeServers = "", -1, 0
 	if f := p.Validate(); len(f.List) != 3 {
 		t.Errorf("three faults at once: %v", f.List)
@@ -45,21 +45,21 @@
 }
 
 func TestJudge(t *testing.T) {
-	whole := func(p Plan) func(Plan) (Plan, Faults) { return func(Plan) (Plan, Faults) { return p, p.Validate() } }
-	val, v := Judge(Plan{}, "a", 0, whole(good()))
+	replaceBy := func(p Plan) func(Plan) (Plan, Faults) { return func(Plan) (Plan, Faults) { return p, p.Validate() } }
+	val, v := Judge(Plan{}, "a", 0, replaceBy(validPlan()))
 	if v.Result != "taken" || v.Version != 1 {
 		t.Fatal(v)
 	}
 	cur := OpenPlan(message.Record{Value: val})
-	if val, v := Judge(cur, "a", 0, whole(good())); val != nil || v.Result != "taken" || v.Version != 1 {
+	if val, v := Judge(cur, "a", 0, replaceBy(validPlan())); val != nil || v.Result != "taken" || v.Version != 1 {
 		t.Errorf("resent: %v", v)
 	}
-	if val, v := Judge(cur, "b", 0, whole(good())); val != nil || v.Result != "beaten" || v.Version != 1 {
+	if val, v := Judge(cur, "b", 0, replaceBy(validPlan())); val != nil || v.Result != "beaten" || v.Version != 1 {
 		t.Errorf("old base: %v", v)
 	}
-	bad := good()
-	bad.Tenants[0].TimeoutMillis = -1
-	if val, v := Judge(cur, "c", 1, whole(bad)); val != nil || v.Result != "broken" || len(v.Faults) == 0 {
+	invalid := validPlan()
+	invalid.Tenants[0].TimeoutMillis = -1
+	if val, v := Judge(cur, "c", 1, replaceBy(invalid)); val != nil || v.Result != "broken" || len(v.Faults) == 0 {
 		t.Errorf("broken: %v", v)
 	}
 	_, f := cur.Apply(Changes{ID: "d", Base: 1, Changes: []Change{{Op: "drop-tenant", Name: "nobody"}, {Op: "what"}}})
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestServerList(t *testing.T) {
+func TestEveryFaultOfAListIsNamed(t *testing.T) {
 	l := List{Servers: []Server{{Addr: "10.0.0.1:1", Zone: "a", Capacity: 1}, {Addr: "10.0.0.1:1", Zone: "a", Capacity: 1}, {Addr: "host:1", Zone: "", Capacity: 0}}}
 	if f := l.Validate(); len(f.List) != 4 {
 		t.Errorf("%v", f.List)
