--- a/control/fleetconfig/accepted_test.go
+++ b/control/fleetconfig/accepted_test.go
@@ -57,7 +57,8 @@
 		}
 	}
 	for _, i := range []uint64{1, 2, 31, 32, 33, 64, 65, 200, 900, changes - 1, changes} {
-		if v := s.change(fmt.Sprint("c", i), version(i-1), version(i)); v.Result != "taken" || v.Version != version(i) || s.bytes != 0 {
+		v := s.change(fmt.Sprint("c", i), version(i-1), version(i))
+		if v.Result != "taken" || v.Version != version(i) || s.bytes != 0 {
 			t.Errorf("change %d sent again: %+v, %d bytes written", i, v, s.bytes)
 		}
 		if v := s.change(fmt.Sprint("rival", i), version(i-1), version(i)); v.Result != "beaten" {
--- a/control/fleetconfig/codec_test.go
+++ b/control/fleetconfig/codec_test.go
@@ -13,8 +13,18 @@
 func planOf(routes int) Plan {
 	p := Plan{ID: "p", Version: 7, Services: []Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}
 	for i := range routes {
-		raw := fmt.Sprintf(`{"name":"r-%07x","host":"host%05x.example","prefix":"/%06x/","kind":"streaming","give_up":3000,"aim":400,"urgency":0,"service":"m","tries":2}`, i*7919, i*104729, i*31)
-		p.Routes = append(p.Routes, Route{Name: fmt.Sprintf("r-%07x", i*7919), Host: fmt.Sprintf("host%05x.example", i*104729), Prefix: fmt.Sprintf("/%06x/", i*31), Kind: Safe, GiveUpMillis: 3000, Services: []Share{{Service: "m", Weight: 1}}, Raw: json.RawMessage(raw)})
+		raw := fmt.Sprintf(
+			`{"name":"r-%07x","host":"host%05x.example","prefix":"/%06x/","kind":"streaming","give_up":3000,"aim":400,"urgency":0,"service":"m","tries":2}`,
+			i*7919, i*104729, i*31,
+		)
+		p.Routes = append(
+			p.Routes,
+			Route{
+				Name: fmt.Sprintf("r-%07x", i*7919), Host: fmt.Sprintf("host%05x.example", i*104729),
+				Prefix: fmt.Sprintf("/%06x/", i*31), Kind: Safe, GiveUpMillis: 3000,
+				Services: []Share{{Service: "m", Weight: 1}}, Raw: json.RawMessage(raw),
+			},
+		)
 	}
 	return p
 }
--- a/control/fleetconfig/route_test.go
+++ b/control/fleetconfig/route_test.go
@@ -17,7 +17,10 @@
 	p := validPlan()
 	p.Routes = []Route{
 		{Name: "r1", Host: "a.example", Prefix: "/x/", Kind: Safe, GiveUpMillis: 100, Services: []Share{{"m", 1}}},
-		{Name: "r2", Host: "a.example", Prefix: "/y/", Kind: Stream, GiveUpMillis: 100, Services: []Share{{"m", 0}, {"m", 9}}},
+		{
+			Name: "r2", Host: "a.example", Prefix: "/y/", Kind: Stream, GiveUpMillis: 100,
+			Services: []Share{{"m", 0}, {"m", 9}},
+		},
 	}
 	return p
 }
@@ -116,7 +119,8 @@
 		{Op: "drop-route", Name: "r9", Lenient: true},
 		{Op: "set-limits", Limits: &Limits{IdleTimeoutMillis: 3}},
 	}})
-	if f.Any() || next.Number != 8 || next.Limits.IdleTimeoutMillis != 3 || !reflect.DeepEqual(next.Routes, []Route{r, added}) || !reflect.DeepEqual(p, routedPlan()) {
+	if f.Any() || next.Number != 8 || next.Limits.IdleTimeoutMillis != 3 ||
+		!reflect.DeepEqual(next.Routes, []Route{r, added}) || !reflect.DeepEqual(p, routedPlan()) {
 		t.Errorf("%+v %v", next, f)
 	}
 	for want, c := range map[string]Change{
@@ -141,7 +145,10 @@
 			c := Changes{ID: "x"}
 			for i := range rapid.IntRange(1, 12).Draw(t, "changes") {
 				n := rapid.IntRange(0, 5).Draw(t, "name")
-				r := Route{Name: fmt.Sprint("r", n), Host: "h", Prefix: fmt.Sprintf("/%d/", n), Kind: Safe, GiveUpMillis: i + 1, Services: []Share{{"m", 1}}}
+				r := Route{
+					Name: fmt.Sprint("r", n), Host: "h", Prefix: fmt.Sprintf("/%d/", n), Kind: Safe, GiveUpMillis: i + 1,
+					Services: []Share{{"m", 1}},
+				}
 				at := -1
 				for j := range plain {
 					if plain[j].Name == r.Name {
@@ -214,7 +221,10 @@
 }
 
 func TestNormalizeHost(t *testing.T) {
-	for in, want := range map[string]string{"": "", "a": "a", "A.Example": "a.example", "a:80": "a", "[::1]:80": "[::1]", "[::1]": "[::1]", "::1": "::1", "a:": "a", ":80": ""} {
+	for in, want := range map[string]string{
+		"": "", "a": "a", "A.Example": "a.example", "a:80": "a", "[::1]:80": "[::1]", "[::1]": "[::1]", "::1": "::1",
+		"a:": "a", ":80": "",
+	} {
 		if got := NormalizeHost(in); got != want {
 			t.Errorf("%q: %q, expected %q", in, got, want)
 		}
--- a/control/fleetconfig/stored_test.go
+++ b/control/fleetconfig/stored_test.go
@@ -14,10 +14,15 @@
 func completePlan() Plan {
 	return Plan{
 		Version: 12, ID: "plan-12", Base: 11, Number: 13, Needs: 1, Raw: json.RawMessage(`{"further":true}`),
-		Tenants:     []Tenant{{Name: "express", Priority: 2, Services: []string{"timetable"}, TimeoutMillis: 30000, QueueFraction: 0.25}},
-		Services:    []Service{completeService()},
-		Routes:      []Route{completeRoute()},
-		Limits:      Limits{HeaderBytes: 8192, BodyBytes: 65536, HeaderTimeoutMillis: 2000, IdleTimeoutMillis: 60000, Raw: json.RawMessage(`{"limit":1}`)},
+		Tenants: []Tenant{
+			{Name: "express", Priority: 2, Services: []string{"timetable"}, TimeoutMillis: 30000, QueueFraction: 0.25},
+		},
+		Services: []Service{completeService()},
+		Routes:   []Route{completeRoute()},
+		Limits: Limits{
+			HeaderBytes: 8192, BodyBytes: 65536, HeaderTimeoutMillis: 2000, IdleTimeoutMillis: 60000,
+			Raw: json.RawMessage(`{"limit":1}`),
+		},
 		PastChanges: []AcceptedChange{{ID: "plan-11", Version: 11}},
 	}
 }
@@ -97,7 +102,9 @@
 		Encode: golden.JSON[List]().Encode,
 		Decode: func(value []byte) (List, error) { return ReadList(message.Record{Key: ListKey("m"), Value: value}) },
 	})
-	golden.Check(t, "verdict.json", Verdict{Result: "broken", Version: 12, Faults: []string{"plan.id"}}, golden.JSON[Verdict]())
+	golden.Check(
+		t, "verdict.json", Verdict{Result: "broken", Version: 12, Faults: []string{"plan.id"}}, golden.JSON[Verdict](),
+	)
 	golden.Check(t, "faults.json", Faults{List: []string{"plan.id"}}, golden.JSON[Faults]())
 }
 
@@ -135,7 +142,10 @@
 			t.Errorf("%s is in partition %d, was in %d", service, got, want)
 		}
 	}
-	plan := Plan{ID: "p", Services: []Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}, Tenants: []Tenant{{Name: "x"}}, Routes: []Route{{Name: "r"}}}
+	plan := Plan{
+		ID: "p", Services: []Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}, Tenants: []Tenant{{Name: "x"}},
+		Routes: []Route{{Name: "r"}},
+	}
 	item := plan.Services[0]
 	for op, change := range map[string]Change{
 		"set-tenant": {Tenant: &plan.Tenants[0]}, "drop-tenant": {Name: "x"}, "set-service": {Service: &item},
@@ -159,9 +169,19 @@
 func TestWordsOfFaultsStay(t *testing.T) {
 	plan := Plan{
 		ID: "a/b", Needs: -1,
-		Tenants:  []Tenant{{Name: "x", Priority: 10, QueueFraction: 2, Services: []string{"none"}}, {Name: "x", TimeoutMillis: 1, QueueFraction: 1}},
-		Services: []Service{{Name: "m/n", Exclude: []string{"nowhere"}}, {Name: "m", PrefillServers: 1, DecodeServers: 1}, {Name: "m", PrefillServers: 1, DecodeServers: 1}},
-		Routes:   []Route{{Name: "r", Kind: "other", Services: []Share{{Service: "none", Weight: -1}}}, {Name: "r", Kind: Safe, GiveUpMillis: 1}},
+		Tenants: []Tenant{
+			{Name: "x", Priority: 10, QueueFraction: 2, Services: []string{"none"}},
+			{Name: "x", TimeoutMillis: 1, QueueFraction: 1},
+		},
+		Services: []Service{
+			{Name: "m/n", Exclude: []string{"nowhere"}},
+			{Name: "m", PrefillServers: 1, DecodeServers: 1},
+			{Name: "m", PrefillServers: 1, DecodeServers: 1},
+		},
+		Routes: []Route{
+			{Name: "r", Kind: "other", Services: []Share{{Service: "none", Weight: -1}}},
+			{Name: "r", Kind: Safe, GiveUpMillis: 1},
+		},
 	}
 	list := List{Servers: []Server{{Addr: "host:1", Capacity: 5000}, {Addr: "host:1"}}}
 	faults := append(plan.Validate().List, list.Validate().List...)
@@ -171,7 +191,10 @@
 	_, f := plan.Apply(Changes{})
 	faults = append(faults, f.List...)
 	var changes []Change
-	for _, op := range []string{"set-tenant", "drop-tenant", "set-service", "drop-service", "set-route", "drop-route", "set-limits", "exclude-server"} {
+	for _, op := range []string{
+		"set-tenant", "drop-tenant", "set-service", "drop-service", "set-route", "drop-route", "set-limits",
+		"exclude-server",
+	} {
 		changes = append(changes, Change{Op: op, Name: "nobody"})
 	}
 	_, f = plan.Apply(Changes{Changes: append(changes, Change{Op: "exclude-server", Name: "m", Server: "host"})})
@@ -179,7 +202,9 @@
 	_, verdict := Judge(Plan{Version: 4}, "c", 4, func(Plan) (Plan, Faults) { return Plan{Number: 4}, Faults{} })
 	faults = append(faults, verdict.Faults...)
 	for _, value := range []string{"m\xff", "{", "o\x01"} {
-		if _, err := ReadPlan(message.Record{Key: PlanKey, Value: []byte(value), Version: message.Version{Term: 3, Seq: 9}}); err != nil {
+		if _, err := ReadPlan(message.Record{
+			Key: PlanKey, Value: []byte(value), Version: message.Version{Term: 3, Seq: 9},
+		}); err != nil {
 			faults = append(faults, err.Error())
 		}
 	}
--- a/control/fleetconfig/validate_test.go
+++ b/control/fleetconfig/validate_test.go
@@ -10,7 +10,10 @@
 )
 
 func validPlan() Plan {
-	return Plan{ID: "a", Tenants: []Tenant{{Name: "x", Priority: 1, TimeoutMillis: 100, QueueFraction: 0.5}}, Services: []Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}
+	return Plan{
+		ID: "a", Tenants: []Tenant{{Name: "x", Priority: 1, TimeoutMillis: 100, QueueFraction: 0.5}},
+		Services: []Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}},
+	}
 }
 
 // The valid plan is changed in one place at a time; each change is named.
@@ -66,7 +69,9 @@
 	if len(f.List) != 2 {
 		t.Errorf("changes: %v", f.List)
 	}
-	next, f := cur.Apply(Changes{ID: "e", Base: 1, Changes: []Change{{Op: "exclude-server", Name: "m", Server: "10.0.0.1:1"}}})
+	next, f := cur.Apply(Changes{
+		ID: "e", Base: 1, Changes: []Change{{Op: "exclude-server", Name: "m", Server: "10.0.0.1:1"}},
+	})
 	if f.Any() || len(next.Services[0].Exclude) != 1 || len(cur.Services[0].Exclude) != 0 {
 		t.Errorf("exclude: %v %v", f, next)
 	}
@@ -74,7 +79,9 @@
 
 func TestDecodeIsStrict(t *testing.T) {
 	var p Plan
-	for in, want := range map[string]string{`{"tenats":[]}`: "tenats", `{} {}`: "more than one", `{"tenants":3}`: "cannot unmarshal"} {
+	for in, want := range map[string]string{
+		`{"tenats":[]}`: "tenats", `{} {}`: "more than one", `{"tenants":3}`: "cannot unmarshal",
+	} {
 		if f := Decode([]byte(in), &p); len(f.List) != 1 || !strings.Contains(f.List[0], want) {
 			t.Errorf("%s: %v", in, f.List)
 		}
@@ -86,7 +93,13 @@
 }
 
 func TestEveryFaultOfAListIsNamed(t *testing.T) {
-	l := List{Servers: []Server{{Addr: "10.0.0.1:1", Zone: "a", Capacity: 1}, {Addr: "10.0.0.1:1", Zone: "a", Capacity: 1}, {Addr: "host:1", Zone: "", Capacity: 0}}}
+	l := List{
+		Servers: []Server{
+			{Addr: "10.0.0.1:1", Zone: "a", Capacity: 1},
+			{Addr: "10.0.0.1:1", Zone: "a", Capacity: 1},
+			{Addr: "host:1", Zone: "", Capacity: 0},
+		},
+	}
 	if f := l.Validate(); len(f.List) != 4 {
 		t.Errorf("%v", f.List)
 	}
@@ -107,7 +120,8 @@
 	if val, err = EncodePlan(p); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ReadPlan(message.Record{Key: PlanKey, Value: val}); err == nil || !strings.Contains(err.Error(), fmt.Sprintf("format %d", NewestFormat()+1)) {
+	needed := fmt.Sprintf("format %d", NewestFormat()+1)
+	if _, err := ReadPlan(message.Record{Key: PlanKey, Value: val}); err == nil || !strings.Contains(err.Error(), needed) {
 		t.Errorf("needs more: %v", err)
 	}
 	next, f := p.Apply(Changes{ID: "c", Changes: []Change{{Op: "set-needs"}}})
--- a/control/leader/calls_test.go
+++ b/control/leader/calls_test.go
@@ -17,11 +17,18 @@
 // Every call's body, one byte changed at a time, is accepted or found invalid; what
 // is written is always a record that can be read.
 func TestMutatedCallsWriteOnlyReadableRecords(t *testing.T) {
-	plan := fleetconfig.Plan{ID: "p", Tenants: []fleetconfig.Tenant{{Name: "x", Priority: 1, TimeoutMillis: 100, QueueFraction: 0.5}}, Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1, Exclude: []string{"10.0.0.1:1"}}}}
+	plan := fleetconfig.Plan{
+		ID: "p", Tenants: []fleetconfig.Tenant{{Name: "x", Priority: 1, TimeoutMillis: 100, QueueFraction: 0.5}},
+		Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1, Exclude: []string{"10.0.0.1:1"}}},
+	}
 	bodies := map[string][]byte{
-		"plan":    leadercall.Pack(plan),
-		"changes": leadercall.Pack(fleetconfig.Changes{ID: "c", Base: 0, Changes: []fleetconfig.Change{{Op: "set-tenant", Tenant: &plan.Tenants[0]}}}),
-		"servers": leadercall.Pack(ServersCall{"m", fleetconfig.List{Version: 2, Servers: []fleetconfig.Server{{Addr: "10.0.0.1:1", Zone: "a", Capacity: 8}}}}),
+		"plan": leadercall.Pack(plan),
+		"changes": leadercall.Pack(fleetconfig.Changes{
+			ID: "c", Base: 0, Changes: []fleetconfig.Change{{Op: "set-tenant", Tenant: &plan.Tenants[0]}},
+		}),
+		"servers": leadercall.Pack(ServersCall{
+			"m", fleetconfig.List{Version: 2, Servers: []fleetconfig.Server{{Addr: "10.0.0.1:1", Zone: "a", Capacity: 8}}},
+		}),
 		"seat":    leadercall.Pack(ReplicaCall{Out: "a", Ident: "b", Addr: "10.0.0.1:1"}),
 		"claim":   leadercall.Pack(ClaimCall{Key: "t/k", Claim: leadercall.Claim{Request: "r", State: "claimed"}}),
 		"unclaim": leadercall.Pack(ClaimCall{Key: "t/k", Claim: leadercall.Claim{Request: "r", State: "shed"}}),
@@ -85,11 +92,17 @@
 		return response
 	}
 	list := func(v uint64, leaving bool) ServersCall {
-		return ServersCall{"m", fleetconfig.List{Version: v, Servers: []fleetconfig.Server{{Addr: "10.0.0.1:1", Zone: "a", Capacity: 8, Leaving: leaving}}}}
+		return ServersCall{
+			"m",
+			fleetconfig.List{
+				Version: v, Servers: []fleetconfig.Server{{Addr: "10.0.0.1:1", Zone: "a", Capacity: 8, Leaving: leaving}},
+			},
+		}
 	}
 	do("servers", list(1, false))
 	do("servers", list(2, true))
-	if response := do("servers", list(1, false)); response.Result != "beaten" || !fleetconfig.OpenList(read(fleetconfig.ListKey("m"))).Servers[0].Leaving {
+	if response := do("servers", list(1, false)); response.Result != "beaten" ||
+		!fleetconfig.OpenList(read(fleetconfig.ListKey("m"))).Servers[0].Leaving {
 		t.Errorf("an old list brought a leaving server back: %+v", response)
 	}
 	claim := func(req, state string) ClaimCall {
--- a/control/leader/cost_test.go
+++ b/control/leader/cost_test.go
@@ -13,9 +13,18 @@
 // changes came before; what daemons keep of the plan doesn't grow.
 func TestWhatAChangeCosts(t *testing.T) {
 	a := startLeader(t, 0, nil)
-	plan := fleetconfig.Plan{ID: "p", Number: 1, Tenants: []fleetconfig.Tenant{}, Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}
+	plan := fleetconfig.Plan{
+		ID: "p", Number: 1, Tenants: []fleetconfig.Tenant{},
+		Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}},
+	}
 	for i := range 60 {
-		plan.Routes = append(plan.Routes, fleetconfig.Route{Name: fmt.Sprint("r", i), Host: fmt.Sprintf("h%d.example", i), Prefix: "/", Kind: fleetconfig.Safe, GiveUpMillis: 5000, Services: []fleetconfig.Share{{Service: "m", Weight: 1}}})
+		plan.Routes = append(
+			plan.Routes,
+			fleetconfig.Route{
+				Name: fmt.Sprint("r", i), Host: fmt.Sprintf("h%d.example", i), Prefix: "/", Kind: fleetconfig.Safe,
+				GiveUpMillis: 5000, Services: []fleetconfig.Share{{Service: "m", Weight: 1}},
+			},
+		)
 	}
 	no := uint64(0)
 	call := func(op string, body []byte) (group, daemons int) {
@@ -37,7 +46,13 @@
 		for range n {
 			r := plan.Routes[0]
 			r.GiveUpMillis += int(no % 2)
-			g, d := call("changes", leadercall.Pack(fleetconfig.Changes{ID: fmt.Sprintf("%032x", no*0x9E3779B97F4A7C15), Base: no, Number: no + 1, Changes: []fleetconfig.Change{{Op: "set-route", Route: &r}}}))
+			g, d := call(
+				"changes",
+				leadercall.Pack(fleetconfig.Changes{
+					ID: fmt.Sprintf("%032x", no*0x9E3779B97F4A7C15), Base: no, Number: no + 1,
+					Changes: []fleetconfig.Change{{Op: "set-route", Route: &r}},
+				}),
+			)
 			group, daemons = group+g, daemons+d
 		}
 		return group / n, daemons / n
--- a/control/leader/plan_test.go
+++ b/control/leader/plan_test.go
@@ -13,8 +13,15 @@
 // them as with plain ones, and names one that can't be decompressed.
 func TestCompressedCallsDoWhatPlainOnesDo(t *testing.T) {
 	plan := fleetconfig.Plan{
-		ID: "p", Number: 4, Tenants: []fleetconfig.Tenant{}, Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}},
-		Routes: []fleetconfig.Route{{Name: "r", Host: "h", Prefix: "/", Kind: fleetconfig.Safe, GiveUpMillis: 5, Services: []fleetconfig.Share{{Service: "m", Weight: 1}}}},
+		ID: "p", Number: 4, Tenants: []fleetconfig.Tenant{}, Services: []fleetconfig.Service{
+			{Name: "m", PrefillServers: 1, DecodeServers: 1},
+		},
+		Routes: []fleetconfig.Route{
+			{
+				Name: "r", Host: "h", Prefix: "/", Kind: fleetconfig.Safe, GiveUpMillis: 5,
+				Services: []fleetconfig.Share{{Service: "m", Weight: 1}},
+			},
+		},
 	}
 	drop := fleetconfig.Changes{ID: "c", Base: 4, Number: 9, Changes: []fleetconfig.Change{{Op: "drop-route", Name: "r"}}}
 	stored := map[string]message.Record{}
--- a/control/leader/repeats_test.go
+++ b/control/leader/repeats_test.go
@@ -66,7 +66,9 @@
 // So with a replica that is moved away and back, and one that could not be moved at first.
 func TestALateReplicaUndoesNothing(t *testing.T) {
 	l := startLeader(t, 0, nil)
-	replicas := leadercall.Pack([]message.Replica{self, {Ident: "b", Addr: "10.0.0.2:1"}, {Ident: "c", Addr: "10.0.0.3:1"}})
+	replicas := leadercall.Pack([]message.Replica{
+		self, {Ident: "b", Addr: "10.0.0.2:1"}, {Ident: "c", Addr: "10.0.0.3:1"},
+	})
 	job := partition.Job{Keys: []string{fleetconfig.ReplicaKey}, Build: func(lease.RecordSource) ([]message.Record, any) {
 		return []message.Record{{Key: fleetconfig.ReplicaKey, Value: replicas}}, nil
 	}}
--- a/control/leader/replicas_test.go
+++ b/control/leader/replicas_test.go
@@ -24,7 +24,9 @@
 func (h reportedHealth) IsTerminating(id string) bool { return slices.Contains(h.terminating, id) }
 
 func (h reportedHealth) MayLeave(_ time.Duration, id string) bool {
-	return len(h.silent)+len(h.missing)+len(h.lost) == 0 || slices.Equal(slices.Concat(h.silent, h.missing, h.lost), []string{id})
+	return len(h.silent)+len(h.missing)+len(h.lost) == 0 || slices.Equal(
+		slices.Concat(h.silent, h.missing, h.lost), []string{id},
+	)
 }
 
 // controlDaemons lists daemons named after their zone and number, at an address each.
@@ -46,7 +48,9 @@
 // learner: from the zone with the fewest replicas, never its own replica,
 // and only by a learner that is ready. Else nothing is done.
 func TestWhichReplicaIsReplacedByWhichLearner(t *testing.T) {
-	successor := append(controlDaemons("a1", "b1", "x9"), message.Member{Ident: "n", Addr: "at-c1", Zone: "c", HasDisk: true})
+	successor := append(
+		controlDaemons("a1", "b1", "x9"), message.Member{Ident: "n", Addr: "at-c1", Zone: "c", HasDisk: true},
+	)
 	for name, test := range map[string]struct {
 		replicas []string
 		daemons  []message.Member
@@ -96,7 +100,9 @@
 		},
 		"the lost before the terminating": {
 			replicas: []string{"a1", "b1", "c1"}, daemons: controlDaemons("a1", "b1", "c2"),
-			health: reportedHealth{ready: []string{"c2"}, terminating: []string{"b1"}, lost: []string{"c1"}}, out: "c1", in: "c2",
+			health: reportedHealth{
+				ready: []string{"c2"}, terminating: []string{"b1"}, lost: []string{"c1"},
+			}, out: "c1", in: "c2",
 		},
 		"terminating, another silent": {
 			replicas: []string{"a1", "b1", "c1"}, daemons: controlDaemons("a1", "b1", "c2"),
@@ -104,11 +110,15 @@
 		},
 		"terminating, another missing": {
 			replicas: []string{"a1", "b1", "c1"}, daemons: controlDaemons("a1", "b1", "c2"),
-			health: reportedHealth{ready: []string{"c2"}, terminating: []string{"b1"}, missing: []string{"c1"}}, out: "c1", in: "c2",
+			health: reportedHealth{
+				ready: []string{"c2"}, terminating: []string{"b1"}, missing: []string{"c1"},
+			}, out: "c1", in: "c2",
 		},
 		"terminating, and missing": {
 			replicas: []string{"a1", "b1", "c1"}, daemons: controlDaemons("a1", "b1", "c1", "c2"),
-			health: reportedHealth{ready: []string{"c2"}, terminating: []string{"c1"}, missing: []string{"c1"}}, out: "c1", in: "c2",
+			health: reportedHealth{
+				ready: []string{"c2"}, terminating: []string{"c1"}, missing: []string{"c1"},
+			}, out: "c1", in: "c2",
 		},
 		"the zone with the fewest replicas": {
 			replicas: []string{"a1", "a2", "b1", "b2", "c1"}, daemons: controlDaemons("a1", "a2", "a3", "b1", "b2", "b3", "c2"),
--- a/control/leader/stored_test.go
+++ b/control/leader/stored_test.go
@@ -47,7 +47,9 @@
 
 // Keys of records that only a leader writes stay.
 func TestStoredKeysStay(t *testing.T) {
-	for key, want := range map[string]string{pastCallsKey: "calls/done", OnceKey("express/k-17"): "once/express/k-17", quorum.FloorKey: "floor/once"} {
+	for key, want := range map[string]string{
+		pastCallsKey: "calls/done", OnceKey("express/k-17"): "once/express/k-17", quorum.FloorKey: "floor/once",
+	} {
 		if key != want {
 			t.Errorf("%q was %q", key, want)
 		}
@@ -93,8 +95,16 @@
 // Every call, by its name, with its body as it is sent by other builds, has the same answer and writes the same records.
 func TestCallsKeepTheirAnswersAndRecords(t *testing.T) {
 	config := &transcript{testLeader: startLeader(t, 0, nil)}
-	plan := fleetconfig.Plan{ID: "p1", Tenants: []fleetconfig.Tenant{}, Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}
-	changes := fleetconfig.Changes{ID: "c1", Base: 1, Changes: []fleetconfig.Change{{Op: "set-service", Service: &fleetconfig.Service{Name: "n", PrefillServers: 1, DecodeServers: 1}}}}
+	plan := fleetconfig.Plan{
+		ID: "p1", Tenants: []fleetconfig.Tenant{},
+		Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}},
+	}
+	changes := fleetconfig.Changes{
+		ID: "c1", Base: 1,
+		Changes: []fleetconfig.Change{
+			{Op: "set-service", Service: &fleetconfig.Service{Name: "n", PrefillServers: 1, DecodeServers: 1}},
+		},
+	}
 	packed, err := fleetconfig.EncodeCall(changes)
 	if err != nil {
 		t.Fatal(err)
@@ -128,7 +138,9 @@
 
 	service := &transcript{testLeader: startLeader(t, 1, nil)}
 	servers := func(version int, addr string) []byte {
-		return []byte(fmt.Sprintf(`{"Service":"m","List":{"version":%d,"servers":[{"addr":%q,"capacity":8}]}}`, version, addr))
+		return []byte(fmt.Sprintf(
+			`{"Service":"m","List":{"version":%d,"servers":[{"addr":%q,"capacity":8}]}}`, version, addr,
+		))
 	}
 	once := func(request, state string) []byte {
 		return []byte(fmt.Sprintf(`{"Key":"t/k","Claim":{"request":%q,"daemon":"d","state":%q}}`, request, state))
--- a/control/leader/unreadable_test.go
+++ b/control/leader/unreadable_test.go
@@ -23,10 +23,14 @@
 		val, ok := stored[key]
 		return message.Record{Key: key, Value: val, Deleted: !ok, Version: message.Version{Term: 3, Seq: 9}}
 	}
-	plan := fleetconfig.Plan{ID: "p", Base: 4, Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}
+	plan := fleetconfig.Plan{
+		ID: "p", Base: 4, Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}},
+	}
 	for op, body := range map[string][]byte{
-		"plan":     leadercall.Pack(plan),
-		"changes":  leadercall.Pack(fleetconfig.Changes{ID: "c", Base: 4, Changes: []fleetconfig.Change{{Op: "drop-route", Name: "r"}}}),
+		"plan": leadercall.Pack(plan),
+		"changes": leadercall.Pack(fleetconfig.Changes{
+			ID: "c", Base: 4, Changes: []fleetconfig.Change{{Op: "drop-route", Name: "r"}},
+		}),
 		"evacuate": []byte("south"),
 		"return":   []byte("north"),
 		"seat":     leadercall.Pack(ReplicaCall{Out: "a", Ident: "b", Addr: "10.0.0.1:1"}),
@@ -34,13 +38,17 @@
 		"unclaim":  leadercall.Pack(ClaimCall{Key: "t/k", Claim: leadercall.Claim{Request: "r", State: "shed"}}),
 	} {
 		recs, answer, panicked := carriedOut(op, body, read)
-		if response, ok := answer.(leadercall.Response); panicked != nil || !ok || response.Result != "not clear" || len(recs) > 0 {
+		if response, ok := answer.(leadercall.Response); panicked != nil || !ok || response.Result != "not clear" ||
+			len(recs) > 0 {
 			t.Errorf("%s: wrote %d records, answered %+v, panicked with %v", op, len(recs), answer, panicked)
 		}
 	}
-	list := ServersCall{"m", fleetconfig.List{Version: 2, Servers: []fleetconfig.Server{{Addr: "10.0.0.1:1", Zone: "a", Capacity: 8}}}}
+	list := ServersCall{
+		"m", fleetconfig.List{Version: 2, Servers: []fleetconfig.Server{{Addr: "10.0.0.1:1", Zone: "a", Capacity: 8}}},
+	}
 	recs, answer, panicked := carriedOut("servers", leadercall.Pack(list), read)
-	if response, ok := answer.(leadercall.Response); panicked != nil || len(recs) != 1 || !ok || response.Result != responseDone.Result {
+	if response, ok := answer.(leadercall.Response); panicked != nil || len(recs) != 1 || !ok ||
+		response.Result != responseDone.Result {
 		t.Errorf("a list: wrote %d records, answered %+v, panicked with %v", len(recs), answer, panicked)
 	}
 }
@@ -49,17 +57,22 @@
 // as nobody knows whether it was before.
 func TestAnOrderWhoseRecordCanNotBeRead(t *testing.T) {
 	read := func(key string) message.Record {
-		return message.Record{Key: key, Value: []byte("{}"), Deleted: key != pastCallsKey, Version: message.Version{Term: 3, Seq: 9}}
+		return message.Record{
+			Key: key, Value: []byte("{}"), Deleted: key != pastCallsKey, Version: message.Version{Term: 3, Seq: 9},
+		}
 	}
 	recs, answer, panicked := carriedOut("evacuate", []byte("south"), read)
-	if response, ok := answer.(leadercall.Response); panicked != nil || !ok || response.Result != "not clear" || len(recs) > 0 {
+	if response, ok := answer.(leadercall.Response); panicked != nil || !ok || response.Result != "not clear" ||
+		len(recs) > 0 {
 		t.Errorf("wrote %d records, answered %+v, panicked with %v", len(recs), answer, panicked)
 	}
 }
 
 // carriedOut runs a call's write on some records; panicked is what stopped it, if
 // anything did.
-func carriedOut(op string, body []byte, read func(string) message.Record) (recs []message.Record, answer, panicked any) {
+func carriedOut(
+	op string, body []byte, read func(string) message.Record,
+) (recs []message.Record, answer, panicked any) {
 	defer func() { panicked = recover() }()
 	r := newRequest()
 	r.id, r.orders = "d#1/1", &recentOrders{}
--- a/control/leadercall/leadercall_test.go
+++ b/control/leadercall/leadercall_test.go
@@ -9,7 +9,9 @@
 )
 
 var (
-	cfg       = Config{TryTimeout: 400 * time.Millisecond, RetryInterval: 25 * time.Millisecond, RetryAfter: 2 * time.Second}
+	cfg = Config{
+		TryTimeout: 400 * time.Millisecond, RetryInterval: 25 * time.Millisecond, RetryAfter: 2 * time.Second,
+	}
 	leader    = message.Replica{Ident: "o", Addr: "10.0.0.1:1"}
 	newLeader = message.Replica{Ident: "p", Addr: "10.0.0.2:1"}
 )
@@ -99,7 +101,10 @@
 	}
 	a, b, c := first.Sends[0].Message.AsCall(), again.Sends[0].Message.AsCall(), other.Sends[0].Message.AsCall()
 	if a.CallID == 0 || a.CallID != b.CallID || a.RequestID == b.RequestID || a.CallID == c.CallID {
-		t.Errorf("tries go as %d/%d and %d/%d, another call as %d/%d", a.CallID, a.RequestID, b.CallID, b.RequestID, c.CallID, c.RequestID)
+		t.Errorf(
+			"tries go as %d/%d and %d/%d, another call as %d/%d", a.CallID, a.RequestID, b.CallID, b.RequestID, c.CallID,
+			c.RequestID,
+		)
 	}
 }
 
@@ -119,7 +124,8 @@
 		t.Fatalf("ended: %+v", out.Results)
 	}
 	out = calls.Tick(2*time.Millisecond, knownLeader(leader))
-	if len(out.Sends) != 1 || out.Sends[0].Message.AsCall().Basis != basis || out.Sends[0].Message.AsCall().CallID != first.CallID {
+	if len(out.Sends) != 1 || out.Sends[0].Message.AsCall().Basis != basis ||
+		out.Sends[0].Message.AsCall().CallID != first.CallID {
 		t.Fatalf("the second try: %+v", out.Sends)
 	}
 	second := out.Sends[0].Message.RequestID
@@ -151,7 +157,8 @@
 	if ended := calls.Step(time.Second, answer(newLeader, mine.RequestID, 200)).Results; len(ended) > 0 {
 		t.Errorf("the answer of another daemon ended %+v", ended)
 	}
-	if ended := calls.Step(time.Second, answer(leader, mine.RequestID, 200)).Results; len(ended) != 1 || ended[0].CallID != id {
+	ended := calls.Step(time.Second, answer(leader, mine.RequestID, 200)).Results
+	if len(ended) != 1 || ended[0].CallID != id {
 		t.Errorf("its own answer ended %+v", ended)
 	}
 }
@@ -179,7 +186,8 @@
 	first = out.Sends[0].Message.RequestID
 	calls.Tick(500*time.Millisecond, knownLeader(newLeader))
 	calls.Step(600*time.Millisecond, answer(leader, first, StatusUncertain))
-	if response := onlyResponse(t, calls.Tick(5*time.Second, knownLeader(newLeader)).Results); response.Result != "uncertain" {
+	out = calls.Tick(5*time.Second, knownLeader(newLeader))
+	if response := onlyResponse(t, out.Results); response.Result != "uncertain" {
 		t.Errorf("without a later answer: %+v", response)
 	}
 }
--- a/control/leadercall/stored_test.go
+++ b/control/leadercall/stored_test.go
@@ -20,7 +20,9 @@
 
 // The status codes that daemons of other builds understand stay.
 func TestStatusCodesStay(t *testing.T) {
-	for code, want := range map[int]int{StatusNotLeader: 421, StatusUncertain: 504, StatusNotDone: 503, StatusBehind: 425} {
+	for code, want := range map[int]int{
+		StatusNotLeader: 421, StatusUncertain: 504, StatusNotDone: 503, StatusBehind: 425,
+	} {
 		if code != want {
 			t.Errorf("code %d was %d", code, want)
 		}
@@ -48,7 +50,13 @@
 	leaderOf := knownLeader(leader)
 	_, out := calls.Start(0, leader, 5, "servers", []byte(`{"body":1}`), time.Hour, false)
 	first := frame("call.msgp", out.Sends)
-	calls.Step(time.Millisecond, message.Message{Kind: message.KindCallResult, From: leader.Ident, ResponseTo: first.RequestID, Status: 425, Version: message.Version{Term: 2, Seq: 9}})
+	calls.Step(
+		time.Millisecond,
+		message.Message{
+			Kind: message.KindCallResult, From: leader.Ident, ResponseTo: first.RequestID, Status: 425,
+			Version: message.Version{Term: 2, Seq: 9},
+		},
+	)
 	frame("call-again.msgp", calls.Tick(2*time.Millisecond, leaderOf).Sends)
 	_, out = calls.Start(0, leader, 5, "want", []byte(`{}`), time.Hour, true)
 	frame("call-once.msgp", out.Sends)
--- a/control/placement/balance_test.go
+++ b/control/placement/balance_test.go
@@ -28,7 +28,10 @@
 }
 
 func newListedFleet(t *testing.T, prefillServers, decodeServers int, plan fleetconfig.Service) *listedFleet {
-	s := &listedFleet{t: t, cfg: cfg, serverRecords: map[string]ServerRecord{}, pressure: map[string]Pressure{}, later: map[time.Duration][]func(){}}
+	s := &listedFleet{
+		t: t, cfg: cfg, serverRecords: map[string]ServerRecord{}, pressure: map[string]Pressure{},
+		later: map[time.Duration][]func(){},
+	}
 	s.cfg.ListedDwell, s.cfg.PressWindow = 3*time.Second, 400*time.Millisecond
 	for i := range prefillServers + decodeServers {
 		s.add(map[bool]string{true: Prefill, false: Decode}[i < prefillServers], false)
@@ -54,7 +57,12 @@
 
 func (s *listedFleet) add(role string, warming bool) string {
 	id := fmt.Sprintf("s%d", len(s.list))
-	s.list = append(s.list, fleetconfig.Server{ID: id, Addr: fmt.Sprintf("10.0.0.%d:1", len(s.list)+1), Zone: "a", Capacity: 8, Role: role, Warming: warming})
+	s.list = append(
+		s.list,
+		fleetconfig.Server{
+			ID: id, Addr: fmt.Sprintf("10.0.0.%d:1", len(s.list)+1), Zone: "a", Capacity: 8, Role: role, Warming: warming,
+		},
+	)
 	return id
 }
 
@@ -71,7 +79,9 @@
 		for _, f := range s.later[s.now] {
 			f()
 		}
-		s.controller.LoadService(s.now, "m", fleetconfig.List{Servers: append([]fleetconfig.Server(nil), s.list...)}, s.serverRecords)
+		s.controller.LoadService(
+			s.now, "m", fleetconfig.List{Servers: append([]fleetconfig.Server(nil), s.list...)}, s.serverRecords,
+		)
 		o := s.controller.Reconcile(s.now)
 		s.polls += len(o.Polls)
 		for _, w := range o.Writes {
@@ -167,7 +177,9 @@
 		s.run(time.Second)
 		id := s.add(test.comes, test.warming)
 		s.run(200 * time.Millisecond)
-		if n := len(s.orders); n != map[bool]int{true: 1, false: 0}[test.comes != test.want] || n > 0 && (s.orders[0].ID != id || s.orders[0].Role != test.want) {
+		wantOrders := map[bool]int{true: 1, false: 0}[test.comes != test.want]
+		isOther := len(s.orders) > 0 && (s.orders[0].ID != id || s.orders[0].Role != test.want)
+		if len(s.orders) != wantOrders || isOther {
 			t.Errorf("%+v: orders %+v", test, s.orders)
 		}
 		if b := s.serverRecord(id); b.Role != test.want || b.Status == Up && test.warming {
@@ -201,7 +213,10 @@
 		s.pressure[test.press] = test.strain
 		s.run(60 * time.Second)
 		if s.countInUse(Prefill) != test.prefillServers || s.countInUse(Decode) != test.all-test.prefillServers {
-			t.Errorf("%s pressed, plan %+v: %d prefill servers, %d decode servers", test.press, test.plan, s.countInUse(Prefill), s.countInUse(Decode))
+			t.Errorf(
+				"%s pressed, plan %+v: %d prefill servers, %d decode servers", test.press, test.plan, s.countInUse(Prefill),
+				s.countInUse(Decode),
+			)
 		}
 		if len(s.shifts) == 0 || s.shifts[0]-from < s.cfg.PressWindow || s.shifts[0]-from > 4*s.cfg.PressWindow {
 			t.Errorf("%s pressed from %v on: shifts at %v", test.press, from, s.shifts)
@@ -299,6 +314,9 @@
 	n := len(s.orders)
 	s.run(60 * time.Second)
 	if s.countInUse(Prefill) != 4 || s.countInUse(Decode) != 2 || len(s.orders) != n {
-		t.Errorf("followed: %d prefill servers, %d decode servers, %d orders more", s.countInUse(Prefill), s.countInUse(Decode), len(s.orders)-n)
+		t.Errorf(
+			"followed: %d prefill servers, %d decode servers, %d orders more", s.countInUse(Prefill), s.countInUse(Decode),
+			len(s.orders)-n,
+		)
 	}
 }
--- a/control/placement/placement_test.go
+++ b/control/placement/placement_test.go
@@ -27,7 +27,10 @@
 }
 
 // drive runs the controller against perfect servers and returns the orders seen.
-func drive(c *Controller, list fleetconfig.List, from, to time.Duration, serverRecords map[string]ServerRecord, active func(string) int) (orders []Order, at []time.Duration) {
+func drive(
+	c *Controller, list fleetconfig.List, from, to time.Duration, serverRecords map[string]ServerRecord,
+	active func(string) int,
+) (orders []Order, at []time.Duration) {
 	for now := from; now < to; now += 50 * time.Millisecond {
 		c.LoadService(now, "m", list, serverRecords)
 		o := c.Reconcile(now)
--- a/control/placement/stored_test.go
+++ b/control/placement/stored_test.go
@@ -8,7 +8,10 @@
 )
 
 func completeServerRecord() ServerRecord {
-	return ServerRecord{Addr: "10.0.0.1:9000", Zone: "north", Capacity: 8, Role: Prefill, NextRole: Decode, Status: Leaving, Pairs: []string{"10.0.0.2:9000"}}
+	return ServerRecord{
+		Addr: "10.0.0.1:9000", Zone: "north", Capacity: 8, Role: Prefill, NextRole: Decode, Status: Leaving,
+		Pairs: []string{"10.0.0.2:9000"},
+	}
 }
 
 // Server records, and what daemons and servers say to the controller, are the JSON that earlier builds wrote.
@@ -20,12 +23,22 @@
 			return record, err
 		},
 	})
-	golden.Check(t, "usage.json", Usage{Active: 3, Queued: 2, UptimeMillis: 90000, Leaving: true, Warming: true, LinkMillis: map[string]int{"10.0.0.2:9000": 12}}, golden.JSON[Usage]())
+	golden.Check(
+		t, "usage.json",
+		Usage{
+			Active: 3, Queued: 2, UptimeMillis: 90000, Leaving: true, Warming: true,
+			LinkMillis: map[string]int{"10.0.0.2:9000": 12},
+		},
+		golden.JSON[Usage](),
+	)
 	golden.Check(t, "demand.json", Demand{
 		Service: "timetable", AckedShare: 7, Prefill: [10]int{1, 2, 3, 4, 5, 6, 7, 8, 9, 10}, Decode: [10]int{10, 9, 8, 7, 6, 5, 4, 3, 2, 1},
 		InFlight: map[string]int{"10.0.0.1:9000": 2}, Failures: map[string]int{"10.0.0.2:9000": 1}, PrefixHits: map[string]int{"10.0.0.3:9000": 4},
 	}, golden.JSON[Demand]())
-	golden.Check(t, "share.json", Share{Number: 1<<32 | 5, Length: 750000000, Slots: map[string]int{"10.0.0.1:9000": 4}}, golden.JSON[Share]())
+	golden.Check(
+		t, "share.json", Share{Number: 1<<32 | 5, Length: 750000000, Slots: map[string]int{"10.0.0.1:9000": 4}},
+		golden.JSON[Share](),
+	)
 	golden.Check(t, "order.json", Order{Role: Decode, Term: 4, Number: 17, Reason: "shift"}, golden.JSON[Order]())
 	golden.Check(t, "row.json", Row{
 		ServerRecord: completeServerRecord(), Service: "timetable", Active: 3, Utilization: 0.5, Failures: 1, Slots: 8, Granted: 4, Withdrawn: true,
@@ -34,7 +47,9 @@
 
 // Words that stand in stored data and in orders stay.
 func TestStoredNamesStay(t *testing.T) {
-	for name, want := range map[string]string{Prefill: "reader", Decode: "maker", Warming: "warming", Up: "up", Dark: "dark", Leaving: "leaving"} {
+	for name, want := range map[string]string{
+		Prefill: "reader", Decode: "maker", Warming: "warming", Up: "up", Dark: "dark", Leaving: "leaving",
+	} {
 		if name != want {
 			t.Errorf("%q was %q", name, want)
 		}
--- a/control/placement/vacant_test.go
+++ b/control/placement/vacant_test.go
@@ -31,7 +31,10 @@
 		leave(s, test.leave)
 		s.run(20 * time.Second)
 		if s.countInUse(Prefill) != test.wantPrefill || s.countInUse(Decode) != test.wantDecode {
-			t.Errorf("%s leaves: %d prefill and %d decode servers in use, expected %d and %d; orders %v", test.name, s.countInUse(Prefill), s.countInUse(Decode), test.wantPrefill, test.wantDecode, s.orders)
+			t.Errorf(
+				"%s leaves: %d prefill and %d decode servers in use, expected %d and %d; orders %v", test.name,
+				s.countInUse(Prefill), s.countInUse(Decode), test.wantPrefill, test.wantDecode, s.orders,
+			)
 		}
 	}
 }
