--- a/proof/standin/mutants/answers.sh
+++ b/proof/standin/mutants/answers.sh
@@ -15,8 +15,8 @@
 mutant unsafe-resent platform $spoilt traffic/forward/request.go 'last.Known == attempt.Lost && last.Phase == attempt.Decode && !r.Repeatable' 'last.Known == attempt.Lost && last.Phase == attempt.Decode && !r.Repeatable && r.arrivedAt < 0'
 mutant reset-is-not-sent platform $spoilt $exchange 's.n == 0 && s.err != nil' 's.n >= 0'
 mutant whole-when-reset platform $spoilt platform/answer.go 'a.whole = err == io.EOF
-		return nil, "", err' 'a.whole = err == io.EOF
-		return nil, "", io.EOF'
+	return nil, "", err' 'a.whole = err == io.EOF
+	return nil, "", io.EOF'
 mutant id-twice platform TestAnAnswerToAnEarlierSendOfTheSameRequest platform/conn.go ' && !c.carried(n.id)' ''
 mutant shared-order platform TestAnOrderTakesNoOtherAnswer platform/order.go 'need{own: true}' 'need{}'
 mutant forgets-again platform TestAServerThatForgetsIdleConnections $exchange 'if c.used && ctx.Err() == nil' 'if c.used && ctx.Err() != nil'
--- a/traffic/forward/admission.go
+++ b/traffic/forward/admission.go
@@ -36,7 +36,7 @@
 func (d *Dispatcher) wait(now time.Duration, r *pendingRequest, why string) Decision {
 	until := min(max(r.arrivedAt, r.sentAt)+d.cfg.MaxWait, r.Deadline)
 	if now >= until {
-		return d.giveUp(now, r, why)
+		return d.giveUp(r, why)
 	}
 	return Decision{Action: Wait, Until: until, Reason: why}
 }
--- a/traffic/forward/dispatcher.go
+++ b/traffic/forward/dispatcher.go
@@ -147,6 +147,12 @@
 		return true
 	}
 	d.generations, d.complete = gen, false
+	return d.readServers(now)
+}
+
+// readServers reads list, zones and records of the servers; false: not all stand
+// under valid leases now.
+func (d *Dispatcher) readServers(now time.Duration) bool {
 	clear(d.servable)
 	d.sortedKeys = nil
 	listed, okList := d.source.Read(d.partition, fleetconfig.ListKey(d.service))
@@ -155,32 +161,47 @@
 		d.validUntil = 0
 		return false
 	}
-	out := fleetconfig.OpenZones(zones)
+	zonesOut := fleetconfig.OpenZones(zones)
 	for i, s := range d.readList(listed) {
-		if s.Leaving || out[s.Zone] {
-			continue
-		}
-		rec, ok := d.source.Read(d.partition, d.recordKeys[i+1])
-		if !ok {
-			continue
-		}
-		b := d.readRecord(rec)
-		if s.Role != "" && s.Role != b.Role { // the list says that it has not taken its role yet
+		if s.Leaving || zonesOut[s.Zone] {
 			continue
 		}
-		if !b.ok || b.NextRole != "" || b.Status != placement.Up && b.Status != placement.Warming {
-			continue
+		if server, ok := d.readServer(s, d.recordKeys[i+1]); ok {
+			d.servable[server.Key] = server
 		}
-		d.servable[s.Key()] = Server{Key: s.Key(), Addr: s.Addr, Zone: s.Zone, Part: b.Role, Slots: s.Capacity, Warming: b.Status == placement.Warming}
 	}
 	d.sortedKeys = slices.Sorted(maps.Keys(d.servable))
+	d.forgetStats(now)
+	d.complete = true
+	return true
+}
+
+// readServer reads the record of a listed server; false: it may not be used now.
+func (d *Dispatcher) readServer(listed fleetconfig.Server, recordKey string) (Server, bool) {
+	rec, ok := d.source.Read(d.partition, recordKey)
+	if !ok {
+		return Server{}, false
+	}
+	r := d.readRecord(rec)
+	if listed.Role != "" && listed.Role != r.Role { // the list says that it has not taken its role yet
+		return Server{}, false
+	}
+	if !r.ok || r.NextRole != "" || r.Status != placement.Up && r.Status != placement.Warming {
+		return Server{}, false
+	}
+	return Server{
+		Key: listed.Key(), Addr: listed.Addr, Zone: listed.Zone, Part: r.Role,
+		Slots: listed.Capacity, Warming: r.Status == placement.Warming,
+	}, true
+}
+
+// forgetStats drops what is known of servers that were not servable for long.
+func (d *Dispatcher) forgetStats(now time.Duration) {
 	for key, st := range d.stats {
 		if _, ok := d.servable[key]; !ok && st.inFlight == 0 && now-st.seenAt > 10*d.cfg.RetryWindow {
 			delete(d.stats, key)
 		}
 	}
-	d.complete = true
-	return true
 }
 
 func (d *Dispatcher) statsOf(key string) *serverStats {
--- a/traffic/forward/request.go
+++ b/traffic/forward/request.go
@@ -66,25 +66,8 @@
 
 // decide derives the next decision from what is known of the attempts.
 func (d *Dispatcher) decide(now time.Duration, r *pendingRequest) Decision {
-	if n := len(r.attempts.Attempts); n > 0 && r.attempts.Attempts[n-1].Known == attempt.Ended {
-		return d.finish(now, r, Done, "") // even if its time is up by now
-	}
-	if now >= r.Deadline {
-		return d.giveUp(now, r, "its time is up")
-	}
-	if n := len(r.attempts.Attempts); n > 0 {
-		last := r.attempts.Attempts[n-1]
-		switch {
-		case last.Known == attempt.First && !(r.Resumable && r.Repeatable):
-			return d.finish(now, r, Break, last.Why)
-		case last.Known == attempt.Lost && last.Phase == attempt.Decode && !r.Repeatable:
-			return d.finish(now, r, Unknown, last.Why)
-		case last.Known == attempt.NotSent && n > 2*r.maxAttempts():
-			return d.giveUp(now, r, last.Why)
-		}
-	}
-	if r.countedSends > 0 && (r.countedSends >= r.maxAttempts() || !d.retries.Has(now)) {
-		return d.giveUp(now, r, "no further try to spare after: "+r.attempts.Attempts[len(r.attempts.Attempts)-1].Why)
+	if m, final := d.decideByAttempts(now, r); final {
+		return m
 	}
 	if !d.refreshServers(now) || len(d.servable) == 0 {
 		return d.wait(now, r, "no valid leases here")
@@ -94,16 +77,49 @@
 		return d.wait(now, r, "no server to go to")
 	}
 	if !d.canMeetTarget(now, r) {
-		return d.giveUp(now, r, "it can't be in time: the servers have too much under way")
+		return d.giveUp(r, "it can't be in time: the servers have too much under way")
 	}
-	again := r.countedSends > 0 || m.Action == Prefill && r.prefillAccepted
-	if again && !d.takeRetry(now) {
-		return d.giveUp(now, r, "no further try to spare")
+	isRetry := r.countedSends > 0 || m.Action == Prefill && r.prefillAccepted
+	if isRetry && !d.takeRetry(now) {
+		return d.giveUp(r, "no further try to spare")
 	}
-	r.isRetry = again
+	r.isRetry = isRetry
 	return d.startAttempt(now, r, m)
 }
 
+// decideByAttempts ends a request whose attempts and deadline leave nothing to do;
+// final is false if another attempt may be made.
+func (d *Dispatcher) decideByAttempts(now time.Duration, r *pendingRequest) (m Decision, final bool) {
+	last, n := r.lastAttempt()
+	switch {
+	case n > 0 && last.Known == attempt.Ended:
+		return d.finish(r, Done, ""), true // even if its time is up by now
+	case now >= r.Deadline:
+		return d.giveUp(r, "its time is up"), true
+	case n == 0:
+	case last.Known == attempt.First && !(r.Resumable && r.Repeatable):
+		return d.finish(r, Break, last.Why), true
+	case last.Known == attempt.Lost && last.Phase == attempt.Decode && !r.Repeatable:
+		return d.finish(r, Unknown, last.Why), true
+	case last.Known == attempt.NotSent && n > 2*r.maxAttempts():
+		return d.giveUp(r, last.Why), true
+	}
+	if r.countedSends > 0 && (r.countedSends >= r.maxAttempts() || !d.retries.Has(now)) {
+		return d.giveUp(r, "no further try to spare after: "+last.Why), true
+	}
+	return Decision{}, false
+}
+
+// lastAttempt is the last attempt, and how many there were.
+func (r *pendingRequest) lastAttempt() (last attempt.Attempt, n int) {
+	n = len(r.attempts.Attempts)
+	if n > 0 {
+		last = r.attempts.Attempts[n-1]
+	}
+	return last, n
+}
+
+// startAttempt opens an attempt at the server that was picked, and counts it.
 func (d *Dispatcher) startAttempt(now time.Duration, r *pendingRequest, m Decision) Decision {
 	r.attemptNumber++
 	r.server, r.sentAt = m.Server, now
@@ -348,21 +364,22 @@
 		d.callEnded(now, r, Blocked)
 	}
 	d.counts.Abandoned++
-	return d.release(now, r, Decision{Action: Break, Reason: "the client went away"})
+	return d.release(r, Decision{Action: Break, Reason: "the client went away"})
 }
 
 // giveUp is the last decision where nothing more is to be tried.
-func (d *Dispatcher) giveUp(now time.Duration, r *pendingRequest, why string) Decision {
+func (d *Dispatcher) giveUp(r *pendingRequest, why string) Decision {
 	switch {
 	case r.streamStarted:
-		return d.finish(now, r, Break, why)
+		return d.finish(r, Break, why)
 	case r.attempts.Ran():
-		return d.finish(now, r, Unknown, why)
+		return d.finish(r, Unknown, why)
 	}
-	return d.finish(now, r, Refuse, why)
+	return d.finish(r, Refuse, why)
 }
 
-func (d *Dispatcher) finish(now time.Duration, r *pendingRequest, k Action, why string) Decision {
+// finish counts a final decision and ends the request.
+func (d *Dispatcher) finish(r *pendingRequest, k Action, why string) Decision {
 	switch k {
 	case Done:
 		d.counts.Served++
@@ -373,10 +390,11 @@
 	case Break:
 		d.counts.Broken++
 	}
-	return d.release(now, r, Decision{Action: k, Reason: why, RetryAfter: d.cfg.RetryAfter})
+	return d.release(r, Decision{Action: k, Reason: why, RetryAfter: d.cfg.RetryAfter})
 }
 
-func (d *Dispatcher) release(now time.Duration, r *pendingRequest, m Decision) Decision {
+// release forgets the request and hands back the KV caches that nobody took up.
+func (d *Dispatcher) release(r *pendingRequest, m Decision) Decision {
 	delete(d.pending, r.ID)
 	d.checkBalance()
 	m.Trace = r.trace
