--- a/proof/modelcheck/copy.go
+++ b/proof/modelcheck/copy.go
@@ -123,7 +123,7 @@
 	case reflect.Struct:
 		out.Set(v)
 		if v.Type() == typeRecords { // the model has one key: no other range is ever written
-			maps, old := settable(out.FieldByName("recs")), settable(v.FieldByName("recs"))
+			maps, old := settable(out.FieldByName("records")), settable(v.FieldByName("records"))
 			maps.Index(span).Set(c.value(old.Index(span)))
 			return
 		}
@@ -275,7 +275,7 @@
 func (h *hasher) fields(v reflect.Value) {
 	t := v.Type()
 	if t == typeRecords {
-		h.value(v.FieldByName("digs").Index(span))
+		h.value(v.FieldByName("digests").Index(span))
 		return
 	}
 	for _, i := range hashFields(t) {
