--- a/control/lease/config.go
+++ b/control/lease/config.go
@@ -24,7 +24,8 @@
 func (c Config) minRenewGap() time.Duration { return c.RenewInterval / 16 }
 
 // patience is for how long a renewal may be unanswered before records are served
-// without a lease (see LastKnown), and a node may stand still without notice.
+// without a lease (see LastKnown), and between two ticks of a node that is not taken to
+// have stood still.
 func (c Config) patience() time.Duration { return c.RenewInterval / 2 }
 
 // leaseListGap is the least time between two lease lists: two that overlap would
@@ -35,14 +36,14 @@
 // child has it sent again: the acknowledgement may just have been overtaken.
 func (c Config) resendGap() time.Duration { return c.RenewInterval / 4 }
 
-// sweepInterval is the time between two looks through the children.
-func (c Config) sweepInterval() time.Duration { return c.RenewInterval / 4 }
+// childCheckInterval is the time between two scans of the children.
+func (c Config) childCheckInterval() time.Duration { return c.RenewInterval / 4 }
 
 // refreshAhead is how long before the end of its object lease a record is asked for
 // again.
 func (c Config) refreshAhead() time.Duration { return c.ObjectLease / 4 }
 
-// recordCheckInterval is the time between two looks through the records.
+// recordCheckInterval is the time between two scans of the cached records.
 func (c Config) recordCheckInterval() time.Duration {
 	return min(c.ObjectLease/64, 4*c.RenewInterval)
 }
--- a/control/lease/downstream.go
+++ b/control/lease/downstream.go
@@ -18,7 +18,7 @@
 type downstream struct {
 	sequence  uint64            // numbers all messages to children, so that they can drop late ones
 	children  map[string]*child // by childID
-	lastCheck time.Duration     // when the children were last looked through
+	lastCheck time.Duration     // when the children were last scanned
 	// waiting are, for a key, the children that wait for the record, with the version
 	// that each holds.
 	waiting map[string]map[string]message.Version
@@ -283,9 +283,10 @@
 	}
 }
 
-// checkChildren looks through the children for those that wait in vain or are lost.
+// checkChildren denies renewals that have waited too long, and forgets children that
+// are lost.
 func (n *Node) checkChildren(now time.Duration, out *Out) {
-	if now-n.downstream.lastCheck < n.cfg.sweepInterval() { // the tables are long, and nothing here is urgent
+	if now-n.downstream.lastCheck < n.cfg.childCheckInterval() { // the tables are long, and nothing here is urgent
 		return
 	}
 	n.downstream.lastCheck = now
--- a/control/lease/invalidation.go
+++ b/control/lease/invalidation.go
@@ -20,7 +20,7 @@
 	number         uint64                   // an acknowledgement of an earlier one of the same key doesn't count
 	unacknowledged map[string]time.Duration // child -> when the invalidation was last sent to it
 
-	// Who is told when it is complete:
+	// Who is notified when it is complete:
 	granters []waitingGranter // parents that asked for it
 	tags     []uint64         // writers at the root, see Suspend
 }
@@ -96,7 +96,7 @@
 	return out
 }
 
-// invalidate drops a record here and below, with nobody to be told.
+// invalidate drops a record here and below, with nobody to notify.
 func (n *Node) invalidate(now time.Duration, key string, out *Out) {
 	n.completeIfAcknowledged(now, n.withdraw(now, key, out), out)
 }
@@ -188,8 +188,8 @@
 	}
 }
 
-// completeIfAcknowledged ends an invalidation that waits for no child any more: who
-// asked for it is told, and the record is fetched anew and served.
+// completeIfAcknowledged ends an invalidation that waits for no child any more: it
+// notifies those that asked for it, fetches the record anew and serves it.
 func (n *Node) completeIfAcknowledged(now time.Duration, inv *invalidation, out *Out) {
 	if len(inv.unacknowledged) > 0 {
 		return
--- a/control/lease/patches.go
+++ b/control/lease/patches.go
@@ -7,42 +7,42 @@
 	"mulleinmast/wire/message"
 )
 
-// A record that changes goes down the tree as what changed. A child that asks for
-// one names the version that it held last; the parent sends the patches from there
-// to the present one, none where that is the present one, and the whole value where
-// the child's is too old. A relay passes the patches on that it got. Every patch
-// tells whether it was applied to the right value; one that wasn't is thrown away and
-// the whole is asked for.
+// A record that changes goes down the tree as patches. A child that asks for a record
+// names the version that it held last; the parent sends the patches from that version
+// to the current one, none if they are the same, and the full value if the child's
+// version is too old. A relay forwards the patches that it received. A patch holds a
+// checksum of the value that it leads to; if that doesn't match, the child drops it and
+// asks for the full value.
 
 // Codec makes and applies patches of records' values.
 type Codec interface {
-	// Patch gives what turns one value into another; nil if that isn't shorter.
+	// Patch returns what turns one value into another; nil if that isn't shorter.
 	Patch(from, to []byte) []byte
-	// Apply gives the value that a patch was made for, in the form in which it
-	// is kept below the root. The error is of another value than it was made from.
+	// Apply returns the value that a patch leads to, in the form in which it is stored
+	// below the root. It fails if the patch was made from another value.
 	Apply(from, patch []byte) ([]byte, error)
-	// Whole gives a value as it goes to those who hold none.
-	Whole(kept []byte) []byte
+	// Whole returns a stored value in the form in which it is sent in full.
+	Whole(stored []byte) []byte
 }
 
-// MinPatchedLength is the length in bytes below which values are sent whole: a patch
-// has a head, too.
+// MinPatchedLength is the length in bytes below which values are sent in full: a patch
+// has a header, too.
 const MinPatchedLength = 256
 
-// maxPatches is how many changes of a record a parent has patches for.
+// maxPatches is the number of changes of a record that a parent keeps patches for.
 const maxPatches = 32
 
 // patchCache is what a node knows of changes: as a child the values that it held
 // last, as a parent the patches that lead from earlier versions to the present one.
 type patchCache struct {
-	codec     Codec // nil: all is sent whole, and the maps are nil
-	minLength int   // in bytes; shorter values are sent whole
+	codec     Codec // nil: every value is sent in full, and the maps are nil
+	minLength int   // in bytes; shorter values are sent in full
 
 	bases  map[string]withdrawnRecord // key -> the value that was withdrawn last
 	chains map[string][]message.Patch // key -> patches, each from the version that the one before leads to
 	full   map[string]message.Record  // key -> the record as it goes to children that hold none
 
-	sentAsPatches, sentInFull int // records that went to children
+	sentAsPatches, sentInFull int // records that were sent to children
 }
 
 // withdrawnRecord is a record that isn't served any more.
@@ -61,12 +61,13 @@
 	n.patches.full = map[string]message.Record{}
 }
 
-// SentAsPatches is the number of records that went to children as what changed.
+// SentAsPatches is the number of records that were sent to children as patches.
 //
 // Example: gauge("records_sent_as_changes", n.SentAsPatches())
 func (n *Node) SentAsPatches() int { return n.patches.sentAsPatches }
 
-// SentInFull is the number of records that went to children whole.
+// SentInFull is the number of records that were sent to children in full, of those
+// that are long enough for patches.
 //
 // Example: gauge("records_sent_whole", n.SentInFull())
 func (n *Node) SentInFull() int { return n.patches.sentInFull }
@@ -114,7 +115,7 @@
 }
 
 // between are the patches from one version to another, if they are all there and
-// shorter than the whole would be.
+// shorter than the full value.
 func (p *patchCache) between(key string, from, to message.Version) []message.Patch {
 	chain := p.chains[key]
 	first := slices.IndexFunc(chain, func(patch message.Patch) bool { return patch.From == from })
@@ -203,7 +204,7 @@
 	return n.patches.bases[key].record.Version
 }
 
-// applyPatches gives a record whole that a parent sent as what changed.
+// applyPatches returns the full record that a parent sent as patches.
 func (n *Node) applyPatches(granted message.Record) (record message.Record, ok bool) {
 	if !granted.Patched {
 		return granted, true
--- a/control/lease/records.go
+++ b/control/lease/records.go
@@ -10,10 +10,10 @@
 
 // recordCache is what a node holds of its parent's records.
 type recordCache struct {
-	pinned    map[string]bool         // keys that are to be held at all times
+	pinned    map[string]bool         // keys of the records that are fetched unasked and kept
 	cached    map[string]cachedRecord // by key; the record is served while its lease and the volume lease stand
-	lastCheck time.Duration           // when they were last looked through
-	checkNow  bool                    // they are to be looked through at the next tick
+	lastCheck time.Duration           // when they were last scanned
+	checkNow  bool                    // scan them at the next tick
 }
 
 // cachedRecord is a record under its object lease.
@@ -46,8 +46,8 @@
 	return keys
 }
 
-// checkRecords looks through the records now and then: those that soon lapse are
-// asked for, those that have lapsed are dropped.
+// checkRecords scans the cached records at intervals: those whose object lease soon
+// ends are asked for, those whose object lease has ended are dropped.
 func (n *Node) checkRecords(now time.Duration, out *Out) {
 	if !n.records.checkNow && now-n.records.lastCheck < n.cfg.recordCheckInterval() {
 		return
--- a/control/lease/upstream.go
+++ b/control/lease/upstream.go
@@ -32,10 +32,10 @@
 	lastRenewal   time.Duration // when one was sent last
 	lastLeaseList time.Duration // when one was sent last to this parent; 0: none
 	lastAnswer    time.Duration // when the parent answered last, was set, or was given up
-	renewNext     bool          // something was wanted too soon after the last renewal
+	renewNext     bool          // renew before the interval has passed, as soon as minRenewGap allows it
 
 	unansweredSince time.Duration // since when a renewal is needed and not answered; 0: none is
-	lastTick        time.Duration
+	lastTick        time.Duration // a longer gap means that the node stood still
 }
 
 func newUpstream() upstream {
@@ -48,15 +48,16 @@
 
 // pendingFetch is a record to be asked for at the parent.
 type pendingFetch struct {
-	since     time.Duration // an object lease counts from here
-	lastAsked time.Duration
-	attempts  int // times; 0: not yet, or whoever was asked won't answer
+	since    time.Duration // an object lease counts from here
+	lastSent time.Duration // when a renewal asked for it last
+	attempts int           // renewals that asked for it; 0: none, or none that will be answered
 }
 
-// shouldAsk tells whether the record is to be asked for: later each time, since a parent
-// that is slow would else be sent the more, the slower it is.
+// shouldAsk tells whether the next renewal is to ask for the record. The interval is
+// doubled with each attempt: a parent that is slow would otherwise get the more requests,
+// the slower it is.
 func (f pendingFetch) shouldAsk(now, renewInterval time.Duration) bool {
-	return f.attempts == 0 || now-f.lastAsked >= renewInterval/2<<min(f.attempts-1, maxBackoff)
+	return f.attempts == 0 || now-f.lastSent >= renewInterval/2<<min(f.attempts-1, maxBackoff)
 }
 
 // fetch has a record asked for with the next renewal.
@@ -66,8 +67,8 @@
 	}
 }
 
-// refetchAll has everything wanted asked for at once: whoever was asked won't
-// answer.
+// refetchAll has every pending record asked for with the next renewal, since the
+// requests under way won't be answered.
 func (u *upstream) refetchAll() {
 	for key, f := range u.fetches {
 		u.fetches[key] = pendingFetch{since: f.since}
@@ -185,7 +186,7 @@
 	n.sendToParent(renewal.Message(n.partition), out)
 }
 
-// keysToAsk are the keys of the wanted records that are due, in order. A parent that
+// keysToAsk are the keys of the records to ask for in a renewal now, in order. A parent that
 // doesn't know this node yet has it reconnect and looks at no key.
 func (n *Node) keysToAsk(now time.Duration) (keys []string) {
 	u := &n.upstream
@@ -195,7 +196,7 @@
 	for key, f := range u.fetches {
 		if f.shouldAsk(now, n.cfg.RenewInterval) {
 			keys = append(keys, key)
-			u.fetches[key] = pendingFetch{since: f.since, lastAsked: now, attempts: f.attempts + 1}
+			u.fetches[key] = pendingFetch{since: f.since, lastSent: now, attempts: f.attempts + 1}
 		}
 	}
 	slices.Sort(keys)
@@ -343,7 +344,7 @@
 }
 
 // takeGranted serves a record that was granted, here and to the children that wait
-// for it. One whose patches don't apply is asked for once more, whole.
+// for it. One whose patches don't apply is asked for once more, in full.
 func (n *Node) takeGranted(now time.Duration, granted message.Record, objectLease time.Duration, out *Out) {
 	key := granted.Key
 	fetch, ok := n.upstream.fetches[key]
--- a/control/membership/currentview.go
+++ b/control/membership/currentview.go
@@ -64,7 +64,7 @@
 
 // diffSince is what changed since the view of a digest: the members that are new or
 // different, and the addresses that are no longer there. It is not ok if that view is
-// not known any more, or the difference is no shorter than the whole.
+// not known any more, or the difference is no shorter than the full view.
 func (v *currentView) diffSince(digest uint64) (changed []message.Member, removed []string, ok bool) {
 	i := slices.IndexFunc(v.past, func(p pastView) bool { return p.digest == digest })
 	if i < 0 {
@@ -132,7 +132,7 @@
 }
 
 // mergeDiff takes a Welcome's differences. If that doesn't give the view that was
-// meant, our next Hello says so by its digest and the whole comes.
+// meant, the digest in our next Hello has the sender answer with the full view.
 func (t *Table) mergeDiff(m message.Welcome) {
 	merged := membersByAddr(t.view.members)
 	for _, member := range m.Members {
--- a/control/membership/gossip.go
+++ b/control/membership/gossip.go
@@ -23,7 +23,7 @@
 type receivedGossip struct {
 	members []message.Member // with a session there; the sender itself is the last
 	at      time.Duration
-	digest  uint64 // as the sender said; 0: what it takes us to have is not what we have
+	digest  uint64 // as the sender gave it; 0: members are not those that it is of
 }
 
 // sender is the control daemon that gossiped.
@@ -112,7 +112,7 @@
 	next := receivedGossip{members: append(m.Members, m.Self), at: now, digest: m.Digest}
 	switch {
 	case !m.Unchanged:
-	case !ok || known.digest != m.Digest: // it takes us to have what we don't, and will be told
+	case !ok || known.digest != m.Digest: // our next gossip acknowledges none, and it sends all
 		next.digest = 0
 	case known.sender() == m.Self:
 		known.at = now
--- a/control/membership/membership.go
+++ b/control/membership/membership.go
@@ -81,7 +81,8 @@
 	}
 }
 
-// Tick sends what is due. self is this daemon as of now, leaderships those that it has.
+// Tick lets time pass: heartbeats, gossip, ends of sessions. self is this daemon as of
+// now, leaderships are those that it has.
 //
 // Example: out := t.Tick(now, self, leaderships)
 func (t *Table) Tick(now time.Duration, self message.Member, leaderships []message.Leadership) (out Out) {
--- a/control/membership/relay.go
+++ b/control/membership/relay.go
@@ -6,10 +6,9 @@
 	"mulleinmast/wire/message"
 )
 
-// crowdedZone is the members of a zone from which on the configuration's relay is one
-// of its control daemons. The plan goes whole to every member of the zone, one
-// after the other over the relay's link, and the machines of control daemons
-// have the wide ones.
+// crowdedZone is the number of members from which on a zone's relay of the configuration
+// is one of its control daemons. The relay sends the plan to every member of the zone,
+// over its own link, and the machines of control daemons have the most bandwidth.
 const crowdedZone = 12
 
 // configPartition is the partition that holds the fleet's configuration.
--- a/control/membership/view.go
+++ b/control/membership/view.go
@@ -81,7 +81,7 @@
 
 // MustHandOver tells whether a group counts on this daemon's replica though another
 // control daemon could take its place, or is about to: until a change of the group is
-// settled it needs the replicas that it had before.
+// complete it needs the replicas that it had before.
 //
 // Example: if v.MustHandOver(group) { waitForHandOver() }
 func (v *View) MustHandOver(g message.Group) bool {
