--- a/control/lease/config.go
+++ b/control/lease/config.go
@@ -2,16 +2,34 @@
 
 import "time"
 
-// Config holds the bounds of the leases. All are durations by the node's own clock.
+// Config holds the bounds of the leases. Durations are by the node's own clock and
+// positive; control/daemon derives them from the users' bound on a change.
 type Config struct {
-	VolumeLease   time.Duration // length of a volume lease: a write waits for a dead child at most so long
-	ObjectLease   time.Duration // length of an object lease: a record is asked for again when 3/4 have passed
-	Drift         float64       // by which share two clocks may differ in speed
-	Margin        time.Duration // added to what a granter waits out
-	RenewInterval time.Duration // between two renewals, and between two sendings of an invalidation
-	MinGain       time.Duration // RenewCost that a join or split must save
-	LoadInterval  time.Duration // over which ReqCount and HitCount are counted; 0: the tree is not reshaped
-	MaxRenewals   int           // renewals in a LoadInterval above which a parent is loaded
+	// VolumeLease is the length of a volume lease: a write waits for a dead child that
+	// long, plus drift and margin. By default 0.4 of the bound on a change.
+	VolumeLease time.Duration
+	// ObjectLease is the length of an object lease. A pinned record is asked for again
+	// when three quarters of it have passed. By default 600 volume leases.
+	ObjectLease time.Duration
+	// Drift is the most by which one clock outruns another, as a ratio, 0 to 0.2. A
+	// granter counts a lease longer by it. By default 0.02.
+	Drift float64
+	// Margin is added to what a granter waits out, for the time that a step takes. By
+	// default 0.01 of the bound on a change.
+	Margin time.Duration
+	// RenewInterval is the time between two renewals, and before an invalidation is sent
+	// again. By default a third of a volume lease.
+	RenewInterval time.Duration
+	// MinGain is the RenewCost that a join or split must save. By default 0.01 of the
+	// bound on a change.
+	MinGain time.Duration
+	// LoadInterval is the time over which ReqCount and HitCount are counted; 0: the tree
+	// is not reshaped. By default 5 volume leases.
+	LoadInterval time.Duration
+	// MaxRenewals is the number of renewals in a LoadInterval above which a parent sends
+	// children to relays whether that saves time or not; with half of it a parent has no
+	// room for the children of a relay. By default 2000.
+	MaxRenewals int
 }
 
 // granterExpiry is how long after granting a lease the granter must take it to be
--- a/control/membership/membership.go
+++ b/control/membership/membership.go
@@ -11,14 +11,24 @@
 	"mulleinmast/wire/message"
 )
 
-// Config holds the bounds of sessions. Durations are by the daemon's own clock.
+// Config holds the bounds of sessions. Durations are by the daemon's own clock and
+// positive; control/daemon derives them from the users' bound on a change.
 type Config struct {
-	SessionTimeout    time.Duration // without a renewal for so long, a session has ended
-	HeartbeatInterval time.Duration // between two renewals or gossips
-	MinRelayZone      int           // zones with fewer members than this get no relay
-
-	ToleratedLosses int  // machines that may be lost at once: a group has twice as many replicas, and one
-	FirstStart      bool // the fleet starts for the first time, and so does this daemon
+	// SessionTimeout is the time without a renewal after which a session has ended. By
+	// default 0.6 of the bound on a change.
+	SessionTimeout time.Duration
+	// HeartbeatInterval is the time between two renewals or gossips. By default 0.1 of the
+	// bound on a change.
+	HeartbeatInterval time.Duration
+	// MinRelayZone is the number of members below which a zone gets no relay. By default
+	// 3.
+	MinRelayZone int
+	// ToleratedLosses is the number of control daemons that may be lost at once, 0 to 4:
+	// the first group has twice as many replicas, and one. By default 1.
+	ToleratedLosses int
+	// FirstStart says that the fleet starts for the first time, and so does this daemon:
+	// a seed may form the first group. By default true.
+	FirstStart bool
 }
 
 // Table is the state machine. It is not safe for concurrent use; the Views that it
