--- a/control/lease/lease.go
+++ b/control/lease/lease.go
@@ -7,6 +7,23 @@
 // holder counts a lease from when it sent the request; a granter from when it
 // sent the grant, stretched by drift and margin. No node grants a volume lease
 // that outlasts its own.
+//
+// What parents and children send each other:
+//
+//   - A child renews (LeaseRenewal), also to ask for records; the parent grants
+//     (LeaseGrant), now or when it has them.
+//   - A child that the parent doesn't know, that is on the unreachable list, or that has
+//     another volume epoch must reconnect (ReconnectRequest): it lists what it holds
+//     (LeaseList), the parent confirms what is up to date (Reconciliation), and the child
+//     says that it has dropped the rest (ReconnectDone).
+//   - A parent that withdraws a record sends an Invalidation; the child answers
+//     (InvalidationAck) once all below it have, or have lapsed.
+//   - A parent without a lease of its own denies (LeaseDenial); one that knows of a better
+//     parent names it (Redirect).
+//
+// Step and Tick are in step.go, the child's side in upstream.go and records.go, the
+// parent's in downstream.go and invalidation.go, patches in patches.go, joins and splits
+// in reshape.go.
 package lease
 
 import (
--- a/control/membership/membership.go
+++ b/control/membership/membership.go
@@ -2,6 +2,14 @@
 // session with a control daemon stands, and control daemons tell each other their
 // sessions. It also carries who leads which partition, draws the static lease tree,
 // and forms the first group of a new fleet.
+//
+// A daemon asks for a session, or renews it, with a Hello; the Welcome brings what changed
+// in the view, or refers it to control daemons (session.go). Control daemons Gossip their
+// sessions (gossip.go) and make the view out of all of them (currentview.go); those that
+// vanish from it are remembered (lost.go). Until there is a group, seeds ask each other by
+// Census and CensusAnswer, and inform its replicas by Bootstrap (bootstrap.go). A View is
+// what others read (view.go): the relay of each zone (relay.go), from which a
+// ParentChooser chooses the daemon's parent (parent.go).
 package membership
 
 import (
