--- a/proof/modelcheck/event.go
+++ b/proof/modelcheck/event.go
@@ -92,82 +92,108 @@
 		b.Write + b.Want + b.Copy + b.PutBack + b.Beside
 }
 
-// events lists what may happen next within the bounds.
-func (w *world) events(most Bounds, total int) (out []Event) {
-	may := func(k Kind) bool {
-		return w.spent.sum() < total && *w.spent.count(k) < *most.count(k)
-	}
-	add := func(k Kind, at, with int) { out = append(out, Event{k, int8(at), int16(with)}) }
-	add(Step, 0, 0)
+// events lists what may happen next within the bounds. Their order is that in which
+// states are visited.
+func (w *world) events(most Bounds, total int) []Event {
+	c := chooser{world: w, most: most, total: total}
+	c.add(Step, 0, 0)
 	for k, p := range w.packets {
 		if p.isHeld {
-			add(Release, 0, k)
+			c.add(Release, 0, k)
 		}
 	}
 	if len(w.cuts) > 0 {
-		add(Heal, 0, 0)
+		c.add(Heal, 0, 0)
 	}
 	for i, d := range w.daemons {
-		if !d.isUp {
-			add(Restart, i, 0)
-			continue
-		}
-		if len(d.pendingSaves) > 0 {
-			add(Sync, i, 0)
-		}
-		if may(Crash) {
-			add(Crash, i, 0)
-		}
-		if may(Stall) && d.hasDisk && !d.isStalled {
-			add(Stall, i, 0)
-		}
-		if may(Tick) {
-			add(Tick, i, 0)
-		}
-		if may(Write) && d.leads(w.now) {
-			add(Write, i, 0)
-		}
-		if may(Cut) {
-			for j := range w.daemons {
-				if j != i && !slices.Contains(w.cuts, [2]int{i, j}) {
-					add(Cut, i, j)
-				}
-			}
-		}
+		c.addOfDaemon(i, d)
 	}
 	for i, d := range w.daemons {
-		if d.hasDisk && may(Wipe) && w.mayWipe(i) {
-			add(Wipe, i, 0)
-		}
-		if d.hasDisk && may(Copy) {
-			add(Copy, i, 0)
+		if d.hasDisk {
+			c.addOfDisk(i, d)
 		}
-		for _, kind := range []Kind{PutBack, Beside} {
-			if d.diskCopy != nil && may(kind) && w.older(i) {
-				add(kind, i, 0)
-			}
+	}
+	c.addOfMessages()
+	c.addIf(c.may(Lapse), Lapse, 0)
+	if c.may(Want) {
+		c.addWanted()
+	}
+	return c.events
+}
+
+// chooser collects the events that may happen next.
+type chooser struct {
+	*world
+	most   Bounds
+	total  int // of all kinds together
+	events []Event
+}
+
+// may reports whether an event of a bounded kind may still happen.
+func (c *chooser) may(k Kind) bool {
+	return c.spent.sum() < c.total && *c.spent.count(k) < *c.most.count(k)
+}
+
+func (c *chooser) add(k Kind, at, with int) {
+	c.events = append(c.events, Event{k, int8(at), int16(with)})
+}
+
+func (c *chooser) addIf(holds bool, k Kind, at int) {
+	if holds {
+		c.add(k, at, 0)
+	}
+}
+
+// addOfDaemon adds what may happen to a daemon.
+func (c *chooser) addOfDaemon(i int, d *daemon) {
+	if !d.isUp {
+		c.add(Restart, i, 0)
+		return
+	}
+	c.addIf(len(d.pendingSaves) > 0, Sync, i)
+	c.addIf(c.may(Crash), Crash, i)
+	c.addIf(c.may(Stall) && d.hasDisk && !d.isStalled, Stall, i)
+	c.addIf(c.may(Tick), Tick, i)
+	c.addIf(c.may(Write) && d.leads(c.now), Write, i)
+	if !c.may(Cut) {
+		return
+	}
+	for j := range c.daemons {
+		if j != i && !slices.Contains(c.cuts, [2]int{i, j}) {
+			c.add(Cut, i, j)
 		}
 	}
+}
+
+// addOfDisk adds what may happen to a daemon's disk.
+func (c *chooser) addOfDisk(i int, d *daemon) {
+	c.addIf(c.may(Wipe) && c.mayWipe(i), Wipe, i)
+	c.addIf(c.may(Copy), Copy, i)
+	for _, kind := range []Kind{PutBack, Beside} {
+		c.addIf(d.diskCopy != nil && c.may(kind) && c.older(i), kind, i)
+	}
+}
+
+// addOfMessages adds what may happen to the messages on their way.
+func (c *chooser) addOfMessages() {
 	for _, kind := range []Kind{Drop, Double, Hold} {
-		for k, p := range w.packets {
-			if !p.isHeld && may(kind) {
-				add(kind, 0, k)
+		for k, p := range c.packets {
+			if !p.isHeld && c.may(kind) {
+				c.add(kind, 0, k)
 			}
 		}
 	}
-	if may(Lapse) {
-		add(Lapse, 0, 0)
-	}
-	if may(Want) {
-		for out := range w.wantedReplicas {
-			for in, d := range w.daemons {
-				if d.hasDisk && !(message.Group{Replicas: w.wantedReplicas}).Has(d.self.Ident) {
-					add(Want, out, in)
-				}
+}
+
+// addWanted adds the groups that may be wished for next.
+func (c *chooser) addWanted() {
+	for out := range c.wantedReplicas {
+		for in, d := range c.daemons {
+			if d.hasDisk && !(message.Group{Replicas: c.wantedReplicas}).Has(d.self.Ident) {
+				c.add(Want, out, in)
 			}
 		}
 	}
-	return out
 }
 
 // mayWipe reports whether the loss of this disk is one that the fleet must bear:
@@ -195,31 +221,36 @@
 	switch e.Kind {
 	case Step:
 		w.step()
-	case Restart:
-		w.log("%s restarts", w.daemons[i].self.Ident)
-		w.start(i)
-	case Release, Arrive:
-		w.log("deliver %s", w.show(w.packets[k]))
-		w.deliver(k)
-	case Sync:
-		w.log("the disk of %s completes a write", w.daemons[i].self.Ident)
-		w.mutable(i)
-		w.sync(i)
 	case Heal:
 		w.log("cuts end")
 		w.cuts = nil
-	case Write:
-		w.write(i)
+	case Lapse:
+		w.log("every lease lapses")
+		w.now += quorumConfig.Wait(leaderLease)
+	case Pass:
+		w.now += timeStep * time.Duration(1+k) / 4
+		w.log("it is %v", w.now-100*leaderLease)
+	case Release, Arrive, Drop, Double, Hold:
+		w.applyToMessage(e.Kind, k)
+	case Cut:
+		w.log("cut from %s to %s", w.daemons[i].self.Ident, w.daemons[k].self.Ident)
+		w.cuts = append(w.cuts, [2]int{i, k})
 	case Want:
 		w.log("wanted: %s in place of %s", w.daemons[k].self.Ident, w.wantedReplicas[i].Ident)
 		w.wantedReplicas = slices.Clone(w.wantedReplicas)
 		w.wantedReplicas[i] = w.daemons[k].self
-	case Crash, Wipe:
-		w.log("%s of %s", [...]string{"crash", "loss of the disk"}[e.Kind-Crash], w.daemons[i].self.Ident)
-		w.crash(i, e.Kind == Wipe)
-	case Stall:
-		w.log("the disk of %s stalls", w.daemons[i].self.Ident)
-		w.mutable(i).isStalled = true
+	default:
+		w.applyToDaemon(e.Kind, i)
+	}
+	w.check()
+}
+
+// applyToMessage lets something happen to a message on its way.
+func (w *world) applyToMessage(kind Kind, k int) {
+	switch kind {
+	case Release, Arrive:
+		w.log("deliver %s", w.show(w.packets[k]))
+		w.deliver(k)
 	case Drop:
 		w.log("lost: %s", w.show(w.packets[k]))
 		w.packets = slices.Delete(w.packets, k, k+1)
@@ -232,29 +263,41 @@
 	case Hold:
 		w.log("held: %s", w.show(w.packets[k]))
 		w.packets[k].isHeld = true
-	case Cut:
-		w.log("cut from %s to %s", w.daemons[i].self.Ident, w.daemons[k].self.Ident)
-		w.cuts = append(w.cuts, [2]int{i, k})
-	case Lapse:
-		w.log("every lease lapses")
-		w.now += quorumConfig.Wait(leaderLease)
+	}
+}
+
+// applyToDaemon lets something happen to a daemon or its disk.
+func (w *world) applyToDaemon(kind Kind, i int) {
+	ident := w.daemons[i].self.Ident
+	switch kind {
+	case Restart:
+		w.log("%s restarts", ident)
+		w.start(i)
+	case Sync:
+		w.log("the disk of %s completes a write", ident)
+		w.mutable(i)
+		w.sync(i)
+	case Write:
+		w.write(i)
+	case Crash, Wipe:
+		w.log("%s of %s", [...]string{"crash", "loss of the disk"}[kind-Crash], ident)
+		w.crash(i, kind == Wipe)
+	case Stall:
+		w.log("the disk of %s stalls", ident)
+		w.mutable(i).isStalled = true
 	case Tick:
-		w.log("%s lets time pass", w.daemons[i].self.Ident)
+		w.log("%s lets time pass", ident)
 		w.tick(i)
 	case Copy:
-		w.log("the disk of %s is copied", w.daemons[i].self.Ident)
+		w.log("the disk of %s is copied", ident)
 		w.copyDisk(i)
 	case PutBack:
-		w.log("%s starts from the copy of its disk", w.daemons[i].self.Ident)
+		w.log("%s starts from the copy of its disk", ident)
 		w.putBack(i)
 	case Beside:
-		w.log("the copy of %s is started beside it", w.daemons[i].self.Ident)
+		w.log("the copy of %s is started beside it", ident)
 		w.beside(i)
-	case Pass:
-		w.now += timeStep * time.Duration(1+k) / 4
-		w.log("it is %v", w.now-100*leaderLease)
 	}
-	w.check()
 }
 
 func (w *world) crash(i int, wipe bool) {
--- a/proof/modelcheck/explore.go
+++ b/proof/modelcheck/explore.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"math/rand"
 	"runtime"
+	"slices"
 	"strings"
 	"sync"
 )
@@ -53,64 +54,94 @@
 	by   Event
 }
 
-type found struct {
-	w    *world
-	sum  uint64
-	from int32
-	by   Event
+// reached is a state that an event led to.
+type reached struct {
+	world *world
+	hash  uint64
+	from  int32 // the place before
+	by    Event
+}
+
+// open is a state whose next ones are to be visited.
+type open struct {
+	world *world
+	place int32
+}
+
+// batchStates is how many states are visited beside one another.
+const batchStates = 4096
+
+// explorer visits states, those fewest events away first.
+type explorer struct {
+	scope   Scope
+	places  []place
+	visited map[uint64]struct{}
+	broken  string // the invariant that the last place broke
 }
 
 // Explore looks at every state within the scope, those fewest events away first.
 //
 // Example: r := modelcheck.Explore(modelcheck.Small[0])
 func Explore(s Scope) (r Report) {
-	r = Report{Name: s.Name, Whole: true}
+	r = Report{Name: s.Name}
 	root := begin(&s.Setup)
-	places := []place{{from: -1}}
-	visited := map[uint64]struct{}{root.hash(): {}}
-	type open struct {
-		w  *world
-		at int32
-	}
-	front := []open{{root, 0}}
+	x := &explorer{scope: s, places: []place{{from: -1}}, visited: map[uint64]struct{}{root.hash(): {}}}
+	front, isWhole := []open{{root, 0}}, true
 	for r.Depth = 0; len(front) > 0 && r.Depth < s.Depth; r.Depth++ {
-		var next []open
-		for len(front) > 0 {
-			batch := front[:min(len(front), 4096)]
-			front = front[len(batch):]
-			out := make([][]found, len(batch))
-			parallel(len(batch), func(i int) {
-				for _, e := range batch[i].w.events(s.Most, s.Total) {
-					w := batch[i].w.fork()
-					w.apply(e)
-					out[i] = append(out[i], found{w, w.hash(), batch[i].at, e})
+		if front, isWhole = x.visitNext(front); !isWhole {
+			break
+		}
+	}
+	r.States, r.Whole, r.Broken = len(x.visited), isWhole, x.broken
+	if x.broken != "" {
+		r.Trace, r.Events = retrace(&s.Setup, x.places)
+	}
+	return r
+}
+
+// visitNext visits the states one event away from those of a front. It ends early
+// where an invariant is broken or there are states enough.
+func (x *explorer) visitNext(front []open) (next []open, isWhole bool) {
+	for batch := range slices.Chunk(front, batchStates) {
+		for _, list := range x.expand(batch) {
+			for _, r := range list {
+				if !x.visit(r) {
+					continue
 				}
-			})
-			for _, list := range out {
-				for _, f := range list {
-					if _, ok := visited[f.sum]; ok {
-						continue
-					}
-					visited[f.sum] = struct{}{}
-					places = append(places, place{f.from, f.by})
-					if f.w.broken != "" {
-						r.States, r.Broken = len(visited), f.w.broken
-						r.Trace, r.Events = retrace(&s.Setup, places)
-						r.Whole = false
-						return r
-					}
-					next = append(next, open{f.w, int32(len(places) - 1)})
+				if x.broken = r.world.broken; x.broken != "" {
+					return nil, false
 				}
-			}
-			if s.States > 0 && len(visited) >= s.States {
-				r.States, r.Whole = len(visited), false
-				return r
+				next = append(next, open{r.world, int32(len(x.places) - 1)})
 			}
 		}
-		front = next
+		if x.scope.States > 0 && len(x.visited) >= x.scope.States {
+			return nil, false
+		}
 	}
-	r.States = len(visited)
-	return r
+	return next, true
+}
+
+// expand gives the states one event away from each of a batch.
+func (x *explorer) expand(batch []open) [][]reached {
+	out := make([][]reached, len(batch))
+	parallel(len(batch), func(i int) {
+		for _, e := range batch[i].world.events(x.scope.Most, x.scope.Total) {
+			w := batch[i].world.fork()
+			w.apply(e)
+			out[i] = append(out[i], reached{w, w.hash(), batch[i].place, e})
+		}
+	})
+	return out
+}
+
+// visit notes a state as visited, unless it was.
+func (x *explorer) visit(r reached) (isNew bool) {
+	if _, visited := x.visited[r.hash]; visited {
+		return false
+	}
+	x.visited[r.hash] = struct{}{}
+	x.places = append(x.places, place{r.from, r.by})
+	return true
 }
 
 func parallel(n int, f func(int)) {
