--- a/control/leader/leader_test.go
+++ b/control/leader/leader_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"reflect"
 	"testing"
 	"time"
 
@@ -119,3 +120,37 @@
 	}
 	return r
 }
+
+// What later steps ask for isn't lost, whatever it is.
+func TestAddJoinsEveryField(t *testing.T) {
+	var later Out
+	value := reflect.ValueOf(&later).Elem()
+	for _, field := range reflect.VisibleFields(value.Type()) {
+		if !field.Anonymous {
+			setNonZero(t, value.FieldByIndex(field.Index))
+		}
+	}
+	later.Results = nil // finishStep hands them out
+	var out Out
+	out.add(later)
+	if !reflect.DeepEqual(out, later) {
+		t.Errorf("joined %+v, expected %+v", out, later)
+	}
+}
+
+// setNonZero sets a field of a step's result to something.
+func setNonZero(t *testing.T, field reflect.Value) {
+	t.Helper()
+	switch field.Kind() {
+	case reflect.Bool:
+		field.SetBool(true)
+	case reflect.String:
+		field.SetString("x")
+	case reflect.Slice:
+		field.Set(reflect.MakeSlice(field.Type(), 1, 1))
+	case reflect.Struct:
+		setNonZero(t, field.Field(0))
+	default:
+		t.Fatalf("a field of kind %v", field.Kind())
+	}
+}
