--- a/control/daemon/calls.go
+++ b/control/daemon/calls.go
@@ -12,10 +12,6 @@
 	"mulleinmast/wire/message"
 )
 
-// opDemand is the call for slots. One try is enough for it: the next report of
-// demand follows soon.
-const opDemand = "want"
-
 // callTracker carries this daemon's calls to partitions' leaders and hands their
 // results to those who wait.
 type callTracker struct {
@@ -46,7 +42,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
-	number, out := t.calls.Start(now, t.leaderOf(partition), partition, op, body, now+timeout, op == opDemand)
+	number, out := t.calls.Start(now, t.leaderOf(partition), partition, op, body, now+timeout, op == leadercall.OpDemand)
 	t.waiting[number] = done
 	t.carryOut(out)
 	return number, done
@@ -105,7 +101,7 @@
 		return done.Status, done.Body
 	case <-ctx.Done():
 		d.calls.drop(number)
-		response := leadercall.Response{Result: resultUncertain, Reason: "the caller went away"}
+		response := leadercall.Response{Result: leadercall.ResultUncertain, Reason: "the caller went away"}
 		return leadercall.StatusUncertain, leadercall.Pack(response)
 	}
 }
@@ -118,7 +114,7 @@
 	ctx context.Context, partition int, demand placement.Demand, timeout time.Duration,
 ) (share placement.Share, from time.Duration, ok bool) {
 	from = d.Now()
-	status, body := d.Call(ctx, partition, opDemand, leadercall.Pack(demand), timeout)
+	status, body := d.Call(ctx, partition, leadercall.OpDemand, leadercall.Pack(demand), timeout)
 	if status != http.StatusOK || json.Unmarshal(body, &share) != nil {
 		return share, from, false
 	}
--- a/control/daemon/interface_test.go
+++ b/control/daemon/interface_test.go
@@ -237,7 +237,7 @@
 		inBody: []string{d.Ident(), cfg.WireAddr, cfg.HTTPAddr, cfg.DataFolder, backup},
 	}
 	out.calls(t, []operatorCall{{"GET /livez", ""}, {"GET /readyz", ""}})
-	if status, answer := d.Call(t.Context(), 0, opPlan, []byte(plan), 20*time.Second); status != http.StatusOK {
+	if status, answer := d.Call(t.Context(), 0, leadercall.OpPlan, []byte(plan), 20*time.Second); status != http.StatusOK {
 		t.Fatalf("the first plan: %d %s", status, answer)
 	}
 	await(t, d.Daemon, d.isReady)
--- a/control/daemon/operator.go
+++ b/control/daemon/operator.go
@@ -21,16 +21,6 @@
 // notReadyRetryMillis is when those who find the daemon not ready should ask again.
 const notReadyRetryMillis = 1000
 
-// Operations that a partition's leader carries out.
-const (
-	opPlan        = "plan"
-	opChanges     = "changes"
-	opEvacuate    = "evacuate"
-	opReturn      = "return"
-	opMoveReplica = "seat"
-	opServers     = "servers"
-)
-
 // registerOperatorCalls lays out the calls for operators and the platform.
 func (d *Daemon) registerOperatorCalls() {
 	m := d.Mux
@@ -57,20 +47,20 @@
 }
 
 func (d *Daemon) handleLive(w http.ResponseWriter, _ *http.Request) {
-	Respond(w, http.StatusOK, leadercall.Response{Result: "live"})
+	Respond(w, http.StatusOK, leadercall.Response{Result: resultLive})
 }
 
 func (d *Daemon) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if !d.isReady() {
 		Respond(w, http.StatusServiceUnavailable, leadercall.Response{
-			Result:           "not ready",
+			Result:           resultNotReady,
 			Reason:           d.whyNotReady(),
 			RetryAfterMillis: notReadyRetryMillis,
 		})
 		return
 	}
 	id, version, _ := d.Plan()
-	Respond(w, http.StatusOK, leadercall.Response{Result: "ready", Plan: id, Version: version})
+	Respond(w, http.StatusOK, leadercall.Response{Result: resultReady, Plan: id, Version: version})
 }
 
 func (d *Daemon) handlePlanTemplate(w http.ResponseWriter, _ *http.Request) {
@@ -88,20 +78,20 @@
 
 func (d *Daemon) handlePutPlan(w http.ResponseWriter, r *http.Request) {
 	if body, ok := ReadBody(w, r, maxBody); ok {
-		d.forwardCall(w, r, 0, opPlan, body)
+		d.forwardCall(w, r, 0, leadercall.OpPlan, body)
 	}
 }
 
 func (d *Daemon) handlePlanChanges(w http.ResponseWriter, r *http.Request) {
 	if body, ok := ReadBody(w, r, maxBody); ok {
-		d.forwardCall(w, r, 0, opChanges, body)
+		d.forwardCall(w, r, 0, leadercall.OpChanges, body)
 	}
 }
 
 // handleZone takes a zone out of service, or back.
 func (d *Daemon) handleZone(w http.ResponseWriter, r *http.Request) {
 	op, zone := r.PathValue("op"), r.PathValue("zone")
-	if op != opEvacuate && op != opReturn || !fleetconfig.IsValidName(zone) {
+	if op != leadercall.OpEvacuate && op != leadercall.OpReturn || !fleetconfig.IsValidName(zone) {
 		respondFaults(w, http.StatusNotFound,
 			fmt.Sprintf("zone %q, op %q: expected a zone's name and evacuate or return", zone, op))
 		return
@@ -136,7 +126,7 @@
 		respondFaults(w, http.StatusBadRequest, faults.List...)
 		return
 	}
-	d.forwardCall(w, r, 0, opMoveReplica, leadercall.Pack(call))
+	d.forwardCall(w, r, 0, leadercall.OpReplica, leadercall.Pack(call))
 }
 
 // handlePutServers takes a service's list of servers.
@@ -156,7 +146,8 @@
 		respondFaults(w, http.StatusBadRequest, faults.List...)
 		return
 	}
-	d.forwardCall(w, r, d.Partition(service), opServers, leadercall.Pack(leader.ServersCall{Service: service, List: list}))
+	call := leader.ServersCall{Service: service, List: list}
+	d.forwardCall(w, r, d.Partition(service), leadercall.OpServers, leadercall.Pack(call))
 }
 
 func (d *Daemon) handleGetServers(w http.ResponseWriter, r *http.Request) {
@@ -205,11 +196,11 @@
 		return
 	}
 	if err := d.store.Backup(path); err != nil {
-		Respond(w, http.StatusBadRequest, leadercall.Response{Result: resultNotDone, Reason: err.Error()})
+		Respond(w, http.StatusBadRequest, leadercall.Response{Result: leadercall.ResultNotDone, Reason: err.Error()})
 		return
 	}
 	d.Events.Debug("disk", "backed up", "path", path)
-	Respond(w, http.StatusOK, leadercall.Response{Result: resultDone})
+	Respond(w, http.StatusOK, leadercall.Response{Result: leadercall.ResultDone})
 }
 
 // awaitForCall waits for a record for as long as a call may take that only reads.
--- a/control/daemon/response.go
+++ b/control/daemon/response.go
@@ -11,13 +11,12 @@
 	"mulleinmast/control/leadercall"
 )
 
-// Results of calls, as operators' programs read them.
+// Results of the daemon's own answers, beside those of leadercall.
 const (
-	resultDone       = "done"
-	resultNotDone    = "not done"
-	resultBadRequest = "broken"
-	resultUnknown    = "not known"
-	resultUncertain  = "uncertain"
+	resultLive     = "live"
+	resultReady    = "ready"
+	resultNotReady = "not ready"
+	resultUnknown  = "not known"
 )
 
 // Respond writes a JSON answer: a value, or bytes that are JSON already. One that the
@@ -47,7 +46,7 @@
 
 // respondFaults answers a call that is wrong in itself.
 func respondFaults(w http.ResponseWriter, status int, faults ...string) {
-	Respond(w, status, leadercall.Response{Result: resultBadRequest, Faults: faults})
+	Respond(w, status, leadercall.Response{Result: leadercall.ResultInvalid, Faults: faults})
 }
 
 // ReadBody reads a request's body up to a bound in bytes; false: it was answered.
@@ -61,7 +60,8 @@
 		respondFaults(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("body: more than %d bytes", limit))
 	case err != nil:
 		// What did not come whole may be in order: nothing is claimed of it.
-		Respond(w, http.StatusRequestTimeout, leadercall.Response{Result: resultNotDone, Reason: "body: " + err.Error()})
+		response := leadercall.Response{Result: leadercall.ResultNotDone, Reason: "body: " + err.Error()}
+		Respond(w, http.StatusRequestTimeout, response)
 	}
 	return body, err == nil
 }
--- a/control/daemon/serverlists.go
+++ b/control/daemon/serverlists.go
@@ -120,7 +120,7 @@
 		list.Version = lists.nextVersion()
 		writes.Go(func() {
 			call := leadercall.Pack(leader.ServersCall{Service: service, List: list})
-			if status, _ := d.Call(ctx, d.Partition(service), opServers, call, timeout); status == http.StatusOK {
+			if status, _ := d.Call(ctx, d.Partition(service), leadercall.OpServers, call, timeout); status == http.StatusOK {
 				lists.accept(service, packed)
 			}
 		})
--- a/control/daemon/testswitches.go
+++ b/control/daemon/testswitches.go
@@ -34,7 +34,7 @@
 			addrs[addr] = true
 		}
 		to.Store(&addrs)
-		Respond(w, http.StatusOK, leadercall.Response{Result: resultDone})
+		Respond(w, http.StatusOK, leadercall.Response{Result: leadercall.ResultDone})
 	}
 }
 
@@ -47,7 +47,7 @@
 			return
 		}
 		to.Store(int64(delay))
-		Respond(w, http.StatusOK, leadercall.Response{Result: resultDone})
+		Respond(w, http.StatusOK, leadercall.Response{Result: leadercall.ResultDone})
 	}
 }
 
@@ -67,7 +67,7 @@
 	}
 	d.clock.Advance(by)
 	state := d.State()
-	response := leapResponse{Result: resultDone, PlanValid: state.PlanValid}
+	response := leapResponse{Result: leadercall.ResultDone, PlanValid: state.PlanValid}
 	for _, p := range state.Partitions {
 		if p.LedHere || p.Lease.LeaseLeft > 0 {
 			response.PartitionsHeld++
@@ -83,8 +83,8 @@
 		return
 	}
 	if err := d.store.SetFull(r.URL.Query().Get("on") == "1"); err != nil {
-		Respond(w, http.StatusInternalServerError, leadercall.Response{Result: resultNotDone, Reason: err.Error()})
+		Respond(w, http.StatusInternalServerError, leadercall.Response{Result: leadercall.ResultNotDone, Reason: err.Error()})
 		return
 	}
-	Respond(w, http.StatusOK, leadercall.Response{Result: resultDone})
+	Respond(w, http.StatusOK, leadercall.Response{Result: leadercall.ResultDone})
 }
--- a/control/daemon/unreadable_test.go
+++ b/control/daemon/unreadable_test.go
@@ -83,14 +83,16 @@
 func TestDaemonRunsWithUnreadableRecordOnDisk(t *testing.T) {
 	cfg := singleDaemonConfig(t)
 	first := runDaemon(t, cfg)
-	if status, answer := first.Call(t.Context(), 0, opPlan, firstPlan(), 20*time.Second); status != http.StatusOK {
+	status, answer := first.Call(t.Context(), 0, leadercall.OpPlan, firstPlan(), 20*time.Second)
+	if status != http.StatusOK {
 		t.Fatalf("the first plan: %d %s", status, answer)
 	}
 	first.stop()
 	overwritePlan(t, cfg, planOfAnotherBuild)
 
 	second := runDaemon(t, cfg)
-	if status, answer := second.Call(t.Context(), 0, opEvacuate, []byte("north"), 20*time.Second); status != 200 {
+	status, answer = second.Call(t.Context(), 0, leadercall.OpEvacuate, []byte("north"), 20*time.Second)
+	if status != http.StatusOK {
 		t.Errorf("an evacuation: %d %s", status, answer)
 	}
 	changes := leadercall.Pack(fleetconfig.Changes{
@@ -98,7 +100,7 @@
 		Base:    1,
 		Changes: []fleetconfig.Change{{Op: "drop-tenant", Name: "x"}},
 	})
-	status, answer := second.Call(t.Context(), 0, opChanges, changes, 5*time.Second)
+	status, answer = second.Call(t.Context(), 0, leadercall.OpChanges, changes, 5*time.Second)
 	if status != leadercall.StatusNotDone || !strings.Contains(string(answer), "can't be read") {
 		t.Errorf("a change: %d %s", status, answer)
 	}
