--- a/control/daemon/open.go
+++ b/control/daemon/open.go
@@ -191,8 +191,10 @@
 	if !ok {
 		state = storage.PartitionState{Records: digest.NewRecords()}
 	}
-	isNew := state.Meta.Group.Number == 0
-	return quorum.New(d.Cfg.QuorumConfig(), p, d.self, folder, state.Meta, state.Records, now, isNew)
+	return quorum.New(d.Cfg.QuorumConfig(), quorum.InitialState{
+		Partition: p, Self: d.self, Folder: folder,
+		Meta: state.Meta, Records: state.Records, IsNew: state.Meta.Group.Number == 0,
+	}, now)
 }
 
 // newLeaseNode makes a partition's node of the lease tree.
--- a/control/daemon/timing.go
+++ b/control/daemon/timing.go
@@ -84,7 +84,7 @@
 
 // QuorumConfig is the config of the partitions' replicas.
 //
-// Example: replica := quorum.New(c.QuorumConfig(), 0, self, folder, meta, records, now, false)
+// Example: replica := quorum.New(c.QuorumConfig(), initial, now)
 func (c Config) QuorumConfig() quorum.Config {
 	leaderLease := c.Bounds.Plan / 2
 	return quorum.Config{
--- a/control/leader/leader_test.go
+++ b/control/leader/leader_test.go
@@ -50,7 +50,9 @@
 		VolumeLease: 800 * time.Millisecond, ObjectLease: time.Minute, Drift: 0.02, Margin: 20 * time.Millisecond,
 		RenewInterval: 266 * time.Millisecond,
 	}
-	replica := quorum.New(voteConfig, number, self, nil, l.meta, stored, 0, true)
+	replica := quorum.New(voteConfig, quorum.InitialState{
+		Partition: number, Self: self, Meta: l.meta, Records: stored, IsNew: true,
+	}, 0)
 	node := lease.New(leaseConfig, number, self, 1)
 	cfg := Config{Placement: placement.Config{ShareLength: time.Second}, OnceKeyRetention: time.Hour}
 	l.controller = New(cfg, number, self, partition.New(number, self, 1, replica, node))
--- a/control/partition/helpers_test.go
+++ b/control/partition/helpers_test.go
@@ -45,7 +45,9 @@
 func leader(t *testing.T) (p *Partition, sync func(Out) Out) {
 	t.Helper()
 	meta := quorum.Meta{Group: message.Group{Number: 1, Replicas: []message.Replica{self}}}
-	replica := quorum.New(quorumConfig, number, self, nil, meta, digest.NewRecords(), 0, true)
+	replica := quorum.New(quorumConfig, quorum.InitialState{
+		Partition: number, Self: self, Meta: meta, Records: digest.NewRecords(), IsNew: true,
+	}, 0)
 	p = New(number, self, 1, replica, lease.New(leaseConfig, number, self, 1))
 	var now time.Duration
 	sync = func(out Out) Out { return syncSaves(p, now, out) }
--- a/control/partition/writesfrom_test.go
+++ b/control/partition/writesfrom_test.go
@@ -20,7 +20,8 @@
 		VotedTerm: 4, VotedFor: self.Ident, VotedForEpoch: 1, CandidateTerm: 4, LastComplete: 4,
 		Group: message.Group{Number: 1, Replicas: only, Next: only},
 	}
-	replica := quorum.New(quorumConfig, number, self, nil, meta, records, 0, false)
+	initial := quorum.InitialState{Partition: number, Self: self, Meta: meta, Records: records}
+	replica := quorum.New(quorumConfig, initial, 0)
 	return New(number, self, 2, replica, lease.New(leaseConfig, number, self, 2))
 }
 
--- a/control/quorum/cluster_test.go
+++ b/control/quorum/cluster_test.go
@@ -48,6 +48,17 @@
 	return len(digest.DifferingRanges(a.Digests(), b.Digests()))
 }
 
+// newReplica is a replica without records that has never voted.
+func newReplica(cfg Config, self message.Replica, meta Meta, now time.Duration) *Replica {
+	initial := InitialState{Partition: 1, Self: self, Meta: meta, Records: digest.NewRecords(), IsNew: true}
+	return New(cfg, initial, now)
+}
+
+// restartedReplica is a replica without records that may have voted before.
+func restartedReplica(cfg Config, self message.Replica, meta Meta, now time.Duration) *Replica {
+	return New(cfg, InitialState{Partition: 1, Self: self, Meta: meta, Records: digest.NewRecords()}, now)
+}
+
 // newCluster has the members in a group and the others without one.
 func newCluster(t *testing.T, members, others []string) *cluster {
 	c := &cluster{
@@ -56,10 +67,10 @@
 	}
 	group := message.Group{Number: 1, Replicas: replicasOf(members...)}
 	for _, id := range members {
-		c.replicas[id] = New(clusterConfig, 1, replicaOf(id), nil, Meta{Group: group}, digest.NewRecords(), 0, true)
+		c.replicas[id] = newReplica(clusterConfig, replicaOf(id), Meta{Group: group}, 0)
 	}
 	for _, id := range others {
-		c.replicas[id] = New(clusterConfig, 1, replicaOf(id), nil, Meta{}, digest.NewRecords(), 0, true)
+		c.replicas[id] = newReplica(clusterConfig, replicaOf(id), Meta{}, 0)
 	}
 	return c
 }
--- a/control/quorum/copies_test.go
+++ b/control/quorum/copies_test.go
@@ -53,7 +53,7 @@
 	}
 	m.waiting = nil
 	i := slices.IndexFunc(three.Replicas, func(s message.Replica) bool { return s.Ident == id })
-	m.replica = New(cfg, 1, three.Replicas[i], nil, m.meta, records, w.now, false)
+	m.replica = New(cfg, InitialState{Partition: 1, Self: three.Replicas[i], Meta: m.meta, Records: records}, w.now)
 }
 
 func (w *trio) apply(id string, o Out) {
@@ -315,7 +315,7 @@
 	w := newTrio(t)
 	w.advance(3*time.Second, true)
 	own := w.members[w.leader()].replica
-	fresh := New(cfg, 1, three.Replicas[0], nil, Meta{Group: three}, digest.NewRecords(), w.now, false)
+	fresh := restartedReplica(cfg, three.Replicas[0], Meta{Group: three}, w.now)
 	var o Out
 	own.sendInstall(w.now, message.Replica{Ident: "new"}, fresh.Records().Digests(), &o)
 	install := o.Sends[0].Message
--- a/control/quorum/epoch_test.go
+++ b/control/quorum/epoch_test.go
@@ -17,7 +17,7 @@
 		epoch uint64 // that b voted for; 0: b is of a build that doesn't say
 		won   bool
 	}{{"this incarnation", 2, true}, {"an earlier incarnation", 1, false}, {"a build that doesn't say", 0, true}} {
-		r := New(cfg, 1, three.Replicas[0], nil, votedForX, digest.NewRecords(), 0, false)
+		r := restartedReplica(cfg, three.Replicas[0], votedForX, 0)
 		now := time.Duration(0)
 		var apply func(o Out)
 		fromB := func(m message.Message) {
--- a/control/quorum/group_test.go
+++ b/control/quorum/group_test.go
@@ -6,7 +6,6 @@
 	"testing"
 	"time"
 
-	"mulleinmast/control/digest"
 	"mulleinmast/wire/message"
 )
 
@@ -164,7 +163,7 @@
 	meta := c.replicas[one].Meta()
 	// It was a candidate while it was cut off.
 	meta.VotedTerm, meta.VotedFor, meta.VotedForEpoch, meta.CandidateTerm = 40, one, 1, 40
-	c.replicas[one] = New(clusterConfig, 1, replicaOf(one), nil, meta, digest.NewRecords(), c.now, false)
+	c.replicas[one] = restartedReplica(clusterConfig, replicaOf(one), meta, c.now)
 	c.isDown[one] = false
 	c.advance(2*time.Second, c.maintain(one))
 	id, r := c.leader()
--- a/control/quorum/incarnation_test.go
+++ b/control/quorum/incarnation_test.go
@@ -24,9 +24,16 @@
 	second    = 2<<32 + 5
 )
 
+// restartedIncarnation is a replica with a folder that may have voted before.
+func restartedIncarnation(self message.Replica, epoch uint64, meta Meta) *Replica {
+	return New(cfg, InitialState{
+		Partition: 1, Self: self, Folder: OpenFolder(epoch, meta), Meta: meta, Records: digest.NewRecords(),
+	}, 0)
+}
+
 func openGuarded(t *testing.T, epoch uint64, m Meta) *guardedReplica {
 	m.Group = three
-	r := New(cfg, 1, three.Replicas[0], OpenFolder(epoch, m), m, digest.NewRecords(), 0, false)
+	r := restartedIncarnation(three.Replicas[0], epoch, m)
 	return &guardedReplica{t: t, replica: r, meta: m}
 }
 
@@ -211,8 +218,7 @@
 	w := newTrio(t)
 	for i, replica := range three.Replicas { // with folders
 		m := w.members[replica.Ident]
-		folder := OpenFolder(incarnation.Number(1, uint32(i+1)), m.meta)
-		m.replica = New(cfg, 1, replica, folder, m.meta, digest.NewRecords(), 0, false)
+		m.replica = restartedIncarnation(replica, incarnation.Number(1, uint32(i+1)), m.meta)
 	}
 	w.hasEpochs = true
 	w.advance(3*time.Second, false)
--- a/control/quorum/replica.go
+++ b/control/quorum/replica.go
@@ -129,31 +129,37 @@
 	Repairs int // times that a replica's copy was found to differ and was sent this one's
 }
 
-// New makes a replica from what the disk held. It waits out one full lease after
-// its start before it votes, since it may have supported a leader until then;
-// fresh means that it has never voted. Without a folder it neither claims an
-// incarnation nor checks those of others.
+// InitialState is what a replica starts from.
+type InitialState struct {
+	Partition int
+	Self      message.Replica
+	Folder    *Folder         // shared by the replicas of a daemon; nil: no incarnation is claimed or checked
+	Meta      Meta            // what the disk held
+	Records   *digest.Records // what the disk held; the replica's own from now on
+	IsNew     bool            // it has never voted: it need not wait out a lease that it supported before
+}
+
+// New makes a replica. Unless it is new, it waits out one full lease before it
+// votes, since it may have supported a leader until its start.
 //
-// Example: r := quorum.New(cfg, 0, self, folder, meta, records, now, false)
-func New(
-	cfg Config, partition int, self message.Replica, folder *Folder,
-	meta Meta, records *digest.Records, now time.Duration, fresh bool,
-) *Replica {
+// Example: r := quorum.New(cfg, quorum.InitialState{Self: self, Records: records, IsNew: true}, now)
+func New(cfg Config, initial InitialState, now time.Duration) *Replica {
+	meta, self := initial.Meta, initial.Self
 	r := &Replica{
-		cfg: cfg, partition: partition, self: self, meta: meta, records: records, now: now,
+		cfg: cfg, partition: initial.Partition, self: self, meta: meta, records: initial.Records, now: now,
 		epochs:      map[string]uint64{},
 		lease:       newLeaderLease(),
 		replication: newReplication(),
 		disk:        diskQueue{onSync: map[uint64][]message.Envelope{}},
-		guard:       incarnationGuard{folder: folder, acknowledgedBy: map[string]bool{}},
+		guard:       incarnationGuard{folder: initial.Folder, acknowledgedBy: map[string]bool{}},
 	}
 	r.support.until = now + cfg.Wait(cfg.LeaderLease)
-	if fresh {
+	if initial.IsNew {
 		r.support.until = now
 	}
 	r.support.earlierLeasesUntil = r.support.until
 	r.election.notBefore = now + r.electionDelay()
-	if !fresh && meta.VotedFor == self.Ident && meta.VotedForEpoch > 0 {
+	if !initial.IsNew && meta.VotedFor == self.Ident && meta.VotedForEpoch > 0 {
 		r.epochs[self.Ident] = meta.VotedForEpoch + 1 // that was an earlier incarnation of this daemon
 	}
 	return r
--- a/control/quorum/replica_test.go
+++ b/control/quorum/replica_test.go
@@ -5,7 +5,6 @@
 	"testing"
 	"time"
 
-	"mulleinmast/control/digest"
 	"mulleinmast/wire/message"
 )
 
@@ -37,7 +36,7 @@
 func newSingleLeader(t *testing.T) *single {
 	a := &single{}
 	g := message.Group{Number: 1, Replicas: []message.Replica{{Ident: "a", Addr: "x"}}}
-	a.replica = New(cfg, 1, g.Replicas[0], nil, Meta{Group: g}, digest.NewRecords(), 0, false)
+	a.replica = restartedReplica(cfg, g.Replicas[0], Meta{Group: g}, 0)
 	for ; a.now < 3*time.Second; a.now += 20 * time.Millisecond {
 		a.apply(a.replica.Tick(a.now))
 		if a.replica.IsLeader(a.now) && a.now < cfg.Wait(cfg.LeaderLease) {
--- a/control/quorum/vote_test.go
+++ b/control/quorum/vote_test.go
@@ -5,7 +5,6 @@
 	"testing"
 	"time"
 
-	"mulleinmast/control/digest"
 	"mulleinmast/wire/message"
 )
 
@@ -58,7 +57,7 @@
 
 // restartedVoter is a voter that starts at 0 and was bound to term 5 of x's incarnation 3.
 func restartedVoter(t *testing.T) *voter {
-	return &voter{t: t, replica: New(cfg, 1, three.Replicas[0], nil, votedForX, digest.NewRecords(), 0, false)}
+	return &voter{t: t, replica: restartedReplica(cfg, three.Replicas[0], votedForX, 0)}
 }
 
 // runningVoter is a voter that supported x's incarnation 3 at 10 s for the last time.
@@ -157,7 +156,7 @@
 	}
 	for _, to := range []string{"x", "a"} { // bound to another, or to itself
 		m.VotedFor = to
-		v := &voter{t: t, replica: New(cfg, 1, three.Replicas[0], nil, m, digest.NewRecords(), 0, false)}
+		v := &voter{t: t, replica: restartedReplica(cfg, three.Replicas[0], m, 0)}
 		v.step(time.Millisecond, "x", 99, message.Message{Kind: message.KindRejectVote})
 		if ok, left := v.requestVote(2*time.Millisecond, "b", 1, 6); ok || left != fullWait-2*time.Millisecond {
 			t.Errorf("bound to %s: voted %v, %v left", to, ok, left)
@@ -305,7 +304,7 @@
 	// abandoned term changes nothing, least of all to a lower term.
 	v = runningVoter(t)
 	v.requestVote(at, "b", 1, 6)
-	v.replica = New(cfg, 1, three.Replicas[0], nil, v.replica.Meta(), digest.NewRecords(), at, false)
+	v.replica = restartedReplica(cfg, three.Replicas[0], v.replica.Meta(), at)
 	v.step(at, "b", 1, message.Message{Kind: message.KindAbandonTerm, Term: 6})
 	if m := v.replica.Meta(); m.VotedTerm != 6 || m.VotedFor != "b" {
 		t.Errorf("after a restart and an abandoned term: bound to %+v", m)
--- a/control/quorum/walk_test.go
+++ b/control/quorum/walk_test.go
@@ -122,8 +122,10 @@
 	for _, r := range d.records {
 		records.Put(r)
 	}
-	folder, isFresh := OpenFolder(w.epochs[id], d.meta), d.meta.Group.Number == 0
-	w.replicas[id] = New(clusterConfig, 1, replicaOf(id), folder, d.meta, records, w.now, isFresh)
+	w.replicas[id] = New(clusterConfig, InitialState{
+		Partition: 1, Self: replicaOf(id), Folder: OpenFolder(w.epochs[id], d.meta),
+		Meta: d.meta, Records: records, IsNew: d.meta.Group.Number == 0,
+	}, w.now)
 }
 
 // newcomer starts an empty machine.
--- a/proof/modelcheck/world.go
+++ b/proof/modelcheck/world.go
@@ -256,9 +256,11 @@
 		for _, r := range d.disk.records {
 			records.Put(r)
 		}
-		meta, fresh := w.setup.Plant.atStart(d.disk.meta)
-		folder := w.setup.Plant.guard(d.epoch, meta)
-		replica = quorum.New(quorumConfig, partitionNumber, d.self, folder, meta, records, now, fresh)
+		meta, isNew := w.setup.Plant.atStart(d.disk.meta)
+		replica = quorum.New(quorumConfig, quorum.InitialState{
+			Partition: partitionNumber, Self: d.self, Folder: w.setup.Plant.guard(d.epoch, meta),
+			Meta: meta, Records: records, IsNew: isNew,
+		}, now)
 	}
 	cfg := leaseConfig
 	w.setup.Plant.leases(&cfg)
--- a/proof/sim/node.go
+++ b/proof/sim/node.go
@@ -150,7 +150,10 @@
 			if w.o.Sabotage == "lategone" {
 				leadership.LostAfter = w.cfg.Bounds.Recover * 3 / 2
 			}
-			replica = quorum.New(leadership, p, me, disk, meta, records, now, meta.Group.Number == 0 || w.o.Sabotage == "nowaitvote")
+			replica = quorum.New(leadership, quorum.InitialState{
+				Partition: p, Self: me, Folder: disk, Meta: meta, Records: records,
+				IsNew: meta.Group.Number == 0 || w.o.Sabotage == "nowaitvote",
+			}, now)
 		}
 		tree := lease.New(leases, p, me, n.epoch)
 		if codec := w.codec(); codec != nil {
