--- a/control/fleetconfig/accepted_test.go
+++ b/control/fleetconfig/accepted_test.go
@@ -24,8 +24,8 @@
 
 func (s *testRecords) change(id string, base, number uint64) Verdict {
 	p := validPlan()
-	p.ID, p.Number = id, number
-	recs, v, err := Decide(s.read, &s.plans, id, base, number, func(Plan) (Plan, Faults) { return p, p.Validate() })
+	p.ID, p.Base, p.Number = id, base, number
+	recs, v, err := Decide(s.read, &s.plans, p.Propose())
 	if err != nil {
 		panic(err)
 	}
--- a/control/fleetconfig/judge.go
+++ b/control/fleetconfig/judge.go
@@ -20,28 +20,51 @@
 	VerdictInvalid  = "broken" // it has faults
 )
 
-// Judge decides about a next plan against the one in force, which is accepted
+// Proposal is a next plan on the version that it is made for: a whole plan, or named changes of the one in force.
+type Proposal struct {
+	ID     string // the operator's; the same id again gets the same answer
+	Base   uint64 // version that must be in force
+	Number uint64 // the operator's own, for the next version; 0: none
+	// Next makes the proposed plan of the one in force. It is called only if that is the base.
+	Next func(current Plan) (Plan, Faults)
+}
+
+// Propose is the proposal of a whole plan.
+//
+// Example: records, verdict, err := fleetconfig.Decide(read, plans, plan.Propose())
+func (p Plan) Propose() Proposal {
+	return Proposal{p.ID, p.Base, p.Number, func(Plan) (Plan, Faults) { return p, p.Validate() }}
+}
+
+// Propose is the proposal of named changes.
+//
+// Example: records, verdict, err := fleetconfig.Decide(read, plans, changes.Propose())
+func (c Changes) Propose() Proposal {
+	return Proposal{c.ID, c.Base, c.Number, func(current Plan) (Plan, Faults) { return current.Apply(c) }}
+}
+
+// Judge decides about a proposal against the plan in force, which is accepted
 // again; what was accepted before that is for Decide. It returns the record's value
-// when the plan is accepted.
+// when the proposal is accepted.
 //
-// Example: val, verdict := fleetconfig.Judge(current, "id-1", 4, func(p Plan) (Plan, Faults) { return p.Apply(c) })
-func Judge(current Plan, id string, base uint64, next func(Plan) (Plan, Faults)) ([]byte, Verdict) {
+// Example: val, verdict := fleetconfig.Judge(current, changes.Propose())
+func Judge(current Plan, proposal Proposal) ([]byte, Verdict) {
 	for _, past := range slices.Concat(current.PastChanges, []AcceptedChange{{ID: current.ID, Version: current.Version}}) {
-		if past.ID == id && id != "" {
+		if past.ID == proposal.ID && proposal.ID != "" {
 			return nil, Verdict{Result: VerdictAccepted, Version: past.Version}
 		}
 	}
-	if base != current.Version {
+	if proposal.Base != current.Version {
 		return nil, Verdict{Result: VerdictConflict, Version: current.Version}
 	}
-	plan, faults := next(current)
+	plan, faults := proposal.Next(current)
 	if plan.Number > 0 && plan.Number <= current.Version {
 		faults.Add("plan.number: %d: expected more than %d, the version in force", plan.Number, current.Version)
 	}
 	if faults.Any() {
 		return nil, Verdict{Result: VerdictInvalid, Version: current.Version, Faults: faults.List}
 	}
-	plan.ID, plan.Base, plan.Version = id, base, current.Version+1
+	plan.ID, plan.Base, plan.Version = proposal.ID, proposal.Base, current.Version+1
 	if plan.Number > 0 {
 		plan.Version, plan.Number = plan.Number, 0
 	}
@@ -53,29 +76,28 @@
 	return value, Verdict{Result: VerdictAccepted, Version: plan.Version}
 }
 
-// Decide judges a next plan by the records: one that was accepted before gets
+// Decide judges a proposal by the records: one that was accepted before gets
 // its answer again, one that is accepted now is written together with its id. plans
-// reads the plan's record; number is the one that the call names, if any. The
-// error is of a plan in force that this build can't read: nothing is decided on it.
+// reads the plan's record. The error is of a plan in force that this build can't read:
+// nothing is decided on it.
 //
-// Example: records, verdict, err := fleetconfig.Decide(read, plans, "id-1", 4, 7, next)
+// Example: records, verdict, err := fleetconfig.Decide(read, plans, plan.Propose())
 func Decide(
-	read func(key string) message.Record, plans *PlanReader,
-	id string, base, number uint64, next func(Plan) (Plan, Faults),
+	read func(key string) message.Record, plans *PlanReader, proposal Proposal,
 ) ([]message.Record, Verdict, error) {
 	current, err := plans.Read(read(PlanKey))
 	if err != nil {
 		return nil, Verdict{}, err
 	}
 	accepted := ReadAcceptedChanges(read)
-	if version, ok := accepted.Find(id, number); ok {
+	if version, ok := accepted.Find(proposal.ID, proposal.Number); ok {
 		return nil, Verdict{Result: VerdictAccepted, Version: version}, nil
 	}
-	value, verdict := Judge(current, id, base, next)
+	value, verdict := Judge(current, proposal)
 	if value == nil {
 		return nil, verdict, nil
 	}
 	// What a build before this one kept in the plan's record moves out of it.
-	remembered := accepted.Add(slices.Concat(current.PastChanges, []AcceptedChange{{ID: id, Version: verdict.Version}})...)
+	remembered := accepted.Add(slices.Concat(current.PastChanges, []AcceptedChange{{ID: proposal.ID, Version: verdict.Version}})...)
 	return append([]message.Record{{Key: PlanKey, Value: value}}, remembered...), verdict, nil
 }
--- a/control/fleetconfig/route_test.go
+++ b/control/fleetconfig/route_test.go
@@ -66,9 +66,9 @@
 // An operator's own number becomes the version if it is above the one in
 // force; a plan without one counts on from there.
 func TestAnOperatorsNumberBecomesTheVersion(t *testing.T) {
-	to := func(p Plan, number uint64) func(Plan) (Plan, Faults) {
-		p.Number = number
-		return func(Plan) (Plan, Faults) { return p, p.Validate() }
+	propose := func(p Plan, id string, base, number uint64) Proposal {
+		p.ID, p.Base, p.Number = id, base, number
+		return p.Propose()
 	}
 	s := &testRecords{stored: map[string]message.Record{}}
 	for i, x := range []struct {
@@ -88,7 +88,7 @@
 		{"e", 5, 12, "taken", 12},
 		{"g", 0, 14, "beaten", 13},
 	} {
-		recs, v, err := Decide(s.read, new(PlanReader), x.id, x.base, x.number, to(routedPlan(), x.number))
+		recs, v, err := Decide(s.read, new(PlanReader), propose(routedPlan(), x.id, x.base, x.number))
 		if err != nil || v.Result != x.result || v.Version != x.want || (v.Result == "broken") != (len(v.Faults) == 1) {
 			t.Errorf("%d: %+v %v, expected %s %d", i, v, err, x.result, x.want)
 		}
@@ -101,7 +101,7 @@
 	}
 	invalid := routedPlan()
 	invalid.Routes[0].GiveUpMillis = 0
-	if _, v := Judge(OpenPlan(s.read(PlanKey)), "z", 13, to(invalid, 13)); len(v.Faults) != 2 {
+	if _, v := Judge(OpenPlan(s.read(PlanKey)), propose(invalid, "z", 13, 13)); len(v.Faults) != 2 {
 		t.Errorf("an invalid plan with an old number: %v", v.Faults)
 	}
 }
@@ -240,15 +240,15 @@
 		r.Raw, _ = json.Marshal(r)
 		p.Routes = append(p.Routes, r)
 	}
-	val, v := Judge(Plan{}, "a", 0, func(Plan) (Plan, Faults) { return p, p.Validate() })
+	p.ID = "a"
+	val, v := Judge(Plan{}, p.Propose())
 	if v.Result != "taken" {
 		b.Fatal(v)
 	}
 	for b.Loop() {
 		cur := OpenPlan(message.Record{Value: val})
-		if _, v := Judge(cur, "b", 1, func(p Plan) (Plan, Faults) {
-			return p.Apply(Changes{ID: "b", Changes: []Change{{Op: "set-route", Route: &p.Routes[7]}}})
-		}); v.Result != "taken" {
+		change := Change{Op: "set-route", Route: &cur.Routes[7]}
+		if _, v := Judge(cur, Changes{ID: "b", Base: 1, Changes: []Change{change}}.Propose()); v.Result != "taken" {
 			b.Fatal(v)
 		}
 	}
--- a/control/fleetconfig/stored_test.go
+++ b/control/fleetconfig/stored_test.go
@@ -199,7 +199,9 @@
 	}
 	_, f = plan.Apply(Changes{Changes: append(changes, Change{Op: "exclude-server", Name: "m", Server: "host"})})
 	faults = append(faults, f.List...)
-	_, verdict := Judge(Plan{Version: 4}, "c", 4, func(Plan) (Plan, Faults) { return Plan{Number: 4}, Faults{} })
+	_, verdict := Judge(Plan{Version: 4}, Proposal{ID: "c", Base: 4, Next: func(Plan) (Plan, Faults) {
+		return Plan{Number: 4}, Faults{}
+	}})
 	faults = append(faults, verdict.Faults...)
 	for _, value := range []string{"m\xff", "{", "o\x01"} {
 		if _, err := ReadPlan(message.Record{
--- a/control/fleetconfig/validate_test.go
+++ b/control/fleetconfig/validate_test.go
@@ -48,21 +48,24 @@
 }
 
 func TestJudge(t *testing.T) {
-	replaceBy := func(p Plan) func(Plan) (Plan, Faults) { return func(Plan) (Plan, Faults) { return p, p.Validate() } }
-	val, v := Judge(Plan{}, "a", 0, replaceBy(validPlan()))
+	propose := func(p Plan, id string, base uint64) Proposal {
+		p.ID, p.Base = id, base
+		return p.Propose()
+	}
+	val, v := Judge(Plan{}, propose(validPlan(), "a", 0))
 	if v.Result != "taken" || v.Version != 1 {
 		t.Fatal(v)
 	}
 	cur := OpenPlan(message.Record{Value: val})
-	if val, v := Judge(cur, "a", 0, replaceBy(validPlan())); val != nil || v.Result != "taken" || v.Version != 1 {
+	if val, v := Judge(cur, propose(validPlan(), "a", 0)); val != nil || v.Result != "taken" || v.Version != 1 {
 		t.Errorf("resent: %v", v)
 	}
-	if val, v := Judge(cur, "b", 0, replaceBy(validPlan())); val != nil || v.Result != "beaten" || v.Version != 1 {
+	if val, v := Judge(cur, propose(validPlan(), "b", 0)); val != nil || v.Result != "beaten" || v.Version != 1 {
 		t.Errorf("old base: %v", v)
 	}
 	invalid := validPlan()
 	invalid.Tenants[0].TimeoutMillis = -1
-	if val, v := Judge(cur, "c", 1, replaceBy(invalid)); val != nil || v.Result != "broken" || len(v.Faults) == 0 {
+	if val, v := Judge(cur, propose(invalid, "c", 1)); val != nil || v.Result != "broken" || len(v.Faults) == 0 {
 		t.Errorf("broken: %v", v)
 	}
 	_, f := cur.Apply(Changes{ID: "d", Base: 1, Changes: []Change{{Op: "drop-tenant", Name: "nobody"}, {Op: "what"}}})
--- a/control/leader/configcalls.go
+++ b/control/leader/configcalls.go
@@ -12,22 +12,13 @@
 	"mulleinmast/wire/message"
 )
 
-// planChange is a whole plan or named changes, on the version that they are based on.
-type planChange struct {
-	id     string
-	base   uint64 // version in force that it is made for
-	number uint64 // the operator's own, for the next version; 0: none
-	next   func(fleetconfig.Plan) (fleetconfig.Plan, fleetconfig.Faults)
-}
-
 // handlePlan takes a whole plan.
 func (r request) handlePlan(body []byte) (partition.Job, error) {
 	plan, err := decodeStrictly[fleetconfig.Plan](body)
 	if err != nil {
 		return partition.Job{}, err
 	}
-	next := func(fleetconfig.Plan) (fleetconfig.Plan, fleetconfig.Faults) { return plan, plan.Validate() }
-	return r.planJob(planChange{plan.ID, plan.Base, plan.Number, next}), nil
+	return r.planJob(plan.Propose()), nil
 }
 
 // handleChanges takes named changes of the plan in force.
@@ -36,8 +27,7 @@
 	if err != nil {
 		return partition.Job{}, err
 	}
-	next := func(p fleetconfig.Plan) (fleetconfig.Plan, fleetconfig.Faults) { return p.Apply(changes) }
-	return r.planJob(planChange{changes.ID, changes.Base, changes.Number, next}), nil
+	return r.planJob(changes.Propose()), nil
 }
 
 // decodeStrictly reads a body that the calling daemon may have compressed; the error is the first fault.
@@ -52,17 +42,19 @@
 	return value, nil
 }
 
-func (r request) planJob(change planChange) partition.Job {
+// planJob decides about a proposal, which is accepted only if all daemons can read the plan.
+func (r request) planJob(proposal fleetconfig.Proposal) partition.Job {
 	build := func(read lease.RecordSource) ([]message.Record, any) {
 		unreadable := ""
-		next := func(current fleetconfig.Plan) (fleetconfig.Plan, fleetconfig.Faults) {
-			plan, faults := change.next(current)
+		checked := proposal
+		checked.Next = func(current fleetconfig.Plan) (fleetconfig.Plan, fleetconfig.Faults) {
+			plan, faults := proposal.Next(current)
 			if unreadable = r.whyUnreadable(plan); unreadable != "" {
 				faults.Add("%s", unreadable) // it is not written
 			}
 			return plan, faults
 		}
-		records, verdict, err := fleetconfig.Decide(read, r.plans, change.id, change.base, change.number, next)
+		records, verdict, err := fleetconfig.Decide(read, r.plans, checked)
 		if err != nil {
 			return nil, unclear(err)
 		}
