--- a/cmd/mulleinctl/queries.go
+++ b/cmd/mulleinctl/queries.go
@@ -35,8 +35,8 @@
 	case "story":
 		return s.showEvents(arg)
 	}
-	if fill, ok := stateQueries[name]; ok {
-		return s.showStates(fill, arg)
+	if addRows, ok := stateQueries[name]; ok {
+		return s.showStates(addRows, arg)
 	}
 	return failQuery(fmt.Sprintf("no query %q; see help", name))
 }
@@ -76,18 +76,18 @@
 	"tree":       addTree,
 }
 
-func (s *shell) showStates(fill func(*table, string, daemon.State, string), arg string) int {
+func (s *shell) showStates(addRows func(*table, string, daemon.State, string), arg string) int {
 	states, err := getAll[daemon.State](s, "/v1/state")
 	if err != nil {
 		return fail(err)
 	}
 	var t table
-	for _, addr := range sortedKeys(states.of) {
-		fill(&t, addr, states.of[addr], arg)
+	for _, addr := range sortedKeys(states.byAddr) {
+		addRows(&t, addr, states.byAddr[addr], arg)
 	}
 	slices.SortStableFunc(t.rows, func(a, b []any) int { return strings.Compare(fmt.Sprint(a[0]), fmt.Sprint(b[0])) })
 	states.reportSilent()
-	return s.show(states.of, t)
+	return s.show(states.byAddr, t)
 }
 
 func addVersion(t *table, addr string, state daemon.State, _ string) {
@@ -140,11 +140,11 @@
 		}
 		children := []string{}
 		for _, child := range p.Lease.Children {
-			mark := ""
+			flag := ""
 			if child.Unreachable {
-				mark = "!"
+				flag = "!"
 			}
-			children = append(children, fmt.Sprintf("%s%s(%d)", child.Replica.Addr, mark, child.LeaseLeft))
+			children = append(children, fmt.Sprintf("%s%s(%d)", child.Replica.Addr, flag, child.LeaseLeft))
 		}
 		t.add(p.Partition, addr, parent, p.Lease.LeaseLeft, len(p.Lease.Records), strings.Join(children, " "))
 	}
@@ -171,13 +171,13 @@
 	if id == "" {
 		return failQuery("why needs a request's id, or all")
 	}
-	found, err := getAll[[]scheduler.Story](s, "/v1/why/"+id)
+	stories, err := getAll[[]scheduler.Story](s, "/v1/why/"+id)
 	if err != nil {
 		return fail(err)
 	}
 	t := table{head: "REQUEST DAEMON RESULT MS WHY LEDGER"}
-	for _, addr := range sortedKeys(found.of) {
-		for _, story := range found.of[addr] {
+	for _, addr := range sortedKeys(stories.byAddr) {
+		for _, story := range stories.byAddr[addr] {
 			var attempts []string
 			for _, a := range story.Ledger {
 				attempts = append(attempts, fmt.Sprintf("%s %s: %s %s", a.Phase, a.Server, a.Known, a.Why))
@@ -189,7 +189,7 @@
 	if len(t.rows) == 0 {
 		return failQuery("no daemon knows request " + id)
 	}
-	return s.show(found.of, t)
+	return s.show(stories.byAddr, t)
 }
 
 // importFile prints an OpenAPI file as named changes on the plan in force.
@@ -222,8 +222,8 @@
 		Daemon string `json:"daemon"`
 	}
 	var events []event
-	for _, addr := range sortedKeys(logs.of) {
-		for _, entry := range logs.of[addr].Entries {
+	for _, addr := range sortedKeys(logs.byAddr) {
+		for _, entry := range logs.byAddr[addr].Entries {
 			if kind == "" || strings.Contains(entry.Kind, kind) {
 				events = append(events, event{entry, addr})
 			}
--- a/cmd/mulleinctl/shell.go
+++ b/cmd/mulleinctl/shell.go
@@ -62,7 +62,7 @@
 // answers are those of all members, by their HTTP addresses, and the errors of those
 // that gave none.
 type answers[T any] struct {
-	of     map[string]T
+	byAddr map[string]T
 	silent map[string]error
 }
 
@@ -73,7 +73,7 @@
 		return answers[T]{}, err
 	}
 	var mu sync.Mutex // guards all
-	all := answers[T]{of: map[string]T{}, silent: map[string]error{}}
+	all := answers[T]{byAddr: map[string]T{}, silent: map[string]error{}}
 	var calls sync.WaitGroup
 	for _, m := range state.Members {
 		calls.Go(func() {
@@ -84,7 +84,7 @@
 			if err != nil {
 				all.silent[m.HTTPAddr] = err
 			} else {
-				all.of[m.HTTPAddr] = got
+				all.byAddr[m.HTTPAddr] = got
 			}
 		})
 	}
--- a/control/daemon/calls.go
+++ b/control/daemon/calls.go
@@ -128,7 +128,7 @@
 	OtherDaemons      []message.Member // control daemons to send callers to when this one is cut off
 }
 
-// Contact tells whether this daemon is in touch with a partition's leader, by its own
+// Contact reports whether this daemon is in touch with a partition's leader, by its own
 // lease and clock alone.
 //
 // Example: if d.Contact(0).LeaderUnreachable { redirectCaller() }
--- a/control/daemon/config.go
+++ b/control/daemon/config.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// ErrHelp means that the usage text was asked for and shown.
+// ErrHelp means that the usage text was requested and shown.
 var ErrHelp = flag.ErrHelp
 
 // ReadConfig reads the config file, if one is named, then the flags, which win; it
--- a/control/daemon/daemon.go
+++ b/control/daemon/daemon.go
@@ -53,13 +53,13 @@
 
 	// TrafficState is what the data plane adds to the state dump; nil: nothing.
 	TrafficState func() map[string]any
-	// Explainers tell what became of a request by its id, or of all that are known.
+	// Explainers explain what became of a request by its id, or of all that are known.
 	Explainers []func(request string) []any
 	// LoadPoller and OrderSender call the model servers. Until a driver sets them
 	// each call fails.
 	LoadPoller  LoadPoller
 	OrderSender OrderSender
-	// Pressure tells how hard a server is pressed; nil: nobody knows.
+	// Pressure is how hard a server is pressed; nil: unknown.
 	Pressure func(service, server string) placement.Pressure
 	// OnLoadReport takes what other daemons report of the servers' load.
 	OnLoadReport func(message.Message)
--- a/control/daemon/handover.go
+++ b/control/daemon/handover.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// RefusesRequests tells whether the daemon was asked to stop so long ago that the
+// RefusesRequests reports whether the daemon was asked to stop so long ago that the
 // platform has seen it is not ready; until then it still takes requests.
 //
 // Example: if d.RefusesRequests() { refuse() }
@@ -74,7 +74,7 @@
 	}
 }
 
-// replicaStage is how far a control daemon has come since its start.
+// replicaStage is what a control daemon has reached since its start.
 type replicaStage uint8
 
 const (
--- a/control/daemon/invariants.go
+++ b/control/daemon/invariants.go
@@ -10,7 +10,7 @@
 	fenceRises = invariant.New("order_fence_went_back",
 		"orders for a partition's servers never bear a lower fence than before")
 	savesInOrder = invariant.New("saves_out_of_order",
-		"a partition's saves are told as done in the order in which they were asked for")
+		"a partition's saves are reported as done in the order in which they were requested")
 )
 
 // LogViolations has violated invariants of this process logged, until restore is
--- a/control/daemon/membership.go
+++ b/control/daemon/membership.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// isInAnyGroup tells whether a replica here knows of a group: by the replicas, or
+// isInAnyGroup reports whether a replica here knows of a group: by the replicas, or
 // by the data folder while they aren't made yet.
 func (d *Daemon) isInAnyGroup() bool {
 	for _, s := range d.shards {
@@ -125,8 +125,8 @@
 		}
 	}
 	if d.shards == nil {
-		for _, held := range d.store.Partitions {
-			if held.Meta.Group.Number > 0 {
+		for _, state := range d.store.Partitions {
+			if state.Meta.Group.Number > 0 {
 				return true
 			}
 		}
--- a/control/daemon/messages.go
+++ b/control/daemon/messages.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// isMembership tells whether the session table takes a message.
+// isMembership reports whether the session table takes a message.
 func isMembership(kind message.Kind) bool {
 	return kind >= message.KindHello && kind <= message.KindCensusAnswer || kind == message.KindBootstrap
 }
--- a/control/daemon/readable.go
+++ b/control/daemon/readable.go
@@ -15,7 +15,7 @@
 	err     error
 }
 
-// isReadable tells whether this build can read a record, and logs it once a version
+// isReadable reports whether this build can read a record, and logs it once a version
 // if not: nothing may be served by it then. The shard's lock is held.
 func (d *Daemon) isReadable(s *shard, rec message.Record) bool {
 	if known, ok := s.checks[rec.Key]; ok && known.version == rec.Version && rec.Version != (message.Version{}) {
--- a/control/daemon/readiness.go
+++ b/control/daemon/readiness.go
@@ -22,14 +22,14 @@
 	stage replicaStage // the furthest that its replicas came; the membership loop alone uses it
 }
 
-// wasReadyWithin tells whether it was ready not longer ago than a time, and isn't
+// wasReadyWithin reports whether it was ready not longer ago than a time, and isn't
 // stopping.
 func (r *readiness) wasReadyWithin(now, limit time.Duration) bool {
 	last := time.Duration(r.lastReady.Load())
 	return last > 0 && !r.stopping.Load() && now-last < limit
 }
 
-// Ready tells whether the daemon serves and isn't stopping, or did within a volume
+// Ready reports whether the daemon serves and isn't stopping, or did within a volume
 // lease: each change withdraws the configuration for some tens of ms, in which
 // requests wait for it, and hundreds of changes in a row make no daemon unready.
 //
@@ -38,10 +38,10 @@
 	return d.isReady() || d.readiness.wasReadyWithin(d.Now(), d.Cfg.VolumeLease())
 }
 
-// isReady tells whether the daemon was found ready and can serve at this moment.
+// isReady reports whether the daemon was found ready and can serve at this moment.
 func (d *Daemon) isReady() bool { return d.readiness.ready.Load() && d.canServe() }
 
-// isReadyToMembers tells whether the session table is to show this daemon as ready:
+// isReadyToMembers reports whether the session table is to show this daemon as ready:
 // a dip as short as a change of configuration makes is not worth a change there.
 func (d *Daemon) isReadyToMembers() bool {
 	if d.readiness.ready.Load() {
@@ -51,7 +51,7 @@
 	return d.readiness.wasReadyWithin(d.Now(), d.Cfg.MembershipConfig().SessionTimeout)
 }
 
-// canServe tells whether requests can be routed by the configuration here.
+// canServe reports whether requests can be routed by the configuration here.
 func (d *Daemon) canServe() bool {
 	if d.readiness.stopping.Load() || d.WhySuperseded() != "" {
 		return false
--- a/control/daemon/reconcile.go
+++ b/control/daemon/reconcile.go
@@ -108,7 +108,7 @@
 	s.controller.HandleOrdered(d.Now(), order, err == nil)
 }
 
-// checkFence tells whether an order bears no lower fence than one that this daemon
+// checkFence reports whether an order bears no lower fence than one that this daemon
 // gave before. The lock is held.
 func (s *shard) checkFence(order placement.Order) bool {
 	ok := fenceRises.Hold(order.Term >= s.highestFence, "partition %d: an order to %s with fence %d after %d",
--- a/control/daemon/serverlists.go
+++ b/control/daemon/serverlists.go
@@ -48,7 +48,7 @@
 	return &listWriter{term: term, isOver: isOver, accepted: map[string][]byte{}}
 }
 
-// isAccepted tells whether a service's leader has a list already.
+// isAccepted reports whether a service's leader has a list already.
 func (l *listWriter) isAccepted(service string, packed []byte) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/control/daemon/shard.go
+++ b/control/daemon/shard.go
@@ -29,7 +29,7 @@
 	parents      membership.ParentChooser
 	highestFence uint64               // of the orders that were given from here
 	lastSave     uint64               // newest save that was reported as done
-	checks       map[string]readCheck // of records that were asked for, by key
+	checks       map[string]readCheck // of requested records, by key
 }
 
 func newShard(p int, controller *leader.Controller, cfg Config) *shard {
@@ -160,7 +160,7 @@
 	}
 }
 
-// isLeader tells whether this daemon leads the partition now. The lock is held.
+// isLeader reports whether this daemon leads the partition now. The lock is held.
 func (s *shard) isLeader(now time.Duration) bool { return s.controller.IsLeader(now) }
 
 // group is that of the partition as the replica here knows it; the zero group
