--- a/control/fleetconfig/codec_test.go
+++ b/control/fleetconfig/codec_test.go
@@ -104,8 +104,8 @@
 	return string(b)
 }
 
-// Values that share little go whole; lists go as what changed, too.
-func TestWhatGoesWhole(t *testing.T) {
+// Values that share little have no patch; lists have patches, too.
+func TestValuesThatShareLittleHaveNoPatch(t *testing.T) {
 	if patch := (Codec{}).Patch([]byte(`{"a":1}`), recordOf(t, planOf(100))); patch != nil {
 		t.Errorf("%d bytes of patch between strangers", len(patch))
 	}
--- a/control/fleetconfig/list.go
+++ b/control/fleetconfig/list.go
@@ -11,7 +11,7 @@
 
 // Server is one entry of the platform's list.
 type Server struct {
-	ID       string `json:"id,omitempty"` // of this life of the server, where the platform gives one
+	ID       string `json:"id,omitempty"` // of this start of the server, where the platform gives one
 	Addr     string `json:"addr"`         // IP address and port
 	Zone     string `json:"cell"`
 	Capacity int    `json:"capacity"` // requests that it works on at a time; 1 to 4096
@@ -20,7 +20,7 @@
 	Warming  bool   `json:"warming,omitempty"` // the platform says so
 }
 
-// Key names a server within its service: the id of this life, else its address.
+// Key names a server within its service: the id of its start, else its address.
 //
 // Example: fleetconfig.Server{Addr: "10.0.0.1:9000"}.Key() == "10.0.0.1:9000"
 func (s Server) Key() string {
--- a/control/fleetconfig/plan.go
+++ b/control/fleetconfig/plan.go
@@ -1,7 +1,7 @@
 // Package fleetconfig is the operators' configuration of the fleet: one template a tenant,
 // whole plans, named changes, the lists of model servers and the zones taken out of
 // service. A plan is validated in full before anything is written and is one
-// record, so it is in force whole or not at all.
+// record, so all of it is in force or nothing.
 package fleetconfig
 
 import "encoding/json"
@@ -53,7 +53,7 @@
 	DecodeServers  int      `json:"makers"`            // likewise
 	Exclude        []string `json:"exclude,omitempty"` // addresses (IP and port) of servers that get no work
 
-	// The rest is for services whose servers the platform lists; 0: not said.
+	// The rest is for services whose servers the platform lists; 0: not given.
 	StatusPath     string          `json:"status,omitempty"`      // path at which a server answers with its state
 	MaxConnections int             `json:"conns,omitempty"`       // that a server takes from all daemons together
 	WarmUpSeconds  float64         `json:"cold_s,omitempty"`      // for so long after its start a server is cold
--- a/control/fleetconfig/stored_test.go
+++ b/control/fleetconfig/stored_test.go
@@ -165,7 +165,7 @@
 	}
 }
 
-// What is wrong with a plan is said in the same words.
+// What is wrong with a plan is answered in the same words.
 func TestWordsOfFaultsStay(t *testing.T) {
 	plan := Plan{
 		ID: "a/b", Needs: -1,
--- a/control/leader/call.go
+++ b/control/leader/call.go
@@ -133,7 +133,7 @@
 // request is a try of a call as its handler sees it.
 type request struct {
 	id    string          // names the call over all its tries; "": its daemon's build doesn't number them
-	basis message.Version // that the leader told the caller; zero: its daemon's build knows none
+	basis message.Version // that a leader named to the caller; zero: its daemon's build knows none
 	// orders are those of the leadership; used only where id is set.
 	orders         *recentOrders
 	readableFormat func() int // see Config.ReadableFormat
--- a/control/leader/configcalls.go
+++ b/control/leader/configcalls.go
@@ -66,7 +66,7 @@
 	return partition.Job{Keys: []string{fleetconfig.PlanKey}, Mergeable: true, Build: build}
 }
 
-// whyUnreadable tells why a plan can't be accepted: there are daemons that couldn't read it. "": all can.
+// whyUnreadable says why a plan can't be accepted: there are daemons that couldn't read it. "": all can.
 func (r request) whyUnreadable(p fleetconfig.Plan) string {
 	if r.readableFormat == nil || p.Needs == 0 {
 		return ""
--- a/control/leader/cutoff_test.go
+++ b/control/leader/cutoff_test.go
@@ -9,8 +9,8 @@
 	"mulleinmast/wire/message"
 )
 
-// A leader whose leader lease has lapsed by its own clock, and that nobody has
-// told so, says to every call that it is not the leader: it confirms nothing,
+// A leader whose leader lease has lapsed by its own clock, and that doesn't know of
+// another, answers every call that it is not the leader: it confirms nothing,
 // refuses nothing, and finds no fault with a call either.
 func TestALapsedLeaderSaysNothing(t *testing.T) {
 	l := startLeader(t, 0, nil)
--- a/control/leader/replicas.go
+++ b/control/leader/replicas.go
@@ -63,7 +63,7 @@
 	LearnerReady(now time.Duration, id string) bool     // its copy is caught up, and it answers
 	MissedHeartbeats(now time.Duration, id string) bool // it missed some; it may be back soon
 	IsLost(now time.Duration, id string) bool           // it answered nothing for so long that it is replaced
-	IsTerminating(id string) bool                       // it was told to end for good
+	IsTerminating(id string) bool                       // it is ending for good
 	MayLeave(now time.Duration, id string) bool         // the group does without it: no other replica is away
 }
 
--- a/control/leader/servicecalls.go
+++ b/control/leader/servicecalls.go
@@ -19,7 +19,7 @@
 // Example: leader.OnceKey("express/k-17") == "once/express/k-17"
 func OnceKey(key string) string { return kindOnceKey + "/" + key }
 
-// handleServers takes a list of servers. One without a version has no order: it is taken once a call.
+// handleServers takes a list of servers. One without a version has no order: it is carried out once a call.
 func (r request) handleServers(body []byte) (partition.Job, error) {
 	in, err := decodeBody[ServersCall](body)
 	if err != nil {
--- a/control/leadercall/leadercall.go
+++ b/control/leadercall/leadercall.go
@@ -30,7 +30,7 @@
 type Config struct {
 	TryTimeout    time.Duration // a leader's answer to a try is waited for this long
 	RetryInterval time.Duration // before the next try, where no leader is known or the daemon isn't it
-	RetryAfter    time.Duration // what a caller is told to wait whose call was not answered
+	RetryAfter    time.Duration // that a caller is to wait whose call was not answered
 }
 
 // Result is the end of a call.
--- a/control/placement/balance_test.go
+++ b/control/placement/balance_test.go
@@ -125,7 +125,7 @@
 	return s.serverRecords[fleetconfig.ServerRecordKey("m", id)]
 }
 
-// Servers whose roles the platform lists are taken as they are, and are never
+// Servers whose roles the platform lists keep them, and are never
 // polled, whatever happens to them.
 func TestAListedServerIsNeverPolled(t *testing.T) {
 	s := newListedFleet(t, 2, 2, fleetconfig.Service{})
@@ -193,7 +193,7 @@
 	}
 }
 
-// A side that is pressed gets a server after Press, one at a time with Settle
+// A side that is pressed gets a server after PressWindow, one at a time with ListedDwell
 // between, from the side at ease, whose last one stays, or the plan's least.
 func TestAPressedSideGetsServers(t *testing.T) {
 	for _, test := range []struct {
--- a/control/placement/placement_test.go
+++ b/control/placement/placement_test.go
@@ -274,8 +274,8 @@
 	}
 }
 
-// A server that doesn't say its uptime is used all the same, and is told its
-// role again when it comes back from the dark.
+// A server that doesn't say its uptime is used all the same, and is ordered its
+// role again when it is no longer dark.
 func TestServersWithoutUptimeAreUsed(t *testing.T) {
 	c, list := newPolledFleet(2)
 	serverRecords := map[string]ServerRecord{}
--- a/control/placement/records.go
+++ b/control/placement/records.go
@@ -71,7 +71,7 @@
 // Priorities is how many priorities of requests there are; 0 is the most urgent.
 const Priorities = 10
 
-// Demand is a daemon's report, and its wish for slots, for one service.
+// Demand is a daemon's report on its requests, and its request for slots, for one service.
 type Demand struct {
 	Service    string          `json:"s"`
 	AckedShare uint64          `json:"a"`           // number of the latest share that it got
@@ -100,7 +100,7 @@
 // Order has a server play a role.
 type Order struct {
 	Key    string `json:"-"` // of the server's record
-	ID     string `json:"-"` // of this life of the server, where the platform gives one
+	ID     string `json:"-"` // of this start of the server, where the platform gives one
 	Addr   string `json:"-"`
 	Role   string `json:"part"`
 	Term   uint64 `json:"term"` // of the leader; a server may refuse an order of an earlier one
--- a/control/placement/server.go
+++ b/control/placement/server.go
@@ -19,14 +19,14 @@
 	observed observation
 	order    orderState
 
-	restarted    bool          // it restarted and its record doesn't say so yet: what it played is gone
+	restarted    bool          // it restarted, and so lost its role, and its record doesn't say so yet
 	warmingSince time.Duration // its slots rise from then on, while it is warming
 	leavingSince time.Duration // when it began to leave its role
 }
 
 // listing is what the platform's list says of a server beside its place, where it names roles.
 type listing struct {
-	id      string // of this life of the server, where the platform gives one
+	id      string // of this start of the server, where the platform gives one
 	role    string // that it plays; "": the list names none, and the server is polled
 	warming bool
 	// deniedSince is since when the list has named another role than the record; 0: it doesn't.
--- a/control/placement/shift.go
+++ b/control/placement/shift.go
@@ -37,7 +37,7 @@
 }
 
 // continueShift orders a server its next role once nothing of the old one is in flight there, and
-// writes the role once the order is taken. That the record is committed means that the invalidation is complete.
+// writes the role once the order is accepted. That the record is committed means that the invalidation is complete.
 func (r *round) continueShift(key string, s *server) {
 	if s.order.role == s.NextRole {
 		record := s.ServerRecord
