--- a/control/eventlog/eventlog_test.go
+++ b/control/eventlog/eventlog_test.go
@@ -18,7 +18,7 @@
 		want          string
 	}{
 		{"no fields", "stopped", nil, "stopped"},
-		{"numbers and durations", "lost", []any{"partition", 3, "after", 1500 * time.Millisecond}, "lost partition=3 after=1.5s"},
+		{"numbers and durations", "lost", []any{"n", 3, "after", 1500 * time.Millisecond}, "lost n=3 after=1.5s"},
 		{"a value of several words", "failed", []any{"error", errors.New("disk is full")}, `failed error="disk is full"`},
 		{"a list", "seeds", []any{"seeds", []string{"a", "b"}}, `seeds seeds="[a b]"`},
 		{"an empty value", "zone", []any{"zone", ""}, `zone zone=""`},
