--- a/proof/modelcheck/explore.go
+++ b/proof/modelcheck/explore.go
@@ -19,7 +19,7 @@
 	States int    // the run ends after so many states, and says so
 }
 
-// Report tells what a run came to.
+// Report says what a run came to.
 type Report struct {
 	Name   string
 	States int
@@ -33,7 +33,7 @@
 	Copies int      // older copies started in a walk
 }
 
-// String tells it in a line, and the trace below.
+// String is the report in a line, and the trace below.
 //
 // Example: fmt.Print(report)
 func (r Report) String() string {
@@ -157,7 +157,7 @@
 	wg.Wait()
 }
 
-// retrace tells how the last place was reached.
+// retrace is how the last place was reached.
 func retrace(s *Setup, places []place) (lines []string, n int) {
 	var list []Event
 	for at := int32(len(places) - 1); at > 0; at = places[at].from {
--- a/proof/modelcheck/modelcheck_test.go
+++ b/proof/modelcheck/modelcheck_test.go
@@ -59,7 +59,7 @@
 
 // The explorer finds a planted fault too, by the shortest way, and tells it; the
 // same way leads there again.
-func TestTheShortestTraceIsTold(t *testing.T) {
+func TestTheShortestTraceIsReported(t *testing.T) {
 	s := Scope{
 		Name: "planted", Setup: Setup{Replicas: 3, Plant: ignoredBase},
 		Most: Bounds{Write: 2, Crash: 1}, Total: 3, Depth: 12,
