--- a/control/lease/golden_test.go
+++ b/control/lease/golden_test.go
@@ -277,6 +277,14 @@
 	r.pass(600 * time.Millisecond)
 	r.show("k")
 
+	recordFailures(r)
+	recordOddMessages(t, log)
+	recordRedirects(t, log)
+}
+
+// recordFailures goes on with a tree whose root is silent, whose relay starts anew, and
+// whose leader changes.
+func recordFailures(r *recorder) {
 	r.scene("the root is silent, leases lapse")
 	r.lost = func(from, _ string, _ *message.Message) bool { return from == "root" }
 	r.pass(2500 * time.Millisecond)
@@ -300,8 +308,6 @@
 	r.adopt("root", "relay")
 	r.pass(400 * time.Millisecond)
 	r.show("k", "absent")
-	recordOddMessages(t, log)
-	recordRedirects(t, log)
 }
 
 // recordOddMessages gives a relay with a child what comes late, twice or from others.
--- a/control/membership/lost_test.go
+++ b/control/membership/lost_test.go
@@ -17,7 +17,8 @@
 // name only that one: it finds the others all the same, and the leader that they
 // have by now.
 func TestSeedsThatNameOnlyAnIsolatedControlDaemon(t *testing.T) {
-	f := newSmallFleet(oneLoss, func(int) []string { return []string{addrOf(1), addrOf(2), addrOf(3)} }, controlDaemons(3)...)
+	seeds := []string{addrOf(1), addrOf(2), addrOf(3)}
+	f := newSmallFleet(oneLoss, func(int) []string { return seeds }, controlDaemons(3)...)
 	f.lead(addrOf(1), 7)
 	f.run(5 * time.Second)
 	f.isCutOff[addrOf(1)] = true
@@ -47,7 +48,8 @@
 // Control daemons that no seed or group names any more meet again after a cut
 // that outlasted their sessions.
 func TestLostControlDaemonsMeetAgain(t *testing.T) {
-	f := newSmallFleet(oneLoss, func(i int) []string { return [][]string{{addrOf(1)}, {addrOf(1)}, {addrOf(2)}}[i] }, controlDaemons(3)...)
+	seeds := [][]string{{addrOf(1)}, {addrOf(1)}, {addrOf(2)}}
+	f := newSmallFleet(oneLoss, func(i int) []string { return seeds[i] }, controlDaemons(3)...)
 	f.run(5 * time.Second)
 	if len(f.tables[addrOf(3)].View().Members) != 3 {
 		t.Fatalf("not met: %v", f.tables[addrOf(3)].View().Members)
