--- a/control/daemon/reconcile.go
+++ b/control/daemon/reconcile.go
@@ -105,7 +105,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.controller.HandleOrdered(d.Now(), order, err == nil)
+	s.controller.HandleOrdered(order, err == nil)
 }
 
 // checkFence reports whether an order bears no lower fence than one that this daemon
--- a/control/leader/reconcile.go
+++ b/control/leader/reconcile.go
@@ -76,8 +76,7 @@
 // returns false if one of them is being written just now.
 func (c *Controller) loadServers(now time.Duration) (complete bool) {
 	complete = true
-	lists := map[string]fleetconfig.List{}
-	serverRecords := map[string]map[string]placement.ServerRecord{} // by service and key
+	services := map[string]*committedService{}
 	for stored := range c.partition.Replica.Records().All() {
 		kind, rest, _ := strings.Cut(stored.Key, "/")
 		if kind != kindList && kind != kindServerRecord {
@@ -88,24 +87,40 @@
 		if !ok || current.Deleted {
 			continue
 		}
-		service, _, _ := strings.Cut(rest, "/")
-		if kind == kindList {
-			if list, err := fleetconfig.ReadList(current); err == nil { // else its source's next list takes its place
-				lists[service] = list
-			}
-		} else if record, ok, err := placement.ReadServerRecord(current); ok && err == nil { // else it is made anew
-			if serverRecords[service] == nil {
-				serverRecords[service] = map[string]placement.ServerRecord{}
-			}
-			serverRecords[service][stored.Key] = record
+		name, _, _ := strings.Cut(rest, "/")
+		if services[name] == nil {
+			services[name] = &committedService{records: map[string]placement.ServerRecord{}}
 		}
+		services[name].add(kind, stored.Key, current)
 	}
-	for service, list := range lists {
-		c.placement.LoadService(now, service, list, serverRecords[service])
+	for name, service := range services {
+		if service.hasList {
+			c.placement.LoadService(now, name, service.list, service.records)
+		}
 	}
 	return complete
 }
 
+// committedService is the list of a service's servers, and their records, as they are committed.
+type committedService struct {
+	list    fleetconfig.List
+	hasList bool
+	records map[string]placement.ServerRecord // by key
+}
+
+// add takes a record of the service; one that can't be read counts as none.
+func (s *committedService) add(kind, key string, r message.Record) {
+	if kind == kindList {
+		if list, err := fleetconfig.ReadList(r); err == nil { // else its source's next list takes its place
+			s.list, s.hasList = list, true
+		}
+		return
+	}
+	if record, ok, err := placement.ReadServerRecord(r); ok && err == nil { // else it is made anew
+		s.records[key] = record
+	}
+}
+
 func (c *Controller) writeServerRecord(now time.Duration, controller *placement.Controller, write placement.Write) Out {
 	record := message.Record{Key: write.Key, Value: write.Value, Deleted: write.Delete}
 	job := partition.Job{Keys: []string{write.Key}, Build: func(lease.RecordSource) ([]message.Record, any) {
@@ -148,10 +163,10 @@
 
 // HandleOrdered takes a server's answer to an order; ok is false where it gave none.
 //
-// Example: c.HandleOrdered(now, order, true)
-func (c *Controller) HandleOrdered(now time.Duration, order placement.Order, ok bool) {
+// Example: c.HandleOrdered(order, true)
+func (c *Controller) HandleOrdered(order placement.Order, ok bool) {
 	if c.Term() == order.Term && c.placement != nil {
-		c.placement.HandleOrdered(now, order.Key, order, ok)
+		c.placement.HandleOrdered(order, ok)
 	}
 }
 
--- a/control/placement/balance_test.go
+++ b/control/placement/balance_test.go
@@ -97,7 +97,7 @@
 			if s.serverRecords[x.Key].NextRole != "" && s.serverRecords[x.Key].Status != Leaving {
 				s.t.Errorf("%s is ordered to another role and still in use: %+v", x.ID, s.serverRecords[x.Key])
 			}
-			s.controller.HandleOrdered(s.now, x.Key, x, true)
+			s.controller.HandleOrdered(x, true)
 			if s.ignoresOrders {
 				continue
 			}
--- a/control/placement/placement_test.go
+++ b/control/placement/placement_test.go
@@ -39,7 +39,7 @@
 		}
 		for _, x := range o.Orders {
 			orders, at = append(orders, x), append(at, now)
-			c.HandleOrdered(now, x.Key, x, true)
+			c.HandleOrdered(x, true)
 		}
 		for _, w := range o.Writes {
 			b, _ := OpenServerRecord(message.Record{Key: w.Key, Value: w.Value, Deleted: w.Delete})
@@ -289,7 +289,7 @@
 			}
 			for _, x := range o.Orders {
 				orders++
-				c.HandleOrdered(now, x.Key, x, true)
+				c.HandleOrdered(x, true)
 			}
 			for _, w := range o.Writes {
 				b, _ := OpenServerRecord(message.Record{Key: w.Key, Value: w.Value})
--- a/control/placement/roles.go
+++ b/control/placement/roles.go
@@ -20,9 +20,9 @@
 
 // HandleOrdered takes a server's answer to an order; ok is false where it gave none.
 //
-// Example: c.HandleOrdered(now, key, order, true)
-func (c *Controller) HandleOrdered(now time.Duration, key string, order Order, ok bool) {
-	s := c.servers[key]
+// Example: c.HandleOrdered(order, true)
+func (c *Controller) HandleOrdered(order Order, ok bool) {
+	s := c.servers[order.Key]
 	if s == nil {
 		return
 	}
--- a/proof/sim/traffic.go
+++ b/proof/sim/traffic.go
@@ -320,7 +320,7 @@
 	d := w.fakeServers[ord.Addr]
 	n.in(w.lag(), func() {
 		if d == nil || !d.up || d.dark || !m.MayOrder(n.local(), ord.Term) && w.o.Sabotage != "noswap" {
-			m.HandleOrdered(n.local(), ord, false)
+			m.HandleOrdered(ord, false)
 			return
 		}
 		life := n.life
@@ -328,7 +328,7 @@
 			ok := d.ordered(n.ident, ord)
 			w.at(w.lag(), func() {
 				if n.life == life {
-					n.in(0, func() { m.HandleOrdered(n.local(), ord, ok) })
+					n.in(0, func() { m.HandleOrdered(ord, ok) })
 				}
 			})
 		})
