--- a/control/leader/cutoff_test.go
+++ b/control/leader/cutoff_test.go
@@ -12,7 +12,7 @@
 // A leader whose leader lease has lapsed by its own clock, and that doesn't know of
 // another, answers every call that it is not the leader: it confirms nothing,
 // refuses nothing, and finds no fault with a call either.
-func TestALapsedLeaderSaysNothing(t *testing.T) {
+func TestALapsedLeaderAnswersNoCall(t *testing.T) {
 	l := startLeader(t, 0, nil)
 	base := fleetconfig.Plan{ID: "one", Tenants: []fleetconfig.Tenant{}}
 	plan, err := fleetconfig.EncodeCall(base)
--- a/control/leader/repeats.go
+++ b/control/leader/repeats.go
@@ -98,36 +98,39 @@
 	if r.id == "" {
 		return job
 	}
-	build := func(read lease.RecordSource) ([]message.Record, any) {
-		past, err := readPastCalls(read(pastCallsKey))
-		if err != nil {
-			return nil, unclear(err)
-		}
-		if i := slices.IndexFunc(past, func(p pastCall) bool { return p.Call == r.id }); i >= 0 {
-			return nil, past[i].Response
-		}
-		if basis := basisOf(read(job.Keys[0])); r.basis != (message.Version{}) && r.basis != basis {
-			return nil, behind{basis}
-		}
-		past = r.orders.prune(past)
-		records, word := job.Build(read)
-		response := word.(leadercall.Response)
-		if response.Result == leadercall.ResultUnclear {
-			return nil, response // nothing was decided
-		}
-		undone := len(records) > 0 && order != "" && isRemembered(past, order)
-		if undone || len(past) >= maxPastCalls {
-			return nil, r.lateRepeat(order)
-		}
-		if order != "" {
-			r.orders.acceptedAt[order] = r.orders.now
-		}
-		past = r.orders.prune(append(past, pastCall{Call: r.id, Response: response, Order: order}))
-		return append(records, message.Record{Key: pastCallsKey, Value: leadercall.Pack(past)}), response
-	}
+	build := func(read lease.RecordSource) ([]message.Record, any) { return r.buildOnce(order, job, read) }
 	return partition.Job{Keys: append([]string{pastCallsKey}, job.Keys...), Build: build}
 }
 
+// buildOnce carries out a call unless it was before, or is behind, or may be a late repeat.
+func (r request) buildOnce(order string, job partition.Job, read lease.RecordSource) ([]message.Record, any) {
+	past, err := readPastCalls(read(pastCallsKey))
+	if err != nil {
+		return nil, unclear(err)
+	}
+	if i := slices.IndexFunc(past, func(p pastCall) bool { return p.Call == r.id }); i >= 0 {
+		return nil, past[i].Response
+	}
+	if basis := basisOf(read(job.Keys[0])); r.basis != (message.Version{}) && r.basis != basis {
+		return nil, behind{basis}
+	}
+	past = r.orders.prune(past)
+	records, word := job.Build(read)
+	response := word.(leadercall.Response)
+	if response.Result == leadercall.ResultUnclear {
+		return nil, response // nothing was decided
+	}
+	undone := len(records) > 0 && order != "" && isRemembered(past, order)
+	if undone || len(past) >= maxPastCalls {
+		return nil, r.lateRepeat(order)
+	}
+	if order != "" {
+		r.orders.acceptedAt[order] = r.orders.now
+	}
+	past = r.orders.prune(append(past, pastCall{Call: r.id, Response: response, Order: order}))
+	return append(records, message.Record{Key: pastCallsKey, Value: leadercall.Pack(past)}), response
+}
+
 // isRemembered tells whether an order was accepted, and may still be sent again by its caller.
 func isRemembered(past []pastCall, order string) bool {
 	return slices.ContainsFunc(past, func(p pastCall) bool { return p.Order == order })
