--- a/control/quorum/replica.go
+++ b/control/quorum/replica.go
@@ -24,13 +24,24 @@
 	"mulleinmast/wire/message"
 )
 
-// Config holds the bounds that a replica works by. All of a fleet have the same.
+// Config holds the bounds that a replica works by. All replicas of a fleet have the
+// same; control/daemon derives them from the users' bounds (QuorumConfig).
 type Config struct {
-	LeaderLease       time.Duration // length of a leader lease
-	Drift             float64       // most by which one clock runs faster than another, as a fraction
-	Margin            time.Duration // added to every wait on another's clock
-	HeartbeatInterval time.Duration // between two heartbeats, and before anything is sent again
-	LostAfter         time.Duration // a replica that is silent for so long is replaced where a learner is ready
+	// LeaderLease is the length of a leader lease. A leader that a majority doesn't
+	// hear for so long is none any more, and only then can another be elected: longer
+	// leases bear longer pauses, shorter ones shorten a change of leaders.
+	LeaderLease time.Duration
+	// Drift is the most by which one clock runs faster than another, as a fraction of
+	// 1. The bound must hold, or two leaders' leases may overlap.
+	Drift float64
+	// Margin is added to every wait on another's clock, above Drift.
+	Margin time.Duration
+	// HeartbeatInterval is the time between two heartbeats, and before a write is sent
+	// again. It must leave room for some in one LeaderLease.
+	HeartbeatInterval time.Duration
+	// LostAfter is for how long a replica is silent before a ready learner takes its
+	// place. More than one LeaderLease, or a restart would be taken for a loss.
+	LostAfter time.Duration
 }
 
 // Wait is how long a voter waits out a lease of the given length by its own clock.
