--- a/control/fleetconfig/judge.go
+++ b/control/fleetconfig/judge.go
@@ -98,6 +98,7 @@
 		return nil, verdict, nil
 	}
 	// What a build before this one kept in the plan's record moves out of it.
-	remembered := accepted.Add(slices.Concat(current.PastChanges, []AcceptedChange{{ID: proposal.ID, Version: verdict.Version}})...)
+	change := AcceptedChange{ID: proposal.ID, Version: verdict.Version}
+	remembered := accepted.Add(slices.Concat(current.PastChanges, []AcceptedChange{change})...)
 	return append([]message.Record{{Key: PlanKey, Value: value}}, remembered...), verdict, nil
 }
