--- /dev/null
+++ b/cmd/fleetlab/fleet.go
@@ -0,0 +1,144 @@
+package main
+
+import (
+	"context"
+	"flag"
+	"fmt"
+	"os"
+	"os/signal"
+	"path/filepath"
+	"sort"
+	"time"
+
+	"mulleinmast/proof/load"
+	"mulleinmast/proof/track"
+)
+
+// Bounds of the flags of a run.
+const (
+	lowestPort  = 1024
+	highestPort = 65000
+	shortestRun = time.Second
+)
+
+// Of the load on a fleet: see load.Config.
+const (
+	loadOnce  = 0.3
+	loadSwing = -1
+)
+
+// fleetFlags are the flags of a fleet of real processes under a scenario.
+type fleetFlags struct {
+	layout   *string
+	dir      *string
+	port     *int     // the first one
+	rate     *float64 // requests a second
+	length   *time.Duration
+	scenario *string
+	hold     *bool
+	seed     *int64
+	oldBuild *string
+}
+
+func newFleetFlags() fleetFlags {
+	return fleetFlags{
+		layout:   flag.String("layout", "rangsit", "rangsit or pat"),
+		dir:      flag.String("dir", "", "folder for data, logs and journals (default: a new one)"),
+		port:     flag.Int("port", 20000, "first port; wire, web and servers take 300"),
+		rate:     flag.Float64("rate", 40, "requests a second"),
+		length:   flag.Duration("for", 15*time.Second, "length of the load"),
+		scenario: flag.String("scenario", "calm", "what happens meanwhile; 'list' names them"),
+		hold:     flag.Bool("hold", false, "start the fleet, send plan and servers, and keep it until interrupted"),
+		seed:     flag.Int64("seed", 1, "seed of the load"),
+		oldBuild: flag.String("old", "", "`folder` with another build's mulleinmast, for the scenario versions"),
+	}
+}
+
+// valid reports whether the flags are within their bounds.
+func (f fleetFlags) valid() bool {
+	return *f.port >= lowestPort && *f.port <= highestPort && !(*f.rate <= 0) && *f.length >= shortestRun
+}
+
+// run starts the fleet, plays the scenario on it and prints the report.
+func (f fleetFlags) run() int {
+	if *f.scenario == "list" {
+		printLines(track.Names())
+		return exitPassed
+	}
+	layout, ok := track.Layouts[*f.layout]
+	if !ok {
+		return usageError("-layout %q: expected rangsit or pat", *f.layout)
+	}
+	scenario, ok := track.Scenarios[*f.scenario]
+	if !ok {
+		return usageError("-scenario %q: see -scenario list", *f.scenario)
+	}
+	dir, err := orTempDir(*f.dir, "fleetlab-")
+	if err != nil {
+		return failed(err)
+	}
+	executable, err := os.Executable()
+	if err != nil {
+		return failed(err)
+	}
+	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
+	defer stop()
+	fleet, err := track.Start(dir, filepath.Dir(executable), layout, *f.port)
+	defer fleet.Stop()
+	fleet.Old = *f.oldBuild
+	if err == nil {
+		err = fleet.Begin(ctx)
+	}
+	if err != nil {
+		_, _ = fmt.Fprintln(os.Stderr, "fleetlab:", err, "logs in", dir)
+		return exitFailed
+	}
+	printFleet(fleet, layout.Name, dir)
+	if *f.hold {
+		<-ctx.Done()
+		return exitPassed
+	}
+	report := fleet.Play(ctx, scenario, load.Config{
+		Rate: *f.rate, For: *f.length, Seed: *f.seed, Once: loadOnce, Again: true, Swing: loadSwing,
+	})
+	printReport(report)
+	if len(report.Broken) > 0 || report.Failed {
+		return exitFailed
+	}
+	return exitPassed
+}
+
+func printFleet(fleet *track.Fleet, layout, dir string) {
+	fmt.Printf("%s: %d daemons and %d servers up, files in %s\n", layout, len(fleet.Daemons), len(fleet.FakeServers), dir)
+	for _, d := range fleet.Daemons {
+		fmt.Printf("  %s web %s wire %s %s disk %v\n", d.Name, d.Addr, d.Wire, d.Zone, d.Data != "")
+	}
+}
+
+// printReport prints the load's outcome, the notes, the counts by name and the
+// broken rules.
+func printReport(report *track.Report) {
+	fmt.Print(report.Load.String())
+	for _, note := range report.Notes {
+		fmt.Println(" ", note)
+	}
+	names := make([]string, 0, len(report.Counts))
+	for name := range report.Counts {
+		names = append(names, name)
+	}
+	sort.Strings(names)
+	for _, name := range names {
+		fmt.Printf("  %s %d", name, report.Counts[name])
+	}
+	fmt.Println()
+	for _, broken := range report.Broken {
+		fmt.Println("BROKEN", broken)
+	}
+	fmt.Printf("%d events, %d rules broken\n", report.Events, len(report.Broken))
+}
+
+func printLines(lines []string) {
+	for _, line := range lines {
+		fmt.Println(line)
+	}
+}
--- a/cmd/fleetlab/hollow.go
+++ b/cmd/fleetlab/hollow.go
@@ -12,23 +12,49 @@
 	"mulleinmast/proof/hollow"
 )
 
-// hollowFlags are the sizes of hollow fleets.
+// Of the measurement of a request's decisions (step request): see
+// hollow.Requests.
+const (
+	requestReading  = 0.3
+	requestCount    = 400
+	requestsAbreast = 8
+)
+
+// Bounds of the waits for a hollow fleet, and its ports.
+const (
+	formingWait   = 2 * time.Minute  // until all are ready, have every record and are calm
+	everywhereIn  = time.Minute      // until a version is in force everywhere
+	cutOffIn      = 10 * time.Second // the same, while a link is lost
+	firstPorts    = 20000
+	portSpread    = 10000 // the first port is drawn from so many, by the process's id
+	singleChanges = 5     // measured one by one before the rates
+	stockSamples  = 20    // of a run of many changes
+)
+
+// hollowFlags are the flags of hollow fleets.
 type hollowFlags struct {
-	fit, over                         *string
-	at                                *float64
-	run, worker                       *bool
+	run, worker *bool
+
+	// Sizes of the fleets: lists of whole numbers.
 	daemons, servers, tenants, routes *string
-	window, apply, far                *time.Duration
-	out, profile                      *string
-	steps                             *string
-	ramp                              *int
-	rates, stock                      *string
-	many                              *int
+	ramp                              *int // servers that come at once; 0: all
+
+	window, apply, far *time.Duration
+	steps              *string
+	changes            *int    // of step many
+	rates              *string // of step change, changes a second
+
+	out, profile, stock *string // files and folder to write; "": none
+
+	fit  *string // CSV file to lay lines through, in place of a measurement
+	over *string
+	at   *float64
 }
 
 func newHollowFlags() hollowFlags {
 	return hollowFlags{
-		run:     flag.Bool("hollow", false, "instead: measure hollow fleets, many daemons in a process, and write tables and plots"),
+		run: flag.Bool("hollow", false,
+			"instead: measure hollow fleets, many daemons in a process, and write tables and plots"),
 		worker:  flag.Bool("hollow-worker", false, "be a process of a hollow fleet (started by -hollow)"),
 		daemons: flag.String("daemons", "10,40,88,130", "with -hollow: fleets of these `sizes`"),
 		servers: flag.String("servers", "12", "with -hollow: model servers, each `number` with each fleet"),
@@ -38,269 +64,351 @@
 		apply:   flag.Duration("apply", 2*time.Second, "with -hollow: a change is in force everywhere within this"),
 		far:     flag.Duration("far", 0, "with -hollow: delay between regions, one way"),
 		out:     flag.String("out", "", "with -hollow: write CSV to this `file`"),
-		profile: flag.String("profile", "", "with -hollow: write profiles of a front, a leader and the shared process to this `folder`"),
-		steps:   flag.String("steps", "idle", "with -hollow: `idle,change,many,restart,zone,link`"),
-		fit:     flag.String("fit", "", "with -hollow: measure nothing, lay lines through this CSV `file` and draw them beside it"),
+		profile: flag.String("profile", "",
+			"with -hollow: write profiles of a front, a leader and the shared process to this `folder`"),
+		steps: flag.String("steps", "idle", "with -hollow: `idle,change,many,restart,zone,link`"),
+		fit: flag.String("fit", "",
+			"with -hollow: measure nothing, lay lines through this CSV `file` and draw them beside it"),
 		over:    flag.String("over", "daemons", "with -fit: the `size` that grows: daemons, servers, tenants or routes"),
 		at:      flag.Float64("at", 520, "with -fit: the size that the line is read off at"),
 		ramp:    flag.Int("ramp", 0, "with -hollow: model servers come so many at a time; 0: all at once"),
-		many:    flag.Int("changes", 2000, "with -hollow and step many: changes, one after another"),
-		stock:   flag.String("stock", "", "with -hollow and step many: write what is held to this CSV `file`, and a plot beside it"),
-		rates:   flag.String("rates", "1", "with -hollow: configuration changes a second, each `number`"),
+		changes: flag.Int("changes", 2000, "with -hollow and step many: changes, one after another"),
+		stock: flag.String("stock", "",
+			"with -hollow and step many: write what is held to this CSV `file`, and a plot beside it"),
+		rates: flag.String("rates", "1", "with -hollow: configuration changes a second, each `number`"),
 	}
 }
 
-func numbersOf(s string) (out []int, err error) {
-	for _, w := range strings.Split(s, ",") {
-		n, err := strconv.Atoi(strings.TrimSpace(w))
-		if err != nil || n < 0 {
-			return nil, fmt.Errorf("%q: expected whole numbers, such as 10,40", s)
+// wholeNumbers reads a list of whole numbers, such as 10,40.
+func wholeNumbers(list string) (numbers []int, err error) {
+	for _, word := range strings.Split(list, ",") {
+		number, err := strconv.Atoi(strings.TrimSpace(word))
+		if err != nil || number < 0 {
+			return nil, fmt.Errorf("%q: expected whole numbers, such as 10,40", word)
 		}
-		out = append(out, n)
+		numbers = append(numbers, number)
 	}
-	return out, nil
+	return numbers, nil
 }
 
+// hollowSizes are the sizes of the fleets to measure.
+type hollowSizes struct {
+	daemons, servers, tenants, routes []int
+}
+
+// sizes reads the lists of sizes.
+func (h hollowFlags) sizes() (sizes hollowSizes, err error) {
+	for _, list := range []struct {
+		flag *string
+		to   *[]int
+	}{
+		{h.daemons, &sizes.daemons},
+		{h.servers, &sizes.servers},
+		{h.tenants, &sizes.tenants},
+		{h.routes, &sizes.routes},
+	} {
+		if *list.to, err = wholeNumbers(*list.flag); err != nil {
+			return sizes, err
+		}
+	}
+	return sizes, nil
+}
+
+// fleets lists the fleets of all sizes. The number of routes goes with that of
+// tenants; the last one stands for those that are missing.
+func (s hollowSizes) fleets() (fleets []hollow.Options) {
+	for _, daemons := range s.daemons {
+		for _, servers := range s.servers {
+			for i, tenants := range s.tenants {
+				o := hollow.Default(daemons, servers)
+				o.Tenants, o.Routes = tenants, s.routes[min(i, len(s.routes)-1)]
+				fleets = append(fleets, o)
+			}
+		}
+	}
+	return fleets
+}
+
+// main does what the flags of hollow fleets ask for.
 func (h hollowFlags) main() int {
 	if *h.worker {
 		if err := hollow.Serve(os.Stdin, os.Stdout); err != nil {
-			_, _ = fmt.Fprintln(os.Stderr, "fleetlab:", err)
-			return 1
-		}
-		return 0
-	}
-	var lists [4][]int
-	for i, s := range []string{*h.daemons, *h.servers, *h.tenants, *h.routes} {
-		var err error
-		if lists[i], err = numbersOf(s); err != nil {
-			_, _ = fmt.Fprintln(os.Stderr, "fleetlab:", err)
-			return 2
+			return failed(err)
 		}
+		return exitPassed
 	}
-	exe, err := os.Executable()
+	sizes, err := h.sizes()
 	if err != nil {
-		_, _ = fmt.Fprintln(os.Stderr, "fleetlab:", err)
-		return 1
-	}
-	if *h.fit != "" {
-		return h.draw(*h.fit)
-	}
-	if *h.steps == "request" {
-		for _, n := range lists[1] {
-			took, err := hollow.Requests(n, 0.3, 400, 8)
-			if err != nil {
-				_, _ = fmt.Fprintln(os.Stderr, "fleetlab:", err)
-				return 1
-			}
-			fmt.Printf("%d servers of a model: a request's decisions take %v of a core\n", n, took.Round(time.Microsecond))
+		return usageError("%v", err)
+	}
+	executable, err := os.Executable()
+	if err != nil {
+		return failed(err)
+	}
+	switch {
+	case *h.fit != "":
+		return h.drawFits(*h.fit)
+	case *h.steps == "request":
+		err = measureRequests(sizes.servers)
+	default:
+		err = h.measureFleets(sizes.fleets(), executable)
+	}
+	if err != nil {
+		return failed(err)
+	}
+	return exitPassed
+}
+
+// measureRequests prints what a request's decisions cost with so many servers.
+func measureRequests(serverCounts []int) error {
+	for _, servers := range serverCounts {
+		took, err := hollow.Requests(servers, requestReading, requestCount, requestsAbreast)
+		if err != nil {
+			return err
 		}
-		return 0
+		fmt.Printf("%d servers of a model: a request's decisions take %v of a core\n",
+			servers, took.Round(time.Microsecond))
 	}
+	return nil
+}
+
+// measureFleets measures one fleet after the other; the rows of those measured
+// so far are written after each.
+func (h hollowFlags) measureFleets(fleets []hollow.Options, executable string) error {
 	var all []hollow.Row
-	for _, daemons := range lists[0] {
-		for _, servers := range lists[1] {
-			for i, tenants := range lists[2] {
-				o := hollow.Default(daemons, servers)
-				o.Tenants, o.Routes, o.Apply, o.Far, o.Program = tenants, lists[3][min(i, len(lists[3])-1)], *h.apply, *h.far, exe
-				o.Ramp = *h.ramp
-				rows, err := h.fleet(o)
-				all = append(all, rows...)
-				if err != nil {
-					_, _ = fmt.Fprintln(os.Stderr, "fleetlab:", err)
-					return 1
-				}
-				if *h.out != "" {
-					if err := hollow.WriteCSV(*h.out, all); err != nil {
-						_, _ = fmt.Fprintln(os.Stderr, "fleetlab:", err)
-						return 1
-					}
-				}
-			}
+	for _, o := range fleets {
+		o.Apply, o.Far, o.Ramp, o.Program = *h.apply, *h.far, *h.ramp, executable
+		rows, err := h.measureFleet(o)
+		if err != nil {
+			return err
+		}
+		all = append(all, rows...)
+		if *h.out == "" {
+			continue
+		}
+		if err := hollow.WriteCSV(*h.out, all); err != nil {
+			return err
 		}
 	}
-	return 0
+	return nil
 }
 
-// fleet forms one fleet and takes it through the steps.
-func (h hollowFlags) fleet(o hollow.Options) ([]hollow.Row, error) {
+// measureFleet forms one fleet and takes it through the steps.
+func (h hollowFlags) measureFleet(o hollow.Options) (rows []hollow.Row, err error) {
 	dir, err := os.MkdirTemp("", "hollow-")
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
 	o.Dir = dir
-	o.Port = 20000 + os.Getpid()%10000
-	at := time.Now()
-	f, err := hollow.Start(o)
+	o.Port = firstPorts + os.Getpid()%portSpread
+	begin := time.Now()
+	fleet, err := hollow.Start(o)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	started := time.Since(at)
-	n, took := f.Await(hollow.Command{Wait: 2 * time.Minute})
-	fmt.Printf("%d daemons, %d servers, %d tenants, %d routes: started in %v, %d ready %v later", o.Daemons, o.Servers, o.Tenants, o.Routes, started.Round(time.Millisecond), n, took.Round(time.Millisecond))
-	if n < o.Daemons {
-		return nil, fmt.Errorf("%d of %d daemons are ready", n, o.Daemons)
-	}
-	acked, err := f.Configure()
-	if err != nil {
+	defer fleet.Close()
+	if err := h.form(fleet, o, time.Since(begin)); err != nil {
 		return nil, err
 	}
-	if strings.Contains(*h.steps, "forming") {
-		fmt.Println()
-		more, err := h.step(f, "forming")
-		if err != nil {
-			return nil, err
-		}
-		fmt.Print(hollow.Table(more))
-	}
-	n, took = f.Await(hollow.Command{Version: f.Version(), Wait: time.Minute})
-	fmt.Printf("; configuration acknowledged after %v, in force at %d daemons %v later", acked.Round(time.Millisecond), n, took.Round(time.Millisecond))
-	n, took = f.Fill(2 * time.Minute)
-	fmt.Printf("; every server's record at %d daemons %v later", n, took.Round(time.Millisecond))
-	took, ok := f.Steady(2 * time.Minute)
-	fmt.Printf("; calm after %v (%v)\n", took.Round(time.Millisecond), ok)
-	var rows []hollow.Row
 	for _, step := range strings.Split(*h.steps, ",") {
-		more, err := h.step(f, step)
+		stepRows, err := h.step(fleet, step)
 		if err != nil {
 			return rows, err
 		}
-		fmt.Print(hollow.Table(more))
-		rows = append(rows, more...)
+		fmt.Print(hollow.Table(stepRows))
+		rows = append(rows, stepRows...)
 	}
 	return rows, nil
 }
 
-func (h hollowFlags) step(f *hollow.Fleet, step string) ([]hollow.Row, error) {
+// form waits until the fleet is ready, has its configuration and every server's
+// record, and is calm; it prints how long each of them took.
+func (h hollowFlags) form(fleet *hollow.Fleet, o hollow.Options, started time.Duration) error {
+	ready, took := fleet.Await(hollow.Command{Wait: formingWait})
+	fmt.Printf("%d daemons, %d servers, %d tenants, %d routes: started in %v, %d ready %v later",
+		o.Daemons, o.Servers, o.Tenants, o.Routes, milliseconds(started), ready, milliseconds(took))
+	if ready < o.Daemons {
+		return fmt.Errorf("%d of %d daemons are ready", ready, o.Daemons)
+	}
+	acked, err := fleet.Configure()
+	if err != nil {
+		return err
+	}
+	if strings.Contains(*h.steps, "forming") {
+		fmt.Println()
+		rows, err := h.step(fleet, "forming")
+		if err != nil {
+			return err
+		}
+		fmt.Print(hollow.Table(rows))
+	}
+	inForce, took := fleet.Await(hollow.Command{Version: fleet.Version(), Wait: everywhereIn})
+	fmt.Printf("; configuration acknowledged after %v, in force at %d daemons %v later",
+		milliseconds(acked), inForce, milliseconds(took))
+	filled, took := fleet.Fill(formingWait)
+	fmt.Printf("; every server's record at %d daemons %v later", filled, milliseconds(took))
+	took, ok := fleet.Steady(formingWait)
+	fmt.Printf("; calm after %v (%v)\n", milliseconds(took), ok)
+	return nil
+}
+
+// step measures one step of those that -steps names.
+func (h hollowFlags) step(fleet *hollow.Fleet, step string) ([]hollow.Row, error) {
 	switch step {
 	case "idle", "forming":
-		if *h.profile != "" {
-			if err := os.MkdirAll(*h.profile, 0o755); err != nil {
-				return nil, err
-			}
-			if err := f.Profile(filepath.Join(*h.profile, fmt.Sprintf("%d-%d", f.Daemons, f.Servers)), *h.window); err != nil {
-				return nil, err
-			}
-		}
-		return f.Measure(step, *h.window, nil), nil
+		return h.measureIdle(fleet, step)
 	case "change":
-		return h.change(f)
+		return h.measureChanges(fleet)
 	case "many":
-		list, err := f.Many(*h.many, max(1, *h.many/20))
-		if err == nil && *h.stock != "" {
-			err = hollow.WriteStock(*h.stock, list)
-		}
-		for _, s := range list {
-			fmt.Printf("%+v\n", s)
-		}
-		return nil, err
+		return nil, h.measureStock(fleet)
 	case "restart":
-		return f.Measure(step, *h.window, func(stop <-chan time.Time) {
-			for n, most := 0, time.Duration(0); ; n++ {
-				select {
-				case <-stop:
-					fmt.Printf("%d servers replaced one after another; longest until every daemon had it %v\n", n, most.Round(time.Millisecond))
-					return
-				default:
-				}
-				took, _ := f.Replace(1)
-				most = max(most, took)
-			}
-		}), nil
+		return fleet.Measure(step, *h.window, func(stop <-chan time.Time) { replaceServers(fleet, stop) }), nil
 	case "zone":
-		return nil, h.blackout(f)
+		return nil, loseZone(fleet)
 	case "link":
-		return nil, h.link(f)
+		return nil, loseLink(fleet)
 	}
 	return nil, fmt.Errorf("no step %q", step)
 }
 
-// change measures single changes, then changes at each rate.
-func (h hollowFlags) change(f *hollow.Fleet) (rows []hollow.Row, err error) {
-	rates, err := numbersOf(*h.rates)
+// measureIdle measures a fleet to which nothing happens, and profiles it if a
+// folder is named.
+func (h hollowFlags) measureIdle(fleet *hollow.Fleet, step string) ([]hollow.Row, error) {
+	if *h.profile != "" {
+		if err := os.MkdirAll(*h.profile, 0o755); err != nil {
+			return nil, err
+		}
+		folder := filepath.Join(*h.profile, fmt.Sprintf("%d-%d", fleet.Daemons, fleet.Servers))
+		if err := fleet.Profile(folder, *h.window); err != nil {
+			return nil, err
+		}
+	}
+	return fleet.Measure(step, *h.window, nil), nil
+}
+
+// measureStock prints what the fleet holds while many changes follow each other.
+func (h hollowFlags) measureStock(fleet *hollow.Fleet) error {
+	samples, err := fleet.Many(*h.changes, max(1, *h.changes/stockSamples))
+	if err == nil && *h.stock != "" {
+		err = hollow.WriteStock(*h.stock, samples)
+	}
+	for _, sample := range samples {
+		fmt.Printf("%+v\n", sample)
+	}
+	return err
+}
+
+// replaceServers replaces one server after another until stop.
+func replaceServers(fleet *hollow.Fleet, stop <-chan time.Time) {
+	longest := time.Duration(0)
+	for replaced := 0; ; replaced++ {
+		select {
+		case <-stop:
+			fmt.Printf("%d servers replaced one after another; longest until every daemon had it %v\n",
+				replaced, milliseconds(longest))
+			return
+		default:
+		}
+		took, _ := fleet.Replace(1)
+		longest = max(longest, took)
+	}
+}
+
+// measureChanges measures single changes, then changes at each rate.
+func (h hollowFlags) measureChanges(fleet *hollow.Fleet) (rows []hollow.Row, err error) {
+	rates, err := wholeNumbers(*h.rates)
 	if err != nil {
 		return nil, err
 	}
-	var yes, all time.Duration
-	for range 5 {
-		a, b, n, err := f.Put()
-		if err != nil || n < f.Daemons {
-			return nil, fmt.Errorf("change: %v, in force at %d of %d daemons", err, n, f.Daemons)
+	var acked, everywhere time.Duration // the slowest
+	for range singleChanges {
+		ackedAfter, everywhereAfter, inForce, err := fleet.Put()
+		if err != nil || inForce < fleet.Daemons {
+			return nil, fmt.Errorf("change: %v, in force at %d of %d daemons", err, inForce, fleet.Daemons)
 		}
-		yes, all = max(yes, a), max(all, b)
+		acked, everywhere = max(acked, ackedAfter), max(everywhere, everywhereAfter)
 	}
-	fmt.Printf("%v: of 5 changes the slowest had its yes after %v, was in force everywhere after %v\n", f, yes.Round(time.Millisecond), all.Round(time.Millisecond))
+	fmt.Printf("%v: of %d changes the slowest had its yes after %v, was in force everywhere after %v\n",
+		fleet, singleChanges, milliseconds(acked), milliseconds(everywhere))
 	for _, rate := range rates {
-		rows = append(rows, f.Measure(fmt.Sprintf("change-%d", rate), *h.window, func(stop <-chan time.Time) {
-			n, longest := f.Changes(float64(rate), stop)
-			fmt.Printf("%d changes a second asked for: %d taken in %v, the slowest after %v\n", rate, n, *h.window, longest.Round(time.Millisecond))
+		name := fmt.Sprintf("change-%d", rate)
+		rows = append(rows, fleet.Measure(name, *h.window, func(stop <-chan time.Time) {
+			taken, longest := fleet.Changes(float64(rate), stop)
+			fmt.Printf("%d changes a second asked for: %d taken in %v, the slowest after %v\n",
+				rate, taken, *h.window, milliseconds(longest))
 		})...)
 	}
 	return rows, nil
 }
 
-// blackout takes the zone of the configuration's leader away.
-func (h hollowFlags) blackout(f *hollow.Fleet) error {
-	leaders := f.Leaders()
-	zone := f.ZoneOf(leaders[0])
+// loseZone takes the zone of the configuration's leader away, then gives it
+// back.
+func loseZone(fleet *hollow.Fleet) error {
+	leaders := fleet.Leaders()
+	zone := fleet.ZoneOf(leaders[0])
 	lost := 0
-	for _, i := range leaders {
-		if f.ZoneOf(i) == zone {
+	for _, daemon := range leaders {
+		if fleet.ZoneOf(daemon) == zone {
 			lost++
 		}
 	}
-	at := time.Now()
-	left := f.LoseZone(zone)
-	n, _ := f.AwaitOutside(zone, hollow.Command{Fresh: true, Zone: zone, Wait: time.Minute})
-	fmt.Printf("zone %d lost, with the leaders of %d of %d parts: %d of %d daemons left are ready and know leaders for all parts after %v", zone, lost, len(leaders), n, left, time.Since(at).Round(time.Millisecond))
-	took, err := f.Change()
+	begin := time.Now()
+	left := fleet.LoseZone(zone)
+	ready, _ := fleet.AwaitOutside(zone, hollow.Command{Fresh: true, Zone: zone, Wait: everywhereIn})
+	fmt.Printf("zone %d lost, with the leaders of %d of %d parts: "+
+		"%d of %d daemons left are ready and know leaders for all parts after %v",
+		zone, lost, len(leaders), ready, left, milliseconds(time.Since(begin)))
+	took, err := fleet.Change()
 	if err != nil {
 		return err
 	}
-	n, _ = f.AwaitOutside(zone, hollow.Command{Version: f.Version(), Wait: time.Minute})
-	fmt.Printf("; a change had its yes %v later, in force at %d; %v since the loss", took.Round(time.Millisecond), n, time.Since(at).Round(time.Millisecond))
-	at = time.Now()
-	f.Mend()
-	n, _ = f.Await(hollow.Command{Version: f.Version(), Wait: time.Minute})
-	fmt.Printf("; mended: all %d have it after %v\n", n, time.Since(at).Round(time.Millisecond))
+	inForce, _ := fleet.AwaitOutside(zone, hollow.Command{Version: fleet.Version(), Wait: everywhereIn})
+	fmt.Printf("; a change had its yes %v later, in force at %d; %v since the loss",
+		milliseconds(took), inForce, milliseconds(time.Since(begin)))
+	restoreFleet(fleet)
 	return nil
 }
 
-// link cuts two regions off from each other.
-func (h hollowFlags) link(f *hollow.Fleet) error {
-	a := f.RegionOf(f.Leaders()[0])
-	f.LoseLink(a, (a+1)%f.Regions)
-	took, err := f.Change()
+// loseLink cuts two regions off from each other, then connects them again.
+func loseLink(fleet *hollow.Fleet) error {
+	region := fleet.RegionOf(fleet.Leaders()[0])
+	next := (region + 1) % fleet.Regions
+	fleet.LoseLink(region, next)
+	took, err := fleet.Change()
 	if err != nil {
 		return err
 	}
-	n, _ := f.Await(hollow.Command{Version: f.Version(), Wait: 10 * time.Second})
-	fmt.Printf("link of regions %d and %d lost: a change had its yes after %v, in force at %d of %d daemons", a, (a+1)%f.Regions, took.Round(time.Millisecond), n, f.Daemons)
-	at := time.Now()
-	f.Mend()
-	n, _ = f.Await(hollow.Command{Version: f.Version(), Wait: time.Minute})
-	fmt.Printf("; mended: all %d have it after %v\n", n, time.Since(at).Round(time.Millisecond))
+	inForce, _ := fleet.Await(hollow.Command{Version: fleet.Version(), Wait: cutOffIn})
+	fmt.Printf("link of regions %d and %d lost: a change had its yes after %v, in force at %d of %d daemons",
+		region, next, milliseconds(took), inForce, fleet.Daemons)
+	restoreFleet(fleet)
 	return nil
 }
 
-// draw lays lines through rows that were measured before.
-func (h hollowFlags) draw(path string) int {
+// restoreFleet undoes a loss and prints when all daemons have the configuration.
+func restoreFleet(fleet *hollow.Fleet) {
+	begin := time.Now()
+	fleet.Mend()
+	inForce, _ := fleet.Await(hollow.Command{Version: fleet.Version(), Wait: everywhereIn})
+	fmt.Printf("; mended: all %d have it after %v\n", inForce, milliseconds(time.Since(begin)))
+}
+
+// drawFits lays lines through rows that were measured before.
+func (h hollowFlags) drawFits(path string) int {
 	rows, err := hollow.ReadCSV(path)
 	if err == nil && hollow.Sizes[*h.over] == nil {
 		err = fmt.Errorf("-over %q: expected daemons, servers, tenants or routes", *h.over)
 	}
 	if err != nil {
-		_, _ = fmt.Fprintln(os.Stderr, "fleetlab:", err)
-		return 2
+		return usageError("%v", err)
 	}
 	fmt.Print(hollow.Fits(rows, *h.over, *h.at))
 	base := strings.TrimSuffix(path, ".csv")
 	for cost, name := range map[string]string{"bytes": "bytes", "core": "core", "resident MB": "memory"} {
 		if err := hollow.Plot(base+"-"+name+".png", rows, rows[0].Step, *h.over, cost); err != nil {
-			_, _ = fmt.Fprintln(os.Stderr, "fleetlab:", err)
-			return 1
+			return failed(err)
 		}
 	}
-	return 0
+	return exitPassed
 }
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -3,132 +3,119 @@
 package main
 
 import (
-	"context"
 	"flag"
 	"fmt"
 	"os"
-	"os/signal"
-	"path/filepath"
-	"sort"
 	"time"
+)
 
-	"mulleinmast/proof/load"
-	"mulleinmast/proof/track"
+// Exit codes: all is in order, a rule is broken or the run failed, bad flags.
+const (
+	exitPassed = iota
+	exitFailed
+	exitUsage
 )
 
 func main() { os.Exit(run()) }
 
+// options are the flags of fleetlab without a verb.
+type options struct {
+	fleet          fleetFlags
+	sweepScenarios *string
+	firstSeed      *int64 // of -sweep and -modelcheck walk
+	seedCount      *int64 // for each scenario
+	scale          *bool
+	platform       *bool
+	pace           *float64
+	modelCheck     *string
+	modelStates    *int
+	hollow         hollowFlags
+}
+
+func newOptions() options {
+	return options{
+		fleet: newFleetFlags(),
+		sweepScenarios: flag.String("sweep", "",
+			"instead: run simulated `scenarios` (a,b or all) over many seeds"),
+		firstSeed: flag.Int64("from", 1, "first seed of a sweep"),
+		seedCount: flag.Int64("seeds", 1000, "seeds of a sweep, for each scenario"),
+		scale:     flag.Bool("scale", false, "instead: simulate healthy fleets of growing size, flat and with relays"),
+		platform: flag.Bool("platform", false,
+			"instead: daemons booted as on the users' platform, between stand-ins of it; -scenario all plays all"),
+		pace: flag.Float64("pace", 1, "with -platform: what the rules' bounds are multiplied by"),
+		modelCheck: flag.String("modelcheck", "",
+			"instead: explore the model of voting and membership change, `small` or wide, "+
+				"or walk over it at random (walk; -from and -seeds)"),
+		modelStates: flag.Int("states", 1000000, "with -modelcheck wide: states of each scope at which it ends"),
+		hollow:      newHollowFlags(),
+	}
+}
+
+// valid reports whether the flags are within their bounds.
+func (o options) valid() bool {
+	return o.fleet.valid() && *o.seedCount >= 1
+}
+
+// run reads the command line, does what it asks for and returns the exit code.
 func run() int {
 	if len(os.Args) > 1 && os.Args[1] == "soak" {
 		return runSoak(os.Args[2:])
 	}
-	layout := flag.String("layout", "rangsit", "rangsit or pat")
-	dir := flag.String("dir", "", "folder for data, logs and journals (default: a new one)")
-	base := flag.Int("port", 20000, "first port; wire, web and servers take 300")
-	rate := flag.Float64("rate", 40, "requests a second")
-	length := flag.Duration("for", 15*time.Second, "length of the load")
-	name := flag.String("scenario", "calm", "what happens meanwhile; 'list' names them")
-	hold := flag.Bool("hold", false, "start the fleet, send plan and servers, and keep it until interrupted")
-	seed := flag.Int64("seed", 1, "seed of the load")
-	kinds := flag.String("sweep", "", "instead: run simulated `scenarios` (a,b or all) over many seeds")
-	from := flag.Int64("from", 1, "first seed of a sweep")
-	count := flag.Int64("seeds", 1000, "seeds of a sweep, for each scenario")
-	old := flag.String("old", "", "`folder` with another build's mulleinmast, for the scenario versions")
-	grow := flag.Bool("scale", false, "instead: simulate healthy fleets of growing size, flat and with relays")
-	plat := flag.Bool("platform", false, "instead: daemons booted as on the users' platform, between stand-ins of it; -scenario all plays all")
-	pace := flag.Float64("pace", 1, "with -platform: what the rules' bounds are multiplied by")
-	check := flag.String("modelcheck", "", "instead: explore the model of voting and membership change, `small` or wide, or walk over it at random (walk; -from and -seeds)")
-	states := flag.Int("states", 1000000, "with -modelcheck wide: states of each scope at which it ends")
-	many := newHollowFlags()
+	o := newOptions()
 	flag.Parse()
-	if *many.run || *many.worker {
-		return many.main()
-	}
-	if *base < 1024 || *base > 65000 || *rate <= 0 || *length < time.Second || *count < 1 {
-		_, _ = fmt.Fprintln(os.Stderr, "fleetlab: expected -port 1024 to 65000, -rate above 0, -for at least 1s, -seeds at least 1")
-		return 2
-	}
-	if *check != "" {
-		return model(*check, *from, *count, *states)
-	}
-	if *plat {
-		return onPlatform(*name, *dir, *rate, max(0.3, *pace), *seed)
-	}
-	if *grow {
-		return scale(*seed)
-	}
-	if *kinds != "" {
-		return sweep(*kinds, *from, *count)
-	}
-	if *name == "list" {
-		for _, s := range track.Names() {
-			fmt.Println(s)
-		}
-		return 0
-	}
-	l, ok := track.Layouts[*layout]
-	if !ok {
-		_, _ = fmt.Fprintf(os.Stderr, "fleetlab: -layout %q: expected rangsit or pat\n", *layout)
-		return 2
-	}
-	play, ok := track.Scenarios[*name]
-	if !ok {
-		_, _ = fmt.Fprintf(os.Stderr, "fleetlab: -scenario %q: see -scenario list\n", *name)
-		return 2
-	}
-	if *dir == "" {
-		d, err := os.MkdirTemp("", "fleetlab-")
-		if err != nil {
-			_, _ = fmt.Fprintln(os.Stderr, "fleetlab:", err)
-			return 1
-		}
-		*dir = d
-	}
-	exe, err := os.Executable()
-	if err != nil {
-		_, _ = fmt.Fprintln(os.Stderr, "fleetlab:", err)
-		return 1
-	}
-	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
-	defer stop()
-	f, err := track.Start(*dir, filepath.Dir(exe), l, *base)
-	defer f.Stop()
-	f.Old = *old
-	if err == nil {
-		err = f.Begin(ctx)
-	}
-	if err != nil {
-		_, _ = fmt.Fprintln(os.Stderr, "fleetlab:", err, "logs in", *dir)
-		return 1
-	}
-	fmt.Printf("%s: %d daemons and %d servers up, files in %s\n", l.Name, len(f.Daemons), len(f.FakeServers), *dir)
-	for _, p := range f.Daemons {
-		fmt.Printf("  %s web %s wire %s %s disk %v\n", p.Name, p.Addr, p.Wire, p.Zone, p.Data != "")
-	}
-	if *hold {
-		<-ctx.Done()
-		return 0
-	}
-	rep := f.Play(ctx, play, load.Config{Rate: *rate, For: *length, Seed: *seed, Once: 0.3, Again: true, Swing: -1})
-	fmt.Print(rep.Load.String())
-	for _, s := range rep.Notes {
-		fmt.Println(" ", s)
-	}
-	keys := make([]string, 0, len(rep.Counts))
-	for k := range rep.Counts {
-		keys = append(keys, k)
-	}
-	sort.Strings(keys)
-	for _, k := range keys {
-		fmt.Printf("  %s %d", k, rep.Counts[k])
-	}
-	fmt.Println()
-	for _, b := range rep.Broken {
-		fmt.Println("BROKEN", b)
+	if *o.hollow.run || *o.hollow.worker {
+		return o.hollow.main()
+	}
+	if !o.valid() {
+		return usageError("expected -port 1024 to 65000, -rate above 0, -for at least 1s, -seeds at least 1")
+	}
+	switch {
+	case *o.modelCheck != "":
+		return checkModel(*o.modelCheck, *o.firstSeed, *o.seedCount, *o.modelStates)
+	case *o.platform:
+		return playOnPlatform(platformRun{
+			scenario: *o.fleet.scenario,
+			dir:      *o.fleet.dir,
+			rate:     *o.fleet.rate,
+			pace:     max(lowestPace, *o.pace),
+			seed:     *o.fleet.seed,
+		})
+	case *o.scale:
+		return scale(*o.fleet.seed)
+	case *o.sweepScenarios != "":
+		return sweep(*o.sweepScenarios, *o.firstSeed, *o.seedCount)
+	}
+	return o.fleet.run()
+}
+
+// failed prints an error of the run and returns its exit code.
+func failed(err error) int {
+	_, _ = fmt.Fprintln(os.Stderr, "fleetlab:", err)
+	return exitFailed
+}
+
+// usageError prints what is wrong with the command line and returns its exit
+// code.
+func usageError(format string, args ...any) int {
+	_, _ = fmt.Fprintf(os.Stderr, "fleetlab: "+format+"\n", args...)
+	return exitUsage
+}
+
+// exitCode is that of a run in which so many parts broke a rule or failed.
+func exitCode(bad int) int {
+	if bad > 0 {
+		return exitFailed
 	}
-	fmt.Printf("%d events, %d rules broken\n", rep.Events, len(rep.Broken))
-	if len(rep.Broken) > 0 || rep.Failed {
-		return 1
+	return exitPassed
+}
+
+// orTempDir is dir, or a new folder if dir isn't named.
+func orTempDir(dir, pattern string) (string, error) {
+	if dir != "" {
+		return dir, nil
 	}
-	return 0
+	return os.MkdirTemp("", pattern)
 }
+
+// milliseconds is d as it is printed.
+func milliseconds(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
--- a/cmd/fleetlab/modelcheck.go
+++ b/cmd/fleetlab/modelcheck.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"os"
 
 	"mulleinmast/proof/modelcheck"
 )
@@ -10,43 +9,46 @@
 // walkEvents is how long a random walk over the model is.
 const walkEvents = 5000
 
-// model explores the model within the bounds named, or walks over it at random;
-// it prints what each run came to.
-func model(which string, from, count int64, states int) int {
-	broken := 0
-	tell := func(r modelcheck.Report) {
-		fmt.Print(r)
-		if r.Broken != "" {
+// checkModel explores the model within the bounds named, or walks over it at
+// random; it prints the outcome of each run.
+func checkModel(which string, firstSeed, seedCount int64, states int) int {
+	switch which {
+	case "small":
+		return exitCode(exploreScopes(modelcheck.Small))
+	case "wide":
+		return exitCode(exploreScopes(modelcheck.Wide(states)))
+	case "walk":
+		return exitCode(walkModel(firstSeed, seedCount))
+	}
+	return usageError("-modelcheck %q: expected small, wide or walk", which)
+}
+
+// exploreScopes returns how many scopes broke an invariant.
+func exploreScopes(scopes []modelcheck.Scope) (broken int) {
+	for _, scope := range scopes {
+		report := modelcheck.Explore(scope)
+		fmt.Print(report)
+		if report.Broken != "" {
 			broken++
 		}
 	}
-	switch which {
-	case "small", "wide":
-		scopes := modelcheck.Small
-		if which == "wide" {
-			scopes = modelcheck.Wide(states)
-		}
-		for _, s := range scopes {
-			tell(modelcheck.Explore(s))
-		}
-	case "walk":
-		events, acked, terms := 0, 0, 0
-		for seed := from; seed < from+count; seed++ {
-			for _, k := range modelcheck.Walks(seed, walkEvents) {
-				r := k.Go()
-				events, acked, terms = events+r.Events, acked+r.Acked, terms+r.Terms
-				if r.Broken != "" {
-					tell(r)
-				}
+	return broken
+}
+
+// walkModel returns how many random walks broke an invariant.
+func walkModel(firstSeed, seedCount int64) (broken int) {
+	events, acked, terms := 0, 0, 0
+	for seed := firstSeed; seed < firstSeed+seedCount; seed++ {
+		for _, walk := range modelcheck.Walks(seed, walkEvents) {
+			report := walk.Go()
+			events, acked, terms = events+report.Events, acked+report.Acked, terms+report.Terms
+			if report.Broken != "" {
+				fmt.Print(report)
+				broken++
 			}
 		}
-		fmt.Printf("seeds %d to %d: %d events, %d changes acknowledged, %d terms, %d walks broken\n", from, from+count-1, events, acked, terms, broken)
-	default:
-		_, _ = fmt.Fprintf(os.Stderr, "fleetlab: -modelcheck %q: expected small, wide or walk\n", which)
-		return 2
-	}
-	if broken > 0 {
-		return 1
 	}
-	return 0
+	fmt.Printf("seeds %d to %d: %d events, %d changes acknowledged, %d terms, %d walks broken\n",
+		firstSeed, firstSeed+seedCount-1, events, acked, terms, broken)
+	return broken
 }
--- a/cmd/fleetlab/platform.go
+++ b/cmd/fleetlab/platform.go
@@ -10,56 +10,64 @@
 	"mulleinmast/proof/standin/scene"
 )
 
-// onPlatform plays scenes on daemons that are booted as the users' platform
+const (
+	lowestPace     = 0.3 // the least that the rules' bounds are multiplied by
+	daemonsPerZone = 2   // of a fleet on the stand-ins of the platform
+)
+
+// platformRun is what the command line asks of the platform's stand-ins.
+type platformRun struct {
+	scenario string // a scene, all or list
+	dir      string // "": a new folder
+	rate     float64
+	pace     float64
+	seed     int64
+}
+
+// playOnPlatform plays scenes on daemons that are booted as the users' platform
 // boots them, between stand-ins of all that it is.
-func onPlatform(name, dir string, rate, pace float64, seed int64) int {
-	names := []string{name}
-	switch _, ok := scene.Scenes[name]; {
-	case name == "list":
-		for _, n := range scene.Names() {
-			fmt.Println(n)
-		}
-		return 0
-	case name == "all":
+func playOnPlatform(r platformRun) int {
+	names := []string{r.scenario}
+	switch _, ok := scene.Scenes[r.scenario]; {
+	case r.scenario == "list":
+		printLines(scene.Names())
+		return exitPassed
+	case r.scenario == "all":
 		names = scene.Names()
 	case !ok:
-		_, _ = fmt.Fprintf(os.Stderr, "fleetlab: -platform -scenario %q: see -platform -scenario list\n", name)
-		return 2
+		return usageError("-platform -scenario %q: see -platform -scenario list", r.scenario)
 	}
-	if dir == "" {
-		d, err := os.MkdirTemp("", "fleetlab-")
-		if err != nil {
-			return failed(err)
-		}
-		dir = d
+	dir, err := orTempDir(r.dir, "fleetlab-")
+	if err != nil {
+		return failed(err)
 	}
-	exe, err := os.Executable()
+	executable, err := os.Executable()
 	if err != nil {
 		return failed(err)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	bad := 0
-	for _, n := range names {
-		at := filepath.Join(dir, n)
-		fmt.Printf("%s, files in %s\n", n, at)
-		rep, err := scene.Play(ctx, scene.Config{Dir: at, Program: filepath.Join(filepath.Dir(exe), "mulleinmast"), Pace: pace, PerZone: 2, Short: pace < 1, Rate: rate, Seed: seed}, scene.Scenes[n])
+	for _, name := range names {
+		config := scene.Config{
+			Dir:     filepath.Join(dir, name),
+			Program: filepath.Join(filepath.Dir(executable), "mulleinmast"),
+			Pace:    r.pace,
+			PerZone: daemonsPerZone,
+			Short:   r.pace < 1,
+			Rate:    r.rate,
+			Seed:    r.seed,
+		}
+		fmt.Printf("%s, files in %s\n", name, config.Dir)
+		report, err := scene.Play(ctx, config, scene.Scenes[name])
 		if err != nil {
 			return failed(err)
 		}
-		fmt.Print(rep)
-		if rep.Failed || len(rep.Broken) > 0 {
+		fmt.Print(report)
+		if report.Failed || len(report.Broken) > 0 {
 			bad++
 		}
 	}
 	fmt.Printf("%d of %d scenes broke a rule or failed\n", bad, len(names))
-	if bad > 0 {
-		return 1
-	}
-	return 0
-}
-
-func failed(err error) int {
-	_, _ = fmt.Fprintln(os.Stderr, "fleetlab:", err)
-	return 1
+	return exitCode(bad)
 }
