--- a/proof/hollow/daemon.go
+++ b/proof/hollow/daemon.go
@@ -56,7 +56,7 @@
 		return nil, err
 	}
 	if s.List != "" {
-		c.ServerSource = platform.NewCloud(s.List, s.Config.Bounds.Leave/3)
+		c.ServerSource = platform.NewServerListClient(s.List, s.Config.Bounds.Leave/3)
 	}
 	if s.Far > 0 {
 		c.Transport.Latency = func(addr string) time.Duration {
--- a/proof/standin/mutants/answers.sh
+++ b/proof/standin/mutants/answers.sh
@@ -7,20 +7,20 @@
 source proof/standin/mutants/unit.sh
 
 exchange=platform/exchange.go spoilt=TestOneMessageOfAnAnswerSpoilt
-mutant doubt-reused platform $spoilt $exchange 'keep: clean && s.out()' 'keep: (clean || !clean) && s.out()'
-mutant bytes-behind platform $spoilt platform/conn.go 'c.r.Buffered() > 0' 'c.r.Buffered() < 0'
+mutant doubt-reused platform $spoilt $exchange 'reusable: clean && s.isComplete()' 'reusable: (clean || !clean) && s.isComplete()'
+mutant bytes-behind platform $spoilt platform/conn.go 'c.reader.Buffered() > 0' 'c.reader.Buffered() < 0'
 mutant any-id platform $spoilt $exchange 'len(got) == 1 && got[0] == id' 'len(got) >= 1'
 mutant no-seal platform $spoilt platform/engine.go 'len(r.Header[hdrSeal]) != 1 ||' 'len(r.Header[hdrSeal]) > 9 ||'
 mutant not-run-success platform $spoilt platform/engine.go ' || r.StatusCode < 400' ''
 mutant unsafe-resent platform $spoilt traffic/forward/request.go 'last.Known == attempt.Lost && last.Phase == attempt.Decode && !r.Repeatable' 'last.Known == attempt.Lost && last.Phase == attempt.Decode && !r.Repeatable && r.arrivedAt < 0'
-mutant reset-is-not-sent platform $spoilt $exchange 's.n == 0 && s.err != nil' 's.n >= 0'
-mutant whole-when-reset platform $spoilt platform/answer.go 'a.whole = err == io.EOF
-	return nil, "", err' 'a.whole = err == io.EOF
+mutant reset-is-not-sent platform $spoilt $exchange 's.written == 0 && s.err != nil' 's.written >= 0'
+mutant whole-when-reset platform $spoilt platform/answer.go 'a.complete = err == io.EOF
+	return nil, "", err' 'a.complete = err == io.EOF
 	return nil, "", io.EOF'
-mutant id-twice platform TestAnAnswerToAnEarlierSendOfTheSameRequest platform/conn.go ' && !c.carried(n.id)' ''
-mutant shared-order platform TestAnOrderTakesNoOtherAnswer platform/order.go 'need{own: true}' 'need{}'
+mutant id-twice platform TestAnAnswerToAnEarlierSendOfTheSameRequest platform/conn.go ' && !c.hasCarried(n.notCarried)' ''
+mutant shared-order platform TestAnOrderTakesNoOtherAnswer platform/order.go 'connRequirements{dedicated: true}' 'connRequirements{}'
 mutant forgets-again platform TestAServerThatForgetsIdleConnections $exchange 'if c.used && ctx.Err() == nil' 'if c.used && ctx.Err() != nil'
-mutant held-by-its-body platform TestAnAnswerBeforeTheBodyIsRead $exchange 'if len(b) <= atOnce {
+mutant held-by-its-body platform TestAnAnswerBeforeTheBodyIsRead $exchange 'if len(b) <= maxInlineRequest {
 		write()' 'if len(b) > 0 {
 		write()'
 mutant clients-stage platform TestHeadersThatClientsMayNotSet platform/names.go '[]string{hdrStage, hdrMemory,' '[]string{hdrMemory,'
