--- a/proof/sim/fault.go
+++ b/proof/sim/fault.go
@@ -30,42 +30,27 @@
 		w.at(at, w.swap)
 	}
 	w.at(10*time.Second, func() { w.lose(w.o.Rounds) })
-	w.at(end, func() {
-		w.calm = true
-		w.cut = map[[2]string]bool{}
-		w.trace("calm")
-		for _, n := range w.nodes {
-			n.frozen = min(n.frozen, w.now)
-			n.slowTil = 0
-			n.start()
-		}
-		w.mend()
-	})
+	w.at(end, w.calmDown)
+}
+
+// calmDown ends all failures: from here on the fleet is to become whole again.
+func (w *world) calmDown() {
+	w.calm = true
+	w.cut = map[[2]string]bool{}
+	w.trace("calm")
+	for _, n := range w.nodes {
+		n.frozen = min(n.frozen, w.now)
+		n.slowTil = 0
+		n.start()
+	}
+	w.mend()
 }
 
-// swap exchanges a core machine once the last exchange is mended: the fleet
-// bears the loss of one disk at a time.
+// swap exchanges a control daemon once the fleet bears it: it bears the loss of one disk
+// at a time.
 func (w *world) swap() {
 	for p := 0; p <= w.o.Partitions; p++ {
-		whole := false
-		for _, n := range w.nodes {
-			if !n.up || !n.parts[p].IsLeader(n.local()) {
-				continue
-			}
-			g := n.sec(p).Replica.Group()
-			whole = len(g.Next) == 0
-			for _, m := range w.nodes {
-				whole = whole && (!m.gone || !g.Has(m.ident))
-			}
-			for _, s := range g.Replicas {
-				found := false
-				for _, m := range w.nodes {
-					found = found || m.up && m.ident == s.Ident && m.disk != nil && m.disk.meta[p].LastComplete == n.sec(p).Replica.Term()
-				}
-				whole = whole && found
-			}
-		}
-		if !whole {
+		if !w.bearsLoss(p) {
 			w.at(time.Second, w.swap)
 			return
 		}
@@ -73,6 +58,37 @@
 	w.fault("swap", w.nodes[0])
 }
 
+// bearsLoss reports whether a partition's leader has a group of daemons that are all there
+// and complete, and no group change under way.
+func (w *world) bearsLoss(p int) bool {
+	bears := false
+	for _, leader := range w.nodes {
+		if !leader.up || !leader.parts[p].IsLeader(leader.local()) {
+			continue
+		}
+		replica := leader.sec(p).Replica
+		group := replica.Group()
+		bears = len(group.Next) == 0
+		for _, n := range w.nodes {
+			bears = bears && (!n.gone || !group.Has(n.ident))
+		}
+		for _, voter := range group.Replicas {
+			bears = bears && w.isComplete(p, voter.Ident, replica.Term())
+		}
+	}
+	return bears
+}
+
+// isComplete reports whether a daemon runs whose disk holds all records of a term.
+func (w *world) isComplete(p int, ident string, term uint64) bool {
+	for _, n := range w.nodes {
+		if n.up && n.ident == ident && n.disk != nil && n.disk.meta[p].LastComplete == term {
+			return true
+		}
+	}
+	return false
+}
+
 func kinds(m map[string]float64) []string {
 	out := make([]string, 0, len(m))
 	for k := range m {
@@ -93,133 +109,204 @@
 	w.at(200*time.Millisecond+w.exp(2*time.Second), n.start)
 }
 
-// fault brings one failure about.
+// faultsByKind is what brings each kind of failure about, at the machine drawn for it or
+// at another one that the kind asks for.
+func (w *world) faultsByKind() map[string]func(*node) {
+	faults := map[string]func(*node){
+		"kill":       w.killForAWhile,
+		"all":        w.killAll,
+		"core":       w.killControlDaemons,
+		"again":      w.restartAgainAndAgain,
+		"ackkill":    w.killAfterAck,
+		"wipe":       w.wipeDisk,
+		"copyback":   func(n *node) { w.copyFault("copyback", n) },
+		"copybeside": func(n *node) { w.copyFault("copybeside", n) },
+		"rot":        w.rot,
+		"cut":        func(*node) { w.cutInTwo(false) },
+		"oneway":     func(*node) { w.cutInTwo(true) },
+		"cutcore":    func(*node) { w.cutCore(false) },
+		"halfcut":    func(*node) { w.cutCore(true) },
+		"alone":      w.isolate,
+		"swap":       func(*node) { w.replaceControlDaemon() },
+		"freeze":     w.freeze,
+		"zone":       func(n *node) { w.loseZone(n.zone) },
+		"crowd":      func(*node) { w.crowd = w.now + 2*time.Second },
+		"swing":      func(*node) { w.mix = 1 - w.mix },
+		"slow":       w.slowDisk,
+		"stall":      w.stallDisk,
+	}
+	for _, kind := range serverFaultKinds {
+		faults[kind] = func(*node) { w.serverFault(kind) }
+	}
+	return faults
+}
+
+// fault brings one failure about. A kind that faultsByKind doesn't name is brought about
+// by its caller and only counted here.
 func (w *world) fault(kind string, n *node) {
 	if w.calm {
 		return
 	}
 	w.res.Faults[kind]++
 	w.trace("FAULT %s %s", kind, n.name)
-	heal := func(f func()) { w.at(200*time.Millisecond+w.exp(2500*time.Millisecond), f) }
-	switch kind {
-	case "kill":
-		n.kill()
-		w.back(n)
-	case "all":
-		for _, m := range w.nodes {
-			m.kill()
-			w.back(m)
-		}
-	case "core": // every machine with a disk, back while others still hold leases
-		for _, m := range w.nodes {
-			if m.hasDisk {
-				m.kill()
-				w.at(20*time.Millisecond+w.exp(100*time.Millisecond), m.start)
-			}
-		}
-	case "again": // a core machine restarts at once, three times: its lives are short
-		for n.gone || !n.hasDisk {
-			n = w.nodes[w.rng.Intn(len(w.nodes))]
-		}
-		for i := range 3 {
-			w.at(time.Duration(i)*700*time.Millisecond, func() {
-				if !w.calm {
-					n.kill()
-					w.at(30*time.Millisecond, n.start)
-					w.at(100*time.Millisecond, func() { w.changeAt(n, w.newest()) })
-				}
-			})
-		}
-	case "ackkill": // right after an acknowledgement, sometimes with its disk
-		n.kill()
-		if !w.lost && w.rng.Intn(3) == 0 {
-			w.lost, n.disk = true, nil
-			w.res.Faults["wipe"]++
-		}
-		w.back(n)
-	case "wipe":
-		if w.lost {
-			return
-		}
-		for _, m := range w.nodes {
-			if m.hasDisk && m.disk != nil {
-				n = m
-				if w.rng.Intn(2) == 0 {
-					break
-				}
-			}
-		}
-		w.lost = true
-		n.kill()
-		n.disk = nil
-		w.back(n)
-	case "copyback", "copybeside":
-		w.res.Faults[kind]--
-		w.copyFolder(n, kind == "copybeside")
-	case "rot": // a record on a disk at rest is lost or spoilt
-		w.rot(n)
-	case "cut", "oneway":
-		side := map[string]bool{}
-		for _, m := range w.nodes {
-			side[m.name] = w.rng.Intn(2) == 0
+	if bringAbout := w.faultsByKind()[kind]; bringAbout != nil {
+		bringAbout(n)
+	}
+}
+
+// healLater ends a failure of the network some time later.
+func (w *world) healLater(heal func()) {
+	w.at(200*time.Millisecond+w.exp(2500*time.Millisecond), heal)
+}
+
+func (w *world) killForAWhile(n *node) {
+	n.kill()
+	w.back(n)
+}
+
+func (w *world) killAll(*node) {
+	for _, n := range w.nodes {
+		w.killForAWhile(n)
+	}
+}
+
+// killControlDaemons kills every machine with a disk; they are back while others still
+// hold leases.
+func (w *world) killControlDaemons(*node) {
+	for _, n := range w.nodes {
+		if n.hasDisk {
+			n.kill()
+			w.at(20*time.Millisecond+w.exp(100*time.Millisecond), n.start)
 		}
-		var made [][2]string
-		for _, a := range w.nodes {
-			for _, b := range w.nodes {
-				if side[a.name] != side[b.name] && (kind == "cut" || side[a.name]) {
-					made = append(made, [2]string{a.name, b.name})
-				}
+	}
+}
+
+// restartAgainAndAgain restarts a control daemon at once, three times: its incarnations
+// are short.
+func (w *world) restartAgainAndAgain(n *node) {
+	for n.gone || !n.hasDisk {
+		n = w.nodes[w.rng.Intn(len(w.nodes))]
+	}
+	for i := range 3 {
+		w.at(time.Duration(i)*700*time.Millisecond, func() {
+			if !w.calm {
+				n.kill()
+				w.at(30*time.Millisecond, n.start)
+				w.at(100*time.Millisecond, func() { w.changeAt(n, w.newest()) })
 			}
-		}
-		w.sever(made, heal)
-	case "cutcore", "halfcut":
-		w.cutCore(kind == "halfcut")
-	case "alone":
-		var made [][2]string
-		for _, b := range w.nodes {
-			made = append(made, [2]string{n.name, b.name}, [2]string{b.name, n.name})
-		}
-		w.sever(made, heal)
-	case "swap": // a core machine is replaced by an empty one at a new address
-		for _, m := range w.nodes {
-			if m.hasDisk && !m.gone {
-				n = m
+		})
+	}
+}
+
+// killAfterAck kills a machine right after an acknowledgement, sometimes with its disk.
+func (w *world) killAfterAck(n *node) {
+	n.kill()
+	if !w.lost && w.rng.Intn(3) == 0 {
+		w.lost, n.disk = true, nil
+		w.res.Faults["wipe"]++
+	}
+	w.back(n)
+}
+
+// wipeDisk restarts a control daemon without its disk, unless one was lost already.
+func (w *world) wipeDisk(n *node) {
+	if w.lost {
+		return
+	}
+	for _, other := range w.nodes {
+		if other.hasDisk && other.disk != nil {
+			n = other
+			if w.rng.Intn(2) == 0 {
 				break
 			}
 		}
-		n.kill()
-		n.gone = true
-		m := w.add(n.zone, true, len(w.nodes))
-		w.at(w.exp(time.Second), m.start)
-	case "freeze":
-		was := max(n.frozen, w.now)
-		n.frozen = max(n.frozen, w.now+50*time.Millisecond+min(w.exp(1500*time.Millisecond), 6*time.Second))
-		n.thawed = n.frozen
-		if w.o.Sabotage == "standstill" { // a clock that stops while the machine is suspended
-			n.base -= time.Duration(float64(n.frozen-was) * n.rate)
+	}
+	w.lost = true
+	n.kill()
+	n.disk = nil
+	w.back(n)
+}
+
+// copyFault copies a folder; the fault counts when the copy is started.
+func (w *world) copyFault(kind string, n *node) {
+	w.res.Faults[kind]--
+	w.copyFolder(n, kind == "copybeside")
+}
+
+// cutInTwo cuts the daemons into two sides by lot, both ways or one way only.
+func (w *world) cutInTwo(oneWay bool) {
+	side := map[string]bool{}
+	for _, n := range w.nodes {
+		side[n.name] = w.rng.Intn(2) == 0
+	}
+	var links [][2]string
+	for _, from := range w.nodes {
+		for _, to := range w.nodes {
+			if side[from.name] != side[to.name] && (!oneWay || side[from.name]) {
+				links = append(links, [2]string{from.name, to.name})
+			}
 		}
-	case "zone": // a whole zone, daemons and servers, is lost for a while
-		w.loseZone(n.zone)
-	case "crash", "dark", "lapse", "cross", "break", "drop", "skip", "twice", "sluggish", "link", "roll":
-		w.serverFault(kind)
-	case "crowd":
-		w.crowd = w.now + 2*time.Second
-	case "swing":
-		w.mix = 1 - w.mix
-	case "slow", "stall":
-		n.slow, n.slowTil = w.exp(40*time.Millisecond), w.now+w.exp(3*time.Second)
-		if kind == "stall" {
-			n.slow = 2 * time.Second
+	}
+	w.sever(links, w.healLater)
+}
+
+// isolate cuts a daemon off from all others.
+func (w *world) isolate(n *node) {
+	w.sever(w.linksOf(n), w.healLater)
+}
+
+// linksOf is every link of a daemon, both ways.
+func (w *world) linksOf(n *node) (links [][2]string) {
+	for _, other := range w.nodes {
+		links = append(links, [2]string{n.name, other.name}, [2]string{other.name, n.name})
+	}
+	return links
+}
+
+// replaceControlDaemon ends the first control daemon for good; an empty one starts at a
+// new address.
+func (w *world) replaceControlDaemon() {
+	n := w.nodes[0]
+	for _, other := range w.nodes {
+		if other.hasDisk && !other.gone {
+			n = other
+			break
 		}
 	}
+	n.kill()
+	n.gone = true
+	successor := w.add(n.zone, true, len(w.nodes))
+	w.at(w.exp(time.Second), successor.start)
+}
+
+// freeze suspends a machine for a while.
+func (w *world) freeze(n *node) {
+	was := max(n.frozen, w.now)
+	n.frozen = max(n.frozen, w.now+50*time.Millisecond+min(w.exp(1500*time.Millisecond), 6*time.Second))
+	n.thawed = n.frozen
+	if w.o.Sabotage == "standstill" { // a clock that stops while the machine is suspended
+		n.base -= time.Duration(float64(n.frozen-was) * n.rate)
+	}
+}
+
+// slowDisk makes a disk slower for a while.
+func (w *world) slowDisk(n *node) {
+	n.slow, n.slowTil = w.exp(40*time.Millisecond), w.now+w.exp(3*time.Second)
+}
+
+// stallDisk has a disk take two seconds for each batch, for a while.
+func (w *world) stallDisk(n *node) {
+	w.slowDisk(n)
+	n.slow = 2 * time.Second
 }
 
-func (w *world) sever(made [][2]string, heal func(func())) {
-	for _, c := range made {
+// sever cuts links, by the names of both ends, until heal runs what it is given.
+func (w *world) sever(links [][2]string, heal func(func())) {
+	for _, c := range links {
 		w.cut[c] = true
 	}
 	heal(func() {
-		for _, c := range made {
+		for _, c := range links {
 			delete(w.cut, c)
 		}
 		w.healed()
--- a/proof/sim/many.go
+++ b/proof/sim/many.go
@@ -50,62 +50,73 @@
 	return out
 }
 
+// event brings the first of the kinds about, looks at the fleet a catch-up bound after the
+// return of whoever was hit, and goes on with the rest.
 func (w *world) event(kinds []string) {
 	if len(kinds) == 0 || w.calm {
 		return
 	}
-	w.res.Faults[kinds[0]]++
+	kind := kinds[0]
+	w.res.Faults[kind]++
 	n := w.core()[0]
-	w.trace("EVENT %s %s, %d changes in force", kinds[0], n.name, len(w.acks))
-	then := func() {
+	w.trace("EVENT %s %s, %d changes in force", kind, n.name, len(w.acks))
+	w.bringEventAbout(kind, n, func() {
 		w.at(catchUp, func() {
-			w.wholeNow(kinds[0])
+			w.wholeNow(kind)
 			w.at(time.Second, func() { w.event(kinds[1:]) })
 		})
-	}
-	back := func(after time.Duration) {
-		w.at(after, func() {
+	})
+}
+
+// bringEventAbout has one event hit a control daemon; returned runs when it is back.
+func (w *world) bringEventAbout(kind string, n *node, returned func()) {
+	startAfter := func(pause time.Duration) {
+		w.at(pause, func() {
 			n.start()
-			then()
+			returned()
 		})
 	}
-	switch kinds[0] {
+	switch kind {
 	case "restart":
 		n.kill()
-		back(500 * time.Millisecond)
+		startAfter(500 * time.Millisecond)
 	case "wiped":
 		n.kill()
 		n.disk = nil
-		back(500 * time.Millisecond)
+		startAfter(500 * time.Millisecond)
 	case "away":
 		w.apart(away, n)
-		w.at(away, then)
+		w.at(away, returned)
 	case "power": // as soon as the disk is at work
-		w.power(n, func() { back(time.Second) })
+		w.power(n, func() { startAfter(time.Second) })
 	case "jam":
-		n.jam = w.now + jam
-		w.at(jam, func() {
-			for p := range n.parts {
-				if n.up && n.parts[p].IsLeader(n.local()) {
-					w.note(Event{Kind: Silent, Node: n.name, Tag: fmt.Sprintf("leads partition %d though its disk has taken nothing for %v", p, jam)})
-				}
-			}
-			then()
-		})
+		w.jamDisk(n, returned)
 	case "second", "rotten":
-		w.second(kinds[0] == "rotten", then)
+		w.second(kind == "rotten", returned)
 	}
 }
 
+// jamDisk has a disk take nothing for a while; at the end its daemon may lead nothing.
+func (w *world) jamDisk(n *node, then func()) {
+	n.jam = w.now + jam
+	w.at(jam, func() {
+		for p := range n.parts {
+			if n.up && n.parts[p].IsLeader(n.local()) {
+				what := fmt.Sprintf("leads partition %d though its disk has taken nothing for %v", p, jam)
+				w.note(Event{Kind: Silent, Node: n.name, Tag: what})
+			}
+		}
+		then()
+	})
+}
+
 // apart cuts machines off from all others for a while.
 func (w *world) apart(d time.Duration, nodes ...*node) {
-	var made [][2]string
+	var links [][2]string
 	for _, n := range nodes {
-		for _, b := range w.nodes {
-			made = append(made, [2]string{n.name, b.name}, [2]string{b.name, n.name})
-		}
+		links = append(links, w.linksOf(n)...)
 	}
-	w.sever(made, func(heal func()) { w.at(d, heal) })
+	w.sever(links, func(heal func()) { w.at(d, heal) })
 }
 
 // power ends a machine in the middle of a batch write; the batch is there or not.
@@ -158,36 +169,49 @@
 	}
 }
 
-// wholeNow looks whether every core machine has on its disk what was
-// acknowledged, up to what is under way just now.
+// wholeNow looks whether every control daemon has on its disk what was acknowledged, up
+// to what is under way just now.
 func (w *world) wholeNow(after string) {
-	bad := func(n *node, how string, args ...any) {
-		w.note(Event{Kind: Silent, Node: n.name, Tag: fmt.Sprintf("isn't whole %v after %s: %s", catchUp, after, fmt.Sprintf(how, args...))})
-	}
 	for _, n := range w.core() {
 		if !n.up || n.disk == nil {
 			continue
 		}
 		for p := range n.parts {
-			var g message.Group
-			for _, m := range w.nodes {
-				if m.up && m.parts[p].IsLeader(m.local()) {
-					g = m.sec(p).Replica.Group()
-				}
-			}
-			if !g.Has(n.ident) || n.sec(p).Replica.Meta().Incomplete {
-				bad(n, "no voter of partition %d (%d voters, next %d)", p, len(g.Replicas), len(g.Next))
-				continue
-			}
-			missing := 0
-			for _, a := range w.acks {
-				if a.partition == p && w.now-a.at > time.Second && !slices.Contains(tags(n.disk.recs[p][a.key]), a.tag) {
-					missing++
-				}
-			}
-			if missing > 0 {
-				bad(n, "misses %d of the changes of partition %d, %d of %d ranges", missing, p, len(digest.DifferingRanges(n.sec(p).Digests(), make([]uint64, digest.Ranges))), digest.Ranges)
+			if lack := w.lackOf(n, p); lack != "" {
+				what := fmt.Sprintf("isn't whole %v after %s: %s", catchUp, after, lack)
+				w.note(Event{Kind: Silent, Node: n.name, Tag: what})
 			}
 		}
 	}
 }
+
+// lackOf says what a control daemon's copy of a partition lacks, nothing if it is whole.
+func (w *world) lackOf(n *node, p int) string {
+	group := w.ledGroup(p)
+	if !group.Has(n.ident) || n.sec(p).Replica.Meta().Incomplete {
+		return fmt.Sprintf("no voter of partition %d (%d voters, next %d)", p, len(group.Replicas), len(group.Next))
+	}
+	missing := 0
+	for _, a := range w.acks {
+		if a.partition == p && w.now-a.at > time.Second && !slices.Contains(tags(n.disk.recs[p][a.key]), a.tag) {
+			missing++
+		}
+	}
+	if missing == 0 {
+		return ""
+	}
+	differing := digest.DifferingRanges(n.sec(p).Digests(), make([]uint64, digest.Ranges))
+	return fmt.Sprintf("misses %d of the changes of partition %d, %d of %d ranges",
+		missing, p, len(differing), digest.Ranges)
+}
+
+// ledGroup is the group of a partition as its last leader in order has it, empty where
+// nobody leads.
+func (w *world) ledGroup(p int) (group message.Group) {
+	for _, n := range w.nodes {
+		if n.up && n.parts[p].IsLeader(n.local()) {
+			group = n.sec(p).Replica.Group()
+		}
+	}
+	return group
+}
--- a/proof/sim/operator.go
+++ b/proof/sim/operator.go
@@ -201,76 +201,96 @@
 	w.at(4*time.Second+w.exp(2*time.Second), func() { d.leaving = false })
 }
 
+// serverFaultKinds are the kinds of failures that serverFault knows.
+var serverFaultKinds = []string{
+	"crash", "dark", "lapse", "cross", "break", "drop", "skip", "twice", "sluggish", "link", "roll",
+}
+
 // serverFault brings one failure of a server about, or of all.
 func (w *world) serverFault(kind string) {
 	d := w.someFakeServer()
-	heal := func(f func()) { w.at(300*time.Millisecond+w.exp(2*time.Second), f) }
 	switch kind {
 	case "crash":
 		if d.up {
 			d.crash()
-			heal(d.boot)
-		}
-	case "roll": // replaced by another, one after the other
-		if d.gone {
-			return
+			w.healServerLater(d.boot)
 		}
-		old := w.lists[d.svc]
-		var rest []fleetconfig.Server
-		for _, s := range old.Servers {
-			if s.Addr != d.addr {
-				rest = append(rest, s)
-			}
-		}
-		old.Servers = rest
-		w.lists[d.svc] = old
-		w.fakeServer(d.svc, d.zone)
-		d.gone = true
-		w.list(d.svc, func(ok bool) {
-			if ok {
-				d.jot(history.Event{Ev: "leaving"})
-			}
-			w.at(3*time.Second, func() {
-				if d.up {
-					d.crash()
-				}
-			})
-		})
+	case "roll":
+		w.replaceServer(d)
 	case "dark":
-		d.dark = true
-		heal(func() { d.dark = false })
-	case "lapse": // every handle is gone at once
-		for _, a := range w.addrs {
-			w.fakeServers[a].kv = map[string]cache{}
-			w.fakeServers[a].lapseAll = true
-		}
-		heal(func() {
-			for _, a := range w.addrs {
-				w.fakeServers[a].lapseAll = false
-			}
-		})
+		w.raiseForAWhile(&d.dark)
+	case "lapse":
+		w.lapseAllHandles()
 	case "cross":
-		d.cross = true
-		heal(func() { d.cross = false })
+		w.raiseForAWhile(&d.cross)
 	case "break":
-		d.breaks = true
-		heal(func() { d.breaks = false })
+		w.raiseForAWhile(&d.breaks)
 	case "drop":
-		d.drops = true
-		heal(func() { d.drops = false })
+		w.raiseForAWhile(&d.drops)
 	case "skip":
-		d.skip = true
-		heal(func() { d.skip = false })
+		w.raiseForAWhile(&d.skip)
 	case "twice":
-		d.twice = true
-		heal(func() { d.twice = false })
+		w.raiseForAWhile(&d.twice)
 	case "sluggish":
 		d.slow = 2 + w.rng.Intn(6)
-		heal(func() { d.slow = 1 })
+		w.healServerLater(func() { d.slow = 1 })
 	case "link":
 		d.link = w.exp(300 * time.Millisecond)
-		heal(func() { d.link = 0 })
+		w.healServerLater(func() { d.link = 0 })
+	}
+}
+
+// healServerLater ends a failure of a server some time later.
+func (w *world) healServerLater(heal func()) {
+	w.at(300*time.Millisecond+w.exp(2*time.Second), heal)
+}
+
+// raiseForAWhile sets one of a server's failures, and clears it some time later.
+func (w *world) raiseForAWhile(failure *bool) {
+	*failure = true
+	w.healServerLater(func() { *failure = false })
+}
+
+// lapseAllHandles has every handle of every server be gone at once.
+func (w *world) lapseAllHandles() {
+	for _, addr := range w.addrs {
+		w.fakeServers[addr].kv = map[string]cache{}
+		w.fakeServers[addr].lapseAll = true
+	}
+	w.healServerLater(func() {
+		for _, addr := range w.addrs {
+			w.fakeServers[addr].lapseAll = false
+		}
+	})
+}
+
+// replaceServer puts another server in the place of one, which ends when the platform's
+// list has been without it for a while.
+func (w *world) replaceServer(d *fakeServer) {
+	if d.gone {
+		return
+	}
+	list := w.lists[d.svc]
+	var rest []fleetconfig.Server
+	for _, s := range list.Servers {
+		if s.Addr != d.addr {
+			rest = append(rest, s)
+		}
 	}
+	list.Servers = rest
+	w.lists[d.svc] = list
+	w.fakeServer(d.svc, d.zone)
+	d.gone = true
+	w.list(d.svc, func(ok bool) {
+		if ok {
+			d.jot(history.Event{Ev: "leaving"})
+		}
+		w.at(3*time.Second, func() {
+			if d.up {
+				d.crash()
+			}
+		})
+	})
 }
 
 // loseZone kills every daemon and server of a zone; they come back later.
