--- a/cmd/daygen/daygen_test.go
+++ b/cmd/daygen/daygen_test.go
@@ -57,6 +57,7 @@
 	return s, k
 }
 
+// drawn is the day that the arguments ask for.
 func drawn(t *testing.T, args ...string) string {
 	t.Helper()
 	var out, bad bytes.Buffer
@@ -82,21 +83,24 @@
 	return file.Day[0].Plan, file.Day[0].Faults, file.Day[0].Seconds
 }
 
-func TestTheSameSeedGivesTheSameBytes(t *testing.T) {
+func TestSameSeedGivesSameBytes(t *testing.T) {
 	site, kinds := folder(t, siteFile, tableFile)
-	flags := []string{"-site", site, "-kinds", kinds, "-twice", "-changes", "150", "-seconds", "120", "-closing", "any", "-seed"}
-	first, again, other := drawn(t, append(flags, "7")...), drawn(t, append(flags, "7")...), drawn(t, append(flags, "8")...)
+	draw := func(seed string) string {
+		return drawn(t, "-site", site, "-kinds", kinds, "-twice", "-changes", "150", "-seconds", "120",
+			"-closing", "any", "-seed", seed)
+	}
+	first, again, other := draw("7"), draw("7"), draw("8")
 	if first != again || first == other {
 		t.Fatalf("same seed alike: %v; another seed alike: %v", first == again, first == other)
 	}
 }
 
-func TestADayHoldsWhatWasAskedFor(t *testing.T) {
+func TestDayHoldsWhatIsRequested(t *testing.T) {
 	site, kinds := folder(t, siteFile, tableFile)
 	for seed := range 40 {
-		text := drawn(t, "-site", site, "-kinds", kinds, "-twice", "-changes", "200", "-entries", "9", "-seconds", "0", "-seed", strconv.Itoa(seed))
-		plan, faults, seconds := readDay(t, text)
-		seen, changes, free := map[string]int{}, 0, 0.0
+		plan, faults, seconds := readDay(t, drawn(t, "-site", site, "-kinds", kinds, "-twice", "-changes", "200",
+			"-entries", "9", "-seconds", "0", "-seed", strconv.Itoa(seed)))
+		seen, changes := map[string]int{}, 0
 		for _, e := range append(plan, faults...) {
 			seen[e.Kind]++
 			if e.At < quietStart || e.At > seconds-quietEnd {
@@ -106,22 +110,30 @@
 				changes += int(*e.Count)
 			}
 		}
-		for _, e := range faults {
-			if e.Kind == "rush" {
-				continue
-			}
-			if e.At < free {
-				t.Errorf("%s at %v, while one is lost or catches up until %v", e.Kind, e.At, free)
-			}
-			free = e.At + *e.ForS + 4
-		}
+		checkLossesFollow(t, faults)
 		if seen["quake"] < 2 || seen["flood"] < 2 || changes < 200 {
 			t.Errorf("kinds %v, %d changes", seen, changes)
 		}
 	}
 }
 
-func TestTheSitesOwnTroublesAreATable(t *testing.T) {
+// checkLossesFollow checks that no loss begins before the one before it is over
+// and has caught up.
+func checkLossesFollow(t *testing.T, faults []Trouble) {
+	t.Helper()
+	free := 0.0 // when the next loss may begin
+	for _, e := range faults {
+		if e.Kind == "rush" {
+			continue
+		}
+		if e.At < free {
+			t.Errorf("%s at %v, while one is lost or catches up until %v", e.Kind, e.At, free)
+		}
+		free = e.At + *e.ForS + 4
+	}
+}
+
+func TestTableOfSitesOwnTroubles(t *testing.T) {
 	site, _ := folder(t, siteFile, tableFile)
 	plan, faults, _ := readDay(t, drawn(t, "-site", site, "-entries", "30", "-seconds", "0", "-changes", "10"))
 	for _, e := range plan {
@@ -139,7 +151,7 @@
 	}
 }
 
-func TestWhatIsWrongIsNamed(t *testing.T) {
+func TestErrorNamesWhatIsWrong(t *testing.T) {
 	site, kinds := folder(t, siteFile, tableFile)
 	broken := func(table string) string { _, k := folder(t, siteFile, table); return k }
 	for _, c := range []struct {
@@ -158,8 +170,14 @@
 		{[]string{"-site", kinds}, exitFailed, "no name"},
 		{[]string{"-site", site, "-kinds", broken(`kind = [ { name = "a", colour = 1 } ]`)}, exitFailed, "colour"},
 		{[]string{"-site", site, "-kinds", broken(`kind = [ { name = "a", x = [2, 1] } ]`)}, exitFailed, "lowest is above"},
-		{[]string{"-site", site, "-kinds", broken(`kind = [ { name = "a", share = [0.5, 1.5] } ]`)}, exitFailed, "1 at most"},
-		{[]string{"-site", site, "-kinds", broken(`kind = [ { name = "a", loses = "heart" } ]`)}, exitFailed, "machine, zone or all"},
+		{
+			[]string{"-site", site, "-kinds", broken(`kind = [ { name = "a", share = [0.5, 1.5] } ]`)},
+			exitFailed, "1 at most",
+		},
+		{
+			[]string{"-site", site, "-kinds", broken(`kind = [ { name = "a", loses = "heart" } ]`)},
+			exitFailed, "machine, zone or all",
+		},
 		{[]string{"-site", site, "-kinds", broken(`kind = [ { name = "a", storm = true } ]`)}, exitFailed, "needs gap_s"},
 		{[]string{"-site", site, "-kinds", broken(``)}, exitFailed, "no [[kind]]"},
 		{[]string{"-site", site, "-kinds", kinds, "-without", "frost"}, exitFailed, `"frost" isn't in the table`},
@@ -168,7 +186,10 @@
 		{[]string{"-site", site, "-kinds", kinds, "-only", "flood"}, exitFailed, "weight 0"},
 		{[]string{"-site", site, "-kinds", kinds, "-only", "rush", "-changes", "3"}, exitFailed, "marked storm"},
 		{[]string{"-site", site, "-kinds", kinds, "-closing", "dawn"}, exitFailed, "night"},
-		{[]string{"-site", site, "-kinds", kinds, "-only", "quake", "-entries", "20", "-seconds", "60"}, exitFailed, "need -seconds"},
+		{
+			[]string{"-site", site, "-kinds", kinds, "-only", "quake", "-entries", "20", "-seconds", "60"},
+			exitFailed, "need -seconds",
+		},
 	} {
 		var out, bad bytes.Buffer
 		if code := run(c.args, &out, &bad); code != c.code || !strings.Contains(bad.String(), c.says) || out.Len() > 0 {
@@ -177,15 +198,17 @@
 	}
 }
 
-func TestTheTableOfKindsStands(t *testing.T) {
+func TestKindsFileIsValid(t *testing.T) {
 	table, err := ReadTable("kinds.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	site, _ := folder(t, siteFile, tableFile)
 	for _, closing := range []string{"none", "any", table.Closings[0].Kind} {
-		text := drawn(t, "-site", site, "-kinds", "kinds.toml", "-twice", "-changes", "300", "-seconds", "0", "-closing", closing)
-		if _, _, seconds := readDay(t, text); seconds < 60 || strings.Contains(text, "closing =") == (closing == "none") {
+		text := drawn(t, "-site", site, "-kinds", "kinds.toml", "-twice", "-changes", "300", "-seconds", "0",
+			"-closing", closing)
+		_, _, seconds := readDay(t, text)
+		if seconds < 60 || strings.Contains(text, "closing =") == (closing == "none") {
 			t.Errorf("closing %s: %v s\n%s", closing, seconds, text)
 		}
 	}
--- a/cmd/daygen/kinds.go
+++ b/cmd/daygen/kinds.go
@@ -13,16 +13,16 @@
 // Range is what a number is drawn from: one value, or the lowest and highest.
 type Range []float64
 
-// Losses that a kind may bring.
+// What a kind may take with it (Kind.Loses).
 const (
-	loseNothing = ""
-	loseMachine = "machine"
-	loseZone    = "zone"
-	loseAll     = "all" // every counted machine, whatever may be lost at once
+	losesNothing = ""
+	losesMachine = "machine"
+	losesZone    = "zone"
+	losesAll     = "all" // every counted machine, whatever may be lost at once
 )
 
-// defaultLoss is how long a loss lasts whose entry and table don't say.
-const defaultLoss = 5.0
+// defaultLossSeconds is how long a loss lasts whose entry and table don't say.
+const defaultLossSeconds = 5.0
 
 // Kind is one kind of trouble: where it stands, what it may take with it, and
 // what its fields are drawn from. A field without a range is left out.
@@ -33,17 +33,17 @@
 	Storm   bool   `toml:"storm"`   // brings `count` changes, gap_s apart
 	Loses   string `toml:"loses"`   // machine, zone, all, or nothing
 	// LastsS is how long the loss lasts where for_s doesn't say.
-	LastsS float64  `toml:"lasts_s"`
-	Weight *int     `toml:"weight"` // 1 if left out; 0: only by -twice or -changes
-	How    []string `toml:"how"`
-	On     []string `toml:"on"`
-	Of     []string `toml:"service"`
-	Class  []string `toml:"class"`
-	Share  Range    `toml:"share"`
-	Count  Range    `toml:"count"`
-	X      Range    `toml:"x"`
-	ForS   Range    `toml:"for_s"`
-	GapS   Range    `toml:"gap_s"`
+	LastsS  float64  `toml:"lasts_s"`
+	Weight  *int     `toml:"weight"` // 1 if left out; 0: only by -twice or -changes
+	How     []string `toml:"how"`
+	On      []string `toml:"on"`
+	Service []string `toml:"service"`
+	Class   []string `toml:"class"`
+	Share   Range    `toml:"share"`
+	Count   Range    `toml:"count"`
+	X       Range    `toml:"x"`
+	ForS    Range    `toml:"for_s"`
+	GapS    Range    `toml:"gap_s"`
 }
 
 // Closing is a fault that may end a day.
@@ -79,6 +79,7 @@
 	return t, nil
 }
 
+// check names the first entry of the table that can't be drawn from.
 func (t Table) check() error {
 	if len(t.Kinds) == 0 {
 		return fmt.Errorf("no [[kind]] is listed")
@@ -102,9 +103,10 @@
 	return nil
 }
 
+// check names what is wrong with a kind, or nothing.
 func (k Kind) check() error {
 	switch {
-	case !slices.Contains([]string{loseNothing, loseMachine, loseZone, loseAll}, k.Loses):
+	case !slices.Contains([]string{losesNothing, losesMachine, losesZone, losesAll}, k.Loses):
 		return fmt.Errorf("loses %q: expected machine, zone or all", k.Loses)
 	case k.Weight != nil && *k.Weight < 0:
 		return fmt.Errorf("weight %d: expected 0 or more", *k.Weight)
@@ -113,7 +115,9 @@
 	case k.Storm && len(k.GapS) == 0:
 		return fmt.Errorf("a storm needs gap_s")
 	}
-	for name, r := range map[string]Range{"count": k.Count, "x": k.X, "for_s": k.ForS, "gap_s": k.GapS, "share": k.Share} {
+	for name, r := range map[string]Range{
+		"count": k.Count, "x": k.X, "for_s": k.ForS, "gap_s": k.GapS, "share": k.Share,
+	} {
 		if err := r.check(name, 0); err != nil {
 			return err
 		}
@@ -124,6 +128,7 @@
 	return nil
 }
 
+// check names what is wrong with a range, whose values are least or more.
 func (r Range) check(name string, least float64) error {
 	switch {
 	case len(r) > 2:
@@ -137,14 +142,14 @@
 }
 
 // draw gives a value of the range; false where there is none.
-func (r Range) draw(luck *rand.Rand) (float64, bool) {
+func (r Range) draw(random *rand.Rand) (float64, bool) {
 	switch len(r) {
 	case 0:
 		return 0, false
 	case 1:
 		return r[0], true
 	}
-	return r[0] + luck.Float64()*(r[1]-r[0]), true
+	return r[0] + random.Float64()*(r[1]-r[0]), true
 }
 
 // weight is how often the kind is drawn beside others.
--- a/cmd/daygen/main.go
+++ b/cmd/daygen/main.go
@@ -5,6 +5,7 @@
 package main
 
 import (
+	"errors"
 	"flag"
 	"fmt"
 	"io"
@@ -21,14 +22,18 @@
 	exitUsage
 )
 
-// order is what the command line asks for.
-type order struct {
-	site, kinds, out string
-	without, only    string
-	closing          string
-	wish             Wish
+// options are what the command line asks for.
+type options struct {
+	site    string // path of the site file
+	kinds   string // path of the table of kinds; "": the site's own troubles
+	out     string // path of the file to write; "": standard output
+	without string // kinds to leave out, by commas
+	only    string // kinds to draw from, by commas; "": all
+	closing string // a kind of the table's closings, any or none; "": none
+	request Request
 }
 
+// run draws the day that the arguments ask for and returns the exit code.
 func run(args []string, stdout, stderr io.Writer) int {
 	o, code, done := parse(args, stderr)
 	if done {
@@ -52,7 +57,7 @@
 }
 
 // parse reads and checks the flags; done says that there is nothing to draw.
-func parse(args []string, stderr io.Writer) (o order, code int, done bool) {
+func parse(args []string, stderr io.Writer) (o options, code int, done bool) {
 	f := flag.NewFlagSet("daygen", flag.ContinueOnError)
 	f.SetOutput(stderr)
 	f.StringVar(&o.site, "site", "", "site `file` that the day is for (needed)")
@@ -60,45 +65,48 @@
 	f.StringVar(&o.out, "out", "", "`file` to write (default: standard output)")
 	f.StringVar(&o.without, "without", "", "`kinds` to leave out, by commas")
 	f.StringVar(&o.only, "only", "", "the only `kinds` to draw from, by commas")
-	f.StringVar(&o.closing, "closing", "", "closing fault: a kind of the table's closings, any or none (default none)")
-	f.Uint64Var(&o.wish.Seed, "seed", 1, "seed: the same one gives the same day")
-	f.Float64Var(&o.wish.Seconds, "seconds", 60, "length of the day's traffic, 10 to 3600; 0: as long as the entries need")
-	f.IntVar(&o.wish.Changes, "changes", 0, "changes of the configuration that storms bring together, 0 to 5000")
-	f.IntVar(&o.wish.Entries, "entries", 12, "entries drawn by weight, 0 to 500, besides those of -twice and -changes")
-	f.BoolVar(&o.wish.Twice, "twice", false, "each kind that the table marks as control comes twice at least")
+	f.StringVar(&o.closing, "closing", "",
+		"closing fault: a kind of the table's closings, any or none (default none)")
+	f.Uint64Var(&o.request.Seed, "seed", 1, "seed: the same one gives the same day")
+	f.Float64Var(&o.request.Seconds, "seconds", 60,
+		"length of the day's traffic, 10 to 3600; 0: as long as the entries need")
+	f.IntVar(&o.request.Changes, "changes", 0, "changes of the configuration that storms bring together, 0 to 5000")
+	f.IntVar(&o.request.Entries, "entries", 12,
+		"entries drawn by weight, 0 to 500, besides those of -twice and -changes")
+	f.BoolVar(&o.request.Twice, "twice", false, "each kind that the table marks as control comes twice at least")
 	if err := f.Parse(args); err != nil {
-		if err == flag.ErrHelp {
+		if errors.Is(err, flag.ErrHelp) {
 			return o, exitDrawn, true
 		}
 		return o, exitUsage, true
 	}
-	if fault := o.fault(f.Args()); fault != "" {
-		_, _ = fmt.Fprintln(stderr, "daygen:", fault)
+	if problem := o.invalid(f.Args()); problem != "" {
+		_, _ = fmt.Fprintln(stderr, "daygen:", problem)
 		return o, exitUsage, true
 	}
 	return o, exitDrawn, false
 }
 
-// fault names what is wrong with the command line, or nothing.
-func (o order) fault(rest []string) string {
-	w := o.wish
+// invalid names what is wrong with the command line, or nothing.
+func (o options) invalid(rest []string) string {
+	r := o.request
 	switch {
 	case len(rest) > 0:
 		return fmt.Sprintf("%q: no arguments are expected beside flags", rest[0])
 	case o.site == "":
 		return "-site is needed"
-	case w.Seconds != 0 && !(w.Seconds >= shortestDay && w.Seconds <= longestDay):
-		return fmt.Sprintf("-seconds %v: expected 0, or %v to %v", w.Seconds, shortestDay, longestDay)
-	case w.Changes < 0 || w.Changes > mostChanges:
-		return fmt.Sprintf("-changes %d: expected 0 to %d", w.Changes, mostChanges)
-	case w.Entries < 0 || w.Entries > mostEntries:
-		return fmt.Sprintf("-entries %d: expected 0 to %d", w.Entries, mostEntries)
+	case r.Seconds != 0 && !(r.Seconds >= minDaySeconds && r.Seconds <= maxDaySeconds): // also NaN
+		return fmt.Sprintf("-seconds %v: expected 0, or %v to %v", r.Seconds, minDaySeconds, maxDaySeconds)
+	case r.Changes < 0 || r.Changes > maxChanges:
+		return fmt.Sprintf("-changes %d: expected 0 to %d", r.Changes, maxChanges)
+	case r.Entries < 0 || r.Entries > maxEntries:
+		return fmt.Sprintf("-entries %d: expected 0 to %d", r.Entries, maxEntries)
 	}
 	return ""
 }
 
 // draw reads the files and gives the day's text.
-func (o order) draw() (string, error) {
+func (o options) draw() (string, error) {
 	site, err := ReadSite(o.site)
 	if err != nil {
 		return "", err
@@ -109,21 +117,22 @@
 			return "", err
 		}
 	}
-	if table, err = table.Pick(names(o.only), names(o.without)); err != nil {
+	if table, err = table.Pick(splitNames(o.only), splitNames(o.without)); err != nil {
 		return "", err
 	}
 	closing, err := table.closing(o.closing)
 	if err != nil {
 		return "", err
 	}
-	o.wish.Closing = closing
-	day, err := Draw(site, table, o.wish)
+	o.request.Closing = closing
+	day, err := Draw(site, table, o.request)
 	if err != nil {
 		return "", err
 	}
 	return day.String(), nil
 }
 
-func names(list string) []string {
+// splitNames reads a list by commas or spaces.
+func splitNames(list string) []string {
 	return strings.FieldsFunc(list, func(r rune) bool { return r == ',' || r == ' ' })
 }
--- a/cmd/daygen/site.go
+++ b/cmd/daygen/site.go
@@ -2,14 +2,15 @@
 
 import (
 	"fmt"
+	"math"
 	"os"
 
 	"github.com/BurntSushi/toml"
 )
 
-// spread is how far a value drawn after a site's example may lie from it, as a
+// exampleSpread is how far a value drawn after a site's example may lie from it, as a
 // part of it.
-const spread = 0.3
+const exampleSpread = 0.3
 
 // Trouble is an entry of a site's list, or of a day.
 type Trouble struct {
@@ -82,52 +83,71 @@
 	var t Table
 	for _, e := range s.Troubles {
 		k := Kind{
-			Name: e.Kind, Planned: planned[e.Kind], Storm: e.GapS != nil && e.ForS != nil && e.Share == nil && e.X == nil && planned[e.Kind],
-			How: one(e.How), On: one(e.On), Of: one(e.Service), Class: one(e.Class),
-			Share: around(e.Share, 1), Count: exactly(e.Count), X: around(e.X, 0), ForS: around(e.ForS, 0), GapS: around(e.GapS, 0),
+			Name:    e.Kind,
+			Planned: planned[e.Kind],
+			Storm:   planned[e.Kind] && e.isStorm(),
+			How:     listOf(e.How),
+			On:      listOf(e.On),
+			Service: listOf(e.Service),
+			Class:   listOf(e.Class),
+			Share:   rangeAround(e.Share, 1),
+			Count:   rangeOf(e.Count),
+			X:       rangeAround(e.X, math.Inf(1)),
+			ForS:    rangeAround(e.ForS, math.Inf(1)),
+			GapS:    rangeAround(e.GapS, math.Inf(1)),
 		}
-		if !k.Planned && len(k.Of) == 0 && len(k.Class) == 0 {
-			k.Loses = loseMachine
+		if !k.Planned && len(k.Service) == 0 && len(k.Class) == 0 {
+			k.Loses = losesMachine
 		}
 		t.Kinds = append(t.Kinds, k)
 	}
 	return t
 }
 
-func one(s string) []string {
-	if s == "" {
+// isStorm reports whether an entry brings changes at a distance for a while, and
+// nothing else.
+func (t Trouble) isStorm() bool {
+	return t.GapS != nil && t.ForS != nil && t.Share == nil && t.X == nil
+}
+
+// listOf is a list of one word, or none of "".
+func listOf(word string) []string {
+	if word == "" {
 		return nil
 	}
-	return []string{s}
+	return []string{word}
 }
 
-func exactly(v *float64) Range {
+// rangeOf is the range of exactly one value; nil: none.
+func rangeOf(v *float64) Range {
 	if v == nil {
 		return nil
 	}
 	return Range{*v}
 }
 
-func around(v *float64, most float64) Range {
+// rangeAround is the range around an example's value, up to highest; nil: none.
+func rangeAround(v *float64, highest float64) Range {
 	if v == nil {
 		return nil
 	}
-	high := *v * (1 + spread)
-	if most > 0 {
-		high = min(high, most)
-	}
-	return Range{*v * (1 - spread), high}
+	return Range{*v * (1 - exampleSpread), min(*v*(1+exampleSpread), highest)}
+}
+
+// dayMarks are what a day is judged by, as the site's days name them.
+type dayMarks struct {
+	one, zero, floor, wall float64
 }
 
-// marks gives the marks of the site's hardest day: what a day of its own is
-// judged by.
-func (s Site) marks() (one, zero, floor, wall float64) {
-	for i, d := range s.Days {
-		f, _ := d.Goal["floor"].(float64)
-		if i == 0 || f < floor {
-			one, zero, floor = d.One, d.Zero, f
+// hardestDay gives the marks of the site's hardest day, the one with the lowest
+// floor, and the longest wall of all days: what a day of its own is judged by.
+func (s Site) hardestDay() (marks dayMarks) {
+	for i, day := range s.Days {
+		floor, _ := day.Goal["floor"].(float64)
+		if i == 0 || floor < marks.floor {
+			marks.one, marks.zero, marks.floor = day.One, day.Zero, floor
 		}
-		wall = max(wall, d.Wall)
+		marks.wall = max(marks.wall, day.Wall)
 	}
-	return one, zero, floor, wall
+	return marks
 }
--- a/cmd/daygen/write.go
+++ b/cmd/daygen/write.go
@@ -9,32 +9,33 @@
 // String writes the day as TOML, as a site file holds its own days.
 func (d Day) String() string {
 	var b strings.Builder
-	line := func(form string, of ...any) { _, _ = fmt.Fprintf(&b, form+"\n", of...) }
-	line("# Drawn by daygen for %s: seed %d, %d losses one after the other, %d changes in storms.", d.Site, d.Wish.Seed, d.Lost, d.Changes)
+	line := func(format string, args ...any) { _, _ = fmt.Fprintf(&b, format+"\n", args...) }
+	line("# Drawn by daygen for %s: seed %d, %d losses one after the other, %d changes in storms.",
+		d.Site, d.Request.Seed, d.Losses, d.StormChanges)
 	line("[[day]]")
-	line("name = %s", quote(fmt.Sprintf("drawn-%d", d.Wish.Seed)))
+	line("name = %s", quote(fmt.Sprintf("drawn-%d", d.Request.Seed)))
 	line("slot = \"trouble\"")
-	line("seed = %d", d.Wish.Seed)
-	line("length_s = %s", short(d.Seconds))
+	line("seed = %d", d.Request.Seed)
+	line("length_s = %s", formatNumber(d.Seconds))
 	if d.Closing != "" {
 		how := ""
 		if d.ClosingHow != "" {
 			how = ", how = " + quote(d.ClosingHow)
 		}
-		line("closing = { kind = %s, down_s = %s%s }", quote(d.Closing), short(d.ClosingDownS), how)
+		line("closing = { kind = %s, down_s = %s%s }", quote(d.Closing), formatNumber(d.ClosingDownS), how)
 	}
-	line("one = %s", short(d.One))
-	line("zero = %s", short(d.Zero))
-	line("goal = { floor = %s }", short(d.Floor))
+	line("one = %s", formatNumber(d.One))
+	line("zero = %s", formatNumber(d.Zero))
+	line("goal = { floor = %s }", formatNumber(d.Floor))
 	line("labels = []")
-	line("wall = %s", short(d.Wall))
+	line("wall = %s", formatNumber(d.Wall))
 	line("light = true")
 	for _, list := range []struct {
-		name string
-		of   []Trouble
+		name    string
+		entries []Trouble
 	}{{"plan", d.Plan}, {"faults", d.Faults}} {
 		line("%s = [", list.name)
-		for _, t := range list.of {
+		for _, t := range list.entries {
 			line("  %s,", t)
 		}
 		line("]")
@@ -45,24 +46,26 @@
 // String writes an entry as an inline table.
 func (t Trouble) String() string {
 	var b strings.Builder
-	_, _ = fmt.Fprintf(&b, "{ at = %s, kind = %s", short(t.At), quote(t.Kind))
+	_, _ = fmt.Fprintf(&b, "{ at = %s, kind = %s", formatNumber(t.At), quote(t.Kind))
 	for _, f := range []struct {
-		name string
-		of   *float64
+		name  string
+		value *float64
 	}{{"share", t.Share}, {"count", t.Count}, {"x", t.X}, {"for_s", t.ForS}, {"gap_s", t.GapS}} {
-		if f.of != nil {
-			_, _ = fmt.Fprintf(&b, ", %s = %s", f.name, short(*f.of))
+		if f.value != nil {
+			_, _ = fmt.Fprintf(&b, ", %s = %s", f.name, formatNumber(*f.value))
 		}
 	}
-	for _, f := range []struct{ name, of string }{{"on", t.On}, {"service", t.Service}, {"class", t.Class}, {"how", t.How}} {
-		if f.of != "" {
-			_, _ = fmt.Fprintf(&b, ", %s = %s", f.name, quote(f.of))
+	for _, f := range []struct{ name, value string }{
+		{"on", t.On}, {"service", t.Service}, {"class", t.Class}, {"how", t.How},
+	} {
+		if f.value != "" {
+			_, _ = fmt.Fprintf(&b, ", %s = %s", f.name, quote(f.value))
 		}
 	}
 	return b.String() + " }"
 }
 
-func short(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
+func formatNumber(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
 
 // quote writes a basic string; names and variants hold plain words.
 func quote(s string) string { return strconv.Quote(s) }
