--- a/proof/sim/folder.go
+++ b/proof/sim/folder.go
@@ -20,6 +20,17 @@
 	rot   bool              // what it holds isn't what was written
 }
 
+// newFolder is an empty folder of a daemon's identity.
+func newFolder(ident string) *folder {
+	return &folder{
+		ident: ident,
+		meta:  map[int]quorum.Meta{},
+		recs:  map[int]map[string]message.Record{},
+		sums:  map[string]uint64{},
+		sum:   map[int]uint64{},
+	}
+}
+
 // loadReplica is what a replica's disk holds: a partition that isn't what was written, for
 // a record that is lost or spoilt, is short.
 func (n *node) loadReplica(p int) (quorum.Meta, *digest.Records) {
--- a/proof/sim/net.go
+++ b/proof/sim/net.go
@@ -33,6 +33,8 @@
 	}
 }
 
+// carry takes a message from one daemon to another, over the network's faults and what a
+// sabotage does to it.
 func (w *world) carry(from, to *node, m message.Message) {
 	if w.cut[[2]string{from.name, to.name}] {
 		if w.o.Held > 0 && w.rng.Float64() < w.o.Held {
@@ -41,7 +43,7 @@
 		return
 	}
 	if w.o.Sabotage == "ackpurge" && m.Kind == message.KindInvalidate {
-		w.carry(to, from, message.Message{Kind: message.KindInvalidated, Partition: m.Partition, Key: m.Key, ResponseTo: m.ResponseTo, From: to.ident, Epoch: to.epoch, Addr: to.addr, To: from.ident})
+		w.carry(to, from, acknowledgeOnly(from, to, m))
 		return
 	}
 	if w.noCopies(to, m) {
@@ -50,18 +52,59 @@
 	if m.Kind == message.KindRedirect {
 		w.res.Steers[m.Reason]++
 	}
-	if w.o.Sabotage == "nomend" && m.Kind == message.KindInstallState && m.Op != "" {
+	if w.isWithheld(m) {
 		return
 	}
-	if w.o.Sabotage == "nochase" && m.Kind == message.KindInstallState && m.Op == "compare" && m.RequestID > 0 {
-		return
+	w.cutRecordsShort(from, to, &m)
+	w.sendAgain(to, m)
+	delay := w.networkDelay(from, to)
+	if !w.calm && !w.o.Clean {
+		switch x := w.rng.Float64(); {
+		case x < 0.005:
+			return // lost
+		case x < 0.02:
+			delay += w.exp(200 * time.Millisecond) // late, overtaken by others
+		case x < 0.025:
+			w.at(w.exp(300*time.Millisecond), func() { w.land(to, m) }) // twice
+		}
 	}
+	w.at(delay, func() { w.land(to, m) })
+}
+
+// acknowledgeOnly is the sabotage that acknowledges an invalidation and never does it.
+func acknowledgeOnly(from, to *node, m message.Message) message.Message {
+	return message.Message{
+		Kind: message.KindInvalidated, Partition: m.Partition, Key: m.Key, ResponseTo: m.ResponseTo,
+		From: to.ident, Epoch: to.epoch, Addr: to.addr, To: from.ident,
+	}
+}
+
+// isWithheld reports whether a sabotage withholds a message of the comparison of copies.
+func (w *world) isWithheld(m message.Message) bool {
+	if m.Kind != message.KindInstallState {
+		return false
+	}
+	switch w.o.Sabotage {
+	case "nomend":
+		return m.Op != ""
+	case "nochase":
+		return m.Op == "compare" && m.RequestID > 0
+	}
+	return false
+}
+
+// cutRecordsShort is what the sabotages do to the records of a message.
+func (w *world) cutRecordsShort(from, to *node, m *message.Message) {
 	if w.o.Sabotage == "cutshort" && m.Kind == message.KindInstallState && len(m.Records) > 1 {
 		m.LastComplete, m.Records = 0, m.Records[:len(m.Records)/2] // and no sum to tell
 	}
 	if w.o.Sabotage == "oldset" && m.Kind == message.KindGrantVote && m.Op == "" && from != to {
 		m.LastComplete, m.Digests, m.Records = 0, nil, nil // the candidate reads its own copy only
 	}
+}
+
+// sendAgain has part of the messages come a second time, as the run's options ask for.
+func (w *world) sendAgain(to *node, m message.Message) {
 	if w.o.Mutate > 0 && w.rng.Float64() < w.o.Mutate {
 		w.at(w.exp(time.Millisecond), func() { w.land(to, w.mutated(m)) })
 	}
@@ -72,30 +115,36 @@
 	if w.o.Responses > 0 && responses[m.Kind] && w.rng.Float64() < w.o.Responses {
 		w.at(w.exp(time.Second), func() { w.land(to, m) })
 	}
-	d := 100*time.Microsecond + w.exp(400*time.Microsecond)
+}
+
+// networkDelay is how long a message takes that nothing befalls.
+func (w *world) networkDelay(from, to *node) time.Duration {
+	delay := 100*time.Microsecond + w.exp(400*time.Microsecond)
 	if from.zone != to.zone {
-		d += w.o.Far
+		delay += w.o.Far
 	}
 	if (w.lame(from) || w.lame(to)) && from != to {
-		d += w.o.Lame
-	}
-	if !w.calm && !w.o.Clean {
-		switch x := w.rng.Float64(); {
-		case x < 0.005:
-			return // lost
-		case x < 0.02:
-			d += w.exp(200 * time.Millisecond) // late, overtaken by others
-		case x < 0.025:
-			w.at(w.exp(300*time.Millisecond), func() { w.land(to, m) }) // twice
-		}
+		delay += w.o.Lame
 	}
-	w.at(d, func() { w.land(to, m) })
+	return delay
 }
 
 // responses are the kinds that respond to another message.
 var responses = map[message.Kind]bool{
-	message.KindCallResult: true, message.KindGrantVote: true, message.KindRejectVote: true, message.KindStateInstalled: true, message.KindStateMismatch: true, message.KindReplicated: true,
-	message.KindHeartbeatAck: true, message.KindAbandonTerm: true, message.KindGrantLease: true, message.KindReconnect: true, message.KindReconciled: true, message.KindInvalidated: true, message.KindDenyLease: true, message.KindWelcome: true,
+	message.KindCallResult:     true,
+	message.KindGrantVote:      true,
+	message.KindRejectVote:     true,
+	message.KindStateInstalled: true,
+	message.KindStateMismatch:  true,
+	message.KindReplicated:     true,
+	message.KindHeartbeatAck:   true,
+	message.KindAbandonTerm:    true,
+	message.KindGrantLease:     true,
+	message.KindReconnect:      true,
+	message.KindReconciled:     true,
+	message.KindInvalidated:    true,
+	message.KindDenyLease:      true,
+	message.KindWelcome:        true,
 }
 
 // land hands a message over; one that waits at a frozen node is read on waking.
@@ -125,12 +174,7 @@
 		return
 	}
 	p := to.parts[m.Partition]
-	if w.o.Trace != nil && m.Kind < message.KindRequestVote {
-		w.trace("  %s<-%s partition %d %s key=%s no=%d ref=%d len=%v mark=%v keys=%v recs=%d", to.name, m.From, m.Partition, m.Kind, m.Key, m.RequestID, m.ResponseTo, time.Duration(m.Length), m.VolumeEpoch, m.Keys, len(m.Records))
-	}
-	if w.o.Trace != nil && m.Kind >= message.KindRequestVote && m.Kind < message.KindHello {
-		w.trace("  %s<-%s partition %d %s num=%d set=%d no=%d ref=%d group=%d recs=%d len=%v", to.name, m.From, m.Partition, m.Kind, m.Term, m.LastComplete, m.RequestID, m.ResponseTo, m.Group.Number, len(m.Records), time.Duration(m.Length))
-	}
+	w.traceMessage(to, m)
 	if p.Partition().Node.IsRoot() {
 		w.res.RootMessages++
 	}
@@ -141,6 +185,24 @@
 	to.carry(m.Partition, p.Step(now, m))
 }
 
+// traceMessage traces what a daemon is sent of the lease tree and of the votes.
+func (w *world) traceMessage(to *node, m message.Message) {
+	if w.o.Trace == nil {
+		return
+	}
+	length := time.Duration(m.Length)
+	switch {
+	case m.Kind < message.KindRequestVote:
+		w.trace("  %s<-%s partition %d %s key=%s no=%d ref=%d len=%v mark=%v keys=%v recs=%d",
+			to.name, m.From, m.Partition, m.Kind, m.Key, m.RequestID, m.ResponseTo, length,
+			m.VolumeEpoch, m.Keys, len(m.Records))
+	case m.Kind < message.KindHello:
+		w.trace("  %s<-%s partition %d %s num=%d set=%d no=%d ref=%d group=%d recs=%d len=%v",
+			to.name, m.From, m.Partition, m.Kind, m.Term, m.LastComplete, m.RequestID, m.ResponseTo,
+			m.Group.Number, len(m.Records), length)
+	}
+}
+
 // lame tells whether a daemon's machine is slow now: the last zone's relays.
 func (w *world) lame(n *node) bool {
 	if w.o.Lame == 0 || w.now < 15*time.Second || w.now > 55*time.Second || n.zone != w.nodes[len(w.nodes)-1].zone {
--- a/proof/sim/node.go
+++ b/proof/sim/node.go
@@ -93,6 +93,7 @@
 	n.w.at(d, run)
 }
 
+// start begins a new incarnation of the daemon, unless it runs or is gone for good.
 func (n *node) start() {
 	if n.up || n.gone {
 		return
@@ -101,92 +102,151 @@
 	n.up, n.frozen = true, 0
 	n.life++
 	w.ids++
-	n.ident, n.epoch = fmt.Sprintf("%s-%d", n.name, w.ids), 1
 	now := n.local()
-	if n.hasDisk {
-		if n.disk == nil {
-			n.disk = &folder{ident: n.ident, meta: map[int]quorum.Meta{}, recs: map[int]map[string]message.Record{}, sums: map[string]uint64{}, sum: map[int]uint64{}}
-			if w.o.Sabotage == "samename" {
-				n.disk.ident = n.name
-			}
+	n.openDisk()
+	n.forgetMemory()
+	n.startCalls()
+	n.startMembership()
+	var disk *quorum.Folder
+	if n.hasDisk && w.o.Sabotage != "unguarded" {
+		disk = quorum.OpenFolder(n.epoch, n.disk.metas()...)
+	}
+	for p := 0; p <= w.o.Partitions; p++ {
+		n.startPartition(now, p, disk)
+	}
+	w.trace("%s starts as %s", n.name, n.ident)
+	n.in(0, n.tick)
+	n.in(w.exp(w.o.Reads), n.read)
+}
+
+// openDisk gives the daemon the identity and incarnation that its disk has for it; without
+// one, an identity of this start alone.
+func (n *node) openDisk() {
+	w := n.w
+	n.ident, n.epoch = fmt.Sprintf("%s-%d", n.name, w.ids), 1
+	if !n.hasDisk {
+		return
+	}
+	if n.disk == nil {
+		n.disk = newFolder(n.ident)
+		if w.o.Sabotage == "samename" {
+			n.disk.ident = n.name
 		}
-		n.disk.epoch++
-		n.ident, n.epoch = n.disk.ident, incarnation.Number(n.disk.epoch, uint32(w.ids))
 	}
+	n.disk.epoch++
+	n.ident, n.epoch = n.disk.ident, incarnation.Number(n.disk.epoch, uint32(w.ids))
+}
+
+// forgetMemory drops what an earlier incarnation had in memory.
+func (n *node) forgetMemory() {
 	n.parts, n.guides, n.asks = nil, nil, map[uint64]func(leadercall.Result){}
-	n.lanes, n.rides, n.early, n.past = map[string]*lane{}, map[string]*ride{}, map[int]*caller{}, map[string]message.Record{}
-	life := incarnation.Starts(n.epoch)
+	n.lanes, n.rides = map[string]*lane{}, map[string]*ride{}
+	n.early, n.past = map[int]*caller{}, map[string]message.Record{}
+}
+
+func (n *node) startCalls() {
+	w := n.w
+	starts := incarnation.Starts(n.epoch)
 	if w.o.Sabotage == "samenumbers" {
-		life = 0
+		starts = 0
+	}
+	n.runs = leadercall.New(leadercall.Config{
+		TryTimeout:    w.cfg.VolumeLease() / 2,
+		RetryInterval: w.cfg.VolumeLease() / 32,
+		RetryAfter:    w.cfg.Bounds.Plan,
+	}, starts)
+}
+
+func (n *node) startMembership() {
+	w := n.w
+	config := w.cfg.MembershipConfig()
+	if w.o.Flat {
+		config.MinRelayZone = len(w.nodes) + 1
+	}
+	config.ToleratedLosses, config.FirstStart = max(1, w.o.Losses), !w.o.Bare || n.life == 1
+	n.rost = membership.New(config, n.member(), n.seeds())
+	n.view = n.rost.View()
+}
+
+// startPartition starts the daemon's part in a partition, and pins the records that it
+// reads. disk is nil where there is none, or nothing guards it.
+func (n *node) startPartition(now time.Duration, p int, disk *quorum.Folder) {
+	w := n.w
+	self := n.self()
+	var replica *quorum.Replica
+	if n.hasDisk {
+		replica = n.newReplica(now, p, disk)
+	}
+	part := partition.New(p, self, n.epoch, replica, n.newLeaseNode(p))
+	if w.o.Sabotage == "nocalm" {
+		part.WritesFrom = func() time.Duration { return 0 }
+	}
+	controller := leader.New(leader.Config{
+		Placement:        w.works(),
+		OnceKeyRetention: w.cfg.OnceKeyRetention(),
+		RepeatWindow:     w.cfg.ResendWindow(),
+	}, p, self, part)
+	n.parts = append(n.parts, controller)
+	n.guides = append(n.guides, membership.ParentChooser{Partition: p, VolumeLease: w.cfg.VolumeLease()})
+	for _, key := range n.pinnedKeys(p) {
+		n.carry(p, controller.Pin(now, key))
+	}
+}
+
+// self is the daemon as the others address it.
+func (n *node) self() message.Replica { return message.Replica{Ident: n.ident, Addr: n.addr} }
+
+func (n *node) newReplica(now time.Duration, p int, disk *quorum.Folder) *quorum.Replica {
+	w := n.w
+	meta, records := n.loadReplica(p)
+	if w.o.Sabotage == "forget" {
+		meta.VotedTerm, meta.VotedFor = 0, ""
+	}
+	config := w.cfg.QuorumConfig()
+	if w.o.Sabotage == "lategone" {
+		config.LostAfter = w.cfg.Bounds.Recover * 3 / 2
 	}
-	n.runs = leadercall.New(leadercall.Config{TryTimeout: w.cfg.VolumeLease() / 2, RetryInterval: w.cfg.VolumeLease() / 32, RetryAfter: w.cfg.Bounds.Plan}, life)
-	me := message.Replica{Ident: n.ident, Addr: n.addr}
-	leases := w.cfg.LeaseConfig()
+	return quorum.New(config, quorum.InitialState{
+		Partition: p, Self: n.self(), Folder: disk, Meta: meta, Records: records,
+		IsNew: meta.Group.Number == 0 || w.o.Sabotage == "nowaitvote",
+	}, now)
+}
+
+func (n *node) newLeaseNode(p int) *lease.Node {
+	w := n.w
+	config := w.cfg.LeaseConfig()
 	if w.o.Sabotage == "nowait" {
-		leases.Drift, leases.Margin = -0.6, 0
+		config.Drift, config.Margin = -0.6, 0
 	}
 	if w.o.Static {
-		leases.LoadInterval = 0
+		config.LoadInterval = 0
 	}
-	sess := w.cfg.MembershipConfig()
-	if w.o.Flat {
-		sess.MinRelayZone = len(w.nodes) + 1
+	tree := lease.New(config, p, n.self(), n.epoch)
+	if codec := w.codec(); codec != nil {
+		tree.UseCodec(codec, 1)
 	}
-	sess.ToleratedLosses, sess.FirstStart = max(1, w.o.Losses), !w.o.Bare || n.life == 1
-	n.rost = membership.New(sess, n.member(), n.seeds())
-	n.view = n.rost.View()
-	var disk *quorum.Folder
-	if n.hasDisk && w.o.Sabotage != "unguarded" {
-		disk = quorum.OpenFolder(n.epoch, n.disk.metas()...)
-	}
-	for p := 0; p <= w.o.Partitions; p++ {
-		var replica *quorum.Replica
-		if n.hasDisk {
-			meta, records := n.loadReplica(p)
-			if w.o.Sabotage == "forget" {
-				meta.VotedTerm, meta.VotedFor = 0, ""
-			}
-			leadership := w.cfg.QuorumConfig()
-			if w.o.Sabotage == "lategone" {
-				leadership.LostAfter = w.cfg.Bounds.Recover * 3 / 2
-			}
-			replica = quorum.New(leadership, quorum.InitialState{
-				Partition: p, Self: me, Folder: disk, Meta: meta, Records: records,
-				IsNew: meta.Group.Number == 0 || w.o.Sabotage == "nowaitvote",
-			}, now)
-		}
-		tree := lease.New(leases, p, me, n.epoch)
-		if codec := w.codec(); codec != nil {
-			tree.UseCodec(codec, 1)
-		}
-		p := p
-		tree.RelayOf = func(id string) message.Replica {
-			if m, ok := n.view.Find(id); ok {
-				return n.view.Relay(p, m.Zone)
-			}
-			return message.Replica{}
-		}
-		sec := partition.New(p, me, n.epoch, replica, tree)
-		if w.o.Sabotage == "nocalm" {
-			sec.WritesFrom = func() time.Duration { return 0 }
-		}
-		s := leader.New(leader.Config{Placement: w.works(), OnceKeyRetention: w.cfg.OnceKeyRetention(), RepeatWindow: w.cfg.ResendWindow()}, p, me, sec)
-		n.parts = append(n.parts, s)
-		n.guides = append(n.guides, membership.ParentChooser{Partition: p, VolumeLease: w.cfg.VolumeLease()})
-		for k := 0; k < w.o.Keys; k++ {
-			n.carry(p, s.Pin(now, key(k)))
-		}
-		if p == 0 && n.hasDisk {
-			n.carry(0, s.Pin(now, fleetconfig.ReplicaKey))
-		}
-		if p == 0 {
-			n.carry(0, s.Pin(now, fleetconfig.PlanKey))
-			n.carry(0, s.Pin(now, fleetconfig.ZoneKey))
+	tree.RelayOf = func(id string) message.Replica {
+		if m, ok := n.view.Find(id); ok {
+			return n.view.Relay(p, m.Zone)
 		}
+		return message.Replica{}
 	}
-	w.trace("%s starts as %s", n.name, n.ident)
-	n.in(0, n.tick)
-	n.in(w.exp(w.o.Reads), n.read)
+	return tree
+}
+
+// pinnedKeys are the records of a partition that every daemon reads, and where it is the
+// configuration those that it works by.
+func (n *node) pinnedKeys(p int) (keys []string) {
+	for k := range n.w.o.Keys {
+		keys = append(keys, key(k))
+	}
+	if p != 0 {
+		return keys
+	}
+	if n.hasDisk {
+		keys = append(keys, fleetconfig.ReplicaKey)
+	}
+	return append(keys, fleetconfig.PlanKey, fleetconfig.ZoneKey)
 }
 
 func key(k int) string { return fmt.Sprintf("plan/%d", k) }
@@ -225,25 +285,34 @@
 	}
 	n.carryCalls(n.runs.Tick(now, func(p int) message.Replica { return n.view.Leaderships[p].Leader }))
 	if n.ticks%4 == 0 {
-		var owns []message.Leadership
-		for p, m := range n.parts {
-			if s := m.Partition(); m.IsLeader(now) {
-				owns = append(owns, message.Leadership{Partition: p, Term: s.Replica.Term(), Leader: message.Replica{Ident: n.ident, Addr: n.addr}})
-			} else if s.Replica != nil && s.Replica.KnownLeader().Term > 0 {
-				owns = append(owns, s.Replica.KnownLeader())
-			}
-		}
-		o := n.rost.Tick(now, n.member(), owns)
-		n.view = n.rost.View()
-		for _, m := range o.Sends {
-			n.send(m)
-		}
-		n.found(now, o.Bootstrap)
+		n.tickMembership(now)
 		n.works(now)
 	}
 	n.in(15*time.Millisecond+time.Duration(w.rng.Intn(int(10*time.Millisecond))), n.tick)
 }
 
+func (n *node) tickMembership(now time.Duration) {
+	out := n.rost.Tick(now, n.member(), n.knownLeaderships(now))
+	n.view = n.rost.View()
+	for _, m := range out.Sends {
+		n.send(m)
+	}
+	n.found(now, out.Bootstrap)
+}
+
+// knownLeaderships are the daemon's own and those that its replicas know of.
+func (n *node) knownLeaderships(now time.Duration) (known []message.Leadership) {
+	for p, m := range n.parts {
+		replica := m.Partition().Replica
+		if m.IsLeader(now) {
+			known = append(known, message.Leadership{Partition: p, Term: replica.Term(), Leader: n.self()})
+		} else if replica != nil && replica.KnownLeader().Term > 0 {
+			known = append(known, replica.KnownLeader())
+		}
+	}
+	return known
+}
+
 // found makes the first group, as the daemon does.
 func (n *node) found(now time.Duration, replicas []message.Replica) {
 	if replicas == nil {
