--- a/proof/standin/mutants/answers.sh
+++ b/proof/standin/mutants/answers.sh
@@ -13,7 +13,7 @@
 mutant no-seal platform $spoilt platform/engine.go 'len(r.Header[hdrSeal]) != 1 ||' 'len(r.Header[hdrSeal]) > 9 ||'
 mutant not-run-success platform $spoilt platform/engine.go ' || r.StatusCode < 400' ''
 mutant unsafe-resent platform $spoilt traffic/forward/request.go 'last.Known == attempt.Lost && last.Phase == attempt.Decode && !r.Repeatable' 'last.Known == attempt.Lost && last.Phase == attempt.Decode && !r.Repeatable && r.arrivedAt < 0'
-mutant reset-is-not-sent platform $spoilt $exchange 's.written == 0 && s.err != nil' 's.written >= 0'
+mutant reset-is-not-sent platform $spoilt $exchange 'p.written == 0 && p.err != nil' 'p.written >= 0'
 mutant whole-when-reset platform $spoilt platform/answer.go 'a.complete = err == io.EOF
 	return nil, "", err' 'a.complete = err == io.EOF
 	return nil, "", io.EOF'
--- a/proof/standin/mutants/rules.sh
+++ b/proof/standin/mutants/rules.sh
@@ -9,7 +9,7 @@
 guard=control/quorum/incarnation.go patches=control/lease/patches.go
 # rules of the users that no other script breaks
 mutant tries-unbounded traffic/forward TestNoMoreServersThanTries traffic/forward/request.go 'r.countedSends >= r.maxAttempts() ||' 'r.countedSends >= 9+r.maxAttempts() ||'
-mutant whole-time platform TestAServerIsHandedTheTimeThatIsLeft platform/exchange.go 'max(1, (due-e.now()).Milliseconds())' '3600000'
+mutant whole-time platform TestAServerIsHandedTheTimeThatIsLeft platform/exchange.go 'max(1, (call.deadline-e.now()).Milliseconds())' '3600000'
 mutant goes-on-for-nobody traffic/gateway TestAClientThatIsGone traffic/gateway/run.go 'for !m.Action.Final() {
 		if ctx.Err() != nil || has.clientGone {' 'for !m.Action.Final() {
 		if has.clientGone {'
