--- a/control/daemon/planformat.go
+++ b/control/daemon/planformat.go
@@ -9,7 +9,7 @@
 )
 
 // Build names this build to other daemons: what it takes of their messages ("2":
-// load reports of what changed, traffic/board), and the format of plans that it
+// load reports of what changed, traffic/loadreport), and the format of plans that it
 // reads.
 var Build = fmt.Sprintf("2%s%d", formatSeparator, fleetconfig.NewestFormat())
 
--- a/control/leader/leader.go
+++ b/control/leader/leader.go
@@ -116,7 +116,8 @@
 	return c.finishStep(c.partition.Bootstrap(now, g))
 }
 
-// Supersede takes this daemon's copy its vote: a newer copy of its data folder is in use.
+// Supersede takes the vote from this daemon's replica: another process, or a later
+// state of its folder, has its identity.
 //
 // Example: out := c.Supersede(now, why)
 func (c *Controller) Supersede(now time.Duration, why string) Out {
--- a/control/lease/downstream.go
+++ b/control/lease/downstream.go
@@ -91,7 +91,8 @@
 }
 
 // answerRenewal grants, has the child reconnect, or has the renewal wait for this
-// node's own lease.
+// node's own lease. A child that has owed an acknowledgement for too long gets no
+// answer: its lease lapses.
 func (n *Node) answerRenewal(now time.Duration, c *child, renewal pendingRenewal, out *Out) {
 	c.lastSeen = now
 	n.countRenewal(now, c, n.HasVolumeLease(now) && n.servesAll(now, renewal.keys))
--- a/control/lease/lease.go
+++ b/control/lease/lease.go
@@ -18,8 +18,9 @@
 //     says that it has dropped the rest (ReconnectDone).
 //   - A parent that withdraws a record sends an Invalidation; the child answers
 //     (InvalidationAck) once all below it have, or have lapsed.
-//   - A parent without a lease of its own denies (LeaseDenial); one that knows of a better
-//     parent names it (Redirect).
+//   - A parent without a lease of its own keeps a renewal until it has one, and denies
+//     (LeaseDenial) after a volume lease, or at once if none can come; one that knows of
+//     a better parent names it (Redirect).
 //
 // Step and Tick are in step.go, the child's side in upstream.go and records.go, the
 // parent's in downstream.go and invalidation.go, patches in patches.go, joins and splits
--- a/control/partition/batch.go
+++ b/control/partition/batch.go
@@ -140,9 +140,9 @@
 	}
 }
 
-// handleInvalidated counts a record of a batch as invalidated; after the last one the
+// handleRecordInvalidated counts a record of a batch as invalidated; after the last one the
 // batch is committed.
-func (p *Partition) handleInvalidated(now time.Duration, tag uint64, out *Out) {
+func (p *Partition) handleRecordInvalidated(now time.Duration, tag uint64, out *Out) {
 	b := p.running[tag]
 	if b == nil {
 		return
--- a/control/partition/out.go
+++ b/control/partition/out.go
@@ -53,7 +53,7 @@
 func (p *Partition) handleNodeOut(now time.Duration, node lease.Out, out *Out) {
 	out.addNodeOut(node)
 	for _, tag := range node.Invalidated {
-		p.handleInvalidated(now, tag, out)
+		p.handleRecordInvalidated(now, tag, out)
 	}
 }
 
--- a/control/quorum/candidate.go
+++ b/control/quorum/candidate.go
@@ -198,8 +198,8 @@
 	out.Won = true
 }
 
-// handleVoteRejection takes a voter's refusal: of a vote, or of a heartbeat or write
-// if it has voted in a higher term.
+// handleVoteRejection takes a voter's refusal: of a vote, of a heartbeat whose term it
+// isn't bound to, or of a write if it has voted in a higher term.
 func (r *Replica) handleVoteRejection(
 	now time.Duration, from message.Sender, m message.VoteRejection, out *Out,
 ) {
--- a/control/quorum/heartbeat.go
+++ b/control/quorum/heartbeat.go
@@ -44,7 +44,7 @@
 	delete(l.acks, round)
 }
 
-// forgetRounds has no answer count that is under way.
+// forgetRounds drops the open rounds: answers to them count for nothing.
 func (l *leaderLease) forgetRounds() {
 	l.sentAt, l.acks = map[uint64]time.Duration{}, map[uint64]map[string]bool{}
 }
@@ -57,9 +57,9 @@
 	l.acks[round][from] = true
 }
 
-// renew lengthens the lease to that of a round; one that has lapsed isn't revived:
+// extend lengthens the lease to that of a round; one that has lapsed isn't revived:
 // others may have voted since.
-func (l *leaderLease) renew(now, sentAt, length time.Duration) (renewed bool) {
+func (l *leaderLease) extend(now, sentAt, length time.Duration) (renewed bool) {
 	if now >= l.end {
 		return false
 	}
@@ -128,7 +128,7 @@
 	if !r.meta.Group.HasQuorum(func(ident string) bool { return r.lease.acks[m.Round][ident] }) {
 		return
 	}
-	if r.lease.renew(now, sentAt, r.cfg.LeaderLease) && m.Round > r.change.roundBefore {
+	if r.lease.extend(now, sentAt, r.cfg.LeaderLease) && m.Round > r.change.roundBefore {
 		r.change.isLeaseSupported = true
 	}
 	r.lease.closeRound(m.Round)
--- a/control/quorum/incarnation.go
+++ b/control/quorum/incarnation.go
@@ -153,9 +153,9 @@
 	return false
 }
 
-// isConcerned reports whether a message's sender is one whose incarnations are recorded:
+// recordsIncarnationOf reports whether a message's sender is one whose incarnations are recorded:
 // a replica or a learner.
-func (r *Replica) isConcerned(from message.Sender, group message.Group) bool {
+func (r *Replica) recordsIncarnationOf(from message.Sender, group message.Group) bool {
 	return r.meta.Group.Number == 0 || r.meta.Group.Has(from.Ident) || has(r.learners, from.Ident) ||
 		r.isReplicaOfGroup(from, group)
 }
@@ -165,7 +165,7 @@
 func (r *Replica) admitsSender(
 	now time.Duration, from message.Sender, claims message.IncarnationClaims, out *Out,
 ) bool {
-	if !r.isConcerned(from, claims.Group) {
+	if !r.recordsIncarnationOf(from, claims.Group) {
 		return true
 	}
 	known := r.knownPeer(from.Ident)
--- a/control/quorum/install.go
+++ b/control/quorum/install.go
@@ -82,7 +82,7 @@
 	case m.Purpose == message.InstallForJoin:
 		r.answerJoin(from, m, out)
 	default: // installed already, or before writes of this term: only newer records are put
-		r.save(out, nil, r.putNewer(m.Records), r.installed(from, m.Term))
+		r.save(out, nil, r.putNewer(m.Records), r.stateInstalledFor(from, m.Term))
 	}
 }
 
@@ -111,7 +111,7 @@
 		r.records.Put(rec)
 	}
 	r.meta.LastComplete, r.meta.Incomplete = m.Term, false
-	r.save(out, m.Ranges, m.Records, r.installed(from, m.Term))
+	r.save(out, m.Ranges, m.Records, r.stateInstalledFor(from, m.Term))
 }
 
 // dropRange drops all records of a range.
@@ -125,8 +125,8 @@
 	}
 }
 
-// installed is the answer that this replica holds a leader's term.
-func (r *Replica) installed(from message.Sender, term uint64) message.Envelope {
+// stateInstalledFor is the answer that this replica holds a leader's term.
+func (r *Replica) stateInstalledFor(from message.Sender, term uint64) message.Envelope {
 	return envelope(from.Replica, message.StateInstalled{Term: term}.Message(r.partition))
 }
 
--- a/control/quorum/replica.go
+++ b/control/quorum/replica.go
@@ -117,7 +117,7 @@
 	resigned bool          // renews no lease and begins no election any more
 
 	role role
-	term uint64 // as candidate or leader; the last one it was that in
+	term uint64 // as candidate or leader; the last term in which it was one
 
 	support   leaderSupport     // whom it supports as leader
 	lastGrant withdrawableGrant // the vote it gave last
--- a/control/quorum/vote.go
+++ b/control/quorum/vote.go
@@ -43,9 +43,9 @@
 	return now >= r.support.until || r.isLeaderRestarted()
 }
 
-// canVote reports whether a candidate can have this replica's vote now. One that
-// would not wait until earlier leases lapse before it writes, as an earlier
-// build's, waits for the vote instead.
+// canVote reports whether a candidate can have this replica's vote now. A
+// candidate that doesn't promise to wait before it writes, as one of an earlier
+// build, gets the vote only once the lease has lapsed.
 func (r *Replica) canVote(now time.Duration, candidate string, writeDelay time.Duration) bool {
 	return now >= r.support.until || r.support.leader == candidate ||
 		r.isLeaderRestarted() && writeDelay >= r.support.until-now
@@ -73,7 +73,7 @@
 
 // handleVoteRequest answers a candidate.
 func (r *Replica) handleVoteRequest(now time.Duration, from message.Sender, req message.VoteRequest, out *Out) {
-	if !r.canVoteIn(now, from.Ident, req.Group) {
+	if !r.joinForVote(now, from.Ident, req.Group) {
 		r.reject(now, from.Replica, req.Term, req.WriteDelay, out)
 		return
 	}
@@ -91,9 +91,10 @@
 	}
 }
 
-// canVoteIn reports whether this replica has a vote in a candidate's group, whose
-// later number it takes over.
-func (r *Replica) canVoteIn(now time.Duration, candidate string, group message.Group) bool {
+// joinForVote reports whether this replica has a vote in a candidate's group. If the
+// group is later than its own and has it as a member, it takes that group over first;
+// the next save holds it.
+func (r *Replica) joinForVote(now time.Duration, candidate string, group message.Group) bool {
 	own := r.meta.Group
 	if !group.Has(candidate) || r.meta.Incomplete { // what this disk lost may be all that a majority has
 		return false
--- a/proof/overload/overload.go
+++ b/proof/overload/overload.go
@@ -1,5 +1,5 @@
 // Package overload plays the request path of a fleet by itself: the real decisions
-// (traffic/forward) and hints (traffic/board) of several daemons before model
+// (traffic/forward) and hints (traffic/loadreport) of several daemons before model
 // servers of two halves, under load and troubles that come and go, on a simulated
 // clock. It shows what a trouble leaves behind when it is over. The control plane
 // is not in it: records are there, or for a while they aren't.
--- a/traffic/forward/dispatcher.go
+++ b/traffic/forward/dispatcher.go
@@ -55,7 +55,7 @@
 	counts  Counts
 }
 
-// New makes a dispatcher for a service whose records stand in the given part.
+// New makes a dispatcher for a service whose records stand in the given partition.
 //
 // Example: d := forward.New(cfg, "timetable", 3, daemon, load)
 func New(cfg Config, service string, partition int, source Source, load LoadReporter) *Dispatcher {
@@ -146,7 +146,7 @@
 }
 
 // refreshServers reads the servable servers anew if a record changed or a lease
-// lapsed; it tells whether all that it needs stands under valid leases now.
+// lapsed; it tells whether all that it needs may be used now.
 func (d *Dispatcher) refreshServers(now time.Duration) bool {
 	gen := [2]uint64{d.source.Generation(0), d.source.Generation(d.partition)}
 	if gen == d.generations && now < d.validUntil {
@@ -160,8 +160,8 @@
 	return d.readServers(now)
 }
 
-// readServers reads list, zones and records of the servers; false: not all stand
-// under valid leases now.
+// readServers reads list, zones and records of the servers; false: not all may be
+// used now.
 func (d *Dispatcher) readServers(now time.Duration) bool {
 	clear(d.servable)
 	d.sortedKeys = nil
@@ -200,7 +200,7 @@
 		return Server{}, false
 	}
 	return Server{
-		Key: listed.Key(), Addr: listed.Addr, Zone: listed.Zone, Part: r.Role,
+		Key: listed.Key(), Addr: listed.Addr, Zone: listed.Zone, Role: r.Role,
 		Slots: listed.Capacity, Warming: r.Status == placement.Warming,
 	}, true
 }
@@ -231,7 +231,7 @@
 func (d *Dispatcher) Pressure(now time.Duration, key string) (read, write float64) {
 	tokens, _, pause := d.load.Load(now, key)
 	pace := d.prefillRate
-	if d.servable[key].Part != placement.Prefill {
+	if d.servable[key].Role != placement.Prefill {
 		pace /= 2
 	}
 	if d.shortestTTFT > 0 {
@@ -246,14 +246,14 @@
 // MaySend checks records, leases and deadline once more, just before a call's first
 // byte goes out.
 //
-// Example: if !d.MaySend(now, id, move) { return forward.Blocked }
+// Example: if !d.MaySend(now, id, decision) { return forward.Blocked }
 func (d *Dispatcher) MaySend(now time.Duration, id string, m Decision) bool {
 	r := d.pending[id]
 	if r == nil || r.attemptNumber != m.Attempt || now >= r.Deadline || !d.refreshServers(now) {
 		return false
 	}
 	row, ok := d.servable[m.Server.Key]
-	return ok && row.Part == m.Server.Part && row.Addr == m.Server.Addr
+	return ok && row.Role == m.Server.Role && row.Addr == m.Server.Addr
 }
 
 // LoadReported takes the load that a server reported with an answer.
--- a/traffic/forward/filter.go
+++ b/traffic/forward/filter.go
@@ -16,7 +16,7 @@
 	for i := range d.sortedKeys {
 		s := d.servable[d.sortedKeys[(uint64(i)+r.hash)%uint64(len(d.sortedKeys))]]
 		switch {
-		case s.Part != role || r.attempts.Tried(phase, s.Key) || s.Warming && !d.acceptsWarmup(now, s.Key):
+		case s.Role != role || r.attempts.Tried(phase, s.Key) || s.Warming && !d.acceptsWarmup(now, s.Key):
 		case now < d.statsOf(s.Key).backoffUntil || d.load.IsDown(now, s.Key):
 			inBackoff = append(inBackoff, s)
 		default:
--- a/traffic/forward/request.go
+++ b/traffic/forward/request.go
@@ -38,7 +38,7 @@
 // own: while a request of the same id is under way here it is a duplicate, and ends
 // at once.
 //
-// Example: move := d.Start(now, call)
+// Example: decision := d.Start(now, request)
 func (d *Dispatcher) Start(now time.Duration, c Request) Decision {
 	if d.pending[c.ID] != nil {
 		d.counts.Duplicates++
@@ -59,7 +59,7 @@
 
 // Continue makes the decision after a Wait.
 //
-// Example: move := d.Continue(now, id)
+// Example: decision := d.Continue(now, id)
 func (d *Dispatcher) Continue(now time.Duration, id string) Decision {
 	return d.decide(now, d.pending[id])
 }
@@ -251,7 +251,7 @@
 
 // PrefillDone takes the end of a prefill.
 //
-// Example: move := d.PrefillDone(now, id, forward.OK, forward.Handle{ID: "3fa0", ...}, "")
+// Example: decision := d.PrefillDone(now, id, forward.OK, forward.Handle{ID: "3fa0", ...}, "")
 func (d *Dispatcher) PrefillDone(now time.Duration, id string, out Outcome, h Handle, why string) Decision {
 	r := d.pending[id]
 	unread := r.uncachedTokens
@@ -321,7 +321,7 @@
 
 // DecodeDone takes the end of a decode: OK means that all of it went out.
 //
-// Example: move := d.DecodeDone(now, id, forward.Lost, "reset")
+// Example: decision := d.DecodeDone(now, id, forward.Lost, "reset")
 func (d *Dispatcher) DecodeDone(now time.Duration, id string, out Outcome, why string) Decision {
 	r := d.pending[id]
 	d.callEnded(now, r, out)
@@ -354,10 +354,10 @@
 	return d.decide(now, r)
 }
 
-// ClientGone tells that the client went away; whatever is under way is cut by the
-// caller.
+// ClientGone tells that the client went away; calling says that a call is under way,
+// which the caller cuts.
 //
-// Example: d.ClientGone(now, id, forward.Lost)
+// Example: d.ClientGone(now, id, true)
 func (d *Dispatcher) ClientGone(now time.Duration, id string, calling bool) Decision {
 	r := d.pending[id]
 	if calling {
--- a/traffic/forward/types.go
+++ b/traffic/forward/types.go
@@ -57,20 +57,21 @@
 	Weights          Weights
 }
 
-// Source reads records under valid leases.
+// Source reads the records by which requests may be routed now: under valid leases, or
+// for a bounded time after they lapsed.
 type Source interface {
 	// Read serves a record of a partition.
 	Read(partition int, key string) (message.Record, bool)
 	// Generation counts the changes of what a partition serves.
 	Generation(partition int) uint64
-	// Until is when the first of a partition's leases lapses.
+	// Until is when what Read serves of a partition ends, unless leases are renewed.
 	Until(partition int) time.Duration
 }
 
 // Server is a model server as the records name it now.
 type Server struct {
 	Key, Addr, Zone string
-	Part            string
+	Role            string
 	Slots           int
 	Warming         bool
 }
--- a/traffic/loadreport/loadreport.go
+++ b/traffic/loadreport/loadreport.go
@@ -69,7 +69,7 @@
 	prefixOrder   []uint64
 }
 
-// New makes an empty board.
+// New makes an empty reporter.
 //
 // Example: r := loadreport.New(loadreport.Config{Interval: 250 * time.Millisecond, MaxAge: time.Second, MaxPrefixes: 128})
 func New(cfg Config) *Reporter {
--- a/wire/message/kind.go
+++ b/wire/message/kind.go
@@ -51,7 +51,7 @@
 	KindCallResult
 
 	KindBootstrap   // these replicas make the first group
-	KindLoadReport  // what is under way at servers, and what they keep (traffic/board)
+	KindLoadReport  // what is under way at servers, and what they keep (traffic/loadreport)
 	KindIncarnation // which incarnation of the other a replica goes by, and what it is itself
 
 	kindEnd // one past the last
