--- a/cmd/mulleinctl/queries.go
+++ b/cmd/mulleinctl/queries.go
@@ -171,25 +171,25 @@
 	if id == "" {
 		return failQuery("why needs a request's id, or all")
 	}
-	stories, err := getAll[[]scheduler.Story](s, "/v1/why/"+id)
+	traces, err := getAll[[]scheduler.Trace](s, "/v1/why/"+id)
 	if err != nil {
 		return fail(err)
 	}
 	t := table{head: "REQUEST DAEMON RESULT MS WHY LEDGER"}
-	for _, addr := range sortedKeys(stories.byAddr) {
-		for _, story := range stories.byAddr[addr] {
+	for _, addr := range sortedKeys(traces.byAddr) {
+		for _, trace := range traces.byAddr[addr] {
 			var attempts []string
-			for _, a := range story.Ledger {
+			for _, a := range trace.Attempts {
 				attempts = append(attempts, fmt.Sprintf("%s %s: %s %s", a.Phase, a.Server, a.Known, a.Why))
 			}
-			steps := strings.Join(append(story.Choice, attempts...), "; ")
-			t.add(story.Request, addr, story.Result, story.Took, story.Why, steps)
+			steps := strings.Join(append(trace.Picks, attempts...), "; ")
+			t.add(trace.Request, addr, trace.Result, trace.TookMillis, trace.Reason, steps)
 		}
 	}
 	if len(t.rows) == 0 {
 		return failQuery("no daemon knows request " + id)
 	}
-	return s.show(stories.byAddr, t)
+	return s.show(traces.byAddr, t)
 }
 
 // importFile prints an OpenAPI file as named changes on the plan in force.
--- a/proof/sim/caller.go
+++ b/proof/sim/caller.go
@@ -24,7 +24,7 @@
 	w       *world
 	no      int
 	n       *node
-	asked   scheduler.Asked
+	asked   scheduler.ClientRequest
 	timeout time.Duration
 	at      time.Duration
 	see     script.Prefill
@@ -73,7 +73,7 @@
 	}
 	delete(n.early, c.no)
 	if !ok {
-		if c.asked.Once != "" {
+		if c.asked.OnceKey != "" {
 			c.end("uncertain", "no valid lease on the plan", 1000)
 		} else {
 			c.end("shed", "no valid lease on the plan", 1000)
@@ -83,7 +83,7 @@
 	c.see.Request = fmt.Sprintf("r%d", c.no)
 	p := fleetconfig.OpenPlan(rec)
 	c.w.jot(history.Event{Who: n.name, Ev: "serves", Plan: p.ID, Ver: p.Version})
-	req, code, why := scheduler.NewSheet(rec).Take(c.asked, c.see.Request, now)
+	req, code, why := scheduler.NewPlanIndex(rec).Admit(c.asked, c.see.Request, now)
 	if code != 0 {
 		c.end("broken-request", why, 0)
 		return
@@ -91,7 +91,7 @@
 	l := n.lane(req.Model)
 	r := &ride{n: n, l: l, req: req, c: c, calls: map[int]*call{}}
 	n.rides[req.ID] = r
-	n.do(l, l.Take(now, req))
+	n.do(l, l.Start(now, req))
 }
 
 // pass brings a piece to the caller, in order.
@@ -100,10 +100,10 @@
 	r.last = max(w.now+w.lag(), r.last+1)
 	w.at(r.last-w.now, func() { r.c.piece(p) })
 	n := r.c.see.N // nobody is slow here: taken as it comes
-	r.l.Taken(r.n.local(), r.req.ID, n+1)
+	r.l.PiecesTaken(r.n.local(), r.req.ID, n+1)
 }
 
-func (r *ride) respond(e scheduler.End) {
+func (r *ride) respond(e scheduler.Answer) {
 	w := r.n.w
 	for _, c := range r.calls {
 		c.shut = true
@@ -113,9 +113,9 @@
 		switch e.Result {
 		case "finish":
 		case "break", "gone":
-			r.c.end("broken", e.Why, 0)
+			r.c.end("broken", e.Reason, 0)
 		default:
-			r.c.end(e.Result, e.Why, e.After.Milliseconds())
+			r.c.end(e.Result, e.Reason, e.RetryAfter.Milliseconds())
 		}
 	})
 }
@@ -153,13 +153,13 @@
 		w.res.Refusals[kind]++
 	}
 	w.jot(history.Event{
-		Who: c.n.name, Ev: "reply", Request: c.see.Request, Run: c.see.Run, Count: c.see.N, Once: c.asked.Once, Tenant: c.asked.Tenant, Result: result, Why: why,
+		Who: c.n.name, Ev: "reply", Request: c.see.Request, Run: c.see.Run, Count: c.see.N, Once: c.asked.OnceKey, Tenant: c.asked.Tenant, Result: result, Why: why,
 		After: after, Took: int64(w.now - c.at), Zone: c.n.zone, Again: c.again,
 	})
 	if result == "silent" || result == "hung" {
 		if r := c.n.rides[c.see.Request]; r != nil && r.c == c {
 			n, l, id := c.n, r.l, r.req.ID
-			n.in(0, func() { n.do(l, l.Gone(n.local(), id)) })
+			n.in(0, func() { n.do(l, l.ClientGone(n.local(), id)) })
 		}
 	}
 	if c.after != nil {
@@ -374,14 +374,14 @@
 	w.callers++
 	timeout := time.Second + time.Duration(w.rng.Int63n(int64(3*time.Second)))
 	ms := timeout.Milliseconds()
-	c := &caller{w: w, no: w.callers, timeout: timeout, asked: scheduler.Asked{
-		Model: svc, Tenant: []string{"express", "regular", "bulk"}[w.rng.Intn(3)], Tokens: 3 + w.rng.Intn(4), Timeout: &ms,
+	c := &caller{w: w, no: w.callers, timeout: timeout, asked: scheduler.ClientRequest{
+		Model: svc, Tenant: []string{"express", "regular", "bulk"}[w.rng.Intn(3)], Tokens: 3 + w.rng.Intn(4), TimeoutMillis: &ms,
 		Parts: []serverpool.Part{{Key: "shared", Text: strings.Repeat(string(rune('a'+pre)), 150)}, {Text: fmt.Sprintf("own %d ", w.callers) + strings.Repeat("x", 50+w.rng.Intn(150))}},
 	}}
 	zone := w.nodes[w.rng.Intn(len(w.nodes))].zone
 	to := w.pick(zone)
 	if w.rng.Intn(5) < 2 {
-		c.asked.Once = fmt.Sprintf("k%d", c.no)
+		c.asked.OnceKey = fmt.Sprintf("k%d", c.no)
 		w.callers++
 		twin := &caller{w: w, no: w.callers, timeout: timeout, asked: c.asked, again: true}
 		other := w.pick("")
--- a/proof/sim/fakeserver.go
+++ b/proof/sim/fakeserver.go
@@ -73,7 +73,7 @@
 func (d *fakeServer) crash() {
 	d.up = false
 	d.life++
-	lines := slices.SortedFunc(maps.Keys(d.lines), func(a, b *line) int { return strings.Compare(a.a.Trip, b.a.Trip) })
+	lines := slices.SortedFunc(maps.Keys(d.lines), func(a, b *line) int { return strings.Compare(a.a.RequestID, b.a.RequestID) })
 	for _, l := range lines {
 		delete(d.lines, l)
 		l.end(serverpool.Lost, "connection lost")
@@ -131,7 +131,7 @@
 	if out == serverpool.Lapsed {
 		word = "lapsed"
 	}
-	d.jot(history.Event{Ev: word, Part: part, Request: l.a.Trip, Why: why})
+	d.jot(history.Event{Ev: word, Part: part, Request: l.a.RequestID, Why: why})
 	l.end(out, why)
 }
 
@@ -250,7 +250,7 @@
 				q.Run = p.Run + "-again"
 				b.jot(history.Event{Ev: "decode", Request: p.Handle.Request, CacheOf: kv.request, Run: q.Run, N: b.busy})
 				b.lines[l] = true
-				l.a.Make.Run = q.Run
+				l.a.DecodeCall.Run = q.Run
 				b.splice(l, p, q.Run, kv, i, seen)
 				return
 			}
--- a/proof/sim/traffic.go
+++ b/proof/sim/traffic.go
@@ -17,7 +17,7 @@
 // HTTP is done here over simulated calls, with the same machines.
 
 type lane struct {
-	*scheduler.Lane
+	*scheduler.Dispatcher
 	part   int
 	asking bool
 	pins   map[string]bool
@@ -106,14 +106,14 @@
 	}
 	cfg := nativeapi.Config(n.w.cfg)
 	if n.w.o.Sabotage == "noretrybound" {
-		cfg.Retry, cfg.Most = 100, 20
+		cfg.RetryRatio, cfg.MaxAttempts = 100, 20
 	}
 	if n.w.o.Sabotage == "noafter" {
-		cfg.Back, cfg.Queue.Floor = 0, 0
+		cfg.RetryAfter, cfg.Queue.Floor = 0, 0
 	}
 	p := fleetconfig.PartitionOf(svc, n.w.o.Partitions)
 	l := &lane{part: p, pins: map[string]bool{}}
-	l.Lane = scheduler.New(cfg, svc, p, n.source, func() uint64 { return n.view.Leaderships[p].Term })
+	l.Dispatcher = scheduler.New(cfg, svc, p, n.source, func() uint64 { return n.view.Leaderships[p].Term })
 	n.lanes[svc] = l
 	n.beat(l)
 	return l
@@ -138,7 +138,7 @@
 	}
 	l.asking = true
 	at := n.local()
-	n.ask(l.part, "want", leadercall.Pack(l.Want()), n.w.works().ShareLength/4, func(d leadercall.Result) {
+	n.ask(l.part, "want", leadercall.Pack(l.Demand()), n.w.works().ShareLength/4, func(d leadercall.Result) {
 		l.asking = false
 		if sh, ok := share(d); ok {
 			if s := n.w.o.Sabotage; s == "stale" || s == "evacuatelate" { // no slot is ever given back
@@ -146,56 +146,56 @@
 					sh.Slots[a] = max(sh.Slots[a], k)
 				}
 			}
-			n.do(l, l.Shared(n.local(), sh, at))
+			n.do(l, l.SetShare(n.local(), sh, at))
 		}
 	})
 }
 
 // do carries out what a lane asks for.
 func (n *node) do(l *lane, o scheduler.Out) {
-	for _, a := range o.Acts {
-		r := n.rides[a.Trip]
-		body := leadercall.Pack(leader.ClaimCall{Key: a.Key, Claim: leadercall.Claim{Request: a.Trip, Daemon: n.addr, State: a.State}})
-		if a.Kind == scheduler.Settle {
+	for _, a := range o.Decisions {
+		r := n.rides[a.RequestID]
+		body := leadercall.Pack(leader.ClaimCall{Key: a.OnceKey, Claim: leadercall.Claim{Request: a.RequestID, Daemon: n.addr, State: a.ClaimState}})
+		if a.Action == scheduler.SettleClaim {
 			n.ask(l.part, "unclaim", body, n.w.cfg.Bounds.Recover, nil)
 			continue
 		}
 		if r == nil {
 			continue
 		}
-		switch a.Kind {
+		switch a.Action {
 		case scheduler.Claim:
 			if n.w.o.Sabotage == "noclaim" {
-				n.in(0, func() { n.do(l, l.Claimed(n.local(), a.Trip, 200, nil)) })
+				n.in(0, func() { n.do(l, l.ClaimDone(n.local(), a.RequestID, 200, nil)) })
 				continue
 			}
-			n.ask(l.part, "claim", body, min(n.w.cfg.Bounds.Plan, r.req.Due-n.local()), func(d leadercall.Result) {
-				n.do(l, l.Claimed(n.local(), a.Trip, d.Status, d.Body))
+			n.ask(l.part, "claim", body, min(n.w.cfg.Bounds.Plan, r.req.Deadline-n.local()), func(d leadercall.Result) {
+				n.do(l, l.ClaimDone(n.local(), a.RequestID, d.Status, d.Body))
 			})
 		case scheduler.Prefill, scheduler.Decode:
 			n.call(r, a)
-		case scheduler.Cut:
-			if c := r.calls[a.No]; c != nil {
+		case scheduler.CancelCall:
+			if c := r.calls[a.Attempt]; c != nil {
 				c.shut = true
 			}
-		case scheduler.Pass:
+		case scheduler.SendPiece:
 			r.pass(a.Piece)
-		case scheduler.Response:
-			delete(n.rides, a.Trip)
-			r.respond(a.End)
+		case scheduler.Respond:
+			delete(n.rides, a.RequestID)
+			r.respond(a.Answer)
 		}
 	}
-	if o.Kick {
+	if o.NeedsSlots {
 		n.in(0, func() { n.want(l) })
 	}
 }
 
 // call dials a server, looks a last time, and sends.
-func (n *node) call(r *ride, a scheduler.Act) {
+func (n *node) call(r *ride, a scheduler.Decision) {
 	w := n.w
 	d := w.fakeServers[a.Addr]
 	c := &call{}
-	r.calls[a.No] = c
+	r.calls[a.Attempt] = c
 	dial := w.lag()
 	if w.rng.Intn(20) == 0 {
 		dial += w.exp(150 * time.Millisecond)
@@ -206,15 +206,15 @@
 		case !d.up:
 			n.outcome(r, a, c, serverpool.NotSent, "no connection")
 		case d.dark: // no word, ever
-		case !r.l.Standing(n.local(), a) && w.o.Sabotage != "nolook":
+		case !r.l.MaySend(n.local(), a) && w.o.Sabotage != "nolook":
 			n.outcome(r, a, c, serverpool.Barred, "")
-		case a.Kind == scheduler.Prefill:
-			w.at(w.lag(), func() { d.prefill(n.line(r, a, c), a.Read) })
+		case a.Action == scheduler.Prefill:
+			w.at(w.lag(), func() { d.prefill(n.line(r, a, c), a.PrefillCall) })
 		default:
-			w.at(w.lag(), func() { d.decode(n.line(r, a, c), a.Make) })
+			w.at(w.lag(), func() { d.decode(n.line(r, a, c), a.DecodeCall) })
 			if w.o.Sabotage == "double" { // sent to a second decode server as well
 				if b := d.twin(); b != nil {
-					w.at(w.lag(), func() { b.decode(n.line(r, a, &call{shut: true}), a.Make) })
+					w.at(w.lag(), func() { b.decode(n.line(r, a, &call{shut: true}), a.DecodeCall) })
 				}
 			}
 		}
@@ -222,7 +222,7 @@
 }
 
 // outcome gives the lane the end of a call.
-func (n *node) outcome(r *ride, a scheduler.Act, c *call, out serverpool.Outcome, why string) {
+func (n *node) outcome(r *ride, a scheduler.Decision, c *call, out serverpool.Outcome, why string) {
 	if c.shut {
 		return
 	}
@@ -230,11 +230,11 @@
 	if n.w.o.Sabotage == "lostisshed" && out == serverpool.Lost {
 		out = serverpool.Refused
 	}
-	if a.Kind == scheduler.Prefill {
-		n.do(r.l, r.l.Handed(n.local(), a.Trip, a.No, serverpool.Handle{}, out, why))
+	if a.Action == scheduler.Prefill {
+		n.do(r.l, r.l.PrefillDone(n.local(), a.RequestID, a.Attempt, serverpool.Handle{}, out, why))
 		return
 	}
-	n.do(r.l, r.l.Made(n.local(), a.Trip, a.No, out, why))
+	n.do(r.l, r.l.DecodeDone(n.local(), a.RequestID, a.Attempt, out, why))
 }
 
 // line is a server's end of a connection: what it sends back lands in order at
@@ -243,11 +243,11 @@
 	n    *node
 	life int
 	r    *ride
-	a    scheduler.Act
+	a    scheduler.Decision
 	c    *call
 }
 
-func (n *node) line(r *ride, a scheduler.Act, c *call) *line { return &line{n, n.life, r, a, c} }
+func (n *node) line(r *ride, a scheduler.Decision, c *call) *line { return &line{n, n.life, r, a, c} }
 
 // open tells whether the daemon still listens.
 func (l *line) open() bool { return !l.c.shut && l.n.up && l.n.life == l.life }
@@ -276,9 +276,9 @@
 	l.back(func() {
 		l.c.shut = true
 		if l.n.w.o.Sabotage == "nofit" { // whatever handle comes back is believed
-			h.Request, h.Attempt, h.PrefillServer, h.Ver = l.a.Trip, l.a.No, l.a.Addr, l.a.Read.Ver
+			h.Request, h.Attempt, h.PrefillServer, h.Ver = l.a.RequestID, l.a.Attempt, l.a.Addr, l.a.PrefillCall.Ver
 		}
-		l.n.do(l.r.l, l.r.l.Handed(l.n.local(), l.a.Trip, l.a.No, h, serverpool.OK, ""))
+		l.n.do(l.r.l, l.r.l.PrefillDone(l.n.local(), l.a.RequestID, l.a.Attempt, h, serverpool.OK, ""))
 	})
 }
 
@@ -291,7 +291,7 @@
 			}
 		}
 		*seen++
-		l.n.do(l.r.l, l.r.l.Piece(l.n.local(), l.a.Trip, l.a.No, p))
+		l.n.do(l.r.l, l.r.l.PieceReceived(l.n.local(), l.a.RequestID, l.a.Attempt, p))
 	})
 }
 
--- a/traffic/nativeapi/nativeapi.go
+++ b/traffic/nativeapi/nativeapi.go
@@ -32,7 +32,7 @@
 // lane is one service's shard: the machine under its lock.
 type lane struct {
 	mu sync.Mutex
-	*scheduler.Lane
+	*scheduler.Dispatcher
 	partition int
 	kick      chan struct{}
 	rides     map[string]*ride
@@ -43,14 +43,14 @@
 	c     *daemon.Daemon
 	hands *serverpool.Hands
 	lanes sync.Map // service -> *lane
-	plan  atomic.Pointer[scheduler.Sheet]
+	plan  atomic.Pointer[scheduler.PlanIndex]
 	bad   atomic.Int64
 	early atomic.Int64 // refused before they came to a lane
 	open  atomic.Int64
 	ctx   context.Context
 
 	mu      sync.Mutex
-	stories [explained]scheduler.Story
+	stories [explained]scheduler.Trace
 	told    int
 }
 
@@ -79,8 +79,8 @@
 func Config(c daemon.Config) scheduler.Config {
 	b := c.Bounds
 	return scheduler.Config{
-		Queue: slots.Config{Most: c.QueueLimit, Floor: b.Plan / 2, Ceil: 5 * b.Recover}, Retry: 0.2, Window: b.Recover, Most: 3,
-		Patience: 2 * c.VolumeLease(), Shy: 2 * c.VolumeLease(), Turned: c.VolumeLease() / 4, Stall: b.Plan, Ahead: 32, Back: b.Plan / 2, Prefixes: 1 << 16,
+		Queue: slots.Config{Most: c.QueueLimit, Floor: b.Plan / 2, Ceil: 5 * b.Recover}, RetryRatio: 0.2, RetryWindow: b.Recover, MaxAttempts: 3,
+		MaxWait: 2 * c.VolumeLease(), FailureBackoff: 2 * c.VolumeLease(), RejectionBackoff: c.VolumeLease() / 4, StallTimeout: b.Plan, MaxPiecesAhead: 32, RetryAfter: b.Plan / 2, MaxPrefixes: 1 << 16,
 	}
 }
 
@@ -91,7 +91,7 @@
 	p := d.c.Partition(svc)
 	l := &lane{
 		partition: p, kick: make(chan struct{}, 1), rides: map[string]*ride{},
-		Lane: scheduler.New(Config(d.c.Cfg), svc, p, d.c.Read, func() uint64 { return d.c.Term(p) }),
+		Dispatcher: scheduler.New(Config(d.c.Cfg), svc, p, d.c.Read, func() uint64 { return d.c.Term(p) }),
 	}
 	got, had := d.lanes.LoadOrStore(svc, l)
 	if !had {
@@ -106,27 +106,27 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	o := f(d.c.Now())
-	for _, a := range o.Acts {
-		r := l.rides[a.Trip]
+	for _, a := range o.Decisions {
+		r := l.rides[a.RequestID]
 		switch {
-		case a.Kind == scheduler.Settle:
+		case a.Action == scheduler.SettleClaim:
 			go d.settleClaim(l, a) // goes on when its request has been answered to
 			continue
 		case r == nil:
 			continue
-		case a.Kind == scheduler.Cut:
-			r.cut(a.No)
+		case a.Action == scheduler.CancelCall:
+			r.cut(a.Attempt)
 			continue
-		case a.Kind == scheduler.Response:
-			d.tell(a.End.Story)
-			delete(l.rides, a.Trip)
-			if a.End.Stuck {
+		case a.Action == scheduler.Respond:
+			d.tell(a.Answer.Trace)
+			delete(l.rides, a.RequestID)
+			if a.Answer.ClientStalled {
 				r.unblock()
 			}
 		}
 		r.put(a)
 	}
-	if o.Kick {
+	if o.NeedsSlots {
 		select {
 		case l.kick <- struct{}{}:
 		default:
@@ -149,7 +149,7 @@
 		}
 		d.step(l, l.Tick)
 		l.mu.Lock()
-		w := l.Want()
+		w := l.Demand()
 		keys := l.Keys()
 		l.mu.Unlock()
 		for _, k := range keys {
@@ -159,23 +159,23 @@
 			}
 		}
 		if sh, at, ok := d.c.RequestSlots(d.ctx, l.partition, w, 2*beat); ok {
-			d.step(l, func(now time.Duration) scheduler.Out { return l.Shared(now, sh, at) })
+			d.step(l, func(now time.Duration) scheduler.Out { return l.SetShare(now, sh, at) })
 		}
 	}
 }
 
 // sheet reads the plan in force; it is parsed once a version.
-func (d *API) sheet(rec message.Record) *scheduler.Sheet {
-	if s := d.plan.Load(); s != nil && s.Ver == rec.Version {
+func (d *API) sheet(rec message.Record) *scheduler.PlanIndex {
+	if s := d.plan.Load(); s != nil && s.Version == rec.Version {
 		return s
 	}
-	s := scheduler.NewSheet(rec)
+	s := scheduler.NewPlanIndex(rec)
 	d.plan.Store(s)
 	return s
 }
 
 // check lists every fault of a request.
-func check(q scheduler.Asked) (f fleetconfig.Faults) {
+func check(q scheduler.ClientRequest) (f fleetconfig.Faults) {
 	if q.Model == "" {
 		f.Add("model: missing")
 	}
@@ -197,10 +197,10 @@
 	if q.Tokens < 0 || q.Tokens > 100000 {
 		f.Add("tokens: %d, expected 0 to 100000", q.Tokens)
 	}
-	if q.Timeout != nil && (*q.Timeout <= 0 || *q.Timeout > 600000) {
-		f.Add("budget_ms: %d, expected 1 to 600000: a deadline that has passed can't be met", *q.Timeout)
+	if q.TimeoutMillis != nil && (*q.TimeoutMillis <= 0 || *q.TimeoutMillis > 600000) {
+		f.Add("budget_ms: %d, expected 1 to 600000: a deadline that has passed can't be met", *q.TimeoutMillis)
 	}
-	if len(q.Once) > 128 || strings.ContainsAny(q.Once, "/\n") {
+	if len(q.OnceKey) > 128 || strings.ContainsAny(q.OnceKey, "/\n") {
 		f.Add("once: expected at most 128 characters without '/'")
 	}
 	return f
@@ -208,10 +208,10 @@
 
 // refuse refuses a request that came to no lane. Whether a once key ran before
 // is not known then, so it is told that.
-func (d *API) refuse(w http.ResponseWriter, q scheduler.Asked, why string, after time.Duration) {
+func (d *API) refuse(w http.ResponseWriter, q scheduler.ClientRequest, why string, after time.Duration) {
 	d.early.Add(1)
 	result := "shed"
-	if q.Once != "" {
+	if q.OnceKey != "" {
 		result, why = "uncertain", why+"; this request was not run, whether its once key ran before is not known: ask again with the same key"
 	}
 	daemon.Respond(w, 503, leadercall.Response{Result: result, Reason: why, RetryAfterMillis: after.Milliseconds()})
@@ -230,7 +230,7 @@
 		d.bad.Add(1)
 		return
 	}
-	var q scheduler.Asked
+	var q scheduler.ClientRequest
 	f := fleetconfig.Decode(body, &q)
 	if !f.Any() {
 		f = check(q)
@@ -245,8 +245,8 @@
 		return
 	}
 	grace := 2 * d.c.Cfg.VolumeLease()
-	if q.Timeout != nil {
-		grace = min(grace, time.Duration(*q.Timeout)*time.Millisecond)
+	if q.TimeoutMillis != nil {
+		grace = min(grace, time.Duration(*q.TimeoutMillis)*time.Millisecond)
 	}
 	ctx, done := context.WithTimeout(r.Context(), grace)
 	rec, ok := d.c.AwaitRecord(ctx, 0, fleetconfig.PlanKey)
@@ -255,7 +255,7 @@
 		d.refuse(w, q, "no valid lease on the plan", d.c.Cfg.Bounds.Plan)
 		return
 	}
-	req, code, why := d.sheet(rec).Take(q, storage.NewIdent(), at)
+	req, code, why := d.sheet(rec).Admit(q, storage.NewIdent(), at)
 	if code != 0 {
 		d.broken(w, code, why)
 		return
@@ -264,6 +264,6 @@
 }
 
 // claim is the body of a call that an act on a once key asks for.
-func (d *API) claim(a scheduler.Act) []byte {
-	return leadercall.Pack(leader.ClaimCall{Key: a.Key, Claim: leadercall.Claim{Request: a.Trip, Daemon: d.c.Cfg.HTTPAddr, State: a.State}})
+func (d *API) claim(a scheduler.Decision) []byte {
+	return leadercall.Pack(leader.ClaimCall{Key: a.OnceKey, Claim: leadercall.Claim{Request: a.RequestID, Daemon: d.c.Cfg.HTTPAddr, State: a.ClaimState}})
 }
--- a/traffic/nativeapi/nativeapi_test.go
+++ b/traffic/nativeapi/nativeapi_test.go
@@ -13,22 +13,22 @@
 
 // A good request is changed in one place at a time; each change is named.
 func TestEveryFaultOfARequestIsNamed(t *testing.T) {
-	good := func() scheduler.Asked {
-		return scheduler.Asked{Model: "m", Tenant: "t", Parts: []serverpool.Part{{Text: "x"}}, Tokens: 3}
+	good := func() scheduler.ClientRequest {
+		return scheduler.ClientRequest{Model: "m", Tenant: "t", Parts: []serverpool.Part{{Text: "x"}}, Tokens: 3}
 	}
 	if f := check(good()); f.Any() {
 		t.Fatal(f)
 	}
 	spent := int64(0)
-	for where, change := range map[string]func(*scheduler.Asked){
-		"model":           func(q *scheduler.Asked) { q.Model = "" },
-		"tenant":          func(q *scheduler.Asked) { q.Tenant = "" },
-		"parts: missing":  func(q *scheduler.Asked) { q.Parts = nil },
-		"parts: the":      func(q *scheduler.Asked) { q.Parts[0].Text = "" },
-		"parts: 300":      func(q *scheduler.Asked) { q.Parts = make([]serverpool.Part, 300) },
-		"tokens: -1":      func(q *scheduler.Asked) { q.Tokens = -1 },
-		"budget_ms: 0":    func(q *scheduler.Asked) { q.Timeout = &spent },
-		"once: expected ": func(q *scheduler.Asked) { q.Once = "a/b" },
+	for where, change := range map[string]func(*scheduler.ClientRequest){
+		"model":           func(q *scheduler.ClientRequest) { q.Model = "" },
+		"tenant":          func(q *scheduler.ClientRequest) { q.Tenant = "" },
+		"parts: missing":  func(q *scheduler.ClientRequest) { q.Parts = nil },
+		"parts: the":      func(q *scheduler.ClientRequest) { q.Parts[0].Text = "" },
+		"parts: 300":      func(q *scheduler.ClientRequest) { q.Parts = make([]serverpool.Part, 300) },
+		"tokens: -1":      func(q *scheduler.ClientRequest) { q.Tokens = -1 },
+		"budget_ms: 0":    func(q *scheduler.ClientRequest) { q.TimeoutMillis = &spent },
+		"once: expected ": func(q *scheduler.ClientRequest) { q.OnceKey = "a/b" },
 	} {
 		q := good()
 		change(&q)
@@ -41,7 +41,7 @@
 	for i := range body {
 		b := append([]byte(nil), body...)
 		b[i] = 'x'
-		var q scheduler.Asked
+		var q scheduler.ClientRequest
 		if f := fleetconfig.Decode(b, &q); f.Any() || check(q).Any() {
 			broken++
 		} else if !json.Valid(b) {
--- a/traffic/nativeapi/show.go
+++ b/traffic/nativeapi/show.go
@@ -13,7 +13,7 @@
 )
 
 // tell keeps a request's story for the query shell.
-func (d *API) tell(s scheduler.Story) {
+func (d *API) tell(s scheduler.Trace) {
 	d.mu.Lock()
 	d.stories[d.told%explained] = s
 	d.told++
@@ -48,10 +48,10 @@
 		l.mu.Lock()
 		c := l.Counts()
 		l.mu.Unlock()
-		n.First, n.Retries, n.Served, n.Refusals = n.First+c.First, n.Retries+c.Retries, n.Served+c.Served, n.Refusals+c.Refusals
-		n.Unsure, n.Broken, n.Dups, n.Gone = n.Unsure+c.Unsure, n.Broken+c.Broken, n.Dups+c.Dups, n.Gone+c.Gone
-		n.Wasted, n.Hits, n.Reads = n.Wasted+c.Wasted, n.Hits+c.Hits, n.Reads+c.Reads
-		for k, v := range c.Why {
+		n.FirstSends, n.Retries, n.Served, n.Refused = n.FirstSends+c.FirstSends, n.Retries+c.Retries, n.Served+c.Served, n.Refused+c.Refused
+		n.Unknown, n.Broken, n.Duplicates, n.Abandoned = n.Unknown+c.Unknown, n.Broken+c.Broken, n.Duplicates+c.Duplicates, n.Abandoned+c.Abandoned
+		n.WastedPrefills, n.CachedParts, n.PromptParts = n.WastedPrefills+c.WastedPrefills, n.CachedParts+c.CachedParts, n.PromptParts+c.PromptParts
+		for k, v := range c.RefusalReasons {
 			why[k] += v
 		}
 	}
@@ -59,9 +59,9 @@
 		why["before a lane"] = early
 	}
 	return map[string]int64{
-		"first_tries": n.First, "retries": n.Retries, "served": n.Served, "shed": n.Refusals + d.early.Load(), "uncertain": n.Unsure,
-		"broken": n.Broken, "duplicates": n.Dups, "gone": n.Gone, "bad": d.bad.Load(), "wasted_prefills": n.Wasted,
-		"prefix_parts_held": n.Hits, "prefix_parts": n.Reads, "open": d.open.Load(),
+		"first_tries": n.FirstSends, "retries": n.Retries, "served": n.Served, "shed": n.Refused + d.early.Load(), "uncertain": n.Unknown,
+		"broken": n.Broken, "duplicates": n.Duplicates, "gone": n.Abandoned, "bad": d.bad.Load(), "wasted_prefills": n.WastedPrefills,
+		"prefix_parts_held": n.CachedParts, "prefix_parts": n.PromptParts, "open": d.open.Load(),
 	}, why
 }
 
@@ -76,7 +76,7 @@
 	queues := map[string]any{}
 	for l := range d.all() {
 		l.mu.Lock()
-		r, left := l.Report(), l.Fresh(d.c.Now())
+		r, left := l.Report(), l.HasValidShare(d.c.Now())
 		l.mu.Unlock()
 		queues[l.Service()] = map[string]any{"waiting": r.Waiting, "held": r.Held, "share": r.Share, "share_valid": left, "pace_ms": [2]int64{r.Pace[0].Milliseconds(), r.Pace[1].Milliseconds()}}
 	}
--- a/traffic/scheduler/call.go
+++ b/traffic/scheduler/call.go
@@ -10,222 +10,222 @@
 	"mulleinmast/traffic/slots"
 )
 
-// send opens the attempt for which a slot was given, if its ground stands.
-func (l *Lane) send(now time.Duration, t *trip, addr string, o *Out) {
+// startCall opens the attempt for which a slot was given, if its ground stands.
+func (l *Dispatcher) startCall(now time.Duration, t *pendingRequest, addr string, o *Out) {
 	part := placement.Prefill
-	if t.side == slots.Make {
+	if t.phase == slots.Make {
 		part = placement.Decode
 	}
-	b, ok := l.standing(now, addr, part)
-	if ok && t.again && !l.bucket.Take(now) {
-		l.q.Done(now, t.side, t.Prio, addr, false)
-		t.why = "no retry to spare"
-		l.final(now, t, t.led.End(), o)
+	b, ok := l.servableFor(now, addr, part)
+	if ok && t.isRetry && !l.retries.Take(now) {
+		l.queue.Done(now, t.phase, t.Priority, addr, false)
+		t.reason = "no retry to spare"
+		l.finish(now, t, t.attempts.End(), o)
 		return
 	}
 	if !ok {
 		l.requeue(now, t, addr)
 		return
 	}
-	if !t.first {
-		t.first = true
-		l.n.First++
-		l.bucket.Earn(now)
+	if !t.firstSendCounted {
+		t.firstSendCounted = true
+		l.counts.FirstSends++
+		l.retries.Earn(now)
 	}
-	if t.again {
-		l.n.Retries++
+	if t.isRetry {
+		l.counts.Retries++
 	}
-	t.stage, t.addr = calling, addr
-	t.no++
+	t.stage, t.server = calling, addr
+	t.attemptNumber++
 	// A silent server gets half of what is left, so that another can be tried.
-	half := (t.Due - now) / 2
-	t.limit = now + half
-	a := Act{Trip: t.ID, No: t.no, Addr: addr, Wait: half}
-	if t.side == slots.Read {
-		t.led.Add(attempt.Prefill, addr)
-		t.choice = append(t.choice, fmt.Sprintf("prefill server %s (%s, %s) holds %d of %d prompt parts", addr, b.Zone, b.Status, t.deep[addr], len(t.chain)))
-		t.zone = b.Zone
-		t.pairs = map[string]bool{}
+	half := (t.Deadline - now) / 2
+	t.callUntil = now + half
+	a := Decision{RequestID: t.ID, Attempt: t.attemptNumber, Addr: addr, Timeout: half}
+	if t.phase == slots.Read {
+		t.attempts.Add(attempt.Prefill, addr)
+		t.picks = append(t.picks, fmt.Sprintf("prefill server %s (%s, %s) holds %d of %d prompt parts", addr, b.Zone, b.Status, t.cachedParts[addr], len(t.prefixHashes)))
+		t.prefillZone = b.Zone
+		t.pairedServers = map[string]bool{}
 		for _, m := range b.Pairs {
-			t.pairs[m] = true
+			t.pairedServers[m] = true
 		}
-		a.Kind = Prefill
-		t.ver = l.serverRecords[addr].ver.String()
-		a.Read = serverpool.Prefill{Request: t.ID, Attempt: t.no, Term: l.term(), Ver: t.ver, Parts: t.Parts, Prefix: t.chain, Timeout: (t.Due - now).Milliseconds()}
+		a.Action = Prefill
+		t.recordVersion = l.records[addr].version.String()
+		a.PrefillCall = serverpool.Prefill{Request: t.ID, Attempt: t.attemptNumber, Term: l.leaderTerm(), Ver: t.recordVersion, Parts: t.Parts, Prefix: t.prefixHashes, Timeout: (t.Deadline - now).Milliseconds()}
 	} else {
-		t.led.Add(attempt.Decode, addr)
-		t.choice = append(t.choice, fmt.Sprintf("decode server %s, paired with %s", addr, t.handle.PrefillServer))
-		t.run = fmt.Sprintf("%s-%d", t.ID, t.no)
-		a.Kind = Decode
-		a.Wait = t.Due - now
-		a.Make = serverpool.Decode{Handle: t.handle, Term: l.term(), Run: t.run, Tokens: t.Tokens, Once: t.Once, Timeout: (t.Due - now).Milliseconds()}
+		t.attempts.Add(attempt.Decode, addr)
+		t.picks = append(t.picks, fmt.Sprintf("decode server %s, paired with %s", addr, t.handle.PrefillServer))
+		t.runID = fmt.Sprintf("%s-%d", t.ID, t.attemptNumber)
+		a.Action = Decode
+		a.Timeout = t.Deadline - now
+		a.DecodeCall = serverpool.Decode{Handle: t.handle, Term: l.leaderTerm(), Run: t.runID, Tokens: t.Tokens, Once: t.OnceKey, Timeout: (t.Deadline - now).Milliseconds()}
 	}
 	l.act(o, a)
 }
 
 // requeue gives a slot back whose ground was gone; nothing was tried, so it is
 // no attempt and the request keeps its place.
-func (l *Lane) requeue(now time.Duration, t *trip, addr string) {
-	l.look(now)
-	l.q.Done(now, t.side, t.Prio, addr, false)
+func (l *Dispatcher) requeue(now time.Duration, t *pendingRequest, addr string) {
+	l.refreshServers(now)
+	l.queue.Done(now, t.phase, t.Priority, addr, false)
 	t.stage = queued
-	l.q.Put(now, t.wait, t.Part)
+	l.queue.Put(now, t.queueEntry, t.QueueFraction)
 }
 
-// open finds a trip by the call that its outcome is for.
-func (l *Lane) open(id string, no int) *trip {
-	if t := l.trips[id]; t != nil && t.no == no && (t.stage == calling || t.stage == streaming) {
+// underCall finds a trip by the call that its outcome is for.
+func (l *Dispatcher) underCall(id string, no int) *pendingRequest {
+	if t := l.pending[id]; t != nil && t.attemptNumber == no && (t.stage == calling || t.stage == streaming) {
 		return t
 	}
 	return nil
 }
 
-// free gives the slot of the attempt back, and passes a server by that failed.
-func (l *Lane) free(now time.Duration, t *trip, out serverpool.Outcome) {
+// callEnded gives the slot of the attempt back, and passes a server by that failed.
+func (l *Dispatcher) callEnded(now time.Duration, t *pendingRequest, out serverpool.Outcome) {
 	bad := out == serverpool.Lost || out == serverpool.NotSent
 	switch {
 	case bad:
-		l.shy[t.addr] = now + l.cfg.Shy
+		l.backoffUntil[t.server] = now + l.cfg.FailureBackoff
 	case out == serverpool.Refused:
-		l.shy[t.addr] = now + l.cfg.Turned
+		l.backoffUntil[t.server] = now + l.cfg.RejectionBackoff
 	case out == serverpool.OK:
-		delete(l.shy, t.addr)
+		delete(l.backoffUntil, t.server)
 	}
-	l.q.Done(now, t.side, t.Prio, t.addr, bad)
+	l.queue.Done(now, t.phase, t.Priority, t.server, bad)
 }
 
-// barred takes an attempt back that the last look stopped.
-func (l *Lane) barred(now time.Duration, t *trip, o *Out) {
-	t.led.Undo()
-	t.choice = t.choice[:len(t.choice)-1]
-	if t.again {
-		l.n.Retries--
-		l.bucket.Give(now)
-	}
-	l.requeue(now, t, t.addr)
-	l.settle(now, o)
+// undoAttempt takes an attempt back that the last look stopped.
+func (l *Dispatcher) undoAttempt(now time.Duration, t *pendingRequest, o *Out) {
+	t.attempts.Undo()
+	t.picks = t.picks[:len(t.picks)-1]
+	if t.isRetry {
+		l.counts.Retries--
+		l.retries.Give(now)
+	}
+	l.requeue(now, t, t.server)
+	l.handOutSlots(now, o)
 }
 
-// came finds the trip that an outcome is for, unless there is nothing more to
+// takeOutcome finds the trip that an outcome is for, unless there is nothing more to
 // do: a stray one, or a call that the last look stopped.
-func (l *Lane) came(now time.Duration, id string, no int, out serverpool.Outcome, o *Out) *trip {
-	t := l.open(id, no)
+func (l *Dispatcher) takeOutcome(now time.Duration, id string, no int, out serverpool.Outcome, o *Out) *pendingRequest {
+	t := l.underCall(id, no)
 	if t == nil {
 		return nil
 	}
-	l.look(now)
+	l.refreshServers(now)
 	if out == serverpool.Barred {
-		l.barred(now, t, o)
+		l.undoAttempt(now, t, o)
 		return nil
 	}
 	return t
 }
 
-// Handed takes a prefill server's answer, or its silence.
+// PrefillDone takes a prefill server's answer, or its silence.
 //
-// Example: out := l.Handed(now, id, no, handle, serverpool.OK, "")
-func (l *Lane) Handed(now time.Duration, id string, no int, hd serverpool.Handle, out serverpool.Outcome, why string) (o Out) {
-	t := l.came(now, id, no, out, &o)
+// Example: out := l.PrefillDone(now, id, no, handle, serverpool.OK, "")
+func (l *Dispatcher) PrefillDone(now time.Duration, id string, no int, hd serverpool.Handle, out serverpool.Outcome, why string) (o Out) {
+	t := l.takeOutcome(now, id, no, out, &o)
 	if t == nil {
 		return o
 	}
 	if out == serverpool.OK {
 		// The handle is bound to this request, attempt, prefill server and record.
-		if why = hd.Fit(id, no, t.addr, t.ver); why != "" {
+		if why = hd.Fit(id, no, t.server, t.recordVersion); why != "" {
 			out = serverpool.Lapsed
 		}
 	}
 	switch out {
 	case serverpool.OK:
 		t.handle = hd
-		t.led.Learn(attempt.Handle, "")
-		l.n.Reads += int64(len(t.chain))
-		l.n.Hits += int64(hd.Cached)
-		l.seen.Note(t.chain, t.addr)
+		t.attempts.Learn(attempt.Handle, "")
+		l.counts.PromptParts += int64(len(t.prefixHashes))
+		l.counts.CachedParts += int64(hd.Cached)
+		l.prefixes.Note(t.prefixHashes, t.server)
 	case serverpool.NotSent:
-		t.led.Learn(attempt.NotSent, why)
-		l.seen.Forget(t.addr)
+		t.attempts.Learn(attempt.NotSent, why)
+		l.prefixes.Forget(t.server)
 	case serverpool.Refused:
-		t.led.Learn(attempt.Refused, why)
+		t.attempts.Learn(attempt.Refused, why)
 	default:
-		t.led.Learn(attempt.Lost, why)
+		t.attempts.Learn(attempt.Lost, why)
 	}
-	l.free(now, t, out)
-	l.next(now, t, &o)
-	l.settle(now, &o)
+	l.callEnded(now, t, out)
+	l.decide(now, t, &o)
+	l.handOutSlots(now, &o)
 	return o
 }
 
-// Made takes the end of a call to a decode server that streamed nothing more: it
+// DecodeDone takes the end of a call to a decode server that streamed nothing more: it
 // turned the request away, or its stream broke off.
 //
-// Example: out := l.Made(now, id, no, serverpool.Refused, "full")
-func (l *Lane) Made(now time.Duration, id string, no int, out serverpool.Outcome, why string) (o Out) {
-	t := l.came(now, id, no, out, &o)
+// Example: out := l.DecodeDone(now, id, no, serverpool.Refused, "full")
+func (l *Dispatcher) DecodeDone(now time.Duration, id string, no int, out serverpool.Outcome, why string) (o Out) {
+	t := l.takeOutcome(now, id, no, out, &o)
 	if t == nil {
 		return o
 	}
-	l.made(now, t, out, why, &o)
-	l.settle(now, &o)
+	l.decodeEnded(now, t, out, why, &o)
+	l.handOutSlots(now, &o)
 	return o
 }
 
-func (l *Lane) made(now time.Duration, t *trip, out serverpool.Outcome, why string, o *Out) {
+func (l *Dispatcher) decodeEnded(now time.Duration, t *pendingRequest, out serverpool.Outcome, why string, o *Out) {
 	switch {
 	case t.stage == streaming:
-		t.led.Learn(attempt.First, why)
+		t.attempts.Learn(attempt.First, why)
 		out = serverpool.Lost
 	case out == serverpool.NotSent:
-		t.led.Learn(attempt.NotSent, why)
+		t.attempts.Learn(attempt.NotSent, why)
 	case out == serverpool.Refused:
-		t.led.Learn(attempt.Refused, why)
+		t.attempts.Learn(attempt.Refused, why)
 	case out == serverpool.Lapsed:
-		t.led.Learn(attempt.Lapsed, why)
+		t.attempts.Learn(attempt.Lapsed, why)
 	default:
-		t.led.Learn(attempt.Lost, why)
+		t.attempts.Learn(attempt.Lost, why)
 	}
-	l.free(now, t, out)
-	l.next(now, t, o)
+	l.callEnded(now, t, out)
+	l.decide(now, t, o)
 }
 
-// Piece takes one piece of a decode server's stream; one that doesn't fit ends it.
+// PieceReceived takes one piece of a decode server's stream; one that doesn't fit ends it.
 //
-// Example: out := l.Piece(now, id, no, piece)
-func (l *Lane) Piece(now time.Duration, id string, no int, p serverpool.Piece) (o Out) {
-	t := l.open(id, no)
-	if t == nil || t.side != slots.Make {
+// Example: out := l.PieceReceived(now, id, no, piece)
+func (l *Dispatcher) PieceReceived(now time.Duration, id string, no int, p serverpool.Piece) (o Out) {
+	t := l.underCall(id, no)
+	if t == nil || t.phase != slots.Make {
 		return o
 	}
-	if why := p.Fit(id, t.run, t.sent); why != "" {
-		l.act(&o, Act{Trip: id, Kind: Cut, No: no})
-		l.look(now)
-		l.made(now, t, serverpool.Lost, why, &o)
-		l.settle(now, &o)
+	if why := p.Fit(id, t.runID, t.piecesSent); why != "" {
+		l.act(&o, Decision{RequestID: id, Action: CancelCall, Attempt: no})
+		l.refreshServers(now)
+		l.decodeEnded(now, t, serverpool.Lost, why, &o)
+		l.handOutSlots(now, &o)
 		return o
 	}
 	if t.stage == calling {
 		t.stage, t.takenAt = streaming, now
 	}
-	if t.sent == t.taken {
+	if t.piecesSent == t.piecesTaken {
 		t.takenAt = now
 	}
-	t.sent++
-	l.act(&o, Act{Trip: id, Kind: Pass, No: no, Piece: p})
+	t.piecesSent++
+	l.act(&o, Decision{RequestID: id, Action: SendPiece, Attempt: no, Piece: p})
 	if p.End {
-		t.led.Learn(attempt.Ended, "")
-		l.look(now)
-		l.free(now, t, serverpool.OK)
-		l.next(now, t, &o)
-		l.settle(now, &o)
+		t.attempts.Learn(attempt.Ended, "")
+		l.refreshServers(now)
+		l.callEnded(now, t, serverpool.OK)
+		l.decide(now, t, &o)
+		l.handOutSlots(now, &o)
 	}
 	return o
 }
 
-// Taken tells that the client took pieces, so many so far.
+// PiecesTaken tells that the client took pieces, so many so far.
 //
-// Example: l.Taken(now, id, 3)
-func (l *Lane) Taken(now time.Duration, id string, n int) {
-	if t := l.trips[id]; t != nil && n > t.taken {
-		t.taken, t.takenAt = n, now
+// Example: l.PiecesTaken(now, id, 3)
+func (l *Dispatcher) PiecesTaken(now time.Duration, id string, n int) {
+	if t := l.pending[id]; t != nil && n > t.piecesTaken {
+		t.piecesTaken, t.takenAt = n, now
 	}
 }
--- a/traffic/scheduler/end.go
+++ b/traffic/scheduler/end.go
@@ -10,132 +10,132 @@
 	"mulleinmast/traffic/slots"
 )
 
-// Gone tells that the client went away.
+// ClientGone tells that the client went away.
 //
-// Example: out := l.Gone(now, id)
-func (l *Lane) Gone(now time.Duration, id string) (o Out) {
-	t := l.trips[id]
+// Example: out := l.ClientGone(now, id)
+func (l *Dispatcher) ClientGone(now time.Duration, id string) (o Out) {
+	t := l.pending[id]
 	if t == nil {
 		return o
 	}
-	l.look(now)
-	l.halt(now, t, "the client went away", &o)
-	l.n.Gone++
-	t.why = "the client went away"
-	if t.led.Once && !t.led.Ran() {
-		l.act(&o, Act{Trip: id, Kind: Settle, Key: t.key(), State: "shed"})
+	l.refreshServers(now)
+	l.stopRequest(now, t, "the client went away", &o)
+	l.counts.Abandoned++
+	t.reason = "the client went away"
+	if t.attempts.Once && !t.attempts.Ran() {
+		l.act(&o, Decision{RequestID: id, Action: SettleClaim, OnceKey: t.claimKey(), ClaimState: "shed"})
 	}
-	l.end(now, t, End{Result: "gone", Why: t.why}, &o)
-	l.settle(now, &o)
+	l.release(now, t, Answer{Result: "gone", Reason: t.reason}, &o)
+	l.handOutSlots(now, &o)
 	return o
 }
 
-// halt ends whatever the trip is at.
-func (l *Lane) halt(now time.Duration, t *trip, why string, o *Out) {
+// stopRequest ends whatever the trip is at.
+func (l *Dispatcher) stopRequest(now time.Duration, t *pendingRequest, why string, o *Out) {
 	switch t.stage {
 	case queued:
-		l.q.Drop(t.wait)
+		l.queue.Drop(t.queueEntry)
 	case calling, streaming:
-		l.act(o, Act{Trip: t.ID, Kind: Cut, No: t.no})
+		l.act(o, Decision{RequestID: t.ID, Action: CancelCall, Attempt: t.attemptNumber})
 		if t.stage == streaming {
-			t.led.Learn(attempt.First, why)
+			t.attempts.Learn(attempt.First, why)
 		} else {
-			t.led.Learn(attempt.Lost, why)
+			t.attempts.Learn(attempt.Lost, why)
 		}
-		l.q.Done(now, t.side, t.Prio, t.addr, false)
+		l.queue.Done(now, t.phase, t.Priority, t.server, false)
 	}
 }
 
-// tick looks at what a trip has waited for.
-func (l *Lane) tick(now time.Duration, t *trip, o *Out) {
+// checkTimeouts looks at what a trip has waited for.
+func (l *Dispatcher) checkTimeouts(now time.Duration, t *pendingRequest, o *Out) {
 	switch t.stage {
 	case queued:
-		blind := !l.q.Valid(now) || len(l.rows) == 0
-		if !blind && l.somewhere(t) {
-			t.seen = now
+		blind := !l.queue.Valid(now) || len(l.servable) == 0
+		if !blind && l.canBeServed(t) {
+			t.servableAt = now
 		}
-		if now-t.seen <= l.cfg.Patience && now < t.Due {
+		if now-t.servableAt <= l.cfg.MaxWait && now < t.Deadline {
 			return
 		}
-		t.why = "no server left that it could go to"
+		t.reason = "no server left that it could go to"
 		if blind {
-			t.why = "no valid leases or share here"
+			t.reason = "no valid leases or share here"
 		}
-		l.q.Drop(t.wait)
-		l.final(now, t, t.led.End(), o)
+		l.queue.Drop(t.queueEntry)
+		l.finish(now, t, t.attempts.End(), o)
 	case calling:
-		if now >= t.limit || now >= t.Due {
-			l.act(o, Act{Trip: t.ID, Kind: Cut, No: t.no})
-			if t.side == slots.Read {
-				t.led.Learn(attempt.Lost, "no answer in time")
-				l.free(now, t, serverpool.Lost)
-				l.next(now, t, o)
+		if now >= t.callUntil || now >= t.Deadline {
+			l.act(o, Decision{RequestID: t.ID, Action: CancelCall, Attempt: t.attemptNumber})
+			if t.phase == slots.Read {
+				t.attempts.Learn(attempt.Lost, "no answer in time")
+				l.callEnded(now, t, serverpool.Lost)
+				l.decide(now, t, o)
 			} else {
-				l.made(now, t, serverpool.Lost, "no first piece in time", o)
+				l.decodeEnded(now, t, serverpool.Lost, "no first piece in time", o)
 			}
 		}
 	case streaming:
-		slow := t.sent > t.taken && now-t.takenAt > l.cfg.Stall
-		if !slow && now < t.Due {
+		slow := t.piecesSent > t.piecesTaken && now-t.takenAt > l.cfg.StallTimeout
+		if !slow && now < t.Deadline {
 			return
 		}
 		why := "its deadline passed"
 		if slow {
 			why = "the client takes no pieces"
 		}
-		l.halt(now, t, why, o)
-		t.why = why
-		l.n.Broken++
-		l.end(now, t, End{Result: "break", Why: why, Stuck: slow}, o)
+		l.stopRequest(now, t, why, o)
+		t.reason = why
+		l.counts.Broken++
+		l.release(now, t, Answer{Result: "break", Reason: why, ClientStalled: slow}, o)
 	}
 }
 
-// final makes the last move.
-func (l *Lane) final(now time.Duration, t *trip, move attempt.Move, o *Out) {
-	kind := t.why // a few fixed words, to count by
-	if t.why == "" && len(t.led.Attempts) > 0 {
-		last := t.led.Attempts[len(t.led.Attempts)-1]
-		kind, t.why = fmt.Sprintf("last %s: %s", last.Phase, last.Known), last.Why
+// finish makes the last move.
+func (l *Dispatcher) finish(now time.Duration, t *pendingRequest, move attempt.Move, o *Out) {
+	kind := t.reason // a few fixed words, to count by
+	if t.reason == "" && len(t.attempts.Attempts) > 0 {
+		last := t.attempts.Attempts[len(t.attempts.Attempts)-1]
+		kind, t.reason = fmt.Sprintf("last %s: %s", last.Phase, last.Known), last.Why
 	}
-	e := End{Result: move.String(), Why: t.why, After: t.after}
-	if e.After == 0 {
-		e.After = l.cfg.Back
+	e := Answer{Result: move.String(), Reason: t.reason, RetryAfter: t.retryAfter}
+	if e.RetryAfter == 0 {
+		e.RetryAfter = l.cfg.RetryAfter
 	}
 	switch move {
 	case attempt.Finish:
-		e.Code, e.Why = 200, ""
-		l.n.Served++
-		if t.led.Once {
-			l.act(o, Act{Trip: t.ID, Kind: Settle, Key: t.key(), State: "done"})
+		e.Status, e.Reason = 200, ""
+		l.counts.Served++
+		if t.attempts.Once {
+			l.act(o, Decision{RequestID: t.ID, Action: SettleClaim, OnceKey: t.claimKey(), ClaimState: "done"})
 		}
 	case attempt.Break:
-		l.n.Broken++
+		l.counts.Broken++
 	case attempt.Unsure:
-		l.n.Unsure++
-		e.Code, e.Why = 502, "it may have run: "+t.why
+		l.counts.Unknown++
+		e.Status, e.Reason = 502, "it may have run: "+t.reason
 	case attempt.Refuse:
-		e.Code = 503
-		if strings.HasPrefix(t.why, "this tenant") {
-			e.Code = 429
+		e.Status = 503
+		if strings.HasPrefix(t.reason, "this tenant") {
+			e.Status = 429
 		}
-		l.n.Refusals++
-		l.n.Why[kind]++
-		for _, a := range t.led.Attempts {
+		l.counts.Refused++
+		l.counts.RefusalReasons[kind]++
+		for _, a := range t.attempts.Attempts {
 			if a.Known == attempt.Handle {
-				l.n.Wasted++
+				l.counts.WastedPrefills++
 			}
 		}
-		if t.led.Once {
-			l.act(o, Act{Trip: t.ID, Kind: Settle, Key: t.key(), State: "shed"})
+		if t.attempts.Once {
+			l.act(o, Decision{RequestID: t.ID, Action: SettleClaim, OnceKey: t.claimKey(), ClaimState: "shed"})
 		}
 	default:
 		panic("no final move: " + move.String())
 	}
-	l.end(now, t, e, o)
+	l.release(now, t, e, o)
 }
 
-func (l *Lane) end(now time.Duration, t *trip, e End, o *Out) {
-	delete(l.trips, t.ID)
-	e.Story = Story{Request: t.ID, Tenant: t.Tenant, Model: t.Model, Result: e.Result, Why: e.Why, Ledger: t.led.Attempts, Choice: t.choice, Took: (now - t.at).Milliseconds()}
-	l.act(o, Act{Trip: t.ID, Kind: Response, End: e})
+func (l *Dispatcher) release(now time.Duration, t *pendingRequest, e Answer, o *Out) {
+	delete(l.pending, t.ID)
+	e.Trace = Trace{Request: t.ID, Tenant: t.Tenant, Model: t.Model, Result: e.Result, Reason: e.Reason, Attempts: t.attempts.Attempts, Picks: t.picks, TookMillis: (now - t.arrivedAt).Milliseconds()}
+	l.act(o, Decision{RequestID: t.ID, Action: Respond, Answer: e})
 }
--- a/traffic/scheduler/pick.go
+++ b/traffic/scheduler/pick.go
@@ -6,9 +6,9 @@
 	"mulleinmast/traffic/slots"
 )
 
-// dice is chance from the request's own identity, so that daemons don't herd.
-func (t *trip) dice() uint64 {
-	x := uint64(len(t.led.Attempts)) + 1
+// draw is chance from the request's own identity, so that daemons don't herd.
+func (t *pendingRequest) draw() uint64 {
+	x := uint64(len(t.attempts.Attempts)) + 1
 	for _, c := range t.ID {
 		x = x*1099511628211 ^ uint64(c)
 	}
@@ -16,26 +16,26 @@
 }
 
 // pick chooses among free servers for the side that the trip waits for.
-func (l *Lane) pick(t *trip, free []string) string {
-	if t.side == slots.Read {
+func (l *Dispatcher) pick(t *pendingRequest, free []string) string {
+	if t.phase == slots.Read {
 		return l.pickPrefill(t, free)
 	}
 	return l.pickDecode(t, free)
 }
 
 // pickPrefill is the one that holds most of the prompt; random among equals.
-func (l *Lane) pickPrefill(t *trip, free []string) string {
+func (l *Dispatcher) pickPrefill(t *pendingRequest, free []string) string {
 	best, top, n := "", -1, uint64(0)
 	for _, a := range free {
-		b, ok := l.rows[a]
-		if !ok || b.Role != placement.Prefill || len(b.Pairs) == 0 || t.led.Tried(attempt.Prefill, a) || l.avoids(a) {
+		b, ok := l.servable[a]
+		if !ok || b.Role != placement.Prefill || len(b.Pairs) == 0 || t.attempts.Tried(attempt.Prefill, a) || l.isBackingOff(a) {
 			continue
 		}
 		switch {
-		case t.deep[a] > top:
-			best, top, n = a, t.deep[a], 1
-		case t.deep[a] == top:
-			if n++; t.dice()%n == 0 {
+		case t.cachedParts[a] > top:
+			best, top, n = a, t.cachedParts[a], 1
+		case t.cachedParts[a] == top:
+			if n++; t.draw()%n == 0 {
 				best = a
 			}
 		}
@@ -44,19 +44,19 @@
 }
 
 // pickDecode is one that the prefill server is paired with, in its zone if there is one.
-func (l *Lane) pickDecode(t *trip, free []string) string {
+func (l *Dispatcher) pickDecode(t *pendingRequest, free []string) string {
 	best, n, near := "", uint64(0), false
 	for _, a := range free {
-		b, ok := l.rows[a]
-		if !ok || b.Role != placement.Decode || !t.pairs[a] || t.led.Tried(attempt.Decode, a) || l.avoids(a) {
+		b, ok := l.servable[a]
+		if !ok || b.Role != placement.Decode || !t.pairedServers[a] || t.attempts.Tried(attempt.Decode, a) || l.isBackingOff(a) {
 			continue
 		}
-		same := b.Zone == t.zone
+		same := b.Zone == t.prefillZone
 		switch {
 		case best == "" || same && !near:
 			best, n, near = a, 1, same
 		case same == near:
-			if n++; t.dice()%n == 0 {
+			if n++; t.draw()%n == 0 {
 				best = a
 			}
 		}
@@ -64,12 +64,12 @@
 	return best
 }
 
-func (l *Lane) avoids(addr string) bool { _, ok := l.shy[addr]; return ok }
+func (l *Dispatcher) isBackingOff(addr string) bool { _, ok := l.backoffUntil[addr]; return ok }
 
-// somewhere tells whether the trip could go to any server, were it free.
-func (l *Lane) somewhere(t *trip) bool {
-	all := make([]string, 0, len(l.rows))
-	for a := range l.rows {
+// canBeServed tells whether the trip could go to any server, were it free.
+func (l *Dispatcher) canBeServed(t *pendingRequest) bool {
+	all := make([]string, 0, len(l.servable))
+	for a := range l.servable {
 		all = append(all, a)
 	}
 	return l.pick(t, all) != ""
--- a/traffic/scheduler/scheduler_test.go
+++ b/traffic/scheduler/scheduler_test.go
@@ -19,7 +19,7 @@
 
 // world is a lane over records that a test may change.
 type world struct {
-	*Lane
+	*Dispatcher
 	recs map[string]message.Record
 	now  time.Duration
 }
@@ -36,53 +36,53 @@
 	put(fleetconfig.ServerRecordKey("m", decode), placement.ServerRecord{Addr: decode, Zone: "a", Role: placement.Decode, Status: placement.Up})
 	src := func(_ int, key string) (message.Record, bool) { r, ok := w.recs[key]; return r, ok }
 	cfg := Config{
-		Queue: slots.Config{Most: 8, Floor: time.Second, Ceil: time.Minute}, Retry: 0.2, Window: 16 * time.Second, Most: 3, Patience: time.Second,
-		Shy: time.Second, Turned: time.Second, Stall: 2 * time.Second, Ahead: 4, Back: time.Second, Prefixes: 100,
+		Queue: slots.Config{Most: 8, Floor: time.Second, Ceil: time.Minute}, RetryRatio: 0.2, RetryWindow: 16 * time.Second, MaxAttempts: 3, MaxWait: time.Second,
+		FailureBackoff: time.Second, RejectionBackoff: time.Second, StallTimeout: 2 * time.Second, MaxPiecesAhead: 4, RetryAfter: time.Second, MaxPrefixes: 100,
 	}
-	w.Lane = New(cfg, "m", 1, src, func() uint64 { return 1 })
-	w.Shared(w.now, placement.Share{Number: 1, Length: int64(time.Hour), Slots: map[string]int{prefill: 2, decode: 2}}, w.now)
+	w.Dispatcher = New(cfg, "m", 1, src, func() uint64 { return 1 })
+	w.SetShare(w.now, placement.Share{Number: 1, Length: int64(time.Hour), Slots: map[string]int{prefill: 2, decode: 2}}, w.now)
 	return w
 }
 
 func (w *world) take(id, once string) Out {
-	return w.Take(w.now, Request{ID: id, Tenant: "t", Model: "m", Part: 1, Due: w.now + 10*time.Second, Tokens: 2, Once: once, Parts: []serverpool.Part{{Text: "x"}}})
+	return w.Start(w.now, Request{ID: id, Tenant: "t", Model: "m", QueueFraction: 1, Deadline: w.now + 10*time.Second, Tokens: 2, OnceKey: once, Parts: []serverpool.Part{{Text: "x"}}})
 }
 
-func one(t *testing.T, o Out, k Kind) Act {
+func one(t *testing.T, o Out, k Action) Decision {
 	t.Helper()
-	for _, a := range o.Acts {
-		if a.Kind == k {
+	for _, a := range o.Decisions {
+		if a.Action == k {
 			return a
 		}
 	}
-	t.Fatalf("no %s among %+v", k, o.Acts)
-	return Act{}
+	t.Fatalf("no %s among %+v", k, o.Decisions)
+	return Decision{}
 }
 
 // decoding brings a request to its call to the decode server.
-func (w *world) decoding(t *testing.T, id, once string) Act {
+func (w *world) decoding(t *testing.T, id, once string) Decision {
 	o := w.take(id, once)
 	if once != "" {
-		o = w.Claimed(w.now, id, 200, nil)
+		o = w.ClaimDone(w.now, id, 200, nil)
 	}
 	a := one(t, o, Prefill)
-	return one(t, w.Handed(w.now, id, a.No, serverpool.Handle{ID: "h", Request: id, Attempt: a.No, PrefillServer: a.Addr, Ver: a.Read.Ver}, serverpool.OK, ""), Decode)
+	return one(t, w.PrefillDone(w.now, id, a.Attempt, serverpool.Handle{ID: "h", Request: id, Attempt: a.Attempt, PrefillServer: a.Addr, Ver: a.PrefillCall.Ver}, serverpool.OK, ""), Decode)
 }
 
-func piece(a Act, n int) serverpool.Piece {
-	return serverpool.Piece{Request: a.Trip, Run: a.Make.Run, N: n}
+func piece(a Decision, n int) serverpool.Piece {
+	return serverpool.Piece{Request: a.RequestID, Run: a.DecodeCall.Run, N: n}
 }
 
 func TestAWholeTrip(t *testing.T) {
 	w := fresh()
 	a := w.decoding(t, "r", "")
 	for n := 0; n < 2; n++ {
-		one(t, w.Piece(w.now, "r", a.No, piece(a, n)), Pass)
+		one(t, w.PieceReceived(w.now, "r", a.Attempt, piece(a, n)), SendPiece)
 	}
-	o := w.Piece(w.now, "r", a.No, serverpool.Piece{Request: "r", Run: a.Make.Run, End: true, Count: 2})
-	one(t, o, Pass)
-	if e := one(t, o, Response).End; e.Result != "finish" || w.Open() != 0 || len(w.Report().Held) != 0 {
-		t.Errorf("end %+v, %d open, held %v", e, w.Open(), w.Report().Held)
+	o := w.PieceReceived(w.now, "r", a.Attempt, serverpool.Piece{Request: "r", Run: a.DecodeCall.Run, End: true, Count: 2})
+	one(t, o, SendPiece)
+	if e := one(t, o, Respond).Answer; e.Result != "finish" || w.InFlight() != 0 || len(w.Report().Held) != 0 {
+		t.Errorf("end %+v, %d open, held %v", e, w.InFlight(), w.Report().Held)
 	}
 }
 
@@ -104,11 +104,11 @@
 	} {
 		w := fresh()
 		a := w.decoding(t, "r", "")
-		if !w.Standing(w.now, a) {
+		if !w.MaySend(w.now, a) {
 			t.Fatalf("%s: no ground to begin with", what)
 		}
 		change(w)
-		if w.Standing(w.now, a) {
+		if w.MaySend(w.now, a) {
 			t.Errorf("%s: not seen", what)
 		}
 	}
@@ -129,15 +129,15 @@
 	for out, want := range map[serverpool.Outcome]string{serverpool.Lost: "uncertain", serverpool.Refused: "shed", serverpool.NotSent: "shed"} {
 		w := fresh()
 		a := w.decoding(t, "r", "k")
-		o := w.Made(w.now, "r", a.No, out, "x")
-		e := one(t, o, Response).End
+		o := w.DecodeDone(w.now, "r", a.Attempt, out, "x")
+		e := one(t, o, Respond).Answer
 		settled := ""
-		for _, x := range o.Acts {
-			if x.Kind == Settle {
-				settled = x.State
+		for _, x := range o.Decisions {
+			if x.Action == SettleClaim {
+				settled = x.ClaimState
 			}
 		}
-		if e.Result != want || e.After <= 0 || (want == "shed") != (settled == "shed") {
+		if e.Result != want || e.RetryAfter <= 0 || (want == "shed") != (settled == "shed") {
 			t.Errorf("outcome %d: %+v, key settled %q", out, e, settled)
 		}
 	}
@@ -146,17 +146,17 @@
 func TestStuckClientIsBrokenOff(t *testing.T) {
 	w := fresh()
 	a := w.decoding(t, "r", "")
-	w.Piece(w.now, "r", a.No, piece(a, 0))
-	w.Taken(w.now, "r", 1)
-	w.Piece(w.now, "r", a.No, piece(a, 1))
+	w.PieceReceived(w.now, "r", a.Attempt, piece(a, 0))
+	w.PiecesTaken(w.now, "r", 1)
+	w.PieceReceived(w.now, "r", a.Attempt, piece(a, 1))
 	w.now += 1900 * time.Millisecond
-	if o := w.Tick(w.now); len(o.Acts) > 0 {
-		t.Fatalf("broken off too early: %+v", o.Acts)
+	if o := w.Tick(w.now); len(o.Decisions) > 0 {
+		t.Fatalf("broken off too early: %+v", o.Decisions)
 	}
 	w.now += 200 * time.Millisecond
 	o := w.Tick(w.now)
-	one(t, o, Cut)
-	if e := one(t, o, Response).End; e.Result != "break" || !e.Stuck || len(w.Report().Held) != 0 {
+	one(t, o, CancelCall)
+	if e := one(t, o, Respond).Answer; e.Result != "break" || !e.ClientStalled || len(w.Report().Held) != 0 {
 		t.Errorf("%+v, held %v", e, w.Report().Held)
 	}
 }
@@ -169,24 +169,24 @@
 	hd := serverpool.Handle{ID: "h", Request: "r", Attempt: 1, PrefillServer: prefill}
 	stray := func(when string) {
 		for what, o := range map[string]Out{
-			"claim":         w.Claimed(w.now, "r", 200, nil),
-			"early handle":  w.Handed(w.now, "r", a.No-1, hd, serverpool.OK, ""),
-			"late outcome":  w.Made(w.now, "r", a.No-1, serverpool.Lost, ""),
-			"next outcome":  w.Made(w.now, "r", a.No+1, serverpool.Refused, ""),
-			"unknown piece": w.Piece(w.now, "x", a.No, piece(a, 0)),
-			"other call":    w.Piece(w.now, "r", a.No-1, piece(a, 0)),
-			"unknown gone":  w.Gone(w.now, "x"),
+			"claim":         w.ClaimDone(w.now, "r", 200, nil),
+			"early handle":  w.PrefillDone(w.now, "r", a.Attempt-1, hd, serverpool.OK, ""),
+			"late outcome":  w.DecodeDone(w.now, "r", a.Attempt-1, serverpool.Lost, ""),
+			"next outcome":  w.DecodeDone(w.now, "r", a.Attempt+1, serverpool.Refused, ""),
+			"unknown piece": w.PieceReceived(w.now, "x", a.Attempt, piece(a, 0)),
+			"other call":    w.PieceReceived(w.now, "r", a.Attempt-1, piece(a, 0)),
+			"unknown gone":  w.ClientGone(w.now, "x"),
 		} {
-			if len(o.Acts) > 0 {
-				t.Errorf("%s, %s: %+v", when, what, o.Acts)
+			if len(o.Decisions) > 0 {
+				t.Errorf("%s, %s: %+v", when, what, o.Decisions)
 			}
 		}
-		w.Taken(w.now, "x", 3)
+		w.PiecesTaken(w.now, "x", 3)
 	}
 	stray("calling")
-	w.Piece(w.now, "r", a.No, piece(a, 0))
+	w.PieceReceived(w.now, "r", a.Attempt, piece(a, 0))
 	stray("streaming")
-	one(t, w.Made(w.now, "r", a.No, serverpool.Lost, "cut"), Response)
+	one(t, w.DecodeDone(w.now, "r", a.Attempt, serverpool.Lost, "cut"), Respond)
 	stray("over")
 	// A piece with one field changed ends the stream instead of going out.
 	for what, mutate := range map[string]func(*serverpool.Piece){
@@ -199,12 +199,12 @@
 	} {
 		w := fresh()
 		a := w.decoding(t, "r", "")
-		w.Piece(w.now, "r", a.No, piece(a, 0))
+		w.PieceReceived(w.now, "r", a.Attempt, piece(a, 0))
 		p := piece(a, 1)
 		mutate(&p)
-		o := w.Piece(w.now, "r", a.No, p)
-		one(t, o, Cut)
-		if e := one(t, o, Response).End; e.Result != "break" {
+		o := w.PieceReceived(w.now, "r", a.Attempt, p)
+		one(t, o, CancelCall)
+		if e := one(t, o, Respond).Answer; e.Result != "break" {
 			t.Errorf("%s: %+v", what, e)
 		}
 	}
@@ -218,10 +218,10 @@
 	} {
 		w := fresh()
 		a := one(t, w.take("r", ""), Prefill)
-		h := serverpool.Handle{ID: "h", Request: "r", Attempt: a.No, PrefillServer: a.Addr, Ver: a.Read.Ver}
+		h := serverpool.Handle{ID: "h", Request: "r", Attempt: a.Attempt, PrefillServer: a.Addr, Ver: a.PrefillCall.Ver}
 		mutate(&h)
-		for _, x := range w.Handed(w.now, "r", a.No, h, serverpool.OK, "").Acts {
-			if x.Kind == Decode {
+		for _, x := range w.PrefillDone(w.now, "r", a.Attempt, h, serverpool.OK, "").Decisions {
+			if x.Action == Decode {
 				t.Errorf("%s: a decode server was called with it", what)
 			}
 		}
