--- a/proof/fakeserver/fakeserver.go
+++ b/proof/fakeserver/fakeserver.go
@@ -187,7 +187,7 @@
 }
 
 func (d *FakeServer) prefill(w http.ResponseWriter, r *http.Request) {
-	var p serverpool.Prefill
+	var p serverpool.PrefillRequest
 	bad, ok := d.read(w, r, &p)
 	if !ok {
 		return
@@ -204,7 +204,7 @@
 	chars, cached := 0, 0
 	d.mu.Lock()
 	n := d.busy
-	for i, c := range p.Prefix {
+	for i, c := range p.PrefixHashes {
 		if d.held[c] {
 			cached = i + 1
 		}
@@ -221,7 +221,7 @@
 	_, _ = rand.Read(b)
 	id := hex.EncodeToString(b)
 	d.mu.Lock()
-	for _, c := range p.Prefix {
+	for _, c := range p.PrefixHashes {
 		if !d.held[c] {
 			d.held[c] = true
 			d.list = append(d.list, c)
@@ -236,7 +236,7 @@
 			delete(d.kv, k)
 		}
 	}
-	h := serverpool.Handle{ID: id, Request: p.Request, Attempt: p.Attempt, PrefillServer: d.cfg.Addr, Ver: p.Ver, Cached: cached}
+	h := serverpool.Handle{ID: id, Request: p.Request, Attempt: p.Attempt, PrefillServer: d.cfg.Addr, RecordVersion: p.RecordVersion, CachedParts: cached}
 	for k, c := range d.kv {
 		if c.request != p.Request && (d.bad.Foreign || d.bad.Crossed) {
 			h.ID = k
@@ -272,13 +272,13 @@
 }
 
 func (d *FakeServer) decode(w http.ResponseWriter, r *http.Request) {
-	var p serverpool.Decode
+	var p serverpool.DecodeRequest
 	bad, ok := d.read(w, r, &p)
 	if !ok {
 		return
 	}
 	if bad.Deaf {
-		d.recorder.Put(history.Event{Who: d.cfg.Addr, Ev: "decode", Request: p.Handle.Request, Run: p.Run, Once: p.Once, CacheOf: p.Handle.Request})
+		d.recorder.Put(history.Event{Who: d.cfg.Addr, Ev: "decode", Request: p.Handle.Request, Run: p.RunID, Once: p.OnceKey, CacheOf: p.Handle.Request})
 		<-r.Context().Done()
 		return
 	}
@@ -315,7 +315,7 @@
 		d.turnAway(w, 409, "lapsed", "maker", "the KV cache is of another request", p.Handle.Request)
 		return
 	}
-	d.recorder.Put(history.Event{Who: d.cfg.Addr, Ev: "decode", Request: p.Handle.Request, CacheOf: kv.Request, Run: p.Run, Once: p.Once, Term: p.Term, N: n})
+	d.recorder.Put(history.Event{Who: d.cfg.Addr, Ev: "decode", Request: p.Handle.Request, CacheOf: kv.Request, Run: p.RunID, Once: p.OnceKey, Term: p.Term, N: n})
 	w.Header().Set("Content-Type", "application/x-ndjson")
 	w.WriteHeader(200)
 	flush := w.(http.Flusher)
@@ -333,7 +333,7 @@
 		if skip {
 			continue
 		}
-		x := serverpool.Piece{Request: p.Handle.Request, Run: p.Run, N: i, Text: script.Text(kv.Prompt, p.Handle.Request, p.Run, i)}
+		x := serverpool.Piece{Request: p.Handle.Request, RunID: p.RunID, Number: i, Text: script.Text(kv.Prompt, p.Handle.Request, p.RunID, i)}
 		put(x)
 		if bad.Twice && i == 1 {
 			put(x)
@@ -342,8 +342,8 @@
 	if r.Context().Err() != nil {
 		return
 	}
-	d.recorder.Put(history.Event{Who: d.cfg.Addr, Ev: "ended", Request: p.Handle.Request, Run: p.Run, Count: p.Tokens})
-	put(serverpool.Piece{Request: p.Handle.Request, Run: p.Run, End: true, Count: p.Tokens})
+	d.recorder.Put(history.Event{Who: d.cfg.Addr, Ev: "ended", Request: p.Handle.Request, Run: p.RunID, Count: p.Tokens})
+	put(serverpool.Piece{Request: p.Handle.Request, RunID: p.RunID, End: true, Count: p.Tokens})
 }
 
 func (d *FakeServer) fault(w http.ResponseWriter, r *http.Request) {
--- a/proof/hollow/daemon.go
+++ b/proof/hollow/daemon.go
@@ -66,7 +66,7 @@
 			return 0
 		}
 	}
-	c.OrderSender = serverpool.NewHands(s.Config.Bounds.Plan / 4) // to servers that aren't there
+	c.OrderSender = serverpool.NewClient(s.Config.Bounds.Plan / 4) // to servers that aren't there
 	g := gateway.New(c, engines{})
 	c.Add(service(g.Run))
 	ctx, stop := context.WithCancel(context.Background())
--- a/proof/script/script.go
+++ b/proof/script/script.go
@@ -54,9 +54,9 @@
 		return false, p.Error, ""
 	}
 	if r.N == 0 {
-		r.Run = p.Run
+		r.Run = p.RunID
 	}
-	if why := p.Fit(r.Request, r.Run, r.N); why != "" {
+	if why := p.Mismatch(r.Request, r.Run, r.N); why != "" {
 		return false, "", why
 	}
 	if p.End {
--- a/proof/sim/fakeserver.go
+++ b/proof/sim/fakeserver.go
@@ -128,7 +128,7 @@
 
 func (d *fakeServer) away(l *line, out serverpool.Outcome, part, why string) {
 	word := "shed"
-	if out == serverpool.Lapsed {
+	if out == serverpool.HandleLost {
 		word = "lapsed"
 	}
 	d.jot(history.Event{Ev: word, Part: part, Request: l.a.RequestID, Why: why})
@@ -151,13 +151,13 @@
 	return true
 }
 
-func (d *fakeServer) prefill(l *line, p serverpool.Prefill) {
+func (d *fakeServer) prefill(l *line, p serverpool.PrefillRequest) {
 	if !d.lets(l, placement.Prefill) {
 		return
 	}
 	d.jot(history.Event{Ev: "prefill", Request: p.Request, Term: p.Term, N: d.busy})
 	t, cached := 2*time.Millisecond, 0
-	for i, c := range p.Prefix {
+	for i, c := range p.PrefixHashes {
 		if d.held[c] {
 			cached = i + 1
 		} else {
@@ -167,11 +167,11 @@
 	d.in(t, func() {
 		d.busy--
 		delete(d.lines, l)
-		for _, c := range p.Prefix {
+		for _, c := range p.PrefixHashes {
 			d.held[c] = true
 		}
 		d.ids++
-		h := serverpool.Handle{ID: fmt.Sprintf("%s/%d/%d", d.addr, d.life, d.ids), Request: p.Request, Attempt: p.Attempt, PrefillServer: d.addr, Ver: p.Ver, Cached: cached}
+		h := serverpool.Handle{ID: fmt.Sprintf("%s/%d/%d", d.addr, d.life, d.ids), Request: p.Request, Attempt: p.Attempt, PrefillServer: d.addr, RecordVersion: p.RecordVersion, CachedParts: cached}
 		d.kv[h.ID] = cache{p.Request, p.Attempt, script.Prompt(p.Parts)}
 		if d.cross {
 			for i := d.ids - 1; i > 0; i-- {
@@ -196,7 +196,7 @@
 	return nil
 }
 
-func (d *fakeServer) decode(l *line, p serverpool.Decode) {
+func (d *fakeServer) decode(l *line, p serverpool.DecodeRequest) {
 	if !d.lets(l, placement.Decode) {
 		return
 	}
@@ -210,18 +210,18 @@
 		if !ok || !r.up || r.dark || r.lapseAll {
 			d.busy--
 			delete(d.lines, l)
-			d.away(l, serverpool.Lapsed, placement.Decode, "no such handle")
+			d.away(l, serverpool.HandleLost, placement.Decode, "no such handle")
 			return
 		}
 		d.links[r.addr] = int(link.Milliseconds())
-		d.jot(history.Event{Ev: "decode", Request: p.Handle.Request, CacheOf: kv.request, Run: p.Run, Once: p.Once, Term: p.Term, N: d.busy})
+		d.jot(history.Event{Ev: "decode", Request: p.Handle.Request, CacheOf: kv.request, Run: p.RunID, Once: p.OnceKey, Term: p.Term, N: d.busy})
 		seen := 0
 		d.step(l, p, kv, 0, &seen)
 	})
 }
 
 // step writes one piece and goes on; a daemon that hung up ends the run.
-func (d *fakeServer) step(l *line, p serverpool.Decode, kv cache, i int, seen *int) {
+func (d *fakeServer) step(l *line, p serverpool.DecodeRequest, kv cache, i int, seen *int) {
 	d.in(4*time.Millisecond+d.w.exp(4*time.Millisecond), func() {
 		done := func() {
 			d.busy--
@@ -231,7 +231,7 @@
 			done()
 			return
 		}
-		piece := serverpool.Piece{Request: p.Handle.Request, Run: p.Run, N: i, Text: script.Text(kv.prompt, p.Handle.Request, p.Run, i)}
+		piece := serverpool.Piece{Request: p.Handle.Request, RunID: p.RunID, Number: i, Text: script.Text(kv.prompt, p.Handle.Request, p.RunID, i)}
 		switch {
 		case d.drops && i == 0:
 			done()
@@ -240,26 +240,26 @@
 		case d.breaks && i == 2:
 			done()
 			if d.w.o.Sabotage == "fakeend" { // the broken stream is made to look whole
-				l.piece(serverpool.Piece{Request: p.Handle.Request, Run: p.Run, End: true, Count: i}, seen)
+				l.piece(serverpool.Piece{Request: p.Handle.Request, RunID: p.RunID, End: true, Count: i}, seen)
 				return
 			}
 			if d.w.o.Sabotage == "splice" && d.twin() != nil { // another run goes on where this one broke
 				b := d.twin()
 				b.busy++
 				q := p
-				q.Run = p.Run + "-again"
-				b.jot(history.Event{Ev: "decode", Request: p.Handle.Request, CacheOf: kv.request, Run: q.Run, N: b.busy})
+				q.RunID = p.RunID + "-again"
+				b.jot(history.Event{Ev: "decode", Request: p.Handle.Request, CacheOf: kv.request, Run: q.RunID, N: b.busy})
 				b.lines[l] = true
-				l.a.DecodeCall.Run = q.Run
-				b.splice(l, p, q.Run, kv, i, seen)
+				l.a.DecodeCall.RunID = q.RunID
+				b.splice(l, p, q.RunID, kv, i, seen)
 				return
 			}
 			l.end(serverpool.Lost, "stream broke off")
 			return
 		case i == p.Tokens:
 			done()
-			d.jot(history.Event{Ev: "ended", Request: p.Handle.Request, Run: p.Run, Count: i})
-			l.piece(serverpool.Piece{Request: p.Handle.Request, Run: p.Run, End: true, Count: i}, seen)
+			d.jot(history.Event{Ev: "ended", Request: p.Handle.Request, Run: p.RunID, Count: i})
+			l.piece(serverpool.Piece{Request: p.Handle.Request, RunID: p.RunID, End: true, Count: i}, seen)
 			return
 		case d.skip && i == 1:
 		default:
@@ -273,16 +273,16 @@
 }
 
 // splice is the sabotage that goes on with another run under the first's name.
-func (d *fakeServer) splice(l *line, p serverpool.Decode, run string, kv cache, i int, seen *int) {
+func (d *fakeServer) splice(l *line, p serverpool.DecodeRequest, run string, kv cache, i int, seen *int) {
 	d.in(5*time.Millisecond, func() {
 		if i == p.Tokens {
 			d.busy--
 			delete(d.lines, l)
-			d.jot(history.Event{Ev: "ended", Request: p.Handle.Request, Run: p.Run, Count: i})
-			l.piece(serverpool.Piece{Request: p.Handle.Request, Run: p.Run, End: true, Count: i}, seen)
+			d.jot(history.Event{Ev: "ended", Request: p.Handle.Request, Run: p.RunID, Count: i})
+			l.piece(serverpool.Piece{Request: p.Handle.Request, RunID: p.RunID, End: true, Count: i}, seen)
 			return
 		}
-		l.piece(serverpool.Piece{Request: p.Handle.Request, Run: p.Run, N: i, Text: script.Text(kv.prompt, p.Handle.Request, run, i)}, seen)
+		l.piece(serverpool.Piece{Request: p.Handle.Request, RunID: p.RunID, Number: i, Text: script.Text(kv.prompt, p.Handle.Request, run, i)}, seen)
 		d.splice(l, p, run, kv, i+1, seen)
 	})
 }
--- a/proof/sim/traffic.go
+++ b/proof/sim/traffic.go
@@ -109,7 +109,7 @@
 		cfg.RetryRatio, cfg.MaxAttempts = 100, 20
 	}
 	if n.w.o.Sabotage == "noafter" {
-		cfg.RetryAfter, cfg.Queue.Floor = 0, 0
+		cfg.RetryAfter, cfg.Queue.MinRetryAfter = 0, 0
 	}
 	p := fleetconfig.PartitionOf(svc, n.w.o.Partitions)
 	l := &lane{part: p, pins: map[string]bool{}}
@@ -207,7 +207,7 @@
 			n.outcome(r, a, c, serverpool.NotSent, "no connection")
 		case d.dark: // no word, ever
 		case !r.l.MaySend(n.local(), a) && w.o.Sabotage != "nolook":
-			n.outcome(r, a, c, serverpool.Barred, "")
+			n.outcome(r, a, c, serverpool.Blocked, "")
 		case a.Action == scheduler.Prefill:
 			w.at(w.lag(), func() { d.prefill(n.line(r, a, c), a.PrefillCall) })
 		default:
@@ -276,7 +276,7 @@
 	l.back(func() {
 		l.c.shut = true
 		if l.n.w.o.Sabotage == "nofit" { // whatever handle comes back is believed
-			h.Request, h.Attempt, h.PrefillServer, h.Ver = l.a.RequestID, l.a.Attempt, l.a.Addr, l.a.PrefillCall.Ver
+			h.Request, h.Attempt, h.PrefillServer, h.RecordVersion = l.a.RequestID, l.a.Attempt, l.a.Addr, l.a.PrefillCall.RecordVersion
 		}
 		l.n.do(l.r.l, l.r.l.PrefillDone(l.n.local(), l.a.RequestID, l.a.Attempt, h, serverpool.OK, ""))
 	})
@@ -285,7 +285,7 @@
 func (l *line) piece(p serverpool.Piece, seen *int) {
 	l.back(func() {
 		if l.n.w.o.Sabotage == "nocount" { // numbers are made to fit
-			p.N = *seen
+			p.Number = *seen
 			if p.End {
 				p.Count = *seen
 			}
--- a/traffic/attempt/attempt.go
+++ b/traffic/attempt/attempt.go
@@ -10,14 +10,14 @@
 // What can be known. For a prefill Lost means only wasted work; for a decode
 // it means that the request may have run.
 const (
-	Open    Known = iota // no outcome yet
-	NotSent              // nothing reached the server
-	Refused              // the server said that it did not and will not run it
-	Handle               // a prefill ended and left a handle
-	Lapsed               // a decode was turned away: its handle is gone or not ours
-	Lost                 // sent, and no word
-	First                // a piece has gone out to the client, more may come
-	Ended                // the whole answer has gone out
+	Open       Known = iota // no outcome yet
+	NotSent                 // nothing reached the server
+	Refused                 // the server said that it did not and will not run it
+	Prefilled               // a prefill ended and left a handle
+	HandleLost              // a decode was turned away: its handle is gone or not ours
+	Lost                    // sent, and no word
+	First                   // a piece has gone out to the client, more may come
+	Ended                   // the whole answer has gone out
 )
 
 var names = [...]string{"open", "not sent", "shed", "handle", "lapsed", "lost", "first piece", "ended"}
@@ -58,7 +58,7 @@
 	DoPrefill             // find a prefill server
 	DoDecode              // hand over to a decode server
 	Refuse                // final: not run and never will be
-	Unsure                // final: may have run
+	Unknown               // final: may have run
 	Break                 // final: abort the stream
 	Finish                // final: all went out
 )
@@ -72,9 +72,9 @@
 
 // Ledger is a request's attempts.
 type Ledger struct {
-	Once     bool
-	Most     int // attempts of one phase
-	Attempts []Attempt
+	AtMostOnce  bool
+	MaxPerPhase int // attempts of one phase
+	Attempts    []Attempt
 }
 
 // Add opens an attempt.
@@ -84,18 +84,18 @@
 	l.Attempts = append(l.Attempts, Attempt{Phase: p, Server: server})
 }
 
-// Learn says what became of the last attempt.
+// Record says what became of the last attempt.
 //
-// Example: l.Learn(attempt.Refused, "503")
-func (l *Ledger) Learn(k Known, why string) {
+// Example: l.Record(attempt.Refused, "503")
+func (l *Ledger) Record(k Known, why string) {
 	a := &l.Attempts[len(l.Attempts)-1]
 	a.Known, a.Why = k, why
 }
 
-// Ran tells whether the request may have run anywhere.
+// MayHaveRun tells whether the request may have run anywhere.
 //
-// Example: if !l.Ran() { refused() }
-func (l Ledger) Ran() bool {
+// Example: if !l.MayHaveRun() { refused() }
+func (l Ledger) MayHaveRun() bool {
 	for _, a := range l.Attempts {
 		if a.Phase == Decode && (a.Known == Open || a.Known == Lost || a.Known == First || a.Known == Ended) {
 			return true
@@ -142,10 +142,10 @@
 		switch last.Known {
 		case Open:
 			return Wait, false
-		case Handle:
+		case Prefilled:
 			return DoDecode, false
 		}
-		return l.or(DoPrefill, l.Tries(Prefill) < l.Most), true
+		return l.or(DoPrefill, l.Tries(Prefill) < l.MaxPerPhase), true
 	}
 	switch last.Known {
 	case Open:
@@ -155,12 +155,12 @@
 	case First:
 		return Break, false
 	case NotSent, Refused:
-		return l.or(DoDecode, l.Tries(Decode) < l.Most), true
-	case Lapsed:
-		return l.or(DoPrefill, l.Tries(Prefill) < l.Most), true
+		return l.or(DoDecode, l.Tries(Decode) < l.MaxPerPhase), true
+	case HandleLost:
+		return l.or(DoPrefill, l.Tries(Prefill) < l.MaxPerPhase), true
 	}
 	// Lost: a once request is never sent again.
-	return l.or(DoPrefill, !l.Once && l.Tries(Prefill) < l.Most), true
+	return l.or(DoPrefill, !l.AtMostOnce && l.Tries(Prefill) < l.MaxPerPhase), true
 }
 
 func (l Ledger) or(m Move, may bool) Move {
@@ -174,8 +174,8 @@
 //
 // Example: if !bucket.Take() { move = l.End() }
 func (l Ledger) End() Move {
-	if l.Ran() {
-		return Unsure
+	if l.MayHaveRun() {
+		return Unknown
 	}
 	return Refuse
 }
@@ -192,21 +192,21 @@
 // what quiet times earned can't be spent in one failure. A sum of buckets
 // keeps the bound that each of them keeps.
 type Bucket struct {
-	Rate   float64
+	Ratio  float64
 	Window time.Duration
 	Slack  int // retries in a window beyond those earned
-	ring   [steps + 2]struct {
+	slots  [steps + 2]struct {
 		no           int64
 		first, again int
 	}
 }
 
-func (b *Bucket) at(now time.Duration) *struct {
+func (b *Bucket) slotAt(now time.Duration) *struct {
 	no           int64
 	first, again int
 } {
 	no := int64(now / (b.Window / steps))
-	s := &b.ring[no%int64(len(b.ring))]
+	s := &b.slots[no%int64(len(b.slots))]
 	if s.no != no {
 		s.no, s.first, s.again = no, 0, 0
 	}
@@ -216,16 +216,16 @@
 // Earn counts a first try.
 //
 // Example: b.Earn(now)
-func (b *Bucket) Earn(now time.Duration) { b.at(now).first++ }
+func (b *Bucket) Earn(now time.Duration) { b.slotAt(now).first++ }
 
 // Has tells whether a retry may be made now. First tries count over a little
 // less than the window, retries over a little more.
 //
 // Example: if !b.Has(now) { giveUp() }
 func (b *Bucket) Has(now time.Duration) bool {
-	no := b.at(now).no
+	no := b.slotAt(now).no
 	first, again := 0, 0
-	for _, s := range b.ring {
+	for _, s := range b.slots {
 		if s.no > no-steps+1 {
 			first += s.first
 		}
@@ -233,7 +233,7 @@
 			again += s.again
 		}
 	}
-	return float64(again+1) <= b.Rate*float64(first)+float64(b.Slack)
+	return float64(again+1) <= b.Ratio*float64(first)+float64(b.Slack)
 }
 
 // Take spends a retry if one may be made.
@@ -243,16 +243,16 @@
 	if !b.Has(now) {
 		return false
 	}
-	b.at(now).again++
+	b.slotAt(now).again++
 	return true
 }
 
-// Give returns a retry that was taken at that time and not made.
+// Return returns a retry that was taken at that time and not made.
 //
-// Example: b.Give(takenAt)
-func (b *Bucket) Give(at time.Duration) {
+// Example: b.Return(takenAt)
+func (b *Bucket) Return(at time.Duration) {
 	no := int64(at / (b.Window / steps))
-	if s := &b.ring[no%int64(len(b.ring))]; s.no == no && s.again > 0 {
+	if s := &b.slots[no%int64(len(b.slots))]; s.no == no && s.again > 0 {
 		s.again--
 	}
 }
--- a/traffic/attempt/attempt_test.go
+++ b/traffic/attempt/attempt_test.go
@@ -10,11 +10,11 @@
 // Whatever comes of the attempts, the ledger keeps the users' rules.
 func TestLedgerKeepsTheRules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := Ledger{Once: rapid.Bool().Draw(t, "once"), Most: 3}
+		l := Ledger{AtMostOnce: rapid.Bool().Draw(t, "once"), MaxPerPhase: 3}
 		sent, pieces, tries := 0, false, 0
 		for step := 0; step < 40; step++ {
 			m, again := l.Next()
-			if again != (len(l.Attempts) > 0 && m != Wait && l.Attempts[len(l.Attempts)-1].Known != Handle && (m == DoPrefill || m == DoDecode)) && (m == DoPrefill || m == DoDecode) {
+			if again != (len(l.Attempts) > 0 && m != Wait && l.Attempts[len(l.Attempts)-1].Known != Prefilled && (m == DoPrefill || m == DoDecode)) && (m == DoPrefill || m == DoDecode) {
 				t.Fatalf("a retry that isn't counted as one: %v %v", m, l.Attempts)
 			}
 			switch m {
@@ -25,10 +25,10 @@
 				if again {
 					tries++
 				}
-				p, outs := Prefill, []Known{NotSent, Refused, Handle, Lost}
+				p, outs := Prefill, []Known{NotSent, Refused, Prefilled, Lost}
 				if m == DoDecode {
-					p, outs = Decode, []Known{NotSent, Refused, Lapsed, Lost, First, Ended}
-					if l.Attempts[len(l.Attempts)-1].Phase == Prefill && l.Attempts[len(l.Attempts)-1].Known != Handle {
+					p, outs = Decode, []Known{NotSent, Refused, HandleLost, Lost, First, Ended}
+					if l.Attempts[len(l.Attempts)-1].Phase == Prefill && l.Attempts[len(l.Attempts)-1].Known != Prefilled {
 						t.Fatal("a decode without a handle")
 					}
 				}
@@ -37,12 +37,12 @@
 				if m, _ := l.Next(); m != Wait {
 					t.Fatal("a move while an attempt is open")
 				}
-				l.Learn(k, "")
+				l.Record(k, "")
 				if p == Decode && (k == Lost || k == First || k == Ended) {
 					sent++
 				}
 				pieces = pieces || k == First || k == Ended
-				if l.Once && sent > 1 {
+				if l.AtMostOnce && sent > 1 {
 					t.Fatal("a once request reached a decode server twice")
 				}
 			case Refuse:
@@ -50,7 +50,7 @@
 					t.Fatal("refused, but it may have run")
 				}
 				return
-			case Unsure:
+			case Unknown:
 				if sent == 0 {
 					t.Fatal("uncertain, but nothing can have run")
 				}
@@ -75,7 +75,7 @@
 // quiet times earned is not spent in one failure.
 func TestBucketBoundsRetriesInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := Bucket{Rate: 0.2, Window: 16 * time.Second}
+		b := Bucket{Ratio: 0.2, Window: 16 * time.Second}
 		var first, again []time.Duration
 		now := 30 * time.Second
 		for i := 0; i < 400; i++ {
--- a/traffic/forward/admission.go
+++ b/traffic/forward/admission.go
@@ -7,7 +7,7 @@
 // of the target may wait for half of it. One that can't would make others late as
 // well; it is refused at once, and its client may come back to a shorter queue.
 func (d *Dispatcher) canMeetTarget(now time.Duration, r *pendingRequest) bool {
-	if d.cfg.MaxPredictedWait == 0 || r.TTFTTarget == 0 || r.streamStarted || r.handle != nil || r.attempts.Ran() {
+	if d.cfg.MaxPredictedWait == 0 || r.TTFTTarget == 0 || r.streamStarted || r.handle != nil || r.attempts.MayHaveRun() {
 		return true
 	}
 	may := max(r.TTFTTarget-r.predictedPrefill, r.TTFTTarget/2)
@@ -28,7 +28,7 @@
 
 // returnRetry returns a retry that was taken then and did not count.
 func (d *Dispatcher) returnRetry(then time.Duration) {
-	d.retries.Give(then)
+	d.retries.Return(then)
 	d.window.spent = max(0, d.window.spent-1)
 }
 
--- a/traffic/forward/dispatcher.go
+++ b/traffic/forward/dispatcher.go
@@ -70,7 +70,7 @@
 		warmupSpacing: map[string]time.Duration{},
 		stats:         map[string]*serverStats{},
 		prefillRate:   cfg.PrefillRate,
-		retries:       attempt.Bucket{Rate: cfg.RetryRatio, Window: cfg.RetryWindow},
+		retries:       attempt.Bucket{Ratio: cfg.RetryRatio, Window: cfg.RetryWindow},
 		pending:       map[string]*pendingRequest{},
 	}
 }
--- a/traffic/forward/request.go
+++ b/traffic/forward/request.go
@@ -46,7 +46,7 @@
 	}
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(c.ID))
-	r := &pendingRequest{Request: c, arrivedAt: now, attempts: attempt.Ledger{Once: !c.Repeatable, Most: max(1, c.MaxAttempts)}, hash: h.Sum64()}
+	r := &pendingRequest{Request: c, arrivedAt: now, attempts: attempt.Ledger{AtMostOnce: !c.Repeatable, MaxPerPhase: max(1, c.MaxAttempts)}, hash: h.Sum64()}
 	d.pending[c.ID] = r
 	if c.TTFTTarget > 0 && (d.shortestTTFT == 0 || c.TTFTTarget < d.shortestTTFT) {
 		d.shortestTTFT = c.TTFTTarget
@@ -247,7 +247,7 @@
 	return d.decide(now, r)
 }
 
-var knownOf = map[Outcome]attempt.Known{NotSent: attempt.NotSent, Overloaded: attempt.Refused, WrongServer: attempt.Refused, HandleLost: attempt.Lapsed, Lost: attempt.Lost}
+var knownOf = map[Outcome]attempt.Known{NotSent: attempt.NotSent, Overloaded: attempt.Refused, WrongServer: attempt.Refused, HandleLost: attempt.HandleLost, Lost: attempt.Lost}
 
 // PrefillDone takes the end of a prefill.
 //
@@ -274,10 +274,10 @@
 	if out == OK {
 		r.handle = &h
 		d.recordPrefix(r, unread)
-		r.attempts.Learn(attempt.Handle, "")
+		r.attempts.Record(attempt.Prefilled, "")
 		return d.decide(now, r)
 	}
-	r.attempts.Learn(knownOf[out], why)
+	r.attempts.Record(knownOf[out], why)
 	return d.decide(now, r)
 }
 
@@ -288,7 +288,7 @@
 func (d *Dispatcher) StreamStarted(now time.Duration, id string) {
 	r := d.pending[id]
 	if r.attempts.Attempts[len(r.attempts.Attempts)-1].Known == attempt.Open {
-		r.attempts.Learn(attempt.First, "")
+		r.attempts.Record(attempt.First, "")
 		fresh := r.uncachedTokens
 		if r.handle != nil {
 			fresh = r.InputTokens
@@ -342,14 +342,14 @@
 	last := &r.attempts.Attempts[len(r.attempts.Attempts)-1]
 	switch {
 	case out == OK:
-		r.attempts.Learn(attempt.Ended, "")
+		r.attempts.Record(attempt.Ended, "")
 	case last.Known == attempt.First:
-		r.attempts.Learn(attempt.First, why)
+		r.attempts.Record(attempt.First, why)
 		if r.Resumable && r.Repeatable {
 			d.counts.Resumed++
 		}
 	default:
-		r.attempts.Learn(knownOf[out], why)
+		r.attempts.Record(knownOf[out], why)
 	}
 	return d.decide(now, r)
 }
@@ -372,7 +372,7 @@
 	switch {
 	case r.streamStarted:
 		return d.finish(r, Break, why)
-	case r.attempts.Ran():
+	case r.attempts.MayHaveRun():
 		return d.finish(r, Unknown, why)
 	}
 	return d.finish(r, Refuse, why)
--- a/traffic/nativeapi/nativeapi.go
+++ b/traffic/nativeapi/nativeapi.go
@@ -41,7 +41,7 @@
 // API serves clients by the product's own calls.
 type API struct {
 	c     *daemon.Daemon
-	hands *serverpool.Hands
+	hands *serverpool.Client
 	lanes sync.Map // service -> *lane
 	plan  atomic.Pointer[scheduler.PlanIndex]
 	bad   atomic.Int64
@@ -59,7 +59,7 @@
 //
 // Example: d := nativeapi.New(ctx, c)
 func New(ctx context.Context, c *daemon.Daemon) *API {
-	d := &API{c: c, ctx: ctx, hands: serverpool.NewHands(time.Duration(float64(c.Cfg.Bounds.Plan) * dialRatio))}
+	d := &API{c: c, ctx: ctx, hands: serverpool.NewClient(time.Duration(float64(c.Cfg.Bounds.Plan) * dialRatio))}
 	c.LoadPoller, c.OrderSender = d.hands, d.hands
 	c.Mux.HandleFunc("POST /v1/generate", d.generate)
 	c.Mux.HandleFunc("GET /metrics", d.metrics)
@@ -79,7 +79,7 @@
 func Config(c daemon.Config) scheduler.Config {
 	b := c.Bounds
 	return scheduler.Config{
-		Queue: slots.Config{Most: c.QueueLimit, Floor: b.Plan / 2, Ceil: 5 * b.Recover}, RetryRatio: 0.2, RetryWindow: b.Recover, MaxAttempts: 3,
+		Queue: slots.Config{MaxQueued: c.QueueLimit, MinRetryAfter: b.Plan / 2, MaxRetryAfter: 5 * b.Recover}, RetryRatio: 0.2, RetryWindow: b.Recover, MaxAttempts: 3,
 		MaxWait: 2 * c.VolumeLease(), FailureBackoff: 2 * c.VolumeLease(), RejectionBackoff: c.VolumeLease() / 4, StallTimeout: b.Plan, MaxPiecesAhead: 32, RetryAfter: b.Plan / 2, MaxPrefixes: 1 << 16,
 	}
 }
--- a/traffic/nativeapi/ride.go
+++ b/traffic/nativeapi/ride.go
@@ -131,7 +131,7 @@
 	case e.Result == "finish":
 	case e.Result == "gone" || begun || e.Result == "break":
 		if begun && !e.ClientStalled {
-			_, _ = w.Write(append(leadercall.Pack(serverpool.Piece{Request: r.req.ID, N: -1, Error: e.Reason}), '\n'))
+			_, _ = w.Write(append(leadercall.Pack(serverpool.Piece{Request: r.req.ID, Number: -1, Error: e.Reason}), '\n'))
 			_ = r.rc.Flush()
 		}
 		if e.Result == "break" {
@@ -172,7 +172,9 @@
 	ctx, done := r.call(a)
 	defer done()
 	hd, out, why := r.d.hands.Prefill(ctx, a.Addr, a.PrefillCall, r.may(a))
-	r.d.step(r.l, func(now time.Duration) scheduler.Out { return r.l.PrefillDone(now, a.RequestID, a.Attempt, hd, out, why) })
+	r.d.step(r.l, func(now time.Duration) scheduler.Out {
+		return r.l.PrefillDone(now, a.RequestID, a.Attempt, hd, out, why)
+	})
 }
 
 func (r *ride) decode(a scheduler.Decision) {
--- a/traffic/nativeapi/show.go
+++ b/traffic/nativeapi/show.go
@@ -78,7 +78,7 @@
 		l.mu.Lock()
 		r, left := l.Report(), l.HasValidShare(d.c.Now())
 		l.mu.Unlock()
-		queues[l.Service()] = map[string]any{"waiting": r.Waiting, "held": r.Held, "share": r.Share, "share_valid": left, "pace_ms": [2]int64{r.Pace[0].Milliseconds(), r.Pace[1].Milliseconds()}}
+		queues[l.Service()] = map[string]any{"waiting": r.Waiting, "held": r.InFlight, "share": r.Share, "share_valid": left, "pace_ms": [2]int64{r.SlotInterval[0].Milliseconds(), r.SlotInterval[1].Milliseconds()}}
 	}
 	n, why := d.numbers()
 	return map[string]any{"counts": n, "queues": queues, "sheds": why}
--- a/traffic/scheduler/call.go
+++ b/traffic/scheduler/call.go
@@ -13,12 +13,12 @@
 // startCall opens the attempt for which a slot was given, if its ground stands.
 func (l *Dispatcher) startCall(now time.Duration, t *pendingRequest, addr string, o *Out) {
 	part := placement.Prefill
-	if t.phase == slots.Make {
+	if t.phase == slots.Decode {
 		part = placement.Decode
 	}
 	b, ok := l.servableFor(now, addr, part)
 	if ok && t.isRetry && !l.retries.Take(now) {
-		l.queue.Done(now, t.phase, t.Priority, addr, false)
+		l.queue.Release(now, t.phase, t.Priority, addr, false)
 		t.reason = "no retry to spare"
 		l.finish(now, t, t.attempts.End(), o)
 		return
@@ -41,7 +41,7 @@
 	half := (t.Deadline - now) / 2
 	t.callUntil = now + half
 	a := Decision{RequestID: t.ID, Attempt: t.attemptNumber, Addr: addr, Timeout: half}
-	if t.phase == slots.Read {
+	if t.phase == slots.Prefill {
 		t.attempts.Add(attempt.Prefill, addr)
 		t.picks = append(t.picks, fmt.Sprintf("prefill server %s (%s, %s) holds %d of %d prompt parts", addr, b.Zone, b.Status, t.cachedParts[addr], len(t.prefixHashes)))
 		t.prefillZone = b.Zone
@@ -51,14 +51,14 @@
 		}
 		a.Action = Prefill
 		t.recordVersion = l.records[addr].version.String()
-		a.PrefillCall = serverpool.Prefill{Request: t.ID, Attempt: t.attemptNumber, Term: l.leaderTerm(), Ver: t.recordVersion, Parts: t.Parts, Prefix: t.prefixHashes, Timeout: (t.Deadline - now).Milliseconds()}
+		a.PrefillCall = serverpool.PrefillRequest{Request: t.ID, Attempt: t.attemptNumber, Term: l.leaderTerm(), RecordVersion: t.recordVersion, Parts: t.Parts, PrefixHashes: t.prefixHashes, TimeoutMillis: (t.Deadline - now).Milliseconds()}
 	} else {
 		t.attempts.Add(attempt.Decode, addr)
 		t.picks = append(t.picks, fmt.Sprintf("decode server %s, paired with %s", addr, t.handle.PrefillServer))
 		t.runID = fmt.Sprintf("%s-%d", t.ID, t.attemptNumber)
 		a.Action = Decode
 		a.Timeout = t.Deadline - now
-		a.DecodeCall = serverpool.Decode{Handle: t.handle, Term: l.leaderTerm(), Run: t.runID, Tokens: t.Tokens, Once: t.OnceKey, Timeout: (t.Deadline - now).Milliseconds()}
+		a.DecodeCall = serverpool.DecodeRequest{Handle: t.handle, Term: l.leaderTerm(), RunID: t.runID, Tokens: t.Tokens, OnceKey: t.OnceKey, TimeoutMillis: (t.Deadline - now).Milliseconds()}
 	}
 	l.act(o, a)
 }
@@ -67,9 +67,9 @@
 // no attempt and the request keeps its place.
 func (l *Dispatcher) requeue(now time.Duration, t *pendingRequest, addr string) {
 	l.refreshServers(now)
-	l.queue.Done(now, t.phase, t.Priority, addr, false)
+	l.queue.Release(now, t.phase, t.Priority, addr, false)
 	t.stage = queued
-	l.queue.Put(now, t.queueEntry, t.QueueFraction)
+	l.queue.Enqueue(now, t.queueEntry, t.QueueFraction)
 }
 
 // underCall finds a trip by the call that its outcome is for.
@@ -91,7 +91,7 @@
 	case out == serverpool.OK:
 		delete(l.backoffUntil, t.server)
 	}
-	l.queue.Done(now, t.phase, t.Priority, t.server, bad)
+	l.queue.Release(now, t.phase, t.Priority, t.server, bad)
 }
 
 // undoAttempt takes an attempt back that the last look stopped.
@@ -100,7 +100,7 @@
 	t.picks = t.picks[:len(t.picks)-1]
 	if t.isRetry {
 		l.counts.Retries--
-		l.retries.Give(now)
+		l.retries.Return(now)
 	}
 	l.requeue(now, t, t.server)
 	l.handOutSlots(now, o)
@@ -114,7 +114,7 @@
 		return nil
 	}
 	l.refreshServers(now)
-	if out == serverpool.Barred {
+	if out == serverpool.Blocked {
 		l.undoAttempt(now, t, o)
 		return nil
 	}
@@ -131,24 +131,24 @@
 	}
 	if out == serverpool.OK {
 		// The handle is bound to this request, attempt, prefill server and record.
-		if why = hd.Fit(id, no, t.server, t.recordVersion); why != "" {
-			out = serverpool.Lapsed
+		if why = hd.Mismatch(id, no, t.server, t.recordVersion); why != "" {
+			out = serverpool.HandleLost
 		}
 	}
 	switch out {
 	case serverpool.OK:
 		t.handle = hd
-		t.attempts.Learn(attempt.Handle, "")
+		t.attempts.Record(attempt.Prefilled, "")
 		l.counts.PromptParts += int64(len(t.prefixHashes))
-		l.counts.CachedParts += int64(hd.Cached)
-		l.prefixes.Note(t.prefixHashes, t.server)
+		l.counts.CachedParts += int64(hd.CachedParts)
+		l.prefixes.Record(t.prefixHashes, t.server)
 	case serverpool.NotSent:
-		t.attempts.Learn(attempt.NotSent, why)
-		l.prefixes.Forget(t.server)
+		t.attempts.Record(attempt.NotSent, why)
+		l.prefixes.ForgetServer(t.server)
 	case serverpool.Refused:
-		t.attempts.Learn(attempt.Refused, why)
+		t.attempts.Record(attempt.Refused, why)
 	default:
-		t.attempts.Learn(attempt.Lost, why)
+		t.attempts.Record(attempt.Lost, why)
 	}
 	l.callEnded(now, t, out)
 	l.decide(now, t, &o)
@@ -173,16 +173,16 @@
 func (l *Dispatcher) decodeEnded(now time.Duration, t *pendingRequest, out serverpool.Outcome, why string, o *Out) {
 	switch {
 	case t.stage == streaming:
-		t.attempts.Learn(attempt.First, why)
+		t.attempts.Record(attempt.First, why)
 		out = serverpool.Lost
 	case out == serverpool.NotSent:
-		t.attempts.Learn(attempt.NotSent, why)
+		t.attempts.Record(attempt.NotSent, why)
 	case out == serverpool.Refused:
-		t.attempts.Learn(attempt.Refused, why)
-	case out == serverpool.Lapsed:
-		t.attempts.Learn(attempt.Lapsed, why)
+		t.attempts.Record(attempt.Refused, why)
+	case out == serverpool.HandleLost:
+		t.attempts.Record(attempt.HandleLost, why)
 	default:
-		t.attempts.Learn(attempt.Lost, why)
+		t.attempts.Record(attempt.Lost, why)
 	}
 	l.callEnded(now, t, out)
 	l.decide(now, t, o)
@@ -193,10 +193,10 @@
 // Example: out := l.PieceReceived(now, id, no, piece)
 func (l *Dispatcher) PieceReceived(now time.Duration, id string, no int, p serverpool.Piece) (o Out) {
 	t := l.underCall(id, no)
-	if t == nil || t.phase != slots.Make {
+	if t == nil || t.phase != slots.Decode {
 		return o
 	}
-	if why := p.Fit(id, t.runID, t.piecesSent); why != "" {
+	if why := p.Mismatch(id, t.runID, t.piecesSent); why != "" {
 		l.act(&o, Decision{RequestID: id, Action: CancelCall, Attempt: no})
 		l.refreshServers(now)
 		l.decodeEnded(now, t, serverpool.Lost, why, &o)
@@ -212,7 +212,7 @@
 	t.piecesSent++
 	l.act(&o, Decision{RequestID: id, Action: SendPiece, Attempt: no, Piece: p})
 	if p.End {
-		t.attempts.Learn(attempt.Ended, "")
+		t.attempts.Record(attempt.Ended, "")
 		l.refreshServers(now)
 		l.callEnded(now, t, serverpool.OK)
 		l.decide(now, t, &o)
--- a/traffic/scheduler/dispatcher.go
+++ b/traffic/scheduler/dispatcher.go
@@ -16,29 +16,29 @@
 // Dispatcher is one service's queue, routes and trips on one daemon; its user holds
 // the lock.
 type Dispatcher struct {
-	cfg       Config
-	service       string
-	partition int
-	source       Source
-	leaderTerm      func() uint64
-
-	queue             *slots.Queue
-	ackedShare           uint64
-	retries        attempt.Bucket
-	prefixes          *serverpool.Prefixes
-	backoffUntil           map[string]time.Duration
-	servable          map[string]placement.ServerRecord // servers that may get new work now
-	pending         map[string]*pendingRequest
+	cfg        Config
+	service    string
+	partition  int
+	source     Source
+	leaderTerm func() uint64
+
+	queue        *slots.Queue
+	ackedShare   uint64
+	retries      attempt.Bucket
+	prefixes     *serverpool.PrefixIndex
+	backoffUntil map[string]time.Duration
+	servable     map[string]placement.ServerRecord // servers that may get new work now
+	pending      map[string]*pendingRequest
 	plan         *PlanIndex
-	list          serverList
-	records map[string]parsedRecord
-	counts             Counts
+	list         serverList
+	records      map[string]parsedRecord
+	counts       Counts
 }
 
 type parsedRecord struct {
-	version          message.Version
-	record placement.ServerRecord
-	valid           bool
+	version message.Version
+	record  placement.ServerRecord
+	valid   bool
 }
 
 // serverList is a service's list made ready for look-ups.
@@ -53,8 +53,8 @@
 // Example: l := scheduler.New(cfg, "timetable", 3, daemon.Read, term)
 func New(cfg Config, svc string, partition int, src Source, term func() uint64) *Dispatcher {
 	return &Dispatcher{
-		cfg: cfg, service: svc, partition: partition, source: src, leaderTerm: term, queue: slots.New(cfg.Queue), retries: attempt.Bucket{Rate: cfg.RetryRatio, Window: cfg.RetryWindow},
-		prefixes: serverpool.NewPrefixes(cfg.MaxPrefixes), backoffUntil: map[string]time.Duration{}, servable: map[string]placement.ServerRecord{}, pending: map[string]*pendingRequest{}, records: map[string]parsedRecord{}, counts: Counts{RefusalReasons: map[string]int64{}},
+		cfg: cfg, service: svc, partition: partition, source: src, leaderTerm: term, queue: slots.New(cfg.Queue), retries: attempt.Bucket{Ratio: cfg.RetryRatio, Window: cfg.RetryWindow},
+		prefixes: serverpool.NewPrefixIndex(cfg.MaxPrefixes), backoffUntil: map[string]time.Duration{}, servable: map[string]placement.ServerRecord{}, pending: map[string]*pendingRequest{}, records: map[string]parsedRecord{}, counts: Counts{RefusalReasons: map[string]int64{}},
 	}
 }
 
@@ -91,19 +91,19 @@
 // Report is the queue as the query shell shows it.
 //
 // Example: l.Report().Waiting
-func (l *Dispatcher) Report() slots.Report { return l.queue.Peek() }
+func (l *Dispatcher) Report() slots.Report { return l.queue.Snapshot() }
 
 // HasValidShare tells whether the share stands.
 //
 // Example: if !l.HasValidShare(now) { ask() }
-func (l *Dispatcher) HasValidShare(now time.Duration) bool { return l.queue.Valid(now) }
+func (l *Dispatcher) HasValidShare(now time.Duration) bool { return l.queue.HasValidShare(now) }
 
 // Demand is what the leader is told: what waits, what is in flight, what failed.
 //
 // Example: share, at, ok := daemon.Share(ctx, part, l.Demand(), limit)
 func (l *Dispatcher) Demand() placement.Demand {
 	r := l.queue.Report()
-	return placement.Demand{Service: l.service, AckedShare: l.ackedShare, Prefill: r.Read, Decode: r.Make, InFlight: r.Held, Failures: r.Fails, PrefixHits: r.Like}
+	return placement.Demand{Service: l.service, AckedShare: l.ackedShare, Prefill: r.Prefill, Decode: r.Decode, InFlight: r.InFlight, Failures: r.Failures, PrefixHits: r.PreferredServers}
 }
 
 // SetShare takes a share, counted from when it was asked for.
@@ -112,7 +112,7 @@
 func (l *Dispatcher) SetShare(now time.Duration, s placement.Share, at time.Duration) (o Out) {
 	l.ackedShare = s.Number
 	l.refreshServers(now)
-	l.queue.Share(now, s.Slots, at+time.Duration(s.Length))
+	l.queue.SetShare(now, s.Slots, at+time.Duration(s.Length))
 	l.handOutSlots(now, &o)
 	return o
 }
@@ -122,7 +122,7 @@
 // Example: out := l.Tick(now)
 func (l *Dispatcher) Tick(now time.Duration) (o Out) {
 	l.refreshServers(now)
-	l.queue.Turn(now)
+	l.queue.Assign(now)
 	l.handOutSlots(now, &o)
 	for _, id := range slices.Sorted(maps.Keys(l.pending)) {
 		if t := l.pending[id]; t != nil {
@@ -199,7 +199,7 @@
 // on stand now.
 func (l *Dispatcher) servableFor(now time.Duration, addr, part string) (placement.ServerRecord, bool) {
 	b, ok := l.servableRecord(addr)
-	return b, ok && b.Role == part && l.queue.Valid(now)
+	return b, ok && b.Role == part && l.queue.HasValidShare(now)
 }
 
 // MaySend is the last look before a call's first byte goes out.
--- a/traffic/scheduler/end.go
+++ b/traffic/scheduler/end.go
@@ -22,7 +22,7 @@
 	l.stopRequest(now, t, "the client went away", &o)
 	l.counts.Abandoned++
 	t.reason = "the client went away"
-	if t.attempts.Once && !t.attempts.Ran() {
+	if t.attempts.AtMostOnce && !t.attempts.MayHaveRun() {
 		l.act(&o, Decision{RequestID: id, Action: SettleClaim, OnceKey: t.claimKey(), ClaimState: "shed"})
 	}
 	l.release(now, t, Answer{Result: "gone", Reason: t.reason}, &o)
@@ -34,15 +34,15 @@
 func (l *Dispatcher) stopRequest(now time.Duration, t *pendingRequest, why string, o *Out) {
 	switch t.stage {
 	case queued:
-		l.queue.Drop(t.queueEntry)
+		l.queue.Remove(t.queueEntry)
 	case calling, streaming:
 		l.act(o, Decision{RequestID: t.ID, Action: CancelCall, Attempt: t.attemptNumber})
 		if t.stage == streaming {
-			t.attempts.Learn(attempt.First, why)
+			t.attempts.Record(attempt.First, why)
 		} else {
-			t.attempts.Learn(attempt.Lost, why)
+			t.attempts.Record(attempt.Lost, why)
 		}
-		l.queue.Done(now, t.phase, t.Priority, t.server, false)
+		l.queue.Release(now, t.phase, t.Priority, t.server, false)
 	}
 }
 
@@ -50,7 +50,7 @@
 func (l *Dispatcher) checkTimeouts(now time.Duration, t *pendingRequest, o *Out) {
 	switch t.stage {
 	case queued:
-		blind := !l.queue.Valid(now) || len(l.servable) == 0
+		blind := !l.queue.HasValidShare(now) || len(l.servable) == 0
 		if !blind && l.canBeServed(t) {
 			t.servableAt = now
 		}
@@ -61,13 +61,13 @@
 		if blind {
 			t.reason = "no valid leases or share here"
 		}
-		l.queue.Drop(t.queueEntry)
+		l.queue.Remove(t.queueEntry)
 		l.finish(now, t, t.attempts.End(), o)
 	case calling:
 		if now >= t.callUntil || now >= t.Deadline {
 			l.act(o, Decision{RequestID: t.ID, Action: CancelCall, Attempt: t.attemptNumber})
-			if t.phase == slots.Read {
-				t.attempts.Learn(attempt.Lost, "no answer in time")
+			if t.phase == slots.Prefill {
+				t.attempts.Record(attempt.Lost, "no answer in time")
 				l.callEnded(now, t, serverpool.Lost)
 				l.decide(now, t, o)
 			} else {
@@ -105,12 +105,12 @@
 	case attempt.Finish:
 		e.Status, e.Reason = 200, ""
 		l.counts.Served++
-		if t.attempts.Once {
+		if t.attempts.AtMostOnce {
 			l.act(o, Decision{RequestID: t.ID, Action: SettleClaim, OnceKey: t.claimKey(), ClaimState: "done"})
 		}
 	case attempt.Break:
 		l.counts.Broken++
-	case attempt.Unsure:
+	case attempt.Unknown:
 		l.counts.Unknown++
 		e.Status, e.Reason = 502, "it may have run: "+t.reason
 	case attempt.Refuse:
@@ -121,11 +121,11 @@
 		l.counts.Refused++
 		l.counts.RefusalReasons[kind]++
 		for _, a := range t.attempts.Attempts {
-			if a.Known == attempt.Handle {
+			if a.Known == attempt.Prefilled {
 				l.counts.WastedPrefills++
 			}
 		}
-		if t.attempts.Once {
+		if t.attempts.AtMostOnce {
 			l.act(o, Decision{RequestID: t.ID, Action: SettleClaim, OnceKey: t.claimKey(), ClaimState: "shed"})
 		}
 	default:
--- a/traffic/scheduler/pick.go
+++ b/traffic/scheduler/pick.go
@@ -17,7 +17,7 @@
 
 // pick chooses among free servers for the side that the trip waits for.
 func (l *Dispatcher) pick(t *pendingRequest, free []string) string {
-	if t.phase == slots.Read {
+	if t.phase == slots.Prefill {
 		return l.pickPrefill(t, free)
 	}
 	return l.pickDecode(t, free)
--- a/traffic/scheduler/plan.go
+++ b/traffic/scheduler/plan.go
@@ -12,10 +12,10 @@
 
 // PlanIndex is a plan made ready for look-ups.
 type PlanIndex struct {
-	Version     message.Version
-	planNumber    uint64
-	tenants map[string]fleetconfig.Tenant
-	excluded     map[string]map[string]bool // service -> servers that it excludes
+	Version    message.Version
+	planNumber uint64
+	tenants    map[string]fleetconfig.Tenant
+	excluded   map[string]map[string]bool // service -> servers that it excludes
 }
 
 // NewPlanIndex reads the plan in force; do it once a version.
@@ -38,11 +38,11 @@
 
 // ClientRequest is what a client sends.
 type ClientRequest struct {
-	Model   string            `json:"model"`
-	Tenant  string            `json:"tenant"`
-	Parts   []serverpool.Part `json:"parts"`
-	Tokens  int               `json:"tokens"`
-	OnceKey    string            `json:"once,omitempty"`
+	Model         string            `json:"model"`
+	Tenant        string            `json:"tenant"`
+	Parts         []serverpool.Part `json:"parts"`
+	Tokens        int               `json:"tokens"`
+	OnceKey       string            `json:"once,omitempty"`
 	TimeoutMillis *int64            `json:"budget_ms,omitempty"`
 }
 
--- a/traffic/scheduler/request.go
+++ b/traffic/scheduler/request.go
@@ -20,32 +20,32 @@
 // pendingRequest is one request on its way.
 type pendingRequest struct {
 	Request
-	arrivedAt    time.Duration
-	stage stage
-	attempts   attempt.Ledger
-	prefixHashes []uint64
-	cachedParts  map[string]int // prompt parts that each prefill server holds
-	queueEntry  *slots.Wait
-	phase  slots.Side
-	servableAt  time.Duration // when it last could have gone somewhere
+	arrivedAt        time.Duration
+	stage            stage
+	attempts         attempt.Ledger
+	prefixHashes     []uint64
+	cachedParts      map[string]int // prompt parts that each prefill server holds
+	queueEntry       *slots.Entry
+	phase            slots.Phase
+	servableAt       time.Duration // when it last could have gone somewhere
 	firstSendCounted bool          // its first try is counted
-	isRetry bool          // the attempt under way is a retry
+	isRetry          bool          // the attempt under way is a retry
 
-	attemptNumber     int // the call under way
-	server   string
-	callUntil  time.Duration // it is given up then
-	runID    string
-	recordVersion    string // of the prefill server's record
-	handle serverpool.Handle
-	pairedServers  map[string]bool
+	attemptNumber int // the call under way
+	server        string
+	callUntil     time.Duration // it is given up then
+	runID         string
+	recordVersion string // of the prefill server's record
+	handle        serverpool.Handle
+	pairedServers map[string]bool
 	prefillZone   string // of the prefill server
 
 	piecesSent, piecesTaken int // pieces handed on, and taken by the client
-	takenAt     time.Duration
+	takenAt                 time.Duration
 
-	picks []string
-	reason    string
-	retryAfter  time.Duration
+	picks      []string
+	reason     string
+	retryAfter time.Duration
 }
 
 // claimKey is the once claimKey within its tenant.
@@ -57,7 +57,7 @@
 //
 // Example: out := l.Start(now, req)
 func (l *Dispatcher) Start(now time.Duration, r Request) (o Out) {
-	t := &pendingRequest{Request: r, arrivedAt: now, servableAt: now, prefixHashes: serverpool.Chain(r.Parts), attempts: attempt.Ledger{Once: r.OnceKey != "", Most: l.cfg.MaxAttempts}}
+	t := &pendingRequest{Request: r, arrivedAt: now, servableAt: now, prefixHashes: serverpool.HashPrefixes(r.Parts), attempts: attempt.Ledger{AtMostOnce: r.OnceKey != "", MaxPerPhase: l.cfg.MaxAttempts}}
 	l.pending[r.ID] = t
 	l.refreshServers(now)
 	if r.OnceKey != "" {
@@ -98,7 +98,7 @@
 // handOutSlots hands out the queue's decisions until there are no more.
 func (l *Dispatcher) handOutSlots(now time.Duration, o *Out) {
 	for {
-		list := l.queue.Tickets()
+		list := l.queue.TakeResults()
 		if len(list) == 0 {
 			return
 		}
@@ -108,7 +108,7 @@
 				panic("a ticket for " + k.ID + ", which doesn't wait")
 			}
 			if k.Refused {
-				t.reason, t.retryAfter = k.Why, k.After
+				t.reason, t.retryAfter = k.Reason, k.RetryAfter
 				l.finish(now, t, t.attempts.End(), o)
 				continue
 			}
@@ -134,12 +134,12 @@
 		l.finish(now, t, t.attempts.End(), o)
 		return
 	}
-	t.phase = slots.Read
+	t.phase = slots.Prefill
 	like := ""
 	if move == attempt.DoDecode {
-		t.phase = slots.Make
+		t.phase = slots.Decode
 	} else {
-		t.cachedParts = l.prefixes.Depth(t.prefixHashes)
+		t.cachedParts = l.prefixes.CachedParts(t.prefixHashes)
 		top := 0
 		for a, n := range t.cachedParts {
 			if n > top || n == top && a < like {
@@ -148,7 +148,7 @@
 		}
 	}
 	t.stage, t.servableAt = queued, now
-	t.queueEntry = &slots.Wait{ID: t.ID, Side: t.phase, Prio: t.Priority, Tenant: t.Tenant, Due: t.Deadline, Like: like, Pick: func(free []string) string { return l.pick(t, free) }}
-	l.queue.Put(now, t.queueEntry, t.QueueFraction)
+	t.queueEntry = &slots.Entry{ID: t.ID, Phase: t.phase, Priority: t.Priority, Tenant: t.Tenant, Deadline: t.Deadline, PreferredServer: like, Pick: func(free []string) string { return l.pick(t, free) }}
+	l.queue.Enqueue(now, t.queueEntry, t.QueueFraction)
 	o.NeedsSlots = true
 }
--- a/traffic/scheduler/scheduler_test.go
+++ b/traffic/scheduler/scheduler_test.go
@@ -36,7 +36,7 @@
 	put(fleetconfig.ServerRecordKey("m", decode), placement.ServerRecord{Addr: decode, Zone: "a", Role: placement.Decode, Status: placement.Up})
 	src := func(_ int, key string) (message.Record, bool) { r, ok := w.recs[key]; return r, ok }
 	cfg := Config{
-		Queue: slots.Config{Most: 8, Floor: time.Second, Ceil: time.Minute}, RetryRatio: 0.2, RetryWindow: 16 * time.Second, MaxAttempts: 3, MaxWait: time.Second,
+		Queue: slots.Config{MaxQueued: 8, MinRetryAfter: time.Second, MaxRetryAfter: time.Minute}, RetryRatio: 0.2, RetryWindow: 16 * time.Second, MaxAttempts: 3, MaxWait: time.Second,
 		FailureBackoff: time.Second, RejectionBackoff: time.Second, StallTimeout: 2 * time.Second, MaxPiecesAhead: 4, RetryAfter: time.Second, MaxPrefixes: 100,
 	}
 	w.Dispatcher = New(cfg, "m", 1, src, func() uint64 { return 1 })
@@ -66,11 +66,11 @@
 		o = w.ClaimDone(w.now, id, 200, nil)
 	}
 	a := one(t, o, Prefill)
-	return one(t, w.PrefillDone(w.now, id, a.Attempt, serverpool.Handle{ID: "h", Request: id, Attempt: a.Attempt, PrefillServer: a.Addr, Ver: a.PrefillCall.Ver}, serverpool.OK, ""), Decode)
+	return one(t, w.PrefillDone(w.now, id, a.Attempt, serverpool.Handle{ID: "h", Request: id, Attempt: a.Attempt, PrefillServer: a.Addr, RecordVersion: a.PrefillCall.RecordVersion}, serverpool.OK, ""), Decode)
 }
 
 func piece(a Decision, n int) serverpool.Piece {
-	return serverpool.Piece{Request: a.RequestID, Run: a.DecodeCall.Run, N: n}
+	return serverpool.Piece{Request: a.RequestID, RunID: a.DecodeCall.RunID, Number: n}
 }
 
 func TestAWholeTrip(t *testing.T) {
@@ -79,10 +79,10 @@
 	for n := 0; n < 2; n++ {
 		one(t, w.PieceReceived(w.now, "r", a.Attempt, piece(a, n)), SendPiece)
 	}
-	o := w.PieceReceived(w.now, "r", a.Attempt, serverpool.Piece{Request: "r", Run: a.DecodeCall.Run, End: true, Count: 2})
+	o := w.PieceReceived(w.now, "r", a.Attempt, serverpool.Piece{Request: "r", RunID: a.DecodeCall.RunID, End: true, Count: 2})
 	one(t, o, SendPiece)
-	if e := one(t, o, Respond).Answer; e.Result != "finish" || w.InFlight() != 0 || len(w.Report().Held) != 0 {
-		t.Errorf("end %+v, %d open, held %v", e, w.InFlight(), w.Report().Held)
+	if e := one(t, o, Respond).Answer; e.Result != "finish" || w.InFlight() != 0 || len(w.Report().InFlight) != 0 {
+		t.Errorf("end %+v, %d open, held %v", e, w.InFlight(), w.Report().InFlight)
 	}
 }
 
@@ -156,8 +156,8 @@
 	w.now += 200 * time.Millisecond
 	o := w.Tick(w.now)
 	one(t, o, CancelCall)
-	if e := one(t, o, Respond).Answer; e.Result != "break" || !e.ClientStalled || len(w.Report().Held) != 0 {
-		t.Errorf("%+v, held %v", e, w.Report().Held)
+	if e := one(t, o, Respond).Answer; e.Result != "break" || !e.ClientStalled || len(w.Report().InFlight) != 0 {
+		t.Errorf("%+v, held %v", e, w.Report().InFlight)
 	}
 }
 
@@ -191,9 +191,9 @@
 	// A piece with one field changed ends the stream instead of going out.
 	for what, mutate := range map[string]func(*serverpool.Piece){
 		"request": func(p *serverpool.Piece) { p.Request = "s" },
-		"run":     func(p *serverpool.Piece) { p.Run += "x" },
-		"skipped": func(p *serverpool.Piece) { p.N++ },
-		"again":   func(p *serverpool.Piece) { p.N-- },
+		"run":     func(p *serverpool.Piece) { p.RunID += "x" },
+		"skipped": func(p *serverpool.Piece) { p.Number++ },
+		"again":   func(p *serverpool.Piece) { p.Number-- },
 		"error":   func(p *serverpool.Piece) { p.Error = "x" },
 		"early":   func(p *serverpool.Piece) { p.End, p.Count = true, 2 },
 	} {
@@ -213,12 +213,12 @@
 		"request": func(h *serverpool.Handle) { h.Request = "s" },
 		"attempt": func(h *serverpool.Handle) { h.Attempt++ },
 		"reader":  func(h *serverpool.Handle) { h.PrefillServer = decode },
-		"record":  func(h *serverpool.Handle) { h.Ver = "9.9" },
+		"record":  func(h *serverpool.Handle) { h.RecordVersion = "9.9" },
 		"empty":   func(h *serverpool.Handle) { h.ID = "" },
 	} {
 		w := fresh()
 		a := one(t, w.take("r", ""), Prefill)
-		h := serverpool.Handle{ID: "h", Request: "r", Attempt: a.Attempt, PrefillServer: a.Addr, Ver: a.PrefillCall.Ver}
+		h := serverpool.Handle{ID: "h", Request: "r", Attempt: a.Attempt, PrefillServer: a.Addr, RecordVersion: a.PrefillCall.RecordVersion}
 		mutate(&h)
 		for _, x := range w.PrefillDone(w.now, "r", a.Attempt, h, serverpool.OK, "").Decisions {
 			if x.Action == Decode {
--- a/traffic/serverpool/prefix.go
+++ b/traffic/serverpool/prefix.go
@@ -7,10 +7,10 @@
 	"slices"
 )
 
-// Chain hashes a prompt's parts cumulatively: entry i stands for parts 0..i.
+// HashPrefixes hashes a prompt's parts cumulatively: entry i stands for parts 0..i.
 //
-// Example: c := serverpool.Chain(parts); len(c) == len(parts)
-func Chain(parts []Part) []uint64 {
+// Example: c := serverpool.HashPrefixes(parts); len(c) == len(parts)
+func HashPrefixes(parts []Part) []uint64 {
 	h := fnv.New64a()
 	out := make([]uint64, len(parts))
 	for i, p := range parts {
@@ -23,44 +23,46 @@
 	return out
 }
 
-// Prefixes remembers which prefill servers hold which prefix; its user holds the lock.
-type Prefixes struct {
-	most int
-	at   map[uint64][]string
-	keys []uint64
+// PrefixIndex remembers which prefill servers hold which prefix; its user holds the lock.
+type PrefixIndex struct {
+	maxPrefixes int
+	servers     map[uint64][]string
+	inOrder     []uint64
 }
 
-// NewPrefixes makes a memory of at most so many prefixes.
+// NewPrefixIndex makes a memory of at most so many prefixes.
 //
-// Example: p := serverpool.NewPrefixes(65536)
-func NewPrefixes(most int) *Prefixes { return &Prefixes{most: most, at: map[uint64][]string{}} }
+// Example: p := serverpool.NewPrefixIndex(65536)
+func NewPrefixIndex(most int) *PrefixIndex {
+	return &PrefixIndex{maxPrefixes: most, servers: map[uint64][]string{}}
+}
 
-// Note remembers that a prefill server now holds every prefix of the chain.
+// Record remembers that a prefill server now holds every prefix of the chain.
 //
-// Example: p.Note(chain, addr)
-func (p *Prefixes) Note(chain []uint64, addr string) {
+// Example: p.Record(chain, addr)
+func (p *PrefixIndex) Record(chain []uint64, addr string) {
 	for _, c := range chain {
-		list, known := p.at[c]
+		list, known := p.servers[c]
 		if !known {
-			p.keys = append(p.keys, c)
-			if len(p.keys) > p.most {
-				delete(p.at, p.keys[0])
-				p.keys = p.keys[1:]
+			p.inOrder = append(p.inOrder, c)
+			if len(p.inOrder) > p.maxPrefixes {
+				delete(p.servers, p.inOrder[0])
+				p.inOrder = p.inOrder[1:]
 			}
 		}
 		if !slices.Contains(list, addr) {
-			p.at[c] = append(list, addr)
+			p.servers[c] = append(list, addr)
 		}
 	}
 }
 
-// Depth tells how many leading parts each prefill server holds.
+// CachedParts tells how many leading parts each prefill server holds.
 //
-// Example: if p.Depth(chain)[addr] > 0 { prefer(addr) }
-func (p *Prefixes) Depth(chain []uint64) map[string]int {
+// Example: if p.CachedParts(chain)[addr] > 0 { prefer(addr) }
+func (p *PrefixIndex) CachedParts(chain []uint64) map[string]int {
 	out := map[string]int{}
 	for i := len(chain) - 1; i >= 0; i-- {
-		for _, a := range p.at[chain[i]] {
+		for _, a := range p.servers[chain[i]] {
 			if out[a] == 0 {
 				out[a] = i + 1
 			}
@@ -69,13 +71,13 @@
 	return out
 }
 
-// Forget drops a prefill server that lost its caches.
+// ForgetServer drops a prefill server that lost its caches.
 //
-// Example: p.Forget(addr)
-func (p *Prefixes) Forget(addr string) {
-	for c, list := range p.at {
+// Example: p.ForgetServer(addr)
+func (p *PrefixIndex) ForgetServer(addr string) {
+	for c, list := range p.servers {
 		if i := slices.Index(list, addr); i >= 0 {
-			p.at[c] = slices.Delete(slices.Clone(list), i, i+1)
+			p.servers[c] = slices.Delete(slices.Clone(list), i, i+1)
 		}
 	}
 }
--- a/traffic/serverpool/serverpool.go
+++ b/traffic/serverpool/serverpool.go
@@ -25,52 +25,52 @@
 	OK Outcome = iota
 	NotSent
 	Refused
-	Lapsed
+	HandleLost
 	Lost
-	Barred // not sent: its ground was gone at the last look
+	Blocked // not sent: its ground was gone at the last look
 )
 
-// Hands makes the calls.
-type Hands struct {
+// Client makes the calls.
+type Client struct {
 	web *http.Client
 }
 
-// NewHands makes a caller with a connection pool of its own.
+// NewClient makes a caller with a connection pool of its own.
 //
-// Example: h := serverpool.NewHands(300 * time.Millisecond)
-func NewHands(dial time.Duration) *Hands {
-	return &Hands{web: &http.Client{Transport: &http.Transport{
+// Example: h := serverpool.NewClient(300 * time.Millisecond)
+func NewClient(dial time.Duration) *Client {
+	return &Client{web: &http.Client{Transport: &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dial}).DialContext,
 		MaxIdleConnsPerHost: 64, IdleConnTimeout: 30 * time.Second, DisableCompression: true,
 	}}}
 }
 
-// errLapsed stops a request whose ground is gone just before its first byte.
-var errLapsed = errors.New("its record or lease lapsed before it was sent")
+// errBlocked stops a request whose ground is gone just before its first byte.
+var errBlocked = errors.New("its record or lease lapsed before it was sent")
 
-// gate looks once more, when the body's first byte is about to go out, whether
+// checkedBody looks once more, when the body's first byte is about to go out, whether
 // the call may still be made. A server that got no whole body runs nothing.
-type gate struct {
-	r   *bytes.Reader
-	may func() bool
+type checkedBody struct {
+	body    *bytes.Reader
+	maySend func() bool
 }
 
 // Read is for net/http.
 //
 // Example: n, err := g.Read(buf)
-func (g gate) Read(b []byte) (int, error) {
-	if g.r.Len() == int(g.r.Size()) && g.may != nil && !g.may() {
-		return 0, errLapsed
+func (g checkedBody) Read(b []byte) (int, error) {
+	if g.body.Len() == int(g.body.Size()) && g.maySend != nil && !g.maySend() {
+		return 0, errBlocked
 	}
-	return g.r.Read(b)
+	return g.body.Read(b)
 }
 
-func (h *Hands) post(ctx context.Context, url string, in any, may func() bool) (*http.Response, Outcome, string) {
+func (h *Client) post(ctx context.Context, url string, in any, may func() bool) (*http.Response, Outcome, string) {
 	b, err := json.Marshal(in)
 	if err != nil {
 		return nil, NotSent, err.Error()
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, gate{bytes.NewReader(b), may})
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, checkedBody{bytes.NewReader(b), may})
 	if err != nil {
 		return nil, NotSent, err.Error()
 	}
@@ -84,8 +84,8 @@
 		if errors.As(err, &op) && op.Op == "dial" {
 			return nil, NotSent, "no connection"
 		}
-		if errors.Is(err, errLapsed) {
-			return nil, Barred, errLapsed.Error()
+		if errors.Is(err, errBlocked) {
+			return nil, Blocked, errBlocked.Error()
 		}
 		return nil, Lost, err.Error()
 	}
@@ -103,7 +103,7 @@
 	case "shed":
 		return nil, Refused, word.Why
 	case "lapsed":
-		return nil, Lapsed, word.Why
+		return nil, HandleLost, word.Why
 	}
 	return nil, Lost, fmt.Sprintf("status %d", res.StatusCode)
 }
@@ -111,7 +111,7 @@
 // Prefill has a prefill server read the prompt.
 //
 // Example: hd, out, why := h.Prefill(ctx, "127.0.0.1:9000", p, standing)
-func (h *Hands) Prefill(ctx context.Context, addr string, p Prefill, may func() bool) (hd Handle, out Outcome, why string) {
+func (h *Client) Prefill(ctx context.Context, addr string, p PrefillRequest, may func() bool) (hd Handle, out Outcome, why string) {
 	res, out, why := h.post(ctx, "http://"+addr+"/prefill", p, may)
 	if out != OK {
 		return hd, out, why
@@ -126,25 +126,25 @@
 // Decode has a decode server take up the cache and stream the answer.
 //
 // Example: stream, out, why := h.Decode(ctx, "127.0.0.1:9001", d, standing)
-func (h *Hands) Decode(ctx context.Context, addr string, d Decode, may func() bool) (*Stream, Outcome, string) {
+func (h *Client) Decode(ctx context.Context, addr string, d DecodeRequest, may func() bool) (*Stream, Outcome, string) {
 	res, out, why := h.post(ctx, "http://"+addr+"/decode", d, may)
 	if out != OK {
 		return nil, out, why
 	}
-	return &Stream{body: res.Body, r: bufio.NewReaderSize(res.Body, 16<<10)}, OK, ""
+	return &Stream{body: res.Body, reader: bufio.NewReaderSize(res.Body, 16<<10)}, OK, ""
 }
 
 // Stream is an answer under way.
 type Stream struct {
-	body io.ReadCloser
-	r    *bufio.Reader
+	body   io.ReadCloser
+	reader *bufio.Reader
 }
 
 // Next reads one piece.
 //
 // Example: p, err := s.Next()
 func (s *Stream) Next() (p Piece, err error) {
-	line, err := s.r.ReadBytes('\n')
+	line, err := s.reader.ReadBytes('\n')
 	if err != nil {
 		return p, fmt.Errorf("stream broke off: %w", err)
 	}
@@ -164,7 +164,7 @@
 // Usage polls a server.
 //
 // Example: u, err := h.Usage(ctx, "127.0.0.1:9000")
-func (h *Hands) Usage(ctx context.Context, addr string) (u placement.Usage, err error) {
+func (h *Client) Usage(ctx context.Context, addr string) (u placement.Usage, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/usage", nil)
 	if err != nil {
 		return u, err
@@ -184,7 +184,7 @@
 // Order tells a server its part.
 //
 // Example: err := h.Order(ctx, order, holder, stillLeader)
-func (h *Hands) Order(ctx context.Context, o placement.Order, holder string, may func() bool) error {
+func (h *Client) Order(ctx context.Context, o placement.Order, holder string, may func() bool) error {
 	res, out, why := h.post(ctx, "http://"+o.Addr+"/order", struct {
 		placement.Order
 		Holder string `json:"holder"`
--- a/traffic/serverpool/serverpool_test.go
+++ b/traffic/serverpool/serverpool_test.go
@@ -23,13 +23,13 @@
 	}))
 	defer srv.Close()
 	addr := srv.Listener.Addr().String()
-	h := NewHands(time.Second)
+	h := NewClient(time.Second)
 	call := func(may bool) Outcome {
-		_, out, _ := h.Prefill(context.Background(), addr, Prefill{Request: "r", Parts: []Part{{Text: "long enough"}}}, func() bool { return may })
+		_, out, _ := h.Prefill(context.Background(), addr, PrefillRequest{Request: "r", Parts: []Part{{Text: "long enough"}}}, func() bool { return may })
 		return out
 	}
 	for i, may := range []bool{false, true, true, false, true} {
-		if out := call(may); (out == OK) != may || !may && out != Barred {
+		if out := call(may); (out == OK) != may || !may && out != Blocked {
 			t.Errorf("call %d, allowed %v: outcome %d", i, may, out)
 		}
 	}
@@ -47,7 +47,7 @@
 			line := append([]byte(nil), good...)
 			line[i] = x
 			p, err := parse(line)
-			if err == nil && p.Fit("req-1", "run-1", 3) == "" && (p.Request != "req-1" || p.Run != "run-1" || p.N != 3 || p.Error != "") {
+			if err == nil && p.Mismatch("req-1", "run-1", 3) == "" && (p.Request != "req-1" || p.RunID != "run-1" || p.Number != 3 || p.Error != "") {
 				t.Fatalf("%q passes", line)
 			}
 		}
