--- a/traffic/scheduler/call.go
+++ b/traffic/scheduler/call.go
@@ -10,222 +10,230 @@
 	"mulleinmast/traffic/slots"
 )
 
-// startCall opens the attempt for which a slot was given, if its ground stands.
-func (l *Dispatcher) startCall(now time.Duration, t *pendingRequest, addr string, o *Out) {
-	part := placement.Prefill
-	if t.phase == slots.Decode {
-		part = placement.Decode
-	}
-	b, ok := l.servableFor(now, addr, part)
-	if ok && t.isRetry && !l.retries.Take(now) {
-		l.queue.Release(now, t.phase, t.Priority, addr, false)
-		t.reason = "no retry to spare"
-		l.finish(now, t, t.attempts.End(), o)
-		return
-	}
+// startCall opens the attempt for which a slot was given, if the server may still have it.
+func (d *Dispatcher) startCall(now time.Duration, r *pendingRequest, addr string, out *Out) {
+	record, ok := d.servableFor(now, addr, roleOf(r.phase))
 	if !ok {
-		l.requeue(now, t, addr)
+		d.requeue(now, r, addr)
 		return
 	}
-	if !t.firstSendCounted {
-		t.firstSendCounted = true
-		l.counts.FirstSends++
-		l.retries.Earn(now)
-	}
-	if t.isRetry {
-		l.counts.Retries++
+	if r.isRetry && !d.retries.Take(now) {
+		d.queue.Release(now, r.phase, r.Priority, addr, false)
+		d.giveUp(now, r, "no retry to spare", out)
+		return
 	}
-	t.stage, t.server = calling, addr
-	t.attemptNumber++
+	d.countSend(now, r)
+	r.stage, r.server = calling, addr
+	r.attemptNumber++
 	// A silent server gets half of what is left, so that another can be tried.
-	half := (t.Deadline - now) / 2
-	t.callUntil = now + half
-	a := Decision{RequestID: t.ID, Attempt: t.attemptNumber, Addr: addr, Timeout: half}
-	if t.phase == slots.Prefill {
-		t.attempts.Add(attempt.Prefill, addr)
-		t.picks = append(t.picks, fmt.Sprintf("prefill server %s (%s, %s) holds %d of %d prompt parts", addr, b.Zone, b.Status, t.cachedParts[addr], len(t.prefixHashes)))
-		t.prefillZone = b.Zone
-		t.pairedServers = map[string]bool{}
-		for _, m := range b.Pairs {
-			t.pairedServers[m] = true
-		}
-		a.Action = Prefill
-		t.recordVersion = l.records[addr].version.String()
-		a.PrefillCall = serverpool.PrefillRequest{Request: t.ID, Attempt: t.attemptNumber, Term: l.leaderTerm(), RecordVersion: t.recordVersion, Parts: t.Parts, PrefixHashes: t.prefixHashes, TimeoutMillis: (t.Deadline - now).Milliseconds()}
+	half := (r.Deadline - now) / 2
+	r.callUntil = now + half
+	if r.phase == slots.Prefill {
+		out.add(d.prefillCall(now, r, record, half))
 	} else {
-		t.attempts.Add(attempt.Decode, addr)
-		t.picks = append(t.picks, fmt.Sprintf("decode server %s, paired with %s", addr, t.handle.PrefillServer))
-		t.runID = fmt.Sprintf("%s-%d", t.ID, t.attemptNumber)
-		a.Action = Decode
-		a.Timeout = t.Deadline - now
-		a.DecodeCall = serverpool.DecodeRequest{Handle: t.handle, Term: l.leaderTerm(), RunID: t.runID, Tokens: t.Tokens, OnceKey: t.OnceKey, TimeoutMillis: (t.Deadline - now).Milliseconds()}
-	}
-	l.act(o, a)
+		out.add(d.decodeCall(now, r))
+	}
 }
 
-// requeue gives a slot back whose ground was gone; nothing was tried, so it is
-// no attempt and the request keeps its place.
-func (l *Dispatcher) requeue(now time.Duration, t *pendingRequest, addr string) {
-	l.refreshServers(now)
-	l.queue.Release(now, t.phase, t.Priority, addr, false)
-	t.stage = queued
-	l.queue.Enqueue(now, t.queueEntry, t.QueueFraction)
+// roleOf is the role of the servers that do a phase.
+func roleOf(phase slots.Phase) string {
+	if phase == slots.Decode {
+		return placement.Decode
+	}
+	return placement.Prefill
+}
+
+// countSend counts a send, as a first one or as a retry.
+func (d *Dispatcher) countSend(now time.Duration, r *pendingRequest) {
+	if !r.firstSendCounted {
+		r.firstSendCounted = true
+		d.counts.FirstSends++
+		d.retries.Earn(now)
+	}
+	if r.isRetry {
+		d.counts.Retries++
+	}
 }
 
-// underCall finds a trip by the call that its outcome is for.
-func (l *Dispatcher) underCall(id string, no int) *pendingRequest {
-	if t := l.pending[id]; t != nil && t.attemptNumber == no && (t.stage == calling || t.stage == streaming) {
-		return t
+// prefillCall opens an attempt at a prefill server.
+func (d *Dispatcher) prefillCall(
+	now time.Duration, r *pendingRequest, record placement.ServerRecord, timeout time.Duration,
+) Decision {
+	r.attempts.Add(attempt.Prefill, r.server)
+	r.picks = append(r.picks, fmt.Sprintf("prefill server %s (%s, %s) holds %d of %d prompt parts",
+		r.server, record.Zone, record.Status, r.cachedParts[r.server], len(r.prefixHashes)))
+	r.prefillZone = record.Zone
+	r.pairedServers = map[string]bool{}
+	for _, addr := range record.Pairs {
+		r.pairedServers[addr] = true
+	}
+	r.recordVersion = d.records[r.server].version.String()
+	return Decision{
+		RequestID: r.ID, Action: Prefill, Attempt: r.attemptNumber, Addr: r.server, Timeout: timeout,
+		PrefillCall: serverpool.PrefillRequest{
+			Request: r.ID, Attempt: r.attemptNumber, Term: d.leaderTerm(), RecordVersion: r.recordVersion,
+			Parts: r.Parts, PrefixHashes: r.prefixHashes, TimeoutMillis: (r.Deadline - now).Milliseconds(),
+		},
 	}
-	return nil
 }
 
-// callEnded gives the slot of the attempt back, and passes a server by that failed.
-func (l *Dispatcher) callEnded(now time.Duration, t *pendingRequest, out serverpool.Outcome) {
-	bad := out == serverpool.Lost || out == serverpool.NotSent
-	switch {
-	case bad:
-		l.backoffUntil[t.server] = now + l.cfg.FailureBackoff
-	case out == serverpool.Refused:
-		l.backoffUntil[t.server] = now + l.cfg.RejectionBackoff
-	case out == serverpool.OK:
-		delete(l.backoffUntil, t.server)
-	}
-	l.queue.Release(now, t.phase, t.Priority, t.server, bad)
+// decodeCall opens an attempt at a decode server; its stream may take until the deadline.
+func (d *Dispatcher) decodeCall(now time.Duration, r *pendingRequest) Decision {
+	r.attempts.Add(attempt.Decode, r.server)
+	r.picks = append(r.picks, fmt.Sprintf("decode server %s, paired with %s", r.server, r.handle.PrefillServer))
+	r.runID = fmt.Sprintf("%s-%d", r.ID, r.attemptNumber)
+	return Decision{
+		RequestID: r.ID, Action: Decode, Attempt: r.attemptNumber, Addr: r.server, Timeout: r.Deadline - now,
+		DecodeCall: serverpool.DecodeRequest{
+			Handle: r.handle, Term: d.leaderTerm(), RunID: r.runID, Tokens: r.Tokens, OnceKey: r.OnceKey,
+			TimeoutMillis: (r.Deadline - now).Milliseconds(),
+		},
+	}
 }
 
-// undoAttempt takes an attempt back that the last look stopped.
-func (l *Dispatcher) undoAttempt(now time.Duration, t *pendingRequest, o *Out) {
-	t.attempts.Undo()
-	t.picks = t.picks[:len(t.picks)-1]
-	if t.isRetry {
-		l.counts.Retries--
-		l.retries.Return(now)
+// requeue returns a slot that can't be used any more. Nothing was tried, so it is
+// no attempt and the request keeps its place.
+func (d *Dispatcher) requeue(now time.Duration, r *pendingRequest, addr string) {
+	d.refreshServers(now)
+	d.queue.Release(now, r.phase, r.Priority, addr, false)
+	r.stage = queued
+	d.queue.Enqueue(now, r.queueEntry, r.QueueFraction)
+}
+
+// inCall finds a request by the call under way.
+func (d *Dispatcher) inCall(id string, attemptNumber int) *pendingRequest {
+	r := d.pending[id]
+	if r == nil || r.attemptNumber != attemptNumber || r.stage != calling && r.stage != streaming {
+		return nil
 	}
-	l.requeue(now, t, t.server)
-	l.handOutSlots(now, o)
+	return r
 }
 
-// takeOutcome finds the trip that an outcome is for, unless there is nothing more to
-// do: a stray one, or a call that the last look stopped.
-func (l *Dispatcher) takeOutcome(now time.Duration, id string, no int, out serverpool.Outcome, o *Out) *pendingRequest {
-	t := l.underCall(id, no)
-	if t == nil {
+// takeOutcome finds the request that an outcome is for, unless there is nothing more to
+// do: a stray outcome, or that of a call which MaySend stopped.
+func (d *Dispatcher) takeOutcome(
+	now time.Duration, id string, attemptNumber int, outcome serverpool.Outcome, out *Out,
+) *pendingRequest {
+	r := d.inCall(id, attemptNumber)
+	if r == nil {
 		return nil
 	}
-	l.refreshServers(now)
-	if out == serverpool.Blocked {
-		l.undoAttempt(now, t, o)
+	d.refreshServers(now)
+	if outcome == serverpool.Blocked {
+		d.undoAttempt(now, r, out)
 		return nil
 	}
-	return t
+	return r
 }
 
-// PrefillDone takes a prefill server's answer, or its silence.
+// undoAttempt takes back an attempt that MaySend stopped: nothing went out.
+func (d *Dispatcher) undoAttempt(now time.Duration, r *pendingRequest, out *Out) {
+	r.attempts.Undo()
+	r.picks = r.picks[:len(r.picks)-1]
+	if r.isRetry {
+		d.counts.Retries--
+		d.retries.Return(now)
+	}
+	d.requeue(now, r, r.server)
+	d.takeSlots(now, out)
+}
+
+// callEnded returns the slot of the attempt, and has a server that failed passed over.
+func (d *Dispatcher) callEnded(now time.Duration, r *pendingRequest, outcome serverpool.Outcome) {
+	failed := outcome == serverpool.Lost || outcome == serverpool.NotSent
+	switch {
+	case failed:
+		d.backoffUntil[r.server] = now + d.cfg.FailureBackoff
+	case outcome == serverpool.Refused:
+		d.backoffUntil[r.server] = now + d.cfg.RejectionBackoff
+	case outcome == serverpool.OK:
+		delete(d.backoffUntil, r.server)
+	}
+	d.queue.Release(now, r.phase, r.Priority, r.server, failed)
+}
+
+// cancelCall has the call under way ended.
+func (r *pendingRequest) cancelCall(out *Out) {
+	out.add(Decision{RequestID: r.ID, Action: CancelCall, Attempt: r.attemptNumber})
+}
+
+// PrefillDone takes the end of a prefill.
 //
-// Example: out := l.PrefillDone(now, id, no, handle, serverpool.OK, "")
-func (l *Dispatcher) PrefillDone(now time.Duration, id string, no int, hd serverpool.Handle, out serverpool.Outcome, why string) (o Out) {
-	t := l.takeOutcome(now, id, no, out, &o)
-	if t == nil {
-		return o
-	}
-	if out == serverpool.OK {
+// Example: out := d.PrefillDone(now, id, attempt, handle, serverpool.OK, "")
+func (d *Dispatcher) PrefillDone(
+	now time.Duration, id string, attemptNumber int, handle serverpool.Handle, outcome serverpool.Outcome, why string,
+) (out Out) {
+	r := d.takeOutcome(now, id, attemptNumber, outcome, &out)
+	if r == nil {
+		return out
+	}
+	if outcome == serverpool.OK {
 		// The handle is bound to this request, attempt, prefill server and record.
-		if why = hd.Mismatch(id, no, t.server, t.recordVersion); why != "" {
-			out = serverpool.HandleLost
+		if why = handle.Mismatch(id, attemptNumber, r.server, r.recordVersion); why != "" {
+			outcome = serverpool.HandleLost
 		}
 	}
-	switch out {
+	d.prefillEnded(now, r, handle, outcome, why, &out)
+	d.takeSlots(now, &out)
+	return out
+}
+
+// prefillEnded records the end of a prefill and decides on.
+func (d *Dispatcher) prefillEnded(
+	now time.Duration, r *pendingRequest, handle serverpool.Handle, outcome serverpool.Outcome, why string, out *Out,
+) {
+	switch outcome {
 	case serverpool.OK:
-		t.handle = hd
-		t.attempts.Record(attempt.Prefilled, "")
-		l.counts.PromptParts += int64(len(t.prefixHashes))
-		l.counts.CachedParts += int64(hd.CachedParts)
-		l.prefixes.Record(t.prefixHashes, t.server)
+		r.handle = handle
+		r.attempts.Record(attempt.Prefilled, "")
+		d.counts.PromptParts += int64(len(r.prefixHashes))
+		d.counts.CachedParts += int64(handle.CachedParts)
+		d.prefixes.Record(r.prefixHashes, r.server)
 	case serverpool.NotSent:
-		t.attempts.Record(attempt.NotSent, why)
-		l.prefixes.ForgetServer(t.server)
+		r.attempts.Record(attempt.NotSent, why)
+		d.prefixes.ForgetServer(r.server)
 	case serverpool.Refused:
-		t.attempts.Record(attempt.Refused, why)
+		r.attempts.Record(attempt.Refused, why)
 	default:
-		t.attempts.Record(attempt.Lost, why)
+		r.attempts.Record(attempt.Lost, why)
 	}
-	l.callEnded(now, t, out)
-	l.decide(now, t, &o)
-	l.handOutSlots(now, &o)
-	return o
+	d.callEnded(now, r, outcome)
+	d.decide(now, r, out)
 }
 
-// DecodeDone takes the end of a call to a decode server that streamed nothing more: it
-// turned the request away, or its stream broke off.
+// DecodeDone takes the end of a call to a decode server that streams nothing more: it
+// rejected the request, or its stream broke off.
 //
-// Example: out := l.DecodeDone(now, id, no, serverpool.Refused, "full")
-func (l *Dispatcher) DecodeDone(now time.Duration, id string, no int, out serverpool.Outcome, why string) (o Out) {
-	t := l.takeOutcome(now, id, no, out, &o)
-	if t == nil {
-		return o
-	}
-	l.decodeEnded(now, t, out, why, &o)
-	l.handOutSlots(now, &o)
-	return o
+// Example: out := d.DecodeDone(now, id, attempt, serverpool.Refused, "full")
+func (d *Dispatcher) DecodeDone(
+	now time.Duration, id string, attemptNumber int, outcome serverpool.Outcome, why string,
+) (out Out) {
+	r := d.takeOutcome(now, id, attemptNumber, outcome, &out)
+	if r == nil {
+		return out
+	}
+	d.decodeEnded(now, r, outcome, why, &out)
+	d.takeSlots(now, &out)
+	return out
 }
 
-func (l *Dispatcher) decodeEnded(now time.Duration, t *pendingRequest, out serverpool.Outcome, why string, o *Out) {
+// decodeEnded records the end of a decode that is not whole, and decides on.
+func (d *Dispatcher) decodeEnded(
+	now time.Duration, r *pendingRequest, outcome serverpool.Outcome, why string, out *Out,
+) {
 	switch {
-	case t.stage == streaming:
-		t.attempts.Record(attempt.First, why)
-		out = serverpool.Lost
-	case out == serverpool.NotSent:
-		t.attempts.Record(attempt.NotSent, why)
-	case out == serverpool.Refused:
-		t.attempts.Record(attempt.Refused, why)
-	case out == serverpool.HandleLost:
-		t.attempts.Record(attempt.HandleLost, why)
+	case r.stage == streaming:
+		r.attempts.Record(attempt.First, why)
+		outcome = serverpool.Lost
+	case outcome == serverpool.NotSent:
+		r.attempts.Record(attempt.NotSent, why)
+	case outcome == serverpool.Refused:
+		r.attempts.Record(attempt.Refused, why)
+	case outcome == serverpool.HandleLost:
+		r.attempts.Record(attempt.HandleLost, why)
 	default:
-		t.attempts.Record(attempt.Lost, why)
-	}
-	l.callEnded(now, t, out)
-	l.decide(now, t, o)
-}
-
-// PieceReceived takes one piece of a decode server's stream; one that doesn't fit ends it.
-//
-// Example: out := l.PieceReceived(now, id, no, piece)
-func (l *Dispatcher) PieceReceived(now time.Duration, id string, no int, p serverpool.Piece) (o Out) {
-	t := l.underCall(id, no)
-	if t == nil || t.phase != slots.Decode {
-		return o
-	}
-	if why := p.Mismatch(id, t.runID, t.piecesSent); why != "" {
-		l.act(&o, Decision{RequestID: id, Action: CancelCall, Attempt: no})
-		l.refreshServers(now)
-		l.decodeEnded(now, t, serverpool.Lost, why, &o)
-		l.handOutSlots(now, &o)
-		return o
-	}
-	if t.stage == calling {
-		t.stage, t.takenAt = streaming, now
-	}
-	if t.piecesSent == t.piecesTaken {
-		t.takenAt = now
-	}
-	t.piecesSent++
-	l.act(&o, Decision{RequestID: id, Action: SendPiece, Attempt: no, Piece: p})
-	if p.End {
-		t.attempts.Record(attempt.Ended, "")
-		l.refreshServers(now)
-		l.callEnded(now, t, serverpool.OK)
-		l.decide(now, t, &o)
-		l.handOutSlots(now, &o)
-	}
-	return o
-}
-
-// PiecesTaken tells that the client took pieces, so many so far.
-//
-// Example: l.PiecesTaken(now, id, 3)
-func (l *Dispatcher) PiecesTaken(now time.Duration, id string, n int) {
-	if t := l.pending[id]; t != nil && n > t.piecesTaken {
-		t.piecesTaken, t.takenAt = n, now
+		r.attempts.Record(attempt.Lost, why)
 	}
+	d.callEnded(now, r, outcome)
+	d.decide(now, r, out)
 }
--- a/traffic/scheduler/dispatcher.go
+++ b/traffic/scheduler/dispatcher.go
@@ -10,210 +10,141 @@
 	"mulleinmast/traffic/attempt"
 	"mulleinmast/traffic/serverpool"
 	"mulleinmast/traffic/slots"
-	"mulleinmast/wire/message"
 )
 
-// Dispatcher is one service's queue, routes and trips on one daemon; its user holds
-// the lock.
+// Dispatcher is the state machine of one service on one daemon; its user holds the lock.
 type Dispatcher struct {
 	cfg        Config
 	service    string
-	partition  int
+	partition  int // of the service's records
 	source     Source
-	leaderTerm func() uint64
+	leaderTerm func() uint64 // of the partition's leader, as far as known
 
 	queue        *slots.Queue
-	ackedShare   uint64
+	ackedShare   uint64 // number of the last share taken
 	retries      attempt.Bucket
 	prefixes     *serverpool.PrefixIndex
-	backoffUntil map[string]time.Duration
-	servable     map[string]placement.ServerRecord // servers that may get new work now
-	pending      map[string]*pendingRequest
-	plan         *PlanIndex
-	list         serverList
-	records      map[string]parsedRecord
-	counts       Counts
-}
+	backoffUntil map[string]time.Duration   // by address of a server that failed or rejected
+	pending      map[string]*pendingRequest // by id
 
-type parsedRecord struct {
-	version message.Version
-	record  placement.ServerRecord
-	valid   bool
-}
+	servable map[string]placement.ServerRecord // by address: servers that may get new work now
+	plan     *PlanIndex
+	list     serverList
+	records  map[string]parsedRecord // by address
 
-// serverList is a service's list made ready for look-ups.
-type serverList struct {
-	version message.Version
-	byAddr  map[string]fleetconfig.Server
+	counts Counts
 }
 
-// New makes a service's lane; src reads records under valid leases, term is
-// the term of the part's leader as far as known.
+// New makes a service's dispatcher. source reads records under valid leases, leaderTerm is
+// the term of the partition's leader as far as known.
 //
-// Example: l := scheduler.New(cfg, "timetable", 3, daemon.Read, term)
-func New(cfg Config, svc string, partition int, src Source, term func() uint64) *Dispatcher {
+// Example: d := scheduler.New(cfg, "timetable", 3, daemon.Read, term)
+func New(cfg Config, service string, partition int, source Source, leaderTerm func() uint64) *Dispatcher {
 	return &Dispatcher{
-		cfg: cfg, service: svc, partition: partition, source: src, leaderTerm: term, queue: slots.New(cfg.Queue), retries: attempt.Bucket{Ratio: cfg.RetryRatio, Window: cfg.RetryWindow},
-		prefixes: serverpool.NewPrefixIndex(cfg.MaxPrefixes), backoffUntil: map[string]time.Duration{}, servable: map[string]placement.ServerRecord{}, pending: map[string]*pendingRequest{}, records: map[string]parsedRecord{}, counts: Counts{RefusalReasons: map[string]int64{}},
+		cfg: cfg, service: service, partition: partition, source: source, leaderTerm: leaderTerm,
+		queue:        slots.New(cfg.Queue),
+		retries:      attempt.Bucket{Ratio: cfg.RetryRatio, Window: cfg.RetryWindow},
+		prefixes:     serverpool.NewPrefixIndex(cfg.MaxPrefixes),
+		backoffUntil: map[string]time.Duration{},
+		pending:      map[string]*pendingRequest{},
+		servable:     map[string]placement.ServerRecord{},
+		records:      map[string]parsedRecord{},
+		counts:       Counts{RefusedByReason: map[string]int64{}},
 	}
 }
 
-// Service is the lane's service.
+// Service is the dispatcher's service.
 //
-// Example: l.Service() == "timetable"
-func (l *Dispatcher) Service() string { return l.service }
+// Example: d.Service() == "timetable"
+func (d *Dispatcher) Service() string { return d.service }
 
-// Keys are the records that the lane reads, for the daemon to keep cached.
+// Keys are the records that the dispatcher reads, for the daemon to keep cached.
 //
-// Example: for _, k := range l.Keys() { daemon.Pin(part, k) }
-func (l *Dispatcher) Keys() []string {
-	keys := []string{fleetconfig.ListKey(l.service)}
-	for _, a := range slices.Sorted(maps.Keys(l.list.byAddr)) {
-		keys = append(keys, fleetconfig.ServerRecordKey(l.service, a))
+// Example: for _, key := range d.Keys() { daemon.Pin(partition, key) }
+func (d *Dispatcher) Keys() []string {
+	keys := []string{fleetconfig.ListKey(d.service)}
+	for _, addr := range slices.Sorted(maps.Keys(d.list.byAddr)) {
+		keys = append(keys, fleetconfig.ServerRecordKey(d.service, addr))
 	}
 	return keys
 }
 
-// Counts are the lane's numbers so far.
+// Counts are the dispatcher's numbers so far.
 //
-// Example: l.Counts().Served
-func (l *Dispatcher) Counts() Counts {
-	c := l.counts
-	c.RefusalReasons = maps.Clone(l.counts.RefusalReasons)
+// Example: d.Counts().Served
+func (d *Dispatcher) Counts() Counts {
+	c := d.counts
+	c.RefusedByReason = maps.Clone(d.counts.RefusedByReason)
 	return c
 }
 
-// InFlight is the number of trips under way.
+// InFlight is the number of requests under way.
 //
-// Example: l.InFlight() == 0
-func (l *Dispatcher) InFlight() int { return len(l.pending) }
+// Example: d.InFlight() == 0
+func (d *Dispatcher) InFlight() int { return len(d.pending) }
 
 // Report is the queue as the query shell shows it.
 //
-// Example: l.Report().Waiting
-func (l *Dispatcher) Report() slots.Report { return l.queue.Snapshot() }
+// Example: d.Report().Waiting
+func (d *Dispatcher) Report() slots.Report { return d.queue.Snapshot() }
 
-// HasValidShare tells whether the share stands.
+// HasValidShare tells whether the share of slots is still valid.
 //
-// Example: if !l.HasValidShare(now) { ask() }
-func (l *Dispatcher) HasValidShare(now time.Duration) bool { return l.queue.HasValidShare(now) }
+// Example: if !d.HasValidShare(now) { requestSlots() }
+func (d *Dispatcher) HasValidShare(now time.Duration) bool { return d.queue.HasValidShare(now) }
 
-// Demand is what the leader is told: what waits, what is in flight, what failed.
+// Demand is what the leader hears: what waits, what is in flight, what failed since it
+// was last asked for.
 //
-// Example: share, at, ok := daemon.Share(ctx, part, l.Demand(), limit)
-func (l *Dispatcher) Demand() placement.Demand {
-	r := l.queue.Report()
-	return placement.Demand{Service: l.service, AckedShare: l.ackedShare, Prefill: r.Prefill, Decode: r.Decode, InFlight: r.InFlight, Failures: r.Failures, PrefixHits: r.PreferredServers}
+// Example: share, at, ok := daemon.RequestSlots(ctx, partition, d.Demand(), timeout)
+func (d *Dispatcher) Demand() placement.Demand {
+	r := d.queue.Report()
+	return placement.Demand{
+		Service: d.service, AckedShare: d.ackedShare,
+		Prefill: r.Prefill, Decode: r.Decode, InFlight: r.InFlight,
+		Failures: r.Failures, PrefixHits: r.PreferredServers,
+	}
 }
 
-// SetShare takes a share, counted from when it was asked for.
+// SetShare takes a share of slots; its time counts from when it was asked for.
 //
-// Example: out := l.SetShare(now, share, askedAt)
-func (l *Dispatcher) SetShare(now time.Duration, s placement.Share, at time.Duration) (o Out) {
-	l.ackedShare = s.Number
-	l.refreshServers(now)
-	l.queue.SetShare(now, s.Slots, at+time.Duration(s.Length))
-	l.handOutSlots(now, &o)
-	return o
+// Example: out := d.SetShare(now, share, askedAt)
+func (d *Dispatcher) SetShare(now time.Duration, s placement.Share, askedAt time.Duration) (out Out) {
+	d.ackedShare = s.Number
+	d.refreshServers(now)
+	d.queue.SetShare(now, s.Slots, askedAt+time.Duration(s.Length))
+	d.takeSlots(now, &out)
+	return out
 }
 
 // Tick lets time pass.
 //
-// Example: out := l.Tick(now)
-func (l *Dispatcher) Tick(now time.Duration) (o Out) {
-	l.refreshServers(now)
-	l.queue.Assign(now)
-	l.handOutSlots(now, &o)
-	for _, id := range slices.Sorted(maps.Keys(l.pending)) {
-		if t := l.pending[id]; t != nil {
-			l.checkTimeouts(now, t, &o)
-		}
-	}
-	l.handOutSlots(now, &o)
-	return o
-}
-
-// refreshServers reads the routes from the lease cache; without valid leases there are
-// none.
-func (l *Dispatcher) refreshServers(now time.Duration) {
-	clear(l.servable)
-	if rec, ok := l.source(l.partition, fleetconfig.ListKey(l.service)); ok {
-		l.parseList(rec)
-		for a := range l.list.byAddr {
-			if b, ok := l.servableRecord(a); ok {
-				l.servable[a] = b
-			}
-		}
-	}
-	for a, till := range l.backoffUntil {
-		if now >= till {
-			delete(l.backoffUntil, a)
-		}
-	}
-}
-
-func (l *Dispatcher) parseList(rec message.Record) serverList {
-	if l.list.byAddr == nil || l.list.version != rec.Version {
-		l.list = serverList{version: rec.Version, byAddr: map[string]fleetconfig.Server{}}
-		for _, s := range fleetconfig.OpenList(rec).Servers {
-			l.list.byAddr[s.Addr] = s
+// Example: out := d.Tick(now)
+func (d *Dispatcher) Tick(now time.Duration) (out Out) {
+	d.refreshServers(now)
+	d.queue.Assign(now)
+	d.takeSlots(now, &out)
+	for _, id := range slices.Sorted(maps.Keys(d.pending)) {
+		if r := d.pending[id]; r != nil { // it may have ended by another one's slot
+			d.checkTimeouts(now, r, &out)
 		}
 	}
-	return l.list
+	d.takeSlots(now, &out)
+	return out
 }
 
-// servableRecord is a server's record if it may get new work now: both leases valid,
-// listed, in a part, not leaving, not excluded, its zone in service.
-func (l *Dispatcher) servableRecord(addr string) (b placement.ServerRecord, ok bool) {
-	rec, ok := l.source(l.partition, fleetconfig.ServerRecordKey(l.service, addr))
-	if !ok {
-		return b, false
-	}
-	p, known := l.records[addr]
-	if !known || p.version != rec.Version {
-		p.version = rec.Version
-		p.record, p.valid = placement.OpenServerRecord(rec)
-		l.records[addr] = p
-	}
-	b = p.record
-	if !p.valid || b.NextRole != "" || b.Status != placement.Up && b.Status != placement.Warming {
-		return b, false
-	}
-	list, ok := l.source(l.partition, fleetconfig.ListKey(l.service))
-	if !ok {
-		return b, false
-	}
-	in, ok := l.parseList(list).byAddr[addr]
-	zones, okZones := l.source(0, fleetconfig.ZoneKey)
-	plan, okPlan := l.source(0, fleetconfig.PlanKey)
-	if !ok || in.Leaving || !okZones || !okPlan || !zones.Deleted && fleetconfig.OpenZones(zones)[b.Zone] {
-		return b, false
-	}
-	if l.plan == nil || l.plan.Version != plan.Version {
-		l.plan = NewPlanIndex(plan)
-	}
-	return b, !l.plan.excluded[l.service][addr]
-}
-
-// servableFor tells whether the record and the share that work on a server rests
-// on stand now.
-func (l *Dispatcher) servableFor(now time.Duration, addr, part string) (placement.ServerRecord, bool) {
-	b, ok := l.servableRecord(addr)
-	return b, ok && b.Role == part && l.queue.HasValidShare(now)
-}
-
-// MaySend is the last look before a call's first byte goes out.
+// MaySend is the last check before a call's first byte goes out.
 //
-// Example: if !l.MaySend(now, act) { return Barred }
-func (l *Dispatcher) MaySend(now time.Duration, a Decision) bool {
-	part := placement.Prefill
-	if a.Action == Decode {
-		part = placement.Decode
-	}
-	t := l.pending[a.RequestID]
-	if t == nil || t.stage != calling || t.attemptNumber != a.Attempt || now >= t.Deadline {
+// Example: if !d.MaySend(now, decision) { return serverpool.Blocked }
+func (d *Dispatcher) MaySend(now time.Duration, m Decision) bool {
+	r := d.pending[m.RequestID]
+	if r == nil || r.stage != calling || r.attemptNumber != m.Attempt || now >= r.Deadline {
 		return false
 	}
-	_, ok := l.servableFor(now, a.Addr, part)
+	role := placement.Prefill
+	if m.Action == Decode {
+		role = placement.Decode
+	}
+	_, ok := d.servableFor(now, m.Addr, role)
 	return ok
 }
--- a/traffic/scheduler/pick.go
+++ b/traffic/scheduler/pick.go
@@ -6,71 +6,88 @@
 	"mulleinmast/traffic/slots"
 )
 
-// draw is chance from the request's own identity, so that daemons don't herd.
-func (t *pendingRequest) draw() uint64 {
-	x := uint64(len(t.attempts.Attempts)) + 1
-	for _, c := range t.ID {
-		x = x*1099511628211 ^ uint64(c)
+// draw is a random number from the request's own identity, so that daemons don't herd.
+func (r *pendingRequest) draw() uint64 {
+	const fnvPrime = 1099511628211
+	x := uint64(len(r.attempts.Attempts)) + 1
+	for _, c := range r.ID {
+		x = x*fnvPrime ^ uint64(c)
 	}
 	return x >> 17
 }
 
-// pick chooses among free servers for the side that the trip waits for.
-func (l *Dispatcher) pick(t *pendingRequest, free []string) string {
-	if t.phase == slots.Prefill {
-		return l.pickPrefill(t, free)
+// pick chooses among free servers for the phase that the request waits for; "" is none.
+func (d *Dispatcher) pick(r *pendingRequest, free []string) string {
+	if r.phase == slots.Prefill {
+		return d.pickPrefill(r, free)
 	}
-	return l.pickDecode(t, free)
+	return d.pickDecode(r, free)
 }
 
-// pickPrefill is the one that holds most of the prompt; random among equals.
-func (l *Dispatcher) pickPrefill(t *pendingRequest, free []string) string {
-	best, top, n := "", -1, uint64(0)
-	for _, a := range free {
-		b, ok := l.servable[a]
-		if !ok || b.Role != placement.Prefill || len(b.Pairs) == 0 || t.attempts.Tried(attempt.Prefill, a) || l.isBackingOff(a) {
+// pickPrefill is the server that has most of the prompt cached; random among equals.
+func (d *Dispatcher) pickPrefill(r *pendingRequest, free []string) string {
+	best, most, equals := "", -1, uint64(0)
+	for _, addr := range free {
+		if !d.mayPrefill(r, addr) {
 			continue
 		}
-		switch {
-		case t.cachedParts[a] > top:
-			best, top, n = a, t.cachedParts[a], 1
-		case t.cachedParts[a] == top:
-			if n++; t.draw()%n == 0 {
-				best = a
+		switch parts := r.cachedParts[addr]; {
+		case parts > most:
+			best, most, equals = addr, parts, 1
+		case parts == most:
+			if equals++; r.draw()%equals == 0 {
+				best = addr
 			}
 		}
 	}
 	return best
 }
 
-// pickDecode is one that the prefill server is paired with, in its zone if there is one.
-func (l *Dispatcher) pickDecode(t *pendingRequest, free []string) string {
-	best, n, near := "", uint64(0), false
-	for _, a := range free {
-		b, ok := l.servable[a]
-		if !ok || b.Role != placement.Decode || !t.pairedServers[a] || t.attempts.Tried(attempt.Decode, a) || l.isBackingOff(a) {
+// mayPrefill filters the servers for a prefill.
+func (d *Dispatcher) mayPrefill(r *pendingRequest, addr string) bool {
+	record, ok := d.servable[addr]
+	return ok && record.Role == placement.Prefill && len(record.Pairs) > 0 &&
+		!r.attempts.Tried(attempt.Prefill, addr) && !d.isBackingOff(addr)
+}
+
+// pickDecode is a server that the prefill server is paired with, in its zone if there is
+// one; random among equals.
+func (d *Dispatcher) pickDecode(r *pendingRequest, free []string) string {
+	best, equals, bestInZone := "", uint64(0), false
+	for _, addr := range free {
+		if !d.mayDecode(r, addr) {
 			continue
 		}
-		same := b.Zone == t.prefillZone
+		inZone := d.servable[addr].Zone == r.prefillZone
 		switch {
-		case best == "" || same && !near:
-			best, n, near = a, 1, same
-		case same == near:
-			if n++; t.draw()%n == 0 {
-				best = a
+		case best == "" || inZone && !bestInZone:
+			best, equals, bestInZone = addr, 1, inZone
+		case inZone == bestInZone:
+			if equals++; r.draw()%equals == 0 {
+				best = addr
 			}
 		}
 	}
 	return best
 }
 
-func (l *Dispatcher) isBackingOff(addr string) bool { _, ok := l.backoffUntil[addr]; return ok }
+// mayDecode filters the servers for a decode.
+func (d *Dispatcher) mayDecode(r *pendingRequest, addr string) bool {
+	record, ok := d.servable[addr]
+	return ok && record.Role == placement.Decode && r.pairedServers[addr] &&
+		!r.attempts.Tried(attempt.Decode, addr) && !d.isBackingOff(addr)
+}
+
+func (d *Dispatcher) isBackingOff(addr string) bool {
+	_, ok := d.backoffUntil[addr]
+	return ok
+}
 
-// canBeServed tells whether the trip could go to any server, were it free.
-func (l *Dispatcher) canBeServed(t *pendingRequest) bool {
-	all := make([]string, 0, len(l.servable))
-	for a := range l.servable {
-		all = append(all, a)
+// canBeServed tells whether the request could go to any server, were it free.
+func (d *Dispatcher) canBeServed(r *pendingRequest) bool {
+	all := make([]string, 0, len(d.servable))
+	for addr := range d.servable {
+		all = append(all, addr)
 	}
-	return l.pick(t, all) != ""
+	return d.pick(r, all) != ""
 }
--- a/traffic/scheduler/plan.go
+++ b/traffic/scheduler/plan.go
@@ -1,7 +1,9 @@
 package scheduler
 
 import (
+	"cmp"
 	"fmt"
+	"net/http"
 	"slices"
 	"time"
 
@@ -10,30 +12,36 @@
 	"mulleinmast/wire/message"
 )
 
-// PlanIndex is a plan made ready for look-ups.
+// defaultTokens is the most tokens of an answer where the client names none.
+const defaultTokens = 16
+
+// PlanIndex is a plan made ready for look-ups; it doesn't change.
 type PlanIndex struct {
-	Version    message.Version
+	Version    message.Version // of the record
 	planNumber uint64
 	tenants    map[string]fleetconfig.Tenant
-	excluded   map[string]map[string]bool // service -> servers that it excludes
+	excluded   map[string]map[string]bool // by service: addresses of servers that it excludes
 }
 
 // NewPlanIndex reads the plan in force; do it once a version.
 //
-// Example: s := scheduler.NewPlanIndex(rec)
+// Example: index := scheduler.NewPlanIndex(rec)
 func NewPlanIndex(rec message.Record) *PlanIndex {
-	p := fleetconfig.OpenPlan(rec)
-	s := &PlanIndex{Version: rec.Version, planNumber: p.Version, tenants: map[string]fleetconfig.Tenant{}, excluded: map[string]map[string]bool{}}
-	for _, t := range p.Tenants {
-		s.tenants[t.Name] = t
+	plan := fleetconfig.OpenPlan(rec)
+	p := &PlanIndex{
+		Version: rec.Version, planNumber: plan.Version,
+		tenants: map[string]fleetconfig.Tenant{}, excluded: map[string]map[string]bool{},
+	}
+	for _, tenant := range plan.Tenants {
+		p.tenants[tenant.Name] = tenant
 	}
-	for _, v := range p.Services {
-		s.excluded[v.Name] = map[string]bool{}
-		for _, a := range v.Exclude {
-			s.excluded[v.Name][a] = true
+	for _, service := range plan.Services {
+		p.excluded[service.Name] = map[string]bool{}
+		for _, addr := range service.Exclude {
+			p.excluded[service.Name][addr] = true
 		}
 	}
-	return s
+	return p
 }
 
 // ClientRequest is what a client sends.
@@ -41,31 +49,34 @@
 	Model         string            `json:"model"`
 	Tenant        string            `json:"tenant"`
 	Parts         []serverpool.Part `json:"parts"`
-	Tokens        int               `json:"tokens"`
+	Tokens        int               `json:"tokens"` // 0: defaultTokens
 	OnceKey       string            `json:"once,omitempty"`
-	TimeoutMillis *int64            `json:"budget_ms,omitempty"`
+	TimeoutMillis *int64            `json:"budget_ms,omitempty"` // none: the tenant's
 }
 
-// Admit checks a request against the plan; code is 0 if it may go on.
+// Admit checks a request against the plan; status is 0 if it may go on.
 //
-// Example: req, code, why := sheet.Admit(asked, id, now)
-func (s *PlanIndex) Admit(q ClientRequest, id string, now time.Duration) (r Request, code int, why string) {
-	ten, ok := s.tenants[q.Tenant]
+// Example: request, status, why := index.Admit(asked, id, now)
+func (p *PlanIndex) Admit(c ClientRequest, id string, now time.Duration) (r Request, status int, why string) {
+	tenant, ok := p.tenants[c.Tenant]
 	if !ok {
-		return r, 403, fmt.Sprintf("tenant: %q isn't in the plan (version %d)", q.Tenant, s.planNumber)
-	}
-	if _, ok := s.excluded[q.Model]; !ok {
-		return r, 404, fmt.Sprintf("model: %q isn't in the plan (version %d)", q.Model, s.planNumber)
+		why = fmt.Sprintf("tenant: %q isn't in the plan (version %d)", c.Tenant, p.planNumber)
+		return r, http.StatusForbidden, why
 	}
-	if len(ten.Services) > 0 && !slices.Contains(ten.Services, q.Model) {
-		return r, 403, fmt.Sprintf("model: tenant %q may not use %q", q.Tenant, q.Model)
+	if _, ok := p.excluded[c.Model]; !ok {
+		why = fmt.Sprintf("model: %q isn't in the plan (version %d)", c.Model, p.planNumber)
+		return r, http.StatusNotFound, why
 	}
-	timeout := time.Duration(ten.TimeoutMillis) * time.Millisecond
-	if q.TimeoutMillis != nil {
-		timeout = time.Duration(*q.TimeoutMillis) * time.Millisecond
+	if len(tenant.Services) > 0 && !slices.Contains(tenant.Services, c.Model) {
+		return r, http.StatusForbidden, fmt.Sprintf("model: tenant %q may not use %q", c.Tenant, c.Model)
 	}
-	if q.Tokens == 0 {
-		q.Tokens = 16
+	timeoutMillis := int64(tenant.TimeoutMillis)
+	if c.TimeoutMillis != nil {
+		timeoutMillis = *c.TimeoutMillis
 	}
-	return Request{ID: id, Tenant: q.Tenant, Model: q.Model, Priority: ten.Priority, QueueFraction: ten.QueueFraction, Deadline: now + timeout, Tokens: q.Tokens, OnceKey: q.OnceKey, Parts: q.Parts}, 0, ""
+	return Request{
+		ID: id, Tenant: c.Tenant, Model: c.Model, Priority: tenant.Priority, QueueFraction: tenant.QueueFraction,
+		Deadline: now + time.Duration(timeoutMillis)*time.Millisecond,
+		Tokens:   cmp.Or(c.Tokens, defaultTokens), OnceKey: c.OnceKey, Parts: c.Parts,
+	}, 0, ""
 }
--- a/traffic/serverpool/serverpool_test.go
+++ b/traffic/serverpool/serverpool_test.go
@@ -46,7 +46,7 @@
 		for _, x := range []byte{0, '0', '9', '"', '}', 'x'} {
 			line := append([]byte(nil), good...)
 			line[i] = x
-			p, err := parse(line)
+			p, err := parsePiece(line)
 			if err == nil && p.Mismatch("req-1", "run-1", 3) == "" && (p.Request != "req-1" || p.RunID != "run-1" || p.Number != 3 || p.Error != "") {
 				t.Fatalf("%q passes", line)
 			}
