--- a/proof/judge/judge_test.go
+++ b/proof/judge/judge_test.go
@@ -10,7 +10,7 @@
 
 const one = int64(1e9)
 
-// A clean history, and for each rule the one change that breaks it.
+// clean is a history that breaks no rule.
 func clean() []history.Event {
 	ev := []history.Event{
 		{At: 0, Who: "m", Ev: "boot", N: 8, Zone: "a", Warm: 4 * one},
@@ -34,40 +34,61 @@
 	return ev
 }
 
-func TestEachRuleIsCaught(t *testing.T) {
-	if rows := All(clean(), Default()); len(rows) > 0 {
-		t.Fatalf("clean history: %v", rows)
-	}
-	plant := map[string][]history.Event{
-		"once":         {{At: 7*one + 1, Who: "q", Ev: "decode", Request: "r9", CacheOf: "r9", Run: "r9-1", Once: "k1"}},
-		"refused":      {{At: 9 * one, Who: "q", Ev: "decode", Request: "r2", CacheOf: "r2"}},
-		"refused key":  {{At: 9 * one, Who: "c", Ev: "reply", Request: "r12", Once: "k1", Result: "shed", After: 1, Took: one / 2}},
-		"foreign":      {{At: 7 * one, Who: "q", Ev: "decode", Request: "r3", CacheOf: "r4"}},
-		"stream":       {{At: 7 * one, Who: "c", Ev: "reply", Result: "wrong", Why: "piece 3 where 2 was due"}},
-		"whole":        {{At: 7 * one, Who: "c", Ev: "reply", Request: "r8", Result: "ok", Run: "r8-1", Count: 2}},
-		"final":        {{At: 9 * one, Who: "c", Ev: "reply", Request: "r2", Result: "broken"}},
-		"answered":     {{At: 9 * one, Who: "c", Ev: "reply", Request: "r11", Result: "hung", Took: 15 * one}},
-		"told":         {{At: 9 * one, Who: "c", Ev: "reply", Request: "r7", Result: "uncertain"}},
-		"holders":      {{At: 6 * one, Who: "m", Ev: "order", Holder: "z", Term: 3}},
-		"leaving":      {{At: 8*one + 2, Who: "m", Ev: "prefill", Request: "r5"}},
-		"evacuated":    {{At: 0, Who: "o", Ev: "boot", N: 8, Zone: "a"}, {At: 14*one + 1, Who: "o", Ev: "prefill", Request: "r6"}},
+// plantedFaults are, by rule, events that break it when they are added to a clean
+// history. What stands behind a rule's name tells several faults apart.
+func plantedFaults() map[string][]history.Event {
+	faults := map[string][]history.Event{
+		"once": {
+			{At: 7*one + 1, Who: "q", Ev: "decode", Request: "r9", CacheOf: "r9", Run: "r9-1", Once: "k1"},
+		},
+		"refused": {{At: 9 * one, Who: "q", Ev: "decode", Request: "r2", CacheOf: "r2"}},
+		"refused key": {
+			{At: 9 * one, Who: "c", Ev: "reply", Request: "r12", Once: "k1", Result: "shed", After: 1, Took: one / 2},
+		},
+		"foreign":  {{At: 7 * one, Who: "q", Ev: "decode", Request: "r3", CacheOf: "r4"}},
+		"stream":   {{At: 7 * one, Who: "c", Ev: "reply", Result: "wrong", Why: "piece 3 where 2 was due"}},
+		"whole":    {{At: 7 * one, Who: "c", Ev: "reply", Request: "r8", Result: "ok", Run: "r8-1", Count: 2}},
+		"final":    {{At: 9 * one, Who: "c", Ev: "reply", Request: "r2", Result: "broken"}},
+		"answered": {{At: 9 * one, Who: "c", Ev: "reply", Request: "r11", Result: "hung", Took: 15 * one}},
+		"told":     {{At: 9 * one, Who: "c", Ev: "reply", Request: "r7", Result: "uncertain"}},
+		"holders":  {{At: 6 * one, Who: "m", Ev: "order", Holder: "z", Term: 3}},
+		"leaving":  {{At: 8*one + 2, Who: "m", Ev: "prefill", Request: "r5"}},
+		"evacuated": {
+			{At: 0, Who: "o", Ev: "boot", N: 8, Zone: "a"},
+			{At: 14*one + 1, Who: "o", Ev: "prefill", Request: "r6"},
+		},
 		"flood":        {{At: 2 * one, Who: "m", Ev: "prefill", Request: "r7", N: 5}},
 		"plan-race":    {{At: 2 * one, Ev: "plan", Plan: "p9", Base: 1, Ver: 2, Result: "taken"}},
 		"plan-refused": {{At: 5 * one, Who: "e", Ev: "plan", Plan: "p3", Base: 2, Ver: 3, Result: "broken"}},
 		"plan-back":    {{At: 5 * one, Who: "d", Ev: "serves", Plan: "p1", Ver: 1}},
 		"plan-late":    {{At: 6 * one, Who: "e", Ev: "serves", Plan: "p1", Ver: 1}},
-		"linear":       {{At: 6 * one, Ev: "plan", Plan: "p8", Base: 2, Ver: 3, Result: "taken", Took: 1}, {At: 7 * one, Ev: "plan", Plan: "p8", Base: 2, Ver: 3, Result: "beaten", Took: 1}},
-		"linear late":  {{At: 6 * one, Ev: "plan", Plan: "p1", Base: 0, Ver: 3, Result: "taken", Took: 1}},
-		"linear read":  {{At: 6 * one, Ev: "read", Plan: "p1", Ver: 1}},
-		"plan-old":     {{At: 5 * one, Who: "d", Ev: "readback", Plan: "p1", Ver: 1, Took: one}},
-		"plan-old no":  {{At: 5 * one, Who: "o", Ev: "plan", Plan: "p4", Base: 2, Ver: 1, Took: one, Result: "beaten"}},
-		"recovery":     {{At: 9 * one, Ev: "mended"}, {At: 10 * one, Who: "c", Ev: "reply", Request: "r10", Result: "shed", After: 1, Zone: "a"}, {At: 22 * one, Ev: "stop"}},
+		"linear": {
+			{At: 6 * one, Ev: "plan", Plan: "p8", Base: 2, Ver: 3, Result: "taken", Took: 1},
+			{At: 7 * one, Ev: "plan", Plan: "p8", Base: 2, Ver: 3, Result: "beaten", Took: 1},
+		},
+		"linear late": {{At: 6 * one, Ev: "plan", Plan: "p1", Base: 0, Ver: 3, Result: "taken", Took: 1}},
+		"linear read": {{At: 6 * one, Ev: "read", Plan: "p1", Ver: 1}},
+		"plan-old":    {{At: 5 * one, Who: "d", Ev: "readback", Plan: "p1", Ver: 1, Took: one}},
+		"plan-old no": {
+			{At: 5 * one, Who: "o", Ev: "plan", Plan: "p4", Base: 2, Ver: 1, Took: one, Result: "beaten"},
+		},
+		"recovery": {
+			{At: 9 * one, Ev: "mended"},
+			{At: 10 * one, Who: "c", Ev: "reply", Request: "r10", Result: "shed", After: 1, Zone: "a"},
+			{At: 22 * one, Ev: "stop"},
+		},
 	}
-	var many []history.Event
 	for i := 0; i < 30; i++ {
-		many = append(many, history.Event{At: 2 * one, Who: "n", Ev: "prefill", Request: "a1", N: 1})
+		faults["retries"] = append(faults["retries"], history.Event{At: 2 * one, Who: "n", Ev: "prefill", Request: "a1", N: 1})
+	}
+	return faults
+}
+
+func TestEachPlantedFaultBreaksItsRule(t *testing.T) {
+	if rows := All(clean(), Default()); len(rows) > 0 {
+		t.Fatalf("clean history: %v", rows)
 	}
-	plant["retries"] = many
+	plant := plantedFaults()
 	for _, r := range Rules {
 		if plant[r.Name] == nil {
 			t.Errorf("%s: no fault planted", r.Name)
--- a/proof/judge/linear.go
+++ b/proof/judge/linear.go
@@ -10,49 +10,44 @@
 	"mulleinmast/proof/history"
 )
 
-// Results of plan calls in the journal that the check of the whole history goes
-// by. What else a call came to counts as no clear answer.
-const (
-	callTaken    = "taken"
-	callConflict = "beaten"
-	callBroken   = "broken"
-)
+// maxSearch bounds the search for one history; those of a run take milliseconds,
+// on a busy machine seconds.
+const maxSearch = time.Minute
 
-const mostSearch = time.Minute // for one history; those of a run take milliseconds, on a busy machine seconds
-
-// step is one thing that a history of plan calls is made of.
-type step uint8
+// stepKind is one thing that a history of plan calls is made of.
+type stepKind uint8
 
 const (
-	effect        step = iota + 1 // a call comes into force
-	heardTaken                    // a caller hears that its call is in force
-	heardConflict                 // a caller hears that another version was there before
-	read                          // a daemon reads under its leases
-	end                           // nothing more is seen
+	stepEffect        stepKind = iota + 1 // a call comes into force
+	stepHeardTaken                        // a caller hears that its call is in force
+	stepHeardConflict                     // a caller hears that another version was there before
+	stepRead                              // a daemon reads under its leases
+	stepEnd                               // nothing more is seen
 )
 
 // planStep is a step of one call. One whose call had no clear answer may do
 // without.
 type planStep struct {
-	step    step
-	id      string
-	base    uint64
-	number  uint64
+	kind    stepKind
+	id      string // of the plan
+	base    uint64 // version that the call names as its base
+	number  uint64 // version that the operator chose; 0: the one after the base
 	version uint64 // that was heard or read; 0: none
-	maybe   bool
+	maybe   bool   // no clear answer: the step may never come
 }
 
 // chain is the plans in force so far, the newest first.
 type chain struct {
-	id      string
-	version uint64
-	sum     uint64 // over all of them
-	before  *chain
-	ended   bool
+	id       string
+	version  uint64
+	hash     uint64 // over all of them
+	previous *chain
+	ended    bool
 }
 
+// find returns the chain up to a plan, or nil if that was never in force.
 func (c *chain) find(id string) *chain {
-	for ; c != nil; c = c.before {
+	for ; c != nil; c = c.previous {
 		if c.id == id {
 			return c
 		}
@@ -60,42 +55,53 @@
 	return nil
 }
 
+// hashPrime is that of FNV-1a with 64 bits.
+const hashPrime = 1099511628211
+
+// next is the chain after a plan came into force.
 func (c *chain) next(id string, version uint64) *chain {
-	sum := c.sum*1099511628211 + version
+	hash := c.hash*hashPrime + version
 	for _, b := range []byte(id) {
-		sum = (sum ^ uint64(b)) * 1099511628211
+		hash = (hash ^ uint64(b)) * hashPrime
 	}
-	return &chain{id: id, version: version, sum: sum, before: c}
+	return &chain{id: id, version: version, hash: hash, previous: c}
 }
 
-// allows tells whether a step may come now, and what is in force then. A call
-// comes into force once, on the version that it names.
+// allows reports whether a step may come now, and what is in force then.
 func (c *chain) allows(s planStep) (bool, *chain) {
-	switch was := c.find(s.id); s.step {
-	case end:
-		return true, &chain{id: c.id, version: c.version, sum: c.sum, before: c.before, ended: true}
-	case read:
+	inForce := c.find(s.id)
+	switch s.kind {
+	case stepEnd:
+		return true, &chain{id: c.id, version: c.version, hash: c.hash, previous: c.previous, ended: true}
+	case stepRead:
 		return c.version == s.version && c.id == s.id, c
-	case heardTaken:
-		return was != nil && was.version == s.version, c
-	case heardConflict:
-		return was == nil && c.version != s.base, c
-	default:
-		if c.ended || was != nil || s.base != c.version {
-			return c.ended && s.maybe, c
-		}
-		version := c.version + 1
-		if s.number > 0 {
-			version = s.number
-		}
-		if version <= c.version || s.version > 0 && version != s.version {
-			return false, c
-		}
-		return true, c.next(s.id, version)
+	case stepHeardTaken:
+		return inForce != nil && inForce.version == s.version, c
+	case stepHeardConflict:
+		return inForce == nil && c.version != s.base, c
 	}
+	return c.allowsEffect(s, inForce != nil)
 }
 
-var plans = porcupine.Model{
+// allowsEffect is allows for a call that comes into force: once, on the version
+// that it names. One without a clear answer may also never do so: it then comes
+// after the end.
+func (c *chain) allowsEffect(s planStep, already bool) (bool, *chain) {
+	if c.ended || already || s.base != c.version {
+		return c.ended && s.maybe, c
+	}
+	version := c.version + 1
+	if s.number > 0 {
+		version = s.number
+	}
+	if version <= c.version || s.version > 0 && version != s.version {
+		return false, c
+	}
+	return true, c.next(s.id, version)
+}
+
+// planModel is a machine that does one plan call after the other.
+var planModel = porcupine.Model{
 	Init: func() any { return &chain{} },
 	Step: func(state, input, _ any) (bool, any) {
 		ok, next := state.(*chain).allows(input.(planStep))
@@ -103,89 +109,123 @@
 	},
 	Equal: func(a, b any) bool {
 		x, y := a.(*chain), b.(*chain)
-		return x == y || x.sum == y.sum && x.version == y.version && x.id == y.id && x.ended == y.ended
+		return x == y || x.hash == y.hash && x.version == y.version && x.id == y.id && x.ended == y.ended
 	},
-	Hash: func(state any) uint64 { return state.(*chain).sum },
+	Hash: func(state any) uint64 { return state.(*chain).hash },
 }
 
-// call is what is known of one plan call over all its tries.
-type call struct {
+// planCall is what is known of one plan call over all its attempts.
+type planCall struct {
 	planStep
-	sent, heard int64
-	conflict    bool
+	sent     int64 // first
+	heard    int64 // that it is in force; the end of time if nobody heard so
+	conflict bool  // an attempt was answered so
 }
 
-// layOut lays out what was seen until a moment, of the calls that say when
+// calls are the plan calls of a history, and what their callers heard.
+type calls struct {
+	byPlan map[string]*planCall
+	order  []*planCall // by their first answer
+	heard  []porcupine.Operation
+}
+
+// ofEvent is the call whose answer an event is.
+func (c *calls) ofEvent(e history.Event) *planCall {
+	call := c.byPlan[e.Plan]
+	if call == nil {
+		call = &planCall{
+			planStep: planStep{kind: stepEffect, id: e.Plan, base: e.Base, number: e.Number, maybe: true},
+			sent:     sentAt(e),
+			heard:    math.MaxInt64,
+		}
+		c.byPlan[e.Plan] = call
+		c.order = append(c.order, call)
+	}
+	call.sent = min(call.sent, sentAt(e))
+	return call
+}
+
+// hear notes the answer to an attempt of a call.
+func (c *calls) hear(call *planCall, e history.Event) {
+	switch e.Result {
+	case planTaken:
+		if call.maybe {
+			call.maybe, call.version, call.heard = false, e.Ver, e.At
+		}
+		c.heard = append(c.heard, porcupine.Operation{
+			Input: planStep{kind: stepHeardTaken, id: e.Plan, version: e.Ver}, Call: sentAt(e), Return: e.At,
+		})
+	case planConflict:
+		call.conflict = true
+		c.heard = append(c.heard, porcupine.Operation{
+			Input: planStep{kind: stepHeardConflict, id: e.Plan, base: e.Base}, Call: sentAt(e), Return: e.At,
+		})
+	}
+}
+
+// operationsUntil lists what was seen until a moment, of the calls that say when
 // they were sent. A call that was heard to be taken came into force between its
 // first sending and that; one that nobody heard of may have, or may still; one
 // that was in conflict never did.
-func layOut(ev []history.Event, until int64) (ops []porcupine.Operation) {
-	calls := map[string]*call{}
-	var order []string
-	for _, e := range ev {
-		if e.Ev != "plan" || e.Took <= 0 || e.At-e.Took > until || e.Result == callBroken {
-			continue
-		}
-		c := calls[e.Plan]
-		if c == nil {
-			c = &call{planStep: planStep{step: effect, id: e.Plan, base: e.Base, number: e.Number, maybe: true}, sent: e.At - e.Took, heard: math.MaxInt64}
-			calls[e.Plan], order = c, append(order, e.Plan)
-		}
-		c.sent = min(c.sent, e.At-e.Took)
-		if e.At > until {
+func operationsUntil(events []history.Event, until int64) (operations []porcupine.Operation) {
+	c := calls{byPlan: map[string]*planCall{}}
+	for _, e := range events {
+		if e.Ev != eventPlan || e.Took <= 0 || sentAt(e) > until || e.Result == planBroken {
 			continue
 		}
-		switch e.Result {
-		case callTaken:
-			if c.maybe {
-				c.maybe, c.version, c.heard = false, e.Ver, e.At
-			}
-			ops = append(ops, porcupine.Operation{Input: planStep{step: heardTaken, id: e.Plan, version: e.Ver}, Call: e.At - e.Took, Return: e.At})
-		case callConflict:
-			c.conflict = true
-			ops = append(ops, porcupine.Operation{Input: planStep{step: heardConflict, id: e.Plan, base: e.Base}, Call: e.At - e.Took, Return: e.At})
+		call := c.ofEvent(e)
+		if e.At <= until {
+			c.hear(call, e)
 		}
 	}
-	for _, id := range order {
-		if c := calls[id]; !c.maybe || !c.conflict {
-			ops = append(ops, porcupine.Operation{Input: c.planStep, Call: c.sent, Return: c.heard})
+	operations = c.heard
+	for _, call := range c.order {
+		if !call.maybe || !call.conflict {
+			operations = append(operations,
+				porcupine.Operation{Input: call.planStep, Call: call.sent, Return: call.heard})
 		}
 	}
 	last := int64(0)
-	for _, e := range ev {
-		if last = max(last, e.At); e.Ev == "read" && e.At <= until {
-			ops = append(ops, porcupine.Operation{Input: planStep{step: read, id: e.Plan, version: e.Ver}, Call: e.At, Return: e.At})
+	for _, e := range events {
+		last = max(last, e.At)
+		if e.Ev == eventRead && e.At <= until {
+			operations = append(operations, porcupine.Operation{
+				Input: planStep{kind: stepRead, id: e.Plan, version: e.Ver}, Call: e.At, Return: e.At,
+			})
 		}
 	}
-	return append(ops, porcupine.Operation{Input: planStep{step: end}, Call: last + 1, Return: last + 2})
+	return append(operations, porcupine.Operation{Input: planStep{kind: stepEnd}, Call: last + 1, Return: last + 2})
 }
 
-func judged(ops []porcupine.Operation) porcupine.CheckResult {
-	return porcupine.CheckOperationsTimeout(plans, ops, mostSearch)
+// searchOrder looks for an order of all that was seen until a moment.
+func searchOrder(events []history.Event, until int64) porcupine.CheckResult {
+	return porcupine.CheckOperationsTimeout(planModel, operationsUntil(events, until), maxSearch)
 }
 
-// linear: the history of all plan calls, and of what daemons read, is that of
-// one machine that does one thing after the other: a call comes into force at
+// checkLinear: the history of all plan calls, and of what daemons read, is that
+// of one machine that does one thing after the other: a call comes into force at
 // most once, on the version that it names, and whoever sends it again hears so.
-func linear(ev []history.Event, _ Bounds, bad func(string, ...any)) { Linear(ev, bad) }
+func checkLinear(events []history.Event, _ Bounds, report reporter) { Linear(events, report) }
 
 // Linear judges a history of plan calls alone; its events come in their order.
 //
-// Example: judge.Linear(events, func(how string, args ...any) { t.Errorf(how, args...) })
-func Linear(ev []history.Event, bad func(string, ...any)) {
-	switch judged(layOut(ev, math.MaxInt64)) {
+// Example: judge.Linear(events, func(format string, args ...any) { t.Errorf(format, args...) })
+func Linear(events []history.Event, report func(format string, args ...any)) {
+	switch searchOrder(events, math.MaxInt64) {
 	case porcupine.Ok:
 		return
 	case porcupine.Unknown:
-		bad("the history of %d events was not judged in %v", len(ev), mostSearch)
+		report("the history of %d events was not judged in %v", len(events), maxSearch)
 		return
 	}
-	// The shortest beginning that isn't so names what spoils it. Events come in
-	// their order.
-	n := sort.Search(len(ev), func(i int) bool { return judged(layOut(ev, ev[i].At)) != porcupine.Ok })
-	for ; n < len(ev); n++ {
-		if e := ev[n]; e.Ev == "plan" || e.Ev == "read" {
-			bad("%s of %s (on %d, number %d) came to %q, version %d, at %.3fs: no order of the calls until then explains it", e.Ev, e.Plan, e.Base, e.Number, e.Result, e.Ver, sec(e.At))
+	// The shortest beginning that has no order names the event that spoils it.
+	// Events come in their order.
+	first := sort.Search(len(events), func(i int) bool { return searchOrder(events, events[i].At) != porcupine.Ok })
+	for _, e := range events[first:] {
+		if e.Ev == eventPlan || e.Ev == eventRead {
+			report("%s of %s (on %d, number %d) came to %q, version %d, at %.3fs: "+
+				"no order of the calls until then explains it",
+				e.Ev, e.Plan, e.Base, e.Number, e.Result, e.Ver, seconds(e.At))
 			return
 		}
 	}
