--- a/traffic/forward/score.go
+++ b/traffic/forward/score.go
@@ -43,7 +43,8 @@
 	list := d.filter(now, r, role, phase)
 	tokens, key := sharedPrefix(r.Parts)
 	tokens = min(tokens, r.InputTokens)
-	cached, anyCached := d.cachedAt(list, tokens, key)
+	cached := make([]bool, len(list)) // stays on the stack
+	anyCached := d.markCached(cached, list, tokens, key)
 	out := make([]scoredServer, 0, len(list))
 	for i, s := range list {
 		o := scoredServer{Server: s, uncachedTokens: r.InputTokens}
@@ -62,14 +63,14 @@
 	return out
 }
 
-// cachedAt tells which of the servers most likely have the shared prefix cached.
-func (d *Dispatcher) cachedAt(list []Server, tokens int, key uint64) (cached []bool, anyCached bool) {
-	cached = make([]bool, len(list))
+// markCached marks the servers that most likely have the shared prefix cached, and
+// tells whether any has.
+func (d *Dispatcher) markCached(cached []bool, list []Server, tokens int, key uint64) (anyCached bool) {
 	for i, s := range list {
 		cached[i] = tokens > 0 && d.load.HasPrefix(key, s.Key)
 		anyCached = anyCached || cached[i]
 	}
-	return cached, anyCached
+	return anyCached
 }
 
 // predict fills in the times of a server from the load of all daemons.
