--- a/traffic/attempt/attempt.go
+++ b/traffic/attempt/attempt.go
@@ -2,8 +2,6 @@
 // of it. The next move is a pure function of the ledger.
 package attempt
 
-import "time"
-
 // Known is what is known of an attempt.
 type Known uint8
 
@@ -49,7 +47,7 @@
 	Why    string `json:"why,omitempty"`
 }
 
-// Move is what to do next.
+// Move is what to do next for a request.
 type Move uint8
 
 // The moves.
@@ -72,8 +70,8 @@
 
 // Ledger is a request's attempts.
 type Ledger struct {
-	AtMostOnce  bool
-	MaxPerPhase int // attempts of one phase
+	AtMostOnce  bool // once it may have run it is never sent again
+	MaxPerPhase int  // attempts of one phase
 	Attempts    []Attempt
 }
 
@@ -129,25 +127,33 @@
 	return false
 }
 
-// Next derives the next move; again tells whether it is a retry and so needs
-// a token. Where none is to be had, End tells the final answer.
+// Next derives the next move. isRetry tells whether it needs a retry of the bucket; where
+// none is to be had, End is the final move.
 //
-// Example: move, again := l.Next()
-func (l Ledger) Next() (m Move, again bool) {
+// Example: move, isRetry := l.Next()
+func (l Ledger) Next() (m Move, isRetry bool) {
 	if len(l.Attempts) == 0 {
 		return DoPrefill, false
 	}
 	last := l.Attempts[len(l.Attempts)-1]
 	if last.Phase == Prefill {
-		switch last.Known {
-		case Open:
-			return Wait, false
-		case Prefilled:
-			return DoDecode, false
-		}
-		return l.or(DoPrefill, l.Tries(Prefill) < l.MaxPerPhase), true
+		return l.afterPrefill(last.Known)
 	}
-	switch last.Known {
+	return l.afterDecode(last.Known)
+}
+
+func (l Ledger) afterPrefill(k Known) (m Move, isRetry bool) {
+	switch k {
+	case Open:
+		return Wait, false
+	case Prefilled:
+		return DoDecode, false
+	}
+	return l.retry(DoPrefill, l.mayTry(Prefill)), true
+}
+
+func (l Ledger) afterDecode(k Known) (m Move, isRetry bool) {
+	switch k {
 	case Open:
 		return Wait, false
 	case Ended:
@@ -155,16 +161,20 @@
 	case First:
 		return Break, false
 	case NotSent, Refused:
-		return l.or(DoDecode, l.Tries(Decode) < l.MaxPerPhase), true
+		return l.retry(DoDecode, l.mayTry(Decode)), true
 	case HandleLost:
-		return l.or(DoPrefill, l.Tries(Prefill) < l.MaxPerPhase), true
+		return l.retry(DoPrefill, l.mayTry(Prefill)), true
 	}
-	// Lost: a once request is never sent again.
-	return l.or(DoPrefill, !l.AtMostOnce && l.Tries(Prefill) < l.MaxPerPhase), true
+	// Lost: it may have run.
+	return l.retry(DoPrefill, !l.AtMostOnce && l.mayTry(Prefill)), true
 }
 
-func (l Ledger) or(m Move, may bool) Move {
-	if may {
+// mayTry tells whether one more attempt of a phase is allowed.
+func (l Ledger) mayTry(p Phase) bool { return l.Tries(p) < l.MaxPerPhase }
+
+// retry is a move if it is allowed, and else the final one.
+func (l Ledger) retry(m Move, allowed bool) Move {
+	if allowed {
 		return m
 	}
 	return l.End()
@@ -172,7 +182,7 @@
 
 // End is the final move when nothing more is to be tried.
 //
-// Example: if !bucket.Take() { move = l.End() }
+// Example: if !bucket.Take(now) { move = l.End() }
 func (l Ledger) End() Move {
 	if l.MayHaveRun() {
 		return Unknown
@@ -182,77 +192,5 @@
 
 // Undo takes the last attempt back: nothing went out, so it was none.
 //
-// Example: if out == serverpool.Barred { l.Undo() }
+// Example: if out == serverpool.Blocked { l.Undo() }
 func (l *Ledger) Undo() { l.Attempts = l.Attempts[:len(l.Attempts)-1] }
-
-// steps is how finely a Bucket tells time within its window.
-const steps = 16
-
-// Bucket bounds retries to a fraction of first tries in every window, so that
-// what quiet times earned can't be spent in one failure. A sum of buckets
-// keeps the bound that each of them keeps.
-type Bucket struct {
-	Ratio  float64
-	Window time.Duration
-	Slack  int // retries in a window beyond those earned
-	slots  [steps + 2]struct {
-		no           int64
-		first, again int
-	}
-}
-
-func (b *Bucket) slotAt(now time.Duration) *struct {
-	no           int64
-	first, again int
-} {
-	no := int64(now / (b.Window / steps))
-	s := &b.slots[no%int64(len(b.slots))]
-	if s.no != no {
-		s.no, s.first, s.again = no, 0, 0
-	}
-	return s
-}
-
-// Earn counts a first try.
-//
-// Example: b.Earn(now)
-func (b *Bucket) Earn(now time.Duration) { b.slotAt(now).first++ }
-
-// Has tells whether a retry may be made now. First tries count over a little
-// less than the window, retries over a little more.
-//
-// Example: if !b.Has(now) { giveUp() }
-func (b *Bucket) Has(now time.Duration) bool {
-	no := b.slotAt(now).no
-	first, again := 0, 0
-	for _, s := range b.slots {
-		if s.no > no-steps+1 {
-			first += s.first
-		}
-		if s.no > no-steps-2 {
-			again += s.again
-		}
-	}
-	return float64(again+1) <= b.Ratio*float64(first)+float64(b.Slack)
-}
-
-// Take spends a retry if one may be made.
-//
-// Example: if !b.Take(now) { giveUp() }
-func (b *Bucket) Take(now time.Duration) bool {
-	if !b.Has(now) {
-		return false
-	}
-	b.slotAt(now).again++
-	return true
-}
-
-// Return returns a retry that was taken at that time and not made.
-//
-// Example: b.Return(takenAt)
-func (b *Bucket) Return(at time.Duration) {
-	no := int64(at / (b.Window / steps))
-	if s := &b.slots[no%int64(len(b.slots))]; s.no == no && s.again > 0 {
-		s.again--
-	}
-}
