--- a/traffic/attempt/attempt_test.go
+++ b/traffic/attempt/attempt_test.go
@@ -14,7 +14,9 @@
 		sent, pieces, tries := 0, false, 0
 		for step := 0; step < 40; step++ {
 			m, again := l.Next()
-			if again != (len(l.Attempts) > 0 && m != Wait && l.Attempts[len(l.Attempts)-1].Known != Prefilled && (m == DoPrefill || m == DoDecode)) && (m == DoPrefill || m == DoDecode) {
+			sends := m == DoPrefill || m == DoDecode
+			followsFailure := len(l.Attempts) > 0 && l.Attempts[len(l.Attempts)-1].Known != Prefilled
+			if sends && again != followsFailure {
 				t.Fatalf("a retry that isn't counted as one: %v %v", m, l.Attempts)
 			}
 			switch m {
--- a/traffic/route/route.go
+++ b/traffic/route/route.go
@@ -11,8 +11,8 @@
 // Table is a plan's routes ready for look-ups; it doesn't change and may be
 // used by many at once.
 type Table struct {
-	hosts map[string]*host
-	names map[string]*fleetconfig.Route
+	hosts map[string]*host              // by normalized name
+	names map[string]*fleetconfig.Route // by the route's name
 }
 
 // host holds the routes of one host.
@@ -30,11 +30,11 @@
 	for i := range routes {
 		r := &routes[i]
 		t.names[r.Name] = r
-		at := fleetconfig.NormalizeHost(r.Host)
-		h := t.hosts[at]
+		name := fleetconfig.NormalizeHost(r.Host)
+		h := t.hosts[name]
 		if h == nil {
 			h = &host{prefixes: map[string]*fleetconfig.Route{}}
-			t.hosts[at] = h
+			t.hosts[name] = h
 		}
 		h.prefixes[r.Prefix] = r
 		if n := len(r.Prefix); !slices.Contains(h.lengths, n) {
@@ -82,16 +82,16 @@
 // Example: route.New(fleetconfig.Plan{}).Len() == 0
 func (t *Table) Len() int { return len(t.names) }
 
-// Pick chooses a service by the weights of the route; the same dice, any 64
-// bits, give the same service. A route without a weight above 0 gives none.
+// Pick chooses a service by the weights of the route; the same random bits
+// give the same service. A route without a weight above 0 gives none.
 //
 // Example: svc := route.Pick(r, rand.Uint64())
-func Pick(r *fleetconfig.Route, dice uint64) string {
+func Pick(r *fleetconfig.Route, random uint64) string {
 	sum := 0.0
 	for _, s := range r.Services {
 		sum += max(0, s.Weight)
 	}
-	at, last := float64(dice>>11)/(1<<53)*sum, "" // at is in [0, sum)
+	at, last := float64(random>>11)/(1<<53)*sum, "" // at is in [0, sum): a float64 has 53 bits
 	for _, s := range r.Services {
 		if s.Weight <= 0 {
 			continue
--- a/traffic/route/route_test.go
+++ b/traffic/route/route_test.go
@@ -21,8 +21,9 @@
 func TestTheLongestPrefixOfTheHostCounts(t *testing.T) {
 	table := New(plan("a.example/", "a.example/x/", "a.example/x/y/z/", "B.example/x/", "c.example/only/here/"))
 	for at, want := range map[string]string{
-		"a.example /": "r0", "a.example /q": "r0", "a.example /x": "r0", "a.example /x/": "r1", "a.example /x/y/zz": "r1", "a.example /x/y/z/1/2": "r2",
-		"A.Example:8080 /x/1": "r1", "b.example /x/1": "r3", "b.EXAMPLE /y": "", "c.example /only/here": "", "c.example /only/here/": "r4",
+		"a.example /": "r0", "a.example /q": "r0", "a.example /x": "r0", "a.example /x/": "r1", "a.example /x/y/zz": "r1",
+		"a.example /x/y/z/1/2": "r2", "A.Example:8080 /x/1": "r1", "b.example /x/1": "r3",
+		"b.EXAMPLE /y": "", "c.example /only/here": "", "c.example /only/here/": "r4",
 		"d.example /x/": "", "a.example ": "", " /x/": "", "a.example x/": "", "a.example //x/": "r0", "a.example /X/": "r0",
 	} {
 		host, path, _ := strings.Cut(at, " ")
@@ -53,7 +54,8 @@
 			want := ""
 			size := -1
 			for _, r := range p.Routes {
-				if fleetconfig.NormalizeHost(r.Host) == fleetconfig.NormalizeHost(host) && strings.HasPrefix(at, r.Prefix) && len(r.Prefix) > size {
+				sameHost := fleetconfig.NormalizeHost(r.Host) == fleetconfig.NormalizeHost(host)
+				if sameHost && strings.HasPrefix(at, r.Prefix) && len(r.Prefix) > size {
 					want, size = r.Name, len(r.Prefix)
 				}
 			}
@@ -66,7 +68,9 @@
 }
 
 func TestPickFollowsTheWeights(t *testing.T) {
-	r := &fleetconfig.Route{Services: []fleetconfig.Share{{Service: "zero"}, {Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "last"}}}
+	r := &fleetconfig.Route{Services: []fleetconfig.Share{
+		{Service: "zero"}, {Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "last"},
+	}}
 	const step = 1 << 50
 	got := map[string]int{}
 	for dice := uint64(0); dice < 1<<63; dice += step {
--- a/traffic/serverpool/client.go
+++ b/traffic/serverpool/client.go
@@ -86,7 +86,9 @@
 }
 
 // post makes a call. Its answer's body is the caller's to close if the outcome is OK.
-func (c *Client) post(ctx context.Context, url string, call any, maySend func() bool) (*http.Response, Outcome, string) {
+func (c *Client) post(
+	ctx context.Context, url string, call any, maySend func() bool,
+) (answer *http.Response, outcome Outcome, why string) {
 	body, err := json.Marshal(call)
 	if err != nil {
 		return nil, NotSent, err.Error()
@@ -99,13 +101,13 @@
 	req.Header.Set("Content-Type", "application/json")
 	// A POST with no GetBody is never sent twice by the library on its own.
 	req.GetBody = nil
-	answer, err := c.http.Do(req)
+	answer, err = c.http.Do(req)
 	if err != nil {
-		outcome, why := outcomeOf(err)
+		outcome, why = outcomeOf(err)
 		return nil, outcome, why
 	}
 	if answer.StatusCode != http.StatusOK {
-		outcome, why := rejection(answer)
+		outcome, why = rejection(answer)
 		return nil, outcome, why
 	}
 	return answer, OK, ""
--- a/traffic/serverpool/serverpool_test.go
+++ b/traffic/serverpool/serverpool_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// A call whose ground is gone at the last look never reaches a server whole,
+// A call that may not be made any more just before its first byte never reaches a server whole,
 // on a fresh connection or on one in use; and the next call goes through.
-func TestTheLastLookStopsACall(t *testing.T) {
+func TestBlockedCallNeverReachesAServer(t *testing.T) {
 	var whole atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.ReadAll(r.Body); err != nil {
@@ -23,10 +23,11 @@
 	}))
 	defer srv.Close()
 	addr := srv.Listener.Addr().String()
-	h := NewClient(time.Second)
+	client := NewClient(time.Second)
+	request := PrefillRequest{Request: "r", Parts: []Part{{Text: "long enough"}}}
 	call := func(may bool) Outcome {
-		_, out, _ := h.Prefill(context.Background(), addr, PrefillRequest{Request: "r", Parts: []Part{{Text: "long enough"}}}, func() bool { return may })
-		return out
+		_, outcome, _ := client.Prefill(context.Background(), addr, request, func() bool { return may })
+		return outcome
 	}
 	for i, may := range []bool{false, true, true, false, true} {
 		if out := call(may); (out == OK) != may || !may && out != Blocked {
@@ -47,7 +48,8 @@
 			line := append([]byte(nil), good...)
 			line[i] = x
 			p, err := parsePiece(line)
-			if err == nil && p.Mismatch("req-1", "run-1", 3) == "" && (p.Request != "req-1" || p.RunID != "run-1" || p.Number != 3 || p.Error != "") {
+			passes := err == nil && p.Mismatch("req-1", "run-1", 3) == ""
+			if passes && (p.Request != "req-1" || p.RunID != "run-1" || p.Number != 3 || p.Error != "") {
 				t.Fatalf("%q passes", line)
 			}
 		}
