--- a/proof/standin/rules/config.go
+++ b/proof/standin/rules/config.go
@@ -19,7 +19,7 @@
 
 // String says it for a message.
 //
-// Example: bad("%s was %s", t.ID, h)
+// Example: report("%s was %s", t.ID, h)
 func (h handled) String() string {
 	if h.service == "" {
 		return "told 404"
@@ -40,129 +40,157 @@
 	return out
 }
 
-// fits tells whether a version handles a try so.
+// fits reports whether a version handles a try so.
 func (x version) fits(t *record.Try, h handled) bool {
-	r, ok := x.cfg.Match(t.Host, path(t.Target))
+	r, ok := x.config.Match(t.Host, pathOf(t.Target))
 	if h.service == "" {
 		return !ok
 	}
 	return ok && slices.Contains(r.Services(), h.service)
 }
 
-// configured: soon after a version was acknowledged, no machine in touch goes
-// by an older one; what was refused is never in force.
-func configured(v *view, bad say) {
+// checkConfigApplied: soon after a version was acknowledged, no machine in touch
+// goes by an older one; what was refused is never in force.
+func checkConfigApplied(v *view, report reporter) {
 	for _, t := range v.Tries {
-		floor := -1 // the newest version that was acknowledged long enough before
-		for _, x := range v.versions {
-			if x.may() && x.acked() && x.Done+v.Apply < t.Sent {
-				floor = max(floor, x.Version)
-			}
+		oldest := v.oldestAllowed(t.Sent)
+		if oldest < 0 {
+			continue
 		}
 		for _, h := range v.handling(t) {
-			now, old, never := false, 0, 0
-			for _, x := range v.versions {
-				switch fits := x.fits(t, h); {
-				case !fits || x.Sent > h.at:
-				case !x.may():
-					never = x.Version
-				case x.Version >= floor:
-					now = true
-				default:
-					old = x.Version
-				}
-			}
+			allowed, older, refused := v.versionsShown(t, h, oldest)
 			switch {
-			case now || floor < 0:
-			case old > 0 && v.through(t.Daemon, t.Sent, h.at):
-				bad("%s (%s%s) was %s by %s as in version %d, %.2fs after version %d was acknowledged", t.ID, t.Host, t.Target, h, t.Daemon, old, sec(t.Sent-v.at(floor)), floor)
-			case old == 0 && never > 0:
-				bad("%s (%s%s) was %s by %s as in version %d, which was refused", t.ID, t.Host, t.Target, h, t.Daemon, never)
+			case allowed:
+			case older > 0 && v.inTouchThroughout(t.Daemon, t.Sent, h.at):
+				report("%s (%s%s) was %s by %s as in version %d, %.2fs after version %d was acknowledged",
+					t.ID, t.Host, t.Target, h, t.Daemon, older, seconds(t.Sent-v.ackedAt(oldest)), oldest)
+			case older == 0 && refused > 0:
+				report("%s (%s%s) was %s by %s as in version %d, which was refused",
+					t.ID, t.Host, t.Target, h, t.Daemon, refused)
 			}
 		}
 	}
 }
 
-// at is when a version was acknowledged.
-func (v *view) at(version int) time.Duration {
+// oldestAllowed is the newest version that was acknowledged long enough before a
+// moment to be in force everywhere then; -1: none.
+func (v *view) oldestAllowed(at time.Duration) int {
+	oldest := -1
+	for _, x := range v.versions {
+		if x.mayApply() && x.isAcked() && x.Done+v.Apply < at {
+			oldest = max(oldest, x.Version)
+		}
+	}
+	return oldest
+}
+
+// versionsShown sorts the versions that handle a try so: whether one of them is
+// allowed, and the newest that is older than that or was refused (0: none).
+func (v *view) versionsShown(t *record.Try, h handled, oldest int) (allowed bool, older, refused int) {
 	for _, x := range v.versions {
-		if x.Version == version && x.acked() {
+		switch fits := x.fits(t, h); {
+		case !fits || x.Sent > h.at:
+		case !x.mayApply():
+			refused = x.Version
+		case x.Version >= oldest:
+			allowed = true
+		default:
+			older = x.Version
+		}
+	}
+	return allowed, older, refused
+}
+
+// ackedAt is when a version was acknowledged.
+func (v *view) ackedAt(version int) time.Duration {
+	for _, x := range v.versions {
+		if x.Version == version && x.isAcked() {
 			return x.Done
 		}
 	}
 	return 0
 }
 
-// wentBack: within one life of its process no daemon goes back to an older
-// version.
-func wentBack(v *view, bad say) {
-	type life struct {
-		daemon string
-		n      int
-	}
-	type effect struct {
-		at, sent    time.Duration
-		least, most int // versions that handle it so
-		t           *record.Try
-		h           handled
+// incarnation is one start of a daemon's process.
+type incarnation struct {
+	daemon string
+	number int
+}
+
+// sighting is a try that shows which versions were in force at a daemon.
+type sighting struct {
+	handled
+	try            *record.Try
+	oldest, newest int // versions that handle it so
+}
+
+// checkConfigOrder: within one incarnation no daemon returns to an older version.
+func checkConfigOrder(v *view, report reporter) {
+	for in, list := range v.sightings() {
+		for _, s := range list {
+			for _, earlier := range list {
+				if earlier.service != "" && s.try.Sent > earlier.at+v.GoBack && s.newest < earlier.oldest {
+					report("%s handled %s as in version %d (%s) after %s had shown version %d",
+						in.daemon, s.try.ID, s.newest, s.handled, earlier.try.ID, earlier.oldest)
+					break
+				}
+			}
+		}
 	}
-	all := map[life][]effect{}
+}
+
+// sightings lists what tries show of the versions in force, in their order.
+func (v *view) sightings() map[incarnation][]sighting {
+	all := map[incarnation][]sighting{}
 	for _, t := range v.Tries {
+		in := incarnation{t.Daemon, t.Life}
 		for _, h := range v.handling(t) {
-			e := effect{at: h.at, sent: t.Sent, least: -1, t: t, h: h}
+			s := sighting{handled: h, try: t, oldest: -1}
 			for _, x := range v.versions {
-				if x.may() && x.fits(t, h) {
-					if e.most = x.Version; e.least < 0 {
-						e.least = x.Version
-					}
+				if !x.mayApply() || !x.fits(t, h) {
+					continue
 				}
-			}
-			if e.least >= 0 {
-				k := life{t.Daemon, t.Life}
-				all[k] = append(all[k], e)
-			}
-		}
-	}
-	for k, list := range all {
-		for _, e := range list {
-			for _, was := range list {
-				if was.h.service != "" && e.sent > was.at+v.GoBack && e.most < was.least {
-					bad("%s handled %s as in version %d (%s) after %s had shown version %d", k.daemon, e.t.ID, e.most, e.h, was.t.ID, was.least)
-					break
+				s.newest = x.Version
+				if s.oldest < 0 {
+					s.oldest = x.Version
 				}
 			}
+			if s.oldest >= 0 {
+				all[in] = append(all[in], s)
+			}
 		}
 	}
+	return all
 }
 
-// taken: no invalid configuration is acknowledged, and of two on top of the
+// checkConfigAccepted: no invalid configuration is acknowledged, and of two on top of the
 // same version one.
-func taken(v *view, bad say) {
+func checkConfigAccepted(v *view, report reporter) {
 	won := map[int]*record.Change{}
 	for _, c := range v.Changes {
 		if c.Status/100 != 2 {
 			continue
 		}
 		if !c.Valid {
-			bad("version %d is invalid and was acknowledged", c.Version)
+			report("version %d is invalid and was acknowledged", c.Version)
 		}
 		if w := won[c.Base]; w != nil && string(w.Config) != string(c.Config) {
-			bad("versions %d and %d, both on top of %d, were acknowledged", w.Version, c.Version, c.Base)
+			report("versions %d and %d, both on top of %d, were acknowledged", w.Version, c.Version, c.Base)
 		}
 		won[c.Base] = c
 	}
 }
 
-// readBack: at the end the configuration is the newest that was acknowledged,
+// checkReadback: at the end the configuration is the newest that was acknowledged,
 // or a later one without a clear answer, as it was sent.
-func readBack(v *view, bad say) {
+func checkReadback(v *view, report reporter) {
 	if len(v.Readbacks) == 0 {
 		return
 	}
 	r := v.Readbacks[len(v.Readbacks)-1]
 	newest := -1
 	for _, x := range v.versions {
-		if x.acked() && x.Valid {
+		if x.isAcked() && x.Valid {
 			newest = max(newest, x.Version)
 		}
 	}
@@ -170,46 +198,55 @@
 		return
 	}
 	if r.Status != 200 {
-		bad("the configuration can't be read back: %d", r.Status)
+		report("the configuration can't be read back: %d", r.Status)
 		return
 	}
 	var got any
 	if err := json.Unmarshal(r.Body, &got); err != nil {
-		bad("the configuration reads back as no JSON: %v", err)
+		report("the configuration reads back as no JSON: %v", err)
 		return
 	}
 	for _, x := range v.versions {
 		var want any
-		if x.Version >= newest && x.may() && json.Unmarshal(x.Config, &want) == nil && reflect.DeepEqual(got, want) {
+		if x.Version < newest || !x.mayApply() || json.Unmarshal(x.Config, &want) != nil {
+			continue
+		}
+		if reflect.DeepEqual(got, want) {
 			return
 		}
 	}
-	bad("reads back as %.200s, which is neither version %d nor a later one as sent", r.Body, newest)
+	report("reads back as %.200s, which is neither version %d nor a later one as sent", r.Body, newest)
 }
 
-const fewest = 20 // requests on later routes, for their share to say something
+const minLaterRequests = 20 // requests on later routes, for their share to say something
 
-// later: in calm times the routes that were added later are served as the
+// checkLaterRoutes: in calm times the routes that were added later are served as the
 // first ones are.
-func later(v *view, bad say) {
+func checkLaterRoutes(v *view, report reporter) {
 	if len(v.versions) == 0 {
 		return
 	}
-	var n, ok [2]int
+	type served struct{ all, ok int }
+	var first, later served
+	firstRoutes := v.versions[0].config.Routes
 	for _, t := range v.Tries {
-		if t.Route == "" || t.Probe || !v.through(t.Daemon, t.Sent, t.End) {
+		if t.Route == "" || t.Probe || !v.inTouchThroughout(t.Daemon, t.Sent, t.End) {
 			continue
 		}
-		k := 0
-		if !slices.ContainsFunc(v.versions[0].cfg.Routes, func(r wire.Route) bool { return r.Name == t.Route }) {
-			k = 1
+		on := &first
+		if !slices.ContainsFunc(firstRoutes, func(r wire.Route) bool { return r.Name == t.Route }) {
+			on = &later
 		}
-		n[k]++
+		on.all++
 		if t.Served() {
-			ok[k]++
+			on.ok++
 		}
 	}
-	if n[1] >= fewest && n[0] > 0 && float64(ok[1])/float64(n[1]) < float64(ok[0])/float64(n[0])/4 {
-		bad("%d of %d requests on later routes were served, %d of %d on the first ones", ok[1], n[1], ok[0], n[0])
+	if later.all < minLaterRequests || first.all == 0 {
+		return
+	}
+	if float64(later.ok)/float64(later.all) < float64(first.ok)/float64(first.all)/4 {
+		report("%d of %d requests on later routes were served, %d of %d on the first ones",
+			later.ok, later.all, first.ok, first.all)
 	}
 }
--- a/proof/standin/rules/leaving.go
+++ b/proof/standin/rules/leaving.go
@@ -15,62 +15,82 @@
 	closedMost   = 3
 )
 
-// gone: after a client has left, hardly anything is sent for it, and servers end
-// their work.
-func gone(v *view, bad say) {
-	late, worked, at := 0, 0, 0
+// checkClientsLeft: after a client has left, hardly anything is sent for it, and
+// servers end their work.
+func checkClientsLeft(v *view, report reporter) {
+	late, repeatable, worked := 0, 0, 0
 	for _, t := range v.Tries {
-		if t.Left == 0 || !v.through(t.Daemon, t.Sent, t.Left+goneAfter) {
+		if t.Left == 0 || !v.inTouchThroughout(t.Daemon, t.Sent, t.Left+goneAfter) {
 			continue
 		}
-		r, known := v.routes[t.Route]
 		working := false
 		for _, a := range v.arrivals[t.ID] {
 			if a.At > t.Left+goneAfter {
 				late++
 			}
-			working = working || (a.Out == record.Ran || a.Out == record.Open) && a.At <= t.Left+goneAfter && (a.End == 0 || a.End > t.Left+goneAfter)
+			working = working || isWorkingAt(a, t.Left+goneAfter)
 		}
-		if !known || !r.Repeatable() {
+		if r, known := v.routes[t.Route]; !known || !r.Repeatable() {
 			continue
 		}
-		if at++; working {
+		repeatable++
+		if working {
 			worked++
 		}
 	}
 	if late > goneArrivals {
-		bad("%d requests reached servers over %v after their clients had left", late, goneAfter)
+		report("%d requests reached servers over %v after their clients had left", late, goneAfter)
 	}
-	if at >= goneFewest && worked*gonePart > at {
-		bad("servers worked on %d of %d repeatable requests over %v after their clients had left", worked, at, goneAfter)
+	if repeatable >= goneFewest && worked*gonePart > repeatable {
+		report("servers worked on %d of %d repeatable requests over %v after their clients had left",
+			worked, repeatable, goneAfter)
 	}
 }
 
-// closed: no machine in touch passes requests on to sound servers and closes
+// isWorkingAt reports whether a server was working at an arrival at a moment.
+func isWorkingAt(a *record.Arrival, at time.Duration) bool {
+	return (a.Out == record.Ran || a.Out == record.Open) && a.At <= at && (a.End == 0 || a.End > at)
+}
+
+// checkClosed: no machine in touch passes requests on to sound servers and closes
 // their connections without an answer.
-func closed(v *view, bad say) {
-	by := map[string][]string{}
+func checkClosed(v *view, report reporter) {
+	closed := map[string][]string{} // tries, by daemon
 	for _, t := range v.Tries {
-		list := v.arrivals[t.ID]
-		if t.Whole == 0 || t.Status != 0 || t.GaveUp || t.Left > 0 || t.Fault != "" || len(list) == 0 || t.End >= t.Deadline || v.serverBroke(list, t.End) || !v.through(t.Daemon, t.Sent, t.End) {
+		if !v.wasClosed(t) || !v.inTouchThroughout(t.Daemon, t.Sent, t.End) {
 			continue
 		}
-		if by[t.Daemon] = append(by[t.Daemon], t.ID); len(by[t.Daemon]) == closedMost+1 {
-			bad("%s passed on and closed the connections of %v, which had no answer", t.Daemon, by[t.Daemon])
+		closed[t.Daemon] = append(closed[t.Daemon], t.ID)
+		if len(closed[t.Daemon]) == closedMost+1 {
+			report("%s passed on and closed the connections of %v, which had no answer", t.Daemon, closed[t.Daemon])
 		}
 	}
 }
 
-// stale: no machine, in touch or not, reads back an older configuration than one
+// wasClosed reports whether a daemon passed a whole request on and closed its
+// connection without an answer, though client, deadline and servers gave no cause.
+func (v *view) wasClosed(t *record.Try) bool {
+	if t.Whole == 0 || t.Status != 0 || t.Fault != "" {
+		return false
+	}
+	if t.GaveUp || t.Left > 0 || t.End >= t.Deadline {
+		return false
+	}
+	arrivals := v.arrivals[t.ID]
+	return len(arrivals) > 0 && !v.brokenByServer(arrivals, t.End)
+}
+
+// checkStaleReads: no machine, in touch or not, reads back an older configuration than one
 // that was acknowledged long enough before it was asked.
-func stale(v *view, bad say) {
+func checkStaleReads(v *view, report reporter) {
 	for _, r := range v.Reads {
 		if r.Status != 200 {
 			continue
 		}
 		for _, x := range v.versions {
-			if x.acked() && x.Valid && x.Done+v.Apply < r.Sent && x.Version > r.Version {
-				bad("%s reads back version %d, %.2fs after version %d was acknowledged", r.Daemon, r.Version, sec(r.Sent-x.Done), x.Version)
+			if x.isAcked() && x.Valid && x.Done+v.Apply < r.Sent && x.Version > r.Version {
+				report("%s reads back version %d, %.2fs after version %d was acknowledged",
+					r.Daemon, r.Version, seconds(r.Sent-x.Done), x.Version)
 				break
 			}
 		}
--- a/proof/standin/rules/rules.go
+++ b/proof/standin/rules/rules.go
@@ -15,13 +15,22 @@
 
 // Bounds are the rules' figures.
 type Bounds struct {
-	InTouch, Drain, Grace, LostSlack, Apply, GoBack, Evacuate, Recovery, Lease time.Duration
-	RetryRatio                                                                 float64
-	RetryWindow                                                                time.Duration
-	RetrySlack                                                                 int
-	ColdOverrun, ColdSlack                                                     float64
-	ChecksFence                                                                bool
-	Core                                                                       int // machines that make up the core; 0: as many as keep it settled
+	InTouch     time.Duration // bounds hold for a machine so long after a trouble of it or of the core
+	Drain       time.Duration // from a server's leaving in the list until nothing reaches it
+	Grace       time.Duration // from a SIGTERM until requests may be cut
+	LostSlack   time.Duration // a request that was cut so soon after its last byte may not have been read
+	Apply       time.Duration // from a version's acknowledgement until it is in force
+	GoBack      time.Duration // between two requests that show in which order versions were in force
+	Evacuate    time.Duration // from an evacuation's acknowledgement until nothing reaches the zone
+	Recovery    time.Duration // from the machines' return until requests are served
+	Lease       time.Duration // between the orders of two holders of a server
+	RetryRatio  float64       // retries, as a part of the requests
+	RetryWindow time.Duration // retries are bounded in every window of this length
+	RetrySlack  int           // retries that are allowed beyond the ratio
+	ColdOverrun float64       // what a cold server's rate is multiplied by
+	ColdSlack   float64       // requests that are allowed beyond that
+	ChecksFence bool          // servers check fences themselves: a lower one is no fault
+	Core        int           // machines that make up the core; 0: as many as keep it settled
 }
 
 // Broken is one rule broken once.
@@ -32,85 +41,92 @@
 // Example: fmt.Println(b)
 func (b Broken) String() string { return b.Rule + ": " + b.What }
 
-type say func(how string, args ...any)
+// reporter takes what breaks a rule, in the form of fmt.Printf.
+type reporter func(format string, args ...any)
 
 // Rules are the checks by name; a name may stand for several.
 var Rules = []struct {
 	Name  string
-	check func(*view, say)
+	check func(*view, reporter)
 }{
-	{"MIXED", mixed},
-	{"MIXED", handles},
-	{"ORDER", order},
-	{"UNASKED", unasked},
-	{"TWICE", twice},
-	{"REFUSED", refused},
-	{"DENIED", denied},
-	{"ROUTE", routed},
-	{"DRAIN", drained},
-	{"EVAC", evacuated},
-	{"LOST", planned},
-	{"LOST", kept},
-	{"CONFIG", configured},
-	{"CONFIG", wentBack},
-	{"CONFIG", taken},
-	{"CONFIG", readBack},
-	{"CONFIG", later},
-	{"CONFIG", inOrder},
-	{"CONFIG", stale},
-	{"BUDGET", further},
-	{"FAILBACK", flooded},
-	{"ONE", holders},
-	{"RECOVER", recovered},
-	{"GONE", gone},
-	{"LOST", closed},
+	{"MIXED", checkAnswers},
+	{"MIXED", checkHandles},
+	{"ORDER", checkStreams},
+	{"UNASKED", checkAsSent},
+	{"TWICE", checkRunOnce},
+	{"REFUSED", checkRefusals},
+	{"DENIED", checkDenials},
+	{"ROUTE", checkRoutes},
+	{"DRAIN", checkDrained},
+	{"EVAC", checkEvacuated},
+	{"LOST", checkPlannedWork},
+	{"LOST", checkEvacuationKept},
+	{"CONFIG", checkConfigApplied},
+	{"CONFIG", checkConfigOrder},
+	{"CONFIG", checkConfigAccepted},
+	{"CONFIG", checkReadback},
+	{"CONFIG", checkLaterRoutes},
+	{"CONFIG", checkLinear},
+	{"CONFIG", checkStaleReads},
+	{"BUDGET", checkRetries},
+	{"FAILBACK", checkColdServers},
+	{"ONE", checkHolders},
+	{"RECOVER", checkRecovery},
+	{"GONE", checkClientsLeft},
+	{"LOST", checkClosed},
 }
 
-const mostTold = 20 // of one check
+const maxReported = 20 // of one check
 
 // Check applies every rule.
 //
 // Example: for _, b := range rules.Check(log.Copy(), bounds) { fmt.Println(b) }
-func Check(all record.All, b Bounds) (out []Broken) {
-	v := newView(all, b)
-	for _, r := range Rules {
-		n := 0
-		r.check(v, func(how string, args ...any) {
-			if n++; n <= mostTold {
-				out = append(out, Broken{r.Name, fmt.Sprintf(how, args...)})
+func Check(all record.All, bounds Bounds) (broken []Broken) {
+	v := newView(all, bounds)
+	for _, rule := range Rules {
+		reported := 0
+		rule.check(v, func(format string, args ...any) {
+			if reported++; reported <= maxReported {
+				broken = append(broken, Broken{rule.Name, fmt.Sprintf(format, args...)})
 			}
 		})
 	}
-	return out
+	return broken
 }
 
 // version is a configuration that was sent.
 type version struct {
 	*record.Change
-	cfg wire.Config
+	config wire.Config
 }
 
-func (v version) acked() bool { return v.Status/100 == 2 }
+func (v version) isAcked() bool { return v.Status/100 == 2 }
 
-// may tells whether it may be in force at all: it is valid and was not refused.
-func (v version) may() bool { return v.Valid && (v.Status == 0 || v.acked()) }
+// mayApply reports whether it may be in force at all: it is valid and was not refused.
+func (v version) mayApply() bool { return v.Valid && (v.Status == 0 || v.isAcked()) }
 
 // view is what was seen, laid out for the checks.
 type view struct {
 	record.All
 	Bounds
-	tries    map[string]*record.Try
+	tries    map[string]*record.Try       // by id
 	arrivals map[string][]*record.Arrival // by attempt, in order
-	seals    map[string]*record.Arrival
-	lives    map[string]*record.Life
-	versions []version // by number; what has no configuration is left out
-	routes   map[string]wire.Route
+	seals    map[string]*record.Arrival   // by the seal that was given
+	lives    map[string]*record.Life      // of servers, by id
+	versions []version                    // by number; what has no configuration is left out
+	routes   map[string]wire.Route        // by name, as in the last change that has it
 }
 
-func newView(all record.All, b Bounds) *view {
+// newView lays out what was seen.
+func newView(all record.All, bounds Bounds) *view {
 	v := &view{
-		All: all, Bounds: b, tries: map[string]*record.Try{}, arrivals: map[string][]*record.Arrival{}, seals: map[string]*record.Arrival{},
-		lives: map[string]*record.Life{}, routes: map[string]wire.Route{},
+		All:      all,
+		Bounds:   bounds,
+		tries:    map[string]*record.Try{},
+		arrivals: map[string][]*record.Arrival{},
+		seals:    map[string]*record.Arrival{},
+		lives:    map[string]*record.Life{},
+		routes:   map[string]wire.Route{},
 	}
 	for _, t := range all.Tries {
 		if t.ID != "" {
@@ -130,9 +146,9 @@
 	}
 	for _, c := range all.Changes {
 		x := version{Change: c}
-		if json.Unmarshal(c.Config, &x.cfg) == nil {
+		if json.Unmarshal(c.Config, &x.config) == nil {
 			v.versions = append(v.versions, x)
-			for _, r := range x.cfg.Routes {
+			for _, r := range x.config.Routes {
 				v.routes[r.Name] = r
 			}
 		}
@@ -141,38 +157,45 @@
 	return v
 }
 
-// repeatable tells whether a try's request may run more than once; one on no
+// repeatable reports whether a try's request may run more than once; one on no
 // route at all may.
 func (v *view) repeatable(t *record.Try) bool {
 	r, ok := v.routes[t.Route]
 	return !ok || r.Repeatable()
 }
 
-// inTouch tells whether bounds hold for a daemon's machine at a moment.
+// inTouch reports whether bounds hold for a daemon's machine at a moment.
 func (v *view) inTouch(daemon string, at time.Duration) bool {
-	near := func(event time.Duration) bool { return event > 0 && at >= event && at <= event+v.InTouch }
-	away := map[string]bool{} // core machines that were in trouble of late
+	coreAway := map[string]bool{} // core machines that were in trouble of late
 	for _, t := range v.Troubles {
 		if t.Hup {
 			continue
 		}
-		if t.Core && at >= t.From && (t.To == 0 || at <= t.To+v.InTouch) {
-			if away[t.Daemon] = true; v.Core > 0 && 2*len(away) >= v.Core {
+		lasts := at >= t.From && (t.To == 0 || at <= t.To+v.InTouch)
+		if lasts && t.Core {
+			coreAway[t.Daemon] = true
+			if v.Core > 0 && 2*len(coreAway) >= v.Core {
 				return false
 			}
 		}
-		if t.Daemon == daemon && at >= t.From && (t.To == 0 || at <= t.To+v.InTouch) {
+		if lasts && t.Daemon == daemon {
 			return false
 		}
-		if t.Core && (near(t.From) || near(t.To)) {
+		if t.Core && (v.isSoonAfter(t.From, at) || v.isSoonAfter(t.To, at)) {
 			return false
 		}
 	}
 	return true
 }
 
-// through tells whether a machine is in touch from one moment to another.
-func (v *view) through(daemon string, from, to time.Duration) bool {
+// isSoonAfter reports whether a moment lies within the bound after an event; an
+// event at 0 never was.
+func (v *view) isSoonAfter(event, at time.Duration) bool {
+	return event > 0 && at >= event && at <= event+v.InTouch
+}
+
+// inTouchThroughout reports whether a machine is in touch from one moment to another.
+func (v *view) inTouchThroughout(daemon string, from, to time.Duration) bool {
 	for at := from; at < to; at += v.InTouch / 4 {
 		if !v.inTouch(daemon, at) {
 			return false
@@ -181,9 +204,11 @@
 	return v.inTouch(daemon, to)
 }
 
-func path(target string) string {
-	p, _, _ := strings.Cut(target, "?")
-	return p
+// pathOf is a target without its query.
+func pathOf(target string) string {
+	path, _, _ := strings.Cut(target, "?")
+	return path
 }
 
-func sec(d time.Duration) float64 { return d.Seconds() }
+// seconds is a time as it is printed.
+func seconds(d time.Duration) float64 { return d.Seconds() }
--- a/proof/standin/rules/servers.go
+++ b/proof/standin/rules/servers.go
@@ -7,116 +7,140 @@
 	"mulleinmast/proof/standin/record"
 )
 
-// routed: a service runs only what some configuration ever let come to it.
-func routed(v *view, bad say) {
+// checkRoutes: a service runs only what some configuration ever let come to it.
+func checkRoutes(v *view, report reporter) {
 	for _, a := range v.Arrivals {
 		if a.Out != record.Ran && a.Out != record.Read {
 			continue
 		}
 		if !slices.ContainsFunc(v.versions, func(x version) bool {
-			r, ok := x.cfg.Match(a.Host, path(a.Target))
+			r, ok := x.config.Match(a.Host, pathOf(a.Target))
 			return ok && x.Sent <= a.At && slices.Contains(r.Services(), a.Service)
 		}) {
-			bad("%s of %s ran %s %s%s, which no configuration lets come there", a.Server, a.Service, a.Attempt, a.Host, a.Target)
+			report("%s of %s ran %s %s%s, which no configuration lets come there",
+				a.Server, a.Service, a.Attempt, a.Host, a.Target)
 		}
 	}
 }
 
-// from tells whether a request came through a machine that is in touch.
-func (v *view) from(a *record.Arrival) bool {
+// cameInTouch reports whether a request came through a machine that is in touch.
+func (v *view) cameInTouch(a *record.Arrival) bool {
 	t := v.tries[a.Attempt]
-	return t != nil && v.through(t.Daemon, t.Sent, a.At)
+	return t != nil && v.inTouchThroughout(t.Daemon, t.Sent, a.At)
 }
 
-// drained: nothing reaches a server long after the list shows that it leaves.
-func drained(v *view, bad say) {
+// checkDrained: nothing reaches a server long after the list shows that it leaves.
+func checkDrained(v *view, report reporter) {
 	for _, a := range v.Arrivals {
 		l := v.lives[a.Server]
-		if a.Out == record.Other || l == nil || !v.from(a) {
+		if a.Out == record.Other || l == nil || !v.cameInTouch(a) {
 			continue
 		}
 		for what, since := range map[string]time.Duration{"draining": l.DrainShown, "gone": l.GoneShown} {
 			if since > 0 && a.At > since+v.Drain {
-				bad("%s reached %s %.2fs after the list showed it %s", a.Attempt, a.Server, sec(a.At-since), what)
+				report("%s reached %s %.2fs after the list showed it %s",
+					a.Attempt, a.Server, seconds(a.At-since), what)
 			}
 		}
 	}
 }
 
-// evacuated: nothing reaches a zone long after its evacuation was acknowledged.
-func evacuated(v *view, bad say) {
+// checkEvacuated: nothing reaches a zone long after its evacuation was acknowledged.
+func checkEvacuated(v *view, report reporter) {
 	for _, e := range v.Evacuations {
 		if e.Acked == 0 {
 			continue
 		}
 		for _, a := range v.Arrivals {
-			if a.Zone == e.Zone && a.Out != record.Other && a.At > e.Acked+v.Evacuate && (e.Back == 0 || a.At < e.Back) && v.from(a) {
-				bad("%s reached %s in %s %.2fs after its evacuation was acknowledged", a.Attempt, a.Server, a.Zone, sec(a.At-e.Acked))
+			inForce := a.At > e.Acked+v.Evacuate && (e.Back == 0 || a.At < e.Back)
+			if a.Zone == e.Zone && a.Out != record.Other && inForce && v.cameInTouch(a) {
+				report("%s reached %s in %s %.2fs after its evacuation was acknowledged",
+					a.Attempt, a.Server, a.Zone, seconds(a.At-e.Acked))
 			}
 		}
 	}
 }
 
-// kept: an evacuation that was acknowledged outlasts the closing fault.
-func kept(v *view, bad say) {
+// checkEvacuationKept: an evacuation that was acknowledged outlasts the closing fault.
+func checkEvacuationKept(v *view, report reporter) {
 	for _, e := range v.Evacuations {
 		if v.Back == 0 || e.Acked == 0 || e.Acked > v.Fault || e.Back > 0 {
 			continue
 		}
 		for _, a := range v.Arrivals {
 			if a.Zone == e.Zone && a.Out != record.Other && a.At > v.Back+v.Recovery+v.Evacuate {
-				bad("%s reached %s: the evacuation of %s was lost", a.Attempt, a.Server, a.Zone)
+				report("%s reached %s: the evacuation of %s was lost", a.Attempt, a.Server, a.Zone)
 			}
 		}
 	}
 }
 
-// further: arrivals after the first of each request stay within the fleet's
+// checkRetries: arrivals after the first of each request stay within the fleet's
 // bound in every window.
-func further(v *view, bad say) {
-	again := map[string][]time.Duration{}
-	for _, list := range v.arrivals {
-		first, read := map[string]bool{}, map[string]bool{}
-		for _, a := range list {
+func checkRetries(v *view, report reporter) {
+	requests := v.requestTimes()
+	for service, retries := range v.retryTimes() {
+		slices.Sort(retries)
+		sent := requests[service]
+		for _, to := range retries {
+			window := v.RetryWindow
+			count := countWithin(retries, to-window, to)
+			most := max(
+				countWithin(sent, to-window, to),
+				countWithin(sent, to-2*window, to-window),
+				countWithin(sent, to-window*3/2, to-window/2),
+			)
+			if allowed := v.RetryRatio*float64(most) + float64(v.RetrySlack); float64(count) > allowed {
+				report("%s got %d further arrivals in the %.0fs up to %.2fs, at most %.1f may come",
+					service, count, seconds(window), seconds(to), allowed)
+			}
+		}
+	}
+}
+
+// retryTimes lists, by service, when arrivals came after the first of their
+// request; the first reading that is taken up doesn't count.
+func (v *view) retryTimes() map[string][]time.Duration {
+	retries := map[string][]time.Duration{}
+	for _, arrivals := range v.arrivals {
+		arrived, read := map[string]bool{}, map[string]bool{} // by service
+		for _, a := range arrivals {
 			switch {
-			case a.Reading && a.Out == record.Read && !read[a.Service]: // the first reading that is taken up
+			case a.Reading && a.Out == record.Read && !read[a.Service]:
 				read[a.Service] = true
-			case !first[a.Service]:
-				first[a.Service] = true
+			case !arrived[a.Service]:
+				arrived[a.Service] = true
 			default:
-				again[a.Service] = append(again[a.Service], a.At)
+				retries[a.Service] = append(retries[a.Service], a.At)
 			}
 		}
 	}
-	asked := map[string][]time.Duration{}
+	return retries
+}
+
+// requestTimes lists, by service, when requests were sent on its routes.
+func (v *view) requestTimes() map[string][]time.Duration {
+	requests := map[string][]time.Duration{}
 	for _, t := range v.Tries {
-		for _, s := range v.routes[t.Route].Services() {
-			asked[s] = append(asked[s], t.Sent)
-		}
-	}
-	in := func(list []time.Duration, from, to time.Duration) (n int) {
-		for _, x := range list {
-			if x > from && x <= to {
-				n++
-			}
+		for _, service := range v.routes[t.Route].Services() {
+			requests[service] = append(requests[service], t.Sent)
 		}
-		return n
 	}
-	for svc, list := range again {
-		slices.Sort(list)
-		for _, to := range list {
-			w := v.RetryWindow
-			n := in(list, to-w, to)
-			most := max(in(asked[svc], to-w, to), in(asked[svc], to-2*w, to-w), in(asked[svc], to-w*3/2, to-w/2))
-			if allowed := v.RetryRatio*float64(most) + float64(v.RetrySlack); float64(n) > allowed {
-				bad("%s got %d further arrivals in the %.0fs up to %.2fs, at most %.1f may come", svc, n, sec(w), sec(to), allowed)
-			}
+	return requests
+}
+
+// countWithin counts the times after from, up to to.
+func countWithin(times []time.Duration, from, to time.Duration) (count int) {
+	for _, at := range times {
+		if at > from && at <= to {
+			count++
 		}
 	}
+	return count
 }
 
-// flooded: a cold server gets no more in a second than it bears.
-func flooded(v *view, bad say) {
+// checkColdServers: a cold server gets no more in a second than it bears.
+func checkColdServers(v *view, report reporter) {
 	by := map[string][]*record.Arrival{}
 	for _, a := range v.Arrivals {
 		if l := v.lives[a.Server]; l != nil && a.At < l.ColdUntil && a.Out != record.Other {
@@ -131,14 +155,15 @@
 				n++
 			}
 			if float64(n) > most {
-				bad("%s got %d requests in the second up to %.2fs while cold, at most %.1f may come", id, n, sec(a.At), most)
+				report("%s got %d requests in the second up to %.2fs while cold, at most %.1f may come",
+					id, n, seconds(a.At), most)
 			}
 		}
 	}
 }
 
-// holders: each server has one holder at a time.
-func holders(v *view, bad say) {
+// checkHolders: each server has one holder at a time.
+func checkHolders(v *view, report reporter) {
 	by := map[string][]*record.Order{}
 	for _, o := range v.Orders {
 		by[o.Server] = append(by[o.Server], o)
@@ -148,34 +173,25 @@
 		fences, top := map[int64]string{}, int64(0)
 		for i, o := range list {
 			if h, ok := fences[o.Fence]; ok && h != o.Holder {
-				bad("%s was ordered by %s and by %s with the fence %d", id, h, o.Holder, o.Fence)
+				report("%s was ordered by %s and by %s with the fence %d", id, h, o.Holder, o.Fence)
 			}
 			fences[o.Fence] = o.Holder
 			if o.Fence < top && !v.ChecksFence {
-				bad("%s was ordered with the fence %d after %d", id, o.Fence, top)
+				report("%s was ordered with the fence %d after %d", id, o.Fence, top)
 			}
 			top = max(top, o.Fence)
 			if i > 0 && list[i-1].Holder != o.Holder && o.At-list[i-1].At < v.Lease {
-				bad("%s was ordered by %s %.2fs after %s", id, o.Holder, sec(o.At-list[i-1].At), list[i-1].Holder)
+				report("%s was ordered by %s %.2fs after %s",
+					id, o.Holder, seconds(o.At-list[i-1].At), list[i-1].Holder)
 			}
 		}
 	}
 }
 
-// planned: around planned work no request that was read is lost.
-func planned(v *view, bad say) {
+// checkPlannedWork: around planned work no request that was read is lost.
+func checkPlannedWork(v *view, report reporter) {
 	for _, t := range v.Tries {
-		if t.Whole == 0 || t.Complete || t.GaveUp || t.Probe || t.Status/100 > 2 || t.End >= t.Deadline {
-			continue
-		}
-		list := v.arrivals[t.ID]
-		if len(list) == 0 && t.End <= t.Whole+v.LostSlack {
-			continue // it may not have been read
-		}
-		if r, ok := v.routes[t.Route]; !ok || t.End-t.Sent >= time.Duration(r.GiveUpMs)*time.Millisecond {
-			continue
-		}
-		if v.serverBroke(list, t.End) || v.unplanned(t) {
+		if !v.wasLost(t) {
 			continue
 		}
 		for _, x := range v.Troubles {
@@ -183,33 +199,52 @@
 				continue
 			}
 			if x.Planned && t.End >= x.From && t.Sent <= x.From+v.Grace+time.Second {
-				bad("%s was cut %.2fs after the SIGTERM of %s (%d arrivals)", t.ID, sec(t.End-x.From), x.Daemon, len(list))
+				report("%s was cut %.2fs after the SIGTERM of %s (%d arrivals)",
+					t.ID, seconds(t.End-x.From), x.Daemon, len(v.arrivals[t.ID]))
 			}
 			if x.Hup && t.Sent <= x.From+v.Apply && t.End >= x.From && t.End <= x.From+v.Apply+time.Second {
-				bad("%s was cut %.2fs after the SIGHUP of %s", t.ID, sec(t.End-x.From), x.Daemon)
+				report("%s was cut %.2fs after the SIGHUP of %s", t.ID, seconds(t.End-x.From), x.Daemon)
 			}
 		}
 	}
 }
 
-// serverBroke tells whether a server ended its answer or itself.
-func (v *view) serverBroke(list []*record.Arrival, end time.Duration) bool {
+// wasLost reports whether a request that was read got no complete answer, though
+// client, deadline, servers and troubles that weren't planned gave no cause.
+func (v *view) wasLost(t *record.Try) bool {
+	if t.Whole == 0 || t.Complete || t.GaveUp || t.Probe || t.Status/100 > 2 || t.End >= t.Deadline {
+		return false
+	}
+	arrivals := v.arrivals[t.ID]
+	if len(arrivals) == 0 && t.End <= t.Whole+v.LostSlack {
+		return false // it may not have been read
+	}
+	route, known := v.routes[t.Route]
+	if !known || t.End-t.Sent >= time.Duration(route.GiveUpMs)*time.Millisecond {
+		return false
+	}
+	return !v.brokenByServer(arrivals, t.End) && !v.hadUnplannedTrouble(t)
+}
+
+// brokenByServer reports whether a server ended its answer or itself.
+func (v *view) brokenByServer(list []*record.Arrival, end time.Duration) bool {
 	return slices.ContainsFunc(list, func(a *record.Arrival) bool {
 		l := v.lives[a.Server]
 		return a.Broke || l != nil && l.Died > 0 && l.Died <= end
 	})
 }
 
-// unplanned tells whether trouble that was not planned befell a try's daemon or
+// hadUnplannedTrouble reports whether trouble that was not planned befell a try's daemon or
 // the core around it.
-func (v *view) unplanned(t *record.Try) bool {
+func (v *view) hadUnplannedTrouble(t *record.Try) bool {
 	return slices.ContainsFunc(v.Troubles, func(x *record.Trouble) bool {
-		return !x.Planned && !x.Hup && (x.Daemon == t.Daemon || x.Core) && t.End >= x.From && (x.To == 0 || t.Sent <= x.To+v.InTouch)
+		concerns := !x.Planned && !x.Hup && (x.Daemon == t.Daemon || x.Core)
+		return concerns && t.End >= x.From && (x.To == 0 || t.Sent <= x.To+v.InTouch)
 	})
 }
 
-// recovered: after the closing fault requests are served again.
-func recovered(v *view, bad say) {
+// checkRecovery: after the closing fault requests are served again.
+func checkRecovery(v *view, report reporter) {
 	if v.Back == 0 {
 		return
 	}
@@ -229,6 +264,7 @@
 		return
 	}
 	if after, ok := count(v.Back+v.Recovery, v.End); after > 0 && ok*4 < after {
-		bad("%d of %d requests were served that were sent more than %.0fs after the machines were back, %d of %d before", ok, after, sec(v.Recovery), ok, before)
+		report("%d of %d requests were served that were sent more than %.0fs after the machines were back, "+
+			"%d of %d before", ok, after, seconds(v.Recovery), ok, before)
 	}
 }
