--- a/proof/hollow/daemon.go
+++ b/proof/hollow/daemon.go
@@ -137,35 +137,35 @@
 // engines answer for servers that aren't there.
 type engines struct{}
 
-// Read says that a prompt was read.
+// Prefill says that a prompt was read.
 //
-// Example: h, out, why := engines{}.Read(ctx, q, c, m, may)
-func (engines) Read(_ context.Context, _ *gateway.Request, c forward.Request, m forward.Decision, may func() bool) (forward.Handle, forward.Outcome, string) {
+// Example: h, out, why := engines{}.Prefill(ctx, q, c, m, may)
+func (engines) Prefill(_ context.Context, _ *gateway.Request, c forward.Request, m forward.Decision, may func() bool) (forward.Handle, forward.Outcome, string) {
 	if !may() {
 		return forward.Handle{}, forward.Blocked, "barred"
 	}
 	return forward.Handle{ID: "h", RequestID: c.ID, Attempt: m.Attempt, Server: m.Server, Tokens: c.InputTokens}, forward.OK, ""
 }
 
-// Write says that an answer came whole, with nothing in it.
+// Decode says that an answer came whole, with nothing in it.
 //
-// Example: a, out, why := engines{}.Write(ctx, q, c, m, "", may)
-func (engines) Write(_ context.Context, _ *gateway.Request, _ forward.Request, _ forward.Decision, _ string, may func() bool) (gateway.Answer, forward.Outcome, string) {
+// Example: a, out, why := engines{}.Decode(ctx, q, c, m, "", may)
+func (engines) Decode(_ context.Context, _ *gateway.Request, _ forward.Request, _ forward.Decision, _ string, may func() bool) (gateway.Answer, forward.Outcome, string) {
 	if !may() {
 		return nil, forward.Blocked, "barred"
 	}
 	return empty{}, forward.OK, ""
 }
 
-// Free does nothing.
+// ReleaseHandle does nothing.
 //
-// Example: engines{}.Free(handle)
-func (engines) Free(forward.Handle) {}
+// Example: engines{}.ReleaseHandle(handle)
+func (engines) ReleaseHandle(forward.Handle) {}
 
-// Told does nothing: no server tells its load.
+// OnLoad does nothing: no server tells its load.
 //
-// Example: engines{}.Told(f)
-func (engines) Told(func(service, server string, load forward.Load)) {}
+// Example: engines{}.OnLoad(f)
+func (engines) OnLoad(func(service, server string, load forward.Load)) {}
 
 // empty is an answer without a body.
 type empty struct{}
--- a/traffic/gateway/fake_test.go
+++ b/traffic/gateway/fake_test.go
@@ -34,15 +34,15 @@
 	return n
 }
 
-func (f *fake) Read(_ context.Context, q *Request, _ forward.Request, m forward.Decision, may func() bool) (forward.Handle, forward.Outcome, string) {
+func (f *fake) Prefill(_ context.Context, q *Request, _ forward.Request, m forward.Decision, may func() bool) (forward.Handle, forward.Outcome, string) {
 	if !may() {
 		return forward.Handle{}, forward.Blocked, "barred"
 	}
 	n := f.note("read")
-	return forward.Handle{ID: fmt.Sprint("h", n), RequestID: q.ID, Attempt: m.Attempt, Server: m.Server, Tokens: q.In}, f.read(n, m), "by script"
+	return forward.Handle{ID: fmt.Sprint("h", n), RequestID: q.ID, Attempt: m.Attempt, Server: m.Server, Tokens: q.InputTokens}, f.read(n, m), "by script"
 }
 
-func (f *fake) Write(ctx context.Context, _ *Request, _ forward.Request, m forward.Decision, last string, may func() bool) (Answer, forward.Outcome, string) {
+func (f *fake) Decode(ctx context.Context, _ *Request, _ forward.Request, m forward.Decision, last string, may func() bool) (Answer, forward.Outcome, string) {
 	if !may() {
 		return nil, forward.Blocked, "barred"
 	}
@@ -57,13 +57,13 @@
 	return a, out, "by script"
 }
 
-func (f *fake) Free(h forward.Handle) {
+func (f *fake) ReleaseHandle(h forward.Handle) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.freed = append(f.freed, h.ID)
 }
 
-func (f *fake) Told(func(string, string, forward.Load)) {}
+func (f *fake) OnLoad(func(string, string, forward.Load)) {}
 
 // piece is an event with its id, or bytes without one.
 type piece struct{ id, text string }
--- a/traffic/gateway/gateway.go
+++ b/traffic/gateway/gateway.go
@@ -58,7 +58,7 @@
 	g := &Gateway{daemon: c, engines: eng, cfg: Config(c.Cfg), dispatchers: map[string]*dispatcher{}, loads: loadreport.New(LoadReportConfig(c.Cfg)), report: newReport(c.Metrics)}
 	c.Explainers = append(c.Explainers, g.report.explain)
 	c.Metrics.NewGauge("mulleinmast_requests_open", func() float64 { return float64(g.inFlight.Load()) })
-	eng.Told(g.loadReported)
+	eng.OnLoad(g.loadReported)
 	c.OnLoadReport, c.Pressure = g.receiveLoadReport, g.pressure
 	return g
 }
@@ -322,8 +322,8 @@
 
 // maxWait is how long a request waits for a plan.
 func (g *Gateway) maxWait(q *Request) time.Duration {
-	if q.Left > 0 {
-		return min(g.cfg.MaxWait, q.Left/2)
+	if q.ClientTimeout > 0 {
+		return min(g.cfg.MaxWait, q.ClientTimeout/2)
 	}
 	return g.cfg.MaxWait
 }
@@ -372,15 +372,15 @@
 		return
 	}
 	c := forward.Request{
-		ID: q.ID, Repeatable: r.Kind == "safe" || r.Kind == "stream" && r.Resume, Resumable: r.Kind == "stream" && r.Resume, ContinuesStream: q.Last != "",
+		ID: q.ID, Repeatable: r.Kind == "safe" || r.Kind == "stream" && r.Resume, Resumable: r.Kind == "stream" && r.Resume, ContinuesStream: q.LastEventID != "",
 		Urgency: r.Urgency, LeastUrgency: s.leastUrgency, MaxAttempts: r.MaxAttempts, TTFTTarget: time.Duration(r.TargetMillis) * time.Millisecond, InterTokenTarget: time.Duration(r.GapMillis) * time.Millisecond,
-		Parts: q.Parts, InputTokens: q.In, MaxOutputTokens: q.Out, BodyBytes: len(q.Body),
+		Parts: q.Parts, InputTokens: q.InputTokens, MaxOutputTokens: q.MaxOutputTokens, BodyBytes: len(q.Body),
 	}
 	c.Service = route.Pick(r, requestHash(q.ID))
 	c.Disaggregated = r.Kind == "stream" && s.disaggregated[c.Service]
 	c.Deadline = at + time.Duration(r.GiveUpMillis)*time.Millisecond
-	if q.Left > 0 {
-		c.Deadline = min(c.Deadline, at+q.Left)
+	if q.ClientTimeout > 0 {
+		c.Deadline = min(c.Deadline, at+q.ClientTimeout)
 	}
 	if c.TTFTTarget == 0 {
 		c.TTFTTarget = (c.Deadline - at) / 4
--- a/traffic/gateway/gateway_test.go
+++ b/traffic/gateway/gateway_test.go
@@ -211,7 +211,7 @@
 }
 
 func long(q *Request) {
-	q.In, q.Out = 30000, 10
+	q.InputTokens, q.MaxOutputTokens = 30000, 10
 	prompts++ // one that no server keeps
 	q.Parts = []forward.Part{{Key: prompts, Tokens: 29000}, {Key: 1, Tokens: 1000}}
 }
@@ -311,7 +311,7 @@
 		return nil, forward.Lost
 	}}
 	from := time.Now()
-	log := serve(t, f, "/resume/", &ears{}, func(q *Request) { q.Left = 300 * time.Millisecond })
+	log := serve(t, f, "/resume/", &ears{}, func(q *Request) { q.ClientTimeout = 300 * time.Millisecond })
 	if took := time.Since(from); strings.Join(log, " ") != "fail 502" || took < 250*time.Millisecond || took > 2*time.Second {
 		t.Errorf("%v after %v", log, took)
 	}
@@ -328,7 +328,7 @@
 			until = m.Until - g.daemon.Now()
 			return nil, forward.Lost
 		}}
-		serve(t, f, "/stream/", &ears{}, func(q *Request) { q.Left = left })
+		serve(t, f, "/stream/", &ears{}, func(q *Request) { q.ClientTimeout = left })
 		most := giveUp
 		if left > 0 {
 			most = min(most, left)
--- a/traffic/gateway/port.go
+++ b/traffic/gateway/port.go
@@ -14,18 +14,18 @@
 
 // Request is one try of a client as its driver read it, whole.
 type Request struct {
-	ID     string // the client's own, echoed by servers
-	Method string
-	Host   string
-	Path   string // decides the route
-	Target string // path and query as they came, passed on unchanged
-	Header http.Header
-	Body   []byte
-	Left   time.Duration // that the client will wait; 0: it doesn't say
-	Parts  []forward.Part
-	In     int    // tokens of the prompt
-	Out    int    // most tokens out
-	Last   string // the client goes on with a stream after this event
+	ID              string // the client's own, echoed by servers
+	Method          string
+	Host            string
+	Path            string // decides the route
+	Target          string // path and query as they came, passed on unchanged
+	Header          http.Header
+	Body            []byte
+	ClientTimeout   time.Duration // that the client will wait; 0: it doesn't say
+	Parts           []forward.Part
+	InputTokens     int    // tokens of the prompt
+	MaxOutputTokens int    // most tokens out
+	LastEventID     string // the client goes on with a stream after this event
 }
 
 // Answer is a server's answer under way.
@@ -44,11 +44,11 @@
 // is asked just before the first byte goes out; if it says no, the outcome is
 // forward.Barred.
 type Engines interface {
-	Read(ctx context.Context, q *Request, c forward.Request, m forward.Decision, may func() bool) (forward.Handle, forward.Outcome, string)
-	Write(ctx context.Context, q *Request, c forward.Request, m forward.Decision, last string, may func() bool) (Answer, forward.Outcome, string)
-	Free(h forward.Handle)
-	// Told has f called with what servers tell of their load.
-	Told(f func(service, server string, load forward.Load))
+	Prefill(ctx context.Context, q *Request, c forward.Request, m forward.Decision, may func() bool) (forward.Handle, forward.Outcome, string)
+	Decode(ctx context.Context, q *Request, c forward.Request, m forward.Decision, last string, may func() bool) (Answer, forward.Outcome, string)
+	ReleaseHandle(h forward.Handle)
+	// OnLoad has f called with what servers tell of their load.
+	OnLoad(f func(service, server string, load forward.Load))
 }
 
 // Client takes the answer of one request.
--- a/traffic/gateway/report.go
+++ b/traffic/gateway/report.go
@@ -24,15 +24,15 @@
 // RequestTrace is what became of one request that was not served, for those who ask
 // afterwards.
 type RequestTrace struct {
-	Request string    `json:"request"`
-	Wall    time.Time `json:"wall"` // of its end; for people
-	Host    string    `json:"host"`
-	Path    string    `json:"path"`
-	Service string    `json:"service,omitempty"`
-	End     string    `json:"result"`
-	Why     string    `json:"why"`
-	Took    int64     `json:"took_ms"`
-	Steps   []string  `json:"choice,omitempty"` // the sends, each with its outcome
+	Request    string    `json:"request"`
+	Wall       time.Time `json:"wall"` // of its end; for people
+	Host       string    `json:"host"`
+	Path       string    `json:"path"`
+	Service    string    `json:"service,omitempty"`
+	Result     string    `json:"result"`
+	Reason     string    `json:"why"`
+	TookMillis int64     `json:"took_ms"`
+	Steps      []string  `json:"choice,omitempty"` // the sends, each with its outcome
 }
 
 // report counts how requests end, and keeps the stories of those that were not
@@ -75,9 +75,9 @@
 	s.Wall = time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	why := r.reason(s.Why)
-	r.since[s.End+", "+why]++
-	r.count(s.End, why)
+	why := r.reason(s.Reason)
+	r.since[s.Result+", "+why]++
+	r.count(s.Result, why)
 	r.stories[r.next%maxTraces] = s
 	r.next++
 }
@@ -129,7 +129,7 @@
 	case http.StatusServiceUnavailable, http.StatusRequestTimeout:
 		end = forward.Refuse.String()
 	}
-	g.report.failed(RequestTrace{Request: id, End: end, Why: why})
+	g.report.failed(RequestTrace{Request: id, Result: end, Reason: why})
 }
 
 // finished notes the end of a request that was taken in at a time.
@@ -139,5 +139,5 @@
 		return
 	}
 	g.daemon.Events.Debug("request", m.Reason, "request", c.ID, "result", m.Action)
-	g.report.failed(RequestTrace{Request: q.ID, Host: q.Host, Path: q.Path, Service: c.Service, End: m.Action.String(), Why: m.Reason, Took: took.Milliseconds(), Steps: m.Trace})
+	g.report.failed(RequestTrace{Request: q.ID, Host: q.Host, Path: q.Path, Service: c.Service, Result: m.Action.String(), Reason: m.Reason, TookMillis: took.Milliseconds(), Steps: m.Trace})
 }
--- a/traffic/gateway/report_test.go
+++ b/traffic/gateway/report_test.go
@@ -31,7 +31,7 @@
 		t.Fatalf("%d stories: %v", len(stories), stories)
 	}
 	s := stories[0].(RequestTrace)
-	if s.Request != id || s.Service != "one" || s.End != "unknown" || s.Why != "by script" || len(s.Steps) != 1 || !strings.Contains(s.Steps[0], "lost after") {
+	if s.Request != id || s.Service != "one" || s.Result != "unknown" || s.Reason != "by script" || len(s.Steps) != 1 || !strings.Contains(s.Steps[0], "lost after") {
 		t.Errorf("the story: %+v", s)
 	}
 	if text := g.report.summary(); text != "1 unknown, by script" || g.report.summary() != "" {
@@ -50,11 +50,11 @@
 func TestARequestWithoutARouteIsExplained(t *testing.T) {
 	serve(t, &fake{}, "/nowhere/", &ears{}, func(q *Request) { q.ID = "no-route" })
 	g, _ := gate()
-	if stories := g.report.explain("no-route"); len(stories) != 1 || stories[0].(RequestTrace).Why != "no route" {
+	if stories := g.report.explain("no-route"); len(stories) != 1 || stories[0].(RequestTrace).Reason != "no route" {
 		t.Errorf("%v", stories)
 	}
 	g.Unread("cut", 0, "the client broke off")
-	if stories := g.report.explain("cut"); len(stories) != 1 || stories[0].(RequestTrace).End != "break" {
+	if stories := g.report.explain("cut"); len(stories) != 1 || stories[0].(RequestTrace).Result != "break" {
 		t.Errorf("%v", stories)
 	}
 }
@@ -64,7 +64,7 @@
 	g, _ := gate()
 	r := newReport(g.daemon.Metrics)
 	for i := range 3 * maxTraces {
-		r.failed(RequestTrace{Request: fmt.Sprint(i), End: "refuse", Why: fmt.Sprintf("reason %d: details", i)})
+		r.failed(RequestTrace{Request: fmt.Sprint(i), Result: "refuse", Reason: fmt.Sprintf("reason %d: details", i)})
 	}
 	if n := len(r.explain("all")); n != maxTraces {
 		t.Errorf("%d stories are kept", n)
--- a/traffic/gateway/run.go
+++ b/traffic/gateway/run.go
@@ -26,7 +26,7 @@
 		defer l.mu.Unlock()
 		return f(g.daemon.Now())
 	}
-	has, at := delivered{lastEvent: q.Last}, g.daemon.Now()
+	has, at := delivered{lastEvent: q.LastEventID}, g.daemon.Now()
 	w.Within(c.Deadline - at)
 	check := audit{request: c}
 	m := step(func(now time.Duration) forward.Decision { return l.Start(now, c) })
@@ -43,7 +43,7 @@
 			}
 		case forward.Prefill:
 			cut, done := context.WithTimeout(ctx, m.Until-g.daemon.Now())
-			h, out, why := g.engines.Read(cut, q, c, m, g.lastCheck(l, c, m))
+			h, out, why := g.engines.Prefill(cut, q, c, m, g.lastCheck(l, c, m))
 			done()
 			if ctx.Err() != nil && out != forward.OK {
 				continue
@@ -62,7 +62,7 @@
 		}
 	}
 	for _, h := range m.ReleaseHandles {
-		go g.engines.Free(h)
+		go g.engines.ReleaseHandle(h)
 	}
 	g.finished(q, c, m, g.daemon.Now()-at)
 	if !check.checkEnd(m, has.headSent) {
@@ -143,7 +143,7 @@
 
 // decode makes one writing call and passes on what comes.
 func (g *Gateway) decode(ctx context.Context, l *dispatcher, q *Request, c forward.Request, m forward.Decision, w Client, has *delivered) (forward.Outcome, string) {
-	a, out, why := g.engines.Write(ctx, q, c, m, has.lastEvent, g.lastCheck(l, c, m))
+	a, out, why := g.engines.Decode(ctx, q, c, m, has.lastEvent, g.lastCheck(l, c, m))
 	if out != forward.OK {
 		return out, why
 	}
--- a/traffic/gateway/sameid_test.go
+++ b/traffic/gateway/sameid_test.go
@@ -24,7 +24,7 @@
 			}
 			ended <- e.log
 		}()
-		g.Serve(context.Background(), &Request{ID: id, Method: "POST", Host: "h.example", Path: path, Target: path, Header: http.Header{}, Left: mostWait}, e)
+		g.Serve(context.Background(), &Request{ID: id, Method: "POST", Host: "h.example", Path: path, Target: path, Header: http.Header{}, ClientTimeout: mostWait}, e)
 	}()
 	return ended
 }
--- a/traffic/gateway/unread_test.go
+++ b/traffic/gateway/unread_test.go
@@ -23,7 +23,7 @@
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			g.Serve(context.Background(), &Request{ID: "unread", Method: "POST", Host: "h.example", Path: path, Target: path, Header: http.Header{}, Left: 300 * time.Millisecond}, e)
+			g.Serve(context.Background(), &Request{ID: "unread", Method: "POST", Host: "h.example", Path: path, Target: path, Header: http.Header{}, ClientTimeout: 300 * time.Millisecond}, e)
 		}()
 		select {
 		case <-ended:
