--- a/control/invariant/invariant.go
+++ b/control/invariant/invariant.go
@@ -62,11 +62,6 @@
 // Example: fmt.Println(once.Name())
 func (c *Check) Name() string { return c.name }
 
-// Means says what holds while the check is not violated.
-//
-// Example: fmt.Println(once.Means())
-func (c *Check) Means() string { return c.means }
-
 // Count is the number of violations since the start of the process.
 //
 // Example: if once.Count() > 0 { alarm() }
--- a/traffic/forward/admission.go
+++ b/traffic/forward/admission.go
@@ -22,7 +22,8 @@
 	d.window.turn(now, d.cfg.RetryWindow)
 	d.window.spent++
 	most := d.cfg.RetryRatio*float64(d.window.first+d.window.before) + 2*float64(d.retries.Slack)
-	triesAllowed.Hold(float64(d.window.spent) <= most, "%s: %d further tries in a window, at most %.1f are earned", d.service, d.window.spent, most)
+	triesAllowed.Hold(float64(d.window.spent) <= most,
+		"%s: %d further tries in a window, at most %.1f are earned", d.service, d.window.spent, most)
 	return true
 }
 
--- a/traffic/forward/dispatcher.go
+++ b/traffic/forward/dispatcher.go
@@ -129,17 +129,17 @@
 
 // record is a server's record as it was read.
 type record struct {
-	ver message.Version
+	version message.Version
 	placement.ServerRecord
-	ok bool
+	readable bool
 }
 
 // readRecord reads a server's record, once a version.
 func (d *Dispatcher) readRecord(rec message.Record) record {
 	r, known := d.records[rec.Key]
-	if !known || r.ver != rec.Version || rec.Deleted == r.ok {
-		r = record{ver: rec.Version}
-		r.ServerRecord, r.ok = placement.OpenServerRecord(rec)
+	if !known || r.version != rec.Version || rec.Deleted == r.readable {
+		r = record{version: rec.Version}
+		r.ServerRecord, r.readable = placement.OpenServerRecord(rec)
 		d.records[rec.Key] = r
 	}
 	return r
@@ -196,7 +196,7 @@
 	if listed.Role != "" && listed.Role != r.Role { // the list says that it has not taken its role yet
 		return Server{}, false
 	}
-	if !r.ok || r.NextRole != "" || r.Status != placement.Up && r.Status != placement.Warming {
+	if !r.readable || r.NextRole != "" || r.Status != placement.Up && r.Status != placement.Warming {
 		return Server{}, false
 	}
 	return Server{
--- a/traffic/forward/invariants.go
+++ b/traffic/forward/invariants.go
@@ -8,8 +8,9 @@
 
 // Conditions of a dispatcher that must hold at all times.
 var (
-	accountsBalance = invariant.New("lane_accounts", "calls under way at a server are never below 0, and none are left when no request is under way")
-	triesAllowed    = invariant.New("retries_over_allowance", "further tries stay in what first tries have earned")
+	accountsBalance = invariant.New("lane_accounts",
+		"calls under way at a server are never below 0, and none are left when no request is under way")
+	triesAllowed = invariant.New("retries_over_allowance", "further tries stay in what first tries have earned")
 )
 
 // windowCount counts tries from one turn of a window to the next, apart from the bucket
--- a/traffic/forward/request.go
+++ b/traffic/forward/request.go
@@ -46,7 +46,12 @@
 	}
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(c.ID))
-	r := &pendingRequest{Request: c, arrivedAt: now, attempts: attempt.Ledger{AtMostOnce: !c.Repeatable, MaxPerPhase: max(1, c.MaxAttempts)}, hash: h.Sum64()}
+	r := &pendingRequest{
+		Request:   c,
+		arrivedAt: now,
+		attempts:  attempt.Ledger{AtMostOnce: !c.Repeatable, MaxPerPhase: max(1, c.MaxAttempts)},
+		hash:      h.Sum64(),
+	}
 	d.pending[c.ID] = r
 	if c.TTFTTarget > 0 && (d.shortestTTFT == 0 || c.TTFTTarget < d.shortestTTFT) {
 		d.shortestTTFT = c.TTFTTarget
@@ -155,7 +160,8 @@
 	}
 	m.Priority = d.priority(now, r, m)
 	r.attempts.Add(r.phase, m.Server.Key)
-	r.trace = append(r.trace, fmt.Sprintf("%s at %s (%s), %d tokens to read, after %d ms", m.Action, m.Server.Addr, m.Server.Zone, r.uncachedTokens, (now-r.arrivedAt).Milliseconds()))
+	r.trace = append(r.trace, fmt.Sprintf("%s at %s (%s), %d tokens to read, after %d ms",
+		m.Action, m.Server.Addr, m.Server.Zone, r.uncachedTokens, (now-r.arrivedAt).Milliseconds()))
 	return m
 }
 
@@ -178,7 +184,8 @@
 	st.inFlight--
 	st.seenAt = now
 	d.prefillFinished(r)
-	accountsBalance.Hold(st.inFlight >= 0, "%s: %d calls under way at %s after %s ended", d.service, st.inFlight, r.server.Key, r.ID)
+	accountsBalance.Hold(st.inFlight >= 0,
+		"%s: %d calls under way at %s after %s ended", d.service, st.inFlight, r.server.Key, r.ID)
 	if r.phase == attempt.Decode {
 		d.load.AddLoad(r.server.Key, 0, -1)
 	}
@@ -232,7 +239,8 @@
 		return
 	}
 	for key, st := range d.stats {
-		accountsBalance.Hold(st.inFlight == 0, "%s: no request is under way, and %d calls are at %s", d.service, st.inFlight, key)
+		accountsBalance.Hold(st.inFlight == 0,
+			"%s: no request is under way, and %d calls are at %s", d.service, st.inFlight, key)
 	}
 }
 
@@ -247,7 +255,14 @@
 	return d.decide(now, r)
 }
 
-var knownOf = map[Outcome]attempt.Known{NotSent: attempt.NotSent, Overloaded: attempt.Refused, WrongServer: attempt.Refused, HandleLost: attempt.HandleLost, Lost: attempt.Lost}
+// knownOf is what an outcome tells of its attempt.
+var knownOf = map[Outcome]attempt.Known{
+	NotSent:     attempt.NotSent,
+	Overloaded:  attempt.Refused,
+	WrongServer: attempt.Refused,
+	HandleLost:  attempt.HandleLost,
+	Lost:        attempt.Lost,
+}
 
 // PrefillDone takes the end of a prefill.
 //
--- a/traffic/forward/types.go
+++ b/traffic/forward/types.go
@@ -44,12 +44,14 @@
 
 // Config holds the bounds a dispatcher works by.
 type Config struct {
-	Zone             string
-	RetryRatio       float64       // retries over first sends in every RetryWindow
-	RetryWindow      time.Duration // see attempt.Bucket
-	RetrySlack       int           // retries beyond that, of all daemons together
-	MaxWait          time.Duration // that a request waits for leases and servers
-	MaxPredictedWait float64       // in parts of the TTFT target: who is predicted to wait for longer is refused at once; 0: nobody is
+	Zone        string
+	RetryRatio  float64       // retries over first sends in every RetryWindow
+	RetryWindow time.Duration // see attempt.Bucket
+	RetrySlack  int           // retries beyond that, of all daemons together
+	MaxWait     time.Duration // that a request waits for leases and servers
+	// MaxPredictedWait is in parts of the TTFT target: a request that is predicted to
+	// wait for longer is refused at once; 0: none is.
+	MaxPredictedWait float64
 	FailureBackoff   time.Duration // a server that failed is passed over for so long
 	RejectionBackoff time.Duration // and one that rejected a request
 	RetryAfter       time.Duration // when to come back, where nothing better is known
--- a/traffic/loadreport/exchange.go
+++ b/traffic/loadreport/exchange.go
@@ -60,7 +60,10 @@
 	own := r.localLoads(now)
 	r.reported = own
 	if !r.isHead {
-		out = append(out, r.envelope(head, Report{From: me.Ident, Zone: me.Zone, Kind: daemonReport, Loads: sortedLoads(own), Prefixes: r.takePrefixes(&r.newPrefixes)}))
+		out = append(out, r.envelope(head, Report{
+			From: me.Ident, Zone: me.Zone, Kind: daemonReport,
+			Loads: sortedLoads(own), Prefixes: r.takePrefixes(&r.newPrefixes),
+		}))
 		r.prefixesForHeads, r.prefixesForZone = nil, nil
 		return out
 	}
@@ -88,7 +91,8 @@
 		}
 		addLoads(all, h.loads)
 	}
-	toZone, toHeads := audience{fleetReport, fleetChanges, all, r.toZone.changes(all)}, audience{zoneReport, zoneChanges, sum, r.toHeads.changes(sum)}
+	toZone := audience{fleetReport, fleetChanges, all, r.toZone.changes(all)}
+	toHeads := audience{zoneReport, zoneChanges, sum, r.toHeads.changes(sum)}
 	zones := map[string]bool{me.Zone: true}
 	for _, m := range members {
 		switch {
@@ -133,7 +137,7 @@
 	if err != nil {
 		panic(err) // our own types always pack
 	}
-	return message.Envelope{Addr: to.Addr, Message: message.Message{Kind: message.KindLoadReport, To: to.Ident, Body: body}}
+	return message.Envelope{Addr: to.Addr, Message: message.LoadReport{Body: body}.Message(to.Ident)}
 }
 
 func sortedLoads(m map[uint64]ServerLoad) []ServerLoad {
@@ -147,16 +151,20 @@
 func addLoads(to, from map[uint64]ServerLoad) {
 	for k, u := range from {
 		t := to[k]
-		to[k] = ServerLoad{Server: k, Tokens: t.Tokens + u.Tokens, Decoding: t.Decoding + u.Decoding, InterTokenSum: t.InterTokenSum + u.InterTokenSum, Answered: t.Answered + u.Answered, Unanswered: t.Unanswered + u.Unanswered}
+		to[k] = ServerLoad{
+			Server: k, Tokens: t.Tokens + u.Tokens, Decoding: t.Decoding + u.Decoding,
+			InterTokenSum: t.InterTokenSum + u.InterTokenSum,
+			Answered:      t.Answered + u.Answered, Unanswered: t.Unanswered + u.Unanswered,
+		}
 	}
 }
 
 // Step takes another daemon's report; one that can't be read is passed over.
 //
 // Example: r.Step(now, message)
-func (r *Reporter) Step(now time.Duration, n message.Message) {
+func (r *Reporter) Step(now time.Duration, m message.Message) {
 	var s Report
-	if rest, err := s.UnmarshalMsg(n.Body); err != nil || len(rest) > 0 {
+	if rest, err := s.UnmarshalMsg(m.AsLoadReport().Body); err != nil || len(rest) > 0 {
 		return
 	}
 	h := receivedLoads{at: now, loads: make(map[uint64]ServerLoad, len(s.Loads))}
--- a/traffic/loadreport/loadreport.go
+++ b/traffic/loadreport/loadreport.go
@@ -71,11 +71,19 @@
 
 // New makes an empty reporter.
 //
-// Example: r := loadreport.New(loadreport.Config{Interval: 250 * time.Millisecond, MaxAge: time.Second, MaxPrefixes: 128})
+// Example: r := loadreport.New(loadreport.Config{Interval: 250 * time.Millisecond, MaxAge: time.Second})
 func New(cfg Config) *Reporter {
 	return &Reporter{
-		cfg: cfg, local: map[uint64]ServerLoad{}, reported: map[uint64]ServerLoad{}, members: map[string]receivedLoads{}, zones: map[string]receivedLoads{}, interToken: map[uint64]time.Duration{}, outcomes: map[uint64]callOutcomes{},
-		writtenTokens: map[uint64]float64{}, cacheSize: map[uint64]float64{}, prefixes: map[uint64]map[uint64]*cachedAt{},
+		cfg:           cfg,
+		local:         map[uint64]ServerLoad{},
+		reported:      map[uint64]ServerLoad{},
+		members:       map[string]receivedLoads{},
+		zones:         map[string]receivedLoads{},
+		interToken:    map[uint64]time.Duration{},
+		outcomes:      map[uint64]callOutcomes{},
+		writtenTokens: map[uint64]float64{},
+		cacheSize:     map[uint64]float64{},
+		prefixes:      map[uint64]map[uint64]*cachedAt{},
 	}
 }
 
@@ -183,7 +191,9 @@
 		}
 	}
 	add := func(u ServerLoad) {
-		sum.Tokens, sum.Decoding, sum.InterTokenSum = sum.Tokens+u.Tokens, sum.Decoding+u.Decoding, sum.InterTokenSum+u.InterTokenSum
+		sum.Tokens += u.Tokens
+		sum.Decoding += u.Decoding
+		sum.InterTokenSum += u.InterTokenSum
 		sum.Answered, sum.Unanswered = sum.Answered+u.Answered, sum.Unanswered+u.Unanswered
 	}
 	if r.isHead {
@@ -202,8 +212,9 @@
 	if now-r.fleet.at < r.cfg.MaxAge && r.fleet.loads != nil {
 		u, old := r.fleet.loads[server], r.reported[server]
 		add(ServerLoad{
-			Tokens: max(0, u.Tokens-old.Tokens), Decoding: max(0, u.Decoding-old.Decoding), InterTokenSum: max(0, u.InterTokenSum-old.InterTokenSum),
-			Answered: max(0, u.Answered-old.Answered), Unanswered: max(0, u.Unanswered-old.Unanswered),
+			Tokens: max(0, u.Tokens-old.Tokens), Decoding: max(0, u.Decoding-old.Decoding),
+			InterTokenSum: max(0, u.InterTokenSum-old.InterTokenSum),
+			Answered:      max(0, u.Answered-old.Answered), Unanswered: max(0, u.Unanswered-old.Unanswered),
 		})
 	}
 	return sum
