--- a/proof/standin/mutants/answers.sh
+++ b/proof/standin/mutants/answers.sh
@@ -23,8 +23,8 @@
 mutant held-by-its-body platform TestAnAnswerBeforeTheBodyIsRead $exchange 'if len(b) <= maxInlineRequest {
 		write()' 'if len(b) > 0 {
 		write()'
-mutant clients-stage platform TestHeadersThatClientsMayNotSet platform/names.go '[]string{hdrStage, hdrMemory,' '[]string{hdrMemory,'
-mutant hop-by-hop platform TestHeadersThatClientsMayNotSet platform/engine.go '!strings.HasPrefix(k, ours)' 'k != ours'
+mutant clients-stage platform TestHeadersThatClientsMayNotSet platform/names.go '[]string{hdrStage, hdrPromptMemory,' '[]string{hdrPromptMemory,'
+mutant hop-by-hop platform TestHeadersThatClientsMayNotSet platform/engine.go '!strings.HasPrefix(k, headerPrefix)' 'k != headerPrefix'
 mutant same-numbers control/leadercall TestAnswersToAnEarlierIncarnationEndNothing control/leadercall/leadercall.go 'lastID: epoch << epochBits' 'lastID: 0 * epoch'
 mutant anybodys-response control/leadercall TestAnswersToAnEarlierIncarnationEndNothing control/leadercall/leadercall.go ' || from != answered.to' ''
 mutant earlier-promise control/quorum TestVotesForAnEarlierIncarnationDoNotCount control/quorum/candidate.go 'grant.CandidateEpoch != 0 && grant.CandidateEpoch != r.epochs[r.self.Ident]' 'false'
--- a/proof/standin/mutants/invariants.sh
+++ b/proof/standin/mutants/invariants.sh
@@ -35,7 +35,7 @@
 seen sent-again unsafe_run_twice servers $trip 'last.Known == attempt.Lost && last.Phase == attempt.Decode && !r.Repeatable' 'last.Known == attempt.Lost && last.Phase == attempt.Decode && r.ID == ""'
 seen false-promise refused_after_run servers $trip 'return d.finish(r, Unknown, last.Why)' 'return d.finish(r, Refuse, last.Why)'
 seen spliced stream_spliced servers $trip 'last.Known == attempt.First && !(r.Resumable && r.Repeatable)' 'last.Known == attempt.First && r.ID == ""'
-seen stray-answer answer_not_of_request servers platform/exchange.go 'case names(res.Header, id):' 'case names(res.Header, id) || id != "":'
-seen no-seal success_without_seal servers platform/engine.go 'if why := whyUnfit(r); why != "" {' 'if why := whyUnfit(r); why == "never" {'
+seen stray-answer answer_not_of_request servers platform/exchange.go 'case namesRequest(res.Header, id):' 'case namesRequest(res.Header, id) || id != "":'
+seen no-seal success_without_seal servers platform/engine.go 'if why := unfitReason(r); why != "" {' 'if why := unfitReason(r); why == "never" {'
 seen long-lease lease_outlasts_granter kill control/lease/downstream.go 'return max(0, min(n.cfg.VolumeLease, n.VolumeExpiry()-now))' 'return n.cfg.VolumeLease'
 exit "$missed"
--- a/proof/standin/mutants/mutants.sh
+++ b/proof/standin/mutants/mutants.sh
@@ -31,7 +31,7 @@
 mutant drain release 120 DRAIN $lane 's.Leaving || zonesOut[s.Zone]' 'zonesOut[s.Zone]' $lane '|| r.Status != placement.Up && r.Status != placement.Warming' ''
 mutant evacuation evacuate 80 EVAC $lane 's.Leaving || zonesOut[s.Zone]' 's.Leaving || zonesOut[""]' $lane '|| r.Status != placement.Up && r.Status != placement.Warming' ''
 mutant stray-answer garble 120 MIXED platform/exchange.go 'return id == "" && len(got) == 0 || len(got) == 1 && got[0] == id' 'return id != "never" || len(got) == 0'
-mutant no-seal garble 80 MIXED $engine 'if why := whyUnfit(r); why != "" {' 'if why := whyUnfit(r); why == "never" {'
+mutant no-seal garble 80 MIXED $engine 'if why := unfitReason(r); why != "" {' 'if why := unfitReason(r); why == "never" {'
 mutant run-twice garble 120 TWICE $gate 'Repeatable: r.Kind == "safe" ||' 'Repeatable: true ||'
 mutant false-promise garble 80 REFUSED traffic/gateway/run.go 'w.Fail(http.StatusBadGateway, m.Reason)' 'w.Refuse(503, 1e8, m.Reason)'
 mutant old-plan config 80 CONFIG $gate 's.generation == gen && g.daemon.Now() < s.validUntil {' 'g.daemon.Now() < s.validUntil+60e9 {'
@@ -43,7 +43,7 @@
 		return
 	}
 	select {'
-mutant any-server crash 150 ROUTE $engine 'h.Set(hdrExpect, m.Server.Key)' 'h.Del(hdrExpect)'
+mutant any-server crash 150 ROUTE $engine 'h.Set(hdrExpectServer, m.Server.Key)' 'h.Del(hdrExpectServer)'
 mutant no-query calm 40 UNASKED $engine 'target := req.URL.Opaque' 'target, _, _ := strings.Cut(req.URL.Opaque, "?")'
 mutant no-route calm 80 DENIED $gate 'case !ok:
 		g.rejectEarly(q, w, http.StatusNotFound, "no route")' 'case !ok || requestHash(q.ID)%20 == 0:
