--- a/traffic/gateway/audit.go
+++ b/traffic/gateway/audit.go
@@ -7,11 +7,16 @@
 
 // Conditions of requests that must hold at all times.
 var (
-	runsOnce      = invariant.New("unsafe_run_twice", "a request that may not be repeated is never sent again once it may have run")
-	refusedUnrun  = invariant.New("refused_after_run", "a request that may not be repeated is refused only if it has not run")
-	oneRun        = invariant.New("stream_spliced", "an answer that has begun goes on at another server only if its route allows that")
-	alwaysAnswers = invariant.New("ended_without_answer", "a request that ends as served has begun its answer")
-	planGoesOn    = invariant.New("plan_went_back", "requests are never routed by an older plan than before")
+	runsOnce = invariant.New("unsafe_run_twice",
+		"a request that may not be repeated is never sent again once it may have run")
+	refusedUnrun = invariant.New("refused_after_run",
+		"a request that may not be repeated is refused only if it has not run")
+	oneRun = invariant.New("stream_spliced",
+		"an answer that has begun goes on at another server only if its route allows that")
+	alwaysAnswers = invariant.New("ended_without_answer",
+		"a request that ends as served has begun its answer")
+	planGoesOn = invariant.New("plan_went_back",
+		"requests are never routed by an older plan than before")
 )
 
 // audit follows one request by what its calls brought, apart from the ledger
@@ -34,6 +39,7 @@
 
 // checkEnd checks the last move; it tells whether the request may end by it.
 func (a *audit) checkEnd(m forward.Decision, begun bool) bool {
-	refusedUnrun.Hold(m.Action != forward.Refuse || a.request.Repeatable || !a.mayHaveRun, "%s is refused: %s", a.request.ID, m.Reason)
+	refusedUnrun.Hold(m.Action != forward.Refuse || a.request.Repeatable || !a.mayHaveRun,
+		"%s is refused: %s", a.request.ID, m.Reason)
 	return alwaysAnswers.Hold(m.Action != forward.Done || begun, "%s has no answer", a.request.ID)
 }
--- a/traffic/gateway/gateway_test.go
+++ b/traffic/gateway/gateway_test.go
@@ -109,7 +109,7 @@
 	l := g.dispatcherOf("one")
 	l.mu.Lock()
 	l.Dispatcher = forward.New(g.cfg, "one", l.partition, source{g.daemon}, serviceLoads{g, "one"})
-	g.fleet(l)
+	g.setDaemons(l)
 	l.mu.Unlock()
 	requests++
 	q := &Request{ID: fmt.Sprint("r", requests), Method: "POST", Host: "h.example", Path: path, Target: path, Header: http.Header{}}
--- a/traffic/gateway/loads.go
+++ b/traffic/gateway/loads.go
@@ -6,7 +6,7 @@
 	"mulleinmast/traffic/loadreport"
 )
 
-// serviceLoads is the board as one service's lane sees it.
+// serviceLoads is the load of all daemons' requests as one service's dispatcher sees it.
 type serviceLoads struct {
 	gateway *Gateway
 	service string
@@ -14,20 +14,20 @@
 
 // AddLoad records work sent from here.
 //
-// Example: n.AddLoad(server, 1460, 0)
-func (n serviceLoads) AddLoad(server string, tokens, writing int) {
-	n.gateway.loadMu.Lock()
-	defer n.gateway.loadMu.Unlock()
-	n.gateway.loads.AddLoad(loadreport.ServerID(n.service, server), tokens, writing)
+// Example: s.AddLoad(server, 1460, 0)
+func (s serviceLoads) AddLoad(server string, tokens, writing int) {
+	s.gateway.loadMu.Lock()
+	defer s.gateway.loadMu.Unlock()
+	s.gateway.loads.AddLoad(loadreport.ServerID(s.service, server), tokens, writing)
 }
 
 // Load is what is under way at a server.
 //
-// Example: tokens, writing, pause := n.Load(now, server)
-func (n serviceLoads) Load(now time.Duration, server string) (tokens, writing int, pause time.Duration) {
-	n.gateway.loadMu.Lock()
-	defer n.gateway.loadMu.Unlock()
-	u := n.gateway.loads.Load(now, loadreport.ServerID(n.service, server))
+// Example: tokens, writing, pause := s.Load(now, server)
+func (s serviceLoads) Load(now time.Duration, server string) (tokens, writing int, pause time.Duration) {
+	s.gateway.loadMu.Lock()
+	defer s.gateway.loadMu.Unlock()
+	u := s.gateway.loads.Load(now, loadreport.ServerID(s.service, server))
 	if u.Decoding > 0 {
 		pause = time.Duration(u.InterTokenSum/u.Decoding) * time.Millisecond
 	}
@@ -36,45 +36,45 @@
 
 // ObserveInterTokenLatency records the time between two events.
 //
-// Example: n.ObserveInterTokenLatency(server, 42*time.Millisecond)
-func (n serviceLoads) ObserveInterTokenLatency(server string, d time.Duration) {
-	n.gateway.loadMu.Lock()
-	defer n.gateway.loadMu.Unlock()
-	n.gateway.loads.ObserveInterTokenLatency(loadreport.ServerID(n.service, server), d)
+// Example: s.ObserveInterTokenLatency(server, 42*time.Millisecond)
+func (s serviceLoads) ObserveInterTokenLatency(server string, d time.Duration) {
+	s.gateway.loadMu.Lock()
+	defer s.gateway.loadMu.Unlock()
+	s.gateway.loads.ObserveInterTokenLatency(loadreport.ServerID(s.service, server), d)
 }
 
 // CallEnded records the end of a call.
 //
-// Example: n.CallEnded(now, server, true)
-func (n serviceLoads) CallEnded(now time.Duration, server string, answered bool) {
-	n.gateway.loadMu.Lock()
-	defer n.gateway.loadMu.Unlock()
-	n.gateway.loads.CallEnded(now, loadreport.ServerID(n.service, server), answered)
+// Example: s.CallEnded(now, server, true)
+func (s serviceLoads) CallEnded(now time.Duration, server string, answered bool) {
+	s.gateway.loadMu.Lock()
+	defer s.gateway.loadMu.Unlock()
+	s.gateway.loads.CallEnded(now, loadreport.ServerID(s.service, server), answered)
 }
 
 // IsDown tells whether a server most likely answers nobody.
 //
-// Example: if n.IsDown(now, server) { avoid(server) }
-func (n serviceLoads) IsDown(now time.Duration, server string) bool {
-	n.gateway.loadMu.Lock()
-	defer n.gateway.loadMu.Unlock()
-	return n.gateway.loads.IsDown(now, loadreport.ServerID(n.service, server))
+// Example: if s.IsDown(now, server) { avoid(server) }
+func (s serviceLoads) IsDown(now time.Duration, server string) bool {
+	s.gateway.loadMu.Lock()
+	defer s.gateway.loadMu.Unlock()
+	return s.gateway.loads.IsDown(now, loadreport.ServerID(s.service, server))
 }
 
 // RecordPrefix records that a server has a prompt.
 //
-// Example: n.RecordPrefix(prefix, server, 1460)
-func (n serviceLoads) RecordPrefix(prefix uint64, server string, tokens int) {
-	n.gateway.loadMu.Lock()
-	defer n.gateway.loadMu.Unlock()
-	n.gateway.loads.RecordPrefix(prefix, loadreport.ServerID(n.service, server), tokens)
+// Example: s.RecordPrefix(prefix, server, 1460)
+func (s serviceLoads) RecordPrefix(prefix uint64, server string, tokens int) {
+	s.gateway.loadMu.Lock()
+	defer s.gateway.loadMu.Unlock()
+	s.gateway.loads.RecordPrefix(prefix, loadreport.ServerID(s.service, server), tokens)
 }
 
 // HasPrefix tells whether a server most likely keeps a prompt.
 //
-// Example: if n.HasPrefix(prefix, server) { prefer(server) }
-func (n serviceLoads) HasPrefix(prefix uint64, server string) bool {
-	n.gateway.loadMu.Lock()
-	defer n.gateway.loadMu.Unlock()
-	return n.gateway.loads.HasPrefix(prefix, loadreport.ServerID(n.service, server))
+// Example: if s.HasPrefix(prefix, server) { prefer(server) }
+func (s serviceLoads) HasPrefix(prefix uint64, server string) bool {
+	s.gateway.loadMu.Lock()
+	defer s.gateway.loadMu.Unlock()
+	return s.gateway.loads.HasPrefix(prefix, loadreport.ServerID(s.service, server))
 }
--- a/traffic/gateway/port.go
+++ b/traffic/gateway/port.go
@@ -40,14 +40,21 @@
 	Close()
 }
 
-// Engines speaks to the model servers. A context that ends cuts the call. may
+// Engines speaks to the model servers. A context that ends cancels the call. may
 // is asked just before the first byte goes out; if it says no, the outcome is
-// forward.Barred.
+// forward.Blocked.
 type Engines interface {
-	Prefill(ctx context.Context, q *Request, c forward.Request, m forward.Decision, may func() bool) (forward.Handle, forward.Outcome, string)
-	Decode(ctx context.Context, q *Request, c forward.Request, m forward.Decision, last string, may func() bool) (Answer, forward.Outcome, string)
+	// Prefill has a server read the prompt and keep its KV cache.
+	Prefill(
+		ctx context.Context, q *Request, c forward.Request, m forward.Decision, may func() bool,
+	) (h forward.Handle, outcome forward.Outcome, why string)
+	// Decode has a server write the answer, from after the event with the id last.
+	Decode(
+		ctx context.Context, q *Request, c forward.Request, m forward.Decision, last string, may func() bool,
+	) (a Answer, outcome forward.Outcome, why string)
+	// ReleaseHandle frees a KV cache that won't be taken up.
 	ReleaseHandle(h forward.Handle)
-	// OnLoad has f called with what servers tell of their load.
+	// OnLoad has f called with what servers report of their load.
 	OnLoad(f func(service, server string, load forward.Load))
 }
 
--- a/traffic/gateway/report.go
+++ b/traffic/gateway/report.go
@@ -17,7 +17,7 @@
 const (
 	maxTraces        = 512 // of requests that were not served
 	maxReasons       = 48  // told apart; others are counted together
-	summaryIntervals = 40  // of the board's, between two lines on what was not served
+	summaryIntervals = 40  // of load reports, between two lines on what was not served
 	otherReason      = "other"
 )
 
@@ -35,13 +35,13 @@
 	Steps      []string  `json:"choice,omitempty"` // the sends, each with its outcome
 }
 
-// report counts how requests end, and keeps the stories of those that were not
+// report counts how requests end, and keeps the traces of those that were not
 // served.
 type report struct {
 	set *metrics.Set
 
-	mu      sync.Mutex
-	stories [maxTraces]RequestTrace
+	mu      sync.Mutex // guards all below
+	traces  [maxTraces]RequestTrace
 	next    int
 	reasons map[string]bool
 	since   map[string]int // ends and reasons since the last summary
@@ -70,32 +70,32 @@
 // served counts a request that was served.
 func (r *report) served() { r.count(forward.Done.String(), "") }
 
-// failed counts a request that was not served and keeps its story.
-func (r *report) failed(s RequestTrace) {
-	s.Wall = time.Now()
+// failed counts a request that was not served and keeps its trace.
+func (r *report) failed(t RequestTrace) {
+	t.Wall = time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	why := r.reason(s.Reason)
-	r.since[s.Result+", "+why]++
-	r.count(s.Result, why)
-	r.stories[r.next%maxTraces] = s
+	why := r.reason(t.Reason)
+	r.since[t.Result+", "+why]++
+	r.count(t.Result, why)
+	r.traces[r.next%maxTraces] = t
 	r.next++
 }
 
-// explain lists the stories of a request, or all of them.
+// explain lists the traces of a request, or all of them.
 func (r *report) explain(id string) (out []any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := max(0, r.next-maxTraces); i < r.next; i++ {
-		if s := r.stories[i%maxTraces]; id == "all" || s.Request == id {
-			out = append(out, s)
+		if t := r.traces[i%maxTraces]; id == "all" || t.Request == id {
+			out = append(out, t)
 		}
 	}
 	return out
 }
 
-// summary tells how many requests ended how since the last one; none: nothing
-// is to be told.
+// summary is how many requests ended how since the last one; "" if there were
+// none.
 func (r *report) summary() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,5 +139,8 @@
 		return
 	}
 	g.daemon.Events.Debug("request", m.Reason, "request", c.ID, "result", m.Action)
-	g.report.failed(RequestTrace{Request: q.ID, Host: q.Host, Path: q.Path, Service: c.Service, Result: m.Action.String(), Reason: m.Reason, TookMillis: took.Milliseconds(), Steps: m.Trace})
+	g.report.failed(RequestTrace{
+		Request: q.ID, Host: q.Host, Path: q.Path, Service: c.Service, Result: m.Action.String(),
+		Reason: m.Reason, TookMillis: took.Milliseconds(), Steps: m.Trace,
+	})
 }
--- a/traffic/nativeapi/calls.go
+++ b/traffic/nativeapi/calls.go
@@ -33,7 +33,11 @@
 
 // lastCheck is asked just before the first byte of a call goes out.
 func (s *stream) lastCheck(m scheduler.Decision) func() bool {
-	return func() bool { return s.dispatcher.maySend(s.api.daemon.Now, m) }
+	return func() bool {
+		s.dispatcher.mu.Lock()
+		defer s.dispatcher.mu.Unlock()
+		return s.dispatcher.MaySend(s.api.daemon.Now(), m)
+	}
 }
 
 // prefill calls a prefill server.
--- a/traffic/nativeapi/dispatcher.go
+++ b/traffic/nativeapi/dispatcher.go
@@ -131,13 +131,6 @@
 	d.PiecesTaken(now, id, pieces)
 }
 
-// maySend is the last check before the first byte of a call.
-func (d *dispatcher) maySend(now func() time.Duration, m scheduler.Decision) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.MaySend(now(), m)
-}
-
 // claimCall is the body of the call to the leader that a decision on a once key asks for.
 func (a *API) claimCall(m scheduler.Decision) []byte {
 	claim := leadercall.Claim{Request: m.RequestID, Daemon: a.daemon.Cfg.HTTPAddr, State: m.ClaimState}
