--- a/cmd/fleetlab/fleet.go
+++ b/cmd/fleetlab/fleet.go
@@ -109,7 +109,8 @@
 }
 
 func printFleet(fleet *track.Fleet, layout, dir string) {
-	fmt.Printf("%s: %d daemons and %d servers up, files in %s\n", layout, len(fleet.Daemons), len(fleet.FakeServers), dir)
+	fmt.Printf("%s: %d daemons and %d servers up, files in %s\n",
+		layout, len(fleet.Daemons), len(fleet.FakeServers), dir)
 	for _, d := range fleet.Daemons {
 		fmt.Printf("  %s web %s wire %s %s disk %v\n", d.Name, d.Addr, d.Wire, d.Zone, d.Data != "")
 	}
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -102,8 +102,8 @@
 }
 
 // exitCode is that of a run in which so many parts broke a rule or failed.
-func exitCode(bad int) int {
-	if bad > 0 {
+func exitCode(failures int) int {
+	if failures > 0 {
 		return exitFailed
 	}
 	return exitPassed
--- a/cmd/fleetlab/platform.go
+++ b/cmd/fleetlab/platform.go
@@ -47,7 +47,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	bad := 0
+	failures := 0
 	for _, name := range names {
 		config := scene.Config{
 			Dir:     filepath.Join(dir, name),
@@ -65,9 +65,9 @@
 		}
 		fmt.Print(report)
 		if report.Failed || len(report.Broken) > 0 {
-			bad++
+			failures++
 		}
 	}
-	fmt.Printf("%d of %d scenes broke a rule or failed\n", bad, len(names))
-	return exitCode(bad)
+	fmt.Printf("%d of %d scenes broke a rule or failed\n", failures, len(names))
+	return exitCode(failures)
 }
--- a/cmd/fleetlab/scale.go
+++ b/cmd/fleetlab/scale.go
@@ -48,8 +48,8 @@
 	}
 	fmt.Printf("%3d daemons, %-6s: %6.1f notes a second into each leader, %5.1f invalidations a write, "+
 		"write median %v 99th %v, %d rules broken\n",
-		size, shape, float64(r.RootMessages)/scaleLength.Seconds()/leaders, float64(r.Invalidations)/float64(max(1, r.Yes)),
-		quantile(r.Waits, 0.5), quantile(r.Waits, 0.99), len(r.Broken))
+		size, shape, float64(r.RootMessages)/scaleLength.Seconds()/leaders,
+		float64(r.Invalidations)/float64(max(1, r.Yes)), quantile(r.Waits, 0.5), quantile(r.Waits, 0.99), len(r.Broken))
 }
 
 // scaleSlowRelays simulates far zones one of which has slow relays for a while.
--- a/cmd/fleetlab/soak.go
+++ b/cmd/fleetlab/soak.go
@@ -91,9 +91,9 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	bad := o.play(ctx)
-	fmt.Printf("%d of %d seeds broke a rule or failed; files in %s\n", bad, o.seedCount, o.config.Dir)
-	return exitCode(bad)
+	failures := o.play(ctx)
+	fmt.Printf("%d of %d seeds broke a rule or failed; files in %s\n", failures, o.seedCount, o.config.Dir)
+	return exitCode(failures)
 }
 
 // folder is where a seed's data and logs are.
@@ -102,8 +102,8 @@
 }
 
 // play runs all seeds and counts those that broke a rule or failed.
-func (o soakOrder) play(ctx context.Context) (bad int) {
-	var mu sync.Mutex // guards bad and the order of what is printed
+func (o soakOrder) play(ctx context.Context) (failures int) {
+	var mu sync.Mutex // guards failures and the order of what is printed
 	var running sync.WaitGroup
 	slots := make(chan struct{}, o.parallel)
 	for seed := o.firstSeed; seed < o.firstSeed+o.seedCount && ctx.Err() == nil; seed++ {
@@ -118,14 +118,14 @@
 			o.printOutcome(seed, report, err)
 			switch {
 			case !inOrder(report, err):
-				bad++
+				failures++
 			case !o.all:
 				_ = os.RemoveAll(config.Dir)
 			}
 		})
 	}
 	running.Wait()
-	return bad
+	return failures
 }
 
 // inOrder reports whether a run was carried through and broke no rule.
--- a/cmd/fleetlab/sweep.go
+++ b/cmd/fleetlab/sweep.go
@@ -14,7 +14,7 @@
 // sweep runs many seeds of the simulated scenarios and names every seed that
 // broke a rule.
 func sweep(scenarios string, firstSeed, seedCount int64) int {
-	bad := 0
+	failures := 0
 	for _, name := range scenarioNames(scenarios) {
 		options, ok := sim.Scenarios[name]
 		if !ok {
@@ -22,9 +22,9 @@
 		}
 		totals := sweepScenario(name, options, firstSeed, seedCount)
 		totals.print(name, seedCount)
-		bad += totals.broken
+		failures += totals.broken
 	}
-	return exitCode(bad)
+	return exitCode(failures)
 }
 
 // scenarioNames is the list of scenarios, sorted; all stands for every one.
--- a/proof/judge/judge_test.go
+++ b/proof/judge/judge_test.go
@@ -79,7 +79,8 @@
 		},
 	}
 	for i := 0; i < 30; i++ {
-		faults["retries"] = append(faults["retries"], history.Event{At: 2 * one, Who: "n", Ev: "prefill", Request: "a1", N: 1})
+		again := history.Event{At: 2 * one, Who: "n", Ev: "prefill", Request: "a1", N: 1}
+		faults["retries"] = append(faults["retries"], again)
 	}
 	return faults
 }
--- a/proof/standin/rules/leaving.go
+++ b/proof/standin/rules/leaving.go
@@ -8,11 +8,11 @@
 
 // What the rules on clients that leave and on closed connections allow.
 const (
-	goneAfter    = 500 * time.Millisecond // a request may still reach a server so long after its client left
-	goneArrivals = 3
-	gonePart     = 4 // one in so many repeatable requests may still be worked on
-	goneFewest   = 8 // for their share to say something
-	closedMost   = 3
+	leftAfter       = 500 * time.Millisecond // a request may still reach a server so long after its client left
+	maxLateArrivals = 3
+	workedPart      = 4 // one in so many repeatable requests may still be worked on
+	minRepeatable   = 8 // for their share to say something
+	maxClosed       = 3
 )
 
 // checkClientsLeft: after a client has left, hardly anything is sent for it, and
@@ -20,15 +20,15 @@
 func checkClientsLeft(v *view, report reporter) {
 	late, repeatable, worked := 0, 0, 0
 	for _, t := range v.Tries {
-		if t.Left == 0 || !v.inTouchThroughout(t.Daemon, t.Sent, t.Left+goneAfter) {
+		if t.Left == 0 || !v.inTouchThroughout(t.Daemon, t.Sent, t.Left+leftAfter) {
 			continue
 		}
 		working := false
 		for _, a := range v.arrivals[t.ID] {
-			if a.At > t.Left+goneAfter {
+			if a.At > t.Left+leftAfter {
 				late++
 			}
-			working = working || isWorkingAt(a, t.Left+goneAfter)
+			working = working || isWorkingAt(a, t.Left+leftAfter)
 		}
 		if r, known := v.routes[t.Route]; !known || !r.Repeatable() {
 			continue
@@ -38,12 +38,12 @@
 			worked++
 		}
 	}
-	if late > goneArrivals {
-		report("%d requests reached servers over %v after their clients had left", late, goneAfter)
+	if late > maxLateArrivals {
+		report("%d requests reached servers over %v after their clients had left", late, leftAfter)
 	}
-	if repeatable >= goneFewest && worked*gonePart > repeatable {
+	if repeatable >= minRepeatable && worked*workedPart > repeatable {
 		report("servers worked on %d of %d repeatable requests over %v after their clients had left",
-			worked, repeatable, goneAfter)
+			worked, repeatable, leftAfter)
 	}
 }
 
@@ -61,7 +61,7 @@
 			continue
 		}
 		closed[t.Daemon] = append(closed[t.Daemon], t.ID)
-		if len(closed[t.Daemon]) == closedMost+1 {
+		if len(closed[t.Daemon]) == maxClosed+1 {
 			report("%s passed on and closed the connections of %v, which had no answer", t.Daemon, closed[t.Daemon])
 		}
 	}
