--- a/proof/standin/mutants/mutants.sh
+++ b/proof/standin/mutants/mutants.sh
@@ -43,7 +43,7 @@
 		return
 	}
 	select {'
-mutant any-server crash 150 ROUTE $engine 'h.Set(hdrExpectServer, m.Server.Key)' 'h.Del(hdrExpectServer)'
+mutant any-server crash 150 ROUTE $engine 'h.Set(hdrExpectServer, decision.Server.Key)' 'h.Del(hdrExpectServer)'
 mutant no-query calm 40 UNASKED $engine 'target := req.URL.Opaque' 'target, _, _ := strings.Cut(req.URL.Opaque, "?")'
 mutant no-route calm 80 DENIED $gate 'case !ok:
 		g.rejectEarly(q, w, http.StatusNotFound, "no route")' 'case !ok || requestHash(q.ID)%20 == 0:
