--- a/proof/sim/caller.go
+++ b/proof/sim/caller.go
@@ -21,19 +21,19 @@
 
 // caller is a simulated client: one request, checked by content.
 type caller struct {
-	w       *world
-	no      int
-	n       *node
-	asked   scheduler.ClientRequest
-	timeout time.Duration
-	at      time.Duration
-	see     script.Prefill
-	broken  string
-	over    bool
-	again   bool
-	back    bool // came back when it was told to
-	crowd   bool // sent while requests come thick
-	after   func()
+	world    *world
+	number   int
+	node     *node
+	asked    scheduler.ClientRequest
+	timeout  time.Duration
+	sentAt   time.Duration
+	received script.Prefill
+	broken   string
+	ended    bool
+	isRepeat bool
+	returned bool // came back when it was told to
+	inCrowd  bool // sent while requests come thick
+	afterEnd func()
 }
 
 func share(d leadercall.Result) (sh placement.Share, ok bool) {
@@ -42,9 +42,9 @@
 
 // send hands the request to a daemon.
 func (c *caller) send(n *node) {
-	w := c.w
-	c.n, c.at, c.crowd = n, w.now, w.now < w.crowd && !c.again
-	c.see.Prompt = script.Prompt(c.asked.Parts)
+	w := c.world
+	c.node, c.sentAt, c.inCrowd = n, w.now, w.now < w.crowdUntil && !c.isRepeat
+	c.received.Prompt = script.Prompt(c.asked.Parts)
 	w.at(w.lag(), func() {
 		if !n.up {
 			c.end("error", "refused", 0)
@@ -53,7 +53,7 @@
 		n.in(0, func() { c.land(0) })
 	})
 	w.at(c.timeout+5*time.Second, func() {
-		if c.n.thawed > c.at { // its daemon's machine froze meanwhile
+		if c.node.awakeFrom > c.sentAt { // its daemon's machine froze meanwhile
 			c.end("silent", "no final answer from a frozen machine", 0)
 			return
 		}
@@ -63,15 +63,15 @@
 
 // land is the daemon taking the request in; it waits a little for the plan.
 func (c *caller) land(waited time.Duration) {
-	n := c.n
+	n := c.node
 	now := n.local()
 	rec, ok := n.source(0, fleetconfig.PlanKey)
-	if !ok && waited < min(2*c.w.cfg.VolumeLease(), c.timeout) {
-		n.early[c.no] = c
+	if !ok && waited < min(2*c.world.cfg.VolumeLease(), c.timeout) {
+		n.waitingForPlan[c.number] = c
 		n.in(20*time.Millisecond, func() { c.land(waited + 20*time.Millisecond) })
 		return
 	}
-	delete(n.early, c.no)
+	delete(n.waitingForPlan, c.number)
 	if !ok {
 		if c.asked.OnceKey != "" {
 			c.end("uncertain", "no valid lease on the plan", 1000)
@@ -80,51 +80,51 @@
 		}
 		return
 	}
-	c.see.Request = fmt.Sprintf("r%d", c.no)
+	c.received.Request = fmt.Sprintf("r%d", c.number)
 	p := fleetconfig.OpenPlan(rec)
-	c.w.jot(history.Event{Who: n.name, Ev: "serves", Plan: p.ID, Ver: p.Version})
-	req, code, why := scheduler.NewPlanIndex(rec).Admit(c.asked, c.see.Request, now)
+	c.world.jot(history.Event{Who: n.name, Ev: "serves", Plan: p.ID, Ver: p.Version})
+	req, code, why := scheduler.NewPlanIndex(rec).Admit(c.asked, c.received.Request, now)
 	if code != 0 {
 		c.end("broken-request", why, 0)
 		return
 	}
-	l := n.lane(req.Model)
-	r := &ride{n: n, l: l, req: req, c: c, calls: map[int]*call{}}
-	n.rides[req.ID] = r
+	l := n.queueOf(req.Model)
+	r := &requestState{node: n, queue: l, request: req, caller: c, calls: map[int]*call{}}
+	n.requests[req.ID] = r
 	n.do(l, l.Start(now, req))
 }
 
 // pass brings a piece to the caller, in order.
-func (r *ride) pass(p serverpool.Piece) {
-	w := r.n.w
-	r.last = max(w.now+w.lag(), r.last+1)
-	w.at(r.last-w.now, func() { r.c.piece(p) })
-	n := r.c.see.N // nobody is slow here: taken as it comes
-	r.l.PiecesTaken(r.n.local(), r.req.ID, n+1)
+func (r *requestState) pass(p serverpool.Piece) {
+	w := r.node.world
+	r.lastArrival = max(w.now+w.lag(), r.lastArrival+1)
+	w.at(r.lastArrival-w.now, func() { r.caller.piece(p) })
+	n := r.caller.received.N // nobody is slow here: taken as it comes
+	r.queue.PiecesTaken(r.node.local(), r.request.ID, n+1)
 }
 
-func (r *ride) respond(e scheduler.Answer) {
-	w := r.n.w
+func (r *requestState) respond(e scheduler.Answer) {
+	w := r.node.world
 	for _, c := range r.calls {
-		c.shut = true
+		c.closed = true
 	}
-	r.last = max(w.now+w.lag(), r.last+1)
-	w.at(r.last-w.now, func() {
+	r.lastArrival = max(w.now+w.lag(), r.lastArrival+1)
+	w.at(r.lastArrival-w.now, func() {
 		switch e.Result {
 		case "finish":
 		case "break", "gone":
-			r.c.end("broken", e.Reason, 0)
+			r.caller.end("broken", e.Reason, 0)
 		default:
-			r.c.end(e.Result, e.Reason, e.RetryAfter.Milliseconds())
+			r.caller.end(e.Result, e.Reason, e.RetryAfter.Milliseconds())
 		}
 	})
 }
 
 func (c *caller) piece(p serverpool.Piece) {
-	if c.over {
+	if c.ended {
 		return
 	}
-	end, broken, why := c.see.Next(p)
+	end, broken, why := c.received.Next(p)
 	switch {
 	case why != "":
 		c.end("wrong", why, 0)
@@ -136,91 +136,91 @@
 }
 
 func (c *caller) end(result, why string, after int64) {
-	if c.over {
+	if c.ended {
 		return
 	}
-	c.over = true
-	w := c.w
-	w.res.Results[result]++
-	if c.crowd {
-		w.res.Sent[c.asked.Tenant]++
+	c.ended = true
+	w := c.world
+	w.result.Results[result]++
+	if c.inCrowd {
+		w.result.Sent[c.asked.Tenant]++
 		if result == "ok" {
-			w.res.Served[c.asked.Tenant]++
+			w.result.Served[c.asked.Tenant]++
 		}
 	}
 	if result == "shed" {
 		kind, _, _ := strings.Cut(why, " of \"")
-		w.res.Refusals[kind]++
+		w.result.Refusals[kind]++
 	}
 	w.jot(history.Event{
-		Who: c.n.name, Ev: "reply", Request: c.see.Request, Run: c.see.Run, Count: c.see.N, Once: c.asked.OnceKey, Tenant: c.asked.Tenant, Result: result, Why: why,
-		After: after, Took: int64(w.now - c.at), Zone: c.n.zone, Again: c.again,
+		Who: c.node.name, Ev: "reply", Request: c.received.Request, Run: c.received.Run, Count: c.received.N, Once: c.asked.OnceKey, Tenant: c.asked.Tenant, Result: result, Why: why,
+		After: after, Took: int64(w.now - c.sentAt), Zone: c.node.zone, Again: c.isRepeat,
 	})
 	if result == "silent" || result == "hung" {
-		if r := c.n.rides[c.see.Request]; r != nil && r.c == c {
-			n, l, id := c.n, r.l, r.req.ID
+		if r := c.node.requests[c.received.Request]; r != nil && r.caller == c {
+			n, l, id := c.node, r.queue, r.request.ID
 			n.in(0, func() { n.do(l, l.ClientGone(n.local(), id)) })
 		}
 	}
-	if c.after != nil {
-		c.after()
+	if c.afterEnd != nil {
+		c.afterEnd()
 	}
-	if c.back {
-		w.res.Returned++
+	if c.returned {
+		w.result.Returned++
 		if result == "ok" {
-			w.res.Helped++
+			w.result.Helped++
 		}
-	} else if w.o.Back && result == "shed" && after > 0 {
+	} else if w.options.Back && result == "shed" && after > 0 {
 		w.callers++
-		again := &caller{w: w, no: w.callers, timeout: c.timeout, asked: c.asked, back: true}
-		w.at(time.Duration(after)*time.Millisecond, func() { again.send(w.pick(c.n.zone)) })
+		again := &caller{world: w, number: w.callers, timeout: c.timeout, asked: c.asked, returned: true}
+		w.at(time.Duration(after)*time.Millisecond, func() { again.send(w.pick(c.node.zone)) })
 	}
 }
 
 // hangUp ends a killed daemon's connections.
 func (n *node) hangUp() {
-	w := n.w
-	for _, id := range sortedKeys(n.rides) {
-		r := n.rides[id]
+	w := n.world
+	for _, id := range sortedKeys(n.requests) {
+		r := n.requests[id]
 		for _, c := range r.calls {
-			c.shut = true
+			c.closed = true
 		}
-		r.last = max(w.now+w.lag(), r.last+1)
-		w.at(r.last-w.now, func() { r.c.end("broken", "connection lost", 0) })
+		r.lastArrival = max(w.now+w.lag(), r.lastArrival+1)
+		w.at(r.lastArrival-w.now, func() { r.caller.end("broken", "connection lost", 0) })
 	}
-	n.rides = map[string]*ride{}
-	for _, no := range slices.Sorted(maps.Keys(n.early)) {
-		n.early[no].end("broken", "connection lost", 0)
+	n.requests = map[string]*requestState{}
+	for _, no := range slices.Sorted(maps.Keys(n.waitingForPlan)) {
+		n.waitingForPlan[no].end("broken", "connection lost", 0)
 	}
-	n.early = map[int]*caller{}
+	n.waitingForPlan = map[int]*caller{}
 }
 
-// traffic lays out servers, operators, the platform and clients.
-func (w *world) traffic() {
-	w.fakeServers, w.lists, w.mix = map[string]*fakeServer{}, map[string]fleetconfig.List{}, 0.6
-	for s, n := range w.o.Servers {
+// startTraffic lays out servers, operators, the platform and clients.
+func (w *world) startTraffic() {
+	w.fakeServers, w.lists, w.firstServiceShare = map[string]*fakeServer{}, map[string]fleetconfig.List{}, 0.6
+	for s, n := range w.options.Servers {
 		for i := 0; i < n; i++ {
-			w.fakeServer(services[s], fmt.Sprintf("zone-%d", i%len(w.o.Zones)))
+			w.fakeServer(services[s], fmt.Sprintf("zone-%d", i%len(w.options.Zones)))
 		}
 	}
 	w.at(2*time.Second, w.platform)
-	w.at(2500*time.Millisecond, func() { w.first() })
+	w.at(2500*time.Millisecond, func() { w.sendFirstPlan() })
 	w.at(9*time.Second, w.request)
-	if w.o.Asks > 0 {
+	if w.options.Asks > 0 {
 		w.at(9*time.Second, w.askBack)
 		w.at(9*time.Second, w.order)
 	}
-	if w.o.Orders > 0 {
+	if w.options.Orders > 0 {
 		w.at(9*time.Second, w.operate)
 	}
 }
 
 func (w *world) fakeServer(svc, zone string) *fakeServer {
-	d := &fakeServer{w: w, addr: fmt.Sprintf("10.1.0.%d:1", len(w.addrs)+1), svc: svc, zone: zone, cap: 4, warm: time.Second + time.Duration(w.rng.Int63n(int64(4*time.Second)))}
+	d := &fakeServer{world: w, addr: fmt.Sprintf("10.1.0.%d:1", len(w.addrs)+1), service: svc, zone: zone, capacity: 4, warmUp: time.Second + time.Duration(w.rng.Int63n(int64(4*time.Second)))}
 	w.fakeServers[d.addr] = d
 	w.addrs = append(w.addrs, d.addr)
 	l := w.lists[svc]
-	l.Servers = append(append([]fleetconfig.Server(nil), l.Servers...), fleetconfig.Server{Addr: d.addr, Zone: zone, Capacity: d.cap})
+	l.Servers = append(append([]fleetconfig.Server(nil), l.Servers...), fleetconfig.Server{Addr: d.addr, Zone: zone, Capacity: d.capacity})
 	w.lists[svc] = l
 	d.boot()
 	return d
@@ -230,7 +230,7 @@
 func (w *world) platform() {
 	w.ready = nil
 	for _, n := range w.nodes {
-		if !n.up || n.frozen > w.now || !n.view.HasSession {
+		if !n.up || n.frozenUntil > w.now || !n.view.HasSession {
 			continue
 		}
 		_, a := n.source(0, fleetconfig.PlanKey)
@@ -280,8 +280,8 @@
 	w.at(10*time.Second, func() { end(leadercall.StatusUncertain, nil) })
 }
 
-// first sends the plan and the lists until they are taken.
-func (w *world) first() {
+// sendFirstPlan sends the plan and the lists until they are taken.
+func (w *world) sendFirstPlan() {
 	p := fleetconfig.Plan{ID: "first"}
 	for i, t := range []string{"express", "regular", "bulk"} {
 		p.Tenants = append(p.Tenants, fleetconfig.Tenant{Name: t, Priority: 4 * i, TimeoutMillis: 5000, QueueFraction: 0.6})
@@ -291,9 +291,9 @@
 	}
 	from := w.now
 	w.control(w.pick(""), 0, "plan", leadercall.Pack(p), func(code int, rep []byte) {
-		w.judged("first", 0, from, code, rep)
+		w.recordVerdict("first", 0, from, code, rep)
 		if code != 200 {
-			w.at(500*time.Millisecond, w.first)
+			w.at(500*time.Millisecond, w.sendFirstPlan)
 			return
 		}
 		for _, s := range services {
@@ -302,10 +302,10 @@
 	})
 }
 
-// judged writes down what an operator was told.
-func (w *world) judged(id string, base uint64, from time.Duration, code int, rep []byte) {
+// recordVerdict writes down what an operator was told.
+func (w *world) recordVerdict(id string, base uint64, from time.Duration, code int, rep []byte) {
 	v := verdict(rep)
-	if v.Result == "taken" && w.o.Sabotage == "sayno" && w.rng.Intn(3) == 0 {
+	if v.Result == "taken" && w.options.Sabotage == "sayno" && w.rng.Intn(3) == 0 {
 		v.Result = "beaten" // told no, and it is in force
 	}
 	if v.Result == "" && code != 0 {
@@ -313,10 +313,10 @@
 	}
 	if v.Result != "" && code != 0 {
 		w.jot(history.Event{Who: "operator", Ev: "plan", Plan: id, Base: base, Ver: v.Version, Result: v.Result, Took: max(1, int64(w.now-from))})
-		w.res.Plans[v.Result]++
+		w.result.Plans[v.Result]++
 	}
 	if v.Result == "taken" {
-		w.known = max(w.known, v.Version)
+		w.knownVersion = max(w.knownVersion, v.Version)
 	}
 }
 
@@ -337,7 +337,7 @@
 	}{svc, l})
 	var send func(tries int)
 	send = func(tries int) {
-		w.control(w.pick(""), fleetconfig.PartitionOf(svc, w.o.Partitions), "servers", body, func(code int, rep []byte) {
+		w.control(w.pick(""), fleetconfig.PartitionOf(svc, w.options.Partitions), "servers", body, func(code int, rep []byte) {
 			w.trace("LIST %s version %d: %d %s; leaving %v", svc, l.Version, code, rep, leavers(l))
 			switch {
 			case code == 200:
@@ -358,37 +358,37 @@
 
 // request sends one request of the mix, and its once key a second time.
 func (w *world) request() {
-	if w.now > w.o.Length-9*time.Second {
+	if w.now > w.options.Length-9*time.Second {
 		return
 	}
-	mean := w.o.Calls
-	if w.now < w.crowd {
+	mean := w.options.Calls
+	if w.now < w.crowdUntil {
 		mean /= 12
 	}
 	w.at(w.exp(mean), w.request)
 	svc := services[0]
-	if w.rng.Float64() > w.mix {
+	if w.rng.Float64() > w.firstServiceShare {
 		svc = services[1]
 	}
 	pre := w.rng.Intn(4)
 	w.callers++
 	timeout := time.Second + time.Duration(w.rng.Int63n(int64(3*time.Second)))
 	ms := timeout.Milliseconds()
-	c := &caller{w: w, no: w.callers, timeout: timeout, asked: scheduler.ClientRequest{
+	c := &caller{world: w, number: w.callers, timeout: timeout, asked: scheduler.ClientRequest{
 		Model: svc, Tenant: []string{"express", "regular", "bulk"}[w.rng.Intn(3)], Tokens: 3 + w.rng.Intn(4), TimeoutMillis: &ms,
 		Parts: []serverpool.Part{{Key: "shared", Text: strings.Repeat(string(rune('a'+pre)), 150)}, {Text: fmt.Sprintf("own %d ", w.callers) + strings.Repeat("x", 50+w.rng.Intn(150))}},
 	}}
 	zone := w.nodes[w.rng.Intn(len(w.nodes))].zone
 	to := w.pick(zone)
 	if w.rng.Intn(5) < 2 {
-		c.asked.OnceKey = fmt.Sprintf("k%d", c.no)
+		c.asked.OnceKey = fmt.Sprintf("k%d", c.number)
 		w.callers++
-		twin := &caller{w: w, no: w.callers, timeout: timeout, asked: c.asked, again: true}
+		twin := &caller{world: w, number: w.callers, timeout: timeout, asked: c.asked, isRepeat: true}
 		other := w.pick("")
 		if w.rng.Intn(3) == 0 { // while the first may be under way
 			w.at(w.exp(60*time.Millisecond), func() { twin.send(other) })
 		} else {
-			c.after = func() { w.at(w.exp(200*time.Millisecond), func() { twin.send(other) }) }
+			c.afterEnd = func() { w.at(w.exp(200*time.Millisecond), func() { twin.send(other) }) }
 		}
 	}
 	c.send(to)
--- a/proof/sim/codec.go
+++ b/proof/sim/codec.go
@@ -62,11 +62,11 @@
 // codec is how records go down the tree in this run.
 func (w *world) codec() lease.Codec {
 	switch {
-	case w.o.Wholes:
+	case w.options.Wholes:
 		return nil
-	case w.o.Sabotage == "blindpatch":
+	case w.options.Sabotage == "blindpatch":
 		return blindCodec{}
-	case w.o.Sabotage == "spoiltpatch":
+	case w.options.Sabotage == "spoiltpatch":
 		return spoiltCodec{}
 	}
 	return tailCodec{}
--- a/proof/sim/fault.go
+++ b/proof/sim/fault.go
@@ -9,47 +9,47 @@
 	"mulleinmast/control/digest"
 )
 
-// plan lays out a run's failures.
-func (w *world) plan() {
+// scheduleFaults lays out a run's failures.
+func (w *world) scheduleFaults() {
 	w.at(5*time.Second, w.write)
-	if w.o.Races > 0 {
+	if w.options.Races > 0 {
 		w.at(8*time.Second, w.races)
 	}
-	end := w.o.Length - w.o.Calm
-	for _, kind := range kinds(w.o.Faults) {
+	end := w.options.Length - w.options.Calm
+	for _, kind := range kinds(w.options.Faults) {
 		if kind == "ackkill" {
 			continue
 		}
-		mean := w.o.Faults[kind]
+		mean := w.options.Faults[kind]
 		for x := w.rng.ExpFloat64(); x < mean; x += w.rng.ExpFloat64() {
 			at := 6*time.Second + time.Duration(w.rng.Float64()*float64(end-7*time.Second))
 			w.at(at, func() { w.fault(kind, w.nodes[w.rng.Intn(len(w.nodes))]) })
 		}
 	}
-	for _, at := range w.o.Swaps {
+	for _, at := range w.options.Swaps {
 		w.at(at, w.swap)
 	}
-	w.at(10*time.Second, func() { w.lose(w.o.Rounds) })
+	w.at(10*time.Second, func() { w.lose(w.options.Rounds) })
 	w.at(end, w.calmDown)
 }
 
 // calmDown ends all failures: from here on the fleet is to become whole again.
 func (w *world) calmDown() {
 	w.calm = true
-	w.cut = map[[2]string]bool{}
+	w.cutLinks = map[[2]string]bool{}
 	w.trace("calm")
 	for _, n := range w.nodes {
-		n.frozen = min(n.frozen, w.now)
-		n.slowTil = 0
+		n.frozenUntil = min(n.frozenUntil, w.now)
+		n.slowUntil = 0
 		n.start()
 	}
-	w.mend()
+	w.healServers()
 }
 
 // swap exchanges a control daemon once the fleet bears it: it bears the loss of one disk
 // at a time.
 func (w *world) swap() {
-	for p := 0; p <= w.o.Partitions; p++ {
+	for p := 0; p <= w.options.Partitions; p++ {
 		if !w.bearsLoss(p) {
 			w.at(time.Second, w.swap)
 			return
@@ -63,14 +63,14 @@
 func (w *world) bearsLoss(p int) bool {
 	bears := false
 	for _, leader := range w.nodes {
-		if !leader.up || !leader.parts[p].IsLeader(leader.local()) {
+		if !leader.up || !leader.controllers[p].IsLeader(leader.local()) {
 			continue
 		}
-		replica := leader.sec(p).Replica
+		replica := leader.partition(p).Replica
 		group := replica.Group()
 		bears = len(group.Next) == 0
 		for _, n := range w.nodes {
-			bears = bears && (!n.gone || !group.Has(n.ident))
+			bears = bears && (!n.removed || !group.Has(n.ident))
 		}
 		for _, voter := range group.Replicas {
 			bears = bears && w.isComplete(p, voter.Ident, replica.Term())
@@ -82,7 +82,7 @@
 // isComplete reports whether a daemon runs whose disk holds all records of a term.
 func (w *world) isComplete(p int, ident string, term uint64) bool {
 	for _, n := range w.nodes {
-		if n.up && n.ident == ident && n.disk != nil && n.disk.meta[p].LastComplete == term {
+		if n.up && n.ident == ident && n.disk != nil && n.disk.metaOf[p].LastComplete == term {
 			return true
 		}
 	}
@@ -100,12 +100,12 @@
 
 func (n *node) kill() {
 	n.up = false
-	n.life++
-	n.busy, n.pend = false, nil
+	n.starts++
+	n.busy, n.pendingSaves = false, nil
 	n.hangUp()
 }
 
-func (w *world) back(n *node) {
+func (w *world) startLater(n *node) {
 	w.at(200*time.Millisecond+w.exp(2*time.Second), n.start)
 }
 
@@ -130,8 +130,8 @@
 		"swap":       func(*node) { w.replaceControlDaemon() },
 		"freeze":     w.freeze,
 		"zone":       func(n *node) { w.loseZone(n.zone) },
-		"crowd":      func(*node) { w.crowd = w.now + 2*time.Second },
-		"swing":      func(*node) { w.mix = 1 - w.mix },
+		"crowd":      func(*node) { w.crowdUntil = w.now + 2*time.Second },
+		"swing":      func(*node) { w.firstServiceShare = 1 - w.firstServiceShare },
 		"slow":       w.slowDisk,
 		"stall":      w.stallDisk,
 	}
@@ -147,7 +147,7 @@
 	if w.calm {
 		return
 	}
-	w.res.Faults[kind]++
+	w.result.Faults[kind]++
 	w.trace("FAULT %s %s", kind, n.name)
 	if bringAbout := w.faultsByKind()[kind]; bringAbout != nil {
 		bringAbout(n)
@@ -161,7 +161,7 @@
 
 func (w *world) killForAWhile(n *node) {
 	n.kill()
-	w.back(n)
+	w.startLater(n)
 }
 
 func (w *world) killAll(*node) {
@@ -184,7 +184,7 @@
 // restartAgainAndAgain restarts a control daemon at once, three times: its incarnations
 // are short.
 func (w *world) restartAgainAndAgain(n *node) {
-	for n.gone || !n.hasDisk {
+	for n.removed || !n.hasDisk {
 		n = w.nodes[w.rng.Intn(len(w.nodes))]
 	}
 	for i := range 3 {
@@ -201,16 +201,16 @@
 // killAfterAck kills a machine right after an acknowledgement, sometimes with its disk.
 func (w *world) killAfterAck(n *node) {
 	n.kill()
-	if !w.lost && w.rng.Intn(3) == 0 {
-		w.lost, n.disk = true, nil
-		w.res.Faults["wipe"]++
+	if !w.diskLost && w.rng.Intn(3) == 0 {
+		w.diskLost, n.disk = true, nil
+		w.result.Faults["wipe"]++
 	}
-	w.back(n)
+	w.startLater(n)
 }
 
 // wipeDisk restarts a control daemon without its disk, unless one was lost already.
 func (w *world) wipeDisk(n *node) {
-	if w.lost {
+	if w.diskLost {
 		return
 	}
 	for _, other := range w.nodes {
@@ -221,15 +221,15 @@
 			}
 		}
 	}
-	w.lost = true
+	w.diskLost = true
 	n.kill()
 	n.disk = nil
-	w.back(n)
+	w.startLater(n)
 }
 
 // copyFault copies a folder; the fault counts when the copy is started.
 func (w *world) copyFault(kind string, n *node) {
-	w.res.Faults[kind]--
+	w.result.Faults[kind]--
 	w.copyFolder(n, kind == "copybeside")
 }
 
@@ -268,46 +268,46 @@
 func (w *world) replaceControlDaemon() {
 	n := w.nodes[0]
 	for _, other := range w.nodes {
-		if other.hasDisk && !other.gone {
+		if other.hasDisk && !other.removed {
 			n = other
 			break
 		}
 	}
 	n.kill()
-	n.gone = true
+	n.removed = true
 	successor := w.add(n.zone, true, len(w.nodes))
 	w.at(w.exp(time.Second), successor.start)
 }
 
 // freeze suspends a machine for a while.
 func (w *world) freeze(n *node) {
-	was := max(n.frozen, w.now)
-	n.frozen = max(n.frozen, w.now+50*time.Millisecond+min(w.exp(1500*time.Millisecond), 6*time.Second))
-	n.thawed = n.frozen
-	if w.o.Sabotage == "standstill" { // a clock that stops while the machine is suspended
-		n.base -= time.Duration(float64(n.frozen-was) * n.rate)
+	was := max(n.frozenUntil, w.now)
+	n.frozenUntil = max(n.frozenUntil, w.now+50*time.Millisecond+min(w.exp(1500*time.Millisecond), 6*time.Second))
+	n.awakeFrom = n.frozenUntil
+	if w.options.Sabotage == "standstill" { // a clock that stops while the machine is suspended
+		n.base -= time.Duration(float64(n.frozenUntil-was) * n.rate)
 	}
 }
 
 // slowDisk makes a disk slower for a while.
 func (w *world) slowDisk(n *node) {
-	n.slow, n.slowTil = w.exp(40*time.Millisecond), w.now+w.exp(3*time.Second)
+	n.diskDelay, n.slowUntil = w.exp(40*time.Millisecond), w.now+w.exp(3*time.Second)
 }
 
 // stallDisk has a disk take two seconds for each batch, for a while.
 func (w *world) stallDisk(n *node) {
 	w.slowDisk(n)
-	n.slow = 2 * time.Second
+	n.diskDelay = 2 * time.Second
 }
 
 // sever cuts links, by the names of both ends, until heal runs what it is given.
 func (w *world) sever(links [][2]string, heal func(func())) {
 	for _, c := range links {
-		w.cut[c] = true
+		w.cutLinks[c] = true
 	}
 	heal(func() {
 		for _, c := range links {
-			delete(w.cut, c)
+			delete(w.cutLinks, c)
 		}
 		w.healed()
 	})
@@ -315,7 +315,7 @@
 
 // rot spoils one record on the disk of a core machine that restarts.
 func (w *world) rot(n *node) {
-	if w.lost { // the fleet bears the loss of one disk
+	if w.diskLost { // the fleet bears the loss of one disk
 		return
 	}
 	for _, m := range w.nodes {
@@ -323,23 +323,23 @@
 			n = m
 		}
 	}
-	p := w.rng.Intn(w.o.Partitions + 1)
-	k := key(w.rng.Intn(w.o.Keys))
-	rec, ok := n.disk.recs[p][k]
+	p := w.rng.Intn(w.options.Partitions + 1)
+	k := key(w.rng.Intn(w.options.Keys))
+	rec, ok := n.disk.records[p][k]
 	if !ok {
 		return
 	}
-	w.lost = true
+	w.diskLost = true
 	n.kill()
-	n.disk.rot = true
+	n.disk.rotten = true
 	if w.rng.Intn(2) == 0 {
-		delete(n.disk.recs[p], k)
+		delete(n.disk.records[p], k)
 	} else {
 		rec.Value = []byte("[]")
-		n.disk.recs[p][k] = rec
+		n.disk.records[p][k] = rec
 	}
-	w.res.Faults["rotten"]++
-	w.back(n)
+	w.result.Faults["rotten"]++
+	w.startLater(n)
 }
 
 // settleFor is how long a difference between copies may last at the end of a run: a
@@ -348,14 +348,14 @@
 
 // differing names the replicas whose copy of a partition isn't its leader's.
 func (w *world) differing() (list []string) {
-	for p := 0; p <= w.o.Partitions; p++ {
+	for p := 0; p <= w.options.Partitions; p++ {
 		for _, own := range w.nodes {
-			if !own.up || !own.parts[p].IsLeader(own.local()) {
+			if !own.up || !own.controllers[p].IsLeader(own.local()) {
 				continue
 			}
-			g := own.sec(p).Replica.Group()
+			g := own.partition(p).Replica.Group()
 			for _, n := range w.nodes {
-				if n.up && g.Has(n.ident) && len(digest.DifferingRanges(own.sec(p).Digests(), n.sec(p).Digests())) > 0 {
+				if n.up && g.Has(n.ident) && len(digest.DifferingRanges(own.partition(p).Digests(), n.partition(p).Digests())) > 0 {
 					list = append(list, fmt.Sprintf("%s of partition %d", n.name, p))
 				}
 			}
@@ -364,21 +364,21 @@
 	return list
 }
 
-// copies looks whether every replica's copy equals its leader's at the end: each
+// checkCopies looks whether every replica's copy equals its leader's at the end: each
 // does at some moment of a short while, or it differs for good.
-func (w *world) copies() {
+func (w *world) checkCopies() {
 	last := w.differing()
 	for end := w.now + settleFor; len(last) > 0 && w.now < end && w.step(); {
 		now := w.differing()
 		last = slices.DeleteFunc(last, func(x string) bool { return !slices.Contains(now, x) })
 	}
 	for _, what := range last {
-		w.note(Event{Kind: Silent, Node: what, Tag: fmt.Sprintf("is a copy that differs from its leader's, %v after the last failure", w.o.Calm)})
+		w.note(Event{Kind: Silent, Node: what, Tag: fmt.Sprintf("is a copy that differs from its leader's, %v after the last failure", w.options.Calm)})
 	}
-	for p := 0; p <= w.o.Partitions; p++ {
+	for p := 0; p <= w.options.Partitions; p++ {
 		for _, own := range w.nodes {
-			if own.up && own.parts[p].IsLeader(own.local()) {
-				w.res.Mended += own.sec(p).Replica.Repairs
+			if own.up && own.controllers[p].IsLeader(own.local()) {
+				w.result.Mended += own.partition(p).Replica.Repairs
 			}
 		}
 	}
--- a/proof/sim/folder.go
+++ b/proof/sim/folder.go
@@ -11,23 +11,23 @@
 
 // folder is what a simulated disk holds, synced.
 type folder struct {
-	ident string
-	epoch uint64
-	meta  map[int]quorum.Meta
-	recs  map[int]map[string]message.Record
-	sums  map[string]uint64 // by part and key, as control/storage keeps them
-	sum   map[int]uint64    // of each partition, too
-	rot   bool              // what it holds isn't what was written
+	ident         string
+	epoch         uint64
+	metaOf        map[int]quorum.Meta
+	records       map[int]map[string]message.Record
+	recordSums    map[string]uint64 // by part and key, as control/storage keeps them
+	partitionSums map[int]uint64    // of each partition, too
+	rotten        bool              // what it holds isn't what was written
 }
 
 // newFolder is an empty folder of a daemon's identity.
 func newFolder(ident string) *folder {
 	return &folder{
-		ident: ident,
-		meta:  map[int]quorum.Meta{},
-		recs:  map[int]map[string]message.Record{},
-		sums:  map[string]uint64{},
-		sum:   map[int]uint64{},
+		ident:         ident,
+		metaOf:        map[int]quorum.Meta{},
+		records:       map[int]map[string]message.Record{},
+		recordSums:    map[string]uint64{},
+		partitionSums: map[int]uint64{},
 	}
 }
 
@@ -36,21 +36,21 @@
 func (n *node) loadReplica(p int) (quorum.Meta, *digest.Records) {
 	records := digest.NewRecords()
 	spoilt := false
-	for k, r := range n.disk.recs[p] {
-		if n.disk.sums[sumKey(p, k)] == digest.Fingerprint(r) { // else it is spoilt and counts as missing
+	for k, r := range n.disk.records[p] {
+		if n.disk.recordSums[sumKey(p, k)] == digest.Fingerprint(r) { // else it is spoilt and counts as missing
 			records.Put(r)
 		} else {
 			spoilt = true
-			delete(n.disk.recs[p], k)
+			delete(n.disk.records[p], k)
 		}
 	}
-	meta := n.disk.meta[p]
-	if sum := n.disk.sum[p]; spoilt || sum != 0 && sum != meta.Sum(records) {
-		if !n.disk.rot {
-			n.w.note(Event{Kind: Silent, Node: n.name, Tag: fmt.Sprintf("reads partition %d back as what was never written", p)})
+	meta := n.disk.metaOf[p]
+	if sum := n.disk.partitionSums[p]; spoilt || sum != 0 && sum != meta.Sum(records) {
+		if !n.disk.rotten {
+			n.world.note(Event{Kind: Silent, Node: n.name, Tag: fmt.Sprintf("reads partition %d back as what was never written", p)})
 		}
-		meta.Incomplete = n.w.o.Sabotage != "rotvote"
-		n.disk.meta[p], n.disk.sum[p] = meta, meta.Sum(records)
+		meta.Incomplete = n.world.options.Sabotage != "rotvote"
+		n.disk.metaOf[p], n.disk.partitionSums[p] = meta, meta.Sum(records)
 	}
 	return meta, records
 }
@@ -61,44 +61,44 @@
 	if !n.up { // killed by what this very step brought about
 		return
 	}
-	n.pend = append(n.pend, list...)
+	n.pendingSaves = append(n.pendingSaves, list...)
 	if !n.busy {
 		n.flush()
 	}
 }
 
 func (n *node) flush() {
-	w := n.w
-	list := n.pend
-	n.pend, n.busy, n.writing = nil, true, list
+	w := n.world
+	list := n.pendingSaves
+	n.pendingSaves, n.busy, n.savesUnderWay = nil, true, list
 	d := 200*time.Microsecond + w.exp(time.Millisecond)
-	if w.now < n.slowTil {
-		d += n.slow
+	if w.now < n.slowUntil {
+		d += n.diskDelay
 	}
-	d = max(d, n.jam-w.now)
-	life := n.life
+	d = max(d, n.jammedUntil-w.now)
+	life := n.starts
 	told := func() {
 		for _, s := range list {
-			n.carry(s.Partition, n.parts[s.Partition].Saved(n.local(), s.Ticket))
+			n.carry(s.Partition, n.controllers[s.Partition].Saved(n.local(), s.Ticket))
 		}
 	}
-	if w.o.Sabotage == "nosync" { // says saved, and writes only much later
+	if w.options.Sabotage == "nosync" { // says saved, and writes only much later
 		n.busy = false
 		n.in(0, told)
 		w.at(d+time.Second, func() {
-			if n.up && n.life == life && n.disk != nil {
+			if n.up && n.starts == life && n.disk != nil {
 				n.disk.sync(list)
 			}
 		})
 		return
 	}
 	w.at(d, func() {
-		if !n.up || n.life != life || n.disk == nil {
+		if !n.up || n.starts != life || n.disk == nil {
 			return
 		}
 		n.disk.sync(list)
 		n.in(0, told)
-		if n.busy = false; len(n.pend) > 0 {
+		if n.busy = false; len(n.pendingSaves) > 0 {
 			n.flush()
 		}
 	})
@@ -109,24 +109,24 @@
 // sync is what a transaction leaves behind.
 func (f *folder) sync(list []quorum.Save) {
 	for _, s := range list {
-		f.meta[s.Partition] = s.Meta
-		if f.recs[s.Partition] == nil {
-			f.recs[s.Partition] = map[string]message.Record{}
+		f.metaOf[s.Partition] = s.Meta
+		if f.records[s.Partition] == nil {
+			f.records[s.Partition] = map[string]message.Record{}
 		}
 		for _, sp := range s.WipeRanges {
-			for k := range f.recs[s.Partition] {
+			for k := range f.records[s.Partition] {
 				if digest.RangeOf(k) == sp {
-					delete(f.recs[s.Partition], k)
+					delete(f.records[s.Partition], k)
 				}
 			}
 		}
 		for _, r := range s.Records {
-			f.recs[s.Partition][r.Key] = r
-			f.sums[sumKey(s.Partition, r.Key)] = digest.Fingerprint(r)
+			f.records[s.Partition][r.Key] = r
+			f.recordSums[sumKey(s.Partition, r.Key)] = digest.Fingerprint(r)
 		}
 		for _, k := range s.Delete {
-			delete(f.recs[s.Partition], k)
+			delete(f.records[s.Partition], k)
 		}
-		f.sum[s.Partition] = s.Sum
+		f.partitionSums[s.Partition] = s.Sum
 	}
 }
--- a/proof/sim/losses.go
+++ b/proof/sim/losses.go
@@ -47,7 +47,7 @@
 	gap := w.exp(500 * time.Millisecond)
 	hit := w.someCore(nil)
 	lost := []*node{hit}
-	for len(lost) < w.o.Losses {
+	for len(lost) < w.options.Losses {
 		n := w.someCore(lost)
 		lost = append(lost, n)
 		w.loseForGood(n, w.rng.Intn(2), gap, func(*node, time.Duration) {})
@@ -62,7 +62,7 @@
 	case 0:
 		w.fault("gone", n)
 		n.kill()
-		n.gone = true
+		n.removed = true
 		m := w.add(n.zone, true, len(w.nodes))
 		w.at(gap, func() { m.start(); then(m, w.cfg.CatchUpBound) })
 	case 1:
@@ -82,7 +82,7 @@
 // one, and then with the next.
 func (w *world) after(m *node, wait time.Duration, left int) {
 	w.at(wait, func() {
-		if !w.o.Second {
+		if !w.options.Second {
 			w.lose(left - 1)
 			return
 		}
@@ -97,7 +97,7 @@
 		return
 	}
 	hit := []*node{successor}
-	for len(hit) <= max(1, w.o.Losses) {
+	for len(hit) <= max(1, w.options.Losses) {
 		n := w.someCore(hit)
 		hit = append(hit, n)
 		w.fault("second", n)
@@ -110,10 +110,10 @@
 func (w *world) someCore(but []*node) *node {
 	var all []*node
 	for _, n := range w.nodes {
-		if !n.hasDisk || n.gone || n.leaving || slices.Contains(but, n) {
+		if !n.hasDisk || n.removed || n.leaving || slices.Contains(but, n) {
 			continue
 		}
-		if all = append(all, n); n.up && n.parts[0].IsLeader(n.local()) && w.rng.Intn(2) == 0 {
+		if all = append(all, n); n.up && n.controllers[0].IsLeader(n.local()) && w.rng.Intn(2) == 0 {
 			return n
 		}
 	}
@@ -123,32 +123,32 @@
 // leave tells a daemon to end for good; it does once its replicas are taken over,
 // or when its time is up.
 func (n *node) leave(then func()) {
-	w := n.w
+	w := n.world
 	n.leaving = true
-	if w.o.Sabotage != "nohandover" {
-		for p := range n.parts {
-			n.sec(p).Replica.Resign()
+	if w.options.Sabotage != "nohandover" {
+		for p := range n.controllers {
+			n.partition(p).Replica.Resign()
 		}
 	}
 	limit := w.now + time.Duration(float64(w.cfg.GracePeriod)*0.875)
 	var look func()
 	look = func() {
-		if n.held() > 0 && w.now < limit && w.o.Sabotage != "nohandover" {
+		if n.pendingHandovers() > 0 && w.now < limit && w.options.Sabotage != "nohandover" {
 			w.at(50*time.Millisecond, look)
 			return
 		}
 		n.kill()
-		n.gone = true
+		n.removed = true
 		w.trace("%s ends for good", n.name)
 		then()
 	}
 	w.at(shortStop, look)
 }
 
-// held counts the parts that a standby could take over and hasn't.
-func (n *node) held() (count int) {
-	for p := range n.parts {
-		if n.view.MustHandOver(n.sec(p).Replica.Group()) {
+// pendingHandovers counts the parts that a standby could take over and hasn't.
+func (n *node) pendingHandovers() (count int) {
+	for p := range n.controllers {
+		if n.view.MustHandOver(n.partition(p).Replica.Group()) {
 			count++
 		}
 	}
@@ -157,7 +157,7 @@
 
 // vacancy records a part that nobody led for too long.
 func (w *world) vacancy(p int, owned bool) {
-	if w.o.Rounds == 0 {
+	if w.options.Rounds == 0 {
 		return
 	}
 	if since, ok := w.ownedAt[p]; ok && !owned && w.now-since > w.cfg.CatchUpBound {
@@ -171,5 +171,5 @@
 
 // noCopies is the sabotage that keeps no copies at standbys.
 func (w *world) noCopies(to *node, m message.Message) bool {
-	return w.o.Sabotage == "nocopies" && m.Kind == message.KindInstallState && !m.Group.Has(to.ident)
+	return w.options.Sabotage == "nocopies" && m.Kind == message.KindInstallState && !m.Group.Has(to.ident)
 }
--- a/proof/sim/many.go
+++ b/proof/sim/many.go
@@ -30,7 +30,7 @@
 
 // events plans the events once enough changes are in force.
 func (w *world) events() {
-	if len(w.acks) < w.o.Many {
+	if len(w.acks) < w.options.Many {
 		w.at(100*time.Millisecond, w.events)
 		return
 	}
@@ -57,12 +57,12 @@
 		return
 	}
 	kind := kinds[0]
-	w.res.Faults[kind]++
+	w.result.Faults[kind]++
 	n := w.core()[0]
 	w.trace("EVENT %s %s, %d changes in force", kind, n.name, len(w.acks))
 	w.bringEventAbout(kind, n, func() {
 		w.at(catchUp, func() {
-			w.wholeNow(kind)
+			w.checkCopiesAfter(kind)
 			w.at(time.Second, func() { w.event(kinds[1:]) })
 		})
 	})
@@ -85,7 +85,7 @@
 		n.disk = nil
 		startAfter(500 * time.Millisecond)
 	case "away":
-		w.apart(away, n)
+		w.isolateFor(away, n)
 		w.at(away, returned)
 	case "power": // as soon as the disk is at work
 		w.power(n, func() { startAfter(time.Second) })
@@ -98,10 +98,10 @@
 
 // jamDisk has a disk take nothing for a while; at the end its daemon may lead nothing.
 func (w *world) jamDisk(n *node, then func()) {
-	n.jam = w.now + jam
+	n.jammedUntil = w.now + jam
 	w.at(jam, func() {
-		for p := range n.parts {
-			if n.up && n.parts[p].IsLeader(n.local()) {
+		for p := range n.controllers {
+			if n.up && n.controllers[p].IsLeader(n.local()) {
 				what := fmt.Sprintf("leads partition %d though its disk has taken nothing for %v", p, jam)
 				w.note(Event{Kind: Silent, Node: n.name, Tag: what})
 			}
@@ -110,8 +110,8 @@
 	})
 }
 
-// apart cuts machines off from all others for a while.
-func (w *world) apart(d time.Duration, nodes ...*node) {
+// isolateFor cuts machines off from all others for a while.
+func (w *world) isolateFor(d time.Duration, nodes ...*node) {
 	var links [][2]string
 	for _, n := range nodes {
 		links = append(links, w.linksOf(n)...)
@@ -125,7 +125,7 @@
 		w.at(time.Millisecond, func() { w.power(n, then) })
 		return
 	}
-	writing := n.writing
+	writing := n.savesUnderWay
 	n.kill()
 	if w.rng.Intn(2) == 0 {
 		n.disk.sync(writing)
@@ -138,7 +138,7 @@
 // lead until the leader is back.
 func (w *world) second(rotten bool, then func()) {
 	core := w.core()
-	own := slices.IndexFunc(core, func(n *node) bool { return n.up && n.parts[0].IsLeader(n.local()) })
+	own := slices.IndexFunc(core, func(n *node) bool { return n.up && n.controllers[0].IsLeader(n.local()) })
 	if own < 0 {
 		w.at(100*time.Millisecond, func() { w.second(rotten, then) })
 		return
@@ -146,37 +146,37 @@
 	leader := core[own]
 	core = slices.Delete(core, own, own+1)
 	late, third := core[0], core[1]
-	w.apart(behind, late)
+	w.isolateFor(behind, late)
 	w.at(behind, func() {
 		if rotten {
 			third.kill()
 			w.loseNewest(third)
 			third.start()
 		}
-		w.apart(behind, leader)
+		w.isolateFor(behind, leader)
 		w.at(behind, then)
 	})
 }
 
 // loseNewest has a disk at rest lose the record that was acknowledged last.
 func (w *world) loseNewest(n *node) {
-	n.disk.rot = true
+	n.disk.rotten = true
 	for _, a := range slices.Backward(w.acks) {
-		if r, ok := n.disk.recs[a.partition][a.key]; ok && a.partition == 0 && slices.Contains(tags(r), a.tag) {
-			delete(n.disk.recs[a.partition], a.key)
+		if r, ok := n.disk.records[a.partition][a.key]; ok && a.partition == 0 && slices.Contains(tags(r), a.tag) {
+			delete(n.disk.records[a.partition], a.key)
 			return
 		}
 	}
 }
 
-// wholeNow looks whether every control daemon has on its disk what was acknowledged, up
+// checkCopiesAfter looks whether every control daemon has on its disk what was acknowledged, up
 // to what is under way just now.
-func (w *world) wholeNow(after string) {
+func (w *world) checkCopiesAfter(after string) {
 	for _, n := range w.core() {
 		if !n.up || n.disk == nil {
 			continue
 		}
-		for p := range n.parts {
+		for p := range n.controllers {
 			if lack := w.lackOf(n, p); lack != "" {
 				what := fmt.Sprintf("isn't whole %v after %s: %s", catchUp, after, lack)
 				w.note(Event{Kind: Silent, Node: n.name, Tag: what})
@@ -188,19 +188,19 @@
 // lackOf says what a control daemon's copy of a partition lacks, nothing if it is whole.
 func (w *world) lackOf(n *node, p int) string {
 	group := w.ledGroup(p)
-	if !group.Has(n.ident) || n.sec(p).Replica.Meta().Incomplete {
+	if !group.Has(n.ident) || n.partition(p).Replica.Meta().Incomplete {
 		return fmt.Sprintf("no voter of partition %d (%d voters, next %d)", p, len(group.Replicas), len(group.Next))
 	}
 	missing := 0
 	for _, a := range w.acks {
-		if a.partition == p && w.now-a.at > time.Second && !slices.Contains(tags(n.disk.recs[p][a.key]), a.tag) {
+		if a.partition == p && w.now-a.at > time.Second && !slices.Contains(tags(n.disk.records[p][a.key]), a.tag) {
 			missing++
 		}
 	}
 	if missing == 0 {
 		return ""
 	}
-	differing := digest.DifferingRanges(n.sec(p).Digests(), make([]uint64, digest.Ranges))
+	differing := digest.DifferingRanges(n.partition(p).Digests(), make([]uint64, digest.Ranges))
 	return fmt.Sprintf("misses %d of the changes of partition %d, %d of %d ranges",
 		missing, p, len(differing), digest.Ranges)
 }
@@ -209,8 +209,8 @@
 // nobody leads.
 func (w *world) ledGroup(p int) (group message.Group) {
 	for _, n := range w.nodes {
-		if n.up && n.parts[p].IsLeader(n.local()) {
-			group = n.sec(p).Replica.Group()
+		if n.up && n.controllers[p].IsLeader(n.local()) {
+			group = n.partition(p).Replica.Group()
 		}
 	}
 	return group
--- a/proof/sim/net.go
+++ b/proof/sim/net.go
@@ -7,24 +7,24 @@
 )
 
 func (n *node) send(m message.Envelope) {
-	w := n.w
+	w := n.world
 	m.Message.From, m.Message.Epoch, m.Message.Addr = n.ident, n.epoch, n.addr
 	if m.Message.To == n.ident {
-		n.in(0, func() { w.hear(n, m.Message) })
+		n.in(0, func() { w.deliver(n, m.Message) })
 		return
 	}
-	w.res.Messages++
+	w.result.Messages++
 	if m.Message.Kind == message.KindGrantLease {
 		for _, r := range m.Message.Records {
 			if r.Patched {
-				w.res.Patched++
+				w.result.Patched++
 			} else if !r.Deleted {
-				w.res.Whole++
+				w.result.Whole++
 			}
 		}
 	}
 	if m.Message.Kind == message.KindInvalidate {
-		w.res.Invalidations++
+		w.result.Invalidations++
 	}
 	for _, to := range w.nodes {
 		if to.addr == m.Addr {
@@ -36,13 +36,13 @@
 // carry takes a message from one daemon to another, over the network's faults and what a
 // sabotage does to it.
 func (w *world) carry(from, to *node, m message.Message) {
-	if w.cut[[2]string{from.name, to.name}] {
-		if w.o.Held > 0 && w.rng.Float64() < w.o.Held {
-			w.held = append(w.held, heldUp{from, to, m})
+	if w.cutLinks[[2]string{from.name, to.name}] {
+		if w.options.Held > 0 && w.rng.Float64() < w.options.Held {
+			w.heldMessages = append(w.heldMessages, heldMessage{from, to, m})
 		}
 		return
 	}
-	if w.o.Sabotage == "ackpurge" && m.Kind == message.KindInvalidate {
+	if w.options.Sabotage == "ackpurge" && m.Kind == message.KindInvalidate {
 		w.carry(to, from, acknowledgeOnly(from, to, m))
 		return
 	}
@@ -50,7 +50,7 @@
 		return
 	}
 	if m.Kind == message.KindRedirect {
-		w.res.Steers[m.Reason]++
+		w.result.Steers[m.Reason]++
 	}
 	if w.isWithheld(m) {
 		return
@@ -58,17 +58,17 @@
 	w.cutRecordsShort(from, to, &m)
 	w.sendAgain(to, m)
 	delay := w.networkDelay(from, to)
-	if !w.calm && !w.o.Clean {
+	if !w.calm && !w.options.Clean {
 		switch x := w.rng.Float64(); {
 		case x < 0.005:
 			return // lost
 		case x < 0.02:
 			delay += w.exp(200 * time.Millisecond) // late, overtaken by others
 		case x < 0.025:
-			w.at(w.exp(300*time.Millisecond), func() { w.land(to, m) }) // twice
+			w.at(w.exp(300*time.Millisecond), func() { w.arrive(to, m) }) // twice
 		}
 	}
-	w.at(delay, func() { w.land(to, m) })
+	w.at(delay, func() { w.arrive(to, m) })
 }
 
 // acknowledgeOnly is the sabotage that acknowledges an invalidation and never does it.
@@ -84,7 +84,7 @@
 	if m.Kind != message.KindInstallState {
 		return false
 	}
-	switch w.o.Sabotage {
+	switch w.options.Sabotage {
 	case "nomend":
 		return m.Op != ""
 	case "nochase":
@@ -95,25 +95,25 @@
 
 // cutRecordsShort is what the sabotages do to the records of a message.
 func (w *world) cutRecordsShort(from, to *node, m *message.Message) {
-	if w.o.Sabotage == "cutshort" && m.Kind == message.KindInstallState && len(m.Records) > 1 {
+	if w.options.Sabotage == "cutshort" && m.Kind == message.KindInstallState && len(m.Records) > 1 {
 		m.LastComplete, m.Records = 0, m.Records[:len(m.Records)/2] // and no sum to tell
 	}
-	if w.o.Sabotage == "oldset" && m.Kind == message.KindGrantVote && m.Op == "" && from != to {
+	if w.options.Sabotage == "oldset" && m.Kind == message.KindGrantVote && m.Op == "" && from != to {
 		m.LastComplete, m.Digests, m.Records = 0, nil, nil // the candidate reads its own copy only
 	}
 }
 
 // sendAgain has part of the messages come a second time, as the run's options ask for.
 func (w *world) sendAgain(to *node, m message.Message) {
-	if w.o.Mutate > 0 && w.rng.Float64() < w.o.Mutate {
-		w.at(w.exp(time.Millisecond), func() { w.land(to, w.mutated(m)) })
+	if w.options.Mutate > 0 && w.rng.Float64() < w.options.Mutate {
+		w.at(w.exp(time.Millisecond), func() { w.arrive(to, w.mutated(m)) })
 	}
 	// An evacuation that came again would hide what a late end of one undid.
-	if w.o.Late > 0 && m.Kind == message.KindCall && m.Op != "evacuate" && w.rng.Float64() < w.o.Late {
-		w.at(w.exp(3*time.Second), func() { w.land(to, m) })
+	if w.options.Late > 0 && m.Kind == message.KindCall && m.Op != "evacuate" && w.rng.Float64() < w.options.Late {
+		w.at(w.exp(3*time.Second), func() { w.arrive(to, m) })
 	}
-	if w.o.Responses > 0 && responses[m.Kind] && w.rng.Float64() < w.o.Responses {
-		w.at(w.exp(time.Second), func() { w.land(to, m) })
+	if w.options.Responses > 0 && responses[m.Kind] && w.rng.Float64() < w.options.Responses {
+		w.at(w.exp(time.Second), func() { w.arrive(to, m) })
 	}
 }
 
@@ -121,10 +121,10 @@
 func (w *world) networkDelay(from, to *node) time.Duration {
 	delay := 100*time.Microsecond + w.exp(400*time.Microsecond)
 	if from.zone != to.zone {
-		delay += w.o.Far
+		delay += w.options.Far
 	}
-	if (w.lame(from) || w.lame(to)) && from != to {
-		delay += w.o.Lame
+	if (w.isSlowRelay(from) || w.isSlowRelay(to)) && from != to {
+		delay += w.options.Lame
 	}
 	return delay
 }
@@ -147,38 +147,38 @@
 	message.KindWelcome:        true,
 }
 
-// land hands a message over; one that waits at a frozen node is read on waking.
-func (w *world) land(to *node, m message.Message) {
+// arrive hands a message over; one that waits at a frozen node is read on waking.
+func (w *world) arrive(to *node, m message.Message) {
 	to.in(0, func() {
 		if m.To == "" || m.To == to.ident {
-			w.hear(to, m)
+			w.deliver(to, m)
 		}
 	})
 }
 
-func (w *world) hear(to *node, m message.Message) {
+func (w *world) deliver(to *node, m message.Message) {
 	now := to.local()
 	switch {
 	case m.Kind >= message.KindHello && m.Kind <= message.KindCensusAnswer, m.Kind == message.KindBootstrap:
-		o := to.rost.Step(now, m)
+		o := to.members.Step(now, m)
 		for _, s := range o.Sends {
 			to.send(s)
 		}
-		to.found(now, o.Bootstrap)
+		to.bootstrap(now, o.Bootstrap)
 		return
 	case m.Kind == message.KindCallResult:
-		to.carryCalls(to.runs.Step(now, m))
+		to.carryCalls(to.calls.Step(now, m))
 		return
 	}
 	if w.answersFromCache(to, m) {
 		return
 	}
-	p := to.parts[m.Partition]
+	p := to.controllers[m.Partition]
 	w.traceMessage(to, m)
 	if p.Partition().Node.IsRoot() {
-		w.res.RootMessages++
+		w.result.RootMessages++
 	}
-	if w.o.Sabotage == "nonumber" && m.Kind == message.KindCall {
+	if w.options.Sabotage == "nonumber" && m.Kind == message.KindCall {
 		m.ResponseTo = 0
 	}
 	w.spoilCall(to, &m)
@@ -187,7 +187,7 @@
 
 // traceMessage traces what a daemon is sent of the lease tree and of the votes.
 func (w *world) traceMessage(to *node, m message.Message) {
-	if w.o.Trace == nil {
+	if w.options.Trace == nil {
 		return
 	}
 	length := time.Duration(m.Length)
@@ -203,12 +203,12 @@
 	}
 }
 
-// lame tells whether a daemon's machine is slow now: the last zone's relays.
-func (w *world) lame(n *node) bool {
-	if w.o.Lame == 0 || w.now < 15*time.Second || w.now > 55*time.Second || n.zone != w.nodes[len(w.nodes)-1].zone {
+// isSlowRelay tells whether a daemon's machine is slow now: the last zone's relays.
+func (w *world) isSlowRelay(n *node) bool {
+	if w.options.Lame == 0 || w.now < 15*time.Second || w.now > 55*time.Second || n.zone != w.nodes[len(w.nodes)-1].zone {
 		return false
 	}
-	for p := 0; p <= w.o.Partitions; p++ {
+	for p := 0; p <= w.options.Partitions; p++ {
 		if n.view.Relay(p, n.zone).Ident == n.ident {
 			return true
 		}
--- a/proof/sim/node.go
+++ b/proof/sim/node.go
@@ -18,58 +18,58 @@
 )
 
 type node struct {
-	w       *world
-	name    string
-	addr    string
-	zone    string
-	disk    *folder
-	hasDisk bool
-	only    string // the one seed that its settings name now, if so
-	life    int    // counts starts; old events of a past life are dropped
-	up      bool
-	gone    bool          // for good
-	leaving bool          // told to end for good
-	frozen  time.Duration // until this true time
-	thawed  time.Duration // when it last was, or will be, awake again
-	rate    float64
-	base    time.Duration
-	slow    time.Duration
-	slowTil time.Duration
-	busy    bool          // the disk is at work
-	pend    []quorum.Save // what waits for it
-	writing []quorum.Save // what it is at
-	jam     time.Duration // until when it takes nothing
+	world         *world
+	name          string
+	addr          string
+	zone          string
+	disk          *folder
+	hasDisk       bool
+	onlySeed      string // the one seed that its settings name now, if so
+	starts        int    // counts starts; old events of a past life are dropped
+	up            bool
+	removed       bool          // for good
+	leaving       bool          // told to end for good
+	frozenUntil   time.Duration // until this true time
+	awakeFrom     time.Duration // when it last was, or will be, awake again
+	rate          float64
+	base          time.Duration
+	diskDelay     time.Duration
+	slowUntil     time.Duration
+	busy          bool          // the disk is at work
+	pendingSaves  []quorum.Save // what waits for it
+	savesUnderWay []quorum.Save // what it is at
+	jammedUntil   time.Duration // until when it takes nothing
 
-	ident  string
-	epoch  uint64
-	parts  []*leader.Controller
-	guides []membership.ParentChooser
-	rost   *membership.Table
-	view   *membership.View
-	ticks  int
+	ident          string
+	epoch          uint64
+	controllers    []*leader.Controller
+	parentChoosers []membership.ParentChooser
+	members        *membership.Table
+	view           *membership.View
+	ticks          int
 
-	runs  *leadercall.Calls
-	asks  map[uint64]func(leadercall.Result)
-	lanes map[string]*lane
-	rides map[string]*ride
-	early map[int]*caller           // requests that wait for the plan
-	past  map[string]message.Record // what a sabotaged daemon goes on reading
+	calls          *leadercall.Calls
+	onResult       map[uint64]func(leadercall.Result)
+	queues         map[string]*serviceQueue
+	requests       map[string]*requestState
+	waitingForPlan map[int]*caller           // requests that wait for the plan
+	lastRead       map[string]message.Record // what a sabotaged daemon goes on reading
 
-	recalls uint64 // the term at whose beginning a sabotaged leader forgot
+	forgotInTerm uint64 // the term at whose beginning a sabotaged leader forgot
 }
 
-func (n *node) sec(p int) *partition.Partition { return n.parts[p].Partition() }
+func (n *node) partition(p int) *partition.Partition { return n.controllers[p].Partition() }
 
 // local is a node's own monotonic time.
-func (n *node) local() time.Duration { return n.base + time.Duration(float64(n.w.now)*n.rate) }
+func (n *node) local() time.Duration { return n.base + time.Duration(float64(n.world.now)*n.rate) }
 
 func (n *node) seeds() []string {
-	if n.only != "" {
-		return []string{n.only}
+	if n.onlySeed != "" {
+		return []string{n.onlySeed}
 	}
 	var out []string
-	for _, m := range n.w.nodes {
-		if m.hasDisk != n.w.o.Bare && !m.gone && len(out) < 3 {
+	for _, m := range n.world.nodes {
+		if m.hasDisk != n.world.options.Bare && !m.removed && len(out) < 3 {
 			out = append(out, m.addr)
 		}
 	}
@@ -78,29 +78,29 @@
 
 // in runs f in this life of the node, once it isn't frozen.
 func (n *node) in(d time.Duration, f func()) {
-	life := n.life
+	life := n.starts
 	var run func()
 	run = func() {
-		if !n.up || n.life != life {
+		if !n.up || n.starts != life {
 			return
 		}
-		if n.frozen > n.w.now {
-			n.w.at(n.frozen-n.w.now+time.Duration(n.w.rng.Intn(1000)), run)
+		if n.frozenUntil > n.world.now {
+			n.world.at(n.frozenUntil-n.world.now+time.Duration(n.world.rng.Intn(1000)), run)
 			return
 		}
 		f()
 	}
-	n.w.at(d, run)
+	n.world.at(d, run)
 }
 
 // start begins a new incarnation of the daemon, unless it runs or is gone for good.
 func (n *node) start() {
-	if n.up || n.gone {
+	if n.up || n.removed {
 		return
 	}
-	w := n.w
-	n.up, n.frozen = true, 0
-	n.life++
+	w := n.world
+	n.up, n.frozenUntil = true, 0
+	n.starts++
 	w.ids++
 	now := n.local()
 	n.openDisk()
@@ -108,28 +108,28 @@
 	n.startCalls()
 	n.startMembership()
 	var disk *quorum.Folder
-	if n.hasDisk && w.o.Sabotage != "unguarded" {
+	if n.hasDisk && w.options.Sabotage != "unguarded" {
 		disk = quorum.OpenFolder(n.epoch, n.disk.metas()...)
 	}
-	for p := 0; p <= w.o.Partitions; p++ {
+	for p := 0; p <= w.options.Partitions; p++ {
 		n.startPartition(now, p, disk)
 	}
 	w.trace("%s starts as %s", n.name, n.ident)
 	n.in(0, n.tick)
-	n.in(w.exp(w.o.Reads), n.read)
+	n.in(w.exp(w.options.Reads), n.read)
 }
 
 // openDisk gives the daemon the identity and incarnation that its disk has for it; without
 // one, an identity of this start alone.
 func (n *node) openDisk() {
-	w := n.w
+	w := n.world
 	n.ident, n.epoch = fmt.Sprintf("%s-%d", n.name, w.ids), 1
 	if !n.hasDisk {
 		return
 	}
 	if n.disk == nil {
 		n.disk = newFolder(n.ident)
-		if w.o.Sabotage == "samename" {
+		if w.options.Sabotage == "samename" {
 			n.disk.ident = n.name
 		}
 	}
@@ -139,18 +139,18 @@
 
 // forgetMemory drops what an earlier incarnation had in memory.
 func (n *node) forgetMemory() {
-	n.parts, n.guides, n.asks = nil, nil, map[uint64]func(leadercall.Result){}
-	n.lanes, n.rides = map[string]*lane{}, map[string]*ride{}
-	n.early, n.past = map[int]*caller{}, map[string]message.Record{}
+	n.controllers, n.parentChoosers, n.onResult = nil, nil, map[uint64]func(leadercall.Result){}
+	n.queues, n.requests = map[string]*serviceQueue{}, map[string]*requestState{}
+	n.waitingForPlan, n.lastRead = map[int]*caller{}, map[string]message.Record{}
 }
 
 func (n *node) startCalls() {
-	w := n.w
+	w := n.world
 	starts := incarnation.Starts(n.epoch)
-	if w.o.Sabotage == "samenumbers" {
+	if w.options.Sabotage == "samenumbers" {
 		starts = 0
 	}
-	n.runs = leadercall.New(leadercall.Config{
+	n.calls = leadercall.New(leadercall.Config{
 		TryTimeout:    w.cfg.VolumeLease() / 2,
 		RetryInterval: w.cfg.VolumeLease() / 32,
 		RetryAfter:    w.cfg.Bounds.Plan,
@@ -158,36 +158,36 @@
 }
 
 func (n *node) startMembership() {
-	w := n.w
+	w := n.world
 	config := w.cfg.MembershipConfig()
-	if w.o.Flat {
+	if w.options.Flat {
 		config.MinRelayZone = len(w.nodes) + 1
 	}
-	config.ToleratedLosses, config.FirstStart = max(1, w.o.Losses), !w.o.Bare || n.life == 1
-	n.rost = membership.New(config, n.member(), n.seeds())
-	n.view = n.rost.View()
+	config.ToleratedLosses, config.FirstStart = max(1, w.options.Losses), !w.options.Bare || n.starts == 1
+	n.members = membership.New(config, n.member(), n.seeds())
+	n.view = n.members.View()
 }
 
 // startPartition starts the daemon's part in a partition, and pins the records that it
 // reads. disk is nil where there is none, or nothing guards it.
 func (n *node) startPartition(now time.Duration, p int, disk *quorum.Folder) {
-	w := n.w
+	w := n.world
 	self := n.self()
 	var replica *quorum.Replica
 	if n.hasDisk {
 		replica = n.newReplica(now, p, disk)
 	}
 	part := partition.New(p, self, n.epoch, replica, n.newLeaseNode(p))
-	if w.o.Sabotage == "nocalm" {
+	if w.options.Sabotage == "nocalm" {
 		part.WritesFrom = func() time.Duration { return 0 }
 	}
 	controller := leader.New(leader.Config{
-		Placement:        w.works(),
+		Placement:        w.placementConfig(),
 		OnceKeyRetention: w.cfg.OnceKeyRetention(),
 		RepeatWindow:     w.cfg.ResendWindow(),
 	}, p, self, part)
-	n.parts = append(n.parts, controller)
-	n.guides = append(n.guides, membership.ParentChooser{Partition: p, VolumeLease: w.cfg.VolumeLease()})
+	n.controllers = append(n.controllers, controller)
+	n.parentChoosers = append(n.parentChoosers, membership.ParentChooser{Partition: p, VolumeLease: w.cfg.VolumeLease()})
 	for _, key := range n.pinnedKeys(p) {
 		n.carry(p, controller.Pin(now, key))
 	}
@@ -197,28 +197,28 @@
 func (n *node) self() message.Replica { return message.Replica{Ident: n.ident, Addr: n.addr} }
 
 func (n *node) newReplica(now time.Duration, p int, disk *quorum.Folder) *quorum.Replica {
-	w := n.w
+	w := n.world
 	meta, records := n.loadReplica(p)
-	if w.o.Sabotage == "forget" {
+	if w.options.Sabotage == "forget" {
 		meta.VotedTerm, meta.VotedFor = 0, ""
 	}
 	config := w.cfg.QuorumConfig()
-	if w.o.Sabotage == "lategone" {
+	if w.options.Sabotage == "lategone" {
 		config.LostAfter = w.cfg.Bounds.Recover * 3 / 2
 	}
 	return quorum.New(config, quorum.InitialState{
 		Partition: p, Self: n.self(), Folder: disk, Meta: meta, Records: records,
-		IsNew: meta.Group.Number == 0 || w.o.Sabotage == "nowaitvote",
+		IsNew: meta.Group.Number == 0 || w.options.Sabotage == "nowaitvote",
 	}, now)
 }
 
 func (n *node) newLeaseNode(p int) *lease.Node {
-	w := n.w
+	w := n.world
 	config := w.cfg.LeaseConfig()
-	if w.o.Sabotage == "nowait" {
+	if w.options.Sabotage == "nowait" {
 		config.Drift, config.Margin = -0.6, 0
 	}
-	if w.o.Static {
+	if w.options.Static {
 		config.LoadInterval = 0
 	}
 	tree := lease.New(config, p, n.self(), n.epoch)
@@ -237,7 +237,7 @@
 // pinnedKeys are the records of a partition that every daemon reads, and where it is the
 // configuration those that it works by.
 func (n *node) pinnedKeys(p int) (keys []string) {
-	for k := range n.w.o.Keys {
+	for k := range n.world.options.Keys {
 		keys = append(keys, key(k))
 	}
 	if p != 0 {
@@ -253,13 +253,13 @@
 
 func (n *node) member() message.Member {
 	empty := n.hasDisk
-	for p := range n.parts {
-		if s := n.sec(p); s.Replica != nil && s.Replica.Group().Number > 0 {
+	for p := range n.controllers {
+		if s := n.partition(p); s.Replica != nil && s.Replica.Group().Number > 0 {
 			empty = false
 		}
 	}
-	if n.parts == nil && n.disk != nil {
-		for _, m := range n.disk.meta {
+	if n.controllers == nil && n.disk != nil {
+		for _, m := range n.disk.metaOf {
 			if m.Group.Number > 0 {
 				empty = false
 			}
@@ -270,39 +270,39 @@
 
 // tick lets time pass at a node, as the daemon's tickers do.
 func (n *node) tick() {
-	w := n.w
+	w := n.world
 	now := n.local()
 	n.ticks++
-	for p, m := range n.parts {
+	for p, m := range n.controllers {
 		n.carry(p, m.Tick(now))
 		tree := m.Partition().Node
-		if to := n.guides[p].Parent(now, n.view); to != tree.Parent() && !tree.IsRoot() {
+		if to := n.parentChoosers[p].Parent(now, n.view); to != tree.Parent() && !tree.IsRoot() {
 			n.carry(p, m.SetParent(now, to))
 		}
-		for _, m := range n.guides[p].ReturnRedirects(tree.HasVolumeLease(now), tree.VolumeEpoch(), n.view) {
+		for _, m := range n.parentChoosers[p].ReturnRedirects(tree.HasVolumeLease(now), tree.VolumeEpoch(), n.view) {
 			n.send(m)
 		}
 	}
-	n.carryCalls(n.runs.Tick(now, func(p int) message.Replica { return n.view.Leaderships[p].Leader }))
+	n.carryCalls(n.calls.Tick(now, func(p int) message.Replica { return n.view.Leaderships[p].Leader }))
 	if n.ticks%4 == 0 {
 		n.tickMembership(now)
-		n.works(now)
+		n.reconcile(now)
 	}
 	n.in(15*time.Millisecond+time.Duration(w.rng.Intn(int(10*time.Millisecond))), n.tick)
 }
 
 func (n *node) tickMembership(now time.Duration) {
-	out := n.rost.Tick(now, n.member(), n.knownLeaderships(now))
-	n.view = n.rost.View()
+	out := n.members.Tick(now, n.member(), n.knownLeaderships(now))
+	n.view = n.members.View()
 	for _, m := range out.Sends {
 		n.send(m)
 	}
-	n.found(now, out.Bootstrap)
+	n.bootstrap(now, out.Bootstrap)
 }
 
 // knownLeaderships are the daemon's own and those that its replicas know of.
 func (n *node) knownLeaderships(now time.Duration) (known []message.Leadership) {
-	for p, m := range n.parts {
+	for p, m := range n.controllers {
 		replica := m.Partition().Replica
 		if m.IsLeader(now) {
 			known = append(known, message.Leadership{Partition: p, Term: replica.Term(), Leader: n.self()})
@@ -313,14 +313,14 @@
 	return known
 }
 
-// found makes the first group, as the daemon does.
-func (n *node) found(now time.Duration, replicas []message.Replica) {
+// bootstrap makes the first group, as the daemon does.
+func (n *node) bootstrap(now time.Duration, replicas []message.Replica) {
 	if replicas == nil {
 		return
 	}
-	n.w.trace("%s takes the founding", n.name)
+	n.world.trace("%s takes the founding", n.name)
 	var all []quorum.Save
-	for _, m := range n.parts {
+	for _, m := range n.controllers {
 		out := m.Bootstrap(now, message.Group{Number: 1, Replicas: replicas})
 		all = append(all, out.Saves...)
 		for _, m := range out.Sends {
@@ -330,9 +330,9 @@
 	n.save(all)
 }
 
-// works runs the leaders' systems, as the daemon does.
-func (n *node) works(now time.Duration) {
-	get := func(key string) (message.Record, bool) { return n.sec(0).Node.Get(now, key) }
+// reconcile runs the leaders' systems, as the daemon does.
+func (n *node) reconcile(now time.Duration) {
+	get := func(key string) (message.Record, bool) { return n.partition(0).Node.Get(now, key) }
 	var s leader.ClusterView
 	s.Plan, s.PlanValid = get(fleetconfig.PlanKey)
 	s.Zones, s.ZonesValid = get(fleetconfig.ZoneKey)
@@ -340,7 +340,7 @@
 		s.Replicas, s.ReplicasValid = get(fleetconfig.ReplicaKey)
 	}
 	s.ControlDaemons = n.view.ControlDaemons()
-	for p, m := range n.parts {
+	for p, m := range n.controllers {
 		if !m.IsLeader(now) {
 			m.Reconcile(now, s)
 			continue
@@ -366,41 +366,41 @@
 	}
 	now := n.local()
 	if o.Orphaned {
-		n.guides[p].FallBackToLeader(now)
+		n.parentChoosers[p].FallBackToLeader(now)
 	}
 	if o.Redirect.Ident != "" {
-		n.guides[p].FollowRedirect(now, o.Redirect)
+		n.parentChoosers[p].FollowRedirect(now, o.Redirect)
 	}
 	if o.Superseded != "" {
 		n.superseded(o.Superseded)
 	}
 	if o.Lost {
-		n.w.trace("%s lost partition %d", n.name, p)
+		n.world.trace("%s lost partition %d", n.name, p)
 	}
 	for _, l := range o.Events {
-		n.w.trace("%s %s: %s", n.name, l.Kind, l.Text)
+		n.world.trace("%s %s: %s", n.name, l.Kind, l.Text)
 	}
 }
 
 // read is a daemon using a record, as traffic does.
 func (n *node) read() {
-	w := n.w
-	p, k := w.rng.Intn(len(n.parts)), key(w.rng.Intn(w.o.Keys))
-	if r, ok := n.sec(p).Node.Get(n.local(), k); ok {
-		w.res.Reads++
+	w := n.world
+	p, k := w.rng.Intn(len(n.controllers)), key(w.rng.Intn(w.options.Keys))
+	if r, ok := n.partition(p).Node.Get(n.local(), k); ok {
+		w.result.Reads++
 		w.note(Event{Kind: Served, Node: n.name, Partition: p, Key: fmt.Sprintf("%d/%s", p, k), Tags: tags(r)})
 	}
-	if rec, ok := n.source(0, fleetconfig.PlanKey); ok && w.o.Calls > 0 {
+	if rec, ok := n.source(0, fleetconfig.PlanKey); ok && w.options.Calls > 0 {
 		p := fleetconfig.OpenPlan(rec)
 		w.jot(history.Event{Who: n.name, Ev: "serves", Plan: p.ID, Ver: p.Version})
 		w.jot(history.Event{Who: n.name, Ev: "read", Plan: p.ID, Ver: p.Version})
 	}
 	w.leaders()
-	if w.o.Lame > 0 && w.now > 25*time.Second && w.now < 55*time.Second && n.zone == w.nodes[len(w.nodes)-1].zone && !w.lame(n) {
-		w.cost += n.sec(p).Node.RenewCost()
+	if w.options.Lame > 0 && w.now > 25*time.Second && w.now < 55*time.Second && n.zone == w.nodes[len(w.nodes)-1].zone && !w.isSlowRelay(n) {
+		w.cost += n.partition(p).Node.RenewCost()
 		w.costs++
 	}
-	n.in(w.exp(w.o.Reads), n.read)
+	n.in(w.exp(w.options.Reads), n.read)
 }
 
 func tags(r message.Record) []string {
--- a/proof/sim/operator.go
+++ b/proof/sim/operator.go
@@ -17,7 +17,7 @@
 
 // read is a record as a daemon has it, whatever its leases.
 func (w *world) read(n *node, key string) message.Record {
-	r, _ := n.sec(0).Node.Get(n.local(), key)
+	r, _ := n.partition(0).Node.Get(n.local(), key)
 	return r
 }
 
@@ -37,10 +37,10 @@
 
 // operate is what operators and the platform do through the day.
 func (w *world) operate() {
-	if w.now > w.o.Length-6*time.Second {
+	if w.now > w.options.Length-6*time.Second {
 		return
 	}
-	w.at(w.exp(w.o.Orders), w.operate)
+	w.at(w.exp(w.options.Orders), w.operate)
 	switch w.rng.Intn(8) {
 	case 0:
 		w.evacuate()
@@ -57,10 +57,10 @@
 // old base, or a broken one.
 func (w *world) change() {
 	n := w.pick("")
-	if !n.up || n.frozen > w.now {
+	if !n.up || n.frozenUntil > w.now {
 		return
 	}
-	rec, ok := n.sec(0).Node.Get(n.local(), fleetconfig.PlanKey)
+	rec, ok := n.partition(0).Node.Get(n.local(), fleetconfig.PlanKey)
 	if !ok {
 		return
 	}
@@ -81,7 +81,7 @@
 // newest is the newest plan that any daemon has.
 func (w *world) newest() (version uint64) {
 	for _, n := range w.nodes {
-		if rec, ok := n.sec(0).Node.Get(n.local(), fleetconfig.PlanKey); ok && n.up {
+		if rec, ok := n.partition(0).Node.Get(n.local(), fleetconfig.PlanKey); ok && n.up {
 			version = max(version, fleetconfig.OpenPlan(rec).Version)
 		}
 	}
@@ -90,7 +90,7 @@
 
 // changeAt sends one change through a daemon, whatever that knows.
 func (w *world) changeAt(n *node, base uint64) {
-	if n.up && n.frozen <= w.now {
+	if n.up && n.frozenUntil <= w.now {
 		w.set(n, base, 4)
 	}
 }
@@ -100,7 +100,7 @@
 	w.tags++
 	id, start := fmt.Sprintf("c%d", w.tags), w.now
 	c := fleetconfig.Changes{ID: id, Base: base, Changes: []fleetconfig.Change{{Op: "set-tenant", Tenant: &fleetconfig.Tenant{Name: "regular", Priority: prio, TimeoutMillis: 4000 + int(w.tags%1000), QueueFraction: 0.6}}}}
-	w.control(n, 0, "changes", leadercall.Pack(c), func(code int, rep []byte) { w.judged(id, base, start, code, rep) })
+	w.control(n, 0, "changes", leadercall.Pack(c), func(code int, rep []byte) { w.recordVerdict(id, base, start, code, rep) })
 }
 
 // spares tells whether a server may be taken out of service. In the calm at the end
@@ -111,23 +111,23 @@
 		return true
 	}
 	for _, d := range w.fakeServers {
-		if d.leaving || slices.Contains(leavers(w.lists[d.svc]), d.addr) {
+		if d.leaving || slices.Contains(leavers(w.lists[d.service]), d.addr) {
 			return false
 		}
 	}
-	return w.out == ""
+	return w.evacuatedZone == ""
 }
 
 // evacuate takes a zone out, if none is, and later brings it back.
 func (w *world) evacuate() {
-	if w.out != "" || len(w.o.Zones) < 2 || !w.spares() {
+	if w.evacuatedZone != "" || len(w.options.Zones) < 2 || !w.spares() {
 		return
 	}
-	zone := fmt.Sprintf("zone-%d", w.rng.Intn(len(w.o.Zones)))
-	if w.o.Moves > 0 { // again and again the same, so that a late call meets another's work
+	zone := fmt.Sprintf("zone-%d", w.rng.Intn(len(w.options.Zones)))
+	if w.options.Moves > 0 { // again and again the same, so that a late call meets another's work
 		zone = "zone-1"
 	}
-	w.out = zone
+	w.evacuatedZone = zone
 	from := w.now
 	w.control(w.pick(""), 0, "evacuate", []byte(zone), func(code int, _ []byte) {
 		if code == 200 { // known from when it was asked, unless that took long
@@ -136,7 +136,7 @@
 				at = w.now
 			}
 			w.jot(history.Event{At: int64(at), Ev: "evacuated", Zone: zone})
-			w.res.Faults["evacuated"]++
+			w.result.Faults["evacuated"]++
 		}
 		w.at(6*time.Second+w.exp(2*time.Second), func() { w.bringBack(zone) })
 	})
@@ -149,7 +149,7 @@
 			w.at(300*time.Millisecond, func() { w.bringBack(zone) })
 			return
 		}
-		w.out = ""
+		w.evacuatedZone = ""
 	})
 }
 
@@ -158,34 +158,34 @@
 // leave marks a server as leaving in the platform's list, and takes it back.
 func (w *world) leave() {
 	d := w.someFakeServer()
-	if d.gone || slices.Contains(leavers(w.lists[d.svc]), d.addr) || !w.spares() {
+	if d.removed || slices.Contains(leavers(w.lists[d.service]), d.addr) || !w.spares() {
 		return
 	}
 	mark := func(on bool) {
-		l := w.lists[d.svc]
+		l := w.lists[d.service]
 		l.Servers = append([]fleetconfig.Server(nil), l.Servers...)
 		for i := range l.Servers {
 			if l.Servers[i].Addr == d.addr {
 				l.Servers[i].Leaving = on
 			}
 		}
-		w.lists[d.svc] = l
+		w.lists[d.service] = l
 	}
 	mark(true)
-	w.list(d.svc, func(ok bool) {
+	w.list(d.service, func(ok bool) {
 		if ok { // an older list that is acknowledged late says nothing any more
-			if slices.Contains(leavers(w.lists[d.svc]), d.addr) {
+			if slices.Contains(leavers(w.lists[d.service]), d.addr) {
 				d.jot(history.Event{Ev: "leaving"})
-				w.res.Faults["leaving"]++
+				w.result.Faults["leaving"]++
 			}
 		}
 		w.at(4*time.Second+w.exp(2*time.Second), func() {
-			if d.gone {
+			if d.removed {
 				return
 			}
 			mark(false)
 			d.jot(history.Event{Ev: "staying"})
-			w.list(d.svc, nil)
+			w.list(d.service, nil)
 		})
 	})
 }
@@ -193,11 +193,11 @@
 // selfLeave has a server say itself that it leaves.
 func (w *world) selfLeave() {
 	d := w.someFakeServer()
-	if !d.up || d.leaving || d.gone || !w.spares() {
+	if !d.up || d.leaving || d.removed || !w.spares() {
 		return
 	}
 	d.leaving = true
-	w.res.Faults["selfleave"]++
+	w.result.Faults["selfleave"]++
 	w.at(4*time.Second+w.exp(2*time.Second), func() { d.leaving = false })
 }
 
@@ -235,8 +235,8 @@
 		d.slow = 2 + w.rng.Intn(6)
 		w.healServerLater(func() { d.slow = 1 })
 	case "link":
-		d.link = w.exp(300 * time.Millisecond)
-		w.healServerLater(func() { d.link = 0 })
+		d.linkDelay = w.exp(300 * time.Millisecond)
+		w.healServerLater(func() { d.linkDelay = 0 })
 	}
 }
 
@@ -254,7 +254,7 @@
 // lapseAllHandles has every handle of every server be gone at once.
 func (w *world) lapseAllHandles() {
 	for _, addr := range w.addrs {
-		w.fakeServers[addr].kv = map[string]cache{}
+		w.fakeServers[addr].caches = map[string]cache{}
 		w.fakeServers[addr].lapseAll = true
 	}
 	w.healServerLater(func() {
@@ -267,10 +267,10 @@
 // replaceServer puts another server in the place of one, which ends when the platform's
 // list has been without it for a while.
 func (w *world) replaceServer(d *fakeServer) {
-	if d.gone {
+	if d.removed {
 		return
 	}
-	list := w.lists[d.svc]
+	list := w.lists[d.service]
 	var rest []fleetconfig.Server
 	for _, s := range list.Servers {
 		if s.Addr != d.addr {
@@ -278,10 +278,10 @@
 		}
 	}
 	list.Servers = rest
-	w.lists[d.svc] = list
-	w.fakeServer(d.svc, d.zone)
-	d.gone = true
-	w.list(d.svc, func(ok bool) {
+	w.lists[d.service] = list
+	w.fakeServer(d.service, d.zone)
+	d.removed = true
+	w.list(d.service, func(ok bool) {
 		if ok {
 			d.jot(history.Event{Ev: "leaving"})
 		}
@@ -309,16 +309,16 @@
 	}
 }
 
-// mend brings every server back, whole, at the start of the calm.
-func (w *world) mend() {
-	if w.o.Calls == 0 {
+// healServers brings every server back, whole, at the start of the calm.
+func (w *world) healServers() {
+	if w.options.Calls == 0 {
 		return
 	}
 	for _, a := range w.addrs {
 		d := w.fakeServers[a]
-		d.dark, d.lapseAll, d.cross, d.breaks, d.drops, d.skip, d.twice, d.slow, d.link = false, false, false, false, false, false, false, 1, 0
+		d.dark, d.lapseAll, d.cross, d.breaks, d.drops, d.skip, d.twice, d.slow, d.linkDelay = false, false, false, false, false, false, false, 1, 0
 		back := time.Duration(0)
-		if w.o.Sabotage == "lateback" {
+		if w.options.Sabotage == "lateback" {
 			d.crash()
 			back = 14 * time.Second
 		}
--- a/proof/sim/races.go
+++ b/proof/sim/races.go
@@ -32,15 +32,15 @@
 // races sends one change, or two on the same version and with the same number,
 // now and then; never more than mostOpen are under way.
 func (w *world) races() {
-	if w.now > w.o.Length-12*time.Second {
+	if w.now > w.options.Length-12*time.Second {
 		return
 	}
-	w.at(w.exp(w.o.Races), w.races)
+	w.at(w.exp(w.options.Races), w.races)
 	both := w.rng.Intn(2) == 0
-	if w.open+2 > mostOpen || w.known == 0 {
+	if w.openRaces+2 > mostOpen || w.knownVersion == 0 {
 		return
 	}
-	base, number := w.known, w.known+1+uint64(w.rng.Intn(3))
+	base, number := w.knownVersion, w.knownVersion+1+uint64(w.rng.Intn(3))
 	w.race(base, number)
 	if both {
 		w.race(base, number)
@@ -49,7 +49,7 @@
 
 func (w *world) race(base, number uint64) {
 	w.tags++
-	w.open++
+	w.openRaces++
 	r := &raced{id: fmt.Sprintf("r%d", w.tags), base: base, number: number}
 	r.body = leadercall.Pack(fleetconfig.Changes{ID: r.id, Base: base, Number: number, Changes: []fleetconfig.Change{
 		{Op: "set-tenant", Tenant: &fleetconfig.Tenant{Name: "regular", Priority: 4, TimeoutMillis: 4000 + int(w.tags%1000), QueueFraction: 0.6}},
@@ -82,17 +82,17 @@
 			w.againRaced(r)
 			return
 		}
-		w.res.Plans[v.Result]++
-		w.known = max(w.known, v.Version)
+		w.result.Plans[v.Result]++
+		w.knownVersion = max(w.knownVersion, v.Version)
 		if v.Result == "taken" && !w.calm && w.rng.Float64() < leaderFails {
 			w.failLeader()
 		}
 		if !r.clear {
 			r.clear = true
-			w.open--
+			w.openRaces--
 		}
-		if w.rng.Float64() < calledAgain && w.now < w.o.Length-12*time.Second { // much later, with hundreds between
-			w.res.Faults["sent again"]++
+		if w.rng.Float64() < calledAgain && w.now < w.options.Length-12*time.Second { // much later, with hundreds between
+			w.result.Faults["sent again"]++
 			w.at(w.exp(8*time.Second), func() { w.tryRaced(r, w.pick("")) })
 		}
 	})
@@ -100,7 +100,7 @@
 
 // againRaced sends a call again whose end isn't clear, seconds later at times.
 func (w *world) againRaced(r *raced) {
-	if r.clear || w.now > w.o.Length-12*time.Second {
+	if r.clear || w.now > w.options.Length-12*time.Second {
 		return
 	}
 	pause := 20*time.Millisecond + w.exp(200*time.Millisecond)
@@ -114,11 +114,11 @@
 // where a machine is replaced, whose disk is the one that may be lost at once.
 func (w *world) failLeader() {
 	kind := "ackkill"
-	if len(w.o.Swaps) > 0 {
+	if len(w.options.Swaps) > 0 {
 		kind = "kill"
 	}
 	for _, n := range w.nodes {
-		if n.up && n.parts[0].IsLeader(n.local()) {
+		if n.up && n.controllers[0].IsLeader(n.local()) {
 			w.fault(kind, n)
 			return
 		}
@@ -128,11 +128,11 @@
 // forget is the sabotage that loses the memory of accepted changes: always, or
 // with each new leader.
 func (w *world) forget(n *node, always bool) {
-	replica := n.sec(0).Replica
-	if replica == nil || !n.parts[0].IsLeader(n.local()) || !always && n.recalls == replica.Term() {
+	replica := n.partition(0).Replica
+	if replica == nil || !n.controllers[0].IsLeader(n.local()) || !always && n.forgotInTerm == replica.Term() {
 		return
 	}
-	n.recalls = replica.Term()
+	n.forgotInTerm = replica.Term()
 	var keys []string
 	for r := range replica.Records().All() {
 		if strings.HasPrefix(r.Key, "taken/") {
@@ -150,7 +150,7 @@
 		return
 	}
 	now := fleetconfig.OpenPlan(w.read(to, fleetconfig.PlanKey)).Version
-	switch w.o.Sabotage {
+	switch w.options.Sabotage {
 	case "nobase":
 		if m.Op == "changes" {
 			m.Body = rebase(m.Body, now, false)
--- a/proof/sim/sim.go
+++ b/proof/sim/sim.go
@@ -16,46 +16,46 @@
 )
 
 type world struct {
-	o       Options
-	cfg     daemon.Config
-	rng     *rand.Rand
-	now     time.Duration
-	q       eventqueue.Queue
-	nodes   []*node
-	cut     map[[2]string]bool
-	res     Result
-	tags    uint64
-	ids     int
-	lost    bool
-	ledAt   time.Duration
-	ownedAt map[int]time.Duration // when each part was last seen led
-	calm    bool
-	held    []heldUp
-	acks    []acked
-
-	fakeServers map[string]*fakeServer
-	addrs       []string // of fake servers, in order
-	lists       map[string]fleetconfig.List
-	callers     int
-	out         string // the zone that is evacuated
-	ready       []*node
-	crowd       time.Duration // until when requests come thick
-	mix         float64
-	open        int    // changes of the races that have no clear end yet
-	known       uint64 // the newest version that an operator knows of
-	cost        time.Duration
-	costs       int
+	options      Options
+	cfg          daemon.Config
+	rng          *rand.Rand
+	now          time.Duration
+	q            eventqueue.Queue
+	nodes        []*node
+	cutLinks     map[[2]string]bool
+	result       Result
+	tags         uint64
+	ids          int
+	diskLost     bool
+	ledAt        time.Duration
+	ownedAt      map[int]time.Duration // when each part was last seen led
+	calm         bool
+	heldMessages []heldMessage
+	acks         []acked
+
+	fakeServers       map[string]*fakeServer
+	addrs             []string // of fake servers, in order
+	lists             map[string]fleetconfig.List
+	callers           int
+	evacuatedZone     string // the zone that is evacuated
+	ready             []*node
+	crowdUntil        time.Duration // until when requests come thick
+	firstServiceShare float64
+	openRaces         int    // changes of the races that have no clear end yet
+	knownVersion      uint64 // the newest version that an operator knows of
+	cost              time.Duration
+	costs             int
 }
 
 // Run makes one run.
 //
 // Example: r := sim.Run(sim.Default(42)); len(r.Broken) == 0
 func Run(o Options) Result {
-	w := &world{o: o, cfg: daemon.Default(), rng: rand.New(rand.NewSource(o.Seed)), cut: map[[2]string]bool{}, ownedAt: map[int]time.Duration{}}
+	w := &world{options: o, cfg: daemon.Default(), rng: rand.New(rand.NewSource(o.Seed)), cutLinks: map[[2]string]bool{}, ownedAt: map[int]time.Duration{}}
 	w.cfg.Partitions, w.cfg.TestSwitches = o.Partitions, true
-	w.res.Served, w.res.Sent, w.res.Steers, w.res.Faults, w.res.Results, w.res.Refusals, w.res.Plans = map[string]int{}, map[string]int{}, map[string]int{}, map[string]int{}, map[string]int{}, map[string]int{}, map[string]int{}
+	w.result.Served, w.result.Sent, w.result.Steers, w.result.Faults, w.result.Results, w.result.Refusals, w.result.Plans = map[string]int{}, map[string]int{}, map[string]int{}, map[string]int{}, map[string]int{}, map[string]int{}, map[string]int{}
 	if o.Sabotage == "drift" {
-		o.Drift, w.o.Drift = 0.5, 0.5
+		o.Drift, w.options.Drift = 0.5, 0.5
 	}
 	i := 0
 	for c, n := range o.Zones {
@@ -68,27 +68,27 @@
 		n := n
 		w.at(time.Duration(w.rng.Int63n(int64(500*time.Millisecond))), n.start)
 	}
-	w.plan()
+	w.scheduleFaults()
 	if o.Calls > 0 {
-		w.traffic()
+		w.startTraffic()
 	}
 	if o.Many > 0 {
 		w.at(6*time.Second, w.events)
 	}
 	w.run()
-	w.last()
-	w.res.Renewal = w.cost / time.Duration(max(1, w.costs))
-	w.res.Broken = Check(w.res.History)
-	for _, b := range judge.All(w.res.Journal, judge.Default()) {
-		w.res.Broken = append(w.res.Broken, b.String())
+	w.checkAtEnd()
+	w.result.Renewal = w.cost / time.Duration(max(1, w.costs))
+	w.result.Broken = Check(w.result.History)
+	for _, b := range judge.All(w.result.Journal, judge.Default()) {
+		w.result.Broken = append(w.result.Broken, b.String())
 	}
-	return w.res
+	return w.result
 }
 
 func (w *world) add(zone string, disk bool, i int) *node {
 	n := &node{
-		w: w, name: fmt.Sprintf("n%d", i), addr: fmt.Sprintf("10.0.0.%d:1", i+1), zone: zone, hasDisk: disk,
-		rate: 1 + (w.rng.Float64()-0.5)*w.o.Drift, base: time.Duration(w.rng.Int63n(int64(time.Hour))),
+		world: w, name: fmt.Sprintf("n%d", i), addr: fmt.Sprintf("10.0.0.%d:1", i+1), zone: zone, hasDisk: disk,
+		rate: 1 + (w.rng.Float64()-0.5)*w.options.Drift, base: time.Duration(w.rng.Int63n(int64(time.Hour))),
 	}
 	w.nodes = append(w.nodes, n)
 	return n
@@ -103,8 +103,8 @@
 
 // run lets things happen until the run has its length, or nothing more comes.
 func (w *world) run() {
-	for w.now < w.o.Length && w.step() {
-		if len(w.res.History) > maxHistory {
+	for w.now < w.options.Length && w.step() {
+		if len(w.result.History) > maxHistory {
 			return
 		}
 	}
@@ -126,7 +126,7 @@
 
 func (w *world) note(e Event) {
 	e.At = w.now
-	w.res.History = append(w.res.History, e)
+	w.result.History = append(w.result.History, e)
 }
 
 // jot writes a line of the journal that the judge of real runs reads too.
@@ -134,21 +134,21 @@
 	if e.At == 0 {
 		e.At = int64(w.now)
 	}
-	w.res.Journal = append(w.res.Journal, e)
+	w.result.Journal = append(w.result.Journal, e)
 }
 
 func (w *world) trace(how string, args ...any) {
-	if w.o.Trace != nil {
-		w.o.Trace(fmt.Sprintf("%v ", w.now) + fmt.Sprintf(how, args...))
+	if w.options.Trace != nil {
+		w.options.Trace(fmt.Sprintf("%v ", w.now) + fmt.Sprintf(how, args...))
 	}
 }
 
 // leaders notes every daemon that takes itself for a leader at this moment.
 func (w *world) leaders() {
-	for p := 0; p <= w.o.Partitions; p++ {
+	for p := 0; p <= w.options.Partitions; p++ {
 		found := false
 		for _, n := range w.nodes {
-			if n.up && p < len(n.parts) && n.frozen <= w.now && n.parts[p].IsLeader(n.local()) {
+			if n.up && p < len(n.controllers) && n.frozenUntil <= w.now && n.controllers[p].IsLeader(n.local()) {
 				w.note(Event{Kind: Owning, Node: n.name, Partition: p})
 				found = true
 			}
@@ -158,31 +158,31 @@
 			if found {
 				w.ledAt = w.now
 			} else if w.ledAt > 0 {
-				w.res.Gap = max(w.res.Gap, w.now-w.ledAt)
+				w.result.Gap = max(w.result.Gap, w.now-w.ledAt)
 			}
 		}
 	}
 }
 
-// last looks whether the fleet, long whole again, serves every record.
-func (w *world) last() {
-	w.copies()
+// checkAtEnd looks whether the fleet, long whole again, serves every record.
+func (w *world) checkAtEnd() {
+	w.checkCopies()
 	for _, n := range w.nodes {
-		if n.gone {
+		if n.removed {
 			continue
 		}
-		for p := range n.parts {
-			for k := 0; k < w.o.Keys; k++ {
-				r, ok := n.sec(p).Node.Get(n.local(), key(k))
+		for p := range n.controllers {
+			for k := 0; k < w.options.Keys; k++ {
+				r, ok := n.partition(p).Node.Get(n.local(), key(k))
 				if !ok {
-					v := n.sec(p).Node.View(n.local())
-					w.note(Event{Kind: Silent, Node: n.name, Tag: fmt.Sprintf("serves no partition %d, %v after the last failure (lease %d ms, parent %s, live %v, leader %v)", p, w.o.Calm, v.LeaseLeft, v.Parent.Addr, n.view.HasSession, n.view.Leaderships[p])})
+					v := n.partition(p).Node.View(n.local())
+					w.note(Event{Kind: Silent, Node: n.name, Tag: fmt.Sprintf("serves no partition %d, %v after the last failure (lease %d ms, parent %s, live %v, leader %v)", p, w.options.Calm, v.LeaseLeft, v.Parent.Addr, n.view.HasSession, n.view.Leaderships[p])})
 					continue
 				}
 				w.note(Event{Kind: Served, Node: n.name, Partition: p, Key: fmt.Sprintf("%d/%s", p, key(k)), Tags: tags(r)})
 			}
-			if s := n.sec(p); s.Replica != nil {
-				w.res.Recs = max(w.res.Recs, s.Replica.Records().Size())
+			if s := n.partition(p); s.Replica != nil {
+				w.result.Recs = max(w.result.Recs, s.Replica.Records().Size())
 			}
 		}
 	}
--- a/proof/sim/write.go
+++ b/proof/sim/write.go
@@ -12,12 +12,12 @@
 // write asks some daemon that takes itself for the leader to append a tag.
 func (w *world) write() {
 	if !w.calm {
-		w.at(w.exp(w.o.Writes), w.write)
+		w.at(w.exp(w.options.Writes), w.write)
 	}
-	p, k := w.rng.Intn(w.o.Partitions+1), key(w.rng.Intn(w.o.Keys))
+	p, k := w.rng.Intn(w.options.Partitions+1), key(w.rng.Intn(w.options.Keys))
 	var own []*node
 	for _, n := range w.nodes {
-		if n.up && n.frozen <= w.now && n.parts[p].IsLeader(n.local()) {
+		if n.up && n.frozenUntil <= w.now && n.controllers[p].IsLeader(n.local()) {
 			own = append(own, n)
 		}
 	}
@@ -36,22 +36,22 @@
 		switch r.Outcome {
 		case partition.Done:
 			e.Kind = Yes
-			w.res.Yes++
+			w.result.Yes++
 			w.acks = append(w.acks, acked{w.now, p, k, tag})
-			w.res.Waits = append(w.res.Waits, w.now-at)
-			if !w.calm && w.rng.Float64() < w.o.Faults["ackkill"]/40 {
+			w.result.Waits = append(w.result.Waits, w.now-at)
+			if !w.calm && w.rng.Float64() < w.options.Faults["ackkill"]/40 {
 				w.fault("ackkill", n)
 			}
 		case partition.NotLeader, partition.Unchanged:
 			e.Kind = Never
-			w.res.Never++
+			w.result.Never++
 		default:
 			e.Kind = Maybe
-			w.res.Maybe++
+			w.result.Maybe++
 		}
 		w.note(e)
 	}
-	n.carry(p, n.parts[p].Submit(n.local(), partition.Job{Keys: []string{k}, Mergeable: true, Build: func(read lease.RecordSource) ([]message.Record, any) {
+	n.carry(p, n.controllers[p].Submit(n.local(), partition.Job{Keys: []string{k}, Mergeable: true, Build: func(read lease.RecordSource) ([]message.Record, any) {
 		val, _ := json.Marshal(append(tags(read(k)), tag))
 		return []message.Record{{Key: k, Value: val}}, nil
 	}}, then))
