--- a/proof/sim/caller.go
+++ b/proof/sim/caller.go
@@ -153,7 +153,9 @@
 		w.result.Refusals[kind]++
 	}
 	w.jot(history.Event{
-		Who: c.node.name, Ev: "reply", Request: c.received.Request, Run: c.received.Run, Count: c.received.N, Once: c.asked.OnceKey, Tenant: c.asked.Tenant, Result: result, Why: why,
+		Who: c.node.name, Ev: "reply",
+		Request: c.received.Request, Run: c.received.Run, Count: c.received.N,
+		Once: c.asked.OnceKey, Tenant: c.asked.Tenant, Result: result, Why: why,
 		After: after, Took: int64(w.now - c.sentAt), Zone: c.node.zone, Again: c.isRepeat,
 	})
 	if result == "silent" || result == "hung" {
@@ -216,11 +218,19 @@
 }
 
 func (w *world) fakeServer(svc, zone string) *fakeServer {
-	d := &fakeServer{world: w, addr: fmt.Sprintf("10.1.0.%d:1", len(w.addrs)+1), service: svc, zone: zone, capacity: 4, warmUp: time.Second + time.Duration(w.rng.Int63n(int64(4*time.Second)))}
+	d := &fakeServer{
+		world:    w,
+		addr:     fmt.Sprintf("10.1.0.%d:1", len(w.addrs)+1),
+		service:  svc,
+		zone:     zone,
+		capacity: 4,
+		warmUp:   time.Second + time.Duration(w.rng.Int63n(int64(4*time.Second))),
+	}
 	w.fakeServers[d.addr] = d
 	w.addrs = append(w.addrs, d.addr)
 	l := w.lists[svc]
-	l.Servers = append(append([]fleetconfig.Server(nil), l.Servers...), fleetconfig.Server{Addr: d.addr, Zone: zone, Capacity: d.capacity})
+	server := fleetconfig.Server{Addr: d.addr, Zone: zone, Capacity: d.capacity}
+	l.Servers = append(append([]fleetconfig.Server(nil), l.Servers...), server)
 	w.lists[svc] = l
 	d.boot()
 	return d
@@ -274,7 +284,9 @@
 			return
 		}
 		n.in(0, func() {
-			n.ask(part, op, body, 2*w.cfg.Bounds.Plan, func(d leadercall.Result) { w.at(w.lag(), func() { end(d.Status, d.Body) }) })
+			n.ask(part, op, body, 2*w.cfg.Bounds.Plan, func(d leadercall.Result) {
+				w.at(w.lag(), func() { end(d.Status, d.Body) })
+			})
 		})
 	})
 	w.at(10*time.Second, func() { end(leadercall.StatusUncertain, nil) })
@@ -312,7 +324,10 @@
 		v.Result = "unheard"
 	}
 	if v.Result != "" && code != 0 {
-		w.jot(history.Event{Who: "operator", Ev: "plan", Plan: id, Base: base, Ver: v.Version, Result: v.Result, Took: max(1, int64(w.now-from))})
+		w.jot(history.Event{
+			Who: "operator", Ev: "plan", Plan: id, Base: base, Ver: v.Version, Result: v.Result,
+			Took: max(1, int64(w.now-from)),
+		})
 		w.result.Plans[v.Result]++
 	}
 	if v.Result == "taken" {
@@ -337,7 +352,8 @@
 	}{svc, l})
 	var send func(tries int)
 	send = func(tries int) {
-		w.control(w.pick(""), fleetconfig.PartitionOf(svc, w.options.Partitions), "servers", body, func(code int, rep []byte) {
+		part := fleetconfig.PartitionOf(svc, w.options.Partitions)
+		w.control(w.pick(""), part, "servers", body, func(code int, rep []byte) {
 			w.trace("LIST %s version %d: %d %s; leaving %v", svc, l.Version, code, rep, leavers(l))
 			switch {
 			case code == 200:
@@ -375,8 +391,12 @@
 	timeout := time.Second + time.Duration(w.rng.Int63n(int64(3*time.Second)))
 	ms := timeout.Milliseconds()
 	c := &caller{world: w, number: w.callers, timeout: timeout, asked: scheduler.ClientRequest{
-		Model: svc, Tenant: []string{"express", "regular", "bulk"}[w.rng.Intn(3)], Tokens: 3 + w.rng.Intn(4), TimeoutMillis: &ms,
-		Parts: []serverpool.Part{{Key: "shared", Text: strings.Repeat(string(rune('a'+pre)), 150)}, {Text: fmt.Sprintf("own %d ", w.callers) + strings.Repeat("x", 50+w.rng.Intn(150))}},
+		Model: svc, Tenant: []string{"express", "regular", "bulk"}[w.rng.Intn(3)],
+		Tokens: 3 + w.rng.Intn(4), TimeoutMillis: &ms,
+		Parts: []serverpool.Part{
+			{Key: "shared", Text: strings.Repeat(string(rune('a'+pre)), 150)},
+			{Text: fmt.Sprintf("own %d ", w.callers) + strings.Repeat("x", 50+w.rng.Intn(150))},
+		},
 	}}
 	zone := w.nodes[w.rng.Intn(len(w.nodes))].zone
 	to := w.pick(zone)
--- a/proof/sim/copies.go
+++ b/proof/sim/copies.go
@@ -15,7 +15,15 @@
 
 // clone is a folder as it is now.
 func (f *folder) clone() *folder {
-	out := &folder{ident: f.ident, epoch: f.epoch, metaOf: maps.Clone(f.metaOf), records: map[int]map[string]message.Record{}, recordSums: maps.Clone(f.recordSums), partitionSums: maps.Clone(f.partitionSums), rotten: f.rotten}
+	out := &folder{
+		ident:         f.ident,
+		epoch:         f.epoch,
+		metaOf:        maps.Clone(f.metaOf),
+		records:       map[int]map[string]message.Record{},
+		recordSums:    maps.Clone(f.recordSums),
+		partitionSums: maps.Clone(f.partitionSums),
+		rotten:        f.rotten,
+	}
 	for p, recs := range f.records {
 		out.records[p] = maps.Clone(recs)
 	}
--- a/proof/sim/cutoff.go
+++ b/proof/sim/cutoff.go
@@ -78,7 +78,10 @@
 // answersFromCache is the sabotage of a daemon that isn't the leader and refuses
 // a change by the plan that it knows.
 func (w *world) answersFromCache(to *node, m message.Message) bool {
-	if w.options.Sabotage != "cachedno" || m.Kind != message.KindCall || m.Op != "changes" || to.controllers[0].IsLeader(to.local()) || !to.tookItselfForLeader() {
+	if w.options.Sabotage != "cachedno" || m.Kind != message.KindCall || m.Op != "changes" {
+		return false
+	}
+	if to.controllers[0].IsLeader(to.local()) || !to.tookItselfForLeader() {
 		return false
 	}
 	rec, ok := to.partition(0).Replica.Records().Get(fleetconfig.PlanKey)
@@ -86,7 +89,9 @@
 		return false
 	}
 	rep := leadercall.Pack(fleetconfig.Verdict{Result: "beaten", Version: fleetconfig.OpenPlan(rec).Version})
-	to.send(message.Envelope{Addr: m.Addr, Message: message.Message{Kind: message.KindCallResult, To: m.From, ResponseTo: m.RequestID, Status: 409, Body: rep}})
+	to.send(message.Envelope{Addr: m.Addr, Message: message.Message{
+		Kind: message.KindCallResult, To: m.From, ResponseTo: m.RequestID, Status: 409, Body: rep,
+	}})
 	return true
 }
 
--- a/proof/sim/fakeserver.go
+++ b/proof/sim/fakeserver.go
@@ -66,15 +66,16 @@
 	d.up, d.dark = true, false
 	d.starts++
 	d.startedAt, d.role, d.term, d.orderNumber, d.busy = d.world.now, "", 0, 0, 0
-	d.caches, d.cachedPrefixes, d.links, d.connections = map[string]cache{}, map[uint64]bool{}, map[string]int{}, map[*connection]bool{}
+	d.caches, d.cachedPrefixes = map[string]cache{}, map[uint64]bool{}
+	d.links, d.connections = map[string]int{}, map[*connection]bool{}
 	d.jot(history.Event{Ev: "boot", N: d.capacity, Zone: d.zone, Warm: int64(d.warmUp)})
 }
 
 func (d *fakeServer) crash() {
 	d.up = false
 	d.starts++
-	lines := slices.SortedFunc(maps.Keys(d.connections), func(a, b *connection) int { return strings.Compare(a.act.RequestID, b.act.RequestID) })
-	for _, l := range lines {
+	byRequest := func(a, b *connection) int { return strings.Compare(a.act.RequestID, b.act.RequestID) }
+	for _, l := range slices.SortedFunc(maps.Keys(d.connections), byRequest) {
 		delete(d.connections, l)
 		l.end(serverpool.Lost, "connection lost")
 	}
@@ -99,7 +100,14 @@
 	for a, ms := range d.links {
 		links[a] = ms
 	}
-	return placement.Usage{Active: d.busy, UptimeMillis: (d.world.now - d.startedAt).Milliseconds(), Leaving: d.leaving, Warming: d.world.now-d.startedAt < d.warmUp && d.world.options.Sabotage != "noramp", LinkMillis: links}
+	uptime := d.world.now - d.startedAt
+	return placement.Usage{
+		Active:       d.busy,
+		UptimeMillis: uptime.Milliseconds(),
+		Leaving:      d.leaving,
+		Warming:      uptime < d.warmUp && d.world.options.Sabotage != "noramp",
+		LinkMillis:   links,
+	}
 }
 
 func (d *fakeServer) ordered(holder string, o placement.Order) bool {
@@ -171,7 +179,10 @@
 			d.cachedPrefixes[c] = true
 		}
 		d.handleCount++
-		h := serverpool.Handle{ID: fmt.Sprintf("%s/%d/%d", d.addr, d.starts, d.handleCount), Request: p.Request, Attempt: p.Attempt, PrefillServer: d.addr, RecordVersion: p.RecordVersion, CachedParts: cached}
+		h := serverpool.Handle{
+			ID:      fmt.Sprintf("%s/%d/%d", d.addr, d.starts, d.handleCount),
+			Request: p.Request, Attempt: p.Attempt, PrefillServer: d.addr, RecordVersion: p.RecordVersion, CachedParts: cached,
+		}
 		d.caches[h.ID] = cache{p.Request, p.Attempt, script.Prompt(p.Parts)}
 		if d.cross {
 			for i := d.handleCount - 1; i > 0; i-- {
@@ -214,7 +225,10 @@
 			return
 		}
 		d.links[r.addr] = int(link.Milliseconds())
-		d.jot(history.Event{Ev: "decode", Request: p.Handle.Request, CacheOf: kv.request, Run: p.RunID, Once: p.OnceKey, Term: p.Term, N: d.busy})
+		d.jot(history.Event{
+			Ev: "decode", Request: p.Handle.Request, CacheOf: kv.request, Run: p.RunID, Once: p.OnceKey,
+			Term: p.Term, N: d.busy,
+		})
 		seen := 0
 		d.step(l, p, kv, 0, &seen)
 	})
@@ -231,7 +245,10 @@
 			done()
 			return
 		}
-		piece := serverpool.Piece{Request: p.Handle.Request, RunID: p.RunID, Number: i, Text: script.Text(kv.prompt, p.Handle.Request, p.RunID, i)}
+		piece := serverpool.Piece{
+			Request: p.Handle.Request, RunID: p.RunID, Number: i,
+			Text: script.Text(kv.prompt, p.Handle.Request, p.RunID, i),
+		}
 		switch {
 		case d.drops && i == 0:
 			done()
@@ -282,7 +299,10 @@
 			l.piece(serverpool.Piece{Request: p.Handle.Request, RunID: p.RunID, End: true, Count: i}, seen)
 			return
 		}
-		l.piece(serverpool.Piece{Request: p.Handle.Request, RunID: p.RunID, Number: i, Text: script.Text(kv.prompt, p.Handle.Request, run, i)}, seen)
+		l.piece(serverpool.Piece{
+			Request: p.Handle.Request, RunID: p.RunID, Number: i,
+			Text: script.Text(kv.prompt, p.Handle.Request, run, i),
+		}, seen)
 		d.splice(l, p, run, kv, i+1, seen)
 	})
 }
--- a/proof/sim/fault.go
+++ b/proof/sim/fault.go
@@ -373,7 +373,8 @@
 		last = slices.DeleteFunc(last, func(x string) bool { return !slices.Contains(now, x) })
 	}
 	for _, what := range last {
-		w.note(Event{Kind: Silent, Node: what, Tag: fmt.Sprintf("is a copy that differs from its leader's, %v after the last failure", w.options.Calm)})
+		how := fmt.Sprintf("is a copy that differs from its leader's, %v after the last failure", w.options.Calm)
+		w.note(Event{Kind: Silent, Node: what, Tag: how})
 	}
 	for p := 0; p <= w.options.Partitions; p++ {
 		for _, own := range w.nodes {
--- a/proof/sim/folder.go
+++ b/proof/sim/folder.go
@@ -47,7 +47,8 @@
 	meta := n.disk.metaOf[p]
 	if sum := n.disk.partitionSums[p]; spoilt || sum != 0 && sum != meta.Sum(records) {
 		if !n.disk.rotten {
-			n.world.note(Event{Kind: Silent, Node: n.name, Tag: fmt.Sprintf("reads partition %d back as what was never written", p)})
+			what := fmt.Sprintf("reads partition %d back as what was never written", p)
+			n.world.note(Event{Kind: Silent, Node: n.name, Tag: what})
 		}
 		meta.Incomplete = n.world.options.Sabotage != "rotvote"
 		n.disk.metaOf[p], n.disk.partitionSums[p] = meta, meta.Sum(records)
--- a/proof/sim/node.go
+++ b/proof/sim/node.go
@@ -265,7 +265,10 @@
 			}
 		}
 	}
-	return message.Member{Ident: n.ident, Epoch: n.epoch, Addr: n.addr, Zone: n.zone, HasDisk: n.hasDisk, Ready: true, Empty: empty}
+	return message.Member{
+		Ident: n.ident, Epoch: n.epoch, Addr: n.addr, Zone: n.zone,
+		HasDisk: n.hasDisk, Ready: true, Empty: empty,
+	}
 }
 
 // tick lets time pass at a node, as the daemon's tickers do.
@@ -396,7 +399,8 @@
 		w.jot(history.Event{Who: n.name, Ev: "read", Plan: p.ID, Ver: p.Version})
 	}
 	w.leaders()
-	if w.options.Lame > 0 && w.now > 25*time.Second && w.now < 55*time.Second && n.zone == w.nodes[len(w.nodes)-1].zone && !w.isSlowRelay(n) {
+	whileSlow := w.options.Lame > 0 && w.now > 25*time.Second && w.now < 55*time.Second
+	if whileSlow && n.zone == w.nodes[len(w.nodes)-1].zone && !w.isSlowRelay(n) {
 		w.cost += n.partition(p).Node.RenewCost()
 		w.costs++
 	}
--- a/proof/sim/operator.go
+++ b/proof/sim/operator.go
@@ -99,8 +99,17 @@
 func (w *world) set(n *node, base uint64, prio int) {
 	w.tags++
 	id, start := fmt.Sprintf("c%d", w.tags), w.now
-	c := fleetconfig.Changes{ID: id, Base: base, Changes: []fleetconfig.Change{{Op: "set-tenant", Tenant: &fleetconfig.Tenant{Name: "regular", Priority: prio, TimeoutMillis: 4000 + int(w.tags%1000), QueueFraction: 0.6}}}}
-	w.control(n, 0, "changes", leadercall.Pack(c), func(code int, rep []byte) { w.recordVerdict(id, base, start, code, rep) })
+	c := fleetconfig.Changes{ID: id, Base: base, Changes: []fleetconfig.Change{w.tenantChange(prio)}}
+	w.control(n, 0, "changes", leadercall.Pack(c), func(code int, rep []byte) {
+		w.recordVerdict(id, base, start, code, rep)
+	})
+}
+
+// tenantChange is a change of one tenant, with a timeout that tells it from others.
+func (w *world) tenantChange(priority int) fleetconfig.Change {
+	return fleetconfig.Change{Op: "set-tenant", Tenant: &fleetconfig.Tenant{
+		Name: "regular", Priority: priority, TimeoutMillis: 4000 + int(w.tags%1000), QueueFraction: 0.6,
+	}}
 }
 
 // spares tells whether a server may be taken out of service. In the calm at the end
@@ -316,7 +325,8 @@
 	}
 	for _, a := range w.addrs {
 		d := w.fakeServers[a]
-		d.dark, d.lapseAll, d.cross, d.breaks, d.drops, d.skip, d.twice, d.slow, d.linkDelay = false, false, false, false, false, false, false, 1, 0
+		d.dark, d.lapseAll, d.cross, d.breaks, d.drops, d.skip, d.twice = false, false, false, false, false, false, false
+		d.slow, d.linkDelay = 1, 0
 		back := time.Duration(0)
 		if w.options.Sabotage == "lateback" {
 			d.crash()
--- a/proof/sim/options.go
+++ b/proof/sim/options.go
@@ -32,18 +32,20 @@
 	Rounds     int             // losses of core machines for good, one after the other
 	Second     bool            // another is lost for a while as soon as a successor is to count
 	Moves      time.Duration   // mean time until a zone that was brought back is evacuated again; 0: only by Orders
-	Races      time.Duration   // mean time between operators' changes that are sent until their end is clear, and again; 0: none
-	Late       float64         // part of the calls to leaders that come a second time, seconds later
-	Responses  float64         // part of the responses between daemons that come a second time, seconds later
-	Far        time.Duration   // more between zones, one way
-	Lame       time.Duration   // more to and from one relay, from 15 s to 55 s
-	Back       bool            // who is refused comes back when told to, once
-	Static     bool            // the tree is not reshaped by load and cost
-	Mutate     float64         // part of the messages that come a second time with one field changed, as from a stranger
-	Asks       time.Duration   // mean time between read-backs of the plan; 0: none
-	Held       float64         // part of what a cut stops that comes when it has healed
-	Wholes     bool            // records go whole at each change
-	Trace      func(string)
+	// Races is the mean time between operators' changes that are sent until their end is
+	// clear, and again; 0: none.
+	Races     time.Duration
+	Late      float64       // part of the calls to leaders that come a second time, seconds later
+	Responses float64       // part of the responses between daemons that come a second time, seconds later
+	Far       time.Duration // more between zones, one way
+	Lame      time.Duration // more to and from one relay, from 15 s to 55 s
+	Back      bool          // who is refused comes back when told to, once
+	Static    bool          // the tree is not reshaped by load and cost
+	Mutate    float64       // part of the messages that come a second time with one field changed, as from a stranger
+	Asks      time.Duration // mean time between read-backs of the plan; 0: none
+	Held      float64       // part of what a cut stops that comes when it has healed
+	Wholes    bool          // records go whole at each change
+	Trace     func(string)
 }
 
 // Result is what a run came to.
@@ -74,7 +76,10 @@
 	return Options{
 		Seed: seed, Zones: []int{3, 3, 1}, Partitions: 1, Length: 40 * time.Second, Calm: 14 * time.Second, Keys: 3,
 		Writes: 250 * time.Millisecond, Reads: 60 * time.Millisecond, Drift: 0.02,
-		Faults: map[string]float64{"kill": 2, "all": 0.15, "wipe": 0.4, "cut": 1.5, "oneway": 1, "alone": 1, "freeze": 2, "slow": 1, "stall": 0.5, "ackkill": 1},
+		Faults: map[string]float64{
+			"kill": 2, "all": 0.15, "wipe": 0.4, "cut": 1.5, "oneway": 1, "alone": 1, "freeze": 2,
+			"slow": 1, "stall": 0.5, "ackkill": 1,
+		},
 	}
 }
 
@@ -94,12 +99,20 @@
 	},
 	"traffic": calls([]int{4, 3, 3}, []int{7, 5}, map[string]float64{
 		"kill": 2, "freeze": 1, "cut": 0.7, "oneway": 0.5, "alone": 0.7, "wipe": 0.3, "stall": 0.5, "ackkill": 1,
-		"crash": 2, "dark": 1, "lapse": 1, "cross": 1, "break": 2, "skip": 1, "twice": 1, "sluggish": 1, "link": 1, "roll": 1, "crowd": 1, "swing": 1,
+		"crash": 2, "dark": 1, "lapse": 1, "cross": 1, "break": 2, "skip": 1, "twice": 1,
+		"sluggish": 1, "link": 1, "roll": 1, "crowd": 1, "swing": 1,
+	}),
+	"servers": calls([]int{3, 3, 3}, []int{5, 4}, map[string]float64{
+		"crash": 4, "dark": 2, "lapse": 2, "cross": 3, "break": 4, "skip": 2, "twice": 2,
+		"sluggish": 2, "link": 2, "roll": 2, "crowd": 1,
 	}),
-	"servers": calls([]int{3, 3, 3}, []int{5, 4}, map[string]float64{"crash": 4, "dark": 2, "lapse": 2, "cross": 3, "break": 4, "skip": 2, "twice": 2, "sluggish": 2, "link": 2, "roll": 2, "crowd": 1}),
 	// Decodes that were sent are lost, before and after their first piece.
-	"lost":   calls([]int{3, 3, 3}, []int{5, 4}, map[string]float64{"drop": 10, "break": 4, "crash": 6, "dark": 3, "crowd": 1}),
-	"zones":  calls([]int{3, 3, 3}, []int{5, 4}, map[string]float64{"zone": 1, "kill": 1, "freeze": 1, "crowd": 1, "swing": 1}),
+	"lost": calls([]int{3, 3, 3}, []int{5, 4}, map[string]float64{
+		"drop": 10, "break": 4, "crash": 6, "dark": 3, "crowd": 1,
+	}),
+	"zones": calls([]int{3, 3, 3}, []int{5, 4}, map[string]float64{
+		"zone": 1, "kill": 1, "freeze": 1, "crowd": 1, "swing": 1,
+	}),
 	"reboot": calls([]int{3, 3, 3}, []int{5, 4}, map[string]float64{"all": 1.5, "kill": 4, "ackkill": 3, "freeze": 3}),
 	// A zone is evacuated and brought back all the time, and calls come a second
 	// time seconds later, under the same leader or the next.
@@ -113,7 +126,9 @@
 	// hundreds of changes and other leaders between. A core machine is replaced
 	// meanwhile, or loses its disk.
 	"races": func(seed int64) Options {
-		o := calls([]int{3, 3, 3}, []int{3, 3}, map[string]float64{"kill": 4, "core": 1, "alone": 1.5, "oneway": 1, "freeze": 2, "slow": 1, "wipe": 0.5})(seed)
+		o := calls([]int{3, 3, 3}, []int{3, 3}, map[string]float64{
+			"kill": 4, "core": 1, "alone": 1.5, "oneway": 1, "freeze": 2, "slow": 1, "wipe": 0.5,
+		})(seed)
 		o.Calls, o.Orders, o.Races = 150*time.Millisecond, 4*time.Second, 80*time.Millisecond
 		if seed%2 == 0 {
 			o.Swaps = []time.Duration{18 * time.Second}
@@ -125,7 +140,9 @@
 	// order and read back at any daemon, and others start with seeds that name
 	// only those; what was held up comes in the end.
 	"cutoff": func(seed int64) Options {
-		o := calls([]int{4, 3, 3}, []int{3, 3}, map[string]float64{"cutcore": 4, "halfcut": 3, "alone": 1, "freeze": 3, "kill": 0.5})(seed)
+		o := calls([]int{4, 3, 3}, []int{3, 3}, map[string]float64{
+			"cutcore": 4, "halfcut": 3, "alone": 1, "freeze": 3, "kill": 0.5,
+		})(seed)
 		o.Calls, o.Asks, o.Held = 100*time.Millisecond, 60*time.Millisecond, 0.3
 		return o
 	},
@@ -168,7 +185,9 @@
 	"copies": func(seed int64) Options {
 		o := Default(seed)
 		o.Writes, o.Reads = 100*time.Millisecond, 40*time.Millisecond
-		o.Faults = map[string]float64{"copyback": 3, "copybeside": 3, "kill": 2, "all": 0.2, "cut": 1, "alone": 1, "freeze": 1}
+		o.Faults = map[string]float64{
+			"copyback": 3, "copybeside": 3, "kill": 2, "all": 0.2, "cut": 1, "alone": 1, "freeze": 1,
+		}
 		return o
 	},
 	// Hundreds of changes and then, one after another, all that may befall a core
@@ -195,7 +214,8 @@
 func calls(zones []int, servers []int, f map[string]float64) func(int64) Options {
 	return func(seed int64) Options {
 		return Options{
-			Seed: seed, Zones: zones, Partitions: 2, Length: 56 * time.Second, Calm: 24 * time.Second, Keys: 1, Writes: time.Second, Reads: 250 * time.Millisecond, Drift: 0.02,
+			Seed: seed, Zones: zones, Partitions: 2, Length: 56 * time.Second, Calm: 24 * time.Second,
+			Keys: 1, Writes: time.Second, Reads: 250 * time.Millisecond, Drift: 0.02,
 			Calls: 45 * time.Millisecond, Servers: servers, Orders: time.Second, Faults: f,
 		}
 	}
--- a/proof/sim/races.go
+++ b/proof/sim/races.go
@@ -51,9 +51,9 @@
 	w.tags++
 	w.openRaces++
 	r := &raced{id: fmt.Sprintf("r%d", w.tags), base: base, number: number}
-	r.body = leadercall.Pack(fleetconfig.Changes{ID: r.id, Base: base, Number: number, Changes: []fleetconfig.Change{
-		{Op: "set-tenant", Tenant: &fleetconfig.Tenant{Name: "regular", Priority: 4, TimeoutMillis: 4000 + int(w.tags%1000), QueueFraction: 0.6}},
-	}})
+	r.body = leadercall.Pack(fleetconfig.Changes{
+		ID: r.id, Base: base, Number: number, Changes: []fleetconfig.Change{w.tenantChange(4)},
+	})
 	w.sendRaced(r)
 }
 
@@ -77,7 +77,10 @@
 		if !heard {
 			v = fleetconfig.Verdict{Result: "unheard"}
 		}
-		w.jot(history.Event{Who: "operator", Ev: "plan", Plan: r.id, Base: r.base, Number: r.number, Ver: v.Version, Result: v.Result, Took: max(1, int64(w.now-from))})
+		w.jot(history.Event{
+			Who: "operator", Ev: "plan", Plan: r.id, Base: r.base, Number: r.number, Ver: v.Version,
+			Result: v.Result, Took: max(1, int64(w.now-from)),
+		})
 		if !heard {
 			w.againRaced(r)
 			return
--- a/proof/sim/sim.go
+++ b/proof/sim/sim.go
@@ -51,9 +51,15 @@
 //
 // Example: r := sim.Run(sim.Default(42)); len(r.Broken) == 0
 func Run(o Options) Result {
-	w := &world{options: o, cfg: daemon.Default(), rng: rand.New(rand.NewSource(o.Seed)), cutLinks: map[[2]string]bool{}, ownedAt: map[int]time.Duration{}}
+	w := &world{
+		options:  o,
+		cfg:      daemon.Default(),
+		rng:      rand.New(rand.NewSource(o.Seed)),
+		cutLinks: map[[2]string]bool{},
+		ownedAt:  map[int]time.Duration{},
+		result:   newResult(),
+	}
 	w.cfg.Partitions, w.cfg.TestSwitches = o.Partitions, true
-	w.result.Served, w.result.Sent, w.result.Steers, w.result.Faults, w.result.Results, w.result.Refusals, w.result.Plans = map[string]int{}, map[string]int{}, map[string]int{}, map[string]int{}, map[string]int{}, map[string]int{}, map[string]int{}
 	if o.Sabotage == "drift" {
 		o.Drift, w.options.Drift = 0.5, 0.5
 	}
@@ -85,6 +91,19 @@
 	return w.result
 }
 
+// newResult is a result without any counts.
+func newResult() Result {
+	return Result{
+		Faults:   map[string]int{},
+		Served:   map[string]int{},
+		Sent:     map[string]int{},
+		Steers:   map[string]int{},
+		Results:  map[string]int{},
+		Refusals: map[string]int{},
+		Plans:    map[string]int{},
+	}
+}
+
 func (w *world) add(zone string, disk bool, i int) *node {
 	n := &node{
 		world: w, name: fmt.Sprintf("n%d", i), addr: fmt.Sprintf("10.0.0.%d:1", i+1), zone: zone, hasDisk: disk,
@@ -176,7 +195,10 @@
 				r, ok := n.partition(p).Node.Get(n.local(), key(k))
 				if !ok {
 					v := n.partition(p).Node.View(n.local())
-					w.note(Event{Kind: Silent, Node: n.name, Tag: fmt.Sprintf("serves no partition %d, %v after the last failure (lease %d ms, parent %s, live %v, leader %v)", p, w.options.Calm, v.LeaseLeft, v.Parent.Addr, n.view.HasSession, n.view.Leaderships[p])})
+					what := fmt.Sprintf("serves no partition %d, %v after the last failure "+
+						"(lease %d ms, parent %s, live %v, leader %v)",
+						p, w.options.Calm, v.LeaseLeft, v.Parent.Addr, n.view.HasSession, n.view.Leaderships[p])
+					w.note(Event{Kind: Silent, Node: n.name, Tag: what})
 					continue
 				}
 				w.note(Event{Kind: Served, Node: n.name, Partition: p, Key: fmt.Sprintf("%d/%s", p, key(k)), Tags: tags(r)})
--- a/proof/sim/traffic.go
+++ b/proof/sim/traffic.go
@@ -59,8 +59,7 @@
 		// What was read once is believed for ever: of the servers, of the zones,
 		// and now and then of the plan.
 		old, had := n.lastRead[key]
-		if had && !old.Deleted && (n.world.options.Sabotage == "stale" && part > 0 || n.world.options.Sabotage == "evacuatelate" && (part > 0 || key == fleetconfig.ZoneKey) ||
-			n.world.options.Sabotage == "fallback" && key == fleetconfig.PlanKey && n.world.rng.Intn(4) == 0) {
+		if had && !old.Deleted && n.believesOld(part, key) {
 			return old, true
 		}
 		if had && !old.Deleted && n.world.options.Sabotage == "fallback" {
@@ -77,6 +76,19 @@
 	return r, ok
 }
 
+// believesOld reports whether a sabotaged daemon goes on with what it read once.
+func (n *node) believesOld(part int, key string) bool {
+	switch n.world.options.Sabotage {
+	case "stale":
+		return part > 0
+	case "evacuatelate":
+		return part > 0 || key == fleetconfig.ZoneKey
+	case "fallback":
+		return key == fleetconfig.PlanKey && n.world.rng.Intn(4) == 0
+	}
+	return false
+}
+
 // carryCalls carries out what a step of the calls to leaders asks for.
 func (n *node) carryCalls(o leadercall.Out) {
 	for _, m := range o.Sends {
@@ -155,7 +167,8 @@
 func (n *node) do(l *serviceQueue, o scheduler.Out) {
 	for _, a := range o.Decisions {
 		r := n.requests[a.RequestID]
-		body := leadercall.Pack(leader.ClaimCall{Key: a.OnceKey, Claim: leadercall.Claim{Request: a.RequestID, Daemon: n.addr, State: a.ClaimState}})
+		claim := leadercall.Claim{Request: a.RequestID, Daemon: n.addr, State: a.ClaimState}
+		body := leadercall.Pack(leader.ClaimCall{Key: a.OnceKey, Claim: claim})
 		if a.Action == scheduler.SettleClaim {
 			n.ask(l.part, "unclaim", body, n.world.cfg.Bounds.Recover, nil)
 			continue
@@ -278,9 +291,11 @@
 	l.back(func() {
 		l.call.closed = true
 		if l.node.world.options.Sabotage == "nofit" { // whatever handle comes back is believed
-			h.Request, h.Attempt, h.PrefillServer, h.RecordVersion = l.act.RequestID, l.act.Attempt, l.act.Addr, l.act.PrefillCall.RecordVersion
+			h.Request, h.Attempt = l.act.RequestID, l.act.Attempt
+			h.PrefillServer, h.RecordVersion = l.act.Addr, l.act.PrefillCall.RecordVersion
 		}
-		l.node.do(l.request.queue, l.request.queue.PrefillDone(l.node.local(), l.act.RequestID, l.act.Attempt, h, serverpool.OK, ""))
+		queue, now := l.request.queue, l.node.local()
+		l.node.do(queue, queue.PrefillDone(now, l.act.RequestID, l.act.Attempt, h, serverpool.OK, ""))
 	})
 }
 
--- a/proof/sim/write.go
+++ b/proof/sim/write.go
@@ -51,8 +51,10 @@
 		}
 		w.note(e)
 	}
-	n.carry(p, n.controllers[p].Submit(n.local(), partition.Job{Keys: []string{k}, Mergeable: true, Build: func(read lease.RecordSource) ([]message.Record, any) {
+	build := func(read lease.RecordSource) ([]message.Record, any) {
 		val, _ := json.Marshal(append(tags(read(k)), tag))
 		return []message.Record{{Key: k, Value: val}}, nil
-	}}, then))
+	}
+	job := partition.Job{Keys: []string{k}, Mergeable: true, Build: build}
+	n.carry(p, n.controllers[p].Submit(n.local(), job, then))
 }
