--- a/proof/sim/copies.go
+++ b/proof/sim/copies.go
@@ -45,7 +45,7 @@
 	return incarnation.Starts(a.Epoch) > incarnation.Starts(b.Epoch) || a.Epoch == b.Epoch && a.Saves > b.Saves
 }
 
-// copyFolder copies a core machine's disk, and starts the copy some time later.
+// copyFolder copies a control daemon's disk, and starts the copy some time later.
 func (w *world) copyFolder(n *node, beside bool) {
 	for n.removed || !n.hasDisk || n.disk == nil {
 		n = w.nodes[w.rng.Intn(len(w.nodes))]
--- a/proof/sim/cutoff.go
+++ b/proof/sim/cutoff.go
@@ -95,7 +95,7 @@
 	return true
 }
 
-// cutCore cuts a core machine off from the rest of the core, the leader of the
+// cutCore cuts a control daemon off from the rest of the core, the leader of the
 // configuration as often as not: both ways, or its words only, or its ears. The
 // daemons below it still reach it. One of them may start anew meanwhile and know
 // only that machine.
--- a/proof/sim/fault.go
+++ b/proof/sim/fault.go
@@ -313,7 +313,7 @@
 	})
 }
 
-// rot spoils one record on the disk of a core machine that restarts.
+// rot spoils one record on the disk of a control daemon that restarts.
 func (w *world) rot(n *node) {
 	if w.diskLost { // the fleet bears the loss of one disk
 		return
--- a/proof/sim/losses.go
+++ b/proof/sim/losses.go
@@ -8,7 +8,7 @@
 	"mulleinmast/wire/message"
 )
 
-// Losses of core machines one after the other, as fast as the fleet is to bear
+// Losses of control daemons one after the other, as fast as the fleet is to bear
 // them: the next comes a catch-up bound after the last successor's start.
 
 // downFor is how long a machine is away that keeps its disk: longer than a part
@@ -37,7 +37,7 @@
 	}
 }
 
-// lose brings the next loss about, of as many core machines as may be lost at
+// lose brings the next loss about, of as many control daemons as may be lost at
 // once: one is gone for good and an empty one comes at a new address, with or
 // without notice, or it loses its disk.
 func (w *world) lose(left int) {
@@ -91,7 +91,7 @@
 	})
 }
 
-// loseSecond kills other core machines than the successor; they keep their disks.
+// loseSecond kills other control daemons than the successor; they keep their disks.
 func (w *world) loseSecond(successor *node) {
 	if w.calm {
 		return
@@ -106,7 +106,7 @@
 	}
 }
 
-// someCore picks a core machine, every other time the leader of part 0.
+// someCore picks a control daemon, every other time the leader of part 0.
 func (w *world) someCore(but []*node) *node {
 	var all []*node
 	for _, n := range w.nodes {
--- a/proof/sim/many.go
+++ b/proof/sim/many.go
@@ -9,7 +9,7 @@
 	"mulleinmast/wire/message"
 )
 
-// Hundreds of changes, and then one event after another, each on a core machine
+// Hundreds of changes, and then one event after another, each on a control daemon
 // drawn by lot, while changes go on. Whoever was hit must hold on its disk all
 // that was acknowledged within the catch-up bound of its return.
 
--- a/proof/sim/options.go
+++ b/proof/sim/options.go
@@ -123,7 +123,7 @@
 	},
 	// Operators race with the same numbers, eight calls under way, answers lost
 	// and calls doubled; all are sent again later, through other daemons, with
-	// hundreds of changes and other leaders between. A core machine is replaced
+	// hundreds of changes and other leaders between. A control daemon is replaced
 	// meanwhile, or loses its disk.
 	"races": func(seed int64) Options {
 		o := calls([]int{3, 3, 3}, []int{3, 3}, map[string]float64{
@@ -157,7 +157,7 @@
 	},
 	// Responses of all kinds come a second time, seconds later: to a later call, a
 	// later life under the same identity, or a later term. Operators call all the
-	// time, and core machines restart again and again.
+	// time, and control daemons restart again and again.
 	"answers": func(seed int64) Options {
 		o := calls([]int{3, 3, 3}, []int{4, 3}, map[string]float64{"again": 4, "kill": 1, "ackkill": 1, "slow": 2})(seed)
 		o.Responses, o.Orders = 0.5, 400*time.Millisecond
@@ -169,10 +169,10 @@
 		o.Zones, o.Disks, o.Losses, o.Bare = []int{4, 3, 3}, 2, 2, true
 		return o
 	},
-	// A core machine is lost or replaced, and another is lost a catch-up bound
+	// A control daemon is lost or replaced, and another is lost a catch-up bound
 	// after the successor's start.
 	"secondloss": successors(3, true),
-	// Ten core machines are replaced, each a catch-up bound after the last
+	// Ten control daemons are replaced, each a catch-up bound after the last
 	// successor's start.
 	"successors": successors(10, false),
 	// Many records, so that few are written anew after one is spoilt.
@@ -199,7 +199,7 @@
 		o.Faults = nil
 		return o
 	},
-	// All three core machines are exchanged, one after another, while the
+	// All three control daemons are exchanged, one after another, while the
 	// usual trouble goes on.
 	"swaps": func(seed int64) Options {
 		o := Default(seed)
--- a/proof/sim/traffic.go
+++ b/proof/sim/traffic.go
@@ -131,7 +131,7 @@
 	return l
 }
 
-// tickQueue keeps a lane's share fresh and its queue moving.
+// tickQueue keeps a queue's share fresh and its queue moving.
 func (n *node) tickQueue(l *serviceQueue) {
 	n.do(l, l.Tick(n.local()))
 	for _, k := range l.Keys() {
@@ -163,7 +163,7 @@
 	})
 }
 
-// do carries out what a lane asks for.
+// do carries out what a queue asks for.
 func (n *node) do(l *serviceQueue, o scheduler.Out) {
 	for _, a := range o.Decisions {
 		r := n.requests[a.RequestID]
@@ -234,7 +234,7 @@
 	})
 }
 
-// outcome gives the lane the end of a call.
+// outcome gives the queue the end of a call.
 func (n *node) outcome(r *requestState, a scheduler.Decision, c *call, out serverpool.Outcome, why string) {
 	if c.closed {
 		return
