--- a/control/daemon/calls.go
+++ b/control/daemon/calls.go
@@ -13,8 +13,8 @@
 	"mulleinmast/wire/message"
 )
 
-// callTracker carries this daemon's calls to partitions' leaders and hands their
-// results to those who wait.
+// callTracker issues this daemon's calls to partition leaders and delivers each result to the
+// goroutine that waits for it.
 type callTracker struct {
 	now      func() time.Duration
 	leaderOf func(partition int) message.Replica
@@ -22,7 +22,7 @@
 
 	mu      sync.Mutex // guards the fields below
 	calls   *leadercall.Calls
-	waiting map[uint64]chan leadercall.Result // by the call's number; each holds one result
+	waiting map[uint64]chan leadercall.Result // by call ID; each channel buffers one result
 }
 
 func newCallTracker(d *Daemon) *callTracker {
@@ -35,44 +35,44 @@
 	}
 }
 
-// start begins a call; its result comes on the channel.
+// start begins a call and returns its ID and the channel on which its result is delivered.
 func (t *callTracker) start(
 	partition int, op string, body []byte, timeout time.Duration,
-) (number uint64, result <-chan leadercall.Result) {
+) (callID uint64, result <-chan leadercall.Result) {
 	done := make(chan leadercall.Result, 1)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.now()
-	number, out := t.calls.Start(now, t.leaderOf(partition), partition, op, body, now+timeout, leadercall.HasSingleTry(op))
-	t.waiting[number] = done
-	t.carryOut(out)
-	return number, done
+	callID, out := t.calls.Start(now, t.leaderOf(partition), partition, op, body, now+timeout, leadercall.HasSingleTry(op))
+	t.waiting[callID] = done
+	t.apply(out)
+	return callID, done
 }
 
-// drop forgets a call that nobody waits for any more.
-func (t *callTracker) drop(number uint64) {
+// cancel drops a call whose caller no longer waits for it.
+func (t *callTracker) cancel(callID uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.calls.Cancel(number)
-	delete(t.waiting, number)
+	t.calls.Cancel(callID)
+	delete(t.waiting, callID)
 }
 
-// step takes a leader's result of a call.
+// step processes a leader's result of a call.
 func (t *callTracker) step(m message.Message) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.carryOut(t.calls.Step(t.now(), m))
+	t.apply(t.calls.Step(t.now(), m))
 }
 
-// tick lets time pass in the calls under way.
+// tick advances the calls in progress to the current time.
 func (t *callTracker) tick() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.carryOut(t.calls.Tick(t.now(), t.leaderOf))
+	t.apply(t.calls.Tick(t.now(), t.leaderOf))
 }
 
-// carryOut does what a step asks for; the lock is held.
-func (t *callTracker) carryOut(out leadercall.Out) {
+// apply sends the messages and delivers the results of a step. The caller holds the lock.
+func (t *callTracker) apply(out leadercall.Out) {
 	for _, e := range out.Sends {
 		t.send(e)
 	}
@@ -84,31 +84,30 @@
 	}
 }
 
-// leaderOf is a partition's leader as far as known.
+// leaderOf returns a partition's leader as far as this daemon knows it.
 func (d *Daemon) leaderOf(partition int) message.Replica {
 	return d.View().Leaderships[partition].Leader
 }
 
-// Call has the leader of a partition carry out an operation, wherever that leader
-// is, and waits out a change of leader while the timeout lasts. The result is a
-// status and a JSON body: what was sent and not answered is "uncertain", what was
-// never taken is "not done".
+// Call has the leader of a partition execute an operation, wherever that leader runs, and retries
+// across a change of leader until the timeout. It returns a status and a JSON body: a call that
+// was sent but not answered is "uncertain", one that no leader accepted is "not done".
 //
 // Example: status, body := d.Call(ctx, 0, "plan", plan, 4*time.Second)
 func (d *Daemon) Call(ctx context.Context, partition int, op string, body []byte, timeout time.Duration) (int, []byte) {
-	number, result := d.calls.start(partition, op, body, timeout)
+	callID, result := d.calls.start(partition, op, body, timeout)
 	select {
 	case done := <-result:
 		return done.Status, done.Body
 	case <-ctx.Done():
-		d.calls.drop(number)
+		d.calls.cancel(callID)
 		response := leadercall.Response{Result: leadercall.ResultUncertain, Reason: "the caller went away"}
 		return leadercall.StatusUncertain, leadercall.Pack(response)
 	}
 }
 
-// RequestSlots asks the leader for this daemon's share of the servers' slots; the
-// share's length counts from the moment before the call, which is returned too.
+// RequestSlots requests this daemon's share of the servers' slots from the partition's leader. The
+// share's lifetime counts from the time just before the call, which is returned as from.
 //
 // Example: share, from, ok := d.RequestSlots(ctx, p, demand, 200*time.Millisecond)
 func (d *Daemon) RequestSlots(
@@ -122,7 +121,8 @@
 	return share, from, true
 }
 
-// RequestToken asks a partition's leader for a token of a tenant's limit; not ok if no leader answered.
+// RequestToken requests a token of a tenant's rate limit from a partition's leader. ok is false if
+// no leader answered.
 //
 // Example: grant, ok := d.RequestToken(ctx, 3, request, 100*time.Millisecond)
 func (d *Daemon) RequestToken(
@@ -134,15 +134,15 @@
 	return grant, status == http.StatusOK && json.Unmarshal(body, &grant) == nil
 }
 
-// LeaderContact is how this daemon stands to a partition's leader.
+// LeaderContact describes this daemon's contact with a partition's leader.
 type LeaderContact struct {
-	LapsedFor         time.Duration    // since when it has no volume lease; 0: it has one
-	LeaderUnreachable bool             // for longer than a change of leader takes
-	OtherDaemons      []message.Member // control daemons to send callers to when this one is cut off
+	LapsedFor         time.Duration    // how long ago its volume lease lapsed; 0 if it holds one
+	LeaderUnreachable bool             // for longer than a leader election takes
+	OtherDaemons      []message.Member // control daemons to redirect callers to while this one is cut off
 }
 
-// Contact reports whether this daemon is in touch with a partition's leader, by its own
-// lease and clock alone.
+// Contact reports whether this daemon is in contact with a partition's leader, judged only by its
+// own lease and clock.
 //
 // Example: if d.Contact(0).LeaderUnreachable { redirectCaller() }
 func (d *Daemon) Contact(partition int) (out LeaderContact) {
@@ -152,13 +152,14 @@
 	return out
 }
 
-// otherDaemons are the control daemons that the cut took away which let this
-// daemon's lease lapse. Without such, and without a session, all others are named;
-// with a session nobody is: then nobody has a leader, as far as this daemon knows.
+// otherDaemons returns the control daemons that became unreachable in the same network partition
+// that let this daemon's lease lapse. If there are none and this daemon has no session, it returns
+// all other control daemons. With a session it then returns none: as far as this daemon knows, no
+// daemon has a leader.
 func (d *Daemon) otherDaemons(lapsedFor time.Duration) (others []message.Member) {
 	view := d.View()
 	for _, lost := range view.PartitionedFrom() {
-		if lost.LostAt+2*d.Cfg.MembershipConfig().SessionTimeout >= d.Now()-lapsedFor { // by the same cut
+		if lost.LostAt+2*d.Cfg.MembershipConfig().SessionTimeout >= d.Now()-lapsedFor { // in the same network partition
 			others = append(others, lost.Member)
 		}
 	}
--- a/control/daemon/calls_test.go
+++ b/control/daemon/calls_test.go
@@ -13,7 +13,7 @@
 // to control daemons that the same cut took away, or that a daemon without a
 // session can't reach; while nobody has a leader they are sent nowhere.
 func TestContactNamesOtherDaemonsWhenCutOff(t *testing.T) {
-	d := openAlone(t, withLongLeases)
+	d := openIsolated(t, withLongLeases)
 	grantVolumeLease(d)
 	volumeLease, session := d.Cfg.VolumeLease(), d.Cfg.MembershipConfig().SessionTimeout
 	control := func(addr string) message.Member { return message.Member{Ident: addr, Addr: addr, HasDisk: true} }
--- a/control/daemon/config.go
+++ b/control/daemon/config.go
@@ -12,73 +12,74 @@
 	"mulleinmast/control/fleetconfig"
 )
 
-// Bounds are the promises to the users; all intervals and timeouts are ratios to
-// one of them. Each is 100 ms to 1 h; the file names it bound_ and its name.
+// Bounds are the time limits guaranteed to users. All intervals and timeouts are derived from them
+// as ratios. Each is 100 ms to 1 h; in the config file its name has the prefix "bound_".
 type Bounds struct {
-	Plan     time.Duration // an acknowledged plan is in force everywhere within this; default 2 s
-	Leave    time.Duration // a leaving server gets no request after this; default 3 s
-	Evacuate time.Duration // an evacuated zone gets no request after this; default 5 s
-	Swap     time.Duration // a server's role rests this long after another leader may have changed it; default 3 s
-	Recover  time.Duration // service is whole again within this after a failure; default 12 s
+	Plan     time.Duration // until an acknowledged plan is active on every daemon; default 2 s
+	Leave    time.Duration // until a leaving server receives no more requests; default 3 s
+	Evacuate time.Duration // until an evacuated zone receives no more requests; default 5 s
+	Swap     time.Duration // minimum time between role changes of a server by different leaders; default 3 s
+	Recover  time.Duration // until service is fully restored after a failure; default 12 s
 }
 
-// Config is the configuration of one daemon. The file and the flags set the first
-// group of fields; the platform's driver sets the others too.
+// Config is the configuration of one daemon. The config file and the flags set the first group of
+// fields; the platform driver also sets the others.
 type Config struct {
-	Fleet        string   // name of the fleet, alike on all its daemons: 1 to 64 of [A-Za-z0-9._-]; default "mulleinmast"
-	WireAddr     string   // ip:port for other daemons, as they reach it; required
+	Fleet        string   // fleet name, the same on all daemons: 1 to 64 of [A-Za-z0-9._-]; default "mulleinmast"
+	WireAddr     string   // ip:port at which other daemons reach this one; required
 	HTTPAddr     string   // ip:port for clients, the platform and operators; required
-	Zone         string   // name of this machine's zone, like Fleet; default "zone-1"
-	Seeds        []string // one to three WireAddr of daemons that are asked first; required
-	DataFolder   string   // holds the state of a control daemon; default empty: this daemon holds none
-	Partitions   int      // of the services, beside the configuration's, alike on all daemons for good: 1 to 64; default 8
-	Drift        float64  // most by which one clock outruns another, as a ratio: 0 to 0.2; default 0.02
+	Zone         string   // name of this machine's zone, same format as Fleet; default "zone-1"
+	Seeds        []string // WireAddr of one to three daemons to contact first; required
+	DataFolder   string   // state of a control daemon; default empty: the daemon stores no state
+	Partitions   int      // of services, besides the configuration's; same on all daemons, fixed: 1 to 64; default 8
+	Drift        float64  // maximum relative clock drift between daemons: 0 to 0.2; default 0.02
 	Bounds       Bounds
-	QueueLimit   int  // requests that may wait, per service: 1 to 1,048,576; default 512
-	TestSwitches bool // opens the calls by which tests bring failures about; default false
-	EventLogSize int  // entries of the event log's ring: 16 to 1,048,576; default 4,096
-	Losses       int  // control daemons that may be lost at once, 0 to 4; the first group has 2*Losses+1; default 1
-	FirstStart   bool // the fleet may start for the first time; false: a group is joined, never founded; default true
-	// AdmitRatio has a request refused at once that would wait for others longer than
-	// this times its route's target: up to 100, 0: none is; default 3.
+	QueueLimit   int  // maximum queued requests per service: 1 to 1,048,576; default 512
+	TestSwitches bool // enables the fault injection endpoints used by tests; default false
+	EventLogSize int  // capacity of the event log's ring buffer, in entries: 16 to 1,048,576; default 4,096
+	Losses       int  // tolerated concurrent losses of control daemons, 0 to 4; first groups have 2*Losses+1; default 1
+	FirstStart   bool // whether the fleet may be bootstrapped; false: only join an existing group; default true
+	// AdmitRatio limits the queueing delay: a request that would wait behind others longer than
+	// this ratio times its route's latency target is rejected at once. Up to 100; 0 rejects none;
+	// default 3.
 	AdmitRatio float64
 
-	InTouchAfter time.Duration // for how long a machine is well before bounds hold for it; default 3 s
-	CatchUpBound time.Duration // after this a successor counts like the machine that it replaced; default 4 s
-	AckBound     time.Duration // an operator's order is acknowledged within this; default 4 s
-	GracePeriod  time.Duration // from the signal to stop until the process is killed; default 12 s
-	Cores        int           // processors to use; default 0: all
-	CPUShare     float64       // the share of a processor that this daemon gets; default 1
-	MemoryLimit  int64         // bytes; default 0: no bound
-	Retry        Retry         // of opaque requests, over the whole fleet; default a fifth in 12 s
-	WarmUp       WarmUp        // default what a server bears, and no slack
-	Limit        Limit         // of tenants, over the whole fleet; default a tenth more in 5 s
+	InTouchAfter time.Duration // how long a machine must be healthy before the bounds apply to it; default 3 s
+	CatchUpBound time.Duration // until a replacement machine counts like the one that it replaced; default 4 s
+	AckBound     time.Duration // until an operator's order is acknowledged; default 4 s
+	GracePeriod  time.Duration // from the stop signal until the process is killed; default 12 s
+	Cores        int           // CPU cores to use; default 0: all
+	CPUShare     float64       // fraction of a CPU core available to this daemon; default 1
+	MemoryLimit  int64         // bytes; default 0: unlimited
+	Retry        Retry         // of opaque requests, fleet-wide; default 20% in 12 s
+	WarmUp       WarmUp        // default: what a server can take, no slack
+	Limit        Limit         // of tenants, fleet-wide; default 10% overrun in 5 s
 }
 
-// Retry bounds what the daemons together send beyond the first call of each
-// request: Ratio of the requests of a Window, and Slack more.
+// Retry limits the calls that all daemons together send beyond the first call of each request: to
+// Ratio times the requests in a Window, plus Slack.
 type Retry struct {
 	Ratio  float64
 	Window time.Duration
 	Slack  int
 }
 
-// WarmUp bounds what a warming server gets in a second, from all daemons: what
-// it bears times Over, and Slack more.
+// WarmUp limits the load that a warming server receives per second from all daemons: to Over times
+// what it can take, plus Slack.
 type WarmUp struct {
 	Over  float64
 	Slack float64
 }
 
-// Limit bounds what a tenant's requests may use of its limit: in every Window what the
-// limit gives in it times 1+Overrun, and Slack more.
+// Limit caps a tenant's usage in every Window at 1+Overrun times what its rate limit allows in
+// that time, plus Slack.
 type Limit struct {
 	Window  time.Duration
 	Overrun float64
 	Slack   float64
 }
 
-// Default is the config before the file and the flags.
+// Default returns the configuration before the config file and the flags are applied.
 //
 // Example: cfg := daemon.Default()
 func Default() Config {
@@ -110,11 +111,11 @@
 	}
 }
 
-// ErrHelp means that the usage text was requested and shown.
+// ErrHelp reports that the usage text was requested and has been printed.
 var ErrHelp = flag.ErrHelp
 
-// ReadConfig reads the config file, if one is named, then the flags, which win; it
-// reports every fault at once.
+// ReadConfig reads the config file, if one is given, and then the flags, which take precedence. It
+// reports all faults together.
 //
 // Example: cfg, err := daemon.ReadConfig("mulleinmast", os.Args[1:], os.Stderr)
 func ReadConfig(program string, args []string, w io.Writer) (Config, error) {
@@ -130,7 +131,7 @@
 	}
 	if path != "" {
 		cfg.readFile(path, &faults)
-		_ = flags.Parse(args) // once more, so that the flags win; they were in order
+		_ = flags.Parse(args) // parse again so that the flags take precedence; the first parse succeeded
 	}
 	cfg.check(&faults)
 	if faults.Any() {
@@ -139,8 +140,8 @@
 	return cfg, nil
 }
 
-// flags are those of the daemon's command; parsing them sets the config's fields,
-// and path to that of the config file.
+// flags returns the daemon's flag set. Parsing it sets the fields of c, and path to the config
+// file's path.
 func (c *Config) flags(program string, w io.Writer, path *string) *flag.FlagSet {
 	f := flag.NewFlagSet(program, flag.ContinueOnError)
 	f.SetOutput(w)
@@ -175,7 +176,7 @@
 	return f
 }
 
-// configFile is the config file; what it leaves out stays as it is.
+// configFile is the format of the config file. Settings that it omits keep their values.
 type configFile struct {
 	Fleet      *string  `json:"fleet"`
 	Wire       *string  `json:"wire"`
@@ -197,7 +198,7 @@
 	Recover    *string  `json:"bound_recover"`
 }
 
-// setIfGiven sets a field that the file names.
+// setIfGiven sets a field that is present in the config file.
 func setIfGiven[T any](field, value *T) {
 	if value != nil {
 		*field = *value
@@ -244,13 +245,13 @@
 	}
 }
 
-// namedBound is a bound with its name in the file and in faults.
+// namedBound is a bound with its name in the config file and in fault messages.
 type namedBound struct {
 	name   string
 	length *time.Duration
 }
 
-// named lists the bounds in the order of their fields.
+// named returns the bounds in the order of the fields.
 func (b *Bounds) named() []namedBound {
 	return []namedBound{
 		{"bound_plan", &b.Plan},
--- a/control/daemon/configcheck.go
+++ b/control/daemon/configcheck.go
@@ -9,7 +9,7 @@
 	"mulleinmast/control/fleetconfig"
 )
 
-// Bounds of the settings.
+// Limits of the settings.
 const (
 	maxSeeds        = 3
 	maxPartitions   = 64
@@ -23,7 +23,7 @@
 	maxBound        = time.Hour
 )
 
-// Check lists every fault of a config at once.
+// Check returns all faults of a configuration.
 //
 // Example: faults := cfg.Check(); faults.Any() == false
 func (c Config) Check() (faults fleetconfig.Faults) {
--- a/control/daemon/daemon.go
+++ b/control/daemon/daemon.go
@@ -1,8 +1,7 @@
-// Package daemon drives the state machines of one daemon with real time, network
-// and disk, and serves the operators' calls. Each partition is a shard under its
-// own lock; what all shards share stands in types of its own, each with its lock:
-// the disk writer, the session table, the calls under way, the change notifier and
-// the readiness. A shard's lock is taken before any of these.
+// Package daemon runs the state machines of one daemon on real time, network and disk, and serves
+// the operator API. Each partition is a shard with its own lock. State shared by all shards is
+// kept in separate types, each with its own lock: the disk writer, the session table, the calls in
+// progress, the change notifier and the readiness. A shard's lock is acquired before any of these.
 package daemon
 
 import (
@@ -26,101 +25,100 @@
 	"mulleinmast/wire/transport"
 )
 
-// Bounds of the HTTP server.
+// Limits of the HTTP server.
 const (
 	headerTimeout  = 5 * time.Second
 	idleTimeout    = 2 * time.Minute
 	maxHeaderBytes = 64 << 10
-	// socketBuffer is small: what a client doesn't read must not pile up here.
+	// socketBuffer is small so that data which a client doesn't read doesn't accumulate here.
 	socketBuffer = 64 << 10
 )
 
-// Error is the class of start-up errors; AddressError marks an address that can't
-// be used.
+// Error is the class of start-up errors; AddressError marks an address that can't be bound.
 var (
 	Error        = errs.Class("mulleinmast")
 	AddressError = errs.Class("address")
 )
 
-// Daemon is one daemon. The exported fields are set between Open and Run, by the
-// drivers that serve clients and speak to model servers; none changes later.
+// Daemon is one daemon of the fleet. The drivers that serve clients and call model servers set the
+// exported fields between Open and Run; they don't change afterwards.
 type Daemon struct {
 	Cfg       Config
 	Events    *eventlog.Log
 	Transport *transport.Transport // to the other daemons
-	Mux       *http.ServeMux       // the operators' calls; drivers add theirs
-	Metrics   *metrics.Set         // this daemon's own metrics; drivers add theirs
+	Mux       *http.ServeMux       // operator API; drivers add their routes
+	Metrics   *metrics.Set         // metrics of this daemon; drivers add theirs
 
-	// TrafficState is what the data plane adds to the state dump; nil: nothing.
+	// TrafficState returns the data plane's part of the state dump; nil if there is none.
 	TrafficState func() map[string]any
-	// Explainers explain what became of a request by its id, or of all that are known.
+	// Explainers return what happened to a request, given its ID, or to all known requests.
 	Explainers []func(request string) []any
-	// LoadPoller and OrderSender call the model servers. Until a driver sets them
-	// each call fails.
+	// LoadPoller and OrderSender call the model servers. Until a driver sets them, each call
+	// fails.
 	LoadPoller  LoadPoller
 	OrderSender OrderSender
-	// Pressure is how hard a server is pressed; nil: unknown.
+	// Pressure returns how heavily a server is loaded; nil if unknown.
 	Pressure func(service, server string) placement.Pressure
-	// OnLoadReport takes what other daemons report of the servers' load.
+	// OnLoadReport handles load reports from other daemons.
 	OnLoadReport func(message.Message)
-	// ServerSource names the servers; nil: the platform PUTs the lists.
+	// ServerSource lists the model servers; nil if the platform PUTs the lists.
 	ServerSource ServerSource
 
 	clock *clock.Clock
 	self  message.Replica // this daemon's identity and address
-	epoch uint64          // of its incarnation
+	epoch uint64          // incarnation number of this daemon
 	store *storage.Store  // nil without a data folder
 	plans fleetconfig.PlanReader
 
-	shards       []*shard // by partition
-	members      *memberTable
-	disk         *diskWriter
-	calls        *callTracker
-	changes      *changeNotifier
-	readiness    readiness
-	supersession *supersession
-	planGaps     planGaps
-	leadsWon     *metrics.Counter
-	listDelay    *metrics.Histogram // from the begin of a pull of the servers' lists until one is written
+	shards         []*shard // by partition
+	members        *memberTable
+	disk           *diskWriter
+	calls          *callTracker
+	changes        *changeNotifier
+	readiness      readiness
+	supersession   *supersession
+	planGaps       planGaps
+	leadershipsWon *metrics.Counter
+	listDelay      *metrics.Histogram // from the start of a poll of the server source until a list is written
 
 	httpListener net.Listener
 	services     []suture.Service // added by drivers
 }
 
-// Now is the daemon's time, suspended time included; no decision uses any other.
+// Now returns the daemon's time, which includes suspended time. All decisions use this clock only.
 //
 // Example: if d.Now() < expiry { serve() }
 func (d *Daemon) Now() time.Duration { return d.clock.Now() }
 
-// Ident is this daemon's identity.
+// Ident returns this daemon's identity.
 //
 // Example: id := d.Ident()
 func (d *Daemon) Ident() string { return d.self.Ident }
 
-// View is the fleet as the session table showed it last.
+// View returns the fleet as of the session table's last tick.
 //
 // Example: for _, m := range d.View().Members { ... }
 func (d *Daemon) View() *membership.View { return d.members.view.Load() }
 
-// Partition is the one that holds a service's records; partition 0 is configuration.
+// Partition returns the partition that holds a service's records. Partition 0 holds the
+// configuration.
 //
 // Example: p := d.Partition("timetable")
 func (d *Daemon) Partition(service string) int {
 	return fleetconfig.PartitionOf(service, d.Cfg.Partitions)
 }
 
-// Add has the daemon's supervisor run one more service; call it before Run.
+// Add registers another service with the daemon's supervisor. Call it before Run.
 //
 // Example: d.Add(listener)
 func (d *Daemon) Add(s suture.Service) { d.services = append(d.services, s) }
 
-// AddControlAddrs names more control daemons, such as those in a config that was
-// changed.
+// AddControlAddrs adds addresses of control daemons, such as those from a changed configuration.
 //
 // Example: d.AddControlAddrs("10.0.0.7:7000")
 func (d *Daemon) AddControlAddrs(addrs ...string) { d.members.addControlAddrs(addrs...) }
 
-// Run runs the daemon until the context ends, and closes it.
+// Run runs the daemon until the context ends, then closes it.
 //
 // Example: err := d.Run(ctx)
 func (d *Daemon) Run(ctx context.Context) error {
@@ -152,7 +150,7 @@
 // service is a function that runs until its context ends.
 type service func(context.Context) error
 
-// Serve runs the service; the supervisor calls it.
+// Serve implements suture.Service.
 //
 // Example: supervisor.Add(service(d.runMembership))
 func (s service) Serve(ctx context.Context) error { return s(ctx) }
--- a/control/daemon/diskwriter.go
+++ b/control/daemon/diskwriter.go
@@ -14,24 +14,24 @@
 	"mulleinmast/control/storage"
 )
 
-// diskWriter writes the replicas' saves to the data folder; what waits together is
-// one transaction. Its run loop alone writes.
+// diskWriter writes the replicas' saves to the data folder and combines all pending saves into one
+// transaction. Only its run loop writes.
 type diskWriter struct {
-	store       *storage.Store // nil without a data folder: nothing is ever added
+	store       *storage.Store // nil without a data folder; then nothing is ever added
 	events      *eventlog.Log
 	now         func() time.Duration
 	volumeLease time.Duration
 	writeTimes  *metrics.Histogram
-	// saved is called with each save that is on disk, in their order, no lock held.
-	saved func(storage.Ticket)
+	// onSaved is called for each save that is on disk, in order, with no lock held.
+	onSaved func(storage.Ticket)
 
-	refusals atomic.Int64 // writes in a row that the disk refused
-	delay    atomic.Int64 // set by tests: each write takes so much longer
+	consecutiveFailures atomic.Int64 // failed writes since the last successful one
+	delay               atomic.Int64 // extra delay of each write, in nanoseconds; set by tests
 
-	wake chan struct{} // holds one token while something may wait
+	wake chan struct{} // buffers one signal while saves may be pending
 
-	mu      sync.Mutex // guards waiting
-	waiting storage.Batch
+	mu      sync.Mutex // guards pending
+	pending storage.Batch
 }
 
 func newDiskWriter(d *Daemon) *diskWriter {
@@ -41,16 +41,16 @@
 		now:         d.Now,
 		volumeLease: d.Cfg.VolumeLease(),
 		writeTimes:  d.Metrics.NewHistogram("mulleinmast_disk_write_seconds"),
-		saved:       d.handleSaved,
+		onSaved:     d.handleSaved,
 		wake:        make(chan struct{}, 1),
 	}
 }
 
-// add queues saves. A shard's lock may be held.
+// add queues saves. The caller may hold a shard's lock.
 func (w *diskWriter) add(list []quorum.Save) {
 	w.mu.Lock()
 	for _, save := range list {
-		w.waiting.Add(save)
+		w.pending.Add(save)
 	}
 	w.mu.Unlock()
 	select {
@@ -59,7 +59,7 @@
 	}
 }
 
-// run writes what is added until the context ends.
+// run writes queued saves until the context ends.
 func (w *diskWriter) run(ctx context.Context) error {
 	for {
 		select {
@@ -72,11 +72,12 @@
 	}
 }
 
-// flush writes what waits; false: nothing does. What the disk refuses goes before
-// what was added since, in one batch with it: nobody relies on it yet, so it is
-// tried until it works or the daemon is stopped.
+// flush writes the pending saves. It returns false if there are none or the context has ended. A
+// failed batch is put back before the saves that were added since, into one batch with them, and
+// retried until it succeeds or the daemon stops: nothing depends on these saves until they are on
+// disk.
 func (w *diskWriter) flush(ctx context.Context) bool {
-	batch := w.takeWaiting()
+	batch := w.takePending()
 	if batch.IsEmpty() || ctx.Err() != nil {
 		return false
 	}
@@ -84,65 +85,65 @@
 		sleep(ctx, time.Duration(delay))
 	}
 	if err := w.write(batch); err != nil {
-		w.events.Warn("disk", "a write was refused", "error", err)
-		w.refusals.Add(1)
+		w.events.Warn("disk", "write failed", "error", err)
+		w.consecutiveFailures.Add(1)
 		w.requeue(batch)
 		sleep(ctx, w.volumeLease/4)
 		return true
 	}
-	if refused := w.refusals.Swap(0); refused > 0 {
-		w.events.Info("disk", "takes writes again", "refused", refused)
+	if failures := w.consecutiveFailures.Swap(0); failures > 0 {
+		w.events.Info("disk", "writes succeed again", "refused", failures)
 	}
 	for _, ticket := range batch.Tickets {
-		w.saved(ticket)
+		w.onSaved(ticket)
 	}
 	return true
 }
 
-// write is one transaction; its time is measured.
+// write writes a batch in one transaction and records how long that took.
 func (w *diskWriter) write(batch storage.Batch) error {
 	from := w.now()
 	err := w.store.Write(batch.Saves())
 	took := w.now() - from
 	w.writeTimes.Update(took.Seconds())
 	if took > w.volumeLease {
-		w.events.Warn("disk", "a write took long", "partitions", len(batch.Saves()), "took", took.Round(time.Millisecond))
+		w.events.Warn("disk", "slow write", "partitions", len(batch.Saves()), "took", took.Round(time.Millisecond))
 	}
 	return err
 }
 
-func (w *diskWriter) takeWaiting() storage.Batch {
+func (w *diskWriter) takePending() storage.Batch {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	batch := w.waiting
-	w.waiting = storage.Batch{}
+	batch := w.pending
+	w.pending = storage.Batch{}
 	return batch
 }
 
 func (w *diskWriter) requeue(batch storage.Batch) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	batch.Append(w.waiting)
-	w.waiting = batch
+	batch.Append(w.pending)
+	w.pending = batch
 }
 
-// handleSaved reports a save that is on disk to its partition.
+// handleSaved notifies a save's partition that the save is on disk.
 func (d *Daemon) handleSaved(ticket storage.Ticket) {
 	s := d.shards[ticket.Partition]
 	d.step(s, func(c *leader.Controller, now time.Duration) leader.Out {
-		s.noteSaved(ticket.Number)
+		s.checkSaveOrder(ticket.Number)
 		return c.Saved(now, ticket.Number)
 	})
 }
 
-// noteSaved checks that saves are reported in order.
-func (s *shard) noteSaved(save uint64) {
-	savesInOrder.Hold(save > s.lastSave, "partition %d: save %d is reported as done after save %d",
+// checkSaveOrder checks that saves are reported as done in order.
+func (s *shard) checkSaveOrder(save uint64) {
+	savesInOrder.Hold(save > s.lastSave, "partition %d: save %d reported as done after save %d",
 		s.partition, save, s.lastSave)
 	s.lastSave = save
 }
 
-// sleep waits; false: the context ended before.
+// sleep waits for d and reports false if the context ended first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/control/daemon/diskwriter_test.go
+++ b/control/daemon/diskwriter_test.go
@@ -14,7 +14,7 @@
 // What a full disk refuses waits, in order and bounded by the state, and is
 // written with what came later once there is room; both are logged.
 func TestRefusedWritesAreWrittenLater(t *testing.T) {
-	d := openAlone(t, func(cfg *Config) {
+	d := openIsolated(t, func(cfg *Config) {
 		cfg.DataFolder = t.TempDir()
 		cfg.Bounds.Plan = 20 * time.Millisecond // a refused write is soon tried again
 	})
@@ -35,8 +35,8 @@
 			t.Fatal("nothing was tried")
 		}
 	}
-	waiting, refused := d.disk.waiting.Saves(), d.disk.refusals.Load()
-	if len(waiting) != 1 || len(waiting[0].Records) != keys || len(d.disk.waiting.Tickets) != saves || refused != 3 {
+	waiting, refused := d.disk.pending.Saves(), d.disk.consecutiveFailures.Load()
+	if len(waiting) != 1 || len(waiting[0].Records) != keys || len(d.disk.pending.Tickets) != saves || refused != 3 {
 		t.Errorf("%d saves of %d records wait, %d refused", len(waiting), len(waiting[0].Records), refused)
 	}
 	if err := d.store.SetFull(false); err != nil {
@@ -48,7 +48,7 @@
 	for _, entry := range d.Events.Since(0) {
 		logged.WriteString(entry.Text + "\n")
 	}
-	if !strings.Contains(logged.String(), "full") || !strings.Contains(logged.String(), "takes writes again refused=3") {
+	if !strings.Contains(logged.String(), "full") || !strings.Contains(logged.String(), "writes succeed again refused=3") {
 		t.Errorf("logged: %s", logged.String())
 	}
 	d.close()
--- a/control/daemon/drainshares.go
+++ b/control/daemon/drainshares.go
@@ -6,56 +6,60 @@
 	"mulleinmast/control/fleetconfig"
 )
 
-// Bounds.Leave, in which a server that leaves gets its last request, is divided among what may pass,
-// one after the other, from the moment when the platform's list shows that it leaves until nothing
-// arrives there any more. Each share is a ratio to the bound, and who owns a term reads its share
-// here. A write of the list doesn't wait for another one (partition.Job.Mergeable) and is counted once.
+// Bounds.Leave is the time in which a leaving server receives its last request. It is divided
+// among the consecutive delays between the moment when the platform's list shows that the server
+// leaves and the moment when no more requests arrive there. Each share is a ratio to the bound;
+// the code that uses a delay reads its share here. A write of a list doesn't wait for another one
+// (partition.Job.Mergeable), so its time counts once.
 const (
-	pullShare     = 0.15 // until the list is looked at next
-	readShare     = 0.15 // until it is read and its change has come to the leader of the service
-	withdrawShare = 0.35 // until it is withdrawn everywhere: the longest lease, with drift and margin
-	staleShare    = 0.2  // by records whose leases lapsed, or by a list that was withdrawn
-	sendShare     = 0.1  // from the last look at the records until the request arrives
+	pullShare     = 0.15 // until the list is polled next
+	readShare     = 0.15 // until the list is read and its change has reached the service's leader
+	withdrawShare = 0.35 // until the old list is withdrawn everywhere: the longest lease plus drift and margin
+	staleShare    = 0.2  // while records with lapsed leases, or a withdrawn list, are still used
+	sendShare     = 0.1  // from the last check of the records until the request arrives
 
 	drainShares = pullShare + readShare + withdrawShare + staleShare + sendShare
 )
 
-// staleRatio is for how long a daemon that is in touch goes on by a plan, or by the list of evacuated
-// zones, whose lease lapsed, to the bound on a change of it: that counts from the acknowledgement,
-// which comes after the lapse.
+// staleRatio limits how long a daemon that is in contact with the leader uses a plan, or the list
+// of evacuated zones, after its lease lapsed, as a ratio to the bound on a change of it. The bound
+// counts from the acknowledgement, which comes after the lapse.
 const staleRatio = 0.5
 
-// staleRecheckRatio is the time after which a record without a lease is looked at again, to a volume
-// lease: a daemon that was cut off may be in touch by then, and is bound again.
+// staleRecheckRatio is the interval after which a record without a lease is checked again, as a
+// ratio to the volume lease: a daemon that was cut off may have contact again by then, and then
+// the shorter limits apply.
 const staleRecheckRatio = 0.125
 
-// maxWithdrawal is the share of Bounds.Leave in which a record is withdrawn from all that hold a lease.
+// maxWithdrawal returns the share of Bounds.Leave in which a record is withdrawn from all lease
+// holders.
 func (c Config) maxWithdrawal() time.Duration { return fraction(c.Bounds.Leave, withdrawShare) }
 
-// drainTime is the sum of what may pass until nothing reaches a server that leaves.
+// drainTime returns the maximum time until a leaving server receives no more requests.
 func (c Config) drainTime() time.Duration {
 	tree := c.LeaseConfig()
 	withdrawal := tree.VolumeLease + time.Duration(float64(tree.VolumeLease)*tree.Drift) + tree.Margin
 	return withdrawal + fraction(c.Bounds.Leave, pullShare+readShare+staleShare+sendShare)
 }
 
-// checkDrainTime finds fault with bounds by which a server would be sent to after its bound.
+// checkDrainTime reports a fault if the bounds would allow requests to a leaving server after
+// Bounds.Leave.
 func (c Config) checkDrainTime(faults *fleetconfig.Faults) {
 	if sum := c.drainTime(); sum > c.Bounds.Leave {
 		faults.Add("bound_leave: %v: a leaving server would get requests for %v", c.Bounds.Leave, sum)
 	}
 }
 
-// MaxListAge is how long a list of servers that was withdrawn still says which servers there are:
-// as long as its next version may wait for a daemon that doesn't answer. Whether one of them may be
-// used is for its own record to say, which is withdrawn beside the list.
+// MaxListAge returns how long a withdrawn list of servers is still used to tell which servers
+// exist: as long as its next version may be delayed by a daemon that doesn't answer. Whether a
+// server may be used depends on its own record, which is withdrawn independently of the list.
 //
 // Example: c.MaxListAge() == 1650*time.Millisecond for a bound on leaving of 3 s
 func (c Config) MaxListAge() time.Duration { return fraction(c.Bounds.Leave, withdrawShare+staleShare) }
 
-// MaxStaleness is how long after its lease lapsed a daemon routes requests by a record. One that is
-// cut off goes on for the bound on recovery; one that is in touch, and whose leases are merely late,
-// for what the record's own bound leaves.
+// MaxStaleness returns how long a daemon routes requests by a record after its lease lapsed. A
+// daemon that is cut off does so for the recovery bound. One that is in contact with the leader,
+// and whose leases are only late, does so for the time that the record's own bound leaves.
 //
 // Example: c.MaxStaleness(3, fleetconfig.ListKey("timetable"), false) == 600*time.Millisecond
 func (c Config) MaxStaleness(partition int, key string, isCutOff bool) time.Duration {
@@ -72,8 +76,8 @@
 	return min(bound, c.Bounds.Recover)
 }
 
-// isCutOff reports whether this daemon may be cut off from a partition's leader, as far as it sees
-// itself: it has no session, the core has just changed, or no member leads the partition.
+// isCutOff reports whether this daemon may be cut off from a partition's leader, judged by its own
+// state: it has no session, the core changed recently, or no member leads the partition.
 func (d *Daemon) isCutOff(partition int) bool {
 	view := d.View()
 	if !view.HasSession || d.Now()-d.members.coreChangedAt() < d.Cfg.InTouchAfter/2 {
@@ -83,7 +87,7 @@
 	return !isLed
 }
 
-// maxStaleness is MaxStaleness as this daemon stands now.
+// maxStaleness returns MaxStaleness for this daemon's current state.
 func (d *Daemon) maxStaleness(partition int, key string) time.Duration {
 	return d.Cfg.MaxStaleness(partition, key, d.isCutOff(partition))
 }
--- a/control/daemon/drainshares_test.go
+++ b/control/daemon/drainshares_test.go
@@ -58,7 +58,7 @@
 // late and not cut off: it stops using its servers a share of their bound after the lapse, and
 // says that it isn't ready once plan and zones are too old. Cut off it goes on.
 func TestALateDaemonStopsBeforeTheBound(t *testing.T) {
-	d := openAlone(t, func(cfg *Config) {
+	d := openIsolated(t, func(cfg *Config) {
 		withLongLeases(cfg)
 		cfg.Bounds.Recover = 1200 * time.Second
 		cfg.DataFolder = t.TempDir()
@@ -81,7 +81,7 @@
 	}
 	list := fleetconfig.ListKey("m")
 	node := d.shards[partition].node()
-	fromParent := grantVolumeLeaseOf(d, partition)
+	fromParent := grantVolumeLeaseFor(d, partition)
 	d.step(d.shards[partition], func(c *leader.Controller, now time.Duration) leader.Out { return c.Pin(now, list) })
 	fromParent(message.Message{
 		Kind: message.KindGrantLease, Records: []message.Record{{Key: list, Value: []byte("{}")}}, ObjectLease: int64(time.Hour),
--- a/control/daemon/handover.go
+++ b/control/daemon/handover.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// handOverRatio is the part of the grace period that a stopping daemon waits at
-// most for its replicas to be taken over.
+// handOverRatio is the maximum part of the grace period that a stopping daemon waits for its
+// replicas to be taken over.
 const handOverRatio = 0.6
 
-// handOverTicks is how often it looks in a volume lease whether they are.
+// handOverTicks is how often per volume lease a stopping daemon checks whether its replicas are
+// taken over.
 const handOverTicks = 32
 
-// Leave makes the daemon not ready and resigns its leaderships.
+// Leave marks the daemon as not ready and resigns its leaderships.
 //
 // Example: d.Leave(); waitForStreams()
 func (d *Daemon) Leave() {
-	d.readiness.stopFrom.Store(int64(d.Now()))
+	d.readiness.stopRequestedAt.Store(int64(d.Now()))
 	d.readiness.stopping.Store(true)
 	d.readiness.ready.Store(false)
-	d.Events.Debug("stop", "asked to stop")
+	d.Events.Debug("stop", "stop requested")
 	for _, s := range d.shards {
 		s.mu.Lock()
 		if replica := s.replica(); replica != nil {
@@ -29,16 +30,16 @@
 	}
 }
 
-// RefusesRequests reports whether the daemon was asked to stop so long ago that the
-// platform has seen it is not ready; until then it still takes requests.
+// RefusesRequests reports whether the daemon was asked to stop long enough ago for the platform to
+// have seen that it isn't ready. Until then it still accepts requests.
 //
 // Example: if d.RefusesRequests() { refuse() }
 func (d *Daemon) RefusesRequests() bool {
-	return d.readiness.stopping.Load() && d.Now()-time.Duration(d.readiness.stopFrom.Load()) >= d.Cfg.Bounds.Plan
+	return d.readiness.stopping.Load() && d.Now()-time.Duration(d.readiness.stopRequestedAt.Load()) >= d.Cfg.Bounds.Plan
 }
 
-// PartitionsToHandOver counts the partitions that still need this daemon's replica
-// though a learner could take its place, or is about to; none where the replica is
+// PartitionsToHandOver returns the number of partitions that still need this daemon's replica
+// although a learner could take its place or is about to. It returns 0 if the replica is
 // superseded.
 //
 // Example: if d.PartitionsToHandOver() == 0 { end() }
@@ -57,41 +58,41 @@
 	return n
 }
 
-// HandOver returns when no partition needs this daemon's replica any more, at once
-// if no learner could take its place, and at the latest when the context ends or
-// most of the grace period is over since the daemon was asked to stop.
+// HandOver waits until no partition needs this daemon's replica. It returns at once if no learner
+// could take its place, and at the latest when the context ends or most of the grace period since
+// the stop request has passed.
 //
 // Example: d.Leave(); serveOn(); d.HandOver(ctx)
 func (d *Daemon) HandOver(ctx context.Context) {
-	limit := time.Duration(d.readiness.stopFrom.Load()) + fraction(d.Cfg.GracePeriod, handOverRatio)
+	limit := time.Duration(d.readiness.stopRequestedAt.Load()) + fraction(d.Cfg.GracePeriod, handOverRatio)
 	for d.PartitionsToHandOver() > 0 && d.Now() < limit {
 		if !sleep(ctx, d.Cfg.VolumeLease()/handOverTicks) {
 			break
 		}
 	}
 	if n := d.PartitionsToHandOver(); n > 0 {
-		d.Events.Info("stop", "partitions still need this replica", "partitions", n)
+		d.Events.Info("stop", "partitions were not handed over in time", "partitions", n)
 	}
 }
 
-// replicaStage is what a control daemon has reached since its start.
+// replicaStage is the progress of a control daemon's replicas since its start.
 type replicaStage uint8
 
 const (
-	stageIncomplete replicaStage = iota // some partition's replica is missing here
-	stageComplete                       // it has all records of every partition
-	stageVoting                         // and a vote in every partition
+	stageIncomplete replicaStage = iota // some partition has no complete replica here
+	stageComplete                       // every partition has a complete replica here
+	stageVoting                         // and this daemon votes in every partition
 )
 
-// String names a stage in the log.
+// String returns the stage as shown in the log.
 //
-// Example: stageVoting.String() == "counts in all partitions"
+// Example: stageVoting.String() == "votes in all partitions"
 func (s replicaStage) String() string {
-	return [...]string{"incomplete", "holds a copy of all partitions", "counts in all partitions"}[s]
+	return [...]string{"incomplete", "has a complete replica of all partitions", "votes in all partitions"}[s]
 }
 
-// updateReplicaStage writes out once when this daemon has a complete replica of
-// every partition, and once when it has a vote in every partition.
+// updateReplicaStage logs once when this daemon has a complete replica of every partition, and
+// once when it votes in every partition.
 func (d *Daemon) updateReplicaStage() {
 	if d.store == nil || d.readiness.stage == stageVoting {
 		return
@@ -104,7 +105,7 @@
 	d.Events.Info("replicas", stage.String(), "partitions", len(d.shards), "after", d.Now().Round(time.Millisecond))
 }
 
-// replicaStage is the stage that the replicas are at now.
+// replicaStage returns the current stage of the replicas.
 func (d *Daemon) replicaStage() replicaStage {
 	stage := stageVoting
 	for _, s := range d.shards {
--- a/control/daemon/handover_test.go
+++ b/control/daemon/handover_test.go
@@ -13,7 +13,7 @@
 // where a learner can take them, and not beyond its part of the grace period; a
 // plain restart isn't held up.
 func TestHandOverWaitsForLearnersAlone(t *testing.T) {
-	d := openAlone(t, func(cfg *Config) { cfg.DataFolder, cfg.GracePeriod = t.TempDir(), time.Hour })
+	d := openIsolated(t, func(cfg *Config) { cfg.DataFolder, cfg.GracePeriod = t.TempDir(), time.Hour })
 	d.bootstrap([]message.Replica{d.self, {Ident: "b", Addr: "127.0.0.1:1"}, {Ident: "c", Addr: "127.0.0.1:2"}})
 	d.Leave()
 	group := []message.Member{d.member(), {Ident: "b", HasDisk: true}, {Ident: "c", HasDisk: true}}
--- a/control/daemon/interface_test.go
+++ b/control/daemon/interface_test.go
@@ -141,7 +141,7 @@
 
 // masked is a JSON text with what varies from run to run taken out: numbers are
 // 0, of lines of the log the first one stands.
-func masked(text []byte, vary ...string) string {
+func maskJSON(text []byte, vary ...string) string {
 	var v any
 	if err := json.Unmarshal(text, &v); err != nil {
 		return string(text)
@@ -155,7 +155,7 @@
 				if list, ok := value.([]any); ok && key == "lines" {
 					value = list[:min(1, len(list))]
 				}
-				out[maskedText(key, vary)] = mask(value)
+				out[maskText(key, vary)] = mask(value)
 				if key == "text" { // of a line of the log
 					out[key] = "<text>"
 				}
@@ -169,7 +169,7 @@
 		case float64:
 			return 0
 		case string:
-			return maskedText(v, vary)
+			return maskText(v, vary)
 		}
 		return v
 	}
@@ -182,7 +182,7 @@
 
 var wallTime = regexp.MustCompile(`\d{4}-\d\d-\d\dT[\d:.]+(Z|[+-]\d\d:\d\d)`)
 
-func maskedText(s string, vary []string) string {
+func maskText(s string, vary []string) string {
 	for i, text := range vary {
 		s = strings.ReplaceAll(s, text, fmt.Sprint("<", i, ">"))
 	}
@@ -202,13 +202,13 @@
 	w := httptest.NewRecorder()
 	r := httptest.NewRequestWithContext(t.Context(), method, path, strings.NewReader(body))
 	c.d.Mux.ServeHTTP(w, r)
-	_, _ = fmt.Fprintf(c, "%s %s\n%d", method, maskedText(path, c.inPath), w.Code)
+	_, _ = fmt.Fprintf(c, "%s %s\n%d", method, maskText(path, c.inPath), w.Code)
 	for _, name := range []string{"Content-Type", "Retry-After", "Warning", "Allow"} {
 		if v := w.Header().Get(name); v != "" {
 			_, _ = fmt.Fprintf(c, " %s: %s;", name, v)
 		}
 	}
-	_, _ = fmt.Fprintf(c, "\n%s\n", masked(w.Body.Bytes(), c.inBody...))
+	_, _ = fmt.Fprintf(c, "\n%s\n", maskJSON(w.Body.Bytes(), c.inBody...))
 }
 
 // operatorCall is a call with its method and path, as the mux has them.
@@ -301,7 +301,7 @@
 
 // The switches that tests use keep their paths and answers.
 func TestSwitchesKeepTheirAnswers(t *testing.T) {
-	d := openAlone(t, func(cfg *Config) { withLongLeases(cfg); cfg.TestSwitches = true })
+	d := openIsolated(t, func(cfg *Config) { withLongLeases(cfg); cfg.TestSwitches = true })
 	var text strings.Builder
 	for _, call := range []struct{ path, body string }{
 		{"/test/cut", `["10.0.0.1:1"]`},
@@ -350,7 +350,7 @@
 		})
 	}
 	slices.Sort(paths)
-	d := openAlone(t, func(cfg *Config) { cfg.DataFolder, cfg.TestSwitches = t.TempDir(), true })
+	d := openIsolated(t, func(cfg *Config) { cfg.DataFolder, cfg.TestSwitches = t.TempDir(), true })
 	for _, path := range paths {
 		method, place, _ := strings.Cut(path, " ")
 		place = strings.NewReplacer("{", "", "}", "").Replace(place)
@@ -367,22 +367,22 @@
 
 // The figures of the control plane keep their names.
 func TestMetricsKeepTheirNames(t *testing.T) {
-	d := openAlone(t, func(*Config) {})
+	d := openIsolated(t, func(*Config) {})
 	names := d.Metrics.ListMetricNames()
 	slices.Sort(names)
 	golden(t, "metrics.txt", strings.Join(names, "\n")+"\n")
 }
 
 // leaves are the values below one, sorted, without their names.
-func leaves(v reflect.Value) (list []string) {
+func leafValues(v reflect.Value) (list []string) {
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			list = append(list, leaves(v.Field(i))...)
+			list = append(list, leafValues(v.Field(i))...)
 		}
 	case reflect.Slice:
 		for i := range v.Len() {
-			list = append(list, leaves(v.Index(i))...)
+			list = append(list, leafValues(v.Index(i))...)
 		}
 	default:
 		list = append(list, fmt.Sprint(v))
@@ -397,7 +397,7 @@
 	show := func(what string, args ...string) {
 		cfg, err := ReadConfig("mulleinmast", args, &text)
 		fmt.Fprintf(&text, "%s: %v\n", what, err)
-		for _, leaf := range leaves(reflect.ValueOf(cfg)) {
+		for _, leaf := range leafValues(reflect.ValueOf(cfg)) {
 			fmt.Fprintln(&text, " ", leaf)
 		}
 	}
--- a/control/daemon/invariants.go
+++ b/control/daemon/invariants.go
@@ -5,16 +5,15 @@
 	"mulleinmast/control/invariant"
 )
 
-// Conditions of a process that must hold at all times.
+// Invariants of the process.
 var (
-	fenceRises = invariant.New("order_fence_went_back",
-		"orders for a partition's servers never bear a lower fence than before")
+	fenceMonotonic = invariant.New("order_fence_went_back",
+		"orders to a partition's servers never carry a lower fence than earlier ones")
 	savesInOrder = invariant.New("saves_out_of_order",
 		"a partition's saves are reported as done in the order in which they were requested")
 )
 
-// LogViolations has violated invariants of this process logged, until restore is
-// called.
+// LogViolations logs violated invariants of this process until restore is called.
 //
 // Example: restore := daemon.LogViolations(events)
 func LogViolations(events *eventlog.Log) (restore func()) {
--- a/control/daemon/invariants_test.go
+++ b/control/daemon/invariants_test.go
@@ -17,21 +17,21 @@
 			t.Errorf("fence %d is refused", fence)
 		}
 	}
-	before := fenceRises.Count()
-	if s.checkFence(placement.Order{Term: 8}) || fenceRises.Count() != before+1 {
-		t.Errorf("fence 8 after 9: %d counted", fenceRises.Count()-before)
+	before := fenceMonotonic.Count()
+	if s.checkFence(placement.Order{Term: 8}) || fenceMonotonic.Count() != before+1 {
+		t.Errorf("fence 8 after 9: %d counted", fenceMonotonic.Count()-before)
 	}
-	fenceRises.Discount(1)
+	fenceMonotonic.Discount(1)
 }
 
 // A save that is reported as done after a later one is counted.
 func TestSavesOutOfOrderAreCounted(t *testing.T) {
 	s := &shard{}
 	for _, save := range []uint64{1, 2, 5} {
-		s.noteSaved(save)
+		s.checkSaveOrder(save)
 	}
 	before := savesInOrder.Count()
-	if s.noteSaved(4); savesInOrder.Count() != before+1 {
+	if s.checkSaveOrder(4); savesInOrder.Count() != before+1 {
 		t.Errorf("save 4 after 5: %d counted", savesInOrder.Count()-before)
 	}
 	savesInOrder.Discount(1)
--- a/control/daemon/membership.go
+++ b/control/daemon/membership.go
@@ -11,15 +11,14 @@
 	"mulleinmast/wire/message"
 )
 
-// membershipTicks is how often the session table is ticked in a heartbeat interval.
+// membershipTicks is how often the session table is ticked per heartbeat interval.
 const membershipTicks = 4
 
-// memberTable is the session table under its lock, with the view of the fleet that
-// it gave at its last tick.
+// memberTable is the session table under a lock, with the view of the fleet as of its last tick.
 type memberTable struct {
 	view atomic.Pointer[membership.View]
-	// coreChanged is when a control daemon was last seen to go, come or start anew, or a partition
-	// to have another leader.
+	// coreChanged is when a control daemon was last seen to leave, join or restart, or a
+	// partition's leader to change.
 	coreChanged atomic.Int64
 
 	mu    sync.Mutex // guards table
@@ -32,14 +31,14 @@
 	return t
 }
 
-// step has the table take a message.
+// step passes a message to the table.
 func (t *memberTable) step(now func() time.Duration, m message.Message) membership.Out {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.table.Step(now(), m)
 }
 
-// tick lets time pass in the table and shows what it knows then.
+// tick advances the table to the current time and updates the view.
 func (t *memberTable) tick(
 	now func() time.Duration, self message.Member, leaderships []message.Leadership,
 ) membership.Out {
@@ -54,7 +53,7 @@
 	return out
 }
 
-// coreChangedAt is when the core was last seen to change.
+// coreChangedAt returns when the core was last seen to change.
 func (t *memberTable) coreChangedAt() time.Duration { return time.Duration(t.coreChanged.Load()) }
 
 func (t *memberTable) addControlAddrs(addrs ...string) {
@@ -63,8 +62,8 @@
 	t.table.AddControlAddrs(addrs...)
 }
 
-// runMembership lets time pass in the session table, and keeps this daemon's
-// readiness and its entry in the table up to date.
+// runMembership ticks the session table, and keeps this daemon's readiness and its entry in the
+// table up to date.
 func (d *Daemon) runMembership(ctx context.Context) error {
 	ticker := time.NewTicker(d.Cfg.MembershipConfig().HeartbeatInterval / membershipTicks)
 	defer ticker.Stop()
@@ -78,15 +77,15 @@
 	}
 }
 
-// tickMembership is one round of runMembership. What needs the shards' locks comes
-// before the table's lock.
+// tickMembership is one round of runMembership. Steps that take the shards' locks come before
+// those that take the table's lock.
 func (d *Daemon) tickMembership() {
 	leaderships := d.leaderships()
 	d.updateReadiness()
 	d.updateReplicaStage()
 	self := d.member()
 	out := d.members.tick(d.Now, self, leaderships)
-	if d.WhySuperseded() != "" { // the session belongs to the other process
+	if d.WhySuperseded() != "" { // the session belongs to another process
 		return
 	}
 	d.SendAll(out.Sends)
@@ -95,7 +94,7 @@
 	}
 }
 
-// leaderships are those that the replicas here hold or know of.
+// leaderships returns the leaderships that the replicas here hold or know of.
 func (d *Daemon) leaderships() (list []message.Leadership) {
 	for _, s := range d.shards {
 		s.mu.Lock()
@@ -111,7 +110,7 @@
 	return list
 }
 
-// member is this daemon's entry in the session table.
+// member returns this daemon's entry in the session table.
 func (d *Daemon) member() message.Member {
 	return message.Member{
 		Ident:    d.self.Ident,
@@ -126,8 +125,8 @@
 	}
 }
 
-// isInAnyGroup reports whether a replica here knows of a group: by the replicas, or
-// by the data folder while they aren't made yet.
+// isInAnyGroup reports whether any replica here has been in a group. Before the replicas are
+// created it reads the data folder instead.
 func (d *Daemon) isInAnyGroup() bool {
 	for _, s := range d.shards {
 		if s.group().Number > 0 {
@@ -144,15 +143,15 @@
 	return false
 }
 
-// bootstrap makes the first group of every partition, in one transaction.
+// bootstrap creates the first group of every partition, in one transaction.
 func (d *Daemon) bootstrap(replicas []message.Replica) {
-	d.Events.Info("fleet", "nobody knows of a group: the fleet is bootstrapped", "replicas", replicas)
+	d.Events.Info("fleet", "bootstrapping the fleet: no daemon knows of an existing group", "replicas", replicas)
 	sends := d.saveFirstGroups(message.Group{Number: 1, Replicas: replicas})
 	d.SendAll(sends)
 }
 
-// saveFirstGroups takes all shards' locks, so that a vote that a partition grants
-// meanwhile comes to the disk later.
+// saveFirstGroups saves the first group of every partition. It holds all shards' locks, so that a
+// vote that a partition grants concurrently reaches the disk later.
 func (d *Daemon) saveFirstGroups(group message.Group) (sends []message.Envelope) {
 	var saves []quorum.Save
 	for _, s := range d.shards {
--- a/control/daemon/messages.go
+++ b/control/daemon/messages.go
@@ -7,22 +7,22 @@
 	"mulleinmast/wire/message"
 )
 
-// send puts a message on the wire. One to this daemon itself never leaves it. A
-// shard's lock may be held.
+// send sends a message; one addressed to this daemon itself is delivered locally. The caller may
+// hold a shard's lock.
 func (d *Daemon) send(e message.Envelope) {
 	if e.Message.To == d.self.Ident {
 		e.Message.From, e.Message.Epoch, e.Message.Addr = d.self.Ident, d.epoch, d.self.Addr
 		go d.receive(e.Message)
 		return
 	}
-	// A replica is known by its identity; its machine may have a new address.
+	// A replica is identified by its identity; its machine may have a new address.
 	if member, ok := d.View().Find(e.Message.To); ok && !e.ExactAddr {
 		e.Addr = member.Addr
 	}
 	d.Transport.Send(e)
 }
 
-// SendAll puts messages to other daemons on the wire.
+// SendAll sends messages to other daemons.
 //
 // Example: d.SendAll(reports.Tick(now, me, members))
 func (d *Daemon) SendAll(list []message.Envelope) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// receive hands a message to the state machine that it is for.
+// receive passes a message to the state machine that handles it.
 func (d *Daemon) receive(m message.Message) {
 	switch {
 	case isMembership(m.Kind):
@@ -43,19 +43,19 @@
 	case m.Kind == message.KindCallResult:
 		d.calls.step(m)
 	case m.Partition < 0 || m.Partition >= len(d.shards):
-		d.Events.Warn("wire", "message for a partition that isn't here", "from", m.Addr, "kind", m.Kind,
+		d.Events.Warn("wire", "message for an unknown partition", "from", m.Addr, "kind", m.Kind,
 			"partition", m.Partition, "partitions", len(d.shards))
 	default:
 		d.step(d.shards[m.Partition], func(c *leader.Controller, now time.Duration) leader.Out { return c.Step(now, m) })
 	}
 }
 
-// isMembership reports whether the session table takes a message.
+// isMembership reports whether messages of a kind go to the session table.
 func isMembership(kind message.Kind) bool {
 	return kind >= message.KindHello && kind <= message.KindCensusAnswer || kind == message.KindBootstrap
 }
 
-// handleMembership has the session table take a message.
+// handleMembership passes a message to the session table and executes the result.
 func (d *Daemon) handleMembership(m message.Message) {
 	out := d.members.step(d.Now, m)
 	d.SendAll(out.Sends)
--- a/control/daemon/metrics.go
+++ b/control/daemon/metrics.go
@@ -11,11 +11,11 @@
 	"mulleinmast/control/invariant"
 )
 
-// metricPrefix begins the names of all metrics of this product.
+// metricPrefix is the prefix of all metric names.
 const metricPrefix = "mulleinmast_"
 
-// registerMetrics registers the metrics of the control plane; the disk writer has
-// registered its own.
+// registerMetrics registers the control plane's metrics except those that the disk writer
+// registers itself.
 func (d *Daemon) registerMetrics() {
 	gauge := func(name string, value func() float64) { d.Metrics.NewGauge(metricPrefix+name, value) }
 	gauge("ready", func() float64 { return boolValue(d.Ready()) })
@@ -25,7 +25,7 @@
 		return float64(version)
 	})
 	gauge("superseded", func() float64 { return boolValue(d.WhySuperseded() != "") })
-	gauge("disk_refusals_in_a_row", func() float64 { return float64(d.disk.refusals.Load()) })
+	gauge("disk_refusals_in_a_row", func() float64 { return float64(d.disk.consecutiveFailures.Load()) })
 	gauge("records_unreadable", func() float64 {
 		n, _ := d.unreadableRecords()
 		return float64(n)
@@ -33,11 +33,11 @@
 	d.registerPartitionMetrics(gauge)
 	d.registerWireMetrics(gauge)
 	d.listDelay = d.Metrics.NewHistogram(metricPrefix + "server_list_written_seconds")
-	d.planGaps.length = d.Metrics.NewHistogram(metricPrefix + "plan_withdrawn_seconds")
-	d.leadsWon = d.Metrics.NewCounter(metricPrefix + "leaderships_won_total")
+	d.planGaps.duration = d.Metrics.NewHistogram(metricPrefix + "plan_withdrawn_seconds")
+	d.leadershipsWon = d.Metrics.NewCounter(metricPrefix + "leaderships_won_total")
 }
 
-// registerPartitionMetrics registers sums over the partitions.
+// registerPartitionMetrics registers metrics that are summed over all partitions.
 func (d *Daemon) registerPartitionMetrics(gauge func(name string, value func() float64)) {
 	sum := func(name string, value func(*shard) float64) {
 		gauge(name, func() float64 { return d.sumOverShards(value) })
@@ -48,7 +48,7 @@
 	sum("records_sent_whole", func(s *shard) float64 { return float64(s.node().SentInFull()) })
 }
 
-// registerWireMetrics registers the counts of messages to and from other daemons.
+// registerWireMetrics registers the counts of messages exchanged with other daemons.
 func (d *Daemon) registerWireMetrics(gauge func(name string, value func() float64)) {
 	gauge("wire_sent", func() float64 { return float64(d.Transport.Sent.Load()) })
 	gauge("wire_got", func() float64 { return float64(d.Transport.Received.Load()) })
@@ -63,7 +63,7 @@
 	return 0
 }
 
-// sumOverShards adds up a value of each partition, taken under its lock.
+// sumOverShards returns the sum of a value over all partitions, each read under its lock.
 func (d *Daemon) sumOverShards(value func(*shard) float64) (sum float64) {
 	for _, s := range d.shards {
 		s.mu.Lock()
@@ -73,8 +73,8 @@
 	return sum
 }
 
-// WriteMetrics writes the daemon's metrics, the bytes on the wire by kind of message, those of its
-// process, and the counts of violated invariants, in the Prometheus text format.
+// WriteMetrics writes all metrics in the Prometheus text format: the daemon's own, the counts of
+// violated invariants, the bytes on the wire by kind of message, and those of the process.
 //
 // Example: d.WriteMetrics(w)
 func (d *Daemon) WriteMetrics(w io.Writer) {
--- a/control/daemon/notifier.go
+++ b/control/daemon/notifier.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// changeNotifier wakes all who wait for any record here to change.
+// changeNotifier wakes all goroutines that wait for a change of any record here.
 type changeNotifier struct {
 	mu      sync.Mutex // guards changed
 	changed chan struct{}
@@ -10,14 +10,14 @@
 
 func newChangeNotifier() *changeNotifier { return &changeNotifier{changed: make(chan struct{})} }
 
-// next is closed at the next change.
+// next returns a channel that is closed at the next change.
 func (n *changeNotifier) next() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.changed
 }
 
-// notify wakes all who wait. A shard's lock may be held.
+// notify wakes all waiting goroutines. The caller may hold a shard's lock.
 func (n *changeNotifier) notify() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -25,7 +25,7 @@
 	n.changed = make(chan struct{})
 }
 
-// Changed is closed when any record changes here.
+// Changed returns a channel that is closed when any record changes here.
 //
 // Example: <-d.Changed()
 func (d *Daemon) Changed() <-chan struct{} { return d.changes.next() }
--- a/control/daemon/open.go
+++ b/control/daemon/open.go
@@ -23,7 +23,8 @@
 	"mulleinmast/wire/transport"
 )
 
-// Open readies a daemon: data folder, addresses, state machines. Nothing runs yet.
+// Open opens the data folder, listens on both addresses and creates the state machines. Nothing
+// runs until Run.
 //
 // Example: d, err := daemon.Open(cfg, events)
 func Open(cfg Config, events *eventlog.Log) (*Daemon, error) {
@@ -57,8 +58,8 @@
 	return d, nil
 }
 
-// openStore opens the data folder, if there is one, and takes the identity and the
-// epoch that it keeps.
+// openStore opens the data folder, if there is one, and takes over the identity and epoch stored
+// there.
 func (d *Daemon) openStore() error {
 	if d.Cfg.DataFolder == "" {
 		return nil
@@ -72,51 +73,52 @@
 	for p := range store.Partitions {
 		if p > d.Cfg.Partitions {
 			store.Close()
-			return storage.Error.New("%s: holds partition %d, but parts is %d", d.Cfg.DataFolder, p, d.Cfg.Partitions)
+			return storage.Error.New("%s: contains partition %d, but only %d service partitions are configured",
+				d.Cfg.DataFolder, p, d.Cfg.Partitions)
 		}
 	}
 	return nil
 }
 
-// openFolder opens the data folder. A disk that is full or fails is waited for:
-// without its epoch on disk a daemon must not speak, and what is on the disk is
-// worth more than an early start.
+// openFolder opens the data folder. While the disk is full or failing it retries: without its
+// epoch on disk a daemon must not send messages, and the stored state is worth more than an early
+// start.
 func openFolder(cfg Config, events *eventlog.Log) (*storage.Store, error) {
 	for {
 		store, err := storage.Open(cfg.DataFolder, cfg.Fleet)
 		if err == nil || !storage.IsTransient(err) {
 			return store, err
 		}
-		events.Warn("disk", "the data folder can't be opened; trying again", "error", err)
+		events.Warn("disk", "cannot open the data folder; retrying", "error", err)
 		time.Sleep(cfg.VolumeLease() / 4)
 	}
 }
 
-// logStoreState writes out what was wrong with the data folder, if anything.
+// logStoreState logs problems found in the data folder.
 func (d *Daemon) logStoreState() {
 	store := d.store
 	moved := []any{"moved_to", store.QuarantinePath, "identity", store.Ident}
 	switch {
 	case store.WasBackup:
-		d.Events.Info("disk", "the state here is a back-up: it is set aside and this daemon starts empty; "+
-			"the other disks have what is newer. If a majority of the disks is lost, stop all daemons, "+
-			"put the back-ups back, each with an empty file "+storage.MajorityLostFile+" beside it", moved...)
+		d.Events.Info("disk", "the data folder contains a backup: moved it aside and starting empty; "+
+			"the other daemons have newer state. If a majority of the disks is lost, stop all daemons and "+
+			"restore the backups, each with an empty file "+storage.MajorityLostFile+" in the same folder", moved...)
 	case store.WasSuperseded:
-		d.Events.Info("disk", "the state here was superseded: it is set aside and this daemon starts empty", moved...)
+		d.Events.Info("disk", "the stored state was superseded: moved it aside and starting empty", moved...)
 	case store.QuarantinePath != "":
-		d.Events.Info("disk", "the state was damaged: it is set aside and this daemon starts empty", moved...)
+		d.Events.Info("disk", "the stored state was corrupt: moved it aside and starting empty", moved...)
 	}
 	if store.CorruptRecords > 0 {
-		d.Events.Info("disk", "damaged records count as missing; the other replicas have them",
+		d.Events.Info("disk", "ignoring corrupt records; they will be restored from the other replicas",
 			"records", store.CorruptRecords)
 	}
 	if len(store.IncompletePartitions) > 0 {
-		d.Events.Info("disk", "partitions are not what was written: they have no vote until the other replicas "+
-			"have filled them", "partitions", store.IncompletePartitions)
+		d.Events.Info("disk", "partitions are incomplete on disk: they do not vote until the other replicas "+
+			"have restored them", "partitions", store.IncompletePartitions)
 	}
 }
 
-// listen opens the two ports: one for the other daemons, one for HTTP.
+// listen opens the two listeners: one for other daemons, one for HTTP.
 func (d *Daemon) listen() error {
 	d.Transport = &transport.Transport{
 		PeerTimeout: d.Cfg.VolumeLease(),
@@ -139,8 +141,8 @@
 	return nil
 }
 
-// openMembership makes the session table; it knows the control daemons of the
-// groups that the data folder names.
+// openMembership creates the session table with the control daemons of the groups stored in the
+// data folder.
 func (d *Daemon) openMembership() *membership.Table {
 	table := membership.New(d.Cfg.MembershipConfig(), d.member(), d.Cfg.Seeds)
 	if d.store != nil {
@@ -153,7 +155,7 @@
 	return table
 }
 
-// openShards makes the state machine of every partition.
+// openShards creates the state machine of every partition.
 func (d *Daemon) openShards() {
 	now, folder := d.Now(), d.quorumFolder()
 	for p := 0; p <= d.Cfg.Partitions; p++ {
@@ -169,7 +171,7 @@
 	}
 }
 
-// quorumFolder is what the replicas here share; nil without a data folder.
+// quorumFolder returns the state shared by all replicas of this daemon; nil without a data folder.
 func (d *Daemon) quorumFolder() *quorum.Folder {
 	if d.store == nil {
 		return nil
@@ -181,8 +183,7 @@
 	return quorum.OpenFolder(d.epoch, metas...)
 }
 
-// newReplica makes a partition's replica from what the disk holds; nil without a
-// data folder.
+// newReplica creates a partition's replica from the stored state; nil without a data folder.
 func (d *Daemon) newReplica(p int, folder *quorum.Folder, now time.Duration) *quorum.Replica {
 	if d.store == nil {
 		return nil
@@ -197,7 +198,7 @@
 	}, now)
 }
 
-// newLeaseNode makes a partition's node of the lease tree.
+// newLeaseNode creates a partition's node of the lease tree.
 func (d *Daemon) newLeaseNode(p int) *lease.Node {
 	node := lease.New(d.Cfg.LeaseConfig(), p, d.self, d.epoch)
 	node.UseCodec(fleetconfig.Codec{}, lease.MinPatchedLength)
@@ -211,8 +212,8 @@
 	return node
 }
 
-// pinConfiguration keeps the records of the configuration here that every daemon
-// works by; those with a disk also need where the replicas are.
+// pinConfiguration keeps the configuration records that every daemon needs readable here. Daemons
+// with a data folder also need the placement of the replicas.
 func (d *Daemon) pinConfiguration() {
 	d.Pin(0, fleetconfig.PlanKey)
 	d.Pin(0, fleetconfig.ZoneKey)
@@ -221,8 +222,8 @@
 	}
 }
 
-// newCalls makes the calls under way. A call may be sent twice: each is known by
-// its number.
+// newCalls creates the set of calls in progress. A call may be sent more than once and is
+// identified by its ID.
 func newCalls(cfg Config, epoch uint64) *leadercall.Calls {
 	return leadercall.New(leadercall.Config{
 		TryTimeout:    cfg.VolumeLease() / 2,
--- a/control/daemon/open_test.go
+++ b/control/daemon/open_test.go
@@ -12,9 +12,9 @@
 	"mulleinmast/wire/message"
 )
 
-// openAlone opens a daemon with one partition and no disk that has met nobody;
+// openIsolated opens a daemon with one partition and no disk that has met nobody;
 // change alters its config first.
-func openAlone(t *testing.T, change func(*Config)) *Daemon {
+func openIsolated(t *testing.T, change func(*Config)) *Daemon {
 	t.Helper()
 	cfg := Default()
 	cfg.WireAddr, cfg.HTTPAddr, cfg.Partitions = "127.0.0.1:0", "127.0.0.1:0", 1
@@ -45,11 +45,11 @@
 // grantVolumeLease has a daemon's partition adopt a parent and get a volume lease of
 // it; fromParent hands it messages of the parent.
 func grantVolumeLease(d *Daemon) (fromParent func(message.Message) []message.Envelope) {
-	return grantVolumeLeaseOf(d, 0)
+	return grantVolumeLeaseFor(d, 0)
 }
 
-// grantVolumeLeaseOf is grantVolumeLease for any partition.
-func grantVolumeLeaseOf(d *Daemon, partition int) (fromParent func(message.Message) []message.Envelope) {
+// grantVolumeLeaseFor is grantVolumeLease for any partition.
+func grantVolumeLeaseFor(d *Daemon, partition int) (fromParent func(message.Message) []message.Envelope) {
 	node, number := d.shards[partition].node(), uint64(0)
 	parent := message.Replica{Ident: "p", Addr: "p"}
 	fromParent = func(m message.Message) []message.Envelope {
@@ -69,13 +69,13 @@
 	return fromParent
 }
 
-// running is a daemon with its loops.
-type running struct {
+// runningDaemon is a daemon with its loops.
+type runningDaemon struct {
 	*Daemon
 	stop func()
 }
 
-func runDaemon(t *testing.T, cfg Config) running {
+func runDaemon(t *testing.T, cfg Config) runningDaemon {
 	t.Helper()
 	d, err := Open(cfg, eventlog.New(64, io.Discard))
 	if err != nil {
@@ -86,7 +86,7 @@
 	wait.Go(func() { _ = d.Run(ctx) })
 	stop := sync.OnceFunc(func() { cancel(); wait.Wait() })
 	t.Cleanup(stop)
-	return running{d, stop}
+	return runningDaemon{d, stop}
 }
 
 func freeAddr(t *testing.T) string {
--- a/control/daemon/operator.go
+++ b/control/daemon/operator.go
@@ -15,13 +15,13 @@
 	"mulleinmast/wire/message"
 )
 
-// maxBody bounds the body of an operator's call, in bytes.
+// maxBody is the maximum size of the body of an operator's call, in bytes.
 const maxBody = 16 << 20
 
-// notReadyRetryMillis is when those who find the daemon not ready should ask again.
+// notReadyRetryMillis is the retry delay suggested to clients while the daemon isn't ready.
 const notReadyRetryMillis = 1000
 
-// registerOperatorCalls lays out the calls for operators and the platform.
+// registerOperatorCalls registers the routes for operators and the platform.
 func (d *Daemon) registerOperatorCalls() {
 	m := d.Mux
 	m.HandleFunc("GET /livez", d.handleLive)
@@ -32,7 +32,7 @@
 	m.HandleFunc("POST /v1/plan/changes", d.handlePlanChanges)
 	m.HandleFunc("POST /v1/zones/{zone}/{op}", d.handleZone)
 	m.HandleFunc("POST /v1/replicas", d.handleMoveReplica)
-	m.HandleFunc("POST /v1/cells/{zone}/{op}", d.handleZone) // as operators' older scripts call them
+	m.HandleFunc("POST /v1/cells/{zone}/{op}", d.handleZone) // used by older operator scripts
 	m.HandleFunc("POST /v1/seats", d.handleMoveReplica)
 	m.HandleFunc("PUT /v1/services/{service}/servers", d.handlePutServers)
 	m.HandleFunc("GET /v1/services/{service}/servers", d.handleGetServers)
@@ -88,7 +88,7 @@
 	}
 }
 
-// handleZone takes a zone out of service, or back.
+// handleZone takes a zone out of service or returns it to service.
 func (d *Daemon) handleZone(w http.ResponseWriter, r *http.Request) {
 	op, zone := r.PathValue("op"), r.PathValue("zone")
 	if op != leadercall.OpEvacuate && op != leadercall.OpReturn || !fleetconfig.IsValidName(zone) {
@@ -96,7 +96,7 @@
 			fmt.Sprintf("zone %q, op %q: expected a zone's name and evacuate or return", zone, op))
 		return
 	}
-	if !d.hasDaemonIn(zone) { // carried out all the same: it may have servers and no daemon
+	if !d.hasDaemonIn(zone) { // not an error: the zone may have servers but no daemon
 		w.Header().Set("Warning", fmt.Sprintf("299 - \"no daemon of the fleet is in zone %s\"", zone))
 	}
 	if _, ok := ReadBody(w, r, maxBody); ok {
@@ -111,7 +111,7 @@
 	return false
 }
 
-// handleMoveReplica gives a replica to another control daemon.
+// handleMoveReplica moves a replica to another control daemon.
 func (d *Daemon) handleMoveReplica(w http.ResponseWriter, r *http.Request) {
 	body, ok := ReadBody(w, r, maxBody)
 	if !ok {
@@ -129,7 +129,7 @@
 	d.forwardCall(w, r, 0, leadercall.OpReplica, leadercall.Pack(call))
 }
 
-// handlePutServers takes a service's list of servers.
+// handlePutServers replaces the list of a service's servers.
 func (d *Daemon) handlePutServers(w http.ResponseWriter, r *http.Request) {
 	body, ok := ReadBody(w, r, maxBody)
 	if !ok {
@@ -171,7 +171,7 @@
 	Respond(w, http.StatusOK, d.State())
 }
 
-// EventsResponse is the daemon's event log, from an entry on.
+// EventsResponse is an excerpt of the daemon's event log.
 type EventsResponse struct {
 	Addr    string           `json:"addr"` // the daemon's HTTP address
 	Ident   string           `json:"ident"`
@@ -203,14 +203,14 @@
 	Respond(w, http.StatusOK, leadercall.Response{Result: leadercall.ResultDone})
 }
 
-// awaitForCall waits for a record for as long as a call may take that only reads.
+// awaitForCall waits for a record for at most the time that a read-only call may take.
 func (d *Daemon) awaitForCall(r *http.Request, partition int, key string) (message.Record, bool) {
 	ctx, cancel := context.WithTimeout(r.Context(), d.Cfg.Bounds.Plan)
 	defer cancel()
 	return d.AwaitRecord(ctx, partition, key)
 }
 
-// respondUnknown answers a call for a record that can't be read now.
+// respondUnknown responds to a call for a record that can't be read at present.
 func (d *Daemon) respondUnknown(w http.ResponseWriter, reason string) {
 	Respond(w, http.StatusServiceUnavailable, leadercall.Response{
 		Result:           resultUnknown,
@@ -219,8 +219,7 @@
 	})
 }
 
-// forwardCall has a partition's leader carry out an operator's call, and answers
-// with its result.
+// forwardCall forwards an operator's call to a partition's leader and responds with the result.
 func (d *Daemon) forwardCall(w http.ResponseWriter, r *http.Request, partition int, op string, body []byte) {
 	status, response := d.Call(r.Context(), partition, op, body, 2*d.Cfg.Bounds.Plan)
 	d.Events.Debug("call", op, "status", status)
--- a/control/daemon/planformat.go
+++ b/control/daemon/planformat.go
@@ -8,16 +8,16 @@
 	"mulleinmast/control/fleetconfig"
 )
 
-// Build names this build to other daemons: what it takes of their messages ("2":
-// load reports of what changed, traffic/loadreport), and the format of plans that it
+// Build identifies this build to other daemons. It names the message formats that it understands
+// ("2": incremental load reports, see traffic/loadreport) and the newest plan format that it
 // reads.
 var Build = fmt.Sprintf("2%s%d", formatSeparator, fleetconfig.NewestFormat())
 
-// formatSeparator stands before the plan format in a build's name. Builds without
-// it read the first format.
+// formatSeparator precedes the plan format in a build's name. Builds without it read only the
+// first format.
 const formatSeparator = "/"
 
-// planFormatOf is the format of plans that a build reads.
+// planFormatOf returns the newest plan format that a build reads.
 func planFormatOf(build string) int {
 	_, format, _ := strings.Cut(build, formatSeparator)
 	n, err := strconv.Atoi(format)
@@ -27,8 +27,8 @@
 	return n
 }
 
-// planFormatOfFleet is the format of plans that all daemons of the fleet read, as
-// far as this one sees them: no plan that needs a later one is taken.
+// planFormatOfFleet returns the newest plan format that all daemons known here read. Plans that
+// need a newer one are rejected.
 func (d *Daemon) planFormatOfFleet() int {
 	lowest := fleetconfig.NewestFormat()
 	for _, m := range d.View().Members {
--- a/control/daemon/plangaps.go
+++ b/control/daemon/plangaps.go
@@ -9,20 +9,20 @@
 	"mulleinmast/control/fleetconfig"
 )
 
-// planGaps measures for how long the plan can't be read here at each change: from
-// its invalidation until the next version came. The lock of partition 0 is held.
+// planGaps measures how long the plan can't be read here at each change: from its invalidation
+// until the next version arrives. The caller holds the lock of partition 0.
 type planGaps struct {
-	from   time.Duration // when it was withdrawn; 0: it isn't
-	length *metrics.Histogram
+	withdrawnAt time.Duration // 0 while the plan isn't withdrawn
+	duration    *metrics.Histogram
 }
 
-// note takes which records a step withdrew and which it made readable.
-func (g *planGaps) note(now time.Duration, withdrawn, readable []string) {
-	if slices.Contains(withdrawn, fleetconfig.PlanKey) && g.from == 0 {
-		g.from = now
+// observe processes the records that a step withdrew and those that it made readable.
+func (g *planGaps) observe(now time.Duration, withdrawn, readable []string) {
+	if slices.Contains(withdrawn, fleetconfig.PlanKey) && g.withdrawnAt == 0 {
+		g.withdrawnAt = now
 	}
-	if slices.Contains(readable, fleetconfig.PlanKey) && g.from > 0 {
-		g.length.Update((now - g.from).Seconds())
-		g.from = 0
+	if slices.Contains(readable, fleetconfig.PlanKey) && g.withdrawnAt > 0 {
+		g.duration.Update((now - g.withdrawnAt).Seconds())
+		g.withdrawnAt = 0
 	}
 }
--- a/control/daemon/readable.go
+++ b/control/daemon/readable.go
@@ -5,18 +5,18 @@
 	"mulleinmast/wire/message"
 )
 
-// maxChecks bounds the records of a partition whose check is remembered; beyond it
-// all are checked once more.
+// maxChecks is the maximum number of cached checks per partition. When it is reached the cache is
+// cleared and records are checked again.
 const maxChecks = 8192
 
-// readCheck is whether this build can read one version of a record.
+// readCheck is the result of checking whether this build can read one version of a record.
 type readCheck struct {
 	version message.Version
 	err     error
 }
 
-// isReadable reports whether this build can read a record, and logs it once a version
-// if not: nothing may be served by it then. The shard's lock is held.
+// isReadable reports whether this build can read a record. An unreadable record must not be used;
+// it is logged once per version. The caller holds the shard's lock.
 func (d *Daemon) isReadable(s *shard, rec message.Record) bool {
 	if known, ok := s.checks[rec.Key]; ok && known.version == rec.Version && rec.Version != (message.Version{}) {
 		return known.err == nil
@@ -27,14 +27,14 @@
 	err := leader.CheckReadable(&d.plans, rec)
 	s.checks[rec.Key] = readCheck{rec.Version, err}
 	if err != nil {
-		d.Events.Warn("record", "a record can't be read: nothing is served by it. If another build wrote it, run that one",
+		d.Events.Warn("record", "ignoring an unreadable record; if another build wrote it, run that build",
 			"partition", s.partition, "error", err)
 	}
 	return err == nil
 }
 
-// unreadableRecords counts the records that this build can't read, of those that it
-// was asked for, with the error of one of them.
+// unreadableRecords returns the number of requested records that this build can't read, and the
+// error of one of them.
 func (d *Daemon) unreadableRecords() (n int, err error) {
 	for _, s := range d.shards {
 		s.mu.Lock()
--- a/control/daemon/readiness.go
+++ b/control/daemon/readiness.go
@@ -9,40 +9,38 @@
 	"mulleinmast/control/fleetconfig"
 )
 
-// readiness is what this daemon found of itself last, and whether it is to stop.
-// ready, lastReady and everReady are written by the membership loop; supersede and
-// Leave take ready back.
+// readiness is the daemon's last known readiness and whether it was asked to stop. The membership
+// loop writes ready, lastReady and everReady; supersede and Leave clear ready.
 type readiness struct {
-	ready     atomic.Bool  // it was at the loop's last look
-	everReady atomic.Bool  // since the start
-	lastReady atomic.Int64 // when it was last, by the daemon's clock; 0: never
-	stopping  atomic.Bool  // it was asked to stop
-	stopFrom  atomic.Int64 // when it was, by the daemon's clock
+	ready           atomic.Bool  // as of the membership loop's last check
+	everReady       atomic.Bool  // at any time since the start
+	lastReady       atomic.Int64 // by the daemon's clock; 0 if never
+	stopping        atomic.Bool  // a stop was requested
+	stopRequestedAt atomic.Int64 // by the daemon's clock
 
-	stage replicaStage // the furthest that its replicas came; the membership loop alone uses it
+	stage replicaStage // highest stage reached by the replicas; used only by the membership loop
 }
 
-// wasReadyWithin reports whether it was ready not longer ago than a time, and isn't
-// stopping.
+// wasReadyWithin reports whether the daemon was ready less than limit ago and isn't stopping.
 func (r *readiness) wasReadyWithin(now, limit time.Duration) bool {
 	last := time.Duration(r.lastReady.Load())
 	return last > 0 && !r.stopping.Load() && now-last < limit
 }
 
-// Ready reports whether the daemon serves and isn't stopping, or did within a volume
-// lease: each change withdraws the configuration for some tens of ms, in which
-// requests wait for it, and hundreds of changes in a row make no daemon unready.
+// Ready reports whether the daemon can serve and isn't stopping, or could do so within the last
+// volume lease. Each change withdraws the configuration for some tens of ms, during which requests
+// wait for it, so that even hundreds of consecutive changes don't make a daemon unready.
 //
 // Example: if d.Ready() { respond(200) }
 func (d *Daemon) Ready() bool {
 	return d.isReady() || d.readiness.wasReadyWithin(d.Now(), d.Cfg.VolumeLease())
 }
 
-// isReady reports whether the daemon was found ready and can serve at this moment.
+// isReady reports whether the daemon was ready at the last check and can serve now.
 func (d *Daemon) isReady() bool { return d.readiness.ready.Load() && d.canServe() }
 
-// isReadyToMembers reports whether the session table is to show this daemon as ready:
-// a dip as short as a change of configuration makes is not worth a change there.
+// isReadyToMembers reports whether the session table shows this daemon as ready. An interruption
+// as short as that of a configuration change isn't worth a table update.
 func (d *Daemon) isReadyToMembers() bool {
 	if d.readiness.ready.Load() {
 		d.readiness.lastReady.Store(int64(d.Now()))
@@ -51,7 +49,7 @@
 	return d.readiness.wasReadyWithin(d.Now(), d.Cfg.MembershipConfig().SessionTimeout)
 }
 
-// canServe reports whether requests can be routed by the configuration here.
+// canServe reports whether requests can be routed by the configuration that is readable here.
 func (d *Daemon) canServe() bool {
 	if d.readiness.stopping.Load() || d.WhySuperseded() != "" {
 		return false
@@ -61,8 +59,8 @@
 	return hasPlan && hasZones
 }
 
-// updateReadiness looks whether the daemon can serve and logs a change; the first
-// time that it can is written out.
+// updateReadiness checks whether the daemon can serve and logs changes; the first time that it
+// becomes ready is logged at level info.
 func (d *Daemon) updateReadiness() {
 	ready := d.canServe()
 	if d.readiness.ready.Swap(ready) == ready {
@@ -78,7 +76,7 @@
 	}
 }
 
-// whyNotReady says for operators what keeps the daemon from being ready.
+// whyNotReady returns the reason shown to operators why the daemon isn't ready.
 func (d *Daemon) whyNotReady() string {
 	if reason := d.WhySuperseded(); reason != "" {
 		return "the state in " + d.Cfg.DataFolder + " is superseded: " + reason
@@ -98,8 +96,8 @@
 	return "no valid leases on the configuration"
 }
 
-// whyNoMajority names the first partition that too few of its group's daemons are
-// members for.
+// whyNoMajority describes the first partition of whose group too few daemons are members of the
+// fleet; empty if there is none.
 func (d *Daemon) whyNoMajority() string {
 	for _, s := range d.shards {
 		group, present := s.group(), 0
--- a/control/daemon/readiness_test.go
+++ b/control/daemon/readiness_test.go
@@ -6,7 +6,7 @@
 // that makes no daemon unready, a volume lease without it does, and an order to
 // stop at once.
 func TestAChangeMakesNoDaemonUnready(t *testing.T) {
-	d := openAlone(t, withLongLeases)
+	d := openIsolated(t, withLongLeases)
 	if d.Ready() {
 		t.Error("ready though it never was")
 	}
--- a/control/daemon/reconcile.go
+++ b/control/daemon/reconcile.go
@@ -11,49 +11,49 @@
 
 // Timeouts of calls to model servers.
 const (
-	pollTimeoutRatio  = 2   // to the poll interval
-	orderTimeoutRatio = 0.2 // to the swap bound
+	pollTimeoutRatio  = 2   // ratio to the poll interval
+	orderTimeoutRatio = 0.2 // ratio to the swap bound
 )
 
-// LoadPoller asks a server for its load.
+// LoadPoller queries a model server's load.
 type LoadPoller interface {
 	Usage(ctx context.Context, addr string) (placement.Usage, error)
 }
 
-// OrderSender gives a server an order. allowed is asked just before the first byte
-// goes out. An error means that the server may or may not have taken the order.
+// OrderSender sends an order to a model server. It calls allowed just before the first byte is
+// sent. After an error it is unknown whether the server received the order.
 type OrderSender interface {
 	Order(ctx context.Context, o placement.Order, ident string, allowed func() bool) error
 }
 
-// noDriver stands for the calls to model servers while no driver is set.
+// noDriver implements LoadPoller and OrderSender while no driver is set.
 type noDriver struct{}
 
-var errNoDriver = Error.New("nobody calls the model servers here")
+var errNoDriver = Error.New("no driver for model servers is set")
 
-// Usage fails.
+// Usage always fails.
 //
 // Example: _, err := noDriver{}.Usage(ctx, addr); err != nil
 func (noDriver) Usage(context.Context, string) (u placement.Usage, err error) {
 	return u, errNoDriver
 }
 
-// Order fails.
+// Order always fails.
 //
 // Example: noDriver{}.Order(ctx, order, ident, allowed) != nil
 func (noDriver) Order(context.Context, placement.Order, string, func() bool) error {
 	return errNoDriver
 }
 
-// reconcile runs a partition's leader over its group, its once keys and its servers,
-// and calls the servers that it names.
+// reconcile has a partition's leader reconcile its group, its once keys and its servers, and makes
+// the calls to servers that it requests.
 func (d *Daemon) reconcile(ctx context.Context, s *shard) {
 	cluster := d.clusterView()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := s.controller.Reconcile(d.Now(), cluster)
 	term := s.controller.Term()
-	d.carryOut(s, out)
+	d.apply(s, out)
 	for _, key := range out.Polls {
 		go d.pollServer(ctx, s, term, key)
 	}
@@ -62,8 +62,8 @@
 	}
 }
 
-// clusterView is what leaders reconcile by: the configuration under valid leases,
-// and the members. No shard's lock is held.
+// clusterView returns the input of leaders' reconciliation: the configuration under valid leases,
+// and the members. The caller must not hold a shard's lock.
 func (d *Daemon) clusterView() (view leader.ClusterView) {
 	view.Plan, view.PlanValid = d.Read(0, fleetconfig.PlanKey)
 	view.Zones, view.ZonesValid = d.Read(0, fleetconfig.ZoneKey)
@@ -75,8 +75,7 @@
 	return view
 }
 
-// pollServer asks a server for its load and reports the answer to the leader that
-// asked for it.
+// pollServer queries a server's load and passes the result to the leader that requested it.
 func (d *Daemon) pollServer(ctx context.Context, s *shard, term uint64, key string) {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeoutRatio*d.Cfg.PlacementConfig().PollInterval)
 	defer cancel()
@@ -86,11 +85,11 @@
 	s.controller.HandlePoll(d.Now(), term, key, usage, err == nil)
 }
 
-// addrOfServer is the address in a server record's key.
+// addrOfServer returns the address in a server record's key.
 func addrOfServer(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
 
-// sendOrder gives a server an order; the leader lease is checked once more just
-// before its first byte.
+// sendOrder sends an order to a server. The leader lease is checked again just before its first
+// byte is sent.
 func (d *Daemon) sendOrder(ctx context.Context, s *shard, order placement.Order) {
 	ctx, cancel := context.WithTimeout(ctx, fraction(d.Cfg.Bounds.Swap, orderTimeoutRatio))
 	defer cancel()
@@ -108,11 +107,11 @@
 	s.controller.HandleOrdered(order, err == nil)
 }
 
-// checkFence reports whether an order bears no lower fence than one that this daemon
-// gave before. The lock is held.
+// checkFence reports whether an order's fence is at least as high as that of all orders sent from
+// here before. The caller holds the lock.
 func (s *shard) checkFence(order placement.Order) bool {
-	ok := fenceRises.Hold(order.Term >= s.highestFence, "partition %d: an order to %s with fence %d after %d",
-		s.partition, order.Addr, order.Term, s.highestFence)
+	ok := fenceMonotonic.Hold(order.Term >= s.highestFence,
+		"partition %d: order to %s has fence %d after one with fence %d", s.partition, order.Addr, order.Term, s.highestFence)
 	s.highestFence = max(s.highestFence, order.Term)
 	return ok
 }
--- a/control/daemon/records.go
+++ b/control/daemon/records.go
@@ -9,8 +9,8 @@
 	"mulleinmast/wire/message"
 )
 
-// Read serves a record from this daemon's cache if both leases are valid now and
-// this build can read it.
+// Read returns a record from this daemon's cache if both leases are valid now and this build can
+// read it.
 //
 // Example: rec, ok := d.Read(0, fleetconfig.PlanKey)
 func (d *Daemon) Read(partition int, key string) (message.Record, bool) {
@@ -21,10 +21,10 @@
 	return rec, ok && d.isReadable(s, rec)
 }
 
-// ReadAllowingStale serves a record under valid leases or, while they aren't renewed,
-// as it was when they lapsed: not longer than MaxStaleness after that, which is short
-// where this daemon is in touch, and never once it was withdrawn. Requests are routed by it and readiness goes by
-// it; nothing is ordered, written or sent to others on its ground.
+// ReadAllowingStale returns a record under valid leases or, while they aren't renewed, as of when
+// they lapsed: at most for MaxStaleness after that, which is short if this daemon is in contact
+// with the leader, and never after the record was withdrawn. Only routing and readiness depend on
+// such records; they are never the basis of orders, writes or messages to others.
 //
 // Example: rec, ok := d.ReadAllowingStale(0, fleetconfig.PlanKey)
 func (d *Daemon) ReadAllowingStale(partition int, key string) (message.Record, bool) {
@@ -35,8 +35,8 @@
 	return rec, ok && d.isReadable(s, rec)
 }
 
-// StaleUntil is until when what ReadAllowingStale serves of a record stands without
-// another look, unless leases are renewed.
+// StaleUntil returns until when the result of ReadAllowingStale remains usable without another
+// check, unless leases are renewed.
 //
 // Example: if d.Now() < d.StaleUntil(p, fleetconfig.ListKey("timetable")) { route() }
 func (d *Daemon) StaleUntil(partition int, key string) time.Duration {
@@ -51,8 +51,8 @@
 	return min(until, now+fraction(d.Cfg.VolumeLease(), staleRecheckRatio))
 }
 
-// ValidUntil is when the first of the leases lapses under which this daemon serves
-// a partition's records, unless they are renewed before.
+// ValidUntil returns when the first of the leases lapses under which this daemon serves a
+// partition's records, unless they are renewed before.
 //
 // Example: if d.Now() < d.ValidUntil(p) { serve() }
 func (d *Daemon) ValidUntil(partition int) time.Duration {
@@ -62,7 +62,8 @@
 	return s.node().ValidUntil()
 }
 
-// LapsedFor is since when this daemon has no volume lease on a partition; 0: it has one.
+// LapsedFor returns for how long this daemon has had no volume lease on a partition; 0 if it has
+// one.
 //
 // Example: if d.LapsedFor(p) > 0 { countAsStale() }
 func (d *Daemon) LapsedFor(partition int) time.Duration {
@@ -72,20 +73,20 @@
 	return max(0, d.Now()-s.node().VolumeExpiry())
 }
 
-// Generation counts the changes of what a partition serves here: what was read stands as
-// long as Generation is the same and ValidUntil has not passed.
+// Generation counts changes of the records that can be served for a partition here. A value that
+// was read remains valid as long as Generation is unchanged and ValidUntil has not passed.
 //
 // Example: gen := d.Generation(p); read(); ...; if d.Generation(p) != gen { readAgain() }
 func (d *Daemon) Generation(partition int) uint64 { return d.shards[partition].generation.Load() }
 
-// Pin has a record kept readable here from now on.
+// Pin keeps a record readable here from now on.
 //
 // Example: d.Pin(p, fleetconfig.ListKey("timetable"))
 func (d *Daemon) Pin(partition int, key string) {
 	d.step(d.shards[partition], func(c *leader.Controller, now time.Duration) leader.Out { return c.Pin(now, key) })
 }
 
-// Unpin ends what Pin began.
+// Unpin undoes Pin.
 //
 // Example: d.Unpin(p, fleetconfig.ServerRecordKey("timetable", "i-7f3a"))
 func (d *Daemon) Unpin(partition int, key string) {
@@ -118,7 +119,8 @@
 	}
 }
 
-// Plan names the plan in force here, if it is under valid leases.
+// Plan returns the ID and version of the current plan; ok is false unless it is under valid
+// leases.
 //
 // Example: id, version, ok := d.Plan()
 func (d *Daemon) Plan() (id string, version uint64, ok bool) {
@@ -130,12 +132,12 @@
 	return plan.ID, plan.Version, true
 }
 
-// OpenPlan reads a plan record, once a version; the plan is not to be changed.
+// OpenPlan decodes a plan record, once per version. The caller must not modify the plan.
 //
 // Example: plan := d.OpenPlan(rec)
 func (d *Daemon) OpenPlan(rec message.Record) fleetconfig.Plan { return d.plans.Open(rec) }
 
-// Term is the term of a partition's leader as far as known; attempts carry it.
+// Term returns the term of a partition's leader as far as this daemon knows it; attempts carry it.
 //
 // Example: term := d.Term(p)
 func (d *Daemon) Term(partition int) uint64 { return d.View().Leaderships[partition].Term }
--- a/control/daemon/records_test.go
+++ b/control/daemon/records_test.go
@@ -14,7 +14,7 @@
 // soon as it wakes from a suspend, and never once MaxStaleness has passed; what is
 // read under leases needs them all the while.
 func TestStaleReadsEndWithMaxStaleness(t *testing.T) {
-	d := openAlone(t, func(cfg *Config) {
+	d := openIsolated(t, func(cfg *Config) {
 		withLongLeases(cfg)
 		cfg.Bounds.Recover = 1200 * time.Second
 	})
--- a/control/daemon/response.go
+++ b/control/daemon/response.go
@@ -11,7 +11,7 @@
 	"mulleinmast/control/leadercall"
 )
 
-// Results of the daemon's own answers, beside those of leadercall.
+// Results of the daemon's own responses, in addition to those of leadercall.
 const (
 	resultLive     = "live"
 	resultReady    = "ready"
@@ -19,8 +19,8 @@
 	resultUnknown  = "not known"
 )
 
-// Respond writes a JSON answer: a value, or bytes that are JSON already. One that the
-// caller should ask for again carries Retry-After.
+// Respond writes a JSON response: an encoded value, or bytes that are already JSON. Status 429 and
+// server errors carry a Retry-After header.
 //
 // Example: daemon.Respond(w, 503, leadercall.Response{Result: "refused", RetryAfterMillis: 1500})
 func Respond(w http.ResponseWriter, status int, v any) {
@@ -36,20 +36,21 @@
 	_, _ = w.Write(append(body, '\n'))
 }
 
-// retryAfter is the time to come back that an answer names, in whole seconds, at
+// retryAfter returns the retry delay that a response names, rounded up to whole seconds and at
 // least one.
 func retryAfter(body []byte) string {
 	var response leadercall.Response
-	_ = json.Unmarshal(body, &response) // another body names none
+	_ = json.Unmarshal(body, &response) // other bodies name no delay
 	return strconv.FormatInt(max(1, (response.RetryAfterMillis+999)/1000), 10)
 }
 
-// respondFaults answers a call that is wrong in itself.
+// respondFaults responds to an invalid call.
 func respondFaults(w http.ResponseWriter, status int, faults ...string) {
 	Respond(w, status, leadercall.Response{Result: leadercall.ResultInvalid, Faults: faults})
 }
 
-// ReadBody reads a request's body up to a bound in bytes; false: it was answered.
+// ReadBody reads a request's body up to a limit in bytes. If it returns false, it has already
+// responded with an error.
 //
 // Example: body, ok := daemon.ReadBody(w, r, 1<<20)
 func ReadBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, bool) {
@@ -59,7 +60,7 @@
 	case errors.As(err, &tooLarge):
 		respondFaults(w, http.StatusRequestEntityTooLarge, fmt.Sprintf("body: more than %d bytes", limit))
 	case err != nil:
-		// What did not come whole may be in order: nothing is claimed of it.
+		// The body is incomplete, which doesn't mean that the request is invalid.
 		response := leadercall.Response{Result: leadercall.ResultNotDone, Reason: "body: " + err.Error()}
 		Respond(w, http.StatusRequestTimeout, response)
 	}
--- a/control/daemon/serverlists.go
+++ b/control/daemon/serverlists.go
@@ -16,39 +16,39 @@
 )
 
 const (
-	// pullRatio is the interval between two looks at the source, to the bound in
-	// which a leaving server gets no more work.
+	// pullRatio is the interval between two polls of the source, as a ratio to the bound in which
+	// a leaving server stops receiving requests.
 	pullRatio = pullShare
-	// pullTimeouts is how many timeouts of a pull fit into that bound.
+	// pullTimeouts is how many poll timeouts fit into that bound.
 	pullTimeouts = 3
-	// listSequenceBits is how many lists one term may number, as a power of two.
+	// listSequenceBits is the number of bits of a list's version that count the lists of one term.
 	listSequenceBits = 24
 )
 
-// ServerSource names the servers by service. Where the platform keeps a list to be
-// asked for, the leader of the configuration asks, and writes what changed to the
-// leaders of the services.
+// ServerSource lists the model servers by service. If the platform keeps a list that can be
+// queried, the leader of the configuration polls it and writes changes to the leaders of the
+// services.
 type ServerSource interface {
-	// List asks for the whole list; an error leaves everything as it is.
+	// List returns the complete list; on an error all lists stay unchanged.
 	List(ctx context.Context) (map[string][]fleetconfig.Server, error)
 }
 
-// listWriter writes the source's lists under one term of the configuration's leader.
-// One pull runs at a time.
+// listWriter writes the source's lists during one term of the configuration's leader. Only one
+// poll runs at a time.
 type listWriter struct {
-	term     uint64
-	sequence uint64      // of the lists written under the term
-	isOver   func() bool // the term has ended, or its leader lease; nil: never
+	term      uint64
+	sequence  uint64      // number of the last list written in the term
+	termEnded func() bool // reports whether the term or its leader lease has ended; nil: never
 
 	mu       sync.Mutex        // guards accepted
-	accepted map[string][]byte // by service: the list as its leader took it
+	accepted map[string][]byte // by service: the list that its leader accepted
 }
 
-func newListWriter(term uint64, isOver func() bool) *listWriter {
-	return &listWriter{term: term, isOver: isOver, accepted: map[string][]byte{}}
+func newListWriter(term uint64, termEnded func() bool) *listWriter {
+	return &listWriter{term: term, termEnded: termEnded, accepted: map[string][]byte{}}
 }
 
-// isAccepted reports whether a service's leader has a list already.
+// isAccepted reports whether a service's leader already has a list.
 func (l *listWriter) isAccepted(service string, packed []byte) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -61,14 +61,13 @@
 	l.accepted[service] = packed
 }
 
-// nextVersion numbers a list above all of earlier terms.
+// nextVersion returns the version of the next list, above those of all earlier terms.
 func (l *listWriter) nextVersion() uint64 {
 	l.sequence++
 	return l.term<<listSequenceBits + l.sequence
 }
 
-// runServerLists asks the source at a steady pace while this daemon leads the
-// configuration.
+// runServerLists polls the source at a fixed interval while this daemon leads the configuration.
 func (d *Daemon) runServerLists(ctx context.Context) error {
 	ticker := time.NewTicker(fraction(d.Cfg.Bounds.Leave, pullRatio))
 	defer ticker.Stop()
@@ -90,16 +89,15 @@
 	}
 }
 
-// pullServerLists asks the source once and writes what changed, each list to the
-// leader of its service.
+// pullServerLists polls the source once and writes each changed list to the leader of its service.
 func (d *Daemon) pullServerLists(ctx context.Context, lists *listWriter) {
 	timeout := d.Cfg.Bounds.Leave / pullTimeouts
-	begun := d.Now()
+	started := d.Now()
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	servers, err := d.ServerSource.List(ctx)
 	if err != nil {
-		d.Events.Debug("source", "no list", "error", err)
+		d.Events.Debug("source", "listing the servers failed", "error", err)
 		return
 	}
 	d.addEmptyServices(servers)
@@ -108,14 +106,14 @@
 	for _, service := range slices.Sorted(maps.Keys(servers)) {
 		list := sortedList(servers[service])
 		if faults := list.Validate(); faults.Any() || !fleetconfig.IsValidName(service) {
-			d.Events.Debug("source", "a list is not taken", "service", service, "faults", faults.List)
+			d.Events.Debug("source", "ignoring an invalid list", "service", service, "faults", faults.List)
 			continue
 		}
 		packed := leadercall.Pack(list)
 		if lists.isAccepted(service, packed) {
 			continue
 		}
-		if lists.isOver != nil && lists.isOver() { // the rest is for the next leader
+		if lists.termEnded != nil && lists.termEnded() { // the next leader writes the remaining lists
 			return
 		}
 		list.Version = lists.nextVersion()
@@ -123,19 +121,20 @@
 			call := leadercall.Pack(leader.ServersCall{Service: service, List: list})
 			status, _ := d.Call(ctx, d.Partition(service), leadercall.OpServers, call, timeout)
 			if status != http.StatusOK {
-				d.Events.Info("source", "a list of servers is not written yet", "service", service, "status", status,
-					"after", (d.Now() - begun).Round(time.Millisecond))
+				d.Events.Info("source", "writing a list of servers failed; will retry", "service", service, "status", status,
+					"after", (d.Now() - started).Round(time.Millisecond))
 				return
 			}
-			d.listDelay.Update((d.Now() - begun).Seconds())
+			d.listDelay.Update((d.Now() - started).Seconds())
 			lists.accept(service, packed)
 		})
 	}
 }
 
-// addEmptyServices adds the plan's services that the source doesn't name: they have
-// no server any more. While a plan is being written, which in a row of changes is
-// nearly always, it can't be read: these services wait for it, the lists don't.
+// addEmptyServices adds the plan's services that the source doesn't name: they no longer have
+// servers. While a plan is being written, which is nearly always the case during a series of
+// changes, it can't be read. Then the removal of these services' servers is delayed, but the other
+// lists are still written.
 func (d *Daemon) addEmptyServices(servers map[string][]fleetconfig.Server) {
 	rec, ok := d.Read(0, fleetconfig.PlanKey)
 	if !ok {
@@ -148,8 +147,8 @@
 	}
 }
 
-// sortedList is a list with its servers in the order of their keys, so that like
-// lists are packed alike.
+// sortedList returns a list with its servers sorted by key, so that equal lists have equal
+// encodings.
 func sortedList(servers []fleetconfig.Server) fleetconfig.List {
 	slices.SortFunc(servers, func(a, b fleetconfig.Server) int { return strings.Compare(a.Key(), b.Key()) })
 	return fleetconfig.List{Servers: servers}
--- a/control/daemon/serverlists_test.go
+++ b/control/daemon/serverlists_test.go
@@ -19,7 +19,7 @@
 // While a plan is being written it can't be read at its leader, and in a row of
 // changes that is nearly always so: the servers' lists go on all the same.
 func TestListsDoNotWaitForAPlan(t *testing.T) {
-	d := openAlone(t, func(*Config) {})
+	d := openIsolated(t, func(*Config) {})
 	d.ServerSource = fakeSource{}
 	if _, ok := d.Read(0, fleetconfig.PlanKey); ok {
 		t.Fatal("the plan can be read")
--- a/control/daemon/shard.go
+++ b/control/daemon/shard.go
@@ -15,19 +15,19 @@
 
 // Ratios to the volume lease.
 const (
-	shardTicks     = 32 // the shards are ticked so often in a volume lease
-	reconcileTicks = 16 // and a leader reconciles so often
+	shardTicks     = 32 // ticks of the shards per volume lease
+	reconcileTicks = 16 // reconciliations of a leader per volume lease
 )
 
-// shard is one partition on this daemon: its state machine under a lock.
+// shard is one partition on this daemon: its state machine and a lock.
 type shard struct {
 	partition  int
-	generation atomic.Uint64 // counts changes of what may be served; written under mu
+	generation atomic.Uint64 // counts changes of the records that may be served; written under mu
 
 	mu           sync.Mutex         // guards the fields below
 	controller   *leader.Controller // the state machine
 	parents      membership.ParentChooser
-	highestFence uint64               // of the orders that were given from here
+	highestFence uint64               // highest fence of the orders sent from here
 	lastSave     uint64               // newest save that was reported as done
 	checks       map[string]readCheck // of requested records, by key
 }
@@ -40,22 +40,21 @@
 	}
 }
 
-// replica is nil on a daemon without a data folder.
+// replica returns the partition's replica; nil on a daemon without a data folder.
 func (s *shard) replica() *quorum.Replica { return s.controller.Partition().Replica }
 
 func (s *shard) node() *lease.Node { return s.controller.Partition().Node }
 
-// step runs one input through a shard's state machine and carries out what it asks
-// for. The lock is released however the step ends: a fault in one step must not
-// keep all others waiting.
+// step passes one input to a shard's state machine and executes the result. The lock is released
+// even if the step panics, so that one faulty step doesn't block all others.
 func (d *Daemon) step(s *shard, input func(c *leader.Controller, now time.Duration) leader.Out) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d.carryOut(s, input(s.controller, d.Now()))
+	d.apply(s, input(s.controller, d.Now()))
 }
 
-// carryOut does what a step asks for. The shard's lock is held.
-func (d *Daemon) carryOut(s *shard, out leader.Out) {
+// apply executes the result of a step. The caller holds the shard's lock.
+func (d *Daemon) apply(s *shard, out leader.Out) {
 	if out.Superseded != "" {
 		d.supersede(s.partition, out.Superseded)
 	}
@@ -68,18 +67,18 @@
 	for _, line := range out.Events {
 		d.Events.Debug(line.Kind, line.Text)
 	}
-	d.noteLeadership(s, out)
-	d.followTree(s, out)
+	d.recordLeadershipChange(s, out)
+	d.updateParent(s, out)
 	if s.partition == 0 {
-		d.planGaps.note(d.Now(), out.Withdrawn, out.Readable)
+		d.planGaps.observe(d.Now(), out.Withdrawn, out.Readable)
 	}
-	d.announce(s, out)
+	d.notifyChanges(s, out)
 }
 
-// noteLeadership counts and logs a leadership that was won or lost.
-func (d *Daemon) noteLeadership(s *shard, out leader.Out) {
+// recordLeadershipChange counts won leaderships and logs lost ones.
+func (d *Daemon) recordLeadershipChange(s *shard, out leader.Out) {
 	if out.Won {
-		d.leadsWon.Inc()
+		d.leadershipsWon.Inc()
 	}
 	if !out.Lost {
 		return
@@ -91,12 +90,12 @@
 	log("leader", "leadership lost", "partition", s.partition)
 }
 
-// followTree has the next parent chosen where the present one can't serve or names
-// a better one.
-func (d *Daemon) followTree(s *shard, out leader.Out) {
+// updateParent has the next parent selected if the current one can't serve or redirects to a
+// better one.
+func (d *Daemon) updateParent(s *shard, out leader.Out) {
 	if out.Orphaned {
 		s.parents.FallBackToLeader(d.Now())
-		d.Events.Debug("tree", "the parent can't serve", "partition", s.partition, "parent", s.node().Parent().Addr)
+		d.Events.Debug("tree", "parent cannot serve", "partition", s.partition, "parent", s.node().Parent().Addr)
 	}
 	if out.Redirect.Ident != "" {
 		s.parents.FollowRedirect(d.Now(), out.Redirect)
@@ -104,8 +103,8 @@
 	}
 }
 
-// announce wakes those who wait for a change of records or of what may be served.
-func (d *Daemon) announce(s *shard, out leader.Out) {
+// notifyChanges wakes goroutines that wait for a change of records or of their validity.
+func (d *Daemon) notifyChanges(s *shard, out leader.Out) {
 	if len(out.Readable)+len(out.Withdrawn) > 0 || out.Won || out.Lost {
 		d.changes.notify()
 	}
@@ -115,8 +114,8 @@
 	}
 }
 
-// runShards lets time pass in all partitions, one after another: one timer, and one
-// write to each daemon that several of them send to.
+// runShards ticks all partitions one after another: this takes one timer, and messages of several
+// partitions to the same daemon are sent in one write.
 func (d *Daemon) runShards(ctx context.Context) error {
 	ticker := time.NewTicker(d.Cfg.VolumeLease() / shardTicks)
 	defer ticker.Stop()
@@ -128,7 +127,7 @@
 		case <-ticker.C:
 		}
 		d.Transport.Coalesce(func() {
-			// Only control daemons lead anything.
+			// Only control daemons lead partitions.
 			reconcile := d.store != nil && d.Now()-reconciled >= d.Cfg.VolumeLease()/reconcileTicks
 			if reconcile {
 				reconciled = d.Now()
@@ -145,26 +144,26 @@
 	}
 }
 
-// tickShard lets time pass in a partition's leases, leadership and place in the
-// lease tree.
+// tickShard advances a partition's leases, leadership and position in the lease tree to the
+// current time.
 func (d *Daemon) tickShard(s *shard, view *membership.View) {
 	now := d.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	d.carryOut(s, s.controller.Tick(now))
+	d.apply(s, s.controller.Tick(now))
 	if parent := s.parents.Parent(now, view); parent != s.node().Parent() && !s.node().IsRoot() {
-		d.carryOut(s, s.controller.SetParent(now, parent))
+		d.apply(s, s.controller.SetParent(now, parent))
 	}
 	for _, e := range s.parents.ReturnRedirects(s.node().HasVolumeLease(now), s.node().VolumeEpoch(), view) {
 		d.Transport.Send(e)
 	}
 }
 
-// isLeader reports whether this daemon leads the partition now. The lock is held.
+// isLeader reports whether this daemon currently leads the partition. The caller holds the lock.
 func (s *shard) isLeader(now time.Duration) bool { return s.controller.IsLeader(now) }
 
-// group is that of the partition as the replica here knows it; the zero group
-// without one. The lock is not held.
+// group returns the partition's group as known to the replica here, or the zero group if there is
+// none. The caller must not hold the lock.
 func (s *shard) group() message.Group {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,7 +173,7 @@
 	return s.replica().Group()
 }
 
-// termLed is the term under which this daemon leads a partition now; 0: it doesn't.
+// termLed returns the term in which this daemon currently leads a partition; 0 if it doesn't.
 func (d *Daemon) termLed(partition int) uint64 {
 	s := d.shards[partition]
 	s.mu.Lock()
--- a/control/daemon/state.go
+++ b/control/daemon/state.go
@@ -16,14 +16,14 @@
 	Fleet       string           `json:"fleet"`
 	Me          message.Member   `json:"me"`
 	Members     []message.Member `json:"members"`
-	Live        bool             `json:"live"` // it has a session
+	Live        bool             `json:"live"` // whether it has a session
 	PlanVersion uint64           `json:"plan_version"`
-	PlanValid   bool             `json:"plan_valid"` // under valid leases
+	PlanValid   bool             `json:"plan_valid"` // whether the plan is under valid leases
 	ZonesOut    []string         `json:"cells_out"`  // evacuated zones
 	Partitions  []PartitionView  `json:"parts"`
-	Superseded  string           `json:"superseded,omitempty"` // why, if it is
+	Superseded  string           `json:"superseded,omitempty"` // reason, if the state is superseded
 	WireCounts  [3]int64         `json:"wire_sent_got_lost"`   // messages
-	Traffic     map[string]any   `json:"traffic,omitempty"`    // what the data plane adds
+	Traffic     map[string]any   `json:"traffic,omitempty"`    // data plane's part
 }
 
 // PartitionView is one partition as this daemon sees it.
@@ -35,10 +35,10 @@
 	LastCompleteTerm uint64             `json:"set"`
 	Records          int                `json:"records"`
 	Lease            lease.View         `json:"node"`
-	Servers          []placement.Row    `json:"servers,omitempty"` // at the leader alone
+	Servers          []placement.Row    `json:"servers,omitempty"` // only at the leader
 }
 
-// State dumps what this daemon knows.
+// State returns the daemon's current state.
 //
 // Example: json.Marshal(d.State())
 func (d *Daemon) State() State {
@@ -62,7 +62,7 @@
 	return state
 }
 
-// zonesOut are the evacuated zones, sorted.
+// zonesOut returns the evacuated zones, sorted.
 func (d *Daemon) zonesOut() []string {
 	zones := []string{}
 	if rec, ok := d.Read(0, fleetconfig.ZoneKey); ok {
@@ -74,7 +74,7 @@
 	return zones
 }
 
-// view is the partition for the state dump.
+// view returns the partition's part of the state dump.
 func (s *shard) view(clock func() time.Duration, fleet *membership.View) PartitionView {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/control/daemon/superseded.go
+++ b/control/daemon/superseded.go
@@ -5,23 +5,23 @@
 	"sync/atomic"
 )
 
-// supersession is whether another process, or a later state, bears the identity of
-// this daemon's data folder, and why.
+// supersession records whether, and why, this daemon's state is superseded: another process, or a
+// later state, uses the identity of its data folder.
 type supersession struct {
 	once   sync.Once
 	reason atomic.Pointer[string]
-	done   chan struct{} // closed when no partition speaks for the folder any more
+	done   chan struct{} // closed once all partitions have stopped using this state
 }
 
 func newSupersession() *supersession { return &supersession{done: make(chan struct{})} }
 
-// Superseded is closed once this daemon's state is superseded: it has no vote any
-// more and is to end; its next start is an empty one.
+// Superseded returns a channel that is closed once this daemon's state is superseded: it no longer
+// votes and must exit; the next start begins empty.
 //
 // Example: <-d.Superseded()
 func (d *Daemon) Superseded() <-chan struct{} { return d.supersession.done }
 
-// WhySuperseded says why this daemon's state is superseded; empty: it isn't.
+// WhySuperseded returns why this daemon's state is superseded; empty if it isn't.
 //
 // Example: if reason := d.WhySuperseded(); reason != "" { leave() }
 func (d *Daemon) WhySuperseded() string {
@@ -31,27 +31,28 @@
 	return ""
 }
 
-// supersede takes the vote from all of this daemon's replicas. A shard's lock is held.
+// supersede removes the votes of all of this daemon's replicas. The caller holds a shard's lock.
 func (d *Daemon) supersede(partition int, reason string) {
 	d.supersession.once.Do(func() {
 		d.supersession.reason.Store(&reason)
 		d.readiness.ready.Store(false)
-		d.Events.Warn("disk", "the state here is superseded and has no vote; this daemon ends, and starts empty next time",
+		d.Events.Warn("disk",
+			"the state in the data folder is superseded and has no vote; stopping, the next start begins empty",
 			"partition", partition, "reason", reason, "folder", d.Cfg.DataFolder)
 		go d.supersedeAll(reason)
 	})
 }
 
-// supersedeAll has no partition speak for the folder any more, and marks it, so that
-// the next start sets the state aside.
+// supersedeAll supersedes the state of all partitions and marks the data folder, so that the next
+// start moves the state aside.
 func (d *Daemon) supersedeAll(reason string) {
 	for _, s := range d.shards {
 		s.mu.Lock()
-		d.carryOut(s, s.controller.Supersede(d.Now(), reason))
+		d.apply(s, s.controller.Supersede(d.Now(), reason))
 		s.mu.Unlock()
 	}
-	if err := d.store.MarkSuperseded(); err != nil { // the next start learns it from the others again
-		d.Events.Warn("disk", "the data folder can't be marked as superseded", "error", err)
+	if err := d.store.MarkSuperseded(); err != nil { // the next start will learn it from the other daemons
+		d.Events.Warn("disk", "cannot mark the data folder as superseded", "error", err)
 	}
 	close(d.supersession.done)
 }
--- a/control/daemon/testswitches.go
+++ b/control/daemon/testswitches.go
@@ -9,8 +9,8 @@
 	"mulleinmast/control/leadercall"
 )
 
-// registerTestSwitches adds the calls by which tests bring failures about; they are
-// open only where the configuration says so.
+// registerTestSwitches registers the fault injection endpoints for tests; the configuration must
+// enable them.
 func (d *Daemon) registerTestSwitches() {
 	m := d.Mux
 	m.HandleFunc("POST /test/cut", addressSwitch(&d.Transport.DropPeers))
@@ -21,7 +21,7 @@
 	m.HandleFunc("POST /test/full", d.handleFullDisk)
 }
 
-// addressSwitch sets the addresses that a failure befalls; the body is their list.
+// addressSwitch sets the addresses that a fault applies to; the request body lists them.
 func addressSwitch(to *atomic.Pointer[map[string]bool]) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var list []string
@@ -38,7 +38,7 @@
 	}
 }
 
-// delaySwitch sets how much longer something takes.
+// delaySwitch sets an additional delay.
 func delaySwitch(to *atomic.Int64) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		delay, err := time.ParseDuration(r.URL.Query().Get("for"))
@@ -51,14 +51,14 @@
 	}
 }
 
-// leapResponse says what is still led, held or valid the moment after a leap.
+// leapResponse reports what is still led, held or valid just after the clock was advanced.
 type leapResponse struct {
 	PartitionsHeld int    `json:"parts_still_held"`
 	PlanValid      bool   `json:"plan_still_valid"`
 	Result         string `json:"result"`
 }
 
-// handleLeap has the clock go on as after a suspend.
+// handleLeap advances the clock as a suspend of the machine does.
 func (d *Daemon) handleLeap(w http.ResponseWriter, r *http.Request) {
 	by, err := time.ParseDuration(r.URL.Query().Get("by"))
 	if err != nil || by < 0 {
@@ -76,7 +76,7 @@
 	Respond(w, http.StatusOK, response)
 }
 
-// handleFullDisk has the disk take no more bytes, or again.
+// handleFullDisk makes the disk reject writes as if it were full, or accept them again.
 func (d *Daemon) handleFullDisk(w http.ResponseWriter, r *http.Request) {
 	if d.store == nil {
 		respondFaults(w, http.StatusBadRequest, "no data folder here")
--- a/control/daemon/timing.go
+++ b/control/daemon/timing.go
@@ -19,7 +19,7 @@
 	slowLinkRatio    = 0.05
 )
 
-// Ratios to the bound in which a leaving server gets no more work.
+// Ratios to the bound in which a leaving server stops receiving requests.
 const (
 	pollRatio        = 0.08
 	shareRatio       = 0.25
@@ -27,12 +27,13 @@
 )
 
 const (
-	// lostReplicaRatio is the part of the catch-up bound after which a silent replica
-	// goes to a learner: longer than a restart takes, and what is left of the bound is
-	// more than an election and a step of a group change take.
+	// lostReplicaRatio is the part of the catch-up bound after which a learner takes over a silent
+	// replica. It is longer than a restart takes, and the rest of the bound is longer than an
+	// election and a step of a group change take.
 	lostReplicaRatio = 0.5
-	// resendRatio is the time in which an operator may send an order again, to that
-	// in which it is acknowledged: what a try may be held up on its way.
+	// resendRatio is the time in which an operator may resend an order, as a ratio to the time in
+	// which an order is acknowledged. The difference covers how long a try may be delayed on its
+	// way.
 	resendRatio = 1.25
 )
 
@@ -40,8 +41,8 @@
 	return time.Duration(float64(d) * ratio)
 }
 
-// VolumeLease is the length of the volume leases: a record is withdrawn within a share of the bound
-// on a change of the plan, and of that on a server that leaves.
+// VolumeLease returns the length of the volume leases. It is short enough that a record is
+// withdrawn within a share of the bound on a plan change and of the bound on a leaving server.
 //
 // Example: c.VolumeLease() == 800*time.Millisecond for a plan bound of 2 s
 func (c Config) VolumeLease() time.Duration {
@@ -49,24 +50,24 @@
 	return min(fraction(c.Bounds.Plan, volumeLeaseRatio), longest)
 }
 
-// margin is added to a lease where it is granted, beside the drift of the clocks.
+// margin returns the time added to a lease by its granter, in addition to the drift of the clocks.
 func (c Config) margin() time.Duration {
 	return fraction(min(c.Bounds.Plan, c.Bounds.Leave), marginRatio)
 }
 
-// OnceKeyRetention is how long a once key is kept; no request's timeout is longer
-// than half.
+// OnceKeyRetention returns how long a once key is kept. Request timeouts are at most half of it.
 //
 // Example: c.OnceKeyRetention() == 20*time.Minute for a recovery bound of 12 s
 func (c Config) OnceKeyRetention() time.Duration { return 100 * c.Bounds.Recover }
 
-// ResendWindow is for how long after it was taken an operator may send an order
-// again: as long as it waits for an acknowledgement, and what a try may be held up.
+// ResendWindow returns for how long after accepting an order the leader recognizes it when an
+// operator sends it again: the time that the operator waits for an acknowledgement plus the time
+// that a try may be delayed.
 //
 // Example: c.ResendWindow() == 5*time.Second for an acknowledgement within 4 s
 func (c Config) ResendWindow() time.Duration { return fraction(c.AckBound, resendRatio) }
 
-// LeaseConfig is the config of the lease tree.
+// LeaseConfig returns the configuration of the lease tree.
 //
 // Example: node := lease.New(c.LeaseConfig(), 0, self, epoch)
 func (c Config) LeaseConfig() lease.Config {
@@ -82,7 +83,7 @@
 	}
 }
 
-// QuorumConfig is the config of the partitions' replicas.
+// QuorumConfig returns the configuration of the partitions' replicas.
 //
 // Example: replica := quorum.New(c.QuorumConfig(), initial, now)
 func (c Config) QuorumConfig() quorum.Config {
@@ -96,7 +97,7 @@
 	}
 }
 
-// MembershipConfig is the config of the session table.
+// MembershipConfig returns the configuration of the session table.
 //
 // Example: table := membership.New(c.MembershipConfig(), self, c.Seeds)
 func (c Config) MembershipConfig() membership.Config {
@@ -109,7 +110,7 @@
 	}
 }
 
-// PlacementConfig is the config of the servers' controller.
+// PlacementConfig returns the configuration of the placement controller of the servers.
 //
 // Example: p := placement.New(c.PlacementConfig(), term, since)
 func (c Config) PlacementConfig() placement.Config {
--- a/control/daemon/unreadable_test.go
+++ b/control/daemon/unreadable_test.go
@@ -13,7 +13,7 @@
 	"mulleinmast/wire/message"
 )
 
-const planOfAnotherBuild = "m\xffof another build"
+const planFromOtherBuild = "m\xffof another build"
 
 // A record that this build can't read is served to nobody here, whatever the
 // leases say, and the daemon goes on: it isn't ready, says why, and is again once
@@ -21,11 +21,11 @@
 func TestUnreadableRecordIsNotServed(t *testing.T) {
 	readable := map[string]string{fleetconfig.PlanKey: "{}", fleetconfig.ZoneKey: `["north"]`}
 	for _, c := range []struct{ name, key, value string }{
-		{"plan", fleetconfig.PlanKey, planOfAnotherBuild},
+		{"plan", fleetconfig.PlanKey, planFromOtherBuild},
 		{"zones", fleetconfig.ZoneKey, `{"zones":["north"]}`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := openAlone(t, withLongLeases)
+			d := openIsolated(t, withLongLeases)
 			fromParent := grantVolumeLease(d)
 			grant := func(seq uint64, values map[string]string) {
 				var records []message.Record
@@ -88,7 +88,7 @@
 		t.Fatalf("the first plan: %d %s", status, answer)
 	}
 	first.stop()
-	overwritePlan(t, cfg, planOfAnotherBuild)
+	overwritePlan(t, cfg, planFromOtherBuild)
 
 	second := runDaemon(t, cfg)
 	status, answer = second.Call(t.Context(), 0, leadercall.OpEvacuate, []byte("north"), 20*time.Second)
--- a/control/daemon/wirelog.go
+++ b/control/daemon/wirelog.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// wireLogRatio is the time between two looks at what the transport carried, to the
-	// bound on a change of the plan.
+	// wireLogRatio is the interval between two samples of the transport's counters, as a ratio to
+	// the plan bound.
 	wireLogRatio = 2
-	// busyBytesPerSecond is what a daemon sends at least, on average, where a look is logged.
+	// busyBytesPerSecond is the average rate of sent bytes from which on an interval is logged.
 	busyBytesPerSecond = 64 << 10
-	// loggedKinds is how many kinds of messages a line names.
+	// loggedKinds is the maximum number of message kinds named in a log entry.
 	loggedKinds = 4
 )
 
-// wireUsage tells what a transport carried between two looks at its counters.
+// wireUsage is a sample of the transport's counters.
 type wireUsage struct {
 	at     time.Duration
 	counts map[string]transport.KindCount
 }
 
-// runWireLog logs, while this daemon sends much, which kinds of messages that is.
+// runWireLog logs which kinds of messages cause the traffic while this daemon sends much.
 func (d *Daemon) runWireLog(ctx context.Context) error {
 	ticker := time.NewTicker(fraction(d.Cfg.Bounds.Plan, wireLogRatio))
 	defer ticker.Stop()
@@ -47,7 +47,7 @@
 	}
 }
 
-// since describes what was carried after an earlier look; "" if that is little.
+// since describes the traffic since an earlier sample; empty if there was little.
 func (u wireUsage) since(earlier wireUsage) string {
 	seconds := (u.at - earlier.at).Seconds()
 	sent, received := map[string]int64{}, map[string]int64{}
@@ -64,7 +64,7 @@
 		float64(sentBytes)/seconds/1024, largestKinds(sent), float64(receivedBytes)/seconds/1024, largestKinds(received))
 }
 
-// largestKinds names the kinds with the most bytes.
+// largestKinds lists the kinds with the most bytes.
 func largestKinds(bytes map[string]int64) string {
 	kinds := slices.SortedFunc(maps.Keys(bytes), func(a, b string) int {
 		return cmp.Or(cmp.Compare(bytes[b], bytes[a]), cmp.Compare(a, b))
--- a/control/eventlog/eventlog.go
+++ b/control/eventlog/eventlog.go
@@ -1,7 +1,7 @@
-// Package eventlog is the daemon's log: a ring of entries in memory. An entry has
-// a level, a kind (the part of the daemon that it is about), a message and fields.
-// Debug entries stay in the ring, an information is written out at once, and a
-// warning has the entries before it written out with it.
+// Package eventlog is the daemon's log: a ring buffer of entries in memory. An entry has a level,
+// a kind (the part of the daemon that it concerns), a message and fields. Debug entries stay in
+// the ring buffer. Info entries are also written out at once. A warning is written out together
+// with the entries before it.
 package eventlog
 
 import (
@@ -16,39 +16,39 @@
 )
 
 const (
-	// warningKind stands before the kind of a warning in the ring, in what is
-	// written out, and in the scripts that look for it.
+	// warningKind is the prefix of the kind of a warning: in the ring buffer, in the output, and
+	// in scripts that search for it.
 	warningKind = "trouble "
-	// flushInterval is the least time between two warnings that have the ring
-	// written out, so that a row of them doesn't fill the disk.
+	// flushInterval is the minimum time between two warnings that write out the ring buffer, so
+	// that a series of warnings doesn't fill the disk.
 	flushInterval = 10 * time.Second
-	// missingValue stands for the value of a key without one.
+	// missingValue replaces the value of a key without one.
 	missingValue = "(none)"
 )
 
-// Entry is one line of the ring.
+// Entry is one entry of the log.
 type Entry struct {
-	Number uint64    `json:"no"`   // counts up from 1
-	Wall   time.Time `json:"wall"` // for people; nothing is decided by it
+	Number uint64    `json:"no"`   // sequence number, starting at 1
+	Wall   time.Time `json:"wall"` // informational; not used for decisions
 	Kind   string    `json:"kind"`
 	Text   string    `json:"text"` // the message and its fields
 }
 
-// Log is the ring with its writer. Its methods may be called by several goroutines.
+// Log is the ring buffer with its output. Its methods are safe for concurrent use.
 type Log struct {
-	// Verbose has each entry written out as it comes. Set it before the first one.
+	// Verbose makes the log write out each entry at once. Set it before the first entry.
 	Verbose bool
 
 	out log.Logger
 
 	mu        sync.Mutex // guards the fields below
-	ring      []Entry    // entry n stands at n modulo the length
-	newest    uint64     // number of the newest entry, 0 before the first
-	flushed   uint64     // number of the newest entry that a warning wrote out
-	flushedAt time.Time  // when it did
+	ring      []Entry    // entry n is at index n modulo the length
+	newest    uint64     // number of the newest entry; 0 if there is none
+	flushed   uint64     // number of the newest entry written out by a warning
+	flushedAt time.Time  // when a warning last wrote out entries
 }
 
-// New makes a ring of a number of entries that writes out to w.
+// New returns a log that keeps up to size entries and writes to w.
 //
 // Example: events := eventlog.New(2048, os.Stderr)
 func New(size int, w io.Writer) *Log {
@@ -58,14 +58,14 @@
 	}
 }
 
-// Debug keeps an entry in the ring. Fields are keys, each followed by its value.
+// Debug adds an entry to the ring buffer. Fields are keys, each followed by its value.
 //
 // Example: events.Debug("tree", "redirected", "partition", 3, "parent", addr)
 func (l *Log) Debug(kind, message string, fields ...any) {
 	l.append(kind, render(message, fields))
 }
 
-// Info keeps an entry and writes it out at once.
+// Info adds an entry and writes it out at once.
 //
 // Example: events.Info("start", "listening", "addr", addr)
 func (l *Log) Info(kind, message string, fields ...any) {
@@ -74,8 +74,8 @@
 	l.out.Info().Str("kind", kind).Msg(text)
 }
 
-// Warn keeps an entry and writes out what the ring gathered since the last time,
-// at most once in flushInterval.
+// Warn adds an entry and writes out all entries since the last write by a warning. It writes at
+// most once per flushInterval.
 //
 // Example: events.Warn("disk", "write failed", "error", err)
 func (l *Log) Warn(kind, message string, fields ...any) {
@@ -86,19 +86,19 @@
 		return
 	}
 	l.flushedAt = time.Now()
-	for _, e := range l.after(l.flushed) {
+	for _, e := range l.entriesAfter(l.flushed) {
 		l.out.Info().Uint64("no", e.Number).Time("at", e.Wall).Str("kind", e.Kind).Msg(e.Text)
 	}
 	l.flushed = l.newest
 }
 
-// Since returns the entries after a number, as far as the ring holds them.
+// Since returns the entries after a number that are still in the ring buffer.
 //
 // Example: entries := events.Since(0)
 func (l *Log) Since(number uint64) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.after(number)
+	return l.entriesAfter(number)
 }
 
 func (l *Log) append(kind, text string) {
@@ -111,8 +111,8 @@
 	}
 }
 
-// after returns the entries after a number; the lock is held.
-func (l *Log) after(number uint64) []Entry {
+// entriesAfter returns the entries after a number. The caller holds the lock.
+func (l *Log) entriesAfter(number uint64) []Entry {
 	size := uint64(len(l.ring))
 	first := number + 1
 	if l.newest > size && first < l.newest-size+1 {
@@ -125,7 +125,7 @@
 	return entries
 }
 
-// render is a message followed by its fields, as key=value.
+// render returns a message followed by its fields as key=value.
 func render(message string, fields []any) string {
 	if len(fields) == 0 {
 		return message
@@ -143,7 +143,7 @@
 	return string(text)
 }
 
-// appendValue appends a value, in quotes where it would not read as one otherwise.
+// appendValue appends a value, quoted if it would be ambiguous otherwise.
 func appendValue(text []byte, value any) []byte {
 	s, ok := value.(string)
 	if !ok {
--- a/control/leadercall/leadercall.go
+++ b/control/leadercall/leadercall.go
@@ -1,7 +1,7 @@
-// Package leadercall carries a call to the leader of a partition, wherever that is, and
-// waits out a change of leader. It is a plain state machine: a call that was
-// sent and not answered is "uncertain", one that no leader took is "not done". All
-// tries of a call bear one number, so that a leader carries it out once.
+// Package leadercall sends calls to the leaders of partitions and retries them across changes of
+// leader. It is a state machine without I/O. A call that was sent and not answered ends as "uncertain",
+// one that no leader accepted as "not done". All tries of a call carry the same call ID, so that a
+// leader executes it only once.
 package leadercall
 
 import (
@@ -15,79 +15,80 @@
 	"mulleinmast/wire/message"
 )
 
-// Statuses of call results, beside the others of HTTP.
+// Statuses of call results that have a special meaning, in addition to other HTTP statuses.
 const (
-	StatusNotLeader = http.StatusMisdirectedRequest // the daemon is not the leader; nothing was done
-	StatusUncertain = http.StatusGatewayTimeout     // it isn't known what became of the call
-	StatusNotDone   = http.StatusServiceUnavailable // nothing was done; it may be sent again later
-	StatusBehind    = http.StatusTooEarly           // its basis is not the present version, which the result names
+	StatusNotLeader = http.StatusMisdirectedRequest // the daemon isn't the leader; nothing was done
+	StatusUncertain = http.StatusGatewayTimeout     // the outcome of the call is unknown
+	StatusNotDone   = http.StatusServiceUnavailable // nothing was done; the caller may retry later
+	StatusBehind    = http.StatusTooEarly           // the call's basis is outdated; the result has the current version
 )
 
-// unknownBasis is the basis of a call that no leader has named one to yet: no record has it.
+// unknownBasis is the basis of a call before a leader has returned one. No record has this
+// version.
 var unknownBasis = message.Version{Seq: math.MaxUint64}
 
-// Config holds the bounds of a call.
+// Config holds the timeouts of calls.
 type Config struct {
-	TryTimeout    time.Duration // a leader's answer to a try is waited for this long
-	RetryInterval time.Duration // before the next try, where no leader is known or the daemon isn't it
-	RetryAfter    time.Duration // that a caller is to wait whose call was not answered
+	TryTimeout    time.Duration // how long to wait for a leader's answer to a try
+	RetryInterval time.Duration // delay before the next try if no leader is known or the daemon isn't the leader
+	RetryAfter    time.Duration // retry delay suggested to callers whose call was not answered
 }
 
-// Result is the end of a call.
+// Result is the final result of a call.
 type Result struct {
 	CallID uint64
-	Status int // of HTTP, or one of the statuses here
+	Status int // an HTTP status, possibly one of the statuses above
 	Body   []byte
 }
 
-// Out is what a step asks for.
+// Out is the output of a step: messages to send and results of completed calls.
 type Out struct {
 	Sends   []message.Envelope
 	Results []Result
 }
 
 type call struct {
-	id        uint64
-	partition int
-	op        string
-	body      []byte
-	deadline  time.Duration
-	singleTry bool
-	nextTry   time.Duration   // when the call is tried again, or given up if it has a single try
-	awaited   uint64          // request id of the latest try, until it is answered or given up; 0: none is out
-	basis     message.Version // of what the call changes, as a leader named it to this call
-	uncertain bool            // a try was sent and not answered, or its leader doesn't know what became of it
+	id             uint64
+	partition      int
+	op             string
+	body           []byte
+	deadline       time.Duration
+	singleTry      bool
+	nextTry        time.Duration   // when to send the next try, or to give up a call with a single try
+	pendingTry     uint64          // request ID of the latest try until it is answered or times out; 0 if there is none
+	basis          message.Version // version of the changed record, as returned to this call by a leader
+	outcomeUnknown bool            // a try was sent and not answered, or its leader doesn't know its outcome
 }
 
-// try is one message of a call: only the daemon that it went to may answer it.
+// try is one message of a call. Only the daemon that it was sent to may answer it.
 type try struct {
 	callID uint64
-	to     string // that daemon's identity
+	to     string // identity of that daemon
 }
 
-// Calls are the calls under way. They are not safe for concurrent use.
+// Calls is the set of calls in progress. It is not safe for concurrent use.
 type Calls struct {
 	cfg    Config
-	lastID uint64 // of a call or a try; they are counted together
+	lastID uint64 // last ID of a call or a try; both share one sequence
 	calls  map[uint64]*call
-	tries  map[uint64]try // by request id; those of calls under way
+	tries  map[uint64]try // by request ID; only tries of calls in progress
 }
 
-// epochBits is how many ids an incarnation may use, as a power of two. A daemon
-// with a disk keeps its identity over a restart, so that an answer to its earlier
-// incarnation reaches it: the earlier one's ids must name nothing now.
+// epochBits is the number of ID bits available to one incarnation. A daemon with a disk keeps its
+// identity across restarts, so it may receive answers to its earlier incarnation. IDs of that
+// incarnation must not match any current call.
 const epochBits = 40
 
-// New makes an empty set of calls for one incarnation of a daemon: its epoch, which a
-// daemon with a disk counts up at each start.
+// New returns an empty set of calls for one incarnation of a daemon, identified by its epoch. A
+// daemon with a disk increments its epoch at each start.
 //
 // Example: c := leadercall.New(leadercall.Config{TryTimeout: time.Second, RetryInterval: 25 * time.Millisecond}, epoch)
 func New(cfg Config, epoch uint64) *Calls {
 	return &Calls{cfg: cfg, lastID: epoch << epochBits, calls: map[uint64]*call{}, tries: map[uint64]try{}}
 }
 
-// Start begins a call to a partition's leader, as far as that is known. One with a single try is
-// given up when that isn't answered.
+// Start begins a call to a partition's leader; the leader may be unknown. A call with a single try
+// is given up when that try isn't answered.
 //
 // Example: id, out := c.Start(now, leader, 0, leadercall.OpPlan, body, now+4*time.Second, false)
 func (c *Calls) Start(
@@ -104,7 +105,7 @@
 	return started.id, out
 }
 
-// try sends a call to a leader; where none is known it waits for the next time.
+// try sends a call to the leader. If none is known it schedules the next try.
 func (c *Calls) try(now time.Duration, call *call, leader message.Replica, out *Out) {
 	if leader.Ident == "" {
 		if call.singleTry {
@@ -115,9 +116,9 @@
 		return
 	}
 	c.lastID++
-	call.awaited, call.nextTry = c.lastID, now+c.cfg.TryTimeout
-	c.tries[call.awaited] = try{call.id, leader.Ident}
-	m := message.Call{RequestID: call.awaited, CallID: call.id, Op: call.op, Body: call.body}
+	call.pendingTry, call.nextTry = c.lastID, now+c.cfg.TryTimeout
+	c.tries[call.pendingTry] = try{call.id, leader.Ident}
+	m := message.Call{RequestID: call.pendingTry, CallID: call.id, Op: call.op, Body: call.body}
 	if !call.singleTry {
 		m.Basis = call.basis
 	}
@@ -126,7 +127,7 @@
 	out.Sends = append(out.Sends, message.Envelope{Addr: leader.Addr, Message: frame})
 }
 
-// Step takes the result of a try.
+// Step processes the result of a try.
 //
 // Example: out := c.Step(now, message)
 func (c *Calls) Step(now time.Duration, m message.Message) (out Out) {
@@ -141,40 +142,40 @@
 		return
 	}
 	delete(c.tries, result.RequestID)
-	if call.awaited == result.RequestID {
-		call.awaited = 0
+	if call.pendingTry == result.RequestID {
+		call.pendingTry = 0
 	}
-	isLatest := call.awaited == 0 // no later try is out
+	noLaterTry := call.pendingTry == 0 // no later try is in flight
 	switch {
-	case result.Status == StatusBehind && !call.singleTry: // its caller waits still: it may be done on what is there now
-		if isLatest {
+	case result.Status == StatusBehind && !call.singleTry: // the caller still waits: retry on the current version
+		if noLaterTry {
 			call.basis, call.nextTry = result.Basis, now
 		}
 	case result.Status == StatusNotLeader && !call.singleTry:
-		if isLatest {
+		if noLaterTry {
 			call.nextTry = now + c.cfg.RetryInterval
 		}
-	case result.Status == StatusUncertain && !isLatest: // the later try's leader knows the call by its number
-		call.uncertain = true
+	case result.Status == StatusUncertain && !noLaterTry: // the leader of the later try recognizes the call by its ID
+		call.outcomeUnknown = true
 	case result.Status == StatusNotLeader || result.Status == StatusUncertain:
-		call.uncertain = call.uncertain || result.Status == StatusUncertain
+		call.outcomeUnknown = call.outcomeUnknown || result.Status == StatusUncertain
 		c.giveUp(call, out)
 	default:
-		c.forget(call)
+		c.remove(call)
 		out.Results = append(out.Results, Result{call.id, result.Status, result.Body})
 	}
 }
 
-// Cancel forgets a call whose caller no longer waits.
+// Cancel drops a call whose caller no longer waits for it.
 //
 // Example: c.Cancel(id)
 func (c *Calls) Cancel(callID uint64) {
 	if call := c.calls[callID]; call != nil {
-		c.forget(call)
+		c.remove(call)
 	}
 }
 
-func (c *Calls) forget(call *call) {
+func (c *Calls) remove(call *call) {
 	delete(c.calls, call.id)
 	for id, t := range c.tries {
 		if t.callID == call.id {
@@ -183,34 +184,35 @@
 	}
 }
 
-// giveUp ends a call with what is known of it.
+// giveUp ends an unanswered call with what is known about its outcome.
 func (c *Calls) giveUp(call *call, out *Out) {
-	c.forget(call)
+	c.remove(call)
 	status := StatusNotDone
 	response := Response{
 		Result: ResultNotDone, RetryAfterMillis: c.cfg.RetryAfter.Milliseconds(),
 		Reason: fmt.Sprintf("part %d has no leader now", call.partition),
 	}
-	if call.uncertain || call.awaited != 0 {
+	if call.outcomeUnknown || call.pendingTry != 0 {
 		status, response.Result = StatusUncertain, ResultUncertain
 		response.Reason = fmt.Sprintf("no word from the leader of part %d; ask again with the same id", call.partition)
 	}
 	out.Results = append(out.Results, Result{call.id, status, Pack(response)})
 }
 
-// Tick lets time pass; leaderOf names a partition's leader as far as known.
+// Tick advances all calls to the current time. leaderOf returns a partition's leader as far as
+// known.
 //
 // Example: out := c.Tick(now, func(partition int) message.Replica { return view.Leaderships[partition].Leader })
 func (c *Calls) Tick(now time.Duration, leaderOf func(int) message.Replica) (out Out) {
 	for _, id := range slices.Sorted(maps.Keys(c.calls)) {
 		call := c.calls[id]
-		isOver := now >= call.nextTry
+		tryDue := now >= call.nextTry
 		switch {
-		case now >= call.deadline || isOver && call.singleTry:
+		case now >= call.deadline || tryDue && call.singleTry:
 			c.giveUp(call, &out)
-		case isOver:
-			call.uncertain = call.uncertain || call.awaited != 0
-			call.awaited = 0
+		case tryDue:
+			call.outcomeUnknown = call.outcomeUnknown || call.pendingTry != 0
+			call.pendingTry = 0
 			c.try(now, call, leaderOf(call.partition), &out)
 		}
 	}
