--- a/control/daemon/calls_test.go
+++ b/control/daemon/calls_test.go
@@ -9,9 +9,9 @@
 	"mulleinmast/wire/message"
 )
 
-// Whether a daemon is cut off goes by its own lease and clock. Callers are sent
-// to control daemons that the same cut took away, or that a daemon without a
-// session can't reach; while nobody has a leader they are sent nowhere.
+// Contact is judged only by the daemon's own lease and clock. Callers are redirected to control
+// daemons on the other side of the same network partition, or to all others if this daemon has no
+// session. While no daemon has a leader they aren't redirected.
 func TestContactNamesOtherDaemonsWhenCutOff(t *testing.T) {
 	d := openIsolated(t, withLongLeases)
 	grantVolumeLease(d)
@@ -24,7 +24,7 @@
 		return &membership.View{HasSession: true, Members: []message.Member{control("a")}, Lost: lost}
 	}
 	start := d.Now()
-	for _, c := range []struct { // one after another on one clock
+	for _, c := range []struct { // in sequence on one clock
 		name        string
 		wait        time.Duration
 		view        *membership.View
@@ -33,11 +33,11 @@
 		others      []string
 	}{
 		{"in touch", 0, withSession, false, false, nil},
-		{"lapsed just now", volumeLease + time.Second, withSession, true, false, nil},
-		{"nobody has a leader", 2 * d.Cfg.QuorumConfig().LeaderLease, withSession, true, true, nil},
+		{"lease just lapsed", volumeLease + time.Second, withSession, true, false, nil},
+		{"no daemon has a leader", 2 * d.Cfg.QuorumConfig().LeaderLease, withSession, true, true, nil},
 		{"no session", 0, withoutSession, true, true, []string{"a", "b"}},
-		{"others are lost", 0, without("c", start+3*volumeLease), true, true, []string{"c"}},
-		{"lost long before", 10 * session, without("c", volumeLease-3*session), true, true, nil},
+		{"others unreachable", 0, without("c", start+3*volumeLease), true, true, []string{"c"}},
+		{"others unreachable long before", 10 * session, without("c", volumeLease-3*session), true, true, nil},
 	} {
 		d.clock.Advance(c.wait)
 		d.members.view.Store(c.view)
@@ -47,7 +47,7 @@
 			others = append(others, m.Addr)
 		}
 		if got.LeaderUnreachable != c.unreachable || (got.LapsedFor > 0) != c.lapsed || !slices.Equal(others, c.others) {
-			t.Errorf("%s: %+v; callers are sent to %v, expected %v", c.name, got, others, c.others)
+			t.Errorf("%s: %+v; callers are redirected to %v, expected %v", c.name, got, others, c.others)
 		}
 	}
 }
--- a/control/daemon/config_test.go
+++ b/control/daemon/config_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-// validFlags are enough for a daemon.
+// validFlags are the flags that a daemon needs at least.
 var validFlags = []string{
 	"-wire", "10.0.0.1:7000", "-web", "10.0.0.1:8000",
 	"-seeds", "10.0.0.1:7000,10.0.0.2:7000,10.0.0.3:7000",
 }
 
-// readFlags reads valid flags with more behind them.
+// readFlags parses the valid flags followed by more.
 func readFlags(more ...string) (Config, error) {
 	return ReadConfig("mulleinmast", slices.Concat(validFlags, more), io.Discard)
 }
@@ -46,11 +46,11 @@
 		})
 	}
 	if _, err := ReadConfig("mulleinmast", nil, io.Discard); err == nil || strings.Count(err.Error(), "\n") < 2 {
-		t.Errorf("several faults at once: %v", err)
+		t.Errorf("several faults in one config: %v", err)
 	}
 }
 
-func TestFlagsWinOverTheConfigFile(t *testing.T) {
+func TestFlagsOverrideConfigFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "c.json")
 	write := func(text string) {
 		t.Helper()
--- a/control/daemon/diskwriter_test.go
+++ b/control/daemon/diskwriter_test.go
@@ -11,12 +11,13 @@
 	"mulleinmast/wire/message"
 )
 
-// What a full disk refuses waits, in order and bounded by the state, and is
-// written with what came later once there is room; both are logged.
-func TestRefusedWritesAreWrittenLater(t *testing.T) {
+// Saves that a full disk rejects are kept in order, merged so that their size is bounded by that
+// of the state, and written together with later ones once there is space. Both the failure and the
+// recovery are logged.
+func TestFailedWritesAreRetried(t *testing.T) {
 	d := openIsolated(t, func(cfg *Config) {
 		cfg.DataFolder = t.TempDir()
-		cfg.Bounds.Plan = 20 * time.Millisecond // a refused write is soon tried again
+		cfg.Bounds.Plan = 20 * time.Millisecond // keeps the delay before a retry short
 	})
 	if err := d.store.SetFull(true); err != nil {
 		t.Fatal(err)
@@ -32,12 +33,12 @@
 		meta := quorum.Meta{VotedTerm: number}
 		d.disk.add([]quorum.Save{{Ticket: number, Partition: 1, Meta: meta, Records: []message.Record{rec}}})
 		if i%100 == 50 && !d.disk.flush(t.Context()) {
-			t.Fatal("nothing was tried")
+			t.Fatal("no write was attempted")
 		}
 	}
-	waiting, refused := d.disk.pending.Saves(), d.disk.consecutiveFailures.Load()
-	if len(waiting) != 1 || len(waiting[0].Records) != keys || len(d.disk.pending.Tickets) != saves || refused != 3 {
-		t.Errorf("%d saves of %d records wait, %d refused", len(waiting), len(waiting[0].Records), refused)
+	pending, failures := d.disk.pending.Saves(), d.disk.consecutiveFailures.Load()
+	if len(pending) != 1 || len(pending[0].Records) != keys || len(d.disk.pending.Tickets) != saves || failures != 3 {
+		t.Errorf("%d saves of %d records pending, %d writes failed", len(pending), len(pending[0].Records), failures)
 	}
 	if err := d.store.SetFull(false); err != nil {
 		t.Fatal(err)
@@ -60,7 +61,7 @@
 	state := store.Partitions[1]
 	for key, seq := range map[string]uint64{"k0": 298, "k1": 299, "k2": 300} {
 		if rec, _ := state.Records.Get(key); rec.Version.Seq != seq || state.Meta.VotedTerm != saves {
-			t.Errorf("%s is of change %d, the vote of term %d", key, rec.Version.Seq, state.Meta.VotedTerm)
+			t.Errorf("%s has change %d, the voted term is %d", key, rec.Version.Seq, state.Meta.VotedTerm)
 		}
 	}
 }
--- a/control/daemon/drainshares_test.go
+++ b/control/daemon/drainshares_test.go
@@ -11,7 +11,7 @@
 	"mulleinmast/wire/message"
 )
 
-// drawBounds are bounds by chance, each from 1 s to 20 s, and the most drift that is allowed.
+// drawBounds draws bounds of 1 s to 20 s each and a clock drift of up to the maximum.
 func drawBounds(t *rapid.T) Config {
 	draw := func(name string) time.Duration {
 		return time.Duration(rapid.IntRange(1000, 20000).Draw(t, name)) * time.Millisecond
@@ -24,10 +24,11 @@
 	return cfg
 }
 
-// Whatever the bounds are, all that may pass until nothing reaches a server that leaves adds up to
-// less than its bound: the next look at the list, its way to the leader, the withdrawal, which may
-// wait for the longest lease, what a daemon that is in touch goes on by, and the last way.
-func TestTheSharesOfTheBoundOnLeavingAddUp(t *testing.T) {
+// For all bounds, the delays until a leaving server receives no more requests add up to at most
+// Bounds.Leave: the next poll of the list, its way to the leader, the withdrawal, which may take
+// the longest lease, the stale use by a daemon in contact with the leader, and the delivery of the
+// last request.
+func TestDrainSharesFitLeaveBound(t *testing.T) {
 	if drainShares > 1 {
 		t.Errorf("the shares add up to %v", drainShares)
 	}
@@ -38,26 +39,27 @@
 		sum := fraction(cfg.Bounds.Leave, pullRatio) + fraction(cfg.Bounds.Leave, readShare) + withdrawal +
 			cfg.MaxStaleness(1, list, false) + fraction(cfg.Bounds.Leave, sendShare)
 		if sum > cfg.Bounds.Leave || cfg.drainTime() > cfg.Bounds.Leave {
-			t.Errorf("%v and %v of %v: withdrawal %v", sum, cfg.drainTime(), cfg.Bounds.Leave, withdrawal)
+			t.Errorf("delays of %v, drain time %v, bound %v, withdrawal %v", sum, cfg.drainTime(), cfg.Bounds.Leave, withdrawal)
 		}
 		if tree.VolumeLease <= 0 || tree.RenewInterval <= 0 {
-			t.Errorf("leases of %v", tree.VolumeLease)
+			t.Errorf("volume lease of %v", tree.VolumeLease)
 		}
 		for key, bound := range map[string]time.Duration{fleetconfig.ZoneKey: cfg.Bounds.Evacuate, fleetconfig.PlanKey: cfg.Bounds.Plan} {
 			if stale := cfg.MaxStaleness(0, key, false); stale >= bound || stale > cfg.Bounds.Recover {
-				t.Errorf("%s may be stale for %v, its bound is %v", key, stale, bound)
+				t.Errorf("%s may be used stale for %v, but its bound is %v", key, stale, bound)
 			}
 		}
 		if got := cfg.MaxStaleness(1, list, true); got != cfg.Bounds.Recover {
-			t.Errorf("cut off: %v, expected %v", got, cfg.Bounds.Recover)
+			t.Errorf("cut off: staleness of up to %v, expected %v", got, cfg.Bounds.Recover)
 		}
 	})
 }
 
-// A daemon that has its session, whose core stands as it was, and whose renewals go unanswered is
-// late and not cut off: it stops using its servers a share of their bound after the lapse, and
-// says that it isn't ready once plan and zones are too old. Cut off it goes on.
-func TestALateDaemonStopsBeforeTheBound(t *testing.T) {
+// A daemon whose renewals go unanswered, but which has its session and an unchanged core, is late
+// and not cut off. It stops using its servers when a share of their bound has passed since the
+// lapse, and isn't ready once the plan and the zones are too old. A daemon that is cut off
+// continues.
+func TestStaleReadsEndEarlyWhileInContact(t *testing.T) {
 	d := openIsolated(t, func(cfg *Config) {
 		withLongLeases(cfg)
 		cfg.Bounds.Recover = 1200 * time.Second
@@ -65,19 +67,19 @@
 	})
 	const partition = 1
 	other := message.Member{Ident: "leader", Addr: "10.0.0.9:1", Zone: "zone-1", HasDisk: true, Epoch: 1, Build: Build}
-	led := []message.Leadership{{Partition: partition, Term: 1, Leader: other.Replica()}}
-	meet := func() {
+	leaderships := []message.Leadership{{Partition: partition, Term: 1, Leader: other.Replica()}}
+	heartbeat := func() {
 		d.members.step(d.Now, message.Hello{Self: other}.Message())
-		d.members.tick(d.Now, d.member(), led)
+		d.members.tick(d.Now, d.member(), leaderships)
 	}
-	meet()
+	heartbeat()
 	d.clock.Advance(d.Cfg.InTouchAfter)
-	meet()
+	heartbeat()
 	if d.isCutOff(partition) {
-		t.Fatal("it has a session and a leader that stands, and counts as cut off")
+		t.Fatal("the daemon has a session and a stable leader, but counts as cut off")
 	}
 	if !d.isCutOff(partition + 1) {
-		t.Error("nobody leads the partition, and it doesn't count as cut off")
+		t.Error("no daemon leads the partition, but the daemon doesn't count as cut off")
 	}
 	list := fleetconfig.ListKey("m")
 	node := d.shards[partition].node()
@@ -86,27 +88,27 @@
 	fromParent(message.Message{
 		Kind: message.KindGrantLease, Records: []message.Record{{Key: list, Value: []byte("{}")}}, ObjectLease: int64(time.Hour),
 	})
-	pass := func(length time.Duration) {
+	advance := func(length time.Duration) {
 		for end := d.Now() + length; d.Now() < end; {
 			d.clock.Advance(min(d.Cfg.LeaseConfig().RenewInterval/16, max(1, end-d.Now())))
 			d.step(d.shards[partition], func(c *leader.Controller, now time.Duration) leader.Out { return c.Tick(now) })
 		}
 	}
-	pass(node.VolumeExpiry() - d.Now() + d.Cfg.LeaseConfig().RenewInterval)
-	meet()
+	advance(node.VolumeExpiry() - d.Now() + d.Cfg.LeaseConfig().RenewInterval)
+	heartbeat()
 	if _, ok := d.ReadAllowingStale(partition, list); !ok {
-		t.Error("just after the lapse its list is not used")
+		t.Error("the list isn't used just after the lapse")
 	}
-	pass(fraction(d.Cfg.Bounds.Leave, staleShare))
-	meet()
+	advance(fraction(d.Cfg.Bounds.Leave, staleShare))
+	heartbeat()
 	if _, ok := d.ReadAllowingStale(partition, list); ok {
-		t.Errorf("in touch, its list is used %v after its lease lapsed", d.Now()-node.VolumeExpiry())
+		t.Errorf("in contact, but the list is still used %v after its lease lapsed", d.Now()-node.VolumeExpiry())
 	}
 	if d.Now() < d.StaleUntil(partition, list) {
-		t.Error("in touch, it says that its list stands")
+		t.Error("in contact, but StaleUntil reports that the list is still usable")
 	}
 	d.members.tick(d.Now, d.member(), []message.Leadership{{Partition: partition, Term: 2, Leader: message.Replica{Ident: "next"}}})
 	if _, ok := d.ReadAllowingStale(partition, list); !ok {
-		t.Error("the core has just changed, and its list is not used any more")
+		t.Error("the core has just changed, but the list is no longer used")
 	}
 }
--- a/control/daemon/handover_test.go
+++ b/control/daemon/handover_test.go
@@ -9,10 +9,9 @@
 	"mulleinmast/wire/message"
 )
 
-// A daemon that was asked to stop waits for its replicas to be taken over only
-// where a learner can take them, and not beyond its part of the grace period; a
-// plain restart isn't held up.
-func TestHandOverWaitsForLearnersAlone(t *testing.T) {
+// A stopping daemon waits for its replicas to be taken over only if there is a learner that can do
+// so, and only for its part of the grace period. A plain restart isn't delayed.
+func TestHandOverWaitsOnlyForLearners(t *testing.T) {
 	d := openIsolated(t, func(cfg *Config) { cfg.DataFolder, cfg.GracePeriod = t.TempDir(), time.Hour })
 	d.bootstrap([]message.Replica{d.self, {Ident: "b", Addr: "127.0.0.1:1"}, {Ident: "c", Addr: "127.0.0.1:2"}})
 	d.Leave()
@@ -22,10 +21,10 @@
 		others []message.Member
 		want   int
 	}{
-		{"nobody else", nil, 0},
+		{"no other daemon", nil, 0},
 		{"a daemon without a disk", []message.Member{{Ident: "d"}}, 0},
 		{"a learner", []message.Member{{Ident: "d", HasDisk: true}}, 2},
-		{"a learner beside another", []message.Member{{Ident: "d"}, {Ident: "e", HasDisk: true}}, 2},
+		{"a learner and a daemon without a disk", []message.Member{{Ident: "d"}, {Ident: "e", HasDisk: true}}, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			members := append(append([]message.Member{}, group...), c.others...)
@@ -36,11 +35,11 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			if c.want > 0 {
-				cancel() // else it waits for most of an hour
+				cancel() // otherwise HandOver waits for most of an hour
 			}
 			d.HandOver(ctx)
 		})
 	}
 	d.clock.Advance(time.Hour)
-	d.HandOver(t.Context()) // its time is up
+	d.HandOver(t.Context()) // the grace period is over
 }
--- a/control/daemon/interface_test.go
+++ b/control/daemon/interface_test.go
@@ -26,8 +26,8 @@
 	"mulleinmast/control/placement"
 )
 
-// What others rely on by its name is compared with files in testdata. They are
-// written anew only where the interface itself is meant to change:
+// golden compares a text with a file in testdata, which records names and formats that others
+// depend on. The files are rewritten only when the interface is meant to change:
 //
 //	GOLDEN=write go test ./control/daemon
 func golden(t *testing.T, name, got string) {
@@ -60,7 +60,7 @@
 	}
 }
 
-// fill sets every exported field below a value, by its type alone.
+// fill sets every exported field of a value, recursively, to a fixed value of its type.
 func fill(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -110,7 +110,7 @@
 	}
 }
 
-// The JSON of what the operator's calls take and answer, with every field set.
+// The JSON of the operator API's requests and responses, with every field set, is unchanged.
 func TestOperatorJSONKeepsItsNames(t *testing.T) {
 	var text strings.Builder
 	for _, x := range []struct {
@@ -139,8 +139,8 @@
 	golden(t, "operator-types.txt", text.String())
 }
 
-// masked is a JSON text with what varies from run to run taken out: numbers are
-// 0, of lines of the log the first one stands.
+// maskJSON returns a JSON text with the parts masked that vary between runs: numbers become 0, and
+// of log entries only the first is kept.
 func maskJSON(text []byte, vary ...string) string {
 	var v any
 	if err := json.Unmarshal(text, &v); err != nil {
@@ -156,7 +156,7 @@
 					value = list[:min(1, len(list))]
 				}
 				out[maskText(key, vary)] = mask(value)
-				if key == "text" { // of a line of the log
+				if key == "text" { // of a log entry
 					out[key] = "<text>"
 				}
 			}
@@ -189,41 +189,41 @@
 	return wallTime.ReplaceAllString(s, "<time>")
 }
 
-// transcript records calls at a daemon with their answers, what varies masked.
+// transcript records calls to a daemon and its responses, with varying parts masked.
 type transcript struct {
 	strings.Builder
 	d      *Daemon
-	inPath []string // what varies in paths
-	inBody []string // and in answers
+	inPath []string // varying texts in paths
+	inBody []string // varying texts in responses
 }
 
-func (c *transcript) call(t *testing.T, method, path, body string) {
+func (tr *transcript) call(t *testing.T, method, path, body string) {
 	t.Helper()
 	w := httptest.NewRecorder()
 	r := httptest.NewRequestWithContext(t.Context(), method, path, strings.NewReader(body))
-	c.d.Mux.ServeHTTP(w, r)
-	_, _ = fmt.Fprintf(c, "%s %s\n%d", method, maskText(path, c.inPath), w.Code)
+	tr.d.Mux.ServeHTTP(w, r)
+	_, _ = fmt.Fprintf(tr, "%s %s\n%d", method, maskText(path, tr.inPath), w.Code)
 	for _, name := range []string{"Content-Type", "Retry-After", "Warning", "Allow"} {
 		if v := w.Header().Get(name); v != "" {
-			_, _ = fmt.Fprintf(c, " %s: %s;", name, v)
+			_, _ = fmt.Fprintf(tr, " %s: %s;", name, v)
 		}
 	}
-	_, _ = fmt.Fprintf(c, "\n%s\n", maskJSON(w.Body.Bytes(), c.inBody...))
+	_, _ = fmt.Fprintf(tr, "\n%s\n", maskJSON(w.Body.Bytes(), tr.inBody...))
 }
 
-// operatorCall is a call with its method and path, as the mux has them.
+// operatorCall is a call with its route (method and path) as registered with the mux.
 type operatorCall struct{ route, body string }
 
-func (c *transcript) calls(t *testing.T, list []operatorCall) {
+func (tr *transcript) calls(t *testing.T, list []operatorCall) {
 	t.Helper()
 	for _, call := range list {
 		method, path, _ := strings.Cut(call.route, " ")
 		path = strings.NewReplacer("{zone}", "north", "{op}", "return").Replace(path)
-		c.call(t, method, path, call.body)
+		tr.call(t, method, path, call.body)
 	}
 }
 
-// Each call of the operator's interface at a daemon that is a fleet by itself.
+// Each call of the operator API at a daemon that is a one-daemon fleet keeps its response.
 func TestOperatorCallsKeepTheirAnswers(t *testing.T) {
 	cfg, backup := singleDaemonConfig(t), filepath.Join(t.TempDir(), "backup")
 	d, plan := runDaemon(t, cfg), string(firstPlan())
@@ -238,7 +238,7 @@
 	}
 	out.calls(t, []operatorCall{{"GET /livez", ""}, {"GET /readyz", ""}})
 	if status, answer := d.Call(t.Context(), 0, leadercall.OpPlan, []byte(plan), 20*time.Second); status != http.StatusOK {
-		t.Fatalf("the first plan: %d %s", status, answer)
+		t.Fatalf("writing the first plan: %d %s", status, answer)
 	}
 	await(t, d.Daemon, d.isReady)
 	out.calls(t, []operatorCall{
@@ -283,24 +283,24 @@
 	golden(t, "operator-calls.txt", out.String())
 }
 
-// await waits until something is so, looked at whenever records change and often
-// between.
-func await(t *testing.T, d *Daemon, so func() bool) {
+// await waits until a condition holds. It checks at each change of a record and at a short
+// interval.
+func await(t *testing.T, d *Daemon, condition func() bool) {
 	t.Helper()
-	limit, often := time.After(20*time.Second), time.NewTicker(10*time.Millisecond)
-	defer often.Stop()
-	for !so() {
+	timeout, ticker := time.After(20*time.Second), time.NewTicker(10*time.Millisecond)
+	defer ticker.Stop()
+	for !condition() {
 		select {
-		case <-limit:
-			t.Fatal("not in time: " + d.whyNotReady())
+		case <-timeout:
+			t.Fatal("timed out: " + d.whyNotReady())
 		case <-d.Changed():
-		case <-often.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// The switches that tests use keep their paths and answers.
-func TestSwitchesKeepTheirAnswers(t *testing.T) {
+// The fault injection calls used by tests keep their paths and responses.
+func TestFaultInjectionCallsKeepTheirAnswers(t *testing.T) {
 	d := openIsolated(t, func(cfg *Config) { withLongLeases(cfg); cfg.TestSwitches = true })
 	var text strings.Builder
 	for _, call := range []struct{ path, body string }{
@@ -324,9 +324,8 @@
 
 var route = regexp.MustCompile(`^(GET|HEAD|PUT|POST|PATCH|DELETE) /`)
 
-// The paths that the daemon registers, with their methods: as its sources name
-// them, and as its mux knows them.
-func TestPathsStay(t *testing.T) {
+// The registered paths and their methods are unchanged, both in the sources and in the mux.
+func TestPathsAreUnchanged(t *testing.T) {
 	sources, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
@@ -365,7 +364,7 @@
 	golden(t, "paths.txt", strings.Join(paths, "\n")+"\n")
 }
 
-// The figures of the control plane keep their names.
+// The control plane's metrics keep their names.
 func TestMetricsKeepTheirNames(t *testing.T) {
 	d := openIsolated(t, func(*Config) {})
 	names := d.Metrics.ListMetricNames()
@@ -373,7 +372,7 @@
 	golden(t, "metrics.txt", strings.Join(names, "\n")+"\n")
 }
 
-// leaves are the values below one, sorted, without their names.
+// leafValues returns the sorted values of all fields below a value, without their names.
 func leafValues(v reflect.Value) (list []string) {
 	switch v.Kind() {
 	case reflect.Struct:
@@ -391,7 +390,7 @@
 	return list
 }
 
-// The settings of the file and the flags keep their names, defaults, and places.
+// The settings of the config file and the flags keep their names, defaults and limits.
 func TestSettingsKeepTheirNames(t *testing.T) {
 	var text bytes.Buffer
 	show := func(what string, args ...string) {
--- a/control/daemon/invariants_test.go
+++ b/control/daemon/invariants_test.go
@@ -9,22 +9,22 @@
 	"mulleinmast/control/placement"
 )
 
-// An order with a lower fence than one before is counted and refused.
+// An order with a lower fence than an earlier one is rejected and counted.
 func TestLowerFenceIsRefused(t *testing.T) {
 	s := &shard{}
 	for _, fence := range []uint64{7, 7, 9} {
 		if !s.checkFence(placement.Order{Term: fence}) {
-			t.Errorf("fence %d is refused", fence)
+			t.Errorf("fence %d was rejected", fence)
 		}
 	}
 	before := fenceMonotonic.Count()
 	if s.checkFence(placement.Order{Term: 8}) || fenceMonotonic.Count() != before+1 {
-		t.Errorf("fence 8 after 9: %d counted", fenceMonotonic.Count()-before)
+		t.Errorf("fence 8 after 9: %d violations counted", fenceMonotonic.Count()-before)
 	}
 	fenceMonotonic.Discount(1)
 }
 
-// A save that is reported as done after a later one is counted.
+// A save that is reported as done after a later one is counted as a violation.
 func TestSavesOutOfOrderAreCounted(t *testing.T) {
 	s := &shard{}
 	for _, save := range []uint64{1, 2, 5} {
@@ -32,12 +32,12 @@
 	}
 	before := savesInOrder.Count()
 	if s.checkSaveOrder(4); savesInOrder.Count() != before+1 {
-		t.Errorf("save 4 after 5: %d counted", savesInOrder.Count()-before)
+		t.Errorf("save 4 after 5: %d violations counted", savesInOrder.Count()-before)
 	}
 	savesInOrder.Discount(1)
 }
 
-// A violation stands in the daemon's log, beside its count.
+// An invariant violation is logged in addition to being counted.
 func TestViolationsAreLogged(t *testing.T) {
 	events := eventlog.New(8, io.Discard)
 	defer LogViolations(events)()
--- a/control/daemon/open_test.go
+++ b/control/daemon/open_test.go
@@ -12,8 +12,8 @@
 	"mulleinmast/wire/message"
 )
 
-// openIsolated opens a daemon with one partition and no disk that has met nobody;
-// change alters its config first.
+// openIsolated opens a daemon that has no disk and one service partition, and that has not met any
+// other daemon. change modifies its config first.
 func openIsolated(t *testing.T, change func(*Config)) *Daemon {
 	t.Helper()
 	cfg := Default()
@@ -27,12 +27,12 @@
 	return d
 }
 
-// withLongLeases gives leases of minutes: a pause of this machine is nothing then.
+// withLongLeases sets leases of minutes, so that pauses of the test machine don't matter.
 func withLongLeases(cfg *Config) {
 	cfg.Bounds.Plan, cfg.Bounds.Leave = 200*time.Second, 300*time.Second
 }
 
-// singleDaemonConfig is that of a fleet of one control daemon.
+// singleDaemonConfig returns the config of a fleet of one control daemon.
 func singleDaemonConfig(t *testing.T) Config {
 	t.Helper()
 	cfg := Default()
@@ -42,8 +42,8 @@
 	return cfg
 }
 
-// grantVolumeLease has a daemon's partition adopt a parent and get a volume lease of
-// it; fromParent hands it messages of the parent.
+// grantVolumeLease makes a daemon's configuration partition adopt a parent and receive a volume
+// lease from it. fromParent delivers further messages from the parent.
 func grantVolumeLease(d *Daemon) (fromParent func(message.Message) []message.Envelope) {
 	return grantVolumeLeaseFor(d, 0)
 }
@@ -69,7 +69,7 @@
 	return fromParent
 }
 
-// runningDaemon is a daemon with its loops.
+// runningDaemon is a daemon whose services are running.
 type runningDaemon struct {
 	*Daemon
 	stop func()
--- a/control/daemon/records.go
+++ b/control/daemon/records.go
@@ -96,7 +96,7 @@
 	s.controller.Unpin(key)
 }
 
-// AwaitRecord waits until a record can be read.
+// AwaitRecord waits until a record can be read. It returns false if the context ends first.
 //
 // Example: rec, ok := d.AwaitRecord(ctx, 0, fleetconfig.PlanKey)
 func (d *Daemon) AwaitRecord(ctx context.Context, partition int, key string) (message.Record, bool) {
@@ -114,7 +114,7 @@
 		case <-ctx.Done():
 			return message.Record{}, false
 		case <-changed:
-		case <-time.After(d.Cfg.VolumeLease() / 16): // a renewed volume lease changes no record
+		case <-time.After(d.Cfg.VolumeLease() / 16): // renewing a volume lease signals no change
 		}
 	}
 }
--- a/control/daemon/shard.go
+++ b/control/daemon/shard.go
@@ -29,7 +29,7 @@
 	parents      membership.ParentChooser
 	highestFence uint64               // highest fence of the orders sent from here
 	lastSave     uint64               // newest save that was reported as done
-	checks       map[string]readCheck // of requested records, by key
+	checks       map[string]readCheck // by key, of requested records
 }
 
 func newShard(p int, controller *leader.Controller, cfg Config) *shard {
@@ -84,7 +84,7 @@
 		return
 	}
 	log := d.Events.Warn
-	if d.readiness.stopping.Load() { // it was resigned
+	if d.readiness.stopping.Load() { // the daemon resigned it
 		log = d.Events.Debug
 	}
 	log("leader", "leadership lost", "partition", s.partition)
--- a/control/daemon/unreadable_test.go
+++ b/control/daemon/unreadable_test.go
@@ -15,9 +15,9 @@
 
 const planFromOtherBuild = "m\xffof another build"
 
-// A record that this build can't read is served to nobody here, whatever the
-// leases say, and the daemon goes on: it isn't ready, says why, and is again once
-// a record comes that can be read.
+// A daemon doesn't serve a record that this build can't read, even under valid leases, and keeps
+// running. It isn't ready and reports the reason, and becomes ready again once it receives a
+// readable record.
 func TestUnreadableRecordIsNotServed(t *testing.T) {
 	readable := map[string]string{fleetconfig.PlanKey: "{}", fleetconfig.ZoneKey: `["north"]`}
 	for _, c := range []struct{ name, key, value string }{
@@ -38,54 +38,54 @@
 			}
 			grant(1, readable)
 			if !d.canServe() {
-				t.Fatal("not ready by records in order")
+				t.Fatal("not ready with readable records")
 			}
 			if fault := recovered(func() {
 				grant(2, map[string]string{c.key: c.value})
 				_, read := d.Read(0, c.key)
 				_, stale := d.ReadAllowingStale(0, c.key)
 				if read || stale || d.canServe() {
-					t.Errorf("read %v, routed by %v, ready %v", read, stale, d.canServe())
+					t.Errorf("read %v, used for routing %v, ready %v", read, stale, d.canServe())
 				}
 				if unreadable(d) != 1 {
-					t.Errorf("%d records can't be read", unreadable(d))
+					t.Errorf("%d unreadable records counted", unreadable(d))
 				}
 				if _, _, ok := d.Plan(); ok != (c.key != fleetconfig.PlanKey) {
-					t.Errorf("a plan is in force: %v", ok)
+					t.Errorf("a plan is current: %v", ok)
 				}
 			}); fault != nil {
-				t.Fatalf("ended by %v", fault)
+				t.Fatalf("panicked: %v", fault)
 			}
 			grant(3, readable)
 			if !d.canServe() || unreadable(d) != 0 {
-				t.Errorf("ready %v, %d records can't be read", d.canServe(), unreadable(d))
+				t.Errorf("ready %v, %d unreadable records counted", d.canServe(), unreadable(d))
 			}
 		})
 	}
 }
 
-// recovered is the panic that stopped f; nil: none did.
+// recovered returns the panic raised by f; nil if there is none.
 func recovered(f func()) (fault any) {
 	defer func() { fault = recover() }()
 	f()
 	return nil
 }
 
-// unreadable counts the records that a daemon can't read.
+// unreadable returns the number of records that a daemon can't read.
 func unreadable(d *Daemon) int {
 	n, _ := d.unreadableRecords()
 	return n
 }
 
-// A folder with such a record, its checksum in order, ends no daemon: it leads,
-// what doesn't need the record is done, what does is answered that it isn't done,
-// and the daemon says why it isn't ready.
+// An unreadable record with a valid checksum in the data folder doesn't stop a daemon. The daemon
+// leads and executes operations that don't need the record, answers others with "not done", and
+// reports why it isn't ready.
 func TestDaemonRunsWithUnreadableRecordOnDisk(t *testing.T) {
 	cfg := singleDaemonConfig(t)
 	first := runDaemon(t, cfg)
 	status, answer := first.Call(t.Context(), 0, leadercall.OpPlan, firstPlan(), 20*time.Second)
 	if status != http.StatusOK {
-		t.Fatalf("the first plan: %d %s", status, answer)
+		t.Fatalf("writing the first plan: %d %s", status, answer)
 	}
 	first.stop()
 	overwritePlan(t, cfg, planFromOtherBuild)
@@ -93,7 +93,7 @@
 	second := runDaemon(t, cfg)
 	status, answer = second.Call(t.Context(), 0, leadercall.OpEvacuate, []byte("north"), 20*time.Second)
 	if status != http.StatusOK {
-		t.Errorf("an evacuation: %d %s", status, answer)
+		t.Errorf("evacuating a zone: %d %s", status, answer)
 	}
 	changes := leadercall.Pack(fleetconfig.Changes{
 		ID:      "next",
@@ -102,18 +102,18 @@
 	})
 	status, answer = second.Call(t.Context(), 0, leadercall.OpChanges, changes, 5*time.Second)
 	if status != leadercall.StatusNotDone || !strings.Contains(string(answer), "can't be read") {
-		t.Errorf("a change: %d %s", status, answer)
+		t.Errorf("changing the plan: %d %s", status, answer)
 	}
 	reason := second.whyNotReady()
 	if _, ok := second.Read(0, fleetconfig.PlanKey); ok || second.Ready() {
 		t.Errorf("read %v, ready %v", ok, second.Ready())
 	}
 	if unreadable(second.Daemon) != 1 || !strings.Contains(reason, "can't be read") {
-		t.Errorf("%d records can't be read: %s", unreadable(second.Daemon), reason)
+		t.Errorf("%d unreadable records counted: %s", unreadable(second.Daemon), reason)
 	}
 }
 
-// firstPlan is a plan of one service, packed.
+// firstPlan returns an encoded plan with one service.
 func firstPlan() []byte {
 	return leadercall.Pack(fleetconfig.Plan{
 		ID:       "first",
@@ -122,7 +122,7 @@
 	})
 }
 
-// overwritePlan puts another value in the plan's record on disk.
+// overwritePlan replaces the value of the plan record on disk.
 func overwritePlan(t *testing.T, cfg Config, value string) {
 	t.Helper()
 	store, err := storage.Open(cfg.DataFolder, cfg.Fleet)
--- a/control/daemon/wirelog_test.go
+++ b/control/daemon/wirelog_test.go
@@ -7,8 +7,9 @@
 	"mulleinmast/wire/transport"
 )
 
-// A busy link says what it carries, the largest kind first; an idle one says nothing.
-func TestABusyLinkIsLogged(t *testing.T) {
+// The traffic of a busy link is logged, the largest message kind first. That of an idle link
+// isn't.
+func TestBusyLinkIsLogged(t *testing.T) {
 	const second = time.Second
 	counts := func(grants, hellos int64) map[string]transport.KindCount {
 		return map[string]transport.KindCount{"grant": {SentBytes: grants, ReceivedBytes: 1024}, "hello": {SentBytes: hellos}}
@@ -20,6 +21,6 @@
 	}
 	idle := wireUsage{3 * second, counts(1<<20+1000, 1<<20)}
 	if got := idle.since(before); got != "" {
-		t.Errorf("an idle link says %q", got)
+		t.Errorf("idle link logged %q", got)
 	}
 }
--- a/control/eventlog/eventlog_test.go
+++ b/control/eventlog/eventlog_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-func TestFieldsStandBehindTheMessage(t *testing.T) {
+func TestFieldsFollowTheMessage(t *testing.T) {
 	for _, c := range []struct {
 		name, message string
 		fields        []any
@@ -27,13 +27,13 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if got := render(c.message, c.fields); got != c.want {
-				t.Errorf("rendered as %q, expected %q", got, c.want)
+				t.Errorf("rendered %q, expected %q", got, c.want)
 			}
 		})
 	}
 }
 
-// written are the kinds of the lines that a log wrote out.
+// written returns the kinds and messages of the lines that a log wrote.
 func written(t *testing.T, out io.Reader) (kinds []string) {
 	t.Helper()
 	for lines := json.NewDecoder(out); lines.More(); {
@@ -46,7 +46,7 @@
 	return kinds
 }
 
-// What stays in the ring, what is written out, and when.
+// Checks which entries stay in the ring buffer, which are written out, and when.
 func TestLevelsDecideWhatIsWritten(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -61,15 +61,15 @@
 			l.Debug("a", "x")
 			l.Info("b", "y", "n", 1)
 		}, []string{"b:y n=1"}},
-		{"a warning brings what came before", false, func(l *Log) {
+		{"a warning writes earlier entries too", false, func(l *Log) {
 			l.Debug("a", "x")
 			l.Warn("b", "y")
 		}, []string{"a:x", "trouble-b:y"}},
-		{"a second warning waits", false, func(l *Log) {
+		{"a second warning is delayed", false, func(l *Log) {
 			l.Warn("a", "x")
 			l.Warn("b", "y")
 		}, []string{"trouble-a:x"}},
-		{"a later warning brings only what is new", false, func(l *Log) {
+		{"a later warning writes only new entries", false, func(l *Log) {
 			l.Warn("a", "x")
 			l.flushedAt = time.Time{}
 			l.Debug("c", "z")
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestTheRingHoldsTheNewestEntries(t *testing.T) {
+func TestRingKeepsNewestEntries(t *testing.T) {
 	l := New(3, io.Discard)
 	for range 5 {
 		l.Debug("a", "x")
@@ -103,12 +103,12 @@
 		return out
 	}
 	if got := numbers(l.Since(0)); !slices.Equal(got, []uint64{3, 4, 5}) {
-		t.Errorf("held: %v", got)
+		t.Errorf("all entries: %v", got)
 	}
 	if got := numbers(l.Since(4)); !slices.Equal(got, []uint64{5}) {
-		t.Errorf("after 4: %v", got)
+		t.Errorf("entries after 4: %v", got)
 	}
 	if got := l.Since(5); got != nil {
-		t.Errorf("after the newest: %v", got)
+		t.Errorf("entries after the newest: %v", got)
 	}
 }
--- a/control/leadercall/leadercall_test.go
+++ b/control/leadercall/leadercall_test.go
@@ -16,31 +16,31 @@
 	newLeader = message.Replica{Ident: "p", Addr: "10.0.0.2:1"}
 )
 
-// knownLeader names one daemon as the leader of every partition.
+// knownLeader returns a function that reports one daemon as the leader of every partition.
 func knownLeader(r message.Replica) func(int) message.Replica {
 	return func(int) message.Replica { return r }
 }
 
-// answer is a daemon's answer to a try.
+// answer returns a daemon's answer to a try.
 func answer(from message.Replica, requestID uint64, status int) message.Message {
 	return message.Message{From: from.Ident, ResponseTo: requestID, Status: status}
 }
 
-// onlyResponse is the response of the one call that ended.
+// onlyResponse returns the response of the only completed call.
 func onlyResponse(t *testing.T, results []Result) (response Response) {
 	t.Helper()
 	if len(results) != 1 || json.Unmarshal(results[0].Body, &response) != nil {
-		t.Fatalf("ends: %+v", results)
+		t.Fatalf("completed calls: %+v", results)
 	}
 	return response
 }
 
-// A call that no leader took is "not done", one that was sent and not answered is
-// "uncertain"; neither waits past its deadline, both say when to come back.
-func TestUnansweredCallEndsWithWhatIsKnown(t *testing.T) {
+// A call that no leader accepted ends as "not done", one that was sent and not answered as
+// "uncertain". Neither waits past its deadline, and both responses contain a retry delay.
+func TestUnansweredCallReportsKnownOutcome(t *testing.T) {
 	for name, test := range map[string]struct {
 		leader message.Replica
-		status int // of every answer; 0: none comes
+		status int // of every answer; 0: no answers
 		want   string
 	}{
 		"no leader":        {message.Replica{}, 0, "not done"},
@@ -70,28 +70,29 @@
 	}
 }
 
-// An answer to an earlier try counts; a second one, or one to no try, does not.
+// An answer to an earlier try completes the call; a second answer, or one with an unknown ID, is
+// ignored.
 func TestLateAnswerEndsCallOnce(t *testing.T) {
 	calls := New(cfg, 1)
 	id, out := calls.Start(0, leader, 0, OpPlan, nil, 4*time.Second, false)
 	first := out.Sends[0].Message.RequestID
 	if out = calls.Tick(500*time.Millisecond, knownLeader(leader)); len(out.Sends) != 1 {
-		t.Fatalf("not sent again: %+v", out)
+		t.Fatalf("not retried: %+v", out)
 	}
-	if ended := calls.Step(time.Second, answer(leader, 999, 200)).Results; len(ended) > 0 {
-		t.Errorf("a stray answer ended %+v", ended)
+	if done := calls.Step(time.Second, answer(leader, 999, 200)).Results; len(done) > 0 {
+		t.Errorf("an unrelated answer completed %+v", done)
 	}
-	if ended := calls.Step(time.Second, answer(leader, first, 200)).Results; len(ended) != 1 || ended[0].CallID != id {
-		t.Errorf("a late answer ended %+v", ended)
+	if done := calls.Step(time.Second, answer(leader, first, 200)).Results; len(done) != 1 || done[0].CallID != id {
+		t.Errorf("a late answer completed %+v", done)
 	}
-	if ended := calls.Step(time.Second, answer(leader, out.Sends[0].Message.RequestID, 409)).Results; len(ended) > 0 {
-		t.Errorf("a second answer ended %+v", ended)
+	if done := calls.Step(time.Second, answer(leader, out.Sends[0].Message.RequestID, 409)).Results; len(done) > 0 {
+		t.Errorf("a second answer completed %+v", done)
 	}
 }
 
-// Every try of a call bears the call's own number, so that a leader knows
-// one that it has carried out; the try's number tells the answers apart.
-func TestTriesBearTheNumberOfTheirCall(t *testing.T) {
+// Every try of a call carries the call's ID, so that a leader recognizes a call that it has
+// already executed. The request ID of the try distinguishes the answers.
+func TestTriesShareTheirCallID(t *testing.T) {
 	calls := New(cfg, 1)
 	_, first := calls.Start(0, leader, 0, OpReturn, nil, 4*time.Second, false)
 	_, other := calls.Start(0, leader, 0, OpReturn, nil, 4*time.Second, false)
@@ -102,92 +103,91 @@
 	a, b, c := first.Sends[0].Message.AsCall(), again.Sends[0].Message.AsCall(), other.Sends[0].Message.AsCall()
 	if a.CallID == 0 || a.CallID != b.CallID || a.RequestID == b.RequestID || a.CallID == c.CallID {
 		t.Errorf(
-			"tries go as %d/%d and %d/%d, another call as %d/%d", a.CallID, a.RequestID, b.CallID, b.RequestID, c.CallID,
+			"tries have IDs %d/%d and %d/%d, another call has %d/%d", a.CallID, a.RequestID, b.CallID, b.RequestID, c.CallID,
 			c.RequestID,
 		)
 	}
 }
 
-// A call that is based on another version than the leader has is sent again at
-// once on the one that the leader named to it; a basis that was named to an earlier try, or to a
-// call that is over, counts for nothing.
-func TestACallThatIsBehindGoesOutAgain(t *testing.T) {
+// A call whose basis is outdated is retried at once on the version that the leader returned. A
+// basis returned to an earlier try, or to a completed call, is ignored.
+func TestOutdatedBasisIsRetriedAtOnce(t *testing.T) {
 	calls := New(cfg, 1)
 	_, out := calls.Start(0, leader, 0, OpEvacuate, nil, 4*time.Second, false)
 	first, basis := out.Sends[0].Message.AsCall(), message.Version{Term: 3, Seq: 8}
 	if first.Basis == (message.Version{}) || first.Basis == basis {
-		t.Errorf("the first try is on %v", first.Basis)
+		t.Errorf("the first try has basis %v", first.Basis)
 	}
 	behind := answer(leader, first.RequestID, StatusBehind)
 	behind.Version = basis
 	if out = calls.Step(time.Millisecond, behind); len(out.Results) > 0 {
-		t.Fatalf("ended: %+v", out.Results)
+		t.Fatalf("call completed: %+v", out.Results)
 	}
 	out = calls.Tick(2*time.Millisecond, knownLeader(leader))
 	if len(out.Sends) != 1 || out.Sends[0].Message.AsCall().Basis != basis ||
 		out.Sends[0].Message.AsCall().CallID != first.CallID {
-		t.Fatalf("the second try: %+v", out.Sends)
+		t.Fatalf("second try: %+v", out.Sends)
 	}
 	second := out.Sends[0].Message.RequestID
 	third := calls.Tick(500*time.Millisecond, knownLeader(leader)).Sends[0].Message.RequestID
-	late := answer(leader, second, StatusBehind) // while the third is out
+	late := answer(leader, second, StatusBehind) // while the third try is in flight
 	late.Version = message.Version{Term: 1, Seq: 1}
 	calls.Step(501*time.Millisecond, late)
 	if out = calls.Tick(502*time.Millisecond, knownLeader(leader)); len(out.Sends) > 0 {
-		t.Errorf("a late answer sent %+v", out.Sends)
+		t.Errorf("a late answer caused %+v to be sent", out.Sends)
 	}
-	if ended := calls.Step(time.Second, answer(leader, third, 200)).Results; len(ended) != 1 || ended[0].Status != 200 {
-		t.Errorf("%+v", ended)
+	if done := calls.Step(time.Second, answer(leader, third, 200)).Results; len(done) != 1 || done[0].Status != 200 {
+		t.Errorf("%+v", done)
 	}
 }
 
-// An answer is its own call's: one to an earlier incarnation of this daemon, which had the
-// same identity, or from another daemon than was asked, ends none of its calls.
-func TestAnswersToAnEarlierIncarnationEndNothing(t *testing.T) {
+// An answer to an earlier incarnation of this daemon, which had the same identity, or from another
+// daemon than the one asked, doesn't complete any call.
+func TestAnswersToEarlierIncarnationAreIgnored(t *testing.T) {
 	_, earlier := New(cfg, 3).Start(0, leader, 0, OpPlan, []byte("one"), 4*time.Second, false)
 	calls := New(cfg, 4)
 	id, out := calls.Start(0, leader, 0, OpPlan, []byte("two"), 4*time.Second, false)
-	late, mine := earlier.Sends[0].Message.AsCall(), out.Sends[0].Message.AsCall()
-	if late.CallID == mine.CallID {
-		t.Errorf("calls of two incarnations are both numbered %d", mine.CallID)
+	late, current := earlier.Sends[0].Message.AsCall(), out.Sends[0].Message.AsCall()
+	if late.CallID == current.CallID {
+		t.Errorf("calls of two incarnations share ID %d", current.CallID)
 	}
-	if ended := calls.Step(time.Second, answer(leader, late.RequestID, 200)).Results; len(ended) > 0 {
-		t.Errorf("the answer to an earlier incarnation ended %+v", ended)
+	if done := calls.Step(time.Second, answer(leader, late.RequestID, 200)).Results; len(done) > 0 {
+		t.Errorf("the answer to an earlier incarnation completed %+v", done)
 	}
-	if ended := calls.Step(time.Second, answer(newLeader, mine.RequestID, 200)).Results; len(ended) > 0 {
-		t.Errorf("the answer of another daemon ended %+v", ended)
+	if done := calls.Step(time.Second, answer(newLeader, current.RequestID, 200)).Results; len(done) > 0 {
+		t.Errorf("the answer of another daemon completed %+v", done)
 	}
-	ended := calls.Step(time.Second, answer(leader, mine.RequestID, 200)).Results
-	if len(ended) != 1 || ended[0].CallID != id {
-		t.Errorf("its own answer ended %+v", ended)
+	done := calls.Step(time.Second, answer(leader, current.RequestID, 200)).Results
+	if len(done) != 1 || done[0].CallID != id {
+		t.Errorf("the correct answer completed %+v", done)
 	}
 }
 
-// A leader that doesn't know what became of an earlier try ends no call while a
-// later try is out: its leader knows the call by its number.
-func TestUncertaintyOfAnEarlierTryWaitsForTheLaterOne(t *testing.T) {
+// If a leader doesn't know the outcome of an earlier try, the call continues while a later try is
+// in flight: the later try's leader recognizes the call by its ID.
+func TestUncertainEarlierTryDoesNotEndCall(t *testing.T) {
 	calls := New(cfg, 1)
 	id, out := calls.Start(0, leader, 0, OpPlan, nil, 4*time.Second, false)
 	first := out.Sends[0].Message.RequestID
 	out = calls.Tick(500*time.Millisecond, knownLeader(newLeader))
 	if len(out.Sends) != 1 {
-		t.Fatalf("not sent again: %+v", out)
+		t.Fatalf("not retried: %+v", out)
 	}
-	if ended := calls.Step(600*time.Millisecond, answer(leader, first, StatusUncertain)).Results; len(ended) > 0 {
-		t.Errorf("the earlier try ended %+v", ended)
+	if done := calls.Step(600*time.Millisecond, answer(leader, first, StatusUncertain)).Results; len(done) > 0 {
+		t.Errorf("the earlier try completed %+v", done)
 	}
-	ended := calls.Step(700*time.Millisecond, answer(newLeader, out.Sends[0].Message.RequestID, 200)).Results
-	if len(ended) != 1 || ended[0].CallID != id || ended[0].Status != 200 {
-		t.Errorf("the later try ended %+v", ended)
+	done := calls.Step(700*time.Millisecond, answer(newLeader, out.Sends[0].Message.RequestID, 200)).Results
+	if len(done) != 1 || done[0].CallID != id || done[0].Status != 200 {
+		t.Errorf("the later try completed %+v", done)
 	}
 
-	// Where the later try isn't answered either, the call is uncertain.
+	// If the later try isn't answered either, the call is uncertain.
 	_, out = calls.Start(0, leader, 0, OpPlan, nil, 4*time.Second, false)
 	first = out.Sends[0].Message.RequestID
 	calls.Tick(500*time.Millisecond, knownLeader(newLeader))
 	calls.Step(600*time.Millisecond, answer(leader, first, StatusUncertain))
 	out = calls.Tick(5*time.Second, knownLeader(newLeader))
 	if response := onlyResponse(t, out.Results); response.Result != "uncertain" {
-		t.Errorf("without a later answer: %+v", response)
+		t.Errorf("without an answer to the later try: %+v", response)
 	}
 }
--- a/control/leadercall/response.go
+++ b/control/leadercall/response.go
@@ -26,7 +26,7 @@
 const (
 	ResultDone      = "done"
 	ResultNotDone   = "not done"  // nothing was changed
-	ResultUncertain = "uncertain" // it may have been done
+	ResultUncertain = "uncertain" // the call may have been executed
 	ResultUnclear   = "not clear" // nothing was changed now; the outcome of an earlier try is unknown
 	ResultConflict  = "beaten"    // a later version is active
 	ResultDuplicate = "duplicate" // another request holds, or held, the once key
--- a/control/leadercall/stored_test.go
+++ b/control/leadercall/stored_test.go
@@ -8,7 +8,7 @@
 	"mulleinmast/wire/message"
 )
 
-// Answers and once keys' records are the JSON that earlier builds wrote.
+// Responses and records of once keys are encoded as the same JSON as in earlier builds.
 func TestStoredJSONKeepsItsBytes(t *testing.T) {
 	claim := Claim{Request: "request-1", Daemon: "d", State: "claimed", Past: []string{"request-0"}}
 	golden.Check(t, "once-key.json", claim, golden.JSON[Claim]())
@@ -18,8 +18,8 @@
 	golden.Bytes(t, "empty-response.json", Pack(Response{}))
 }
 
-// The status codes that daemons of other builds understand stay.
-func TestStatusCodesStay(t *testing.T) {
+// The status codes exchanged with daemons of other builds are unchanged.
+func TestStatusCodesAreUnchanged(t *testing.T) {
 	for code, want := range map[int]int{
 		StatusNotLeader: 421, StatusUncertain: 504, StatusNotDone: 503, StatusBehind: 425,
 	} {
@@ -29,8 +29,9 @@
 	}
 }
 
-// A call's message is the frame that other builds read: its fields and numbers, at first and when it is sent again.
-func TestFrameOfACallKeepsItsBytes(t *testing.T) {
+// The message of a call is the frame that other builds read: its fields and numbers, in the first
+// try and in later ones.
+func TestCallFrameKeepsItsBytes(t *testing.T) {
 	calls := New(cfg, 3)
 	frame := func(name string, sends []message.Envelope) message.Message {
 		t.Helper()
@@ -62,8 +63,8 @@
 	frame("call-once.msgp", out.Sends)
 }
 
-// What a call that nobody answered ends with stays.
-func TestEndsOfCallsKeepTheirBytes(t *testing.T) {
+// The response to a call that was not answered is unchanged.
+func TestUnansweredCallResultsKeepTheirBytes(t *testing.T) {
 	for name, known := range map[string]message.Replica{"not-done.json": {}, "uncertain.json": leader} {
 		calls := New(cfg, 1)
 		calls.Start(0, known, 5, "plan", nil, time.Second, false)
--- a/proof/standin/mutants/answers.sh
+++ b/proof/standin/mutants/answers.sh
@@ -25,8 +25,8 @@
 		write()'
 mutant clients-stage platform TestHeadersThatClientsMayNotSet platform/names.go '[]string{hdrStage, hdrPromptMemory,' '[]string{hdrPromptMemory,'
 mutant hop-by-hop platform TestHeadersThatClientsMayNotSet platform/engine.go '!strings.HasPrefix(k, headerPrefix)' 'k != headerPrefix'
-mutant same-numbers control/leadercall TestAnswersToAnEarlierIncarnationEndNothing control/leadercall/leadercall.go 'lastID: epoch << epochBits' 'lastID: 0 * epoch'
-mutant anybodys-response control/leadercall TestAnswersToAnEarlierIncarnationEndNothing control/leadercall/leadercall.go ' || from != answered.to' ''
+mutant same-numbers control/leadercall TestAnswersToEarlierIncarnationAreIgnored control/leadercall/leadercall.go 'lastID: epoch << epochBits' 'lastID: 0 * epoch'
+mutant anybodys-response control/leadercall TestAnswersToEarlierIncarnationAreIgnored control/leadercall/leadercall.go ' || from != answered.to' ''
 mutant earlier-promise control/quorum TestVotesForAnEarlierIncarnationDoNotCount control/quorum/candidate.go 'grant.CandidateEpoch != 0 && grant.CandidateEpoch != r.epochs[r.self.Ident]' 'false'
 mutant earlier-void control/quorum TestAnEarlierIncarnationAbandonsNoLaterVote control/quorum/vote.go 'r.meta.VotedForEpoch != from.Epoch || ' ''
 exit $missed
