--- a/control/daemon/interface_test.go
+++ b/control/daemon/interface_test.go
@@ -26,8 +26,8 @@
 	"mulleinmast/control/placement"
 )
 
-// What others rely on by its name is compared with files in testdata. They are
-// written anew only where the interface itself is meant to change:
+// golden compares a text with a file in testdata, which records names and formats that others
+// depend on. The files are rewritten only when the interface is meant to change:
 //
 //	GOLDEN=write go test ./control/daemon
 func golden(t *testing.T, name, got string) {
@@ -60,7 +60,7 @@
 	}
 }
 
-// fill sets every exported field below a value, by its type alone.
+// fill sets every exported field of a value, recursively, to a fixed value of its type.
 func fill(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -110,7 +110,7 @@
 	}
 }
 
-// The JSON of what the operator's calls take and answer, with every field set.
+// The JSON of the operator API's requests and responses, with every field set, is unchanged.
 func TestOperatorJSONKeepsItsNames(t *testing.T) {
 	var text strings.Builder
 	for _, x := range []struct {
@@ -139,9 +139,9 @@
 	golden(t, "operator-types.txt", text.String())
 }
 
-// masked is a JSON text with what varies from run to run taken out: numbers are
-// 0, of lines of the log the first one stands.
-func masked(text []byte, vary ...string) string {
+// maskJSON returns a JSON text with the parts masked that vary between runs: numbers become 0, and
+// of log entries only the first is kept.
+func maskJSON(text []byte, vary ...string) string {
 	var v any
 	if err := json.Unmarshal(text, &v); err != nil {
 		return string(text)
@@ -155,8 +155,8 @@
 				if list, ok := value.([]any); ok && key == "lines" {
 					value = list[:min(1, len(list))]
 				}
-				out[maskedText(key, vary)] = mask(value)
-				if key == "text" { // of a line of the log
+				out[maskText(key, vary)] = mask(value)
+				if key == "text" { // of a log entry
 					out[key] = "<text>"
 				}
 			}
@@ -169,7 +169,7 @@
 		case float64:
 			return 0
 		case string:
-			return maskedText(v, vary)
+			return maskText(v, vary)
 		}
 		return v
 	}
@@ -182,48 +182,48 @@
 
 var wallTime = regexp.MustCompile(`\d{4}-\d\d-\d\dT[\d:.]+(Z|[+-]\d\d:\d\d)`)
 
-func maskedText(s string, vary []string) string {
+func maskText(s string, vary []string) string {
 	for i, text := range vary {
 		s = strings.ReplaceAll(s, text, fmt.Sprint("<", i, ">"))
 	}
 	return wallTime.ReplaceAllString(s, "<time>")
 }
 
-// transcript records calls at a daemon with their answers, what varies masked.
+// transcript records calls to a daemon and its responses, with varying parts masked.
 type transcript struct {
 	strings.Builder
 	d      *Daemon
-	inPath []string // what varies in paths
-	inBody []string // and in answers
+	inPath []string // varying texts in paths
+	inBody []string // varying texts in responses
 }
 
-func (c *transcript) call(t *testing.T, method, path, body string) {
+func (tr *transcript) call(t *testing.T, method, path, body string) {
 	t.Helper()
 	w := httptest.NewRecorder()
 	r := httptest.NewRequestWithContext(t.Context(), method, path, strings.NewReader(body))
-	c.d.Mux.ServeHTTP(w, r)
-	_, _ = fmt.Fprintf(c, "%s %s\n%d", method, maskedText(path, c.inPath), w.Code)
+	tr.d.Mux.ServeHTTP(w, r)
+	_, _ = fmt.Fprintf(tr, "%s %s\n%d", method, maskText(path, tr.inPath), w.Code)
 	for _, name := range []string{"Content-Type", "Retry-After", "Warning", "Allow"} {
 		if v := w.Header().Get(name); v != "" {
-			_, _ = fmt.Fprintf(c, " %s: %s;", name, v)
+			_, _ = fmt.Fprintf(tr, " %s: %s;", name, v)
 		}
 	}
-	_, _ = fmt.Fprintf(c, "\n%s\n", masked(w.Body.Bytes(), c.inBody...))
+	_, _ = fmt.Fprintf(tr, "\n%s\n", maskJSON(w.Body.Bytes(), tr.inBody...))
 }
 
-// operatorCall is a call with its method and path, as the mux has them.
+// operatorCall is a call with its route (method and path) as registered with the mux.
 type operatorCall struct{ route, body string }
 
-func (c *transcript) calls(t *testing.T, list []operatorCall) {
+func (tr *transcript) calls(t *testing.T, list []operatorCall) {
 	t.Helper()
 	for _, call := range list {
 		method, path, _ := strings.Cut(call.route, " ")
 		path = strings.NewReplacer("{zone}", "north", "{op}", "return").Replace(path)
-		c.call(t, method, path, call.body)
+		tr.call(t, method, path, call.body)
 	}
 }
 
-// Each call of the operator's interface at a daemon that is a fleet by itself.
+// Each call of the operator API at a daemon that is a one-daemon fleet keeps its response.
 func TestOperatorCallsKeepTheirAnswers(t *testing.T) {
 	cfg, backup := singleDaemonConfig(t), filepath.Join(t.TempDir(), "backup")
 	d, plan := runDaemon(t, cfg), string(firstPlan())
@@ -238,7 +238,7 @@
 	}
 	out.calls(t, []operatorCall{{"GET /livez", ""}, {"GET /readyz", ""}})
 	if status, answer := d.Call(t.Context(), 0, leadercall.OpPlan, []byte(plan), 20*time.Second); status != http.StatusOK {
-		t.Fatalf("the first plan: %d %s", status, answer)
+		t.Fatalf("writing the first plan: %d %s", status, answer)
 	}
 	await(t, d.Daemon, d.isReady)
 	out.calls(t, []operatorCall{
@@ -283,25 +283,25 @@
 	golden(t, "operator-calls.txt", out.String())
 }
 
-// await waits until something is so, looked at whenever records change and often
-// between.
-func await(t *testing.T, d *Daemon, so func() bool) {
+// await waits until a condition holds. It checks at each change of a record and at a short
+// interval.
+func await(t *testing.T, d *Daemon, condition func() bool) {
 	t.Helper()
-	limit, often := time.After(20*time.Second), time.NewTicker(10*time.Millisecond)
-	defer often.Stop()
-	for !so() {
+	timeout, ticker := time.After(20*time.Second), time.NewTicker(10*time.Millisecond)
+	defer ticker.Stop()
+	for !condition() {
 		select {
-		case <-limit:
-			t.Fatal("not in time: " + d.whyNotReady())
+		case <-timeout:
+			t.Fatal("timed out: " + d.whyNotReady())
 		case <-d.Changed():
-		case <-often.C:
+		case <-ticker.C:
 		}
 	}
 }
 
-// The switches that tests use keep their paths and answers.
-func TestSwitchesKeepTheirAnswers(t *testing.T) {
-	d := openAlone(t, func(cfg *Config) { withLongLeases(cfg); cfg.TestSwitches = true })
+// The fault injection calls used by tests keep their paths and responses.
+func TestFaultInjectionCallsKeepTheirAnswers(t *testing.T) {
+	d := openIsolated(t, func(cfg *Config) { withLongLeases(cfg); cfg.TestSwitches = true })
 	var text strings.Builder
 	for _, call := range []struct{ path, body string }{
 		{"/test/cut", `["10.0.0.1:1"]`},
@@ -324,9 +324,8 @@
 
 var route = regexp.MustCompile(`^(GET|HEAD|PUT|POST|PATCH|DELETE) /`)
 
-// The paths that the daemon registers, with their methods: as its sources name
-// them, and as its mux knows them.
-func TestPathsStay(t *testing.T) {
+// The registered paths and their methods are unchanged, both in the sources and in the mux.
+func TestPathsAreUnchanged(t *testing.T) {
 	sources, err := filepath.Glob("*.go")
 	if err != nil {
 		t.Fatal(err)
@@ -350,7 +349,7 @@
 		})
 	}
 	slices.Sort(paths)
-	d := openAlone(t, func(cfg *Config) { cfg.DataFolder, cfg.TestSwitches = t.TempDir(), true })
+	d := openIsolated(t, func(cfg *Config) { cfg.DataFolder, cfg.TestSwitches = t.TempDir(), true })
 	for _, path := range paths {
 		method, place, _ := strings.Cut(path, " ")
 		place = strings.NewReplacer("{", "", "}", "").Replace(place)
@@ -365,24 +364,24 @@
 	golden(t, "paths.txt", strings.Join(paths, "\n")+"\n")
 }
 
-// The figures of the control plane keep their names.
+// The control plane's metrics keep their names.
 func TestMetricsKeepTheirNames(t *testing.T) {
-	d := openAlone(t, func(*Config) {})
+	d := openIsolated(t, func(*Config) {})
 	names := d.Metrics.ListMetricNames()
 	slices.Sort(names)
 	golden(t, "metrics.txt", strings.Join(names, "\n")+"\n")
 }
 
-// leaves are the values below one, sorted, without their names.
-func leaves(v reflect.Value) (list []string) {
+// leafValues returns the sorted values of all fields below a value, without their names.
+func leafValues(v reflect.Value) (list []string) {
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			list = append(list, leaves(v.Field(i))...)
+			list = append(list, leafValues(v.Field(i))...)
 		}
 	case reflect.Slice:
 		for i := range v.Len() {
-			list = append(list, leaves(v.Index(i))...)
+			list = append(list, leafValues(v.Index(i))...)
 		}
 	default:
 		list = append(list, fmt.Sprint(v))
@@ -391,13 +390,13 @@
 	return list
 }
 
-// The settings of the file and the flags keep their names, defaults, and places.
+// The settings of the config file and the flags keep their names, defaults and limits.
 func TestSettingsKeepTheirNames(t *testing.T) {
 	var text bytes.Buffer
 	show := func(what string, args ...string) {
 		cfg, err := ReadConfig("mulleinmast", args, &text)
 		fmt.Fprintf(&text, "%s: %v\n", what, err)
-		for _, leaf := range leaves(reflect.ValueOf(cfg)) {
+		for _, leaf := range leafValues(reflect.ValueOf(cfg)) {
 			fmt.Fprintln(&text, " ", leaf)
 		}
 	}
