--- a/control/partition/batch.go
+++ b/control/partition/batch.go
@@ -9,40 +9,41 @@
 	"mulleinmast/wire/message"
 )
 
-// maxRunning is how many batches run beside one another: each is waited for by
-// every daemon below, and what comes in a crowd (all servers of a model) would
-// else be on its way to all of them at once.
-const maxRunning = 32
+// maxRunningBatches limits the batches that run concurrently. Every descendant in the lease tree
+// waits for each of them, and a burst of writes (all servers of a model, for example) would
+// otherwise be sent to all descendants at once.
+const maxRunningBatches = 32
 
-// stage is how far a batch has come. It ends with the replica's result, or with the
-// leadership.
+// stage is the progress of a batch. A batch ends with the replica's result or when the
+// leadership is lost.
 type stage uint8
 
 const (
-	built        stage = iota // its records are made
-	invalidating              // its records are granted no more and withdrawn from the tree
-	committing                // its records are on their way to a majority
+	built        stage = iota // its records are built
+	invalidating              // its records are no longer granted and are being withdrawn from the lease tree
+	committing                // its records are being replicated to a majority
 )
 
-// batch is one write of a job, or of several that are merged.
+// batch is one write, made by a single job or by several merged jobs.
 type batch struct {
-	jobs    []*job // in order; all of the same keys
+	jobs    []*job // in submission order; all have the same keys
 	records []message.Record
 	stage   stage
-	// invalidationsLeft counts, while invalidating, the records that are not yet
-	// invalidated.
+	// invalidationsLeft counts the records that are not yet invalidated, in stage
+	// invalidating.
 	invalidationsLeft int
 }
 
-// results gives the results of a batch's jobs. Those that wrote nothing judged by what
-// was about to be written: that counts only once it is.
+// results returns the results of a batch's jobs. A job that wrote nothing may have decided
+// this on records that the batch was about to write, so its result is valid only if the batch
+// was committed.
 func (b *batch) results(outcome Outcome) (results []Result) {
 	for _, j := range b.jobs {
 		result := Result{Tag: j.tag, Outcome: outcome, Answer: j.answer}
 		switch {
-		case j.writesNought && outcome == Done:
+		case j.isNoOp && outcome == Done:
 			result.Outcome = Unchanged
-		case j.writesNought:
+		case j.isNoOp:
 			result = Result{Tag: j.tag, Outcome: NotLeader}
 		case outcome == NotLeader:
 			result.Answer = nil
@@ -52,54 +53,54 @@
 	return results
 }
 
-// find is the place of a key among the records to write; -1: none.
-func (b *batch) find(key string) int {
+// indexOf returns the index of a key among the records to write, or -1.
+func (b *batch) indexOf(key string) int {
 	return slices.IndexFunc(b.records, func(r message.Record) bool { return r.Key == key })
 }
 
-// put sets a record to write, over one of the same key.
+// put adds a record to write and replaces an earlier one with the same key.
 func (b *batch) put(r message.Record) {
-	if i := b.find(r.Key); i >= 0 {
+	if i := b.indexOf(r.Key); i >= 0 {
 		b.records[i] = r
 	} else {
 		b.records = append(b.records, r)
 	}
 }
 
-// add builds a job's records over those that the batch is about to write.
-func (p *Partition) add(b *batch, j *job) {
+// addToBatch builds a job's records on top of those that the batch is about to write.
+func (p *Partition) addToBatch(b *batch, j *job) {
 	records, answer := j.Build(func(key string) message.Record {
-		if i := b.find(key); i >= 0 {
+		if i := b.indexOf(key); i >= 0 {
 			return b.records[i]
 		}
 		return p.read(key)
 	})
-	j.answer, j.writesNought = answer, len(records) == 0
+	j.answer, j.isNoOp = answer, len(records) == 0
 	b.jobs = append(b.jobs, j)
 	for _, r := range records {
 		b.put(r)
 	}
 }
 
-// startJobs starts the jobs of the queue whose keys are free. A job that has to wait
-// keeps those behind it that have one of its keys waiting too.
+// startJobs starts the queued jobs whose keys are free. A job that has to wait also blocks
+// later jobs that share one of its keys.
 func (p *Partition) startJobs(now time.Duration, out *Out) {
 	if len(p.queue) == 0 || !p.mayWrite(now) {
 		return
 	}
 	var waiting []*job
 	waitingKeys := map[string]bool{}
-	mergeable := map[string]*batch{} // begun in this turn, by their keys
+	mergeable := map[string]*batch{} // batches started by this call, by key set
 	for _, j := range p.queue {
 		if b := mergeable[j.keySet()]; b != nil && j.Mergeable && !j.hasKeyIn(waitingKeys) {
-			p.add(b, j)
+			p.addToBatch(b, j)
 			continue
 		}
-		if b := p.openBatch(j); b != nil && !j.hasKeyIn(waitingKeys) {
-			p.add(b, j)
+		if b := p.findOpenBatch(j); b != nil && !j.hasKeyIn(waitingKeys) {
+			p.addToBatch(b, j)
 			continue
 		}
-		if j.hasKeyIn(p.busyKeys) || j.hasKeyIn(waitingKeys) || len(p.running) >= maxRunning {
+		if j.hasKeyIn(p.busyKeys) || j.hasKeyIn(waitingKeys) || len(p.running) >= maxRunningBatches {
 			for _, key := range j.Keys {
 				waitingKeys[key] = true
 			}
@@ -114,9 +115,10 @@
 	p.startInvalidations(now, out)
 }
 
-// openBatch is the batch that a job of one record can still join: of the same record, which isn't
-// on its way to the replicas yet. Else each job of a row would wait anew for those that are silent.
-func (p *Partition) openBatch(j *job) *batch {
+// findOpenBatch returns the batch that a job with a single key can still join, or nil: one that
+// writes the same record and is not being committed yet. Without it each job of a sequence would
+// wait again for descendants that do not answer.
+func (p *Partition) findOpenBatch(j *job) *batch {
 	if !j.Mergeable || len(j.Keys) != 1 || !p.busyKeys[j.Keys[0]] {
 		return nil
 	}
@@ -129,10 +131,10 @@
 	return nil
 }
 
-// startJob makes a batch of a job; nil if it writes nothing, which ends it.
+// startJob starts a batch with a job. It returns nil if the job writes nothing and so is complete.
 func (p *Partition) startJob(j *job, out *Out) *batch {
 	b := &batch{}
-	p.add(b, j)
+	p.addToBatch(b, j)
 	if len(b.records) == 0 {
 		out.Results = append(out.Results, Result{Tag: j.tag, Outcome: Unchanged, Answer: j.answer})
 		return nil
@@ -144,8 +146,8 @@
 	return b
 }
 
-// startInvalidations stops granting the records of the batches that were built, and
-// withdraws them from the tree.
+// startInvalidations stops granting the records of newly built batches and withdraws them
+// from the lease tree.
 func (p *Partition) startInvalidations(now time.Duration, out *Out) {
 	for _, tag := range slices.Sorted(maps.Keys(p.running)) {
 		b := p.running[tag]
@@ -159,8 +161,8 @@
 	}
 }
 
-// handleRecordInvalidated counts a record of a batch as invalidated; after the last one the
-// batch is committed.
+// handleRecordInvalidated counts one record of a batch as invalidated. After the last one it
+// starts to commit the batch.
 func (p *Partition) handleRecordInvalidated(now time.Duration, tag uint64, out *Out) {
 	b := p.running[tag]
 	if b == nil {
@@ -181,9 +183,9 @@
 	p.handleReplicaOut(now, replicaOut, out)
 }
 
-// handleWriteResult ends a batch: its records are granted again if they are committed.
-// If that is uncertain they stay withdrawn, and their keys busy: the replica gives the
-// leadership up.
+// handleWriteResult ends a batch. Its records are granted again if they were committed.
+// If the outcome is uncertain they stay withdrawn and their keys stay busy, because the
+// replica then gives up the leadership.
 func (p *Partition) handleWriteResult(now time.Duration, write quorum.WriteResult, out *Out) {
 	b := p.running[write.Tag]
 	if b == nil {
--- a/control/partition/batch_test.go
+++ b/control/partition/batch_test.go
@@ -9,8 +9,8 @@
 	"mulleinmast/wire/message"
 )
 
-// appends is a job that adds a letter to a record if that is as long as its base.
-func appends(letter byte, base int) Job {
+// appendJob returns a job that appends a letter to a record if the record's length is base.
+func appendJob(letter byte, base int) Job {
 	return Job{Keys: []string{"k"}, Mergeable: true, Build: func(read lease.RecordSource) ([]message.Record, any) {
 		current := read("k").Value
 		if len(current) != base {
@@ -20,27 +20,27 @@
 	}}
 }
 
-// Jobs that come while an earlier one waits are written together, once it is done:
-// one withdrawal and one write; one that is built on what isn't written yet gets its
-// answer with it, also if it is refused.
+// Jobs submitted while an earlier one is pending are merged into one batch, with one
+// invalidation and one write, when the earlier one completes. A job that depends on a merged
+// but unwritten record gets its result together with that write, even if it writes nothing.
 func TestWaitingJobsAreMerged(t *testing.T) {
-	p, sync := leader(t)
+	p, sync := newLeader(t)
 	now := p.Replica.LeaseEnd() - 900*time.Millisecond
-	first := p.Submit(now, 1, appends('a', 0)) // its disk isn't asked yet
+	first := p.Submit(now, 1, appendJob('a', 0)) // its save is not on disk yet
 	if len(first.Saves) != 1 || len(first.Results) != 0 {
 		t.Fatalf("%+v", first)
 	}
-	for tag, j := range []Job{appends('b', 1), appends('x', 1), appends('c', 2)} {
+	for tag, j := range []Job{appendJob('b', 1), appendJob('x', 1), appendJob('c', 2)} {
 		if o := p.Submit(now, uint64(tag+2), j); len(o.Results)+len(o.Saves) > 0 {
-			t.Fatalf("job %d doesn't wait: %+v", tag+2, o)
+			t.Fatalf("job %d does not wait: %+v", tag+2, o)
 		}
 	}
 	o := p.Saved(now, first.Saves[0].Ticket)
 	if len(o.Saves) != 1 || len(o.Saves[0].Records) != 1 || string(o.Saves[0].Records[0].Value) != "abc" {
-		t.Fatalf("the three that waited: %+v", o.Saves)
+		t.Fatalf("the waiting jobs are not merged into one write: %+v", o.Saves)
 	}
 	if len(o.Results) != 1 || o.Results[0].Tag != 1 || o.Results[0].Outcome != Done {
-		t.Errorf("a result before it is on disk: %+v", o.Results)
+		t.Errorf("expected the result of job 1 alone, got %+v", o.Results)
 	}
 	o = sync(p.Saved(now, o.Saves[0].Ticket))
 	want := map[uint64]Result{2: {2, Done, "taken"}, 3: {3, Unchanged, "conflict"}, 4: {4, Done, "taken"}}
@@ -54,14 +54,15 @@
 	}
 }
 
-// What was merged and never committed was never in force: what wrote is uncertain,
-// and what was refused by it isn't refused.
+// Guards against a final answer that is based on a write which never committed. If a merged
+// batch fails, the jobs that wrote are uncertain, and a job that wrote nothing because of
+// them gets NotLeader instead of its answer.
 func TestMergedJobsFailTogether(t *testing.T) {
-	p, _ := leader(t)
+	p, _ := newLeader(t)
 	now := p.Replica.LeaseEnd() - 900*time.Millisecond
-	first := p.Submit(now, 1, appends('a', 0))
-	p.Submit(now, 2, appends('b', 1))
-	p.Submit(now, 3, appends('x', 1))
+	first := p.Submit(now, 1, appendJob('a', 0))
+	p.Submit(now, 2, appendJob('b', 1))
+	p.Submit(now, 3, appendJob('x', 1))
 	p.Saved(now, first.Saves[0].Ticket)
 	o := p.Tick(p.Replica.LeaseEnd() + time.Millisecond)
 	want := map[uint64]Outcome{2: Uncertain, 3: NotLeader}
@@ -75,16 +76,16 @@
 	}
 }
 
-// A job that isn't mergeable, or touches other keys too, waits for its turn, and what
-// came after it isn't written before it.
-func TestOtherJobsWaitTheirTurn(t *testing.T) {
-	p, _ := leader(t)
+// A job that is not mergeable or has additional keys waits for its turn, and later jobs are
+// not written before it.
+func TestUnmergeableJobsWaitInOrder(t *testing.T) {
+	p, _ := newLeader(t)
 	now := p.Replica.LeaseEnd() - 900*time.Millisecond
-	first := p.Submit(now, 1, appends('a', 0))
-	both := appends('b', 1)
+	first := p.Submit(now, 1, appendJob('a', 0))
+	both := appendJob('b', 1)
 	both.Keys = []string{"k", "other"}
 	p.Submit(now, 2, both)
-	p.Submit(now, 3, appends('c', 2))
+	p.Submit(now, 3, appendJob('c', 2))
 	o := p.Saved(now, first.Saves[0].Ticket)
 	if len(o.Saves) != 1 || string(o.Saves[0].Records[0].Value) != "ab" {
 		t.Fatalf("%+v", o.Saves)
@@ -95,32 +96,32 @@
 	}
 }
 
-// A job that comes while the record of an earlier one is withdrawn, and waited for at a child that
-// says nothing, joins it: one withdrawal and one write for both. Once the earlier one is on its way to
-// the disk the next one waits for its turn.
-func TestAListJoinsTheOneThatIsWithdrawn(t *testing.T) {
-	p, sync := leader(t)
+// A job submitted while the batch of an earlier one waits for a child's invalidation
+// acknowledgment joins that batch: one invalidation and one write for both. Once the batch is
+// being saved, a further job waits for its turn.
+func TestJobJoinsBatchDuringInvalidation(t *testing.T) {
+	p, sync := newLeader(t)
 	now := p.Replica.LeaseEnd() - 900*time.Millisecond
 	connectChild(p, now, sync, "k")
-	first := p.Submit(now, 1, appends('a', 0))
+	first := p.Submit(now, 1, appendJob('a', 0))
 	if len(first.Saves) != 0 || len(first.Sends) != 1 || first.Sends[0].Message.Kind != message.KindInvalidate {
-		t.Fatalf("it isn't withdrawn first: %+v", first)
+		t.Fatalf("the record is not invalidated before the write: %+v", first)
 	}
-	if joins := p.Submit(now, 2, appends('b', 1)); len(joins.Sends)+len(joins.Saves)+len(joins.Results) > 0 {
-		t.Errorf("the second one is withdrawn for itself: %+v", joins)
+	if second := p.Submit(now, 2, appendJob('b', 1)); len(second.Sends)+len(second.Saves)+len(second.Results) > 0 {
+		t.Errorf("the second job starts an invalidation: %+v", second)
 	}
 	ack := fromChild(message.InvalidationAck{
 		Key: "k", Number: first.Sends[0].Message.AsInvalidation().Number, VolumeEpoch: p.Node.VolumeEpoch(),
 	}.Message(number))
 	o := p.Step(now, ack)
 	if len(o.Saves) != 1 || string(o.Saves[0].Records[0].Value) != "ab" {
-		t.Fatalf("both are written at once: %+v", o.Saves)
+		t.Fatalf("the two jobs are not written together: %+v", o.Saves)
 	}
-	if late := p.Submit(now, 3, appends('c', 2)); len(late.Sends)+len(late.Saves)+len(late.Results) > 0 {
-		t.Errorf("one that comes later doesn't wait: %+v", late)
+	if late := p.Submit(now, 3, appendJob('c', 2)); len(late.Sends)+len(late.Saves)+len(late.Results) > 0 {
+		t.Errorf("a job submitted during the save does not wait: %+v", late)
 	}
 	o = p.Saved(now, o.Saves[0].Ticket)
 	if len(o.Results) != 2 || o.Results[0].Outcome != Done || o.Results[1].Outcome != Done {
-		t.Errorf("results %+v", o.Results)
+		t.Errorf("unexpected results %+v", o.Results)
 	}
 }
--- a/control/partition/helpers_test.go
+++ b/control/partition/helpers_test.go
@@ -14,7 +14,7 @@
 	volumeLease = 800 * time.Millisecond
 	drift       = 0.02
 	margin      = 20 * time.Millisecond
-	number      = 1 // of the partition
+	number      = 1 // partition number
 )
 
 var (
@@ -28,8 +28,8 @@
 	}
 )
 
-// syncSaves has all that a step saves on disk at once, and what follows from that, and
-// adds what that sends and ends.
+// syncSaves completes all saves of a step at once, including those that follow from it, and
+// adds the resulting messages and results.
 func syncSaves(p *Partition, now time.Duration, out Out) Out {
 	for len(out.Saves) > 0 {
 		saved := p.Saved(now, out.Saves[0].Ticket)
@@ -40,9 +40,9 @@
 	return out
 }
 
-// leader is a partition whose only replica is this daemon's, which leads it, and what
-// has the saves of its steps on disk.
-func leader(t *testing.T) (p *Partition, sync func(Out) Out) {
+// newLeader returns a partition whose only replica is this daemon's and which it leads, and a
+// function that completes the saves of its steps.
+func newLeader(t *testing.T) (p *Partition, sync func(Out) Out) {
 	t.Helper()
 	meta := quorum.Meta{Group: message.Group{Number: 1, Replicas: []message.Replica{self}}}
 	replica := quorum.New(quorumConfig, quorum.InitialState{
@@ -60,14 +60,14 @@
 	return p, sync
 }
 
-// fromChild is a message from a child in the lease tree.
+// fromChild returns a message as sent by a child in the lease tree.
 func fromChild(m message.Message) message.Message {
 	m.Partition, m.From, m.Epoch, m.Addr = number, "child", 1, "10.0.0.2:1"
 	return m
 }
 
-// connectChild has the child reconnect and ask for a record; it gives what answers
-// that.
+// connectChild makes the child reconnect and request a record, and returns the answer to the
+// request.
 func connectChild(p *Partition, now time.Duration, sync func(Out) Out, key string) Out {
 	step := func(m message.Message) Out { return sync(p.Step(now, fromChild(m))) }
 	step(message.Message{Kind: message.KindRenewLease, RequestID: 1})
@@ -79,7 +79,7 @@
 	return step(message.Message{Kind: message.KindRenewLease, RequestID: 3, VolumeEpoch: epoch, Keys: []string{key}})
 }
 
-// writeNew is a job that writes "new" under a key, and counts how often it is built.
+// writeNew returns a job that writes "new" under a key and counts in built how often it is built.
 func writeNew(key string, built *int) Job {
 	return Job{Keys: []string{key}, Build: func(lease.RecordSource) ([]message.Record, any) {
 		*built++
--- a/control/partition/job.go
+++ b/control/partition/job.go
@@ -9,61 +9,61 @@
 	"mulleinmast/wire/message"
 )
 
-// Job is a read-modify-write of some records.
+// Job is a read-modify-write operation on one or more records.
 type Job struct {
-	// Keys are those of all records that the job reads or writes: no other job that
-	// has one of them runs beside it.
+	// Keys are the keys of all records that the job reads or writes. Jobs that share a
+	// key do not run concurrently.
 	Keys []string
-	// Mergeable jobs of the same keys are written together where they wait for one
-	// another: what Build reads may then have no version yet.
+	// Mergeable allows the job to be written in one batch with other jobs that have the
+	// same keys. Build may then read records that do not have a version yet.
 	Mergeable bool
-	// Build makes the records to write, each under one of the keys, from those that
-	// are there; none if nothing is to be written. The answer is for the caller alone.
-	// It runs when no other job has the keys.
+	// Build returns the records to write, each under one of Keys, based on the current
+	// ones; it returns none if there is nothing to write. The answer is passed to the
+	// caller in Result. Build runs when no other job holds the keys.
 	Build func(read lease.RecordSource) (records []message.Record, answer any)
 }
 
-// Outcome is what became of a job.
+// Outcome is the final state of a job.
 type Outcome uint8
 
 // The outcomes of a job.
 const (
-	Done      Outcome = iota + 1 // invalidated, committed and in force
-	Unchanged                    // Build gave no records
-	Uncertain                    // may or may not be in force
+	Done      Outcome = iota + 1 // invalidated, committed and granted again
+	Unchanged                    // Build returned no records
+	Uncertain                    // the write may or may not take effect
 	NotLeader                    // nothing was done
 )
 
-// String names an outcome.
+// String returns the name of an outcome.
 //
 // Example: partition.Done.String() == "done"
 func (o Outcome) String() string {
 	return [...]string{"none", "done", "unchanged", "uncertain", "not leader"}[o]
 }
 
-// Result is a job's outcome.
+// Result is the outcome of a job.
 type Result struct {
-	Tag     uint64 // that Submit was given
+	Tag     uint64 // as passed to Submit
 	Outcome Outcome
-	Answer  any // that Build gave; nil where nothing was done
+	Answer  any // as returned by Build; nil if nothing was done
 }
 
-// job is a Job with its place in the queue or a batch.
+// job is a submitted Job, in the queue or in a batch.
 type job struct {
 	Job
-	tag          uint64
-	answer       any  // once built
-	writesNought bool // Build gave no records
+	tag    uint64
+	answer any  // set once built
+	isNoOp bool // Build returned no records
 }
 
-// keySet names the keys of a job, for those of the same ones.
+// keySet returns a job's keys as one string, which is equal for jobs with the same keys.
 func (j *job) keySet() string { return strings.Join(j.Keys, "\n") }
 
 func (j *job) hasKeyIn(keys map[string]bool) bool {
 	return slices.ContainsFunc(j.Keys, func(key string) bool { return keys[key] })
 }
 
-// Submit queues a job; its Result carries the tag, which must not be zero.
+// Submit queues a job. Its Result has the given tag, which must not be zero.
 //
 // Example: out := p.Submit(now, 17, job)
 func (p *Partition) Submit(now time.Duration, tag uint64, j Job) (out Out) {
@@ -72,6 +72,6 @@
 		return out
 	}
 	p.queue = append(p.queue, &job{Job: j, tag: tag})
-	p.finish(now, &out)
+	p.finishStep(now, &out)
 	return out
 }
--- a/control/partition/out.go
+++ b/control/partition/out.go
@@ -10,26 +10,26 @@
 	"mulleinmast/wire/message"
 )
 
-// Out is what a step asks for.
+// Out holds the actions that a step requests from the caller.
 type Out struct {
 	Sends   []message.Envelope
-	Saves   []quorum.Save // to be synced; Saved is called with the ticket of each
-	Results []Result      // of jobs
+	Saves   []quorum.Save // to be synced to disk; the caller then calls Saved with each ticket
+	Results []Result      // of completed jobs
 
 	// Readable are the keys of records that may be read here from now on, Withdrawn
-	// those that may no more.
+	// those that may no longer be read.
 	Readable, Withdrawn []string
 
 	Won      bool            // this daemon became the leader
 	Lost     bool            // this daemon is no longer the leader
 	Orphaned bool            // the node needs another parent
-	Redirect message.Replica // the parent that the node's parent names instead; the zero value: none
+	Redirect message.Replica // the new parent that the node's parent refers it to; zero: none
 
-	// Superseded says why this daemon's replica has no vote any more, if it lost it.
+	// Superseded is the reason why this daemon's replica lost its vote, or empty.
 	Superseded string
 }
 
-// addNodeOut takes over what a step of the lease tree's node asks of others.
+// addNodeOut adds the actions for others that a step of the lease tree node requests.
 func (o *Out) addNodeOut(node lease.Out) {
 	o.Sends = append(o.Sends, node.Sends...)
 	o.Readable = append(o.Readable, node.Readable...)
@@ -40,7 +40,7 @@
 	}
 }
 
-// addReplicaOut takes over what a step of the replica asks of others.
+// addReplicaOut adds the actions for others that a step of the replica requests.
 func (o *Out) addReplicaOut(replica quorum.Out) {
 	o.Sends = append(o.Sends, replica.Sends...)
 	o.Saves = append(o.Saves, replica.Saves...)
@@ -49,7 +49,7 @@
 	}
 }
 
-// handleNodeOut goes on with the writes whose invalidations are complete.
+// handleNodeOut continues the batches whose records have been invalidated.
 func (p *Partition) handleNodeOut(now time.Duration, node lease.Out, out *Out) {
 	out.addNodeOut(node)
 	for _, tag := range node.Invalidated {
@@ -57,7 +57,7 @@
 	}
 }
 
-// handleReplicaOut goes on with the writes that ended, and with the leadership.
+// handleReplicaOut handles completed writes and changes of the leadership.
 func (p *Partition) handleReplicaOut(now time.Duration, replica quorum.Out, out *Out) {
 	out.addReplicaOut(replica)
 	for _, result := range replica.Results {
@@ -72,9 +72,9 @@
 	}
 }
 
-// handleLeadershipLost ends all jobs: those that wait were not done, and of those that
-// run nothing is committed. (The replica has given the results of those that it was
-// committing.)
+// handleLeadershipLost ends all jobs with NotLeader: the queued ones never ran, and the
+// running ones committed nothing. (The replica has already reported the results of the
+// writes that it was committing.)
 func (p *Partition) handleLeadershipLost(out *Out) {
 	out.Lost = true
 	p.Node.ResignRoot()
--- a/control/partition/partition.go
+++ b/control/partition/partition.go
@@ -1,8 +1,8 @@
-// Package partition is one partition of the state on one daemon: its place in the
-// lease tree, its replica in the group if the daemon has a disk, and the writes
-// that join the two. A write goes: stop granting, invalidate down the tree, commit to a
-// majority, grant again and answer. Messages a partition sends to itself never
-// leave it.
+// Package partition implements one partition of the state on one daemon. It combines the
+// daemon's node in the lease tree with its replica in the quorum group, if the daemon has a
+// disk. A write stops granting its records, invalidates them down the tree, commits them to
+// a majority, grants them again and answers. Messages that a partition sends to itself are
+// delivered locally.
 package partition
 
 import (
@@ -14,28 +14,28 @@
 	"mulleinmast/wire/message"
 )
 
-// Partition is the state machine of a partition on one daemon. Its methods take the
-// time of the step and return what the step asks for; they are not for several
-// goroutines at once.
+// Partition is the state machine of a partition on one daemon. Its methods take the current
+// time and return the actions that the caller has to perform. It is not safe for concurrent
+// use.
 type Partition struct {
-	number int // of the partition
+	number int // partition number
 	self   message.Replica
 	epoch  uint64 // this daemon's incarnation
 
 	// Replica is this daemon's replica; nil on a daemon without a disk.
 	Replica *quorum.Replica
-	// Node is this daemon's place in the lease tree.
+	// Node is this daemon's node in the lease tree.
 	Node *lease.Node
-	// WritesFrom is when a leader may begin to write: the replica's unless a proof says
-	// otherwise.
+	// WritesFrom returns the time from which a leader may write. It defaults to the
+	// replica's method; tests, the model checker and the simulator may replace it.
 	WritesFrom func() time.Duration
 
-	queue    []*job            // jobs that wait for their turn, in the order that they came
-	busyKeys map[string]bool   // the keys of the jobs that run
-	running  map[uint64]*batch // by the tag of the first job
+	queue    []*job            // waiting jobs, in submission order
+	busyKeys map[string]bool   // keys of the running jobs
+	running  map[uint64]*batch // by the tag of their first job
 }
 
-// New joins a replica (or nil) and a node of the lease tree.
+// New combines a replica, which may be nil, with a node of the lease tree.
 //
 // Example: p := partition.New(0, self, epoch, replica, node)
 func New(number int, self message.Replica, epoch uint64, replica *quorum.Replica, node *lease.Node) *Partition {
@@ -49,18 +49,18 @@
 	return p
 }
 
-// IsLeader tells whether this daemon is the partition's leader now.
+// IsLeader reports whether this daemon is currently the partition's leader.
 //
 // Example: if !p.IsLeader(now) { passOn() }
 func (p *Partition) IsLeader(now time.Duration) bool {
 	return p.Replica != nil && p.Replica.IsLeader(now)
 }
 
-// mayWrite tells whether this daemon is the leader and leases that a leader before it
-// granted have lapsed.
+// mayWrite reports whether this daemon is the leader and all leases that earlier leaders
+// granted have expired.
 func (p *Partition) mayWrite(now time.Duration) bool { return p.IsLeader(now) && now >= p.WritesFrom() }
 
-// read is a record as the leader has it; one that isn't there counts as deleted.
+// read returns the leader's copy of a record. A missing record is returned as deleted.
 func (p *Partition) read(key string) message.Record {
 	if r, ok := p.Replica.Records().Get(key); ok {
 		return r
@@ -68,7 +68,7 @@
 	return message.Record{Key: key, Deleted: true}
 }
 
-// Digests is the digest of every range of this replica's records.
+// Digests returns the digest of each range of this replica's records.
 //
 // Example: digest.DifferingRanges(a.Digests(), b.Digests())
 func (p *Partition) Digests() []uint64 {
--- a/control/partition/step.go
+++ b/control/partition/step.go
@@ -6,25 +6,25 @@
 	"mulleinmast/wire/message"
 )
 
-// Step takes a message.
+// Step handles a message.
 //
 // Example: out := p.Step(now, m)
 func (p *Partition) Step(now time.Duration, m message.Message) (out Out) {
 	p.handleMessage(now, m, &out)
-	p.finish(now, &out)
+	p.finishStep(now, &out)
 	return out
 }
 
-// Saved tells that a save is on disk.
+// Saved notifies the partition that a save is on disk.
 //
 // Example: out := p.Saved(now, ticket)
 func (p *Partition) Saved(now time.Duration, ticket uint64) (out Out) {
 	p.handleReplicaOut(now, p.Replica.Saved(ticket), &out)
-	p.finish(now, &out)
+	p.finishStep(now, &out)
 	return out
 }
 
-// Tick lets time pass.
+// Tick advances the time: it handles timeouts, renewals and heartbeats that are due.
 //
 // Example: out := p.Tick(now)
 func (p *Partition) Tick(now time.Duration) (out Out) {
@@ -32,66 +32,66 @@
 		p.handleReplicaOut(now, p.Replica.Tick(now), &out)
 	}
 	p.handleNodeOut(now, p.Node.Tick(now), &out)
-	p.finish(now, &out)
+	p.finishStep(now, &out)
 	return out
 }
 
-// Bootstrap makes the first group.
+// Bootstrap forms the first group.
 //
 // Example: out := p.Bootstrap(now, group)
 func (p *Partition) Bootstrap(now time.Duration, group message.Group) (out Out) {
 	p.handleReplicaOut(now, p.Replica.Bootstrap(now, group), &out)
-	p.finish(now, &out)
+	p.finishStep(now, &out)
 	return out
 }
 
-// SetLearners names the control daemons that a leader keeps up with a copy.
+// SetLearners sets the control daemons that a leader keeps up to date without a vote.
 //
 // Example: out := p.SetLearners(now, learners)
 func (p *Partition) SetLearners(now time.Duration, learners []message.Replica) (out Out) {
 	p.handleReplicaOut(now, p.Replica.SetLearners(now, learners), &out)
-	p.finish(now, &out)
+	p.finishStep(now, &out)
 	return out
 }
 
-// ReplaceReplica begins to put a learner in a replica's place, if this daemon is the
-// leader and may write.
+// ReplaceReplica starts to replace a replica of the group by a learner, if this daemon is
+// the leader and may write.
 //
 // Example: out := p.ReplaceReplica(now, "c", learner)
 func (p *Partition) ReplaceReplica(now time.Duration, leaving string, joining message.Replica) (out Out) {
 	if p.mayWrite(now) {
 		replicaOut, _ := p.Replica.ReplaceReplica(now, 0, leaving, joining)
 		p.handleReplicaOut(now, replicaOut, &out)
-		p.finish(now, &out)
+		p.finishStep(now, &out)
 	}
 	return out
 }
 
-// ContinueChange goes on with a change of the group, if this daemon is the leader and
-// may write.
+// ContinueChange continues an unfinished change of the group, if this daemon is the leader
+// and may write.
 //
 // Example: out := p.ContinueChange(now)
 func (p *Partition) ContinueChange(now time.Duration) (out Out) {
 	if p.mayWrite(now) {
 		p.handleReplicaOut(now, p.Replica.ContinueChange(now, 0), &out)
-		p.finish(now, &out)
+		p.finishStep(now, &out)
 	}
 	return out
 }
 
-// Supersede takes the vote from this daemon's replica: its identity is another's by
-// now.
+// Supersede withdraws the vote of this daemon's replica, because another process or a later
+// state has its identity.
 //
 // Example: out := p.Supersede(now, why)
 func (p *Partition) Supersede(now time.Duration, why string) (out Out) {
 	if p.Replica != nil {
 		p.handleReplicaOut(now, p.Replica.Supersede(why), &out)
-		p.finish(now, &out)
+		p.finishStep(now, &out)
 	}
 	return out
 }
 
-// SetParent sets the node's parent in the lease tree.
+// SetParent sets the parent of the lease tree node.
 //
 // Example: out := p.SetParent(now, replica)
 func (p *Partition) SetParent(now time.Duration, parent message.Replica) (out Out) {
@@ -99,21 +99,21 @@
 	return out
 }
 
-// Pin keeps a record leased here.
+// Pin keeps a record leased at this daemon: it is fetched again whenever it is withdrawn.
 //
 // Example: out := p.Pin(now, "plan/now")
 func (p *Partition) Pin(now time.Duration, key string) (out Out) {
 	p.handleNodeOut(now, p.Node.Pin(now, key), &out)
-	p.finish(now, &out)
+	p.finishStep(now, &out)
 	return out
 }
 
-// Unpin ends what Pin began.
+// Unpin reverts Pin: the record is not fetched again after it is withdrawn.
 //
 // Example: p.Unpin("server/of/yesterday")
 func (p *Partition) Unpin(key string) { p.Node.Unpin(key) }
 
-// handleMessage gives a message to the replica or to the node of the lease tree.
+// handleMessage dispatches a message to the replica or to the lease tree node.
 func (p *Partition) handleMessage(now time.Duration, m message.Message, out *Out) {
 	if !isForReplica(m.Kind) {
 		p.handleNodeOut(now, p.Node.Step(now, m), out)
@@ -124,14 +124,14 @@
 	}
 }
 
-// isForReplica tells whether a kind of message is one of control/quorum.
+// isForReplica reports whether a kind of message belongs to control/quorum.
 func isForReplica(kind message.Kind) bool {
 	return kind >= message.KindRequestVote && kind <= message.KindHeartbeatAck || kind == message.KindIncarnation
 }
 
-// finish ends a step: starts the jobs whose keys are free, and delivers the messages
-// that the partition sends to itself, until there are none.
-func (p *Partition) finish(now time.Duration, out *Out) {
+// finishStep completes a step: it starts the jobs whose keys are free and delivers the
+// messages that the partition sends to itself, until none is left.
+func (p *Partition) finishStep(now time.Duration, out *Out) {
 	for {
 		p.startJobs(now, out)
 		own := p.takeOwnMessages(out)
@@ -144,7 +144,7 @@
 	}
 }
 
-// takeOwnMessages takes out of what is to be sent the messages to this daemon.
+// takeOwnMessages removes the messages to this daemon from those to send and returns them.
 func (p *Partition) takeOwnMessages(out *Out) (own []message.Message) {
 	others := out.Sends[:0]
 	for _, e := range out.Sends {
--- a/control/partition/writesfrom_test.go
+++ b/control/partition/writesfrom_test.go
@@ -10,8 +10,8 @@
 	"mulleinmast/wire/message"
 )
 
-// returningLeader is a partition whose daemon led it, was killed in a change of the
-// group, and is back.
+// returningLeader returns a partition whose daemon led it, was killed during a change of the
+// group and has restarted.
 func returningLeader() *Partition {
 	records := digest.NewRecords()
 	records.Put(message.Record{Key: "k", Version: message.Version{Term: 4, Seq: 2}, Value: []byte("old")})
@@ -25,29 +25,29 @@
 	return New(number, self, 2, replica, lease.New(leaseConfig, number, self, 2))
 }
 
-// expectReturn has the daemon lead again, which it must at once, with writes deferred;
-// it gives the time.
+// expectReturn waits until the daemon leads again, checks that this is fast and that writes are
+// deferred, and returns the time.
 func expectReturn(t *testing.T, p *Partition) (now time.Duration) {
 	t.Helper()
 	for ; !p.IsLeader(now); now += 10 * time.Millisecond {
 		syncSaves(p, now, p.Tick(now))
 	}
 	if now > 200*time.Millisecond {
-		t.Fatalf("leader after %v", now)
+		t.Fatalf("leader only after %v", now)
 	}
 	if wait := quorumConfig.Wait(quorumConfig.LeaderLease); p.WritesFrom() < wait {
-		t.Fatalf("writes from %v, though leases of the incarnation before may stand for %v", p.WritesFrom(), wait)
+		t.Fatalf("writes from %v, but leases granted by the previous incarnation may be valid until %v", p.WritesFrom(), wait)
 	}
 	if r, ok := p.Node.Get(now, "k"); !ok || string(r.Value) != "old" {
-		t.Errorf("what is in force is not served: %q %v", r.Value, ok)
+		t.Errorf("the committed record is not served: %q %v", r.Value, ok)
 	}
 	return now
 }
 
-// A daemon that led the partition, was killed and is back leads it again at once:
-// it serves and grants what was in force, and writes nothing, nor changes its
-// group, until leases that it had granted before have lapsed. Then what waited
-// is written. What waits when the leadership is lost was not done.
+// A restarted daemon that led the partition leads it again at once. It serves and grants the
+// committed records, but neither writes nor changes the group until the leases of its earlier
+// incarnation have expired; then it runs the waiting jobs. If the leadership is lost first,
+// these jobs end with NotLeader.
 func TestReturningLeaderDefersWrites(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		p := returningLeader()
@@ -55,7 +55,7 @@
 		sync := func(out Out) Out { return syncSaves(p, now, out) }
 		granted := connectChild(p, now, sync, "k").Sends
 		if len(granted) != 1 || granted[0].Message.Length == 0 || len(granted[0].Message.Records) != 1 {
-			t.Errorf("a child is not granted leases: %+v", granted)
+			t.Errorf("the child is not granted a lease: %+v", granted)
 		}
 
 		built := 0
@@ -77,23 +77,23 @@
 		}
 		if lost {
 			if built > 0 || len(out.Results) != 1 || out.Results[0].Outcome != NotLeader {
-				t.Errorf("the leadership lost: built %d, %+v", built, out.Results)
+				t.Errorf("leadership lost: built %d, results %+v", built, out.Results)
 			}
 			continue
 		}
 		out = sync(p.Tick(now))
 		if built == 0 || len(out.Sends) != 1 || out.Sends[0].Message.Kind != message.KindInvalidate {
-			t.Fatalf("may write: built %d, sent %+v", built, out.Sends)
+			t.Fatalf("after the wait: built %d, sent %+v, expected an invalidation", built, out.Sends)
 		}
 		invalidated := message.Message{
 			Kind: message.KindInvalidated, Key: "k", ResponseTo: out.Sends[0].Message.ResponseTo,
 		}
 		out = sync(p.Step(now, fromChild(invalidated)))
 		if len(out.Results) != 1 || out.Results[0].Outcome != Done {
-			t.Errorf("may write: %+v", out.Results)
+			t.Errorf("after the wait: unexpected results %+v", out.Results)
 		}
 		if sync(p.ContinueChange(now)); p.Replica.Group().Number == 1 {
-			t.Errorf("may write: group %+v", p.Replica.Group())
+			t.Errorf("after the wait: the group did not change: %+v", p.Replica.Group())
 		}
 	}
 }
--- a/control/ratelimit/ratelimit.go
+++ b/control/ratelimit/ratelimit.go
@@ -1,17 +1,17 @@
-// Package ratelimit holds each tenant to its limit over all daemons. A tenant's limit, a
-// rate and a burst, is divided into token buckets, one at the leader of each of some
-// partitions. A daemon takes a token for each request at any of them, the nearest first; it
-// uses it within the token's validity, or loses it.
+// Package ratelimit enforces a fleet-wide rate limit for each tenant. A tenant's limit, a
+// rate and a burst, is divided into token buckets that are held by the leaders of some of
+// the partitions. A daemon takes one token per request from any of these buckets and tries
+// the nearest first. A token that is not used within its validity expires.
 //
-// The sum is bounded whatever happens, for three reasons. A partition has one leader at a
-// time, by its leader lease. The bucket of a new leader is empty, so that it and the one of
-// the leader before it together give out no more than one bucket. And a token that is not
-// used in its validity V is void, so that in a window W no more is used than what was given
-// out in W+V: Rate*(W+V) and the bursts. No count is on disk, and nothing has to be settled
-// after a loss, a cut or a freeze.
+// The total is bounded under all failures, for three reasons. First, the leader lease ensures
+// that a partition has one leader at a time. Second, the bucket of a new leader starts empty,
+// so that the buckets of two successive leaders together grant no more than one bucket would.
+// Third, a token that is not used within its validity V is void, so that a window W sees at
+// most the tokens granted within W+V: Rate*(W+V) plus the bursts. No counter is stored on
+// disk, and nothing has to be reconciled after a crash, a network partition or a pause.
 //
-// Allocator is a leader's side, Division how a limit is divided. Both are plain: no I/O, no
-// clock, no chance.
+// Allocator is the leader's side; Division describes how a limit is divided. Both are
+// deterministic: they do no I/O, read no clock and use no random numbers.
 package ratelimit
 
 import (
@@ -19,64 +19,63 @@
 	"time"
 )
 
-// Bounds are what may be used of a limit: in every Window at most what the limit gives in
-// it, times 1+Overrun, and Slack requests more.
+// Bounds define how far a limit may be exceeded: in each Window the requests may reach the
+// amount that the limit allows, times 1+Overrun, plus Slack.
 type Bounds struct {
 	Window  time.Duration // default 5 s
 	Overrun float64       // default 0.1
 	Slack   float64       // requests; default 0
 }
 
-// Limit is a tenant's limit as one version of the plan has it.
+// Limit is a tenant's rate limit in one version of the plan.
 type Limit struct {
-	Rate  float64 // tokens a second
-	Burst float64 // tokens on top
+	Rate  float64 // tokens per second
+	Burst float64 // additional tokens
 }
 
-// Division is how a limit is divided into buckets.
+// Division describes how a limit is divided into buckets.
 type Division struct {
-	Buckets  int           // how many there are
-	Bucket   Limit         // of each
-	Validity time.Duration // of a token, from when it was asked for
+	Buckets  int           // number of buckets
+	Bucket   Limit         // limit of each bucket
+	Validity time.Duration // of a token, counted from the time of its request
 }
 
 const (
-	// burstRatio is the part of a burst, and of the slack, that the buckets hold. The other
-	// part is used for a longer validity: a token then outlasts the time that reading a long
-	// prompt takes.
+	// burstRatio is the share of the burst and of the slack that the buckets hold. The rest
+	// extends the validity, so that a token remains valid while a long prompt is read.
 	burstRatio = 0.5
-	// validityMargin is the part of the validity that the bounds allow which is used: the rest is for
-	// clocks that differ and for the way to the server.
-	validityMargin = 0.9
-	// minValidity is the least validity: a token has to outlast the call that brings it.
+	// validityRatio is the share used of the validity that the bounds allow. The rest covers clock
+	// drift and the transit time to the server.
+	validityRatio = 0.9
+	// minValidity is the minimum validity: a token has to outlast the call that fetches it.
 	minValidity = 250 * time.Millisecond
-	// maxValidity bounds the validity where the limit is small beside the slack.
+	// maxValidity caps the validity for limits that are small compared to the slack.
 	maxValidity = 10 * time.Second
 )
 
-// Divide divides a limit into at most so many buckets. Each holds one token at least, so
-// that a small burst, with little slack, makes fewer.
+// Divide divides a limit into at most maxBuckets buckets. Each bucket holds at least one
+// token, so a small burst with little slack results in fewer buckets.
 //
 // Example: d := ratelimit.Divide(bounds, ratelimit.Limit{Rate: 93, Burst: 93}, 8)
-func Divide(b Bounds, l Limit, most int) Division {
+func Divide(b Bounds, l Limit, maxBuckets int) Division {
 	burst := burstRatio * (l.Burst + b.Slack)
-	buckets := max(1, min(most, int(burst)))
-	each := Limit{Rate: l.Rate / float64(buckets), Burst: max(1, burst/float64(buckets))}
+	buckets := max(1, min(maxBuckets, int(burst)))
+	perBucket := Limit{Rate: l.Rate / float64(buckets), Burst: max(1, burst/float64(buckets))}
 	window := b.Window.Seconds()
 	allowed := (l.Rate*window+l.Burst)*(1+b.Overrun) + b.Slack
-	spare := allowed - l.Rate*window - each.Burst*float64(buckets)
-	validity := time.Duration(validityMargin * spare / l.Rate * float64(time.Second))
-	return Division{Buckets: buckets, Bucket: each, Validity: max(minValidity, min(validity, maxValidity))}
+	spare := allowed - l.Rate*window - perBucket.Burst*float64(buckets)
+	validity := time.Duration(validityRatio * spare / l.Rate * float64(time.Second))
+	return Division{Buckets: buckets, Bucket: perBucket, Validity: max(minValidity, min(validity, maxValidity))}
 }
 
-// Request is what a daemon asks a leader for: a token of a tenant's bucket.
+// Request is a daemon's request to a leader for a token from a tenant's bucket.
 type Request struct {
 	Tenant  string `json:"tenant"`
-	Version uint64 `json:"version"` // of the daemon's plan
-	Limit   Limit  `json:"limit"`   // of the bucket, by that plan
+	Version uint64 `json:"version"` // version of the daemon's plan
+	Limit   Limit  `json:"limit"`   // limit of the bucket in that plan
 }
 
-// Grant is a leader's answer: a token, or when to ask again.
+// Grant is a leader's answer: a token, or the time to wait before the next request.
 type Grant struct {
 	Granted    bool          `json:"granted,omitempty"`
 	RetryAfter time.Duration `json:"retry_after,omitempty"`
@@ -84,14 +83,14 @@
 
 // bucket is a tenant's token bucket at one leader.
 type bucket struct {
-	version  uint64 // of the plan that the limit is from
+	version  uint64 // plan version that defines limit
 	limit    Limit
 	tokens   float64
 	filledAt time.Duration
-	askers   askers
+	daemons  recentDaemons
 }
 
-// fill adds the tokens of the time that went by.
+// fill adds the tokens for the time elapsed since the last fill.
 func (b *bucket) fill(now time.Duration) {
 	if now > b.filledAt {
 		b.tokens = min(b.limit.Burst, b.tokens+b.limit.Rate*(now-b.filledAt).Seconds())
@@ -99,23 +98,23 @@
 	}
 }
 
-// Allocator gives out the tokens of one partition's buckets during one leadership. It is
-// not safe for concurrent use.
+// Allocator grants the tokens of one partition's buckets during one leadership. It is not
+// safe for concurrent use.
 type Allocator struct {
-	since   time.Duration // of the leadership
+	since   time.Duration // start of the leadership
 	sweptAt time.Duration
 	buckets map[string]*bucket // by tenant
 }
 
-// NewAllocator makes the allocator of a leadership that began then: all buckets are empty.
+// NewAllocator returns the allocator for a leadership that began at since, when all buckets were empty.
 //
 // Example: a := ratelimit.NewAllocator(replica.LeaderSince())
 func NewAllocator(since time.Duration) *Allocator {
 	return &Allocator{since: since, sweptAt: since, buckets: map[string]*bucket{}}
 }
 
-// Take answers a daemon's request for a token. A later version of the plan sets the limit
-// from then on.
+// Take answers a daemon's request for a token. A request with a newer plan version updates
+// the bucket's limit.
 //
 // Example: grant := a.Take(now, from.Ident, request)
 func (a *Allocator) Take(now time.Duration, daemon string, r Request) Grant {
@@ -130,7 +129,7 @@
 		b.version, b.limit = r.Version, r.Limit
 		b.tokens = min(b.tokens, b.limit.Burst)
 	}
-	b.askers.add(now, daemon)
+	b.daemons.add(now, daemon)
 	if b.tokens >= 1 {
 		b.tokens--
 		return Grant{Granted: true}
@@ -138,29 +137,30 @@
 	return Grant{RetryAfter: b.retryAfter(now)}
 }
 
-// Bounds of the time after which a daemon asks an empty bucket again.
+// Limits for the time after which a daemon retries an empty bucket.
 const (
 	minRetry = 50 * time.Millisecond
 	maxRetry = time.Second
-	// retryRatio has daemons ask twice as often as there are tokens, so that none is left.
+	// retryRatio makes daemons retry twice as often as tokens become available, so that no token
+	// stays unused.
 	retryRatio = 0.5
 )
 
-// retryAfter is when a daemon should ask again: with all daemons that ask, tokens come to
-// each in turn.
+// retryAfter returns the time to wait before the next request. It grows with the number of
+// requesting daemons, so that they share the tokens evenly.
 func (b *bucket) retryAfter(now time.Duration) time.Duration {
-	wait := retryRatio * float64(b.askers.count(now)) / b.limit.Rate
+	wait := retryRatio * float64(b.daemons.count(now)) / b.limit.Rate
 	if math.IsInf(wait, 1) || math.IsNaN(wait) {
 		return maxRetry
 	}
 	return max(minRetry, min(time.Duration(wait*float64(time.Second)), maxRetry))
 }
 
-// sweepInterval is the time between two looks for buckets that nobody takes from.
+// sweepInterval is the interval at which idle buckets are removed.
 const sweepInterval = 10 * time.Second
 
-// sweep forgets buckets that were left alone until they are full: one that is made anew is
-// full as well, as it fills from the beginning of the leadership.
+// sweep deletes buckets that were idle until they were full. A recreated bucket is full too,
+// because it is filled from the start of the leadership.
 func (a *Allocator) sweep(now time.Duration) {
 	if now-a.sweptAt < sweepInterval {
 		return
@@ -176,39 +176,39 @@
 	}
 }
 
-// Buckets is the number of buckets that tokens were taken from of late.
+// Buckets returns the number of buckets that tokens were taken from recently.
 //
 // Example: gauge(a.Buckets())
 func (a *Allocator) Buckets() int { return len(a.buckets) }
 
-// askWindow is the time within which a daemon counts as one that asks.
-const askWindow = time.Second
+// countWindow is the length of the windows in which requesting daemons are counted.
+const countWindow = time.Second
 
-// askers counts the daemons that asked of late, in two windows that follow each other.
-type askers struct {
-	window       time.Duration // when the present one began
-	now, earlier map[string]bool
+// recentDaemons counts the daemons that requested tokens recently, in two consecutive windows.
+type recentDaemons struct {
+	windowStart       time.Duration // start of the current window
+	current, previous map[string]bool
 }
 
-// turn begins the next window when the present one is over.
-func (a *askers) turn(now time.Duration) {
+// rotate starts the next window if the current one has ended.
+func (d *recentDaemons) rotate(now time.Duration) {
 	switch {
-	case a.now != nil && now-a.window < askWindow:
+	case d.current != nil && now-d.windowStart < countWindow:
 		return
-	case a.now != nil && now-a.window < 2*askWindow:
-		a.earlier = a.now
+	case d.current != nil && now-d.windowStart < 2*countWindow:
+		d.previous = d.current
 	default:
-		a.earlier = nil
+		d.previous = nil
 	}
-	a.now, a.window = map[string]bool{}, now
+	d.current, d.windowStart = map[string]bool{}, now
 }
 
-func (a *askers) add(now time.Duration, daemon string) {
-	a.turn(now)
-	a.now[daemon] = true
+func (d *recentDaemons) add(now time.Duration, daemon string) {
+	d.rotate(now)
+	d.current[daemon] = true
 }
 
-func (a *askers) count(now time.Duration) int {
-	a.turn(now)
-	return max(1, len(a.now), len(a.earlier))
+func (d *recentDaemons) count(now time.Duration) int {
+	d.rotate(now)
+	return max(1, len(d.current), len(d.previous))
 }
--- a/proof/standin/mutants/rules.sh
+++ b/proof/standin/mutants/rules.sh
@@ -18,12 +18,12 @@
 mutant prompts-count-as-waiting traffic/forward TestWhoWaitsTooLongIsRefused traffic/forward/admission.go 'may := max(r.TTFTTarget-r.predictedPrefill, r.TTFTTarget/2)' 'may := r.TTFTTarget - r.predictedPrefill'
 # keys and limits of tenants
 limits=control/ratelimit/ratelimit.go
-mutant bucket-starts-full control/ratelimit TestABucketBeginsEmpty $limits 'b = &bucket{version: r.Version, limit: r.Limit, filledAt: a.since}' 'b = &bucket{version: r.Version, limit: r.Limit, filledAt: a.since, tokens: r.Limit.Burst}'
+mutant bucket-starts-full control/ratelimit TestNewBucketIsEmpty $limits 'b = &bucket{version: r.Version, limit: r.Limit, filledAt: a.since}' 'b = &bucket{version: r.Version, limit: r.Limit, filledAt: a.since, tokens: r.Limit.Burst}'
 mutant full-at-each-change traffic/limiter TestNoWindowHasMoreThanTheLimit $limits 'b = &bucket{version: r.Version, limit: r.Limit, filledAt: a.since}' 'b = &bucket{version: r.Version, limit: r.Limit, filledAt: a.since, tokens: 40 * r.Limit.Burst}'
 mutant bucket-without-burst traffic/limiter TestNoWindowHasMoreThanTheLimit $limits 'b.tokens = min(b.limit.Burst, b.tokens+b.limit.Rate*(now-b.filledAt).Seconds())' 'b.tokens += b.limit.Rate * (now - b.filledAt).Seconds()'
 mutant token-without-end traffic/limiter TestNoWindowHasMoreThanTheLimit traffic/limiter/limiter.go 'return askedAt + a.division.Validity' 'return askedAt + time.Hour'
 mutant each-has-the-whole traffic/limiter TestNoWindowHasMoreThanTheLimit $limits 'Rate: l.Rate / float64(buckets)' 'Rate: l.Rate'
-mutant first-version-counts control/ratelimit TestALaterVersionSetsTheLimit $limits 'if r.Version > b.version {' 'if r.Version < b.version {'
+mutant first-version-counts control/ratelimit TestLaterVersionSetsLimit $limits 'if r.Version > b.version {' 'if r.Version < b.version {'
 mutant empty-is-asked-again traffic/limiter TestTheNearestLeaderIsAskedFirst traffic/limiter/limiter.go '= now + retryAfter' '= now'
 mutant limits-outlive-leaders control/leader TestANewLeadershipBeginsWithEmptyBuckets control/leader/leader.go '	c.limits = nil
 	c.orders.since' '	c.orders.since'
@@ -56,7 +56,7 @@
 mutant patches-end-at-relays control/lease TestAChangeIsSentAsAPatch $patches '	p.setChain(granted.Key, chain)
 ' ''
 mutant patch-without-sum control/fleetconfig TestAPatchFitsOnlyItsBase control/fleetconfig/codec.go 'zstd.WithEncoderLevel(zstd.SpeedFastest),' 'zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderCRC(false),'
-mutant refused-by-what-is-lost control/partition TestMergedJobsFailTogether control/partition/batch.go 'case j.writesNought && outcome == Done:' 'case j.writesNought:'
+mutant refused-by-what-is-lost control/partition TestMergedJobsFailTogether control/partition/batch.go 'case j.isNoOp && outcome == Done:' 'case j.isNoOp:'
 mutant format-not-asked control/leader TestAPlanThatNotAllDaemonsRead control/leader/configcalls.go 'format > 0 && needs > format' 'format > 9 && needs > format'
 # what is told of the servers' load
 mutant all-is-told traffic/loadreport TestLoadReportsAreBounded traffic/loadreport/exchange.go 'if !readsChanges(to) {' 'if readsChanges(to) {'
