--- a/control/quorum/candidate.go
+++ b/control/quorum/candidate.go
@@ -9,27 +9,27 @@
 )
 
 // The candidate's side of elections: a pre-vote, the votes of a majority, and the
-// merge of what these show.
+// merge of the records that these votes carry.
 
-// election is what a replica keeps of its own candidacies.
+// election is the state of a replica's own candidacies.
 type election struct {
-	notBefore      time.Duration // it becomes no candidate before
-	startedAt      time.Duration // when the present pre-vote or vote was requested
-	rejectedTerm   uint64        // the highest term that a voter was bound to when it rejected this replica
-	preVotes       map[string]bool
-	votes          map[string]voterState
-	boundElsewhere map[string]time.Duration // as leader: voters bound to a term above its own, and since when
+	notBefore         time.Duration // earliest time of the next candidacy
+	startedAt         time.Duration // when the current pre-vote or vote was requested
+	rejectedTerm      uint64        // the highest term that a voter was bound to when it rejected this replica
+	preVotes          map[string]bool
+	votes             map[string]voterState
+	boundToHigherTerm map[string]time.Duration // as leader: voters bound to a higher term, and since when
 }
 
-// voterState is what a voter showed of its records with its vote.
+// voterState describes a voter's records, as sent with its vote.
 type voterState struct {
 	lastComplete uint64
 	digests      []uint64
 	records      []message.Record // in the ranges that differ from the candidate's
 }
 
-// requestPreVotes asks whether an election could be won now, which binds nobody, so
-// that a replica that can't win one doesn't disturb the leader.
+// requestPreVotes asks whether an election could be won now. Pre-votes bind no
+// voter, so a replica that can't win an election doesn't disturb the leader.
 func (r *Replica) requestPreVotes(now time.Duration, out *Out) {
 	r.term = max(r.election.rejectedTerm, r.meta.VotedTerm, r.meta.CandidateTerm, r.term) + 1
 	r.role, r.election.startedAt, r.election.preVotes = preCandidate, now, map[string]bool{}
@@ -38,20 +38,20 @@
 	}
 }
 
-// requestPreVote asks one replica for its pre-vote.
+// requestPreVote requests one replica's pre-vote.
 func (r *Replica) requestPreVote(to message.Replica, out *Out) {
 	out.send(to, message.VoteRequest{
-		Term: r.term, PreVote: true, Group: r.meta.Group, WriteDelay: r.longestWriteDelay(),
+		Term: r.term, PreVote: true, Group: r.meta.Group, WriteDelay: r.maxWriteDelay(),
 	}.Message(r.partition))
 }
 
-// requestVotes starts the election that the pre-votes promise to win.
+// requestVotes starts an election once a majority has granted its pre-votes.
 func (r *Replica) requestVotes(now time.Duration, out *Out) {
-	if r.meta.VotedTerm >= r.term { // it voted in that term for another meanwhile
+	if r.meta.VotedTerm >= r.term { // it has since voted for another candidate in that term
 		r.stepDown(out)
 		return
 	}
-	r.role, r.election.startedAt, r.election.boundElsewhere = candidate, now, map[string]time.Duration{}
+	r.role, r.election.startedAt, r.election.boundToHigherTerm = candidate, now, map[string]time.Duration{}
 	r.writesFrom = 0
 	r.election.votes = map[string]voterState{}
 	for _, replica := range r.meta.Group.All() {
@@ -59,15 +59,15 @@
 	}
 }
 
-// requestVote asks one replica for its vote.
+// requestVote requests one replica's vote.
 func (r *Replica) requestVote(to message.Replica, out *Out) {
 	out.send(to, message.VoteRequest{
-		Term: r.term, Group: r.meta.Group, Digests: r.records.Digests(), WriteDelay: r.longestWriteDelay(),
+		Term: r.term, Group: r.meta.Group, Digests: r.records.Digests(), WriteDelay: r.maxWriteDelay(),
 	}.Message(r.partition))
 }
 
-// longestWriteDelay is for how long at most this replica would write nothing as leader.
-func (r *Replica) longestWriteDelay() time.Duration { return r.cfg.Wait(r.cfg.LeaderLease) }
+// maxWriteDelay is the longest time for which this replica would delay its writes as leader.
+func (r *Replica) maxWriteDelay() time.Duration { return r.cfg.Wait(r.cfg.LeaderLease) }
 
 // handleVoteGrant counts a pre-vote or a vote.
 func (r *Replica) handleVoteGrant(now time.Duration, from message.Sender, grant message.VoteGrant, out *Out) {
@@ -90,8 +90,9 @@
 }
 
 func (r *Replica) countVote(now time.Duration, from message.Sender, grant message.VoteGrant, out *Out) {
-	// An incarnation that ended before its own vote was on disk leaves the same term
-	// to the next. The votes for it hold only the records that its copy lacked.
+	// An incarnation that ended before its own vote was on disk may be followed by one
+	// that uses the same term. Votes for the earlier one hold only the records that
+	// its copy lacked.
 	if grant.CandidateEpoch != 0 && grant.CandidateEpoch != r.epochs[r.self.Ident] {
 		return
 	}
@@ -101,23 +102,23 @@
 		r.writesFrom = max(r.writesFrom, now+wait)
 	}
 	hasVote := func(ident string) bool { _, ok := r.election.votes[ident]; return ok }
-	// Its own vote must be among them: it merges what they show with its own records.
+	// Its own vote must be among them: the voters' records are merged with its own.
 	if !hasVote(r.self.Ident) || !r.meta.Group.HasQuorum(hasVote) {
 		return
 	}
-	r.takeOver(now, out)
+	r.startInstalling(now, out)
 }
 
-// takeOver begins the leadership of a candidate that has a majority's votes: that
-// majority supports nobody else, so no older leader's lease is valid.
-func (r *Replica) takeOver(now time.Duration, out *Out) {
+// startInstalling begins the leadership of a candidate that has a majority's votes. That
+// majority supports no other leader, so no earlier leader's lease is valid.
+func (r *Replica) startInstalling(now time.Duration, out *Out) {
 	r.leaderSince = now
 	r.role = installing
 	r.learners = nil
 	r.copies = newCopies()
 	r.change = groupChange{}
 	r.guard.startAnnouncing()
-	r.contact = r.contactAtTakeOver(now)
+	r.contact = r.newContact(now)
 	r.lease.end = r.election.startedAt + r.cfg.LeaderLease
 	r.mergeVotes(out)
 	for _, replica := range r.meta.Group.All() {
@@ -126,7 +127,7 @@
 	r.sendHeartbeats(now, out)
 }
 
-// mergeVotes makes this replica's records the newest that the majority showed.
+// mergeVotes replaces this replica's records by the newest among the majority's votes.
 func (r *Replica) mergeVotes(out *Out) {
 	highest := uint64(0)
 	for _, v := range r.election.votes {
@@ -136,7 +137,7 @@
 	merged := digest.NewRecords()
 	for _, v := range r.election.votes {
 		if v.lastComplete == highest {
-			r.mergeVoter(merged, own, v)
+			r.mergeVoterRecords(merged, own, v)
 		}
 	}
 	dropTombstones(merged)
@@ -148,9 +149,9 @@
 	r.save(out, wipe, merged.RecordsIn(wipe), envelope(r.self, installed))
 }
 
-// mergeVoter adds one voter's records where they are newer: those that it sent, and
-// in the ranges where its digests are this replica's, this replica's.
-func (r *Replica) mergeVoter(merged *digest.Records, own []uint64, v voterState) {
+// mergeVoterRecords merges one voter's records by version. In ranges with equal digests
+// they are this replica's own records, in the others they are those that the voter sent.
+func (r *Replica) mergeVoterRecords(merged *digest.Records, own []uint64, v voterState) {
 	differs := map[int]bool{}
 	for _, span := range digest.DifferingRanges(own, v.digests) {
 		differs[span] = true
@@ -170,9 +171,9 @@
 	}
 }
 
-// dropTombstones drops the marks of deleted records: a new term's copies replace
-// all of earlier terms, whole ranges at a time, so no copy that still has one of
-// these records is ever merged with them. The floor sees to the keys below it.
+// dropTombstones drops the markers of deleted records. Installing a new term replaces
+// complete ranges of all earlier copies, so a copy that still holds a deleted record
+// is never merged with the new state. Keys under FloorPrefix are left to the floor.
 func dropTombstones(records *digest.Records) {
 	var deleted []string
 	for rec := range records.All() {
@@ -198,8 +199,8 @@
 	out.Won = true
 }
 
-// handleVoteRejection takes a voter's refusal: of a vote, of a heartbeat whose term it
-// isn't bound to, or of a write if it has voted in a higher term.
+// handleVoteRejection handles a voter's rejection of a vote request, of a heartbeat
+// for a term that it isn't bound to, or of a write if it has voted in a higher term.
 func (r *Replica) handleVoteRejection(
 	now time.Duration, from message.Sender, m message.VoteRejection, out *Out,
 ) {
@@ -219,20 +220,19 @@
 		bound := min(m.BoundFor, r.cfg.Wait(r.cfg.LeaderLease))
 		r.election.notBefore = max(r.election.notBefore, now+bound+r.electionDelay()/2+r.cfg.Margin)
 	}
-	// One voter bound to another term doesn't end a leadership that a majority
-	// supports; if it stays bound, Tick takes a higher term.
+	// A single voter bound to another term doesn't end a leadership that a majority
+	// supports. If it stays bound, Tick steps down so that a higher term is used.
 	if m.VotedTerm >= r.term && r.role == leader {
-		if _, known := r.election.boundElsewhere[from.Ident]; !known {
-			r.election.boundElsewhere[from.Ident] = now
+		if _, known := r.election.boundToHigherTerm[from.Ident]; !known {
+			r.election.boundToHigherTerm[from.Ident] = now
 		}
 	}
 }
 
-// isElecting reports whether this replica is a candidate, or asks whether it could be.
+// isElecting reports whether this replica is a candidate or pre-candidate.
 func (r *Replica) isElecting() bool { return r.role == preCandidate || r.role == candidate }
 
-// electionDelay spaces candidates out: the replica that is first in this
-// partition's order goes first.
+// electionDelay staggers candidacies by the replicas' ranks in this partition.
 func (r *Replica) electionDelay() time.Duration {
 	ahead := 0
 	for _, other := range r.meta.Group.All() {
@@ -243,8 +243,8 @@
 	return time.Duration(ahead) * r.cfg.LeaderLease / 12
 }
 
-// candidateRank orders the replicas of a partition, each partition's otherwise, so
-// that the leaderships are spread.
+// candidateRank ranks the replicas of a partition. The order differs between
+// partitions, so that leaderships are spread over the replicas.
 func candidateRank(partition int, addr string) uint64 {
 	return digest.Fingerprint(message.Record{Key: addr, Version: message.Version{Term: uint64(partition), Seq: 7}})
 }
--- a/control/quorum/cluster_test.go
+++ b/control/quorum/cluster_test.go
@@ -38,13 +38,13 @@
 	return out
 }
 
-// isOnly tells whether a list is one message of a kind.
-func isOnly(list []message.Message, kind message.Kind) bool {
+// isOnlyMessage tells whether a list is one message of a kind.
+func isOnlyMessage(list []message.Message, kind message.Kind) bool {
 	return len(list) == 1 && list[0].Kind == kind
 }
 
-// differing is the number of ranges in which two sets of records differ.
-func differing(a, b *digest.Records) int {
+// countDifferingRanges is the number of ranges in which two sets of records differ.
+func countDifferingRanges(a, b *digest.Records) int {
 	return len(digest.DifferingRanges(a.Digests(), b.Digests()))
 }
 
@@ -132,8 +132,8 @@
 	return "", nil
 }
 
-// write has the leader write a record and tells whether it was committed.
-func (c *cluster) write(key string) bool {
+// writeRecord has the leader writeRecord a record and tells whether it was committed.
+func (c *cluster) writeRecord(key string) bool {
 	id, r := c.leader()
 	c.results = nil
 	o, _ := r.Write(c.now, 9, []message.Record{{Key: key, Value: []byte(key)}})
@@ -182,11 +182,14 @@
 	return fmt.Sprint(ids)
 }
 
-// split are the members of three that don't lead the partition.
-func (c *cluster) split() (own, one, two string) {
+// leaderAndOthers are the members of three that don't lead the partition.
+func (c *cluster) leaderAndOthers() (own, one, two string) {
 	own, _ = c.leader()
 	rest := slices.DeleteFunc([]string{"a", "b", "c"}, func(id string) bool { return id == own })
 	return own, rest[0], rest[1]
 }
 
-func (c *cluster) holds(id, key string) bool { _, ok := c.replicas[id].Records().Get(key); return ok }
+func (c *cluster) holdsKey(id, key string) bool {
+	_, ok := c.replicas[id].Records().Get(key)
+	return ok
+}
--- a/control/quorum/contact.go
+++ b/control/quorum/contact.go
@@ -6,16 +6,17 @@
 	"mulleinmast/wire/message"
 )
 
-// contact is when the replicas and learners answered this replica as leader. It
-// stays after the leadership, until the next one.
+// contact records when the replicas and learners last answered this replica as
+// leader. It is kept after the leadership ends, until the next one.
 type contact struct {
 	answeredAt       map[string]time.Duration // nil before the first leadership
 	terminatingSince map[string]time.Duration // since when a daemon is known to be terminating
 }
 
-// contactAtTakeOver begins to watch the replicas at the start of a leadership: those
-// that voted are there, the leader before was there when it was last supported.
-func (r *Replica) contactAtTakeOver(now time.Duration) contact {
+// newContact returns the contact state for the start of a leadership. Replicas that
+// voted were in contact now, the previous leader when it was last supported, the
+// others when the election started.
+func (r *Replica) newContact(now time.Duration) contact {
 	c := contact{answeredAt: map[string]time.Duration{}, terminatingSince: map[string]time.Duration{}}
 	for _, replica := range r.meta.Group.All() {
 		c.answeredAt[replica.Ident] = r.election.startedAt
@@ -28,13 +29,13 @@
 	return c
 }
 
-// forget drops what was known of a daemon.
+// forget drops the state of one daemon.
 func (c *contact) forget(ident string) {
 	delete(c.answeredAt, ident)
 	delete(c.terminatingSince, ident)
 }
 
-// noteAnswer records that a replica or learner answered in a term of this replica's.
+// noteAnswer records an answer of a replica or learner in this replica's current term.
 func (r *Replica) noteAnswer(now time.Duration, from message.Sender, term uint64) {
 	if r.contact.answeredAt != nil && term == r.term {
 		r.contact.answeredAt[from.Ident] = now
@@ -55,21 +56,21 @@
 	}
 }
 
-// SilentFor is for how long a replica has not answered this leader.
+// SilentFor returns the time since a replica last answered this leader.
 //
 // Example: if r.SilentFor(now, "c") > limit { replace() }
 func (r *Replica) SilentFor(now time.Duration, ident string) time.Duration {
 	return now - r.contact.answeredAt[ident]
 }
 
-// MissedHeartbeats reports whether a replica left two heartbeats without an answer.
+// MissedHeartbeats reports whether a replica has not answered for two heartbeat intervals.
 //
 // Example: if r.MissedHeartbeats(now, "c") && another.Addr == c.Addr { replace() }
 func (r *Replica) MissedHeartbeats(now time.Duration, ident string) bool {
 	return ident != r.self.Ident && r.SilentFor(now, ident) >= 2*r.cfg.HeartbeatInterval
 }
 
-// IsLost reports whether a replica was silent for so long that a learner takes its place.
+// IsLost reports whether a replica was silent for so long that a learner replaces it.
 //
 // Example: if r.IsLost(now, "c") { replace() }
 func (r *Replica) IsLost(now time.Duration, ident string) bool {
@@ -84,9 +85,9 @@
 	return terminating
 }
 
-// MayLeave reports whether a replica whose daemon is terminating may leave at once:
-// each other one has answered a heartbeat that was sent since that was known. One
-// that has not may be lost, and a learner is reserved for it.
+// MayLeave reports whether a replica whose daemon is terminating may be replaced at
+// once: each other replica has answered a heartbeat sent since the termination was
+// known. A replica that has not may be lost, and a learner is reserved for it.
 //
 // Example: if r.IsTerminating("c") && r.MayLeave(now, "c") { replace() }
 func (r *Replica) MayLeave(now time.Duration, ident string) bool {
@@ -102,7 +103,7 @@
 	return true
 }
 
-// LearnerReady reports whether a learner holds a copy, answered lately and isn't terminating.
+// LearnerReady reports whether a learner holds a copy, answered recently and isn't terminating.
 //
 // Example: if r.LearnerReady(now, "d") { out, _ := r.ReplaceReplica(now, 0, "c", d) }
 func (r *Replica) LearnerReady(now time.Duration, ident string) bool {
--- a/control/quorum/copies_test.go
+++ b/control/quorum/copies_test.go
@@ -36,8 +36,8 @@
 
 func newTrio(t *testing.T) *trio {
 	w := &trio{t: t, members: map[string]*trioMember{}}
-	for _, replica := range three.Replicas {
-		m := &trioMember{meta: Meta{Group: three}, records: digest.NewRecords()}
+	for _, replica := range threeReplicas.Replicas {
+		m := &trioMember{meta: Meta{Group: threeReplicas}, records: digest.NewRecords()}
 		w.members[replica.Ident] = m
 		w.start(replica.Ident)
 	}
@@ -52,8 +52,10 @@
 		records.Put(r)
 	}
 	m.waiting = nil
-	i := slices.IndexFunc(three.Replicas, func(s message.Replica) bool { return s.Ident == id })
-	m.replica = New(cfg, InitialState{Partition: 1, Self: three.Replicas[i], Meta: m.meta, Records: records}, w.now)
+	i := slices.IndexFunc(threeReplicas.Replicas, func(s message.Replica) bool { return s.Ident == id })
+	m.replica = New(cfg, InitialState{
+		Partition: 1, Self: threeReplicas.Replicas[i], Meta: m.meta, Records: records,
+	}, w.now)
 }
 
 func (w *trio) apply(id string, o Out) {
@@ -142,13 +144,13 @@
 	return len(out.Saves) == 0 && len(out.Sends) == 1 && out.Sends[0].Message.Kind == message.KindStateMismatch
 }
 
-// differing is the number of ranges in which two replicas' records differ.
-func (w *trio) differing(a, b string) int {
-	return differing(w.members[a].replica.Records(), w.members[b].replica.Records())
+// countDifferingRanges is the number of ranges in which two replicas' records differ.
+func (w *trio) countDifferingRanges(a, b string) int {
+	return countDifferingRanges(w.members[a].replica.Records(), w.members[b].replica.Records())
 }
 
-// other is a replica that isn't the leader.
-func (w *trio) other() string {
+// anyFollower is a replica that isn't the leader.
+func (w *trio) anyFollower() string {
 	for _, id := range []string{"a", "b", "x"} {
 		if id != w.leader() {
 			return id
@@ -160,10 +162,10 @@
 // A replica that was cut off while hundreds of changes were written is whole again
 // within a lease and a half of its return, also while writes go on without a
 // pause, and the leader counts it as whole only then.
-func TestAReturningReplicaCatchesUpBesideWrites(t *testing.T) {
+func TestReturningReplicaCatchesUpDuringWrites(t *testing.T) {
 	w := newTrio(t)
 	w.advance(3*time.Second, false)
-	own, late := w.leader(), w.other()
+	own, late := w.leader(), w.anyFollower()
 	w.members[late].isCutOff = true
 	w.advance(15*time.Second, true) // 600 changes
 	if w.leader() != own {
@@ -172,7 +174,7 @@
 	w.members[late].isCutOff = false
 	w.advance(3*cfg.LeaderLease/2, true)
 	w.deliver()
-	if d := w.differing(own, late); d > 0 {
+	if d := w.countDifferingRanges(own, late); d > 0 {
 		t.Errorf("%d of %d ranges differ", d, digest.Ranges)
 	}
 }
@@ -188,10 +190,10 @@
 
 // A majority of those who took a write may be one whose disk lost it since: it
 // has no vote, and the next leader is found when the other is back.
-func TestAnIncompleteReplicaHasNoVote(t *testing.T) {
+func TestIncompleteReplicaDoesNotVote(t *testing.T) {
 	w := newTrio(t)
 	w.advance(3*time.Second, false)
-	own, late := w.leader(), w.other()
+	own, late := w.leader(), w.anyFollower()
 	third := "abx"
 	for _, id := range []string{own, late} {
 		third = strings.ReplaceAll(third, id, "")
@@ -225,12 +227,12 @@
 
 // Such a replica is installed within two heartbeats where there is a leader, which counts
 // it for nothing before.
-func TestAnIncompleteReplicaIsInstalledAtOnce(t *testing.T) {
+func TestIncompleteReplicaIsReinstalled(t *testing.T) {
 	w := newTrio(t)
 	w.advance(3*time.Second, true)
-	own, short := w.leader(), w.other()
+	own, short := w.leader(), w.anyFollower()
 	w.restartWithout(short, "k1")
-	write := message.Replicate{Term: w.members[own].replica.Term(), RequestID: 1, Group: three}.Message(1)
+	write := message.Replicate{Term: w.members[own].replica.Term(), RequestID: 1, Group: threeReplicas}.Message(1)
 	write.From, write.Addr = own, own
 	if out := w.members[short].replica.Step(w.now, write); !isMismatch(out) {
 		t.Errorf("an incomplete replica takes a write: %+v", out)
@@ -240,7 +242,7 @@
 	if m := w.members[short]; m.replica.Meta().Incomplete || m.meta.Incomplete {
 		t.Error("still incomplete")
 	}
-	if d := w.differing(own, short); d > 0 {
+	if d := w.countDifferingRanges(own, short); d > 0 {
 		t.Errorf("%d ranges differ", d)
 	}
 }
@@ -248,7 +250,7 @@
 // A disk that stalls holds up neither renewals nor writes; its leader leaves the
 // leadership to others by its own clock when that lasts, and is a candidate for none before
 // the disk has taken what waits for it.
-func TestALeaderWhoseDiskStallsStepsDown(t *testing.T) {
+func TestLeaderWithStalledDiskStepsDown(t *testing.T) {
 	w := newTrio(t)
 	w.advance(3*time.Second, false)
 	own := w.leader()
@@ -259,10 +261,11 @@
 	for w.members[own].replica.IsLeader(w.now) && w.now < from+10*time.Second {
 		w.advance(25*time.Millisecond, true)
 	}
-	if d := w.now - from; d < stalledLeases*cfg.LeaderLease || d > stalledLeases*cfg.LeaderLease+cfg.HeartbeatInterval {
+	if d := w.now - from; d < maxDiskStallLeases*cfg.LeaderLease ||
+		d > maxDiskStallLeases*cfg.LeaderLease+cfg.HeartbeatInterval {
 		t.Errorf("stepped down after %v", d)
 	}
-	most := int(stalledLeases * cfg.LeaderLease / (30 * time.Millisecond))
+	most := int(maxDiskStallLeases * cfg.LeaderLease / (30 * time.Millisecond))
 	if n := len(w.results); n < most || w.results[n-2].Outcome != Committed {
 		t.Errorf("%d writes settled meanwhile", n)
 	}
@@ -274,14 +277,14 @@
 	w.flush(own)
 	w.advance(cfg.LeaderLease, true)
 	w.deliver()
-	if d := w.differing(own, w.leader()); d > 0 {
+	if d := w.countDifferingRanges(own, w.leader()); d > 0 {
 		t.Errorf("%d ranges differ", d)
 	}
 }
 
 // A leader's own copy of a key that is dropped in the batch that brings it is
 // on no disk either: what is read back is what was held.
-func TestWhatADiskHoldsIsWhatItsReplicaHolds(t *testing.T) {
+func TestDiskMatchesReplicaState(t *testing.T) {
 	w := newTrio(t)
 	w.advance(3*time.Second, true)
 	own := w.leader()
@@ -294,7 +297,7 @@
 	floor, _ := json.Marshal(w.members[own].replica.LastWritten())
 	put(message.Record{Key: "once/new"})
 	put(message.Record{Key: FloorKey, Value: floor})
-	w.members[w.other()].isCutOff = true
+	w.members[w.anyFollower()].isCutOff = true
 	w.advance(3*time.Second, true)
 	w.members[own].isCutOff = true
 	for _, m := range w.members {
@@ -302,7 +305,7 @@
 	}
 	w.advance(4*time.Second, true)
 	for id, m := range w.members {
-		d := differing(m.replica.Records(), m.records)
+		d := countDifferingRanges(m.replica.Records(), m.records)
 		if d > 0 || m.replica.Meta().Sum(m.replica.Records()) != m.meta.Sum(m.records) {
 			t.Errorf("%s: %d ranges of the disk differ", id, d)
 		}
@@ -311,17 +314,17 @@
 
 // A copy that is cut short on its way is not taken for a whole one; the whole
 // one is.
-func TestATruncatedInstallIsRefused(t *testing.T) {
+func TestTruncatedInstallIsRejected(t *testing.T) {
 	w := newTrio(t)
 	w.advance(3*time.Second, true)
 	own := w.members[w.leader()].replica
-	fresh := restartedReplica(cfg, three.Replicas[0], Meta{Group: three}, w.now)
+	fresh := restartedReplica(cfg, threeReplicas.Replicas[0], Meta{Group: threeReplicas}, w.now)
 	var o Out
 	own.sendInstall(w.now, message.Replica{Ident: "new"}, fresh.Records().Digests(), &o)
 	install := o.Sends[0].Message
 	install.From, install.Addr = w.leader(), w.leader()
 	if install.From == "a" {
-		fresh.self = three.Replicas[1]
+		fresh.self = threeReplicas.Replicas[1]
 	}
 	for cut := range install.Records {
 		short := install
@@ -339,10 +342,10 @@
 
 // Marks of records that are gone last until the next term: then no copy has them,
 // and a replica that still holds the records brings none back.
-func TestTombstonesEndWithTheTerm(t *testing.T) {
+func TestTombstonesAreDroppedInNextTerm(t *testing.T) {
 	w := newTrio(t)
 	w.advance(3*time.Second, false)
-	own, late := w.leader(), w.other()
+	own, late := w.leader(), w.anyFollower()
 	put := func(i int, dead bool) {
 		record := message.Record{Key: fmt.Sprint("berth/", i), Deleted: dead}
 		o, _ := w.members[own].replica.Write(w.now, uint64(1000+i), []message.Record{record})
--- a/control/quorum/disk.go
+++ b/control/quorum/disk.go
@@ -10,62 +10,62 @@
 	"mulleinmast/wire/message"
 )
 
-// Save is something to be synced to disk; Saved(Ticket) is called when it is. The
-// saves of a partition are written in their order.
+// Save is a change of a replica's durable state that must be synced to disk; the
+// caller calls Saved(Ticket) once it is. The saves of a partition are written in order.
 type Save struct {
-	Ticket     uint64 // counted up by the replica
+	Ticket     uint64 // increases with each save of the replica
 	Partition  int
 	Meta       Meta
-	WipeRanges []int            // ranges whose other records are to be deleted
-	Records    []message.Record // to be written
-	Delete     []string         // keys of records to be deleted; after Records
-	Sum        uint64           // Meta.Sum of the whole state, this save included; 0: not computed
+	WipeRanges []int            // ranges whose other records are deleted
+	Records    []message.Record // records to write
+	Delete     []string         // keys of records to delete after Records are written
+	Sum        uint64           // Meta.Sum of the complete state including this save; 0: not computed
 }
 
-// FloorKey is the record that says up to which version the records whose keys
-// begin with FloorPrefix are no longer kept. Every replica deletes them on its own;
-// one that comes back from a replica that missed it is deleted again.
+// FloorKey is the key of the record that holds the floor: the version below which
+// records with the prefix FloorPrefix are deleted. Every replica deletes them itself.
+// If a replica that missed the floor brings one back, it is deleted again.
 const (
 	FloorKey    = "floor/once"
 	FloorPrefix = "once/"
 )
 
-// stalledLeases is how many leader leases a disk may take for one save before its
-// replica leaves the leadership to others.
-const stalledLeases = 4
+// maxDiskStallLeases is the time that a save may take, in leader leases. A replica
+// whose disk takes longer steps down and does not become a candidate.
+const maxDiskStallLeases = 4
 
-// diskQueue is what a replica gave to its disk and what hangs on it.
+// diskQueue tracks a replica's outstanding saves and the messages that wait for them.
 type diskQueue struct {
-	lastTicket uint64                        // of the saves made so far
-	voteTicket uint64                        // the save that the present vote is on disk with; may be the next one
-	pending    []pendingSave                 // not known to be on disk, in the order of their tickets
-	onSync     map[uint64][]message.Envelope // what is sent once the save of a ticket is on disk
+	lastTicket uint64                        // of the latest save
+	voteTicket uint64                        // the save that holds the current vote; may be the next one
+	pending    []pendingSave                 // not known to be on disk, ordered by ticket
+	onSync     map[uint64][]message.Envelope // by ticket: messages to send once that save is on disk
 }
 
 // pendingSave is a save that isn't known to be on disk.
 type pendingSave struct {
 	ticket uint64
 	madeAt time.Duration
-	number uint64 // among the saves of the folder
+	number uint64 // its number among the saves of the folder's incarnation
 }
 
-// voteIsInLastSave notes that the save just made holds the present vote.
-func (q *diskQueue) voteIsInLastSave() { q.voteTicket = q.lastTicket }
+// markVoteInLastSave records that the save just made holds the current vote.
+func (q *diskQueue) markVoteInLastSave() { q.voteTicket = q.lastTicket }
 
-// voteIsInNextSave notes that no save made so far holds the present vote.
-func (q *diskQueue) voteIsInNextSave() { q.voteTicket = q.lastTicket + 1 }
+// markVoteInNextSave records that no save made so far holds the current vote.
+func (q *diskQueue) markVoteInNextSave() { q.voteTicket = q.lastTicket + 1 }
 
-// isVoteUnsaved reports whether the present vote waits for a save to be made.
+// isVoteUnsaved reports whether no save made so far holds the current vote.
 func (q *diskQueue) isVoteUnsaved() bool { return q.voteTicket > q.lastTicket }
 
-// isPending reports whether a save isn't on disk yet.
+// isPending reports whether the save of a ticket isn't known to be on disk yet.
 func (q *diskQueue) isPending(ticket uint64) bool {
 	return len(q.pending) > 0 && q.pending[0].ticket <= ticket
 }
 
-// synced takes the saves up to one that is on disk from the queue, and gives the
-// highest number in the folder among them.
-func (q *diskQueue) synced(ticket uint64) (number uint64) {
+// markSynced removes the saves up to a ticket from the queue, since they are on disk,
+// and returns the highest of their numbers.
+func (q *diskQueue) markSynced(ticket uint64) (number uint64) {
 	q.pending = slices.DeleteFunc(q.pending, func(p pendingSave) bool {
 		if p.ticket <= ticket {
 			number = max(number, p.number)
@@ -75,22 +75,22 @@
 	return number
 }
 
-// isDiskStalled reports whether the disk has kept a save waiting too long.
+// isDiskStalled reports whether a save has been pending for too long.
 func (r *Replica) isDiskStalled(now time.Duration) bool {
-	return len(r.disk.pending) > 0 && now-r.disk.pending[0].madeAt >= stalledLeases*r.cfg.LeaderLease
+	return len(r.disk.pending) > 0 && now-r.disk.pending[0].madeAt >= maxDiskStallLeases*r.cfg.LeaderLease
 }
 
-// save gives the disk the present state with new records, and what these make
-// obsolete; then is sent once it is there.
+// save queues a save of the current state with new records, and with the deletions
+// that a new floor among them causes. The messages in then are sent once it is on disk.
 func (r *Replica) save(out *Out, wipe []int, records []message.Record, then ...message.Envelope) {
-	r.put(out, Save{WipeRanges: wipe, Records: records, Delete: r.deleteBelowFloor(records)}, then...)
+	r.enqueueSave(out, Save{WipeRanges: wipe, Records: records, Delete: r.deleteBelowFloor(records)}, then...)
 }
 
-// put gives the disk a save; then is sent once it is there.
-func (r *Replica) put(out *Out, s Save, then ...message.Envelope) {
+// enqueueSave queues a save. The messages in then are sent once it is on disk.
+func (r *Replica) enqueueSave(out *Out, s Save, then ...message.Envelope) {
 	r.disk.lastTicket++
 	if r.guard.folder != nil {
-		r.meta.State, r.meta.History = r.guard.folder.nextSave(), r.guard.folder.past
+		r.meta.State, r.meta.History = r.guard.folder.nextSave(), r.guard.folder.history
 	}
 	r.guard.unsaved = false
 	s.Ticket, s.Partition = r.disk.lastTicket, r.partition
@@ -102,11 +102,11 @@
 	}
 }
 
-// Saved takes the news that a save is on disk, and sends what waited for it.
+// Saved handles the completion of a save, and returns the messages that waited for it.
 //
 // Example: out := r.Saved(save.Ticket)
 func (r *Replica) Saved(ticket uint64) Out {
-	number := r.disk.synced(ticket)
+	number := r.disk.markSynced(ticket)
 	if r.guard.folder != nil {
 		r.guard.folder.noteSynced(number)
 	}
@@ -119,8 +119,8 @@
 	return out
 }
 
-// deleteBelowFloor deletes what is below the floor, if the floor is among the new
-// records, and gives the keys.
+// deleteBelowFloor deletes the records below the floor if the floor is among the new
+// records, and returns their keys.
 func (r *Replica) deleteBelowFloor(records []message.Record) (deleted []string) {
 	for _, rec := range records {
 		if rec.Key != FloorKey {
@@ -139,7 +139,7 @@
 	return deleted
 }
 
-// floorOf is the version below which the keys of FloorPrefix are no longer kept.
+// floorOf returns the version below which keys with FloorPrefix are deleted.
 func floorOf(records *digest.Records) (v message.Version) {
 	if rec, ok := records.Get(FloorKey); ok && json.Unmarshal(rec.Value, &v) != nil {
 		return message.Version{}
@@ -147,7 +147,7 @@
 	return v
 }
 
-// isBelow reports whether a record is one that is no longer kept below a floor.
+// isBelow reports whether a record is subject to a floor and older than it.
 func isBelow(rec message.Record, floor message.Version) bool {
 	return strings.HasPrefix(rec.Key, FloorPrefix) && rec.Version.Less(floor)
 }
--- a/control/quorum/folder.go
+++ b/control/quorum/folder.go
@@ -9,21 +9,21 @@
 	"mulleinmast/wire/message"
 )
 
-// keptIncarnations is how many earlier incarnations a folder remembers as its own.
-const keptIncarnations = 8
+// maxPastIncarnations bounds the history of earlier incarnations that a folder keeps.
+const maxPastIncarnations = 8
 
-// Folder is what the replicas of one daemon share: one data folder, and one
-// incarnation that counts the saves of all of them. So a copy of the folder is
-// older for all partitions as soon as one of them saved something since.
+// Folder is the data folder that the replicas of one daemon share, with one
+// incarnation that counts the saves of all of them. A copy of the folder is
+// therefore outdated for all partitions as soon as one of them saves.
 type Folder struct {
-	epoch  uint64
-	base   message.SavePoint   // the state that this incarnation started from
-	past   []message.SavePoint // the last state of each earlier incarnation, oldest first; never changed
-	saves  atomic.Uint64       // of this incarnation
-	synced atomic.Uint64       // the latest of them that is known to be on disk
+	epoch      uint64
+	startState message.SavePoint   // the last state of the previous incarnation
+	history    []message.SavePoint // the last state of each earlier incarnation, oldest first; immutable
+	saves      atomic.Uint64       // number of saves made in this incarnation
+	synced     atomic.Uint64       // the number of the latest save known to be on disk
 }
 
-// OpenFolder begins an incarnation over the stored state of a folder's replicas.
+// OpenFolder starts an incarnation from the stored state of a folder's replicas.
 //
 // Example: folder := quorum.OpenFolder(epoch, metas...)
 func OpenFolder(epoch uint64, metas ...Meta) *Folder {
@@ -37,22 +37,22 @@
 		}
 	}
 	for epoch, saves := range last {
-		f.past = append(f.past, message.SavePoint{Epoch: epoch, Saves: saves})
+		f.history = append(f.history, message.SavePoint{Epoch: epoch, Saves: saves})
 	}
-	slices.SortFunc(f.past, func(a, b message.SavePoint) int { return cmp.Compare(a.Epoch, b.Epoch) })
-	f.past = f.past[max(0, len(f.past)-keptIncarnations):]
-	if len(f.past) > 0 {
-		f.base = f.past[len(f.past)-1]
+	slices.SortFunc(f.history, func(a, b message.SavePoint) int { return cmp.Compare(a.Epoch, b.Epoch) })
+	f.history = f.history[max(0, len(f.history)-maxPastIncarnations):]
+	if len(f.history) > 0 {
+		f.startState = f.history[len(f.history)-1]
 	}
 	return f
 }
 
-// nextSave numbers a save.
+// nextSave returns the save point of the next save.
 func (f *Folder) nextSave() message.SavePoint {
 	return message.SavePoint{Epoch: f.epoch, Saves: f.saves.Add(1)}
 }
 
-// noteSynced notes that a save is on disk.
+// noteSynced records that the save with a number is on disk.
 func (f *Folder) noteSynced(number uint64) {
 	for {
 		latest := f.synced.Load()
@@ -62,17 +62,18 @@
 	}
 }
 
-// descendsFrom reports whether a state is in the folder's past. A folder that a build
-// which doesn't count wrote last claims nothing, nor does one whose past reaches
-// back less far.
+// descendsFrom reports whether a state is in the folder's history. It also returns
+// true where the folder can't tell: if it was last written by a build that doesn't
+// count saves, or if the state is older than a full history reaches back.
 func (f *Folder) descendsFrom(state message.SavePoint) bool {
-	if state.Epoch == 0 || f.base.Epoch == 0 {
+	if state.Epoch == 0 || f.startState.Epoch == 0 {
 		return true
 	}
-	for _, p := range f.past {
+	for _, p := range f.history {
 		if p.Epoch == state.Epoch {
 			return state.Saves <= p.Saves
 		}
 	}
-	return len(f.past) == keptIncarnations && incarnation.Starts(state.Epoch) < incarnation.Starts(f.past[0].Epoch)
+	return len(f.history) == maxPastIncarnations &&
+		incarnation.Starts(state.Epoch) < incarnation.Starts(f.history[0].Epoch)
 }
--- a/control/quorum/group.go
+++ b/control/quorum/group.go
@@ -8,27 +8,30 @@
 	"mulleinmast/wire/message"
 )
 
-// A group changes one replica at a time. A learner is first sent a copy and every
-// write, without a vote; then the leader makes a joint group of the old replicas
-// and the new, in which both majorities are needed. Once that group is committed,
-// the newcomer has confirmed that it holds all that the leader held when the change
-// began, and both majorities have renewed the leader's lease, the new replicas
-// stand alone: so none of them elects another leader while that lasts. Either way
-// is open until then: the change is undone if the newcomer falls silent. The next
-// leader finds the change in its group, and finishes or undoes it.
+// Group membership changes one replica at a time, by joint consensus. A learner first
+// receives a copy and every write, without a vote. Then the leader creates a joint
+// group of the old and the new replicas, in which both majorities are needed. The new
+// replicas become the group once the joint group is committed, the joining replica has
+// confirmed that it holds all that the leader held when the change began, and both
+// majorities have renewed the leader's lease. The renewal ensures that the new replicas
+// elect no other leader while that lease is valid. Until then the change can be undone,
+// as it is if the joining replica stops answering. A new leader finds the joint group
+// in its state and finishes or undoes the change.
 
-// groupNumberShift makes the numbers of groups grow with the term of the leader
-// that made them: no two leaders use one number, and a later leader's is the higher.
+// groupNumberShift puts the term of the leader that made a group into the upper bits
+// of the group's number: no two leaders use the same number, and a later leader's
+// number is higher.
 const groupNumberShift = 16
 
-// groupChange is the last change that this leader made.
+// groupChange is the last group change that this leader made.
 type groupChange struct {
-	request          uint64 // the write that commits the group; 0: none of this leadership
-	roundBefore      uint64 // the last round of heartbeats before the group was made
-	isLeaseSupported bool   // a later round had the group's majority, or both
+	requestID        uint64 // the write that commits the group; 0: no change in this leadership
+	lastRoundBefore  uint64 // the last round of heartbeats before the group was made
+	isLeaseSupported bool   // a later round renewed the lease with the group's majority or majorities
 }
 
-// Bootstrap makes the first group of a fleet; only a replica without a group takes it.
+// Bootstrap creates the first group of a fleet. It does nothing on a replica that
+// already has a group.
 //
 // Example: out := r.Bootstrap(now, message.Group{Number: 1, Replicas: three})
 func (r *Replica) Bootstrap(now time.Duration, group message.Group) (out Out) {
@@ -39,8 +42,8 @@
 	}
 	r.joinGroup(now, group)
 	r.save(&out, nil, nil)
-	// Bring the group to the others, so that each is a candidate for the partitions
-	// where it comes first and the leaderships are spread from the start.
+	// Send the group to the others, so that each becomes a candidate for the partitions
+	// in which it ranks first and the leaderships are spread from the start.
 	for _, replica := range group.Replicas {
 		if replica.Ident != r.self.Ident {
 			out.send(replica, message.VoteRequest{PreVote: true, Group: group}.Message(r.partition))
@@ -49,7 +52,7 @@
 	return out
 }
 
-// joinGroup takes a group that this replica has a vote in.
+// joinGroup sets the group to one in which this replica has a vote.
 func (r *Replica) joinGroup(now time.Duration, group message.Group) {
 	isFirst := r.meta.Group.Number == 0
 	r.meta.Group = group
@@ -58,9 +61,9 @@
 	}
 }
 
-// adoptGroup takes a later group. A replica that is not in it any more is free of
-// its vote: the change that took it out was committed by a majority that bound
-// every later candidate to the new group.
+// adoptGroup switches to a later group. A replica that is no longer a member is
+// released from its vote: the change that removed it was committed by a majority that
+// binds every later candidate to the new group.
 func (r *Replica) adoptGroup(group message.Group) {
 	if group.Number <= r.meta.Group.Number {
 		return
@@ -73,9 +76,9 @@
 	r.meta.Group = group
 }
 
-// isParticipant reports whether a message of a kind is from a participant: replicas
-// are in everything, learners where they answer for their copies, and others where
-// they may bring a group that this replica doesn't know yet.
+// isParticipant reports whether a sender takes part in the exchange of a message's
+// kind. Replicas take part in all, learners only with answers about their copies, and
+// other daemons with messages that may carry a group that this replica doesn't know.
 func (r *Replica) isParticipant(from message.Sender, kind message.Kind, term uint64) bool {
 	if r.meta.Group.Number == 0 || r.meta.Group.Has(from.Ident) {
 		return true
@@ -89,8 +92,8 @@
 	return false
 }
 
-// SetLearners names the learners; each is sent a copy and every write, and has no
-// vote. One that is not named for a moment stays while it answers.
+// SetLearners sets the learners. Each receives a copy and every write, and has no
+// vote. A learner that is missing from the list stays as long as it answers.
 //
 // Example: out := r.SetLearners(now, standbys)
 func (r *Replica) SetLearners(now time.Duration, list []message.Replica) (out Out) {
@@ -104,7 +107,7 @@
 		}
 	}
 	before := r.learners
-	r.learners = r.learnersOf(now, list)
+	r.learners = r.selectLearners(now, list)
 	for _, learner := range r.learners {
 		if !has(before, learner.Ident) {
 			r.copies.forget(learner.Ident)
@@ -115,8 +118,8 @@
 	return out
 }
 
-// learnersOf are the learners of a list and those at present who still answer.
-func (r *Replica) learnersOf(now time.Duration, list []message.Replica) []message.Replica {
+// selectLearners returns the learners of a list and the current ones that still answer.
+func (r *Replica) selectLearners(now time.Duration, list []message.Replica) []message.Replica {
 	learners := make([]message.Replica, 0, len(list))
 	for _, l := range list {
 		if !r.meta.Group.Has(l.Ident) && l.Ident != r.self.Ident {
@@ -132,8 +135,8 @@
 	return learners
 }
 
-// ReplaceReplica begins a change: a learner takes a replica's place. A leader
-// doesn't take itself out, and no change begins while another is under way.
+// ReplaceReplica starts a group change in which a learner replaces a replica. A leader
+// doesn't remove itself, and no change starts while another is in progress.
 //
 // Example: out, ok := r.ReplaceReplica(now, 0, "c", d)
 func (r *Replica) ReplaceReplica(
@@ -150,23 +153,24 @@
 			next[i] = joining
 		}
 	}
-	delete(r.copies.complete, joining.Ident)
+	delete(r.copies.joinComplete, joining.Ident)
 	r.changeGroup(now, tag, old, next, &out)
 	r.claimIncarnations(&out)
 	return out, true
 }
 
-// isChanging reports whether a change of the group is under way.
+// isChanging reports whether a group change is in progress.
 func (r *Replica) isChanging() bool { return len(r.meta.Group.Next) > 0 || r.isChangeUncommitted() }
 
-// isChangeUncommitted reports whether no majority has the last group that this leader made.
-func (r *Replica) isChangeUncommitted() bool { return r.replication.pending[r.change.request] != nil }
+// isChangeUncommitted reports whether the last group that this leader made isn't committed yet.
+func (r *Replica) isChangeUncommitted() bool { return r.replication.pending[r.change.requestID] != nil }
 
-// ContinueChange goes on with the change that is under way, this leader's or an
-// earlier one's: it asks the newcomer again, finishes, or undoes the change if the
-// newcomer is silent or the leader would take itself out. It finishes only under
-// a lease that a majority of the next group supports: that majority need know of
-// no other leader, and two changes in a row would let it elect another.
+// ContinueChange advances the group change in progress, whether this leader or an
+// earlier one began it. It asks the joining replica again or finishes the change, and
+// undoes it if the joining replica is lost or if the leader would remove itself. It
+// finishes only under a lease that a majority of the next group supports. Otherwise,
+// after two changes in a row, a majority that never acknowledged this leader could
+// elect another one while the lease is valid.
 //
 // Example: out := r.ContinueChange(now, 0)
 func (r *Replica) ContinueChange(now time.Duration, tag uint64) (out Out) {
@@ -175,12 +179,12 @@
 		return out
 	}
 	defer func() { r.claimIncarnations(&out) }()
-	isReady, undo := r.checkNewcomers(now, group, &out)
+	isReady, undo := r.checkJoining(now, group, &out)
 	undo = undo || !has(group.Next, r.self.Ident)
 	switch {
-	case undo: // also before it is committed: the old replicas are in both
+	case undo: // possible before it is committed, since the old replicas are in both groups
 		r.changeGroup(now, tag, group.Replicas, nil, &out)
-	case r.change.request == 0: // an earlier leader's: it may not have been committed
+	case r.change.requestID == 0: // begun by an earlier leader, and possibly not committed
 		r.changeGroup(now, tag, group.Replicas, group.Next, &out)
 	case isReady && r.change.isLeaseSupported && !r.isChangeUncommitted():
 		r.changeGroup(now, tag, group.Next, nil, &out)
@@ -188,12 +192,12 @@
 	return out
 }
 
-// checkNewcomers asks the newcomers of a change that haven't confirmed again. It
-// reports whether all hold the complete state, and whether one of them is lost.
-func (r *Replica) checkNewcomers(now time.Duration, group message.Group, out *Out) (isReady, isLost bool) {
+// checkJoining asks the joining replicas of a change that haven't confirmed their copy
+// again. It reports whether all hold the complete state, and whether one of them is lost.
+func (r *Replica) checkJoining(now time.Duration, group message.Group, out *Out) (isReady, isLost bool) {
 	isReady = true
 	for _, replica := range group.Next {
-		if has(group.Replicas, replica.Ident) || r.isComplete(replica.Ident) {
+		if has(group.Replicas, replica.Ident) || r.hasCompleteCopy(replica.Ident) {
 			continue
 		}
 		isReady, isLost = false, isLost || r.IsLost(now, replica.Ident)
@@ -204,16 +208,16 @@
 	return isReady, isLost
 }
 
-// isComplete reports whether a newcomer holds all that the leader holds, on its disk:
-// by its own answer or, of the leader itself, because its copy was saved.
-func (r *Replica) isComplete(ident string) bool {
+// hasCompleteCopy reports whether a joining replica holds the complete state on its
+// disk: by its own answer or, for the leader itself, because its copy was saved.
+func (r *Replica) hasCompleteCopy(ident string) bool {
 	if ident == r.self.Ident {
 		return r.copies.installed[ident]
 	}
-	return r.copies.complete[ident]
+	return r.copies.joinComplete[ident]
 }
 
-// changeGroup makes a group and has its majority, or both, take it.
+// changeGroup creates a group and replicates it to the majority or majorities of that group.
 func (r *Replica) changeGroup(now time.Duration, tag uint64, replicas, next []message.Replica, out *Out) {
 	r.now = now
 	number := max(r.meta.Group.Number+1, r.term<<groupNumberShift)
@@ -225,7 +229,7 @@
 		}
 	}
 	r.replicate(now, tag, nil, out)
-	r.change = groupChange{request: r.replication.lastRequest, roundBefore: r.lease.round}
+	r.change = groupChange{requestID: r.replication.lastRequest, lastRoundBefore: r.lease.round}
 	r.sendHeartbeats(now, out)
 	for _, replica := range next {
 		if !has(replicas, replica.Ident) {
@@ -234,7 +238,7 @@
 	}
 }
 
-// askIfComplete asks a newcomer whether it holds all that the leader holds now.
+// askIfComplete asks a joining replica whether it holds all that the leader holds now.
 func (r *Replica) askIfComplete(now time.Duration, to message.Replica, out *Out) {
 	r.copies.installSentAt[to.Ident] = now
 	out.send(to, message.InstallState{
@@ -243,8 +247,8 @@
 	}.Message(r.partition))
 }
 
-// sendMissing sends a newcomer what it lacks.
-func (r *Replica) sendMissing(to message.Replica, m message.StateMismatch, out *Out) {
+// sendMissingRecords sends a joining replica the ranges in which its copy differs.
+func (r *Replica) sendMissingRecords(to message.Replica, m message.StateMismatch, out *Out) {
 	ranges := digest.DifferingRanges(r.records.Digests(), m.Digests)
 	out.send(to, message.InstallState{
 		Term: r.term, Purpose: message.InstallForJoin, RequestID: m.ResponseTo,
@@ -252,8 +256,8 @@
 	}.Message(r.partition))
 }
 
-// answerJoin is a newcomer's side: it confirms that it holds all, once it does and
-// that is on disk, or what it has.
+// answerJoin answers as a joining replica: it confirms that it holds the complete
+// state once that is on disk, or sends its digests if its copy differs.
 func (r *Replica) answerJoin(from message.Sender, m message.InstallState, out *Out) {
 	if m.Ranges == nil && len(digest.DifferingRanges(r.records.Digests(), m.Digests)) > 0 {
 		out.send(from.Replica, message.StateMismatch{
@@ -272,10 +276,10 @@
 	r.save(out, nil, accepted, envelope(from.Replica, done.Message(r.partition)))
 }
 
-// noteComplete takes a newcomer's answer that it holds all; one that was given before
-// this change began counts for nothing.
+// noteComplete records a joining replica's confirmation that it holds the complete
+// state. A confirmation for an earlier change is ignored.
 func (r *Replica) noteComplete(from message.Sender, groupNumber uint64) {
 	if len(r.meta.Group.Next) > 0 && groupNumber == r.meta.Group.Number {
-		r.copies.complete[from.Ident], r.copies.installed[from.Ident] = true, true
+		r.copies.joinComplete[from.Ident], r.copies.installed[from.Ident] = true, true
 	}
 }
--- a/control/quorum/group_test.go
+++ b/control/quorum/group_test.go
@@ -12,19 +12,19 @@
 // A replica that was replaced, missed writes and comes back under the same leader
 // has no vote before it holds them: what two copies of three held is never left
 // on one.
-func TestAReturningReplicaHoldsAllBeforeItCounts(t *testing.T) {
+func TestReturningReplicaIsCompleteBeforeItVotes(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 	c.advance(2 * time.Second)
-	own, keep, out := c.split()
+	own, keep, out := c.leaderAndOthers()
 	c.advance(time.Second, c.maintain("d"))
 	c.replaceReplica(out, "d")
 	c.advance(time.Second, c.maintain())
 	c.isLost = func(to string, m message.Message) bool {
 		return to == out || to == keep && m.Kind == message.KindReplicate && len(m.Records) > 0
 	}
-	if !c.write("k") || c.holds(keep, "k") || c.holds(out, "k") || !c.holds("d", "k") {
+	if !c.writeRecord("k") || c.holdsKey(keep, "k") || c.holdsKey(out, "k") || !c.holdsKey("d", "k") {
 		t.Fatalf("group %s: %s has it: %v, %s: %v, d: %v",
-			c.group(), keep, c.holds(keep, "k"), out, c.holds(out, "k"), c.holds("d", "k"))
+			c.group(), keep, c.holdsKey(keep, "k"), out, c.holdsKey(out, "k"), c.holdsKey("d", "k"))
 	}
 	c.isLost = func(to string, m message.Message) bool {
 		return m.Kind == message.KindReplicate && (to == out || to == keep && len(m.Records) > 0)
@@ -33,21 +33,21 @@
 	c.replaceReplica("d", out)
 	for i := 0; i < 100; i++ {
 		c.advance(10*time.Millisecond, c.maintain("d"))
-		if c.group() == fmt.Sprint(slices.Sorted(slices.Values([]string{"a", "b", "c"}))) && !c.holds(out, "k") {
+		if c.group() == fmt.Sprint(slices.Sorted(slices.Values([]string{"a", "b", "c"}))) && !c.holdsKey(out, "k") {
 			t.Fatalf("%s counts and lacks the write, which only %s of the group holds", out, own)
 		}
 	}
-	if c.isLost = func(string, message.Message) bool { return false }; !c.holds(out, "k") {
+	if c.isLost = func(string, message.Message) bool { return false }; !c.holdsKey(out, "k") {
 		t.Errorf("%s lacks the write; group %s", out, c.group())
 	}
 }
 
 // Two leaders that each began a group change and failed leave groups of their own: the
 // later one's is taken by all, also by the earlier leader.
-func TestTheLaterOfTwoLeadersGroupsWins(t *testing.T) {
+func TestLaterLeadersGroupWins(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d", "e"})
 	c.advance(2 * time.Second)
-	first, one, two := c.split()
+	first, one, two := c.leaderAndOthers()
 	c.advance(time.Second, c.maintain("d", "e"))
 	c.isLost = func(string, message.Message) bool { return true }
 	c.replaceReplica(one, "d") // nobody hears of it
@@ -69,18 +69,18 @@
 	}
 	c.isDown[second] = true // and one loss leaves a majority of both groups
 	c.advance(4*time.Second, c.maintain("d", "e"))
-	if id, _ := c.leader(); id == second || !c.write("k") {
+	if id, _ := c.leader(); id == second || !c.writeRecord("k") {
 		t.Errorf("nothing is written after the loss of %s", second)
 	}
 }
 
 // A group change that its leader began is finished by the next if the newcomer is there,
 // and undone if not.
-func TestTheNextLeaderFinishesOrUndoesAGroupChange(t *testing.T) {
+func TestNextLeaderFinishesOrUndoesGroupChange(t *testing.T) {
 	for _, there := range []bool{true, false} {
 		c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 		c.advance(2 * time.Second)
-		first, one, two := c.split()
+		first, one, two := c.leaderAndOthers()
 		c.advance(time.Second, c.maintain("d"))
 		c.replaceReplica(one, "d")
 		// The group change stands, and no word that d holds all.
@@ -108,7 +108,7 @@
 		if got := c.group(); got != expected || len(r.Group().Next) > 0 {
 			t.Errorf("the newcomer there %v: %s leads, group %s, expected %v", there, id, got, expected)
 		}
-		if !c.write("k") {
+		if !c.writeRecord("k") {
 			t.Errorf("the newcomer there %v: nothing is written", there)
 		}
 	}
@@ -116,10 +116,10 @@
 
 // A leader doesn't take itself out, begins no group change beside another, takes none
 // that isn't ready, and none once it was asked to end.
-func TestGroupChangesThatDoNotBegin(t *testing.T) {
+func TestInvalidGroupChangesAreRefused(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d", "e", "f"})
 	c.advance(2 * time.Second)
-	own, one, two := c.split()
+	own, one, two := c.leaderAndOthers()
 	r := c.replicas[own]
 	refused := func(what, out, in string) {
 		t.Helper()
@@ -151,10 +151,10 @@
 
 // A replica that was replaced while it was bound to a higher term is a learner
 // at once, and keeps no term that it stood with.
-func TestAReplacedReplicaBecomesALearner(t *testing.T) {
+func TestReplacedReplicaBecomesLearner(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 	c.advance(2 * time.Second)
-	_, one, two := c.split()
+	_, one, two := c.leaderAndOthers()
 	c.advance(time.Second, c.maintain("d"))
 	c.isDown[one] = true
 	c.advance(3*time.Second, c.maintain("d"))
@@ -178,10 +178,10 @@
 }
 
 // A replica that is asked to end says so, and differs from one that is silent.
-func TestTerminatingAndLostReplicasDiffer(t *testing.T) {
+func TestTerminatingReplicaIsNotLost(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, nil)
 	c.advance(2 * time.Second)
-	own, one, two := c.split()
+	own, one, two := c.leaderAndOthers()
 	r := c.replicas[own]
 	c.replicas[one].Resign()
 	c.isDown[two] = true
@@ -204,11 +204,11 @@
 // One that was asked to end is free to leave once each other replica has answered to
 // what was sent since: not beside one that was lost just before, and not by a new
 // leader before it knows.
-func TestWhichReplicaMayLeave(t *testing.T) {
+func TestTerminatingReplicaMayLeave(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		c := newCluster(t, []string{"a", "b", "c"}, nil)
 		c.advance(2 * time.Second)
-		own, one, two := c.split()
+		own, one, two := c.leaderAndOthers()
 		r := c.replicas[own]
 		c.isDown[two] = lost
 		c.replicas[one].Resign()
@@ -226,10 +226,10 @@
 
 // A new leader counts from when the one before was last there, so that the replica
 // of one that is lost isn't kept for longer because it led the partition.
-func TestAnEarlierLeaderIsLostAsSoonAsOthers(t *testing.T) {
+func TestFormerLeaderIsLostAfterSameDelay(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, nil)
 	c.advance(2 * time.Second)
-	first, _, _ := c.split()
+	first, _, _ := c.leaderAndOthers()
 	lost := c.now
 	c.isDown[first] = true
 	c.advance(clusterConfig.LostAfter - 2*clusterConfig.HeartbeatInterval)
@@ -251,15 +251,15 @@
 
 // A write that is under way doesn't hold a group change up, and then needs both
 // majorities like any other.
-func TestAWriteUnderWayNeedsBothMajorities(t *testing.T) {
+func TestPendingWriteNeedsBothMajorities(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 	c.advance(2 * time.Second)
-	own, keep, out := c.split()
+	own, keep, out := c.leaderAndOthers()
 	c.advance(time.Second, c.maintain("d"))
 	c.isLost = func(to string, m message.Message) bool {
 		return to != own && to != "d" && m.Kind == message.KindReplicate && len(m.Records) > 0
 	}
-	if c.write("k") {
+	if c.writeRecord("k") {
 		t.Fatal("written without a majority")
 	}
 	c.replaceReplica(out, "d")
@@ -270,17 +270,18 @@
 	c.isLost = func(string, message.Message) bool { return false }
 	c.advance(time.Second, c.maintain("d"))
 	isCommitted := slices.Contains(c.results, WriteResult{9, Committed})
-	if !isCommitted || !c.holds(keep, "k") || !c.holds("d", "k") || c.replicas[own].Group().Has(out) {
-		t.Errorf("done %v, %s has it: %v, d: %v, group %s", c.results, keep, c.holds(keep, "k"), c.holds("d", "k"), c.group())
+	if !isCommitted || !c.holdsKey(keep, "k") || !c.holdsKey("d", "k") || c.replicas[own].Group().Has(out) {
+		t.Errorf("results %v, %s holds the record: %v, d holds it: %v, group %s",
+			c.results, keep, c.holdsKey(keep, "k"), c.holdsKey("d", "k"), c.group())
 	}
 }
 
 // A stranger's word on a copy, and one that was given before a group change began,
 // count for nothing; nor does a learner speak on anything but its copy.
-func TestOnlyTheNewcomerConfirmsItsCopy(t *testing.T) {
+func TestOnlyJoiningReplicaConfirmsItsCopy(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 	c.advance(2 * time.Second)
-	own, one, _ := c.split()
+	own, one, _ := c.leaderAndOthers()
 	c.advance(time.Second, c.maintain("d"))
 	r := c.replicas[own]
 	c.isLost = func(_ string, m message.Message) bool { return m.Op == opJoin }
@@ -309,7 +310,7 @@
 	rejection := message.VoteRejection{Term: r.Term(), VotedTerm: high}.Message(1)
 	rejection.From, rejection.Addr = one, one
 	c.apply(own, r.Step(c.now, rejection))
-	c.advance(repairLeases*clusterConfig.LeaderLease+time.Second, c.maintain(one))
+	c.advance(repairIntervalLeases*clusterConfig.LeaderLease+time.Second, c.maintain(one))
 	if !r.IsLeader(c.now) {
 		t.Error("a learner's refusal ended the leadership")
 	}
@@ -317,10 +318,10 @@
 
 // A lease that the old replicas gave holds over a change: no second leader is
 // elected by the new ones while it lasts.
-func TestALeaderLeaseHoldsOverAGroupChange(t *testing.T) {
+func TestLeaderLeaseHoldsDuringGroupChange(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 	c.advance(2 * time.Second)
-	own, keep, out := c.split()
+	own, keep, out := c.leaderAndOthers()
 	begun := false
 	step := func() {
 		leaders := 0
@@ -346,7 +347,7 @@
 	}
 	c.advance(3*time.Second, step, c.maintain("d"))
 	c.isLost = func(string, message.Message) bool { return false }
-	if c.advance(3*time.Second, step, c.maintain("d", out)); !begun || !c.write("k") {
+	if c.advance(3*time.Second, step, c.maintain("d", out)); !begun || !c.writeRecord("k") {
 		t.Errorf("begun %v, group %s", begun, c.group())
 	}
 }
@@ -354,11 +355,11 @@
 // The new group doesn't stand alone before a majority of the old one has taken
 // the group change, whatever the newcomer says: neither in one of this leader's own
 // nor in one that it learned of in the middle of its term.
-func TestAGroupChangeEndsOnlyOnceTheOldMajorityHasIt(t *testing.T) {
+func TestGroupChangeEndsOnlyAfterOldMajorityHasIt(t *testing.T) {
 	for _, learned := range []bool{false, true} {
 		c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 		c.advance(2 * time.Second)
-		first, one, _ := c.split()
+		first, one, _ := c.leaderAndOthers()
 		c.advance(time.Second, c.maintain("d"))
 		own := first
 		if learned { // the leader before began it, and nobody heard
@@ -382,7 +383,7 @@
 		}
 		c.isLost = func(string, message.Message) bool { return false }
 		c.advance(2*time.Second, c.maintain("d"))
-		if _, r := c.leader(); len(r.Group().Next) > 0 || !c.write("k") {
+		if _, r := c.leader(); len(r.Group().Next) > 0 || !c.writeRecord("k") {
 			t.Errorf("learned %v: the group change doesn't end: %+v", learned, r.Group())
 		}
 	}
--- a/control/quorum/groupchange_test.go
+++ b/control/quorum/groupchange_test.go
@@ -10,10 +10,10 @@
 // The old group ends only when a majority of the next supports the lease: two group
 // changes in one lease would else end at a majority that knows of no leader, and
 // elects a second one beside it.
-func TestTheNextGroupSupportsTheLeaseBeforeItStandsAlone(t *testing.T) {
+func TestGroupChangeEndsOnlyAfterNextMajorityRenewsLease(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 	c.advance(2 * time.Second)
-	_, out, _ := c.split()
+	_, out, _ := c.leaderAndOthers()
 	c.advance(time.Second, c.maintain("d"))
 	c.isLost = func(_ string, m message.Message) bool {
 		return m.Kind == message.KindHeartbeat || m.Kind == message.KindHeartbeatAck
@@ -37,13 +37,15 @@
 // A voter supports a lease only once its vote is on disk: one that restarted
 // without it would take the leader before for the one it is bound to, and if that
 // one has restarted as well, vote for another while the lease stands.
-func TestAVoteIsOnDiskBeforeAHeartbeatIsAcked(t *testing.T) {
+func TestVoteIsOnDiskBeforeHeartbeatIsAcked(t *testing.T) {
 	for what, bind := range map[string]message.Message{
-		"it joined the term by an install": {Kind: message.KindInstallState, Term: 6, Group: three},
-		"it voted":                         {Kind: message.KindRequestVote, Term: 6, Group: three, Length: int64(fullWait)},
+		"it joined the term by an install": {Kind: message.KindInstallState, Term: 6, Group: threeReplicas},
+		"it voted": {
+			Kind: message.KindRequestVote, Term: 6, Group: threeReplicas, Length: int64(fullLeaseWait),
+		},
 	} {
 		v := restartedVoter(t)
-		at := 2 * fullWait
+		at := 2 * fullLeaseWait
 		hear := func(m message.Message) Out {
 			m.From, m.Addr, m.Epoch, m.Partition = "b", "b", 1, 1
 			return v.replica.Step(at, m)
@@ -68,13 +70,13 @@
 // What a daemon sent in an earlier incarnation counts for nothing once a later one is
 // known: its abandoning of a term would free a vote that the later incarnation won
 // with, its vote request would bind the vote to an incarnation that has ended.
-func TestMessagesOfAnEarlierIncarnationAreIgnored(t *testing.T) {
+func TestMessagesOfEarlierIncarnationAreIgnored(t *testing.T) {
 	for what, late := range map[string]message.Message{
 		"void": {Kind: message.KindAbandonTerm, Term: 6},
-		"ask":  {Kind: message.KindRequestVote, Term: 6, Length: int64(fullWait)},
+		"ask":  {Kind: message.KindRequestVote, Term: 6, Length: int64(fullLeaseWait)},
 	} {
 		v := restartedVoter(t)
-		at := 2 * fullWait
+		at := 2 * fullLeaseWait
 		for epoch := uint64(1); epoch <= 2; epoch++ { // the first incarnation's number was not on its disk yet
 			if ok, _ := v.requestVote(at, "b", epoch, 6); !ok {
 				t.Fatalf("%s: incarnation %d has no vote", what, epoch)
@@ -90,10 +92,10 @@
 // A newcomer that is elected while the group change which brings it in is under way
 // finishes that group change: as leader it holds all that there is. The replica that it
 // replaces is gone for good, so until then the loss of one more would end all.
-func TestANewcomerThatLeadsFinishesItsGroupChange(t *testing.T) {
+func TestJoiningReplicaAsLeaderFinishesGroupChange(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 	c.advance(2 * time.Second)
-	first, gone, other := c.split()
+	first, gone, other := c.leaderAndOthers()
 	c.advance(time.Second, c.maintain("d"))
 	c.isDown[gone] = true
 	c.isLost = func(_ string, m message.Message) bool { return m.Op == opJoin }
@@ -118,7 +120,7 @@
 	}
 	c.isLost = func(string, message.Message) bool { return false }
 	c.isDown[other] = true // one loss after another is what a group bears
-	if !c.write("k") {
+	if !c.writeRecord("k") {
 		t.Error("nothing is written after one more loss")
 	}
 }
--- a/control/quorum/heartbeat.go
+++ b/control/quorum/heartbeat.go
@@ -6,19 +6,20 @@
 	"mulleinmast/wire/message"
 )
 
-// The leader lease: a leader acts only while a majority supports it, and every
-// voter supports nobody else for a lease's length after it last acknowledged a heartbeat.
+// The leader lease: a leader acts only while a majority supports it, and every voter
+// supports no other leader for the length of a lease after it last acknowledged a
+// heartbeat.
 
-// openRounds is how many rounds of heartbeats may be under way at once; answers to
-// earlier ones renew nothing.
-const openRounds = 8
+// maxOpenRounds is the number of heartbeat rounds that may be in flight before the
+// latest one. Answers to earlier rounds don't renew the lease.
+const maxOpenRounds = 8
 
-// leaderLease is a leader's lease and the rounds of heartbeats that renew it. A
-// round renews the lease from when it was sent, once a majority has answered to it.
+// leaderLease is a leader's lease and the rounds of heartbeats that renew it. Once a
+// majority has acknowledged a round, the lease runs from when that round was sent.
 type leaderLease struct {
-	end         time.Duration // the lease is valid before
-	round       uint64        // the last one that was sent
-	heartbeatAt time.Duration // when that was
+	end         time.Duration // the lease is valid before this time
+	round       uint64        // the last round that was sent
+	heartbeatAt time.Duration // when the last round was sent
 	sentAt      map[uint64]time.Duration
 	acks        map[uint64]map[string]bool
 }
@@ -27,13 +28,13 @@
 	return leaderLease{sentAt: map[uint64]time.Duration{}, acks: map[uint64]map[string]bool{}}
 }
 
-// startRound counts a round that is sent now.
+// startRound opens a round that is sent now, and closes those that are too old.
 func (l *leaderLease) startRound(now time.Duration) {
 	l.heartbeatAt = now
 	l.round++
 	l.sentAt[l.round] = now
 	for round := range l.sentAt {
-		if round+openRounds < l.round {
+		if round+maxOpenRounds < l.round {
 			l.closeRound(round)
 		}
 	}
@@ -44,12 +45,12 @@
 	delete(l.acks, round)
 }
 
-// forgetRounds drops the open rounds: answers to them count for nothing.
-func (l *leaderLease) forgetRounds() {
+// clearRounds drops the open rounds, so that answers to them are ignored.
+func (l *leaderLease) clearRounds() {
 	l.sentAt, l.acks = map[uint64]time.Duration{}, map[uint64]map[string]bool{}
 }
 
-// ack counts an answer to a round that is still open.
+// ack records an acknowledgement of an open round.
 func (l *leaderLease) ack(round uint64, from string) {
 	if l.acks[round] == nil {
 		l.acks[round] = map[string]bool{}
@@ -57,8 +58,8 @@
 	l.acks[round][from] = true
 }
 
-// extend lengthens the lease to that of a round; one that has lapsed isn't revived:
-// others may have voted since.
+// extend renews the lease from the time that a round was sent. An expired lease is
+// never renewed, since voters may have voted for another leader since.
 func (l *leaderLease) extend(now, sentAt, length time.Duration) (renewed bool) {
 	if now >= l.end {
 		return false
@@ -67,7 +68,7 @@
 	return true
 }
 
-// sendHeartbeats begins a round.
+// sendHeartbeats starts a heartbeat round.
 func (r *Replica) sendHeartbeats(now time.Duration, out *Out) {
 	r.lease.startRound(now)
 	for _, peer := range r.peers() {
@@ -75,13 +76,14 @@
 	}
 }
 
-// sendHeartbeat asks a peer to support the present round.
+// sendHeartbeat sends a peer the heartbeat of the current round.
 func (r *Replica) sendHeartbeat(to message.Replica, out *Out) {
 	heartbeat := message.Heartbeat{Term: r.term, Round: r.lease.round, Peers: r.announcePeers(to)}
 	out.send(to, heartbeat.Message(r.partition))
 }
 
-// handleHeartbeat supports the leader that this replica voted for or joined.
+// handleHeartbeat acknowledges the leader that this replica voted for or whose term
+// it joined, and rejects any other.
 func (r *Replica) handleHeartbeat(now time.Duration, from message.Sender, m message.Heartbeat, out *Out) {
 	if !r.meta.isVotedFor(m.Term, from.Ident) {
 		r.reject(now, from.Replica, m.Term, 0, out)
@@ -92,13 +94,13 @@
 	r.support.known = message.Leadership{Partition: r.partition, Term: m.Term, Leader: from.Replica}
 	r.support.knownAt = now
 	r.ackHeartbeat(from.Replica, message.HeartbeatAck{Term: m.Term, Round: m.Round, Terminating: r.resigned}, out)
-	if r.meta.Incomplete { // the leader may believe that this copy is complete
+	if r.meta.Incomplete { // the leader may assume that this copy is complete
 		out.send(from.Replica, message.StateMismatch{Term: m.Term, Digests: r.records.Digests()}.Message(r.partition))
 	}
 }
 
-// ackHeartbeat supports a leader's lease once the vote for it is on disk: a restart
-// that forgot the vote would not wait the lease out.
+// ackHeartbeat acknowledges a heartbeat once the vote for that leader is on disk:
+// after a restart that lost the vote, this replica would not wait the lease out.
 func (r *Replica) ackHeartbeat(to message.Replica, ack message.HeartbeatAck, out *Out) {
 	if r.disk.isVoteUnsaved() {
 		r.save(out, nil, nil)
@@ -111,14 +113,14 @@
 	r.disk.onSync[r.disk.voteTicket] = append(r.disk.onSync[r.disk.voteTicket], frame)
 }
 
-// handleHeartbeatAck renews the lease once a majority supports a round.
+// handleHeartbeatAck renews the lease once a majority has acknowledged a round.
 func (r *Replica) handleHeartbeatAck(now time.Duration, from message.Sender, m message.HeartbeatAck) {
 	r.noteAnswer(now, from, m.Term)
 	r.noteTerminating(now, from, m)
 	if m.Term != r.term {
 		return
 	}
-	delete(r.election.boundElsewhere, from.Ident)
+	delete(r.election.boundToHigherTerm, from.Ident)
 	r.guard.noteAnnounced(from.Ident, m.Round)
 	sentAt, open := r.lease.sentAt[m.Round]
 	if !open {
@@ -128,7 +130,7 @@
 	if !r.meta.Group.HasQuorum(func(ident string) bool { return r.lease.acks[m.Round][ident] }) {
 		return
 	}
-	if r.lease.extend(now, sentAt, r.cfg.LeaderLease) && m.Round > r.change.roundBefore {
+	if r.lease.extend(now, sentAt, r.cfg.LeaderLease) && m.Round > r.change.lastRoundBefore {
 		r.change.isLeaseSupported = true
 	}
 	r.lease.closeRound(m.Round)
--- a/control/quorum/incarnation.go
+++ b/control/quorum/incarnation.go
@@ -9,45 +9,46 @@
 	"mulleinmast/wire/message"
 )
 
-// A data folder that was copied, or put back as it was before, makes a voter that
-// has forgotten votes, or two voters of one identity. Replicas see it by this:
+// A data folder that was copied or rolled back yields a voter that has lost votes, or
+// two voters with the same identity. Replicas detect this as follows.
 //
 // Each save has a save point: the incarnation of the daemon, and the count of its
-// saves. A replica claims its present save point in each message, and the one that it
-// started from until the receiver recognizes its incarnation. The others remember on
-// disk the incarnation that they recognize and its latest save point; the leader
-// announces to the rest of the group what it knows of each.
+// saves. A replica claims its current save point in each message and, until the
+// receiver recognizes its incarnation, also the save point that it started from. Its
+// peers store on disk the incarnation that they recognize and its latest save point;
+// the leader announces to the rest of the group what it knows of each replica.
 //
-// A replica admits nothing from an incarnation earlier than the one it recognizes,
-// from another one of as many starts, or from a later one that started from an
-// earlier state than is known of it. It answers such a one with what it knows. One
-// that learns of an incarnation or a state that isn't in its own past is superseded:
-// it takes no part any more.
+// A replica rejects messages from an incarnation earlier than the one it recognizes,
+// from a different one with the same number of starts, and from a later one that
+// started from an earlier state than the latest known one. It answers these with what
+// it knows. A replica that learns of an incarnation or a state that isn't in its own
+// history is superseded: it stops taking part in the group.
 
-// incarnationGuard is what a replica keeps of incarnations, its own and the others',
-// beside what its Meta holds.
+// incarnationGuard is what a replica keeps about incarnations, its own and its
+// peers', besides what its Meta holds.
 type incarnationGuard struct {
 	folder         *Folder         // nil: no incarnation is claimed or checked
-	acknowledgedBy map[string]bool // who recognizes this incarnation
-	superseded     string          // why this replica takes no part any more; empty: it does
+	acknowledgedBy map[string]bool // the peers that recognize this incarnation
+	superseded     string          // why this replica is superseded; empty if it isn't
 
-	savedAt  time.Duration // when what is known of the others was last saved for its own sake
-	unsaved  bool          // Meta.Peers has an incarnation that isn't on the disk
-	versions uint64        // counts the changes of Meta.Peers
+	peersSavedAt time.Duration // when savePeerIncarnations last saved Meta.Peers
+	unsaved      bool          // Meta.Peers has an incarnation that isn't on disk
+	peersVersion uint64        // counts the changes of Meta.Peers
 
-	announced  map[string]uint64       // as leader: up to which version a peer knows Meta.Peers
-	announcing map[string]announcement // as leader: what is on its way to a peer
+	announced  map[string]uint64       // as leader: the version of Meta.Peers that each peer has acknowledged
+	announcing map[string]announcement // as leader: the announcement in flight to each peer
 }
 
-// announcement is a round of heartbeats that carried Meta.Peers as of a version.
+// announcement is a round of heartbeats that carried a version of Meta.Peers.
 type announcement struct{ round, version uint64 }
 
-// startAnnouncing begins a leadership, in which nothing was announced yet.
+// startAnnouncing resets the announcements at the start of a leadership.
 func (g *incarnationGuard) startAnnouncing() {
 	g.announced, g.announcing = map[string]uint64{}, map[string]announcement{}
 }
 
-// noteAnnounced takes a peer's answer to a round of heartbeats.
+// noteAnnounced records that a peer acknowledged a round of heartbeats, and with it
+// the announcement that the round carried.
 func (g *incarnationGuard) noteAnnounced(peer string, round uint64) {
 	if a, ok := g.announcing[peer]; ok && round >= a.round {
 		g.announced[peer] = a.version
@@ -55,13 +56,13 @@
 	}
 }
 
-// Superseded is why this replica takes no part any more; empty: it does.
+// Superseded returns why this replica is superseded, or an empty string if it isn't.
 //
 // Example: if why := r.Superseded(); why != "" { leave(why) }
 func (r *Replica) Superseded() string { return r.guard.superseded }
 
-// Supersede ends a replica's part in the group: another process or a later state
-// has its identity.
+// Supersede stops a replica from taking part in the group, because another process
+// or a later state has its identity.
 //
 // Example: out := r.Supersede("started from a copy of its folder")
 func (r *Replica) Supersede(why string) (out Out) {
@@ -73,18 +74,18 @@
 	return out
 }
 
-// knownPeer is what this replica knows of another.
+// knownPeer returns the recorded incarnation of another replica.
 func (r *Replica) knownPeer(ident string) message.PeerIncarnation {
-	isIt := func(p message.PeerIncarnation) bool { return p.Ident == ident }
-	if i := slices.IndexFunc(r.meta.Peers, isIt); i >= 0 {
+	isPeer := func(p message.PeerIncarnation) bool { return p.Ident == ident }
+	if i := slices.IndexFunc(r.meta.Peers, isPeer); i >= 0 {
 		return r.meta.Peers[i]
 	}
 	return message.PeerIncarnation{}
 }
 
-// notePeer records what is known of another replica. The list is never changed in
-// place: saves that wait for the disk hold it. Daemons that are no replicas and no
-// learners leave it.
+// notePeer records another replica's incarnation and state. The list is never changed
+// in place, since pending saves refer to it. Daemons that are neither replicas nor
+// learners are dropped from it.
 func (r *Replica) notePeer(peer message.PeerIncarnation) {
 	before := r.knownPeer(peer.Ident)
 	if before == peer {
@@ -95,40 +96,43 @@
 		return p.Ident == peer.Ident || group.Number > 0 && !group.Has(p.Ident) && !has(r.learners, p.Ident)
 	})
 	r.meta.Peers = append(others, peer)
-	r.guard.versions++
+	r.guard.peersVersion++
 	r.guard.unsaved = r.guard.unsaved || before.Epoch != peer.Epoch
 }
 
-// isReplicaOfGroup reports whether a message that claims to know this replica is from
-// a replica of its group, or of a later group that both are in.
+// isReplicaOfGroup reports whether a message's sender is a replica of this replica's
+// group, or of a later group that includes both.
 func (r *Replica) isReplicaOfGroup(from message.Sender, group message.Group) bool {
 	own := r.meta.Group
 	isOfLaterGroup := group.Number > own.Number && group.Has(from.Ident) && group.Has(r.self.Ident)
 	return own.Number > 0 && (own.Has(from.Ident) || isOfLaterGroup)
 }
 
-// admits checks a message by its claims of incarnations, its sender's and this
-// replica's own. One that isn't admitted is answered here.
-func (r *Replica) admits(now time.Duration, from message.Sender, claims message.IncarnationClaims, out *Out) bool {
+// admitsMessage reports whether a message is to be processed, by what it claims about
+// its sender's and this replica's incarnations. If it isn't, the answer is sent here.
+func (r *Replica) admitsMessage(
+	now time.Duration, from message.Sender, claims message.IncarnationClaims, out *Out,
+) bool {
 	if r.guard.folder == nil || from.Ident == r.self.Ident {
 		return r.guard.superseded == ""
 	}
 	if r.guard.superseded != "" {
 		return false
 	}
-	if claims.KnownEpoch != 0 && r.isReplicaOfGroup(from, claims.Group) && !r.isKnownAsItself(from, claims, out) {
+	if claims.KnownEpoch != 0 && r.isReplicaOfGroup(from, claims.Group) && !r.peerKnowsIncarnation(from, claims, out) {
 		return false
 	}
-	if incarnation.Starts(claims.Epoch) == 0 { // of a build that claims none
+	if incarnation.Starts(claims.Epoch) == 0 { // from a build that claims no incarnation
 		return !claims.IsNotice
 	}
 	return r.admitsSender(now, from, claims, out) && !claims.IsNotice
 }
 
-// isKnownAsItself checks what a peer knows of this replica, which may supersede it.
-// A peer that recognizes an earlier incarnation is sent this one first: until then
-// its messages may be meant for a state that this replica has forgotten.
-func (r *Replica) isKnownAsItself(from message.Sender, claims message.IncarnationClaims, out *Out) bool {
+// peerKnowsIncarnation reports whether a peer's messages are meant for this
+// incarnation, and supersedes this replica if the peer knows of a later state. A peer
+// that recognizes an earlier incarnation is first sent a notice of this one: until it
+// has that, its messages may refer to a state that this replica has lost.
+func (r *Replica) peerKnowsIncarnation(from message.Sender, claims message.IncarnationClaims, out *Out) bool {
 	ident := from.Ident
 	switch incarnation.Compare(claims.KnownEpoch, r.guard.folder.epoch) {
 	case incarnation.Same:
@@ -146,26 +150,26 @@
 		return false
 	}
 	delete(r.guard.acknowledgedBy, ident)
-	if claims.IsNotice { // it is answered once its own incarnation is checked
+	if claims.IsNotice { // it is answered once the peer's own incarnation is checked
 		return true
 	}
 	r.sendNotice(from.Replica, out)
 	return false
 }
 
-// recordsIncarnationOf reports whether a message's sender is one whose incarnations are recorded:
-// a replica or a learner.
-func (r *Replica) recordsIncarnationOf(from message.Sender, group message.Group) bool {
+// tracksIncarnationOf reports whether a message's sender is one whose incarnations are
+// recorded: a replica or a learner.
+func (r *Replica) tracksIncarnationOf(from message.Sender, group message.Group) bool {
 	return r.meta.Group.Number == 0 || r.meta.Group.Has(from.Ident) || has(r.learners, from.Ident) ||
 		r.isReplicaOfGroup(from, group)
 }
 
-// admitsSender checks a message's sender, and records what it claims of itself and,
-// as leader, announces of others.
+// admitsSender reports whether a sender's incarnation is admitted. If so, it records
+// what the sender claims about itself and what it announces, as leader, about others.
 func (r *Replica) admitsSender(
 	now time.Duration, from message.Sender, claims message.IncarnationClaims, out *Out,
 ) bool {
-	if !r.recordsIncarnationOf(from, claims.Group) {
+	if !r.tracksIncarnationOf(from, claims.Group) {
 		return true
 	}
 	known := r.knownPeer(from.Ident)
@@ -183,7 +187,7 @@
 			r.refuseIncarnation(from, known, out)
 			return false
 		}
-		if claims.Saves == 0 { // none yet: it is as it started, if it claims a state
+		if claims.Saves == 0 { // no save yet: its state is the one that it started from, if it claims one
 			next.State = claims.StartState
 		}
 	default:
@@ -195,12 +199,12 @@
 		r.noteAnnouncedPeer(peer)
 	}
 	if claims.StartState.Epoch != 0 || claims.IsNotice && claims.KnownEpoch != r.guard.folder.epoch {
-		r.answerNewIncarnation(now, from.Replica, out)
+		r.welcomeIncarnation(now, from.Replica, out)
 	}
 	return true
 }
 
-// precedes reports whether a state can't have come after another one.
+// precedes reports whether state a can't be a successor of state b.
 func precedes(a, b message.SavePoint) bool {
 	if b.Epoch == 0 {
 		return false
@@ -214,7 +218,7 @@
 	return true
 }
 
-// noteAnnouncedPeer records what a leader knows of another replica.
+// noteAnnouncedPeer records what a leader announced about another replica.
 func (r *Replica) noteAnnouncedPeer(peer message.PeerIncarnation) {
 	known := r.knownPeer(peer.Ident)
 	if peer.Ident == r.self.Ident || known.Ident == "" && !r.meta.Group.Has(peer.Ident) {
@@ -230,8 +234,9 @@
 	}
 }
 
-// refuseIncarnation answers an incarnation that isn't admitted with what is known.
-// It goes to where the message came from: its identity may be known elsewhere.
+// refuseIncarnation answers an incarnation that isn't admitted with the one that is
+// known. The answer goes to the address that the message came from, since the same
+// identity may be known at another address.
 func (r *Replica) refuseIncarnation(from message.Sender, known message.PeerIncarnation, out *Out) {
 	notice := message.IncarnationNotice{KnownEpoch: known.Epoch, KnownState: known.State, Group: r.meta.Group}
 	refusal := envelope(from.Replica, notice.Message(r.partition))
@@ -239,14 +244,14 @@
 	out.Sends = append(out.Sends, refusal)
 }
 
-// sendNotice sends a peer the claim of this incarnation, for its answer.
+// sendNotice sends a peer this incarnation's claim, which the peer answers.
 func (r *Replica) sendNotice(to message.Replica, out *Out) {
 	out.send(to, message.IncarnationNotice{Group: r.meta.Group}.Message(r.partition))
 }
 
-// answerNewIncarnation tells an incarnation that this replica recognizes it now, and
-// sends again what the one before was sent and has not answered.
-func (r *Replica) answerNewIncarnation(now time.Duration, to message.Replica, out *Out) {
+// welcomeIncarnation notifies a new incarnation that this replica recognizes it, and
+// resends the requests that its predecessor has not answered.
+func (r *Replica) welcomeIncarnation(now time.Duration, to message.Replica, out *Out) {
 	r.sendNotice(to, out)
 	if !r.meta.Group.Has(to.Ident) {
 		return
@@ -268,8 +273,8 @@
 	}
 }
 
-// claimIncarnations adds to a step's messages the claims of incarnations as they are
-// when the messages leave.
+// claimIncarnations adds the incarnation claims to a step's outgoing messages, as they
+// are when the messages are sent.
 func (r *Replica) claimIncarnations(out *Out) {
 	if r.guard.folder == nil {
 		return
@@ -281,7 +286,7 @@
 		}
 		m.Saves = r.guard.folder.synced.Load()
 		if !r.guard.acknowledgedBy[m.To] {
-			m.State = r.guard.folder.base
+			m.State = r.guard.folder.startState
 		}
 		if m.KnownEpoch != 0 {
 			continue
@@ -294,10 +299,10 @@
 	}
 }
 
-// announcePeers is what a heartbeat announces of the other replicas, until the peer
-// has answered one that did.
+// announcePeers returns what a heartbeat announces about the other replicas, or nil
+// once the peer has acknowledged the current version.
 func (r *Replica) announcePeers(to message.Replica) (peers []message.PeerIncarnation) {
-	if r.guard.folder == nil || to.Ident == r.self.Ident || r.guard.announced[to.Ident] == r.guard.versions {
+	if r.guard.folder == nil || to.Ident == r.self.Ident || r.guard.announced[to.Ident] == r.guard.peersVersion {
 		return nil
 	}
 	for _, peer := range r.meta.Peers {
@@ -305,15 +310,15 @@
 			peers = append(peers, peer)
 		}
 	}
-	r.guard.announcing[to.Ident] = announcement{r.lease.round, r.guard.versions}
+	r.guard.announcing[to.Ident] = announcement{r.lease.round, r.guard.peersVersion}
 	return peers
 }
 
-// savePeerIncarnations saves what is known of the others once one has another
-// incarnation; their save points go to the disk with the next save.
+// savePeerIncarnations saves Meta.Peers if an incarnation in it isn't on disk, at most
+// once per heartbeat interval. Changes of save points alone wait for the next save.
 func (r *Replica) savePeerIncarnations(now time.Duration, out *Out) {
-	if r.guard.unsaved && now-r.guard.savedAt >= r.cfg.HeartbeatInterval && r.meta.Group.Number > 0 {
-		r.guard.savedAt = now
+	if r.guard.unsaved && now-r.guard.peersSavedAt >= r.cfg.HeartbeatInterval && r.meta.Group.Number > 0 {
+		r.guard.peersSavedAt = now
 		r.save(out, nil, nil)
 	}
 }
--- a/control/quorum/incarnation_test.go
+++ b/control/quorum/incarnation_test.go
@@ -19,9 +19,9 @@
 }
 
 const (
-	first     = 1<<32 + 11 // starts of b, each with its nonce
-	firstTwin = 1<<32 + 12
-	second    = 2<<32 + 5
+	firstStart     = 1<<32 + 11 // starts of b, each with its nonce
+	firstStartTwin = 1<<32 + 12
+	secondStart    = 2<<32 + 5
 )
 
 // restartedIncarnation is a replica with a folder that may have voted before.
@@ -32,8 +32,8 @@
 }
 
 func openGuarded(t *testing.T, epoch uint64, m Meta) *guardedReplica {
-	m.Group = three
-	r := restartedIncarnation(three.Replicas[0], epoch, m)
+	m.Group = threeReplicas
+	r := restartedIncarnation(threeReplicas.Replicas[0], epoch, m)
 	return &guardedReplica{t: t, replica: r, meta: m}
 }
 
@@ -66,31 +66,31 @@
 }
 
 func preVoteRequest(epoch, known uint64, base message.SavePoint) message.Message {
-	m := message.VoteRequest{Term: 9, PreVote: true, Group: three}.Message(1)
+	m := message.VoteRequest{Term: 9, PreVote: true, Group: threeReplicas}.Message(1)
 	m.Epoch, m.KnownEpoch, m.State = epoch, known, base
 	return m
 }
 
 // What counts of an incarnation, and what it is told that doesn't.
-func TestWhichIncarnationsAreAdmitted(t *testing.T) {
+func TestIncarnationAdmission(t *testing.T) {
 	const me = 7<<32 + 1
-	heard := message.SavePoint{Epoch: first, Saves: 5}
+	heard := message.SavePoint{Epoch: firstStart, Saves: 5}
 	for _, x := range []struct {
 		what   string
 		epoch  uint64
 		base   message.SavePoint
 		counts bool
 	}{
-		{"the one that is known", first, message.SavePoint{}, true},
-		{"another one of as many starts", firstTwin, message.SavePoint{}, false},
+		{"the one that is known", firstStart, message.SavePoint{}, true},
+		{"another one of as many starts", firstStartTwin, message.SavePoint{}, false},
 		{"an earlier one", 0<<32 + 3, message.SavePoint{}, true}, // of a build that tells nothing: it is judged as before
-		{"a later one from the latest state", second, heard, true},
-		{"a later one from a later state", second, message.SavePoint{Epoch: first, Saves: 9}, true},
-		{"a later one from an earlier state", second, message.SavePoint{Epoch: first, Saves: 4}, false},
-		{"a later one from a copy's state", second, message.SavePoint{Epoch: firstTwin, Saves: 50}, false},
-		{"a later one that an older build wrote last", second, message.SavePoint{}, true},
+		{"a later one from the latest state", secondStart, heard, true},
+		{"a later one from a later state", secondStart, message.SavePoint{Epoch: firstStart, Saves: 9}, true},
+		{"a later one from an earlier state", secondStart, message.SavePoint{Epoch: firstStart, Saves: 4}, false},
+		{"a later one from a copy's state", secondStart, message.SavePoint{Epoch: firstStartTwin, Saves: 50}, false},
+		{"a later one that an older build wrote last", secondStart, message.SavePoint{}, true},
 	} {
-		g := openGuarded(t, me, Meta{Peers: []message.PeerIncarnation{{Ident: "b", Epoch: first, State: heard}}})
+		g := openGuarded(t, me, Meta{Peers: []message.PeerIncarnation{{Ident: "b", Epoch: firstStart, State: heard}}})
 		out := g.step(preVoteRequest(x.epoch, me, x.base))
 		if got := countKind(out, message.KindGrantVote)+countKind(out, message.KindRejectVote) > 0; got != x.counts {
 			t.Errorf("%s: counted %v: %+v", x.what, got, out)
@@ -98,14 +98,14 @@
 		if x.counts {
 			continue
 		}
-		if countKind(out, message.KindIncarnation) != 1 || out[0].KnownEpoch != first || out[0].KnownState != heard {
+		if countKind(out, message.KindIncarnation) != 1 || out[0].KnownEpoch != firstStart || out[0].KnownState != heard {
 			t.Errorf("%s: doesn't learn what is known: %+v", x.what, out)
 		}
 	}
 }
 
 // What takes a replica its voice, and what doesn't.
-func TestWhatSupersedesAReplica(t *testing.T) {
+func TestReplicaIsSuperseded(t *testing.T) {
 	const me = 7<<32 + 1
 	savePoint := func(epoch, saves uint64) message.SavePoint { return message.SavePoint{Epoch: epoch, Saves: saves} }
 	past := Meta{State: savePoint(6<<32+4, 20), History: []message.SavePoint{savePoint(4<<32+9, 3)}}
@@ -126,7 +126,7 @@
 	} {
 		g := openGuarded(t, me, past)
 		notice := message.IncarnationNotice{KnownEpoch: x.knownEpoch, KnownState: x.known}.Message(1)
-		notice.Epoch = first
+		notice.Epoch = firstStart
 		g.step(notice)
 		if why := g.replica.Superseded(); (why == "") != (x.why == "") || !strings.Contains(why, x.why) {
 			t.Errorf("%s: %q", x.what, why)
@@ -134,7 +134,7 @@
 		if x.why == "" {
 			continue
 		}
-		if out := g.step(preVoteRequest(first, me, message.SavePoint{})); len(out) > 0 {
+		if out := g.step(preVoteRequest(firstStart, me, message.SavePoint{})); len(out) > 0 {
 			t.Errorf("%s: and it says %+v", x.what, out)
 		}
 		if o := g.replica.Tick(time.Hour); len(o.Sends)+len(o.Saves) > 0 {
@@ -144,10 +144,10 @@
 }
 
 // Nobody but a replica of its group takes a replica its voice.
-func TestAStrangerSupersedesNobody(t *testing.T) {
+func TestNonMemberDoesNotSupersede(t *testing.T) {
 	g := openGuarded(t, 7<<32+1, Meta{})
-	m := message.IncarnationNotice{KnownEpoch: 9 << 32, Group: three}.Message(1)
-	m.From, m.Addr, m.To, m.Epoch = "stranger", "s", "a", first
+	m := message.IncarnationNotice{KnownEpoch: 9 << 32, Group: threeReplicas}.Message(1)
+	m.From, m.Addr, m.To, m.Epoch = "stranger", "s", "a", firstStart
 	g.replica.Step(g.now, m)
 	if why := g.replica.Superseded(); why != "" {
 		t.Errorf("superseded: %s", why)
@@ -157,37 +157,37 @@
 // A peer that goes by an earlier incarnation is told of this one before it is
 // listened to; once it goes by this one it is heard, and the question that it had
 // asked meanwhile is asked again.
-func TestAPeerLearnsOfAnIncarnationBeforeItIsAdmitted(t *testing.T) {
+func TestPeerLearnsIncarnationBeforeAdmission(t *testing.T) {
 	const was, me = 6<<32 + 4, 7<<32 + 1
 	base := message.SavePoint{Epoch: was, Saves: 20}
 	g := openGuarded(t, me, Meta{State: base})
-	out := g.step(preVoteRequest(first, was, message.SavePoint{}))
+	out := g.step(preVoteRequest(firstStart, was, message.SavePoint{}))
 	if len(out) != 1 || out[0].Kind != message.KindIncarnation || out[0].State != base {
 		t.Fatalf("asked of an earlier incarnation: %+v", out)
 	}
-	out = g.step(preVoteRequest(first, me, message.SavePoint{}))
+	out = g.step(preVoteRequest(firstStart, me, message.SavePoint{}))
 	if countKind(out, message.KindRejectVote)+countKind(out, message.KindGrantVote) != 1 {
 		t.Errorf("asked of this one: %+v", out)
 	}
 }
 
 // A candidate asks anew whom it hears to have started meanwhile.
-func TestAVoteRequestGoesToTheNextIncarnation(t *testing.T) {
+func TestVoteRequestIsResentToNewIncarnation(t *testing.T) {
 	const me = 7<<32 + 1
-	g := openGuarded(t, me, Meta{Peers: []message.PeerIncarnation{{Ident: "b", Epoch: first}}})
+	g := openGuarded(t, me, Meta{Peers: []message.PeerIncarnation{{Ident: "b", Epoch: firstStart}}})
 	var asked int
-	for ; asked == 0 && g.now < 10*fullWait; g.now += 20 * time.Millisecond {
+	for ; asked == 0 && g.now < 10*fullLeaseWait; g.now += 20 * time.Millisecond {
 		for _, s := range g.replica.Tick(g.now).Sends {
 			if s.Message.To == "b" && s.Message.Kind == message.KindRequestVote {
 				asked++
 			}
 		}
 	}
-	notice := message.IncarnationNotice{KnownEpoch: first}.Message(1)
-	notice.Epoch, notice.State = second, message.SavePoint{Epoch: first, Saves: 2}
+	notice := message.IncarnationNotice{KnownEpoch: firstStart}.Message(1)
+	notice.Epoch, notice.State = secondStart, message.SavePoint{Epoch: firstStart, Saves: 2}
 	out := g.step(notice)
 	isAsked := countKind(out, message.KindRequestVote) == 1
-	if countKind(out, message.KindIncarnation) != 1 || !isAsked || out[0].KnownEpoch != second {
+	if countKind(out, message.KindIncarnation) != 1 || !isAsked || out[0].KnownEpoch != secondStart {
 		t.Errorf("a peer that started anew while it was asked: %+v", out)
 	}
 }
@@ -196,15 +196,15 @@
 // saved, and of no daemon that is no replica.
 func TestPeerIncarnationsAreSaved(t *testing.T) {
 	g := openGuarded(t, 7<<32+1, Meta{})
-	g.step(message.Message{Kind: message.KindRejectVote, Epoch: first, KnownEpoch: 7<<32 + 1, Saves: 4})
-	stranger := message.Message{Kind: message.KindRejectVote, From: "stranger", Addr: "s", To: "a", Epoch: first}
+	g.step(message.Message{Kind: message.KindRejectVote, Epoch: firstStart, KnownEpoch: 7<<32 + 1, Saves: 4})
+	stranger := message.Message{Kind: message.KindRejectVote, From: "stranger", Addr: "s", To: "a", Epoch: firstStart}
 	g.replica.Step(g.now, stranger)
 	o := g.replica.Tick(g.now + cfg.HeartbeatInterval)
 	if len(o.Saves) != 1 {
 		t.Fatalf("%d saves", len(o.Saves))
 	}
 	m := o.Saves[0].Meta
-	want := message.PeerIncarnation{Ident: "b", Epoch: first, State: message.SavePoint{Epoch: first, Saves: 4}}
+	want := message.PeerIncarnation{Ident: "b", Epoch: firstStart, State: message.SavePoint{Epoch: firstStart, Saves: 4}}
 	if len(m.Peers) != 1 || m.Peers[0] != want {
 		t.Errorf("saved: %+v", m.Peers)
 	}
@@ -214,9 +214,9 @@
 }
 
 // A leader tells each replica how far the others came, until it has answered.
-func TestALeaderAnnouncesPeerIncarnations(t *testing.T) {
+func TestLeaderAnnouncesPeerIncarnations(t *testing.T) {
 	w := newTrio(t)
-	for i, replica := range three.Replicas { // with folders
+	for i, replica := range threeReplicas.Replicas { // with folders
 		m := w.members[replica.Ident]
 		m.replica = restartedIncarnation(replica, incarnation.Number(1, uint32(i+1)), m.meta)
 	}
@@ -225,8 +225,8 @@
 	lead := w.leader()
 	w.write(lead)
 	w.advance(time.Second, false)
-	for _, r := range three.Replicas {
-		for _, o := range three.Replicas {
+	for _, r := range threeReplicas.Replicas {
+		for _, o := range threeReplicas.Replicas {
 			known := w.members[r.Ident].replica.knownPeer(o.Ident)
 			if o.Ident != r.Ident && (known.Epoch == 0 || known.State.Saves == 0) {
 				t.Errorf("%s, led by %s, knows of %s: %+v", r.Ident, lead, o.Ident, known)
@@ -243,18 +243,18 @@
 }
 
 // A folder's past is that of all its replicas, its last incarnations only.
-func TestTheHistoryOfAFolder(t *testing.T) {
+func TestFolderHistory(t *testing.T) {
 	var metas []Meta
-	for n := uint64(1); n <= keptIncarnations+3; n++ {
+	for n := uint64(1); n <= maxPastIncarnations+3; n++ {
 		metas = append(metas, Meta{
 			State:   message.SavePoint{Epoch: n << 32, Saves: n},
 			History: []message.SavePoint{{Epoch: 1 << 32, Saves: 99}},
 		})
 	}
 	f := OpenFolder(50<<32, metas...)
-	latest := message.SavePoint{Epoch: (keptIncarnations + 3) << 32, Saves: keptIncarnations + 3}
-	if len(f.past) != keptIncarnations || f.base != latest {
-		t.Fatalf("past %v, base %v", f.past, f.base)
+	latest := message.SavePoint{Epoch: (maxPastIncarnations + 3) << 32, Saves: maxPastIncarnations + 3}
+	if len(f.history) != maxPastIncarnations || f.startState != latest {
+		t.Fatalf("past %v, base %v", f.history, f.startState)
 	}
 	for _, x := range []struct {
 		state message.SavePoint
--- a/control/quorum/install.go
+++ b/control/quorum/install.go
@@ -10,32 +10,33 @@
 // Installing state: how a replica's records are made equal to the leader's under
 // the leader's term.
 
-// copies is what a leader knows of the copies at the other replicas and learners.
+// copies is what a leader knows about the copies at the other replicas and learners.
 type copies struct {
-	installed     map[string]bool          // holds the leader's term
-	installSentAt map[string]time.Duration // when it was last sent an install, for a term or to join
-	comparedAt    map[string]time.Duration // when it was last compared; see repair.go
-	complete      map[string]bool          // newcomers of the present group change that hold the complete state
-	lagging       map[string]*lagging      // who missed writes
+	installed     map[string]bool          // its copy holds the leader's term
+	installSentAt map[string]time.Duration // when it was last sent an InstallState, for a term or to join
+	comparedAt    map[string]time.Duration // when its copy was last compared; see repair.go
+	joinComplete  map[string]bool          // joining in the current group change, and holds the complete state
+	lagging       map[string]*laggingPeer  // missed committed writes
 }
 
 func newCopies() copies {
 	return copies{
 		installed: map[string]bool{}, installSentAt: map[string]time.Duration{}, comparedAt: map[string]time.Duration{},
-		complete: map[string]bool{}, lagging: map[string]*lagging{},
+		joinComplete: map[string]bool{}, lagging: map[string]*laggingPeer{},
 	}
 }
 
-// forget drops what was known of a daemon's copy; when it was sent an install stays.
+// forget drops what is known about a daemon's copy, but keeps when it was last sent an
+// InstallState.
 func (c *copies) forget(ident string) {
 	delete(c.installed, ident)
 	delete(c.comparedAt, ident)
-	delete(c.complete, ident)
+	delete(c.joinComplete, ident)
 	delete(c.lagging, ident)
 }
 
-// sendInstall brings a replica whose records have the given digests to this one's
-// term; without digests it only asks for them.
+// sendInstall sends a replica whose records have the given digests the ranges that
+// differ, under this leader's term. Without digests it only asks for them.
 func (r *Replica) sendInstall(now time.Duration, to message.Replica, digests []uint64, out *Out) {
 	if to.Ident == r.self.Ident {
 		return
@@ -51,7 +52,7 @@
 	}.Message(r.partition))
 }
 
-// resendInstalls asks those again who don't hold this term yet.
+// resendInstalls asks the peers that don't hold this term yet again.
 func (r *Replica) resendInstalls(now time.Duration, out *Out) {
 	for _, peer := range r.peers() {
 		if !r.copies.installed[peer.Ident] && now-r.copies.installSentAt[peer.Ident] >= 2*r.cfg.HeartbeatInterval {
@@ -60,14 +61,14 @@
 	}
 }
 
-// handleInstallState makes this replica's records equal to the leader's, or
-// compares them with it once they hold the leader's term.
+// handleInstallState makes this replica's records equal to the leader's or, if they
+// hold the leader's term already, handles a repair, a join or newer records.
 func (r *Replica) handleInstallState(from message.Sender, m message.InstallState, out *Out) {
 	if !m.Group.Has(from.Ident) || from.Ident == r.self.Ident || m.Group.Number < r.meta.Group.Number {
 		return
 	}
-	leaves := r.meta.Group.Has(r.self.Ident) && !m.Group.Has(r.self.Ident) // then no vote stands
-	if !leaves && (r.meta.VotedTerm > m.Term || r.meta.VotedTerm == m.Term && r.meta.VotedFor != from.Ident) {
+	isRemoved := r.meta.Group.Has(r.self.Ident) && !m.Group.Has(r.self.Ident) // adoptGroup releases the vote
+	if !isRemoved && (r.meta.VotedTerm > m.Term || r.meta.VotedTerm == m.Term && r.meta.VotedFor != from.Ident) {
 		return
 	}
 	r.adoptGroup(m.Group)
@@ -81,23 +82,23 @@
 		r.answerRepair(from, m, out)
 	case m.Purpose == message.InstallForJoin:
 		r.answerJoin(from, m, out)
-	default: // installed already, or before writes of this term: only newer records are put
-		r.save(out, nil, r.putNewer(m.Records), r.stateInstalledFor(from, m.Term))
+	default: // a duplicate, or one overtaken by writes of this term: only newer records are taken
+		r.save(out, nil, r.putNewer(m.Records), r.stateInstalledEnvelope(from, m.Term))
 	}
 }
 
-// joinTerm binds a replica that missed an election to its winner: a majority has
-// voted for it.
+// joinTerm binds a replica that missed an election to the winner, which has the votes
+// of a majority.
 func (r *Replica) joinTerm(from message.Sender, term uint64, out *Out) {
 	r.meta.setVote(vote{term: term, candidate: from.Ident, candidateEpoch: from.Epoch})
 	r.stepDown(out)
-	r.disk.voteIsInNextSave()
+	r.disk.markVoteInNextSave()
 }
 
-// replaceRecords replaces all of the ranges that the leader sent, if the records
-// are still those that the leader knew of, and if what results is what the leader
-// has: a copy that was cut short on its way is none. A build that sends no checksum
-// is believed.
+// replaceRecords replaces all records in the ranges that the leader sent. It answers a
+// mismatch if this copy is no longer the one that the leader compared, or if the
+// result would differ from the leader's records, as with a message that was truncated
+// in transit. An earlier build sends no checksum, so its result is not checked.
 func (r *Replica) replaceRecords(from message.Sender, m message.InstallState, out *Out) {
 	isUnexpected := len(digest.DifferingRanges(r.records.Digests(), m.Digests)) > 0
 	if isUnexpected || m.RecordsSum != 0 && m.RecordsSum != r.records.SumAfterInstall(m.Ranges, m.Records) {
@@ -105,17 +106,17 @@
 		return
 	}
 	for _, span := range m.Ranges {
-		r.dropRange(span)
+		r.deleteRange(span)
 	}
 	for _, rec := range m.Records {
 		r.records.Put(rec)
 	}
 	r.meta.LastComplete, r.meta.Incomplete = m.Term, false
-	r.save(out, m.Ranges, m.Records, r.stateInstalledFor(from, m.Term))
+	r.save(out, m.Ranges, m.Records, r.stateInstalledEnvelope(from, m.Term))
 }
 
-// dropRange drops all records of a range.
-func (r *Replica) dropRange(span int) {
+// deleteRange deletes all records of a range.
+func (r *Replica) deleteRange(span int) {
 	var keys []string
 	for rec := range r.records.InRange(span) {
 		keys = append(keys, rec.Key)
@@ -125,12 +126,12 @@
 	}
 }
 
-// stateInstalledFor is the answer that this replica holds a leader's term.
-func (r *Replica) stateInstalledFor(from message.Sender, term uint64) message.Envelope {
+// stateInstalledEnvelope returns the answer that this replica holds a leader's term.
+func (r *Replica) stateInstalledEnvelope(from message.Sender, term uint64) message.Envelope {
 	return envelope(from.Replica, message.StateInstalled{Term: term}.Message(r.partition))
 }
 
-// handleStateInstalled takes a peer's answer that its disk holds what it was sent.
+// handleStateInstalled handles a peer's answer that the state it was sent is on disk.
 func (r *Replica) handleStateInstalled(
 	now time.Duration, from message.Sender, m message.StateInstalled, out *Out,
 ) {
@@ -141,7 +142,7 @@
 	switch m.Purpose {
 	case message.InstallForRepair:
 		if r.meta.Group.Has(from.Ident) {
-			r.checkNewer(m.Records, out)
+			r.checkNewerRecords(m.Records, out)
 		}
 		r.noteCaughtUp(from, m.ResponseTo)
 	case message.InstallForJoin:
@@ -152,7 +153,7 @@
 	}
 }
 
-// handleStateMismatch sends a peer what its copy lacks.
+// handleStateMismatch sends a peer the records that its copy lacks.
 func (r *Replica) handleStateMismatch(
 	now time.Duration, from message.Sender, m message.StateMismatch, out *Out,
 ) {
@@ -164,7 +165,7 @@
 	case message.InstallForRepair:
 		r.sendRepair(from.Replica, m.Digests, out)
 	case message.InstallForJoin:
-		r.sendMissing(from.Replica, m, out)
+		r.sendMissingRecords(from.Replica, m, out)
 	default:
 		delete(r.copies.installed, from.Ident)
 		r.sendInstall(now, from.Replica, m.Digests, out)
--- a/control/quorum/lagging.go
+++ b/control/quorum/lagging.go
@@ -8,41 +8,42 @@
 	"mulleinmast/wire/message"
 )
 
-// Catching up, beside what is being written: a replica that was away while hundreds
-// of writes came is sent the ranges that differ, once, and is complete when its disk
-// has them.
+// Catch-up during writes: a replica that was unreachable while hundreds of writes were
+// committed is sent the ranges that differ once, and is up to date when they are on
+// its disk.
 
-// lagging is a replica or learner that a write was committed without.
-type lagging struct {
-	lastMissed uint64        // the request number of the last such write
-	comparedAt time.Duration // when it was last asked to compare its copy
-	isTaking   bool          // it took a write since it lags
-	compares   int           // comparisons sent since then
+// laggingPeer is a replica or learner that did not acknowledge a committed write in time.
+type laggingPeer struct {
+	lastMissed    uint64        // the request ID of the last such write
+	comparedAt    time.Duration // when it was last asked to compare its copy
+	hasAckedSince bool          // it has acknowledged a write since it began to lag
+	comparisons   int           // comparisons sent since that acknowledgement
 }
 
-// noteLateAnswer takes an answer to a write that was committed without it.
+// noteLateAnswer records an acknowledgement of a write that was committed without it.
 func (r *Replica) noteLateAnswer(from message.Sender, request uint64) {
 	if l := r.copies.lagging[from.Ident]; l != nil {
-		l.isTaking = true
+		l.hasAckedSince = true
 	}
-	if w := r.replication.partial[request]; w != nil {
+	if w := r.replication.partiallyAcked[request]; w != nil {
 		w.acks[from.Ident] = true
 		r.replication.commit(request, w, r.peers())
 	}
 }
 
-// catchUpLagging brings whoever missed writes up to the leader's copy.
+// catchUpLagging compares copies with the lagging peers, so that they receive the
+// writes that they missed.
 func (r *Replica) catchUpLagging(now time.Duration, out *Out) {
-	r.noteMissedWrites(now)
+	r.markLaggingPeers(now)
 	for _, peer := range r.peers() {
 		l := r.copies.lagging[peer.Ident]
 		if l == nil || !r.copies.installed[peer.Ident] || now-l.comparedAt < 2*r.cfg.HeartbeatInterval {
 			continue
 		}
-		if l.isTaking {
-			l.compares++
+		if l.hasAckedSince {
+			l.comparisons++
 		}
-		if l.compares > repairLeases { // an earlier build, which doesn't answer when its copy is equal
+		if l.comparisons > repairIntervalLeases { // an earlier build, which doesn't answer if its copy is equal
 			delete(r.copies.lagging, peer.Ident)
 			continue
 		}
@@ -54,27 +55,28 @@
 	}
 }
 
-// noteMissedWrites has those lag who have not answered to a committed write in time.
-func (r *Replica) noteMissedWrites(now time.Duration) {
-	for _, request := range slices.Sorted(maps.Keys(r.replication.partial)) {
-		w := r.replication.partial[request]
+// markLaggingPeers marks the peers that did not acknowledge a committed write in time
+// as lagging.
+func (r *Replica) markLaggingPeers(now time.Duration) {
+	for _, request := range slices.Sorted(maps.Keys(r.replication.partiallyAcked)) {
+		w := r.replication.partiallyAcked[request]
 		if now-w.sentAt < r.cfg.HeartbeatInterval {
 			continue
 		}
-		delete(r.replication.partial, request)
+		delete(r.replication.partiallyAcked, request)
 		for _, peer := range r.peers() {
 			if w.acks[peer.Ident] || peer.Ident == r.self.Ident {
 				continue
 			}
 			if r.copies.lagging[peer.Ident] == nil {
-				r.copies.lagging[peer.Ident] = &lagging{comparedAt: now - 2*r.cfg.HeartbeatInterval}
+				r.copies.lagging[peer.Ident] = &laggingPeer{comparedAt: now - 2*r.cfg.HeartbeatInterval}
 			}
 			r.copies.lagging[peer.Ident].lastMissed = request
 		}
 	}
 }
 
-// noteCaughtUp takes a peer's answer that its disk has all up to a write.
+// noteCaughtUp handles a peer's answer that its disk holds all writes up to a request.
 func (r *Replica) noteCaughtUp(from message.Sender, request uint64) {
 	if l := r.copies.lagging[from.Ident]; l != nil && request >= l.lastMissed {
 		delete(r.copies.lagging, from.Ident)
--- a/control/quorum/meta.go
+++ b/control/quorum/meta.go
@@ -10,33 +10,33 @@
 	"mulleinmast/wire/message"
 )
 
-// Meta is a replica's durable state beside its records. It is stored as JSON under
-// the names of its tags, which are those of earlier builds.
+// Meta is a replica's durable state besides its records. It is stored as JSON under
+// the names of its tags, which earlier builds use too.
 type Meta struct {
-	VotedTerm     uint64        `json:"Promised"` // the highest term that it voted in, or joined; 0: none
-	VotedFor      string        `json:"To"`       // the candidate of that term
+	VotedTerm     uint64        `json:"Promised"` // the highest term in which it voted or which it joined; 0: none
+	VotedFor      string        `json:"To"`       // the candidate that has its vote in that term
 	VotedForEpoch uint64        `json:"ToEpoch"`  // the incarnation of VotedFor that was voted for
-	CandidateTerm uint64        `json:"Tried"`    // the highest term it ever was a candidate in: none is used twice
-	LastComplete  uint64        `json:"Set"`      // the term under which all records were last made equal to a leader's
+	CandidateTerm uint64        `json:"Tried"`    // the highest term of its own candidacies; none is used twice
+	LastComplete  uint64        `json:"Set"`      // the last complete term, see the package comment
 	Group         message.Group `json:"Group"`
-	Incomplete    bool          `json:"Short,omitempty"` // the disk lost some records: no vote until they are installed
+	Incomplete    bool          `json:"Short,omitempty"` // the disk lost records: no vote until they are installed again
 
 	State   message.SavePoint         `json:"State,omitzero"`    // the save point of this state
-	History []message.SavePoint       `json:"History,omitempty"` // the last of each earlier incarnation, oldest first
-	Peers   []message.PeerIncarnation `json:"Peers,omitempty"`   // what is known of the other replicas
+	History []message.SavePoint       `json:"History,omitempty"` // the last save point of earlier incarnations, oldest first
+	Peers   []message.PeerIncarnation `json:"Peers,omitempty"`   // the known incarnations of the other replicas
 }
 
-// vote is a replica's binding to the candidate of a term.
+// vote binds a replica to the candidate of a term.
 type vote struct {
 	term           uint64
 	candidate      string
 	candidateEpoch uint64
 }
 
-// vote is the present one.
+// vote returns the current vote.
 func (m *Meta) vote() vote { return vote{m.VotedTerm, m.VotedFor, m.VotedForEpoch} }
 
-// setVote replaces the present vote; the caller sees to it that it is saved.
+// setVote replaces the current vote; the caller must have it saved.
 func (m *Meta) setVote(v vote) {
 	m.VotedTerm, m.VotedFor, m.VotedForEpoch = v.term, v.candidate, v.candidateEpoch
 }
@@ -46,12 +46,12 @@
 	return m.VotedTerm == term && m.VotedFor == candidate
 }
 
-// holdsTerm reports whether the records were made equal to those of a term's leader
+// holdsTerm reports whether the records of a term's leader were installed completely
 // and none was lost since.
 func (m *Meta) holdsTerm(term uint64) bool { return m.LastComplete == term && !m.Incomplete }
 
-// Sum is a checksum of a replica's whole durable state. What is read back from a
-// disk and has another one isn't what was written.
+// Sum returns a checksum of the votes, the group and the records. If the state read
+// from disk has a different checksum, it is damaged.
 //
 // Example: damaged := row.Sum != meta.Sum(records)
 func (m Meta) Sum(records *digest.Records) uint64 {
@@ -78,12 +78,13 @@
 		addText(replica.Ident)
 	}
 	addNumbers(records.Digests()...)
-	return h.Sum64() | 1 // 0 is none
+	return h.Sum64() | 1 // 0 means that no checksum is stored
 }
 
-// PastSum is a checksum of the part of a replica's state that is about incarnations; 0
-// if that is empty. A build that knows of none reads the rest of the state by Sum alone.
-// It is of the fields' values as %v prints them: their order and kinds are stored.
+// PastSum returns a checksum of State, History and Peers, or 0 if they are empty. It is
+// separate from Sum so that a build without incarnations can still verify the rest. It
+// covers the values as %v prints them, so the order and types of their fields must not
+// change.
 //
 // Example: trusted := row.Past == row.PastSum()
 func (m Meta) PastSum() uint64 {
--- a/control/quorum/meta_test.go
+++ b/control/quorum/meta_test.go
@@ -42,7 +42,7 @@
 	`{"Promised":0,"To":"","ToEpoch":0,"Tried":0,"Set":0,"Group":{"Num":0,"Seats":[],"Next":[]}}`, "[]", "null")
 
 // A stored vote that a build can't read is a vote forgotten.
-func TestMetaIsStoredUnderTheNamesOfEarlierBuilds(t *testing.T) {
+func TestMetaKeepsStoredFieldNames(t *testing.T) {
 	for name, c := range map[string]struct {
 		meta   Meta
 		stored string
@@ -68,7 +68,7 @@
 
 // The checksums stand beside the state on disk: one that is computed otherwise
 // makes a whole copy look damaged.
-func TestMetaChecksumsAreThoseOfEarlierBuilds(t *testing.T) {
+func TestMetaChecksumsMatchEarlierBuilds(t *testing.T) {
 	records := digest.NewRecords()
 	records.Put(message.Record{Key: "plan/now", Version: message.Version{Term: 9, Seq: 4}, Value: []byte("value")})
 	records.Put(message.Record{Key: "server/7", Version: message.Version{Term: 10, Seq: 1}, Deleted: true})
--- a/control/quorum/repair.go
+++ b/control/quorum/repair.go
@@ -7,13 +7,13 @@
 	"mulleinmast/wire/message"
 )
 
-// Repair: copies of one group that hold the same term are compared in the
-// background, at a steady low rate and not beside writes. The leader sends its
-// digests, a replica whose copy differs sends its own, the leader sends what it
-// has in the ranges that differ. The newer version wins. Nothing of this counts as
-// a vote, and no copy is raised above the leader's term.
+// Repair: copies that hold the same term are compared in the background, at a steady
+// low rate and not during writes. The leader sends its digests, a replica whose copy
+// differs sends its own digests, and the leader sends its records in the ranges that
+// differ. The newer version of a record wins. A repair never counts as a vote and
+// never raises a copy above the leader's term.
 
-// compareCopies begins a comparison with each replica whose last is long ago.
+// compareCopies starts a comparison with each peer whose last one is long enough ago.
 func (r *Replica) compareCopies(now time.Duration, out *Out) {
 	if r.role != leader || len(r.replication.pending) > 0 {
 		return
@@ -23,12 +23,12 @@
 			continue
 		}
 		at, compared := r.copies.comparedAt[peer.Ident]
-		if compared && now-at < repairLeases*r.cfg.LeaderLease {
+		if compared && now-at < repairIntervalLeases*r.cfg.LeaderLease {
 			continue
 		}
 		r.copies.comparedAt[peer.Ident] = now
 		if !compared {
-			continue // it was installed just now
+			continue // it was installed just now, so its copy needs no comparison yet
 		}
 		out.send(peer, message.InstallState{
 			Term: r.term, Purpose: message.InstallForRepair, Digests: r.records.Digests(), Group: r.meta.Group,
@@ -36,22 +36,23 @@
 	}
 }
 
-// answerRepair is a replica's side of a comparison: it answers with its digests, or
-// takes in what the leader sent and answers with what it holds that is newer.
+// answerRepair handles a repair message. It answers digests with this replica's own,
+// and records, after it has applied them, with those that are newer or unknown to the
+// leader.
 func (r *Replica) answerRepair(from message.Sender, m message.InstallState, out *Out) {
 	if m.Ranges == nil {
 		r.answerComparison(from, m, out)
 		return
 	}
-	accepted, newer := r.takeRepair(m)
-	deleted, unknown := r.deleteStray(m)
+	accepted, newer := r.applyRepair(m)
+	deleted, unknown := r.deleteStrayRecords(m)
 	done := message.StateInstalled{
 		Term: m.Term, Purpose: message.InstallForRepair, ResponseTo: m.RequestID, Records: append(newer, unknown...),
 	}
-	r.put(out, Save{Records: accepted, Delete: deleted}, envelope(from.Replica, done.Message(r.partition)))
+	r.enqueueSave(out, Save{Records: accepted, Delete: deleted}, envelope(from.Replica, done.Message(r.partition)))
 }
 
-// answerComparison answers where only digests were sent.
+// answerComparison answers a repair message that holds only digests.
 func (r *Replica) answerComparison(from message.Sender, m message.InstallState, out *Out) {
 	if len(digest.DifferingRanges(r.records.Digests(), m.Digests)) > 0 {
 		out.send(from.Replica, message.StateMismatch{
@@ -59,15 +60,16 @@
 		}.Message(r.partition))
 		return
 	}
-	if m.RequestID > 0 { // the leader waits for this copy
+	if m.RequestID > 0 { // the leader waits for this copy to catch up
 		done := message.StateInstalled{Term: m.Term, Purpose: message.InstallForRepair, ResponseTo: m.RequestID}
-		r.put(out, Save{}, envelope(from.Replica, done.Message(r.partition)))
+		r.enqueueSave(out, Save{}, envelope(from.Replica, done.Message(r.partition)))
 	}
 }
 
-// takeRepair takes the records that the leader's copy has newer, and gives them and
-// those that are newer here. A record of a term above the leader's was never committed.
-func (r *Replica) takeRepair(m message.InstallState) (accepted, newer []message.Record) {
+// applyRepair stores the leader's records where they are newer than this replica's, and
+// returns them and this replica's newer ones. Its own records of a term above the
+// leader's are replaced too, since they were never committed.
+func (r *Replica) applyRepair(m message.InstallState) (accepted, newer []message.Record) {
 	for _, rec := range m.Records {
 		own, ok := r.records.Get(rec.Key)
 		switch {
@@ -81,16 +83,17 @@
 	return accepted, newer
 }
 
-// conflicts reports whether two records of one version differ, of which one must be
-// damaged: no version is written twice.
+// conflicts reports whether two records have the same version and different contents.
+// No version is written twice, so one of them is damaged.
 func conflicts(own, rec message.Record) bool {
 	return own.Version == rec.Version && digest.Fingerprint(own) != digest.Fingerprint(rec)
 }
 
-// deleteStray deletes what the leader lacks in the ranges that it sent and that
-// nothing can have written, and gives the keys, and the records that it may lack
-// itself.
-func (r *Replica) deleteStray(m message.InstallState) (deleted []string, unknown []message.Record) {
+// deleteStrayRecords looks at the records that the leader lacks in the ranges that it
+// sent. It deletes those that can't be valid, because they are below the floor or of a
+// term above the leader's, and returns their keys. The others are returned as unknown:
+// the leader may have lost them.
+func (r *Replica) deleteStrayRecords(m message.InstallState) (deleted []string, unknown []message.Record) {
 	sent := map[string]bool{}
 	for _, rec := range m.Records {
 		sent[rec.Key] = true
@@ -113,11 +116,11 @@
 	return deleted, unknown
 }
 
-// sendRepair sends a replica what the leader has in the ranges that differ.
+// sendRepair sends a replica the leader's records in the ranges that differ.
 func (r *Replica) sendRepair(to message.Replica, digests []uint64, out *Out) {
 	ranges := digest.DifferingRanges(r.records.Digests(), digests)
-	isBesideWrites := len(r.replication.pending) > 0 && r.copies.lagging[to.Ident] == nil
-	if r.role != leader || isBesideWrites || len(ranges) == 0 {
+	hasPendingWrites := len(r.replication.pending) > 0 && r.copies.lagging[to.Ident] == nil
+	if r.role != leader || hasPendingWrites || len(ranges) == 0 {
 		return
 	}
 	r.Repairs++
@@ -127,10 +130,10 @@
 	}.Message(r.partition))
 }
 
-// checkNewer looks at what a replica has that is newer than the leader's copy was.
-// What the leader wrote since explains it; else its own copy is the damaged one: it
-// steps down, and the next term takes the newest of a majority.
-func (r *Replica) checkNewer(records []message.Record, out *Out) {
+// checkNewerRecords checks the records that a replica holds and that the leader's copy
+// lacked or had in an older version. If the leader still lacks one, its own copy is
+// damaged: it steps down, and the next term merges the newest records of a majority.
+func (r *Replica) checkNewerRecords(records []message.Record, out *Out) {
 	for _, rec := range records {
 		own, ok := r.records.Get(rec.Key)
 		lacks := rec.Version.Term <= r.term && (!ok || own.Version.Less(rec.Version))
--- a/control/quorum/replica.go
+++ b/control/quorum/replica.go
@@ -1,20 +1,20 @@
-// Package quorum is one partition's replica on a control daemon: it votes, becomes
-// a candidate when the leadership falls vacant, and as leader replicates writes to
-// a majority. It is a plain state machine: messages and time in, messages and
-// saves out.
+// Package quorum implements one partition's replica on a control daemon: it votes,
+// becomes a candidate when there is no leader, and as leader replicates writes to a
+// majority. It is a plain state machine: its inputs are messages and time, its outputs
+// messages and saves.
 //
-// The terms are Raft's, with one difference: there is no log. A replica's state is
-// a set of versioned records and the last complete term: the one under which all
-// of them were last made equal to a leader's. A candidate reads a majority, takes
-// the records of the highest complete term, merges them by version, and installs
-// the result at every replica under its own term before it serves.
+// The terminology is Raft's, with one difference: there is no log. A replica's state is
+// a set of versioned records and the last complete term, the term of the leader whose
+// records were last installed completely. A candidate reads the state of a majority,
+// takes the records of the highest complete term, merges them by version, and installs
+// the result at the replicas under its own term before it serves.
 //
-// The files: vote.go is the voter's side of an election, candidate.go the
-// candidate's; heartbeat.go is the leader lease; replicate.go are writes;
-// install.go, lagging.go and repair.go make copies equal; group.go changes the
-// group, contact.go watches who answers; incarnation.go and folder.go find copied
-// and rolled-back data folders; disk.go is what waits for the disk, meta.go what
-// is stored.
+// The files: vote.go holds the voter's side of an election and candidate.go the
+// candidate's; heartbeat.go the leader lease; replicate.go the writes; install.go,
+// lagging.go and repair.go bring copies up to date; group.go changes the group;
+// contact.go tracks which replicas answer; incarnation.go and folder.go detect copied
+// and rolled-back data folders; disk.go tracks pending saves; meta.go defines the
+// stored state.
 package quorum
 
 import (
@@ -24,56 +24,57 @@
 	"mulleinmast/wire/message"
 )
 
-// Config holds the bounds that a replica works by. All replicas of a fleet have the
-// same; control/daemon derives them from the users' bounds (QuorumConfig).
+// Config holds a replica's time bounds. They must be the same on all replicas of a
+// fleet; control/daemon derives them from the users' settings (QuorumConfig).
 type Config struct {
-	// LeaderLease is the length of a leader lease. A leader that a majority doesn't
-	// hear for so long is none any more, and only then can another be elected: longer
-	// leases bear longer pauses, shorter ones shorten a change of leaders.
+	// LeaderLease is the length of a leader lease. A leader that gets no acknowledgement
+	// from a majority for so long stops being leader, and only then can another be
+	// elected. Longer leases tolerate longer pauses, shorter ones allow faster failover.
 	LeaderLease time.Duration
-	// Drift is the most by which one clock runs faster than another, as a fraction of
-	// 1. The bound must hold, or two leaders' leases may overlap.
+	// Drift is the maximum rate by which one clock runs faster than another, as a
+	// fraction of 1. If a clock exceeds it, two leaders' leases may overlap.
 	Drift float64
-	// Margin is added to every wait on another's clock, above Drift.
+	// Margin is added, besides Drift, to every wait for a time on another replica's clock.
 	Margin time.Duration
-	// HeartbeatInterval is the time between two heartbeats, and before a write is sent
-	// again. It must leave room for some in one LeaderLease.
+	// HeartbeatInterval is the time between two heartbeats, and before a write is
+	// resent. Several must fit into one LeaderLease.
 	HeartbeatInterval time.Duration
-	// LostAfter is for how long a replica is silent before a ready learner takes its
-	// place. More than one LeaderLease, or a restart would be taken for a loss.
+	// LostAfter is how long a replica may be silent before a ready learner replaces it.
+	// It must be longer than one LeaderLease, or a restart would be treated as a loss.
 	LostAfter time.Duration
 }
 
-// Wait is how long a voter waits out a lease of the given length by its own clock.
+// Wait returns how long a voter must wait by its own clock until a lease of the given
+// length has expired.
 //
 // Example: c.Wait(time.Second) > time.Second
 func (c Config) Wait(d time.Duration) time.Duration {
 	return d + time.Duration(float64(d)*c.Drift) + c.Margin
 }
 
-// Outcome is what became of a write.
+// Outcome is the outcome of a write.
 type Outcome uint8
 
 // The outcomes of a write.
 const (
 	Committed Outcome = iota + 1
-	Uncertain         // may or may not be found by the next leader
+	Uncertain         // the next leader may or may not find the write
 )
 
-// WriteResult is the outcome of the write with this tag.
+// WriteResult is the outcome of the write with a tag.
 type WriteResult struct {
 	Tag     uint64
 	Outcome Outcome
 }
 
-// Out is what a step asks for.
+// Out is the output of a step: what the caller must send and save, and what changed.
 type Out struct {
 	Sends   []message.Envelope
 	Saves   []Save
 	Results []WriteResult
 	Won     bool // became leader
 	Lost    bool // is no longer leader
-	// Superseded is why this replica takes no part from now on, if that was just found.
+	// Superseded is why this replica was superseded in this step; empty if it wasn't.
 	Superseded string
 }
 
@@ -82,27 +83,28 @@
 	o.Sends = append(o.Sends, envelope(to, m))
 }
 
-// envelope addresses a message.
+// envelope addresses a message to a replica.
 func envelope(to message.Replica, m message.Message) message.Envelope {
 	m.To = to.Ident
 	return message.Envelope{Addr: to.Addr, Message: m}
 }
 
-// role is what a replica is in its present term.
+// role is a replica's role in its current term.
 type role uint8
 
 const (
 	follower     role = iota
-	preCandidate      // asks, binding nobody, whether an election could be won
-	candidate         // asks for votes
-	installing        // won its election, and brings a majority to its records before it serves
+	preCandidate      // requests pre-votes, which bind no voter
+	candidate         // requests votes
+	installing        // won its election, and installs its records at a majority before it serves
 	leader
 )
 
-// repairLeases is how many leader leases pass between two comparisons with one
-// replica, and how many a voter may stay bound to a term above the leader's, with
-// no copy kept up, before the leader takes a higher one.
-const repairLeases = 8
+// repairIntervalLeases is the number of leader leases between two comparisons with the
+// same replica. It is also how many leases a voter may stay bound to a term above the
+// leader's, during which its copy isn't updated, before the leader steps down so that a
+// higher term is used, and how many comparisons a lagging peer may leave unanswered.
+const repairIntervalLeases = 8
 
 // Replica is the state machine. It is not safe for concurrent use.
 type Replica struct {
@@ -110,48 +112,48 @@
 	partition int
 	self      message.Replica
 
-	meta    Meta // goes to the disk with every save
+	meta    Meta // stored with every save
 	records *digest.Records
 
-	now      time.Duration // of the step under way
-	resigned bool          // renews no lease and begins no election any more
+	now      time.Duration // the time of the current step
+	resigned bool          // no longer renews its lease or starts elections
 
 	role role
-	term uint64 // as candidate or leader; the last term in which it was one
+	term uint64 // the term in which it is, or was last, candidate or leader
 
-	support   leaderSupport     // whom it supports as leader
-	lastGrant withdrawableGrant // the vote it gave last
-	epochs    map[string]uint64 // the latest incarnation that was heard of each daemon
+	support   leaderSupport
+	lastGrant withdrawableGrant // the last vote that it granted
+	epochs    map[string]uint64 // the latest known incarnation of each daemon
 	election  election
 	lease     leaderLease
 
-	leaderSince time.Duration // when it knew that no older leader could act
-	writesFrom  time.Duration // as leader: nothing is written before
+	leaderSince time.Duration // when it won its election, after which no earlier leader could act
+	writesFrom  time.Duration // as leader: no write may start before this time
 
 	replication replication
 	copies      copies
 	contact     contact
-	learners    []message.Replica // as leader: who is sent a copy and every write, and has no vote
+	learners    []message.Replica // as leader: daemons that receive a copy and every write, and have no vote
 	change      groupChange
 
 	disk  diskQueue
 	guard incarnationGuard
 
-	Repairs int // times that a replica's copy was found to differ and was sent this one's
+	Repairs int // how many times records were sent to repair a replica's differing copy
 }
 
-// InitialState is what a replica starts from.
+// InitialState is the state that a replica starts from.
 type InitialState struct {
 	Partition int
 	Self      message.Replica
 	Folder    *Folder         // shared by the replicas of a daemon; nil: no incarnation is claimed or checked
-	Meta      Meta            // what the disk held
-	Records   *digest.Records // what the disk held; the replica's own from now on
-	IsNew     bool            // it has never voted: it need not wait out a lease that it supported before
+	Meta      Meta            // as read from disk
+	Records   *digest.Records // as read from disk; owned by the replica from now on
+	IsNew     bool            // it has never voted, so it has no supported lease to wait out
 }
 
-// New makes a replica. Unless it is new, it waits out one full lease before it
-// votes, since it may have supported a leader until its start.
+// New returns a replica. Unless it is new, it waits out one full lease before it
+// votes, since it may have supported a leader right before the restart.
 //
 // Example: r := quorum.New(cfg, quorum.InitialState{Self: self, Records: records, IsNew: true}, now)
 func New(cfg Config, initial InitialState, now time.Duration) *Replica {
@@ -171,70 +173,73 @@
 	r.support.earlierLeasesUntil = r.support.until
 	r.election.notBefore = now + r.electionDelay()
 	if !initial.IsNew && meta.VotedFor == self.Ident && meta.VotedForEpoch > 0 {
-		r.epochs[self.Ident] = meta.VotedForEpoch + 1 // that was an earlier incarnation of this daemon
+		r.epochs[self.Ident] = meta.VotedForEpoch + 1 // the vote was for an earlier incarnation of this daemon
 	}
 	return r
 }
 
-// WritesFrom is when a leader may begin to write: leases that stood under an
-// earlier leader whose daemon restarted have lapsed by then.
+// WritesFrom returns when a leader may start to write. Leases granted under an earlier
+// leader whose daemon restarted have expired by then.
 //
 // Example: if now >= r.WritesFrom() { write() }
 func (r *Replica) WritesFrom() time.Duration { return r.writesFrom }
 
-// IsLeader reports whether this replica is leader and its lease valid now.
+// IsLeader reports whether this replica is leader and its lease is valid now.
 //
 // Example: if r.IsLeader(now) { grant() }
 func (r *Replica) IsLeader(now time.Duration) bool { return r.role == leader && now < r.lease.end }
 
-// Term is the term in which this replica is leader or candidate, or was last.
+// Term returns the term in which this replica is, or was last, leader or candidate.
 //
 // Example: epoch.Term = r.Term()
 func (r *Replica) Term() uint64 { return r.term }
 
-// LeaseEnd is when the leader lease ends.
+// LeaseEnd returns when the leader lease ends.
 //
 // Example: left := r.LeaseEnd() - now
 func (r *Replica) LeaseEnd() time.Duration { return r.lease.end }
 
-// LeaderSince is when this replica knew that no older leader could act.
+// LeaderSince returns when this replica won its last election. No earlier leader could
+// act from then on.
 //
 // Example: if now-r.LeaderSince() < grace { holdOrders() }
 func (r *Replica) LeaderSince() time.Duration { return r.leaderSince }
 
-// KnownLeader is the leader that this replica last supported.
+// KnownLeader returns the leader that this replica last supported.
 //
 // Example: leadership := r.KnownLeader()
 func (r *Replica) KnownLeader() message.Leadership { return r.support.known }
 
-// Group is the partition's voters as this replica knows them.
+// Group returns the partition's voters as this replica knows them.
 //
 // Example: if r.Group().Number == 0 { standby() }
 func (r *Replica) Group() message.Group { return r.meta.Group }
 
-// Records is the replica's records; read it only while the replica is leader.
+// Records returns the replica's records; read them only while the replica is leader.
 //
 // Example: rec, ok := r.Records().Get(key)
 func (r *Replica) Records() *digest.Records { return r.records }
 
-// Meta is the durable state beside the records.
+// Meta returns the durable state besides the records.
 //
 // Example: r.Meta().LastComplete
 func (r *Replica) Meta() Meta { return r.meta }
 
-// Resign lets the leadership lapse: nothing is renewed and no election is begun.
+// Resign lets the leadership expire: the replica no longer renews its lease and starts
+// no election.
 //
 // Example: r.Resign()
 func (r *Replica) Resign() { r.resigned = true }
 
-// Step takes a message from another replica, or from this one.
+// Step handles a message from another replica, or from this one.
 //
 // Example: out := r.Step(now, m)
 func (r *Replica) Step(now time.Duration, m message.Message) (out Out) {
 	r.now = now
 	defer func() { r.claimIncarnations(&out) }()
 	from := m.Sender()
-	if !r.admits(now, from, m.IncarnationClaims(), &out) || !r.isParticipant(from, m.Kind, m.Term) || r.isOutdated(from) {
+	if !r.admitsMessage(now, from, m.IncarnationClaims(), &out) ||
+		!r.isParticipant(from, m.Kind, m.Term) || r.isFromEarlierIncarnation(from) {
 		return out
 	}
 	r.noteEpoch(now, from)
@@ -265,7 +270,8 @@
 	return out
 }
 
-// Tick lets time pass.
+// Tick handles the passage of time: it renews or ends leases, starts elections and
+// resends what was not answered.
 //
 // Example: out := r.Tick(now)
 func (r *Replica) Tick(now time.Duration) (out Out) {
@@ -279,7 +285,7 @@
 		r.stepDown(&out)
 		return out
 	}
-	if r.isTakingOverOrLeader() && now >= r.lease.end {
+	if r.hasWonElection() && now >= r.lease.end {
 		r.stepDown(&out)
 		r.election.notBefore = now + r.cfg.LeaderLease/4 + r.electionDelay()
 		return out
@@ -298,33 +304,34 @@
 	return out
 }
 
-// mustStepDown reports whether a candidate or leader leaves its place to others
-// before its lease ends.
+// mustStepDown reports whether a candidate or leader must step down before its lease
+// ends.
 func (r *Replica) mustStepDown(now time.Duration) bool {
 	return r.role != follower && r.isDiskStalled(now) || r.isOutvoted(now)
 }
 
-// isOutvoted reports whether a voter stayed bound to a term above this leader's for
-// so long that only a higher term wins it back. A leader with writes under way
-// waits for these.
+// isOutvoted reports whether a voter has been bound to a term above this leader's for
+// so long that only an election in a higher term wins it back. A leader with pending
+// writes waits for these first.
 func (r *Replica) isOutvoted(now time.Duration) bool {
 	if r.role != leader || len(r.replication.pending) > 0 {
 		return false
 	}
-	for _, since := range r.election.boundElsewhere {
-		if now-since > repairLeases*r.cfg.LeaderLease {
+	for _, since := range r.election.boundToHigherTerm {
+		if now-since > repairIntervalLeases*r.cfg.LeaderLease {
 			return true
 		}
 	}
 	return false
 }
 
-// mayLead reports whether this replica may be, or become, a leader at all.
+// mayLead reports whether this replica may be or become leader at all.
 func (r *Replica) mayLead(now time.Duration) bool {
 	return !r.resigned && !r.meta.Incomplete && !r.isDiskStalled(now) && r.meta.Group.Has(r.self.Ident)
 }
 
-// tickFollower becomes a candidate once no leader is left to be supported.
+// tickFollower requests pre-votes once this replica may support another leader and its
+// election delay has passed.
 func (r *Replica) tickFollower(now time.Duration, out *Out) {
 	if !r.isUnbound(now) {
 		r.election.notBefore = r.support.until + r.electionDelay()
@@ -335,7 +342,7 @@
 	}
 }
 
-// tickCandidate ends an election that took too long.
+// tickCandidate gives up an election that took too long.
 func (r *Replica) tickCandidate(now time.Duration, out *Out) {
 	if now-r.election.startedAt <= r.cfg.LeaderLease/2 {
 		return
@@ -344,7 +351,7 @@
 	r.election.notBefore = max(r.election.notBefore, now+r.electionDelay()+r.cfg.HeartbeatInterval)
 }
 
-// tickLeader renews the lease, and sends again what was not answered.
+// tickLeader renews the lease, compares copies, and resends what was not answered.
 func (r *Replica) tickLeader(now time.Duration, out *Out) {
 	if now-r.lease.heartbeatAt >= r.cfg.HeartbeatInterval {
 		r.sendHeartbeats(now, out)
@@ -355,11 +362,12 @@
 	r.resendWrites(now, out)
 }
 
-// stepDown ends candidacy or leadership; writes under way become uncertain.
+// stepDown ends a candidacy or leadership; pending writes become uncertain.
 func (r *Replica) stepDown(out *Out) {
 	if r.role == leader {
 		out.Lost = true
-		// What was granted under this lease must lapse before this replica is a candidate again.
+		// Leases granted under this leader lease must expire before this replica becomes
+		// a candidate again.
 		r.election.notBefore = max(r.election.notBefore, r.lease.end+r.cfg.LeaderLease/4)
 	}
 	if r.role == candidate {
@@ -367,21 +375,21 @@
 			out.send(replica, message.AbandonTerm{Term: r.term}.Message(r.partition))
 		}
 	}
-	out.Results = append(out.Results, r.replication.abandon()...)
+	out.Results = append(out.Results, r.replication.abandonAll()...)
 	r.role = follower
-	r.election.votes, r.election.boundElsewhere = nil, nil
+	r.election.votes, r.election.boundToHigherTerm = nil, nil
 	r.copies.installed, r.copies.lagging = nil, nil
-	r.lease.forgetRounds()
+	r.lease.clearRounds()
 }
 
-// isTakingOverOrLeader reports whether this replica won the election of its term.
-func (r *Replica) isTakingOverOrLeader() bool { return r.role == installing || r.role == leader }
+// hasWonElection reports whether this replica won the election of its term.
+func (r *Replica) hasWonElection() bool { return r.role == installing || r.role == leader }
 
-// leadsTerm reports whether an answer under a term is one to this replica's own
-// installs, heartbeats or writes.
-func (r *Replica) leadsTerm(term uint64) bool { return r.isTakingOverOrLeader() && r.term == term }
+// leadsTerm reports whether this replica won the election of a term, so that an answer
+// in that term is to its own messages.
+func (r *Replica) leadsTerm(term uint64) bool { return r.hasWonElection() && r.term == term }
 
-// peers lists whom the leader keeps up: the replicas and the learners.
+// peers returns the daemons that the leader keeps up to date: replicas and learners.
 func (r *Replica) peers() []message.Replica {
 	list := r.meta.Group.All()
 	for _, l := range r.learners {
@@ -392,5 +400,5 @@
 	return list
 }
 
-// has reports whether a list holds an identity.
+// has reports whether a list holds a replica with an identity.
 func has(list []message.Replica, ident string) bool { return message.Group{Replicas: list}.Has(ident) }
--- a/control/quorum/replica_test.go
+++ b/control/quorum/replica_test.go
@@ -49,7 +49,7 @@
 	return a
 }
 
-func TestTheFloorDeletesOldRecords(t *testing.T) {
+func TestFloorDeletesOldRecords(t *testing.T) {
 	a := newSingleLeader(t)
 	put := func(key string, val []byte) {
 		o, _ := a.replica.Write(a.now, 1, []message.Record{{Key: key, Value: val}})
@@ -72,7 +72,7 @@
 
 // A leader whose renewals are not heard is none when its lease ends, and says
 // of a write that it does not know.
-func TestAWriteOfALapsedLeaderIsUncertain(t *testing.T) {
+func TestWriteAfterLeaseExpiryIsUncertain(t *testing.T) {
 	a := newSingleLeader(t)
 	o, _ := a.replica.Write(a.now, 7, []message.Record{{Key: "k"}})
 	lease := a.replica.LeaseEnd()
--- a/control/quorum/replicate.go
+++ b/control/quorum/replicate.go
@@ -8,27 +8,27 @@
 	"mulleinmast/wire/message"
 )
 
-// replication is a leader's writes. Each has a request number, which is also the
-// number of the version of a record in it.
+// replication tracks a leader's writes. Request IDs and the sequence numbers of
+// records' versions are drawn from the same counter.
 type replication struct {
-	lastRequest uint64            // of the present term
-	pending     map[uint64]*write // not acknowledged by a majority yet
-	partial     map[uint64]*write // acknowledged by a majority and not by all: their records are forgotten
+	lastRequest    uint64            // the last number drawn in the current term
+	pending        map[uint64]*write // not yet acknowledged by a majority
+	partiallyAcked map[uint64]*write // acknowledged by a majority but not by all; their records are dropped
 }
 
-// write is one that is being replicated.
+// write is a write that is being replicated.
 type write struct {
-	tag     uint64 // the caller's
+	tag     uint64 // set by the caller; returned with the outcome
 	records []message.Record
 	acks    map[string]bool
 	sentAt  time.Duration
 }
 
 func newReplication() replication {
-	return replication{pending: map[uint64]*write{}, partial: map[uint64]*write{}}
+	return replication{pending: map[uint64]*write{}, partiallyAcked: map[uint64]*write{}}
 }
 
-// start numbers a write and keeps it until a majority has it.
+// start assigns a request ID to a write and adds it to the pending writes.
 func (p *replication) start(now time.Duration, tag uint64, records []message.Record) (request uint64, w *write) {
 	p.lastRequest++
 	w = &write{tag: tag, records: records, acks: map[string]bool{}, sentAt: now}
@@ -36,28 +36,29 @@
 	return p.lastRequest, w
 }
 
-// abandon forgets all writes; the outcome of those under way is uncertain.
-func (p *replication) abandon() (results []WriteResult) {
+// abandonAll drops all writes; the outcome of the pending ones is uncertain.
+func (p *replication) abandonAll() (results []WriteResult) {
 	for _, request := range slices.Sorted(maps.Keys(p.pending)) {
 		results = append(results, WriteResult{Tag: p.pending[request].tag, Outcome: Uncertain})
 	}
-	p.pending, p.partial = map[uint64]*write{}, map[uint64]*write{}
+	p.pending, p.partiallyAcked = map[uint64]*write{}, map[uint64]*write{}
 	return results
 }
 
-// commit notes that a majority has a write, and keeps who hasn't yet.
+// commit marks a write as acknowledged by a majority, and keeps it while a peer's
+// acknowledgement is missing.
 func (p *replication) commit(request uint64, w *write, peers []message.Replica) {
 	delete(p.pending, request)
 	for _, peer := range peers {
 		if !w.acks[peer.Ident] {
 			w.records = nil
-			p.partial[request] = w
+			p.partiallyAcked[request] = w
 		}
 	}
 }
 
-// Write starts a majority write; Out.Results has its outcome later. The records'
-// versions are set here.
+// Write starts replicating records to a majority, and returns them with their versions
+// set. The outcome is returned in the Out.Results of a later step.
 //
 // Example: out, recs := r.Write(now, 17, []message.Record{{Key: "plan/now", Value: b}})
 func (r *Replica) Write(now time.Duration, tag uint64, records []message.Record) (out Out, set []message.Record) {
@@ -70,7 +71,7 @@
 	return out, records
 }
 
-// LastWritten is the version of the last record written in this term.
+// LastWritten returns the version of the last record written in this term.
 //
 // Example: version := r.LastWritten()
 func (r *Replica) LastWritten() message.Version {
@@ -83,7 +84,7 @@
 	r.sendWrite(request, w, out)
 }
 
-// sendWrite sends a write to whoever has not acknowledged it yet.
+// sendWrite sends a write to the peers that have not acknowledged it yet.
 func (r *Replica) sendWrite(request uint64, w *write, out *Out) {
 	for _, peer := range r.peers() {
 		if !w.acks[peer.Ident] {
@@ -94,7 +95,7 @@
 	}
 }
 
-// resendWrites sends writes again that were not answered by a majority.
+// resendWrites resends the pending writes that were sent a heartbeat interval ago.
 func (r *Replica) resendWrites(now time.Duration, out *Out) {
 	for _, request := range slices.Sorted(maps.Keys(r.replication.pending)) {
 		w := r.replication.pending[request]
@@ -105,8 +106,8 @@
 	}
 }
 
-// handleReplicate takes a write of the leader, if this replica's records are those
-// that it builds on.
+// handleReplicate stores a write of the leader if this replica's records hold the
+// leader's term, which the write builds on.
 func (r *Replica) handleReplicate(now time.Duration, from message.Sender, m message.Replicate, out *Out) {
 	isVotedFor := r.meta.isVotedFor(m.Term, from.Ident)
 	switch {
@@ -125,7 +126,7 @@
 	r.save(out, nil, accepted, envelope(from.Replica, done))
 }
 
-// putNewer takes the records that are newer than this replica's, and gives these.
+// putNewer stores the records that are newer than this replica's, and returns them.
 func (r *Replica) putNewer(records []message.Record) (accepted []message.Record) {
 	for _, rec := range records {
 		if r.records.PutNewer(rec) {
@@ -135,7 +136,7 @@
 	return accepted
 }
 
-// handleReplicated counts a replica's or learner's answer to a write.
+// handleReplicated counts a replica's or learner's acknowledgement of a write.
 func (r *Replica) handleReplicated(now time.Duration, from message.Sender, m message.Replicated, out *Out) {
 	r.noteAnswer(now, from, m.Term)
 	if r.role != leader || m.Term != r.term {
@@ -153,7 +154,7 @@
 	r.replication.commit(m.ResponseTo, w, r.peers())
 	outcome := Committed
 	if now >= r.lease.end {
-		outcome = Uncertain // it will most likely be found, but only the next leader knows
+		outcome = Uncertain // the next leader will most likely find it, but this one can't be sure
 	}
 	out.Results = append(out.Results, WriteResult{Tag: w.tag, Outcome: outcome})
 }
--- a/control/quorum/vote.go
+++ b/control/quorum/vote.go
@@ -10,55 +10,52 @@
 
 // The voter's side of elections.
 
-// leaderSupport is whom a replica supports as leader. While it does, it votes for
-// nobody else, so that no two leaders hold a lease at once.
+// leaderSupport is a replica's support of a leader. While it lasts, the replica votes
+// for no other candidate, so that no two leaders hold a leader lease at once.
 type leaderSupport struct {
-	leader             string        // identity of the candidate or leader it supported last
-	until              time.Duration // it votes for nobody else before
+	leader             string        // identity of the candidate or leader that it supported last
+	until              time.Duration // it votes for no other candidate before this time
 	earlierLeasesUntil time.Duration // until when leases granted under an earlier leader may be valid
 	known              message.Leadership
 	knownAt            time.Duration // when known was last supported
 }
 
-// withdrawableGrant is a vote that was granted and may be withdrawn while nobody
-// can have won by it: should its candidate give the term up, the replica is bound
-// as it was before.
+// withdrawableGrant is a granted vote that can still be withdrawn: if its candidate
+// abandons the term, nobody can win with the vote, and the previous one is restored.
 type withdrawableGrant struct {
-	term   uint64 // that was granted; 0: nothing that can be withdrawn
-	before vote   // what the replica was bound to until then
+	term   uint64 // the term of the vote; 0: no vote can be withdrawn
+	before vote   // the previous vote
 }
 
-// isLeaderRestarted reports whether the leader that this replica is bound to is known
-// to be no more: its daemon has started anew since, and a new incarnation holds no
-// leadership.
+// isLeaderRestarted reports whether the leader that this replica is bound to has
+// restarted since. A new incarnation does not resume a leadership.
 func (r *Replica) isLeaderRestarted() bool {
 	return r.meta.VotedForEpoch > 0 && r.epochs[r.meta.VotedFor] > r.meta.VotedForEpoch
 }
 
-// isUnbound reports whether this replica may support another leader now: the lease
-// that it supported has lapsed, or its leader has restarted. In the second case
-// leases granted under that one may still be valid, so the vote for the next
-// leader says for how long it must write nothing.
+// isUnbound reports whether this replica may support another leader now, because the
+// lease that it supported has expired or its leader has restarted. In the second case
+// leases granted under that leader may still be valid, so the vote for the next leader
+// states for how long it must not write.
 func (r *Replica) isUnbound(now time.Duration) bool {
 	return now >= r.support.until || r.isLeaderRestarted()
 }
 
-// canVote reports whether a candidate can have this replica's vote now. A
-// candidate that doesn't promise to wait before it writes, as one of an earlier
-// build, gets the vote only once the lease has lapsed.
+// canVote reports whether this replica may vote for a candidate now. A candidate that
+// doesn't promise to delay its writes, such as one of an earlier build, gets the vote
+// only once the lease has expired.
 func (r *Replica) canVote(now time.Duration, candidate string, writeDelay time.Duration) bool {
 	return now >= r.support.until || r.support.leader == candidate ||
 		r.isLeaderRestarted() && writeDelay >= r.support.until-now
 }
 
-// isOutdated reports whether a message comes from an incarnation that has ended
-// since.
-func (r *Replica) isOutdated(from message.Sender) bool {
+// isFromEarlierIncarnation reports whether a later incarnation of a sender is known.
+func (r *Replica) isFromEarlierIncarnation(from message.Sender) bool {
 	return from.Epoch < r.epochs[from.Ident]
 }
 
-// noteEpoch records the incarnation that a message came from. A follower that
-// learns so that its leader restarted may become a candidate.
+// noteEpoch records the incarnation that a message came from. A follower that learns
+// from it that its leader has restarted may become a candidate.
 func (r *Replica) noteEpoch(now time.Duration, from message.Sender) {
 	if from.Epoch <= r.epochs[from.Ident] {
 		return
@@ -71,7 +68,7 @@
 	}
 }
 
-// handleVoteRequest answers a candidate.
+// handleVoteRequest answers a request for a pre-vote or a vote.
 func (r *Replica) handleVoteRequest(now time.Duration, from message.Sender, req message.VoteRequest, out *Out) {
 	if !r.joinForVote(now, from.Ident, req.Group) {
 		r.reject(now, from.Replica, req.Term, req.WriteDelay, out)
@@ -91,12 +88,14 @@
 	}
 }
 
-// joinForVote reports whether this replica has a vote in a candidate's group. If the
-// group is later than its own and has it as a member, it takes that group over first;
-// the next save holds it.
+// joinForVote reports whether this replica has a vote in a candidate's group. If that
+// group is later than its own and includes it, it first switches to that group, which
+// the next save stores.
 func (r *Replica) joinForVote(now time.Duration, candidate string, group message.Group) bool {
 	own := r.meta.Group
-	if !group.Has(candidate) || r.meta.Incomplete { // what this disk lost may be all that a majority has
+	// An incomplete replica may have lost a record that only a majority including its
+	// own copy held, so its vote could elect a leader without that record.
+	if !group.Has(candidate) || r.meta.Incomplete {
 		return false
 	}
 	if group.Number > own.Number && group.Has(r.self.Ident) {
@@ -106,15 +105,15 @@
 	return own.Number != 0 && own.Has(r.self.Ident) && sameReplicas(own, group)
 }
 
-// sameReplicas reports whether two groups are one.
+// sameReplicas reports whether two groups have the same number and the same replicas.
 func sameReplicas(a, b message.Group) bool {
 	sameIdent := func(x, y message.Replica) bool { return x.Ident == y.Ident }
 	return a.Number == b.Number &&
 		slices.EqualFunc(a.Replicas, b.Replicas, sameIdent) && slices.EqualFunc(a.Next, b.Next, sameIdent)
 }
 
-// grantVote binds this replica to a candidate and, once that is on disk, sends it
-// the vote with the records that the candidate lacks.
+// grantVote binds this replica to a candidate. Once that is on disk, the vote is sent,
+// with the records in the ranges where the candidate's differ.
 func (r *Replica) grantVote(
 	now time.Duration, from message.Sender, req message.VoteRequest, repeated bool, out *Out,
 ) {
@@ -139,10 +138,10 @@
 		LeasesStandFor: max(0, r.support.earlierLeasesUntil-now),
 	}
 	r.save(out, nil, nil, envelope(from.Replica, grant.Message(r.partition)))
-	r.disk.voteIsInLastSave()
+	r.disk.markVoteInLastSave()
 }
 
-// reject refuses a candidate its vote, or a leader its heartbeat or write.
+// reject rejects a candidate's request, or a leader's heartbeat or write.
 func (r *Replica) reject(now time.Duration, to message.Replica, term uint64, writeDelay time.Duration, out *Out) {
 	boundFor := time.Duration(0)
 	if !r.canVote(now, to.Ident, writeDelay) {
@@ -154,14 +153,14 @@
 	}.Message(r.partition))
 }
 
-// handleAbandonTerm withdraws the vote from a candidate that gave its term up:
-// nobody can ever be leader in that term. A later incarnation of that candidate may
-// have asked for the same term, so only the one that was voted for can do this.
+// handleAbandonTerm withdraws the vote for a candidate that has abandoned its term, so
+// that nobody can become leader in it. A later incarnation of the candidate may have
+// requested a vote in the same term, so only the one that has the vote can abandon it.
 func (r *Replica) handleAbandonTerm(from message.Sender, m message.AbandonTerm, out *Out) {
 	if !r.meta.isVotedFor(m.Term, from.Ident) || r.meta.VotedForEpoch != from.Epoch || r.lastGrant.term != m.Term {
 		return
 	}
 	r.meta.setVote(r.lastGrant.before)
 	r.save(out, nil, nil)
-	r.disk.voteIsInLastSave()
+	r.disk.markVoteInLastSave()
 }
--- a/control/quorum/walk_test.go
+++ b/control/quorum/walk_test.go
@@ -26,7 +26,7 @@
 	epochs         map[string]uint64
 	disks          map[string]*disk
 	inFlight       []delivery
-	newcomers      int
+	newMachines    int
 	pendingKeys    map[uint64]string // writes under way, by tag
 	lastTag        uint64
 	committedKeys  []string
@@ -128,10 +128,10 @@
 	}, w.now)
 }
 
-// newcomer starts an empty machine.
-func (w *walk) newcomer() {
-	w.newcomers++
-	w.start(fmt.Sprintf("n%d", w.newcomers))
+// startNewMachine starts an empty machine.
+func (w *walk) startNewMachine() {
+	w.newMachines++
+	w.start(fmt.Sprintf("n%d", w.newMachines))
 }
 
 // check looks at whoever leads: no two at once, and each holds all that was
@@ -160,9 +160,9 @@
 	}
 }
 
-// lead is what a leader's daemon does: it keeps learners, goes on with a group change,
+// actAsLeader is what a leader's daemon does: it keeps learners, goes on with a group change,
 // begins one at random, and writes.
-func (w *walk) lead(id string, r *Replica) {
+func (w *walk) actAsLeader(id string, r *Replica) {
 	var learners []message.Replica
 	for _, other := range slices.Sorted(maps.Keys(w.replicas)) {
 		if w.rng.Intn(20) > 0 {
@@ -212,7 +212,7 @@
 		if w.mayLoseMachine && w.canLose(id) && len(ids) > 4 { // it is gone for good
 			w.mayLoseMachine = false
 			delete(w.replicas, id)
-			w.newcomer()
+			w.startNewMachine()
 		}
 	}
 }
@@ -232,7 +232,7 @@
 		w.apply(id, r.Tick(w.now))
 		w.deliver()
 		if r.IsLeader(w.now) && r.WritesFrom() <= w.now && w.rng.Intn(10) == 0 {
-			w.lead(id, r)
+			w.actAsLeader(id, r)
 		}
 		w.deliver()
 	}
@@ -245,9 +245,9 @@
 	}
 }
 
-func TestRandomWalksOfGroupChanges(t *testing.T) {
+func TestRandomGroupChanges(t *testing.T) {
 	steps, acked := 0, 0
-	for seed := int64(1); seed <= int64(walks); seed++ {
+	for seed := int64(1); seed <= int64(numWalks); seed++ {
 		w := newWalk(t, seed)
 		first := replicasOf("a", "b", "c")
 		group := message.Group{Number: 1, Replicas: first}
@@ -255,18 +255,18 @@
 			w.disks[s.Ident] = &disk{meta: Meta{Group: group}, records: map[string]message.Record{}}
 			w.start(s.Ident)
 		}
-		w.newcomer()
-		w.newcomer()
+		w.startNewMachine()
+		w.startNewMachine()
 		for ; w.now < 25*time.Second; w.now += 5 * time.Millisecond {
 			w.step()
 		}
 		steps, acked = steps+w.groupChanges, acked+len(w.committedKeys)
 	}
-	t.Logf("%d walks: %d group changes begun, %d writes acknowledged", walks, steps, acked)
-	if steps < 3*walks || acked < 50*walks {
+	t.Logf("%d walks: %d group changes begun, %d writes acknowledged", numWalks, steps, acked)
+	if steps < 3*numWalks || acked < 50*numWalks {
 		t.Errorf("too little happened")
 	}
 }
 
-// walks is how many random walks are made.
-const walks = 12
+// numWalks is how many random numWalks are made.
+const numWalks = 12
--- a/proof/standin/mutants/answers.sh
+++ b/proof/standin/mutants/answers.sh
@@ -27,6 +27,6 @@
 mutant hop-by-hop platform TestHeadersThatClientsMayNotSet platform/engine.go '!strings.HasPrefix(k, headerPrefix)' 'k != headerPrefix'
 mutant same-numbers control/leadercall TestAnswersToAnEarlierIncarnationEndNothing control/leadercall/leadercall.go 'lastID: epoch << epochBits' 'lastID: 0 * epoch'
 mutant anybodys-response control/leadercall TestAnswersToAnEarlierIncarnationEndNothing control/leadercall/leadercall.go ' || from != answered.to' ''
-mutant earlier-promise control/quorum TestVotesForAnEarlierIncarnationDoNotCount control/quorum/candidate.go 'grant.CandidateEpoch != 0 && grant.CandidateEpoch != r.epochs[r.self.Ident]' 'false'
-mutant earlier-void control/quorum TestAnEarlierIncarnationAbandonsNoLaterVote control/quorum/vote.go 'r.meta.VotedForEpoch != from.Epoch || ' ''
+mutant earlier-promise control/quorum TestVotesForEarlierIncarnationAreIgnored control/quorum/candidate.go 'grant.CandidateEpoch != 0 && grant.CandidateEpoch != r.epochs[r.self.Ident]' 'false'
+mutant earlier-void control/quorum TestAbandonTermAppliesOnlyToItsIncarnation control/quorum/vote.go 'r.meta.VotedForEpoch != from.Epoch || ' ''
 exit $missed
--- a/proof/standin/mutants/rules.sh
+++ b/proof/standin/mutants/rules.sh
@@ -37,17 +37,17 @@
 mutant key-of-two-tenants control/fleetconfig TestFaultsNameNoKey control/fleetconfig/keys.go 'ok && first != i {' 'ok && first == i {'
 mutant older-builds-serve-all control/fleetconfig TestAPlanWithKeysNeedsTheFormatOfKeys control/fleetconfig/judge.go 'plan.Needs = plan.RequiredFormat()' ''
 # incarnations
-mutant any-incarnation control/quorum TestWhichIncarnationsAreAdmitted $guard 'if claims.StartState.Epoch != 0 && precedes(claims.StartState, known.State) {' 'if claims.StartState.Epoch != 0 && false {'
-mutant blind-to-itself control/quorum TestWhatSupersedesAReplica $guard 'if !r.guard.folder.descendsFrom(claims.KnownState) {' 'if r.guard.folder.descendsFrom(claims.KnownState) && false {'
-mutant strangers-count control/quorum TestAStrangerSupersedesNobody $guard 'claims.KnownEpoch != 0 && r.isReplicaOfGroup(from, claims.Group) &&' 'claims.KnownEpoch != 0 &&'
-mutant heard-too-early control/quorum TestAPeerLearnsOfAnIncarnationBeforeItIsAdmitted $guard 'r.sendNotice(from.Replica, out)
+mutant any-incarnation control/quorum TestIncarnationAdmission $guard 'if claims.StartState.Epoch != 0 && precedes(claims.StartState, known.State) {' 'if claims.StartState.Epoch != 0 && false {'
+mutant blind-to-itself control/quorum TestReplicaIsSuperseded $guard 'if !r.guard.folder.descendsFrom(claims.KnownState) {' 'if r.guard.folder.descendsFrom(claims.KnownState) && false {'
+mutant strangers-count control/quorum TestNonMemberDoesNotSupersede $guard 'claims.KnownEpoch != 0 && r.isReplicaOfGroup(from, claims.Group) &&' 'claims.KnownEpoch != 0 &&'
+mutant heard-too-early control/quorum TestPeerLearnsIncarnationBeforeAdmission $guard 'r.sendNotice(from.Replica, out)
 	return false
 }' 'r.sendNotice(from.Replica, out)
 	return true
 }'
-mutant not-asked-anew control/quorum TestAVoteRequestGoesToTheNextIncarnation $guard 'if !r.election.preVotes[to.Ident] {' 'if r.election.preVotes[to.Ident] {'
+mutant not-asked-anew control/quorum TestVoteRequestIsResentToNewIncarnation $guard 'if !r.election.preVotes[to.Ident] {' 'if r.election.preVotes[to.Ident] {'
 mutant peers-in-memory-only control/quorum TestPeerIncarnationsAreSaved $guard 'if r.guard.unsaved && now' 'if r.guard.unsaved && r.resigned && now'
-mutant leader-tells-nobody control/quorum TestALeaderAnnouncesPeerIncarnations control/quorum/heartbeat.go ', Peers: r.announcePeers(to)}' '}'
+mutant leader-tells-nobody control/quorum TestLeaderAnnouncesPeerIncarnations control/quorum/heartbeat.go ', Peers: r.announcePeers(to)}' '}'
 mutant superseded-goes-on control/storage TestSupersededStateIsQuarantined control/storage/quarantine.go 'return errSuperseded' 'return s.openState(fleet)'
 mutant left-state-claims control/storage TestRestoredStateDisownsIncarnations control/storage/head.go 'starts += restoredStarts' 'starts += 0'
 mutant spoilt-past-counts control/storage TestCorruptIncarnationsAreDisowned control/storage/load.go 'if r.Past != r.PastSum() {' 'if r.Past == 0 && r.PastSum() != 0 {'
