--- a/control/quorum/candidate.go
+++ b/control/quorum/candidate.go
@@ -66,7 +66,8 @@
 	}.Message(r.partition))
 }
 
-// maxWriteDelay is the longest time for which this replica would delay its writes as leader.
+// maxWriteDelay returns the longest time for which this replica would delay its writes
+// as leader.
 func (r *Replica) maxWriteDelay() time.Duration { return r.cfg.Wait(r.cfg.LeaderLease) }
 
 // handleVoteGrant counts a pre-vote or a vote.
@@ -232,7 +233,8 @@
 // isElecting reports whether this replica is a candidate or pre-candidate.
 func (r *Replica) isElecting() bool { return r.role == preCandidate || r.role == candidate }
 
-// electionDelay staggers candidacies by the replicas' ranks in this partition.
+// electionDelay staggers candidacies by the replicas' ranks in this partition: the
+// replica that ranks first has no delay.
 func (r *Replica) electionDelay() time.Duration {
 	ahead := 0
 	for _, other := range r.meta.Group.All() {
@@ -243,7 +245,7 @@
 	return time.Duration(ahead) * r.cfg.LeaderLease / 12
 }
 
-// candidateRank ranks the replicas of a partition. The order differs between
+// candidateRank returns a replica's rank in a partition. The order differs between
 // partitions, so that leaderships are spread over the replicas.
 func candidateRank(partition int, addr string) uint64 {
 	return digest.Fingerprint(message.Record{Key: addr, Version: message.Version{Term: uint64(partition), Seq: 7}})
--- a/control/quorum/cluster_test.go
+++ b/control/quorum/cluster_test.go
@@ -11,14 +11,14 @@
 	"mulleinmast/wire/message"
 )
 
-// What the Op of a frame says, as earlier builds read it.
+// Values of a frame's Op, as earlier builds encode them.
 const (
 	opPreVote = "probe"
 	opJoin    = "whole"
 )
 
-// cluster is several replicas of one partition with a network that loses what isLost says;
-// what is saved is on disk at once.
+// cluster is several replicas of one partition, connected by a network that drops the
+// messages for which isLost returns true. Saves are on disk at once.
 type cluster struct {
 	t        *testing.T
 	now      time.Duration
@@ -38,28 +38,28 @@
 	return out
 }
 
-// isOnlyMessage tells whether a list is one message of a kind.
+// isOnlyMessage reports whether a list consists of one message of a kind.
 func isOnlyMessage(list []message.Message, kind message.Kind) bool {
 	return len(list) == 1 && list[0].Kind == kind
 }
 
-// countDifferingRanges is the number of ranges in which two sets of records differ.
+// countDifferingRanges returns the number of ranges in which two sets of records differ.
 func countDifferingRanges(a, b *digest.Records) int {
 	return len(digest.DifferingRanges(a.Digests(), b.Digests()))
 }
 
-// newReplica is a replica without records that has never voted.
+// newReplica returns a replica without records that has never voted.
 func newReplica(cfg Config, self message.Replica, meta Meta, now time.Duration) *Replica {
 	initial := InitialState{Partition: 1, Self: self, Meta: meta, Records: digest.NewRecords(), IsNew: true}
 	return New(cfg, initial, now)
 }
 
-// restartedReplica is a replica without records that may have voted before.
+// restartedReplica returns a replica without records that may have voted before.
 func restartedReplica(cfg Config, self message.Replica, meta Meta, now time.Duration) *Replica {
 	return New(cfg, InitialState{Partition: 1, Self: self, Meta: meta, Records: digest.NewRecords()}, now)
 }
 
-// newCluster has the members in a group and the others without one.
+// newCluster returns a cluster of a group of members and of other replicas without a group.
 func newCluster(t *testing.T, members, others []string) *cluster {
 	c := &cluster{
 		t: t, replicas: map[string]*Replica{}, isDown: map[string]bool{},
@@ -91,7 +91,7 @@
 	}
 }
 
-// deliver delivers what is under way.
+// deliver delivers all messages in flight.
 func (c *cluster) deliver() {
 	for len(c.inFlight) > 0 {
 		m := c.inFlight[0]
@@ -104,7 +104,7 @@
 	}
 }
 
-// advance lets time pass; the each runs after each tick of all.
+// advance lets time pass, and calls the functions in each after every tick.
 func (c *cluster) advance(d time.Duration, each ...func()) {
 	for end := c.now + d; c.now < end; c.now += 10 * time.Millisecond {
 		for _, id := range slices.Sorted(maps.Keys(c.replicas)) {
@@ -120,7 +120,7 @@
 	}
 }
 
-// leader is the replica that leads the partition now.
+// leader returns the current leader; it fails the test if there is none.
 func (c *cluster) leader() (string, *Replica) {
 	c.t.Helper()
 	for _, id := range slices.Sorted(maps.Keys(c.replicas)) {
@@ -132,7 +132,7 @@
 	return "", nil
 }
 
-// writeRecord has the leader writeRecord a record and tells whether it was committed.
+// writeRecord has the leader write a record and reports whether it was committed.
 func (c *cluster) writeRecord(key string) bool {
 	id, r := c.leader()
 	c.results = nil
@@ -142,7 +142,8 @@
 	return slices.Contains(c.results, WriteResult{9, Committed})
 }
 
-// maintain has the leader keep copies at learners, and go on with a group change.
+// maintain returns a function by which the leader sets its learners and advances a
+// group change in progress.
 func (c *cluster) maintain(ids ...string) func() {
 	return func() {
 		for id, r := range c.replicas {
@@ -154,13 +155,13 @@
 	}
 }
 
-// replaceReplica has the leader begin a group change; it fails the test if it doesn't.
+// replaceReplica has the leader start a group change; it fails the test if that is refused.
 func (c *cluster) replaceReplica(out, in string) {
 	c.t.Helper()
 	id, r := c.leader()
 	o, ok := r.ReplaceReplica(c.now, 0, out, replicaOf(in))
 	if !ok {
-		c.t.Fatalf("%v: %s doesn't begin to replace %s by %s: group %+v, ready %v",
+		c.t.Fatalf("%v: leader %s refused to replace %s by %s: group %+v, learner ready %v",
 			c.now, id, out, in, r.Group(), r.LearnerReady(c.now, in))
 	}
 	c.apply(id, o)
@@ -182,11 +183,11 @@
 	return fmt.Sprint(ids)
 }
 
-// leaderAndOthers are the members of three that don't lead the partition.
-func (c *cluster) leaderAndOthers() (own, one, two string) {
-	own, _ = c.leader()
-	rest := slices.DeleteFunc([]string{"a", "b", "c"}, func(id string) bool { return id == own })
-	return own, rest[0], rest[1]
+// leaderAndOthers returns the leader and the other two replicas of a group of a, b and c.
+func (c *cluster) leaderAndOthers() (leaderID, one, two string) {
+	leaderID, _ = c.leader()
+	rest := slices.DeleteFunc([]string{"a", "b", "c"}, func(id string) bool { return id == leaderID })
+	return leaderID, rest[0], rest[1]
 }
 
 func (c *cluster) holdsKey(id, key string) bool {
--- a/control/quorum/copies_test.go
+++ b/control/quorum/copies_test.go
@@ -12,17 +12,17 @@
 	"mulleinmast/wire/message"
 )
 
-// trioMember is one replica of a trio with its disk.
+// trioMember is one replica of a trio and its disk.
 type trioMember struct {
 	replica     *Replica
 	isCutOff    bool
-	isDiskStuck bool   // the disk takes nothing
-	waiting     []Save // what waits for it
-	meta        Meta   // what is on it
-	records     *digest.Records
+	isDiskStuck bool            // the disk completes no save
+	waiting     []Save          // the saves that wait for the disk
+	meta        Meta            // on disk
+	records     *digest.Records // on disk
 }
 
-// trio is a group of three: messages arrive at once, in order.
+// trio is a group of three replicas whose messages arrive at once and in order.
 type trio struct {
 	t        *testing.T
 	now      time.Duration
@@ -31,7 +31,7 @@
 	results  []WriteResult
 	lastTag  uint64
 
-	hasEpochs bool // each replica has an incarnation of its own
+	hasEpochs bool // messages carry the incarnation of their sender's folder
 }
 
 func newTrio(t *testing.T) *trio {
@@ -44,7 +44,7 @@
 	return w
 }
 
-// start starts a replica from what its disk holds.
+// start starts a replica from the state on its disk.
 func (w *trio) start(id string) {
 	m := w.members[id]
 	records := digest.NewRecords()
@@ -72,7 +72,7 @@
 	w.flush(id)
 }
 
-// flush puts on the disk what waits for it.
+// flush completes the waiting saves.
 func (w *trio) flush(id string) {
 	m := w.members[id]
 	for !m.isDiskStuck && len(m.waiting) > 0 {
@@ -94,7 +94,7 @@
 	}
 }
 
-// deliver hands over all messages that are under way.
+// deliver delivers all messages in flight.
 func (w *trio) deliver() {
 	for len(w.inFlight) > 0 {
 		m := w.inFlight[0]
@@ -107,8 +107,8 @@
 	}
 }
 
-// advance lets time pass, with a write at the leader at each tick if so wished; a
-// write's messages are under way until the next tick.
+// advance lets time pass; if writing is set, the leader starts a write at each tick.
+// The messages of a write are delivered at the next tick.
 func (w *trio) advance(d time.Duration, writing bool) {
 	for end := w.now + d; w.now < end; w.now += 25 * time.Millisecond {
 		w.deliver()
@@ -138,18 +138,17 @@
 	return ""
 }
 
-// isMismatch tells whether a step saves nothing and answers only that the state isn't
-// the one that it builds on.
+// isMismatch reports whether a step saves nothing and answers only with a StateMismatch.
 func isMismatch(out Out) bool {
 	return len(out.Saves) == 0 && len(out.Sends) == 1 && out.Sends[0].Message.Kind == message.KindStateMismatch
 }
 
-// countDifferingRanges is the number of ranges in which two replicas' records differ.
+// countDifferingRanges returns the number of ranges in which two replicas' records differ.
 func (w *trio) countDifferingRanges(a, b string) int {
 	return countDifferingRanges(w.members[a].replica.Records(), w.members[b].replica.Records())
 }
 
-// anyFollower is a replica that isn't the leader.
+// anyFollower returns a replica that isn't the leader.
 func (w *trio) anyFollower() string {
 	for _, id := range []string{"a", "b", "x"} {
 		if id != w.leader() {
@@ -159,27 +158,26 @@
 	return ""
 }
 
-// A replica that was cut off while hundreds of changes were written is whole again
-// within a lease and a half of its return, also while writes go on without a
-// pause, and the leader counts it as whole only then.
+// A replica that was cut off during hundreds of writes must be up to date within one
+// and a half leases of its return, even while writes continue.
 func TestReturningReplicaCatchesUpDuringWrites(t *testing.T) {
 	w := newTrio(t)
 	w.advance(3*time.Second, false)
-	own, late := w.leader(), w.anyFollower()
-	w.members[late].isCutOff = true
+	leaderID, cutOffID := w.leader(), w.anyFollower()
+	w.members[cutOffID].isCutOff = true
 	w.advance(15*time.Second, true) // 600 changes
-	if w.leader() != own {
-		t.Fatalf("the leader was %q, is %q", own, w.leader())
+	if w.leader() != leaderID {
+		t.Fatalf("the leader changed from %q to %q", leaderID, w.leader())
 	}
-	w.members[late].isCutOff = false
+	w.members[cutOffID].isCutOff = false
 	w.advance(3*cfg.LeaderLease/2, true)
 	w.deliver()
-	if d := w.countDifferingRanges(own, late); d > 0 {
-		t.Errorf("%d of %d ranges differ", d, digest.Ranges)
+	if d := w.countDifferingRanges(leaderID, cutOffID); d > 0 {
+		t.Errorf("%d of %d ranges differ after the catch-up", d, digest.Ranges)
 	}
 }
 
-// restartWithout has a replica restart from a disk that lost a record.
+// restartWithout restarts a replica from a disk that lost a record.
 func (w *trio) restartWithout(id, key string) {
 	m := w.members[id]
 	sum := m.meta.Sum(m.records)
@@ -188,36 +186,36 @@
 	w.start(id)
 }
 
-// A majority of those who took a write may be one whose disk lost it since: it
-// has no vote, and the next leader is found when the other is back.
+// A replica whose disk lost a record must not vote. Otherwise it and a replica that
+// missed the write would form a majority that elects a leader without the record.
 func TestIncompleteReplicaDoesNotVote(t *testing.T) {
 	w := newTrio(t)
 	w.advance(3*time.Second, false)
-	own, late := w.leader(), w.anyFollower()
+	leaderID, cutOffID := w.leader(), w.anyFollower()
 	third := "abx"
-	for _, id := range []string{own, late} {
+	for _, id := range []string{leaderID, cutOffID} {
 		third = strings.ReplaceAll(third, id, "")
 	}
-	w.members[late].isCutOff = true // it misses the write
-	tag := w.write(own)
+	w.members[cutOffID].isCutOff = true // so that it misses the write
+	tag := w.write(leaderID)
 	w.deliver()
 	if !slices.Contains(w.results, WriteResult{tag, Committed}) {
-		t.Fatal("not written")
+		t.Fatal("the write was not committed")
 	}
 	w.restartWithout(third, fmt.Sprint("k", tag))
-	w.members[own].isCutOff, w.members[late].isCutOff = true, false
+	w.members[leaderID].isCutOff, w.members[cutOffID].isCutOff = true, false
 	for i := 0; i < 400; i++ {
 		w.advance(25*time.Millisecond, false)
-		if w.members[late].replica.IsLeader(w.now) || w.members[third].replica.IsLeader(w.now) {
+		if w.members[cutOffID].replica.IsLeader(w.now) || w.members[third].replica.IsLeader(w.now) {
 			_, ok := w.members[w.leader()].replica.Records().Get(fmt.Sprint("k", tag))
-			t.Fatalf("%s leads beside a replica that lost a record; the write is there: %v", w.leader(), ok)
+			t.Fatalf("%s was elected with the vote of an incomplete replica; it holds the write: %v", w.leader(), ok)
 		}
 	}
-	w.members[own].isCutOff = false
+	w.members[leaderID].isCutOff = false
 	w.advance(4*time.Second, false)
 	for id, m := range w.members {
 		if _, ok := m.replica.Records().Get(fmt.Sprint("k", tag)); !ok || m.replica.Meta().Incomplete || m.meta.Incomplete {
-			t.Errorf("%s: the write is there: %v, incomplete: %v", id, ok, m.replica.Meta().Incomplete)
+			t.Errorf("%s: holds the write: %v, incomplete: %v", id, ok, m.replica.Meta().Incomplete)
 		}
 	}
 	if w.leader() == "" {
@@ -225,83 +223,83 @@
 	}
 }
 
-// Such a replica is installed within two heartbeats where there is a leader, which counts
-// it for nothing before.
+// An incomplete replica rejects writes, and a leader reinstalls its records within two
+// heartbeat intervals.
 func TestIncompleteReplicaIsReinstalled(t *testing.T) {
 	w := newTrio(t)
 	w.advance(3*time.Second, true)
-	own, short := w.leader(), w.anyFollower()
-	w.restartWithout(short, "k1")
-	write := message.Replicate{Term: w.members[own].replica.Term(), RequestID: 1, Group: threeReplicas}.Message(1)
-	write.From, write.Addr = own, own
-	if out := w.members[short].replica.Step(w.now, write); !isMismatch(out) {
-		t.Errorf("an incomplete replica takes a write: %+v", out)
+	leaderID, incomplete := w.leader(), w.anyFollower()
+	w.restartWithout(incomplete, "k1")
+	write := message.Replicate{Term: w.members[leaderID].replica.Term(), RequestID: 1, Group: threeReplicas}.Message(1)
+	write.From, write.Addr = leaderID, leaderID
+	if out := w.members[incomplete].replica.Step(w.now, write); !isMismatch(out) {
+		t.Errorf("an incomplete replica accepted a write: %+v", out)
 	}
 	w.advance(2*cfg.HeartbeatInterval, false)
 	w.deliver()
-	if m := w.members[short]; m.replica.Meta().Incomplete || m.meta.Incomplete {
+	if m := w.members[incomplete]; m.replica.Meta().Incomplete || m.meta.Incomplete {
 		t.Error("still incomplete")
 	}
-	if d := w.countDifferingRanges(own, short); d > 0 {
+	if d := w.countDifferingRanges(leaderID, incomplete); d > 0 {
 		t.Errorf("%d ranges differ", d)
 	}
 }
 
-// A disk that stalls holds up neither renewals nor writes; its leader leaves the
-// leadership to others by its own clock when that lasts, and is a candidate for none before
-// the disk has taken what waits for it.
+// A leader with a stalled disk continues to renew its lease and commit writes through
+// the other replicas. If the stall lasts it steps down, and it must not become a
+// candidate before its waiting saves are on disk.
 func TestLeaderWithStalledDiskStepsDown(t *testing.T) {
 	w := newTrio(t)
 	w.advance(3*time.Second, false)
-	own := w.leader()
-	w.members[own].isDiskStuck = true
+	leaderID := w.leader()
+	w.members[leaderID].isDiskStuck = true
 	w.results = nil
 	from := w.now
 	w.advance(25*time.Millisecond, true)
-	for w.members[own].replica.IsLeader(w.now) && w.now < from+10*time.Second {
+	for w.members[leaderID].replica.IsLeader(w.now) && w.now < from+10*time.Second {
 		w.advance(25*time.Millisecond, true)
 	}
 	if d := w.now - from; d < maxDiskStallLeases*cfg.LeaderLease ||
 		d > maxDiskStallLeases*cfg.LeaderLease+cfg.HeartbeatInterval {
 		t.Errorf("stepped down after %v", d)
 	}
-	most := int(maxDiskStallLeases * cfg.LeaderLease / (30 * time.Millisecond))
-	if n := len(w.results); n < most || w.results[n-2].Outcome != Committed {
-		t.Errorf("%d writes settled meanwhile", n)
+	minWrites := int(maxDiskStallLeases * cfg.LeaderLease / (30 * time.Millisecond))
+	if n := len(w.results); n < minWrites || w.results[n-2].Outcome != Committed {
+		t.Errorf("%d write results during the stall, too few or not committed", n)
 	}
 	w.advance(3*time.Second, true)
-	if next := w.leader(); next == own || next == "" {
+	if next := w.leader(); next == leaderID || next == "" {
 		t.Fatalf("leader is %q", next)
 	}
-	w.members[own].isDiskStuck = false
-	w.flush(own)
+	w.members[leaderID].isDiskStuck = false
+	w.flush(leaderID)
 	w.advance(cfg.LeaderLease, true)
 	w.deliver()
-	if d := w.countDifferingRanges(own, w.leader()); d > 0 {
+	if d := w.countDifferingRanges(leaderID, w.leader()); d > 0 {
 		t.Errorf("%d ranges differ", d)
 	}
 }
 
-// A leader's own copy of a key that is dropped in the batch that brings it is
-// on no disk either: what is read back is what was held.
+// The floor deletes records in the same save that stores it. The disk must then hold
+// the same records as the replica, with the same checksum.
 func TestDiskMatchesReplicaState(t *testing.T) {
 	w := newTrio(t)
 	w.advance(3*time.Second, true)
-	own := w.leader()
+	leaderID := w.leader()
 	put := func(recs ...message.Record) {
-		o, _ := w.members[own].replica.Write(w.now, 7, recs)
-		w.apply(own, o)
+		o, _ := w.members[leaderID].replica.Write(w.now, 7, recs)
+		w.apply(leaderID, o)
 		w.deliver()
 	}
 	put(message.Record{Key: "once/old"})
-	floor, _ := json.Marshal(w.members[own].replica.LastWritten())
+	floor, _ := json.Marshal(w.members[leaderID].replica.LastWritten())
 	put(message.Record{Key: "once/new"})
 	put(message.Record{Key: FloorKey, Value: floor})
 	w.members[w.anyFollower()].isCutOff = true
 	w.advance(3*time.Second, true)
-	w.members[own].isCutOff = true
+	w.members[leaderID].isCutOff = true
 	for _, m := range w.members {
-		m.isCutOff = m.isCutOff && m != w.members[own]
+		m.isCutOff = m.isCutOff && m != w.members[leaderID]
 	}
 	w.advance(4*time.Second, true)
 	for id, m := range w.members {
@@ -312,63 +310,63 @@
 	}
 }
 
-// A copy that is cut short on its way is not taken for a whole one; the whole
-// one is.
+// An InstallState that was truncated in transit must not be treated as complete.
 func TestTruncatedInstallIsRejected(t *testing.T) {
 	w := newTrio(t)
 	w.advance(3*time.Second, true)
-	own := w.members[w.leader()].replica
+	leaderReplica := w.members[w.leader()].replica
 	fresh := restartedReplica(cfg, threeReplicas.Replicas[0], Meta{Group: threeReplicas}, w.now)
 	var o Out
-	own.sendInstall(w.now, message.Replica{Ident: "new"}, fresh.Records().Digests(), &o)
+	leaderReplica.sendInstall(w.now, message.Replica{Ident: "new"}, fresh.Records().Digests(), &o)
 	install := o.Sends[0].Message
 	install.From, install.Addr = w.leader(), w.leader()
 	if install.From == "a" {
 		fresh.self = threeReplicas.Replicas[1]
 	}
-	for cut := range install.Records {
-		short := install
-		short.Records = install.Records[:cut]
-		if out := fresh.Step(w.now, short); !isMismatch(out) || fresh.Meta().LastComplete == install.Term {
-			t.Fatalf("%d of %d records taken for all: %+v", cut, len(install.Records), out)
+	for size := range install.Records {
+		truncated := install
+		truncated.Records = install.Records[:size]
+		if out := fresh.Step(w.now, truncated); !isMismatch(out) || fresh.Meta().LastComplete == install.Term {
+			t.Fatalf("an install with %d of %d records was accepted: %+v", size, len(install.Records), out)
 		}
 	}
 	out := fresh.Step(w.now, install)
-	isInstalled := fresh.Meta().LastComplete == install.Term && fresh.Records().Sum() == own.Records().Sum()
+	isInstalled := fresh.Meta().LastComplete == install.Term && fresh.Records().Sum() == leaderReplica.Records().Sum()
 	if len(out.Saves) != 1 || !isInstalled {
-		t.Errorf("the whole copy isn't taken: %+v", out)
+		t.Errorf("the complete install was not accepted: %+v", out)
 	}
 }
 
-// Marks of records that are gone last until the next term: then no copy has them,
-// and a replica that still holds the records brings none back.
+// Tombstones last until the next term and are then dropped from all copies. A replica
+// that missed the deletions and still holds the records must not bring them back.
 func TestTombstonesAreDroppedInNextTerm(t *testing.T) {
 	w := newTrio(t)
 	w.advance(3*time.Second, false)
-	own, late := w.leader(), w.anyFollower()
+	leaderID, cutOffID := w.leader(), w.anyFollower()
 	put := func(i int, dead bool) {
 		record := message.Record{Key: fmt.Sprint("berth/", i), Deleted: dead}
-		o, _ := w.members[own].replica.Write(w.now, uint64(1000+i), []message.Record{record})
-		w.apply(own, o)
+		o, _ := w.members[leaderID].replica.Write(w.now, uint64(1000+i), []message.Record{record})
+		w.apply(leaderID, o)
 		w.deliver()
 	}
 	for i := range 300 {
 		put(i, false)
 	}
 	put(300, false)
-	w.members[late].isCutOff = true
+	w.members[cutOffID].isCutOff = true
 	for i := range 300 {
 		put(i, true)
 	}
-	if n := w.members[own].replica.Records().Size(); n != 301 {
-		t.Fatalf("%d records", n)
+	if n := w.members[leaderID].replica.Records().Size(); n != 301 {
+		t.Fatalf("%d records, expected 301 with the tombstones", n)
 	}
-	w.members[late].isCutOff, w.members[own].isCutOff = false, true // it has the records still, and the marks are with one
+	// The returning replica still holds the records, and one other the tombstones.
+	w.members[cutOffID].isCutOff, w.members[leaderID].isCutOff = false, true
 	w.advance(3*time.Second, false)
-	if w.leader() == own || w.leader() == "" {
+	if w.leader() == leaderID || w.leader() == "" {
 		t.Fatalf("the leader is %q", w.leader())
 	}
-	w.members[own].isCutOff = false
+	w.members[leaderID].isCutOff = false
 	w.advance(3*time.Second, false)
 	for id, m := range w.members {
 		if m.replica.Records().Size() != 1 || m.records.Size() != 1 {
--- a/control/quorum/epoch_test.go
+++ b/control/quorum/epoch_test.go
@@ -8,15 +8,15 @@
 	"mulleinmast/wire/message"
 )
 
-// A candidate that ends before its own vote is on disk leaves the same term to
-// its next incarnation. The votes for the first, held up on their way, are not
-// the second's: they hold only the records that the first one's copy lacked.
+// A candidate that stops before its own vote is on disk may use the same term again in
+// its next incarnation. Delayed votes for the first incarnation must not count for the
+// second, since they hold only the records that the first one's copy lacked.
 func TestVotesForEarlierIncarnationAreIgnored(t *testing.T) {
-	for _, x := range []struct {
-		what  string
-		epoch uint64 // that b voted for; 0: b is of a build that doesn't say
+	for _, tc := range []struct {
+		name  string
+		epoch uint64 // the incarnation that b voted for; 0: b is an earlier build, which doesn't send it
 		won   bool
-	}{{"this incarnation", 2, true}, {"an earlier incarnation", 1, false}, {"a build that doesn't say", 0, true}} {
+	}{{"this incarnation", 2, true}, {"an earlier incarnation", 1, false}, {"an unnamed incarnation", 0, true}} {
 		r := restartedReplica(cfg, threeReplicas.Replicas[0], votedForX, 0)
 		now := time.Duration(0)
 		var apply func(o Out)
@@ -39,7 +39,7 @@
 					fromB(message.VoteGrant{Term: m.Term, PreVote: true, Group: group}.Message(1))
 				case m.To == "b" && m.Kind == message.KindRequestVote:
 					fromB(message.VoteGrant{
-						Term: m.Term, CandidateEpoch: x.epoch, LastCompleteTerm: 5,
+						Term: m.Term, CandidateEpoch: tc.epoch, LastCompleteTerm: 5,
 						Digests: digest.NewRecords().Digests(), Group: threeReplicas,
 					}.Message(1))
 				}
@@ -48,40 +48,40 @@
 		for ; r.Meta().CandidateTerm == 0 && now < 10*fullLeaseWait; now += 20 * time.Millisecond {
 			apply(r.Tick(now))
 		}
-		if won := r.role == installing || r.role == leader; won != x.won {
-			t.Errorf("voted for %s: won %v", x.what, won)
+		if won := r.role == installing || r.role == leader; won != tc.won {
+			t.Errorf("voted for %s: won %v", tc.name, won)
 		}
 	}
 }
 
-// A vote says which incarnation of the candidate it is for.
+// A vote must name the incarnation of the candidate that requested it.
 func TestVoteNamesRequestingIncarnation(t *testing.T) {
 	v := runningVoter(t)
 	at := 10*time.Second + fullLeaseWait
 	out := v.step(at, "b", 7, message.Message{Kind: message.KindRequestVote, Term: 6, Length: int64(fullLeaseWait)})
 	if n := len(out); n == 0 || out[n-1].Kind != message.KindGrantVote || out[n-1].ResponseTo != 7 {
-		t.Errorf("asked by incarnation 7: %+v", out)
+		t.Errorf("requested by incarnation 7: %+v", out)
 	}
 }
 
-// An incarnation that abandons a term does not free a voter from its vote for another
-// incarnation in the same term, be that a later one or an earlier.
+// An incarnation that abandons a term must not withdraw the vote for another
+// incarnation in the same term, whether that is a later or an earlier one.
 func TestAbandonTermAppliesOnlyToItsIncarnation(t *testing.T) {
 	v := runningVoter(t)
 	at := 10*time.Second + fullLeaseWait
 	v.requestVote(at, "b", 1, 6)
 	if ok, _ := v.requestVote(at, "b", 2, 6); !ok {
-		t.Fatal("no vote for the next incarnation")
+		t.Fatal("no vote granted to the next incarnation")
 	}
 	v.step(at, "b", 1, message.Message{Kind: message.KindAbandonTerm, Term: 6})
 	if m := v.replica.Meta(); m.VotedTerm != 6 || m.VotedFor != "b" || m.VotedForEpoch != 2 {
-		t.Errorf("after an abandoned term of incarnation 1: bound to %+v", m)
+		t.Errorf("after incarnation 1 abandoned the term: bound to %+v", m)
 	}
 
 	v = runningVoter(t)
 	v.requestVote(at, "b", 1, 6)
 	v.step(at, "b", 2, message.Message{Kind: message.KindAbandonTerm, Term: 6})
 	if m := v.replica.Meta(); m.VotedTerm != 6 || m.VotedFor != "b" || m.VotedForEpoch != 1 {
-		t.Errorf("after an abandoned term of incarnation 2: bound to %+v", m)
+		t.Errorf("after incarnation 2 abandoned the term: bound to %+v", m)
 	}
 }
--- a/control/quorum/group.go
+++ b/control/quorum/group.go
@@ -192,8 +192,9 @@
 	return out
 }
 
-// checkJoining asks the joining replicas of a change that haven't confirmed their copy
-// again. It reports whether all hold the complete state, and whether one of them is lost.
+// checkJoining resends the request to confirm the copy to each joining replica of a
+// change that hasn't done so. It reports whether all hold the complete state, and
+// whether one of them is lost.
 func (r *Replica) checkJoining(now time.Duration, group message.Group, out *Out) (isReady, isLost bool) {
 	isReady = true
 	for _, replica := range group.Next {
--- a/control/quorum/group_test.go
+++ b/control/quorum/group_test.go
@@ -9,13 +9,13 @@
 	"mulleinmast/wire/message"
 )
 
-// A replica that was replaced, missed writes and comes back under the same leader
-// has no vote before it holds them: what two copies of three held is never left
-// on one.
+// A replica that was replaced, missed writes and joins again under the same leader must
+// not vote before it holds these writes. Otherwise a write that two of three replicas
+// held would be left on only one replica of the group.
 func TestReturningReplicaIsCompleteBeforeItVotes(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 	c.advance(2 * time.Second)
-	own, keep, out := c.leaderAndOthers()
+	leaderID, keep, out := c.leaderAndOthers()
 	c.advance(time.Second, c.maintain("d"))
 	c.replaceReplica(out, "d")
 	c.advance(time.Second, c.maintain())
@@ -23,7 +23,7 @@
 		return to == out || to == keep && m.Kind == message.KindReplicate && len(m.Records) > 0
 	}
 	if !c.writeRecord("k") || c.holdsKey(keep, "k") || c.holdsKey(out, "k") || !c.holdsKey("d", "k") {
-		t.Fatalf("group %s: %s has it: %v, %s: %v, d: %v",
+		t.Fatalf("group %s: holds the write: %s %v, %s %v, d %v",
 			c.group(), keep, c.holdsKey(keep, "k"), out, c.holdsKey(out, "k"), c.holdsKey("d", "k"))
 	}
 	c.isLost = func(to string, m message.Message) bool {
@@ -34,7 +34,7 @@
 	for i := 0; i < 100; i++ {
 		c.advance(10*time.Millisecond, c.maintain("d"))
 		if c.group() == fmt.Sprint(slices.Sorted(slices.Values([]string{"a", "b", "c"}))) && !c.holdsKey(out, "k") {
-			t.Fatalf("%s counts and lacks the write, which only %s of the group holds", out, own)
+			t.Fatalf("%s is in the group without the write, which only %s of the group holds", out, leaderID)
 		}
 	}
 	if c.isLost = func(string, message.Message) bool { return false }; !c.holdsKey(out, "k") {
@@ -42,15 +42,15 @@
 	}
 }
 
-// Two leaders that each began a group change and failed leave groups of their own: the
-// later one's is taken by all, also by the earlier leader.
+// If two leaders each begin a group change and then lose contact, two different groups
+// exist. All replicas, including the earlier leader, must adopt the later leader's.
 func TestLaterLeadersGroupWins(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d", "e"})
 	c.advance(2 * time.Second)
 	first, one, two := c.leaderAndOthers()
 	c.advance(time.Second, c.maintain("d", "e"))
 	c.isLost = func(string, message.Message) bool { return true }
-	c.replaceReplica(one, "d") // nobody hears of it
+	c.replaceReplica(one, "d") // all messages about it are lost
 	c.deliver()
 	c.isLost = func(to string, m message.Message) bool { return to == first || m.From == first }
 	c.advance(4*time.Second, c.maintain("d", "e"))
@@ -65,72 +65,72 @@
 	c.advance(time.Second)
 	id, r := c.leader()
 	if got, want := c.replicas[first].Group(), r.Group(); !sameReplicas(got, want) {
-		t.Errorf("%s has %+v, the leader %s has %+v", first, got, id, want)
+		t.Errorf("%s has group %+v, the leader %s has %+v", first, got, id, want)
 	}
-	c.isDown[second] = true // and one loss leaves a majority of both groups
+	c.isDown[second] = true // one loss must leave a majority of both groups
 	c.advance(4*time.Second, c.maintain("d", "e"))
 	if id, _ := c.leader(); id == second || !c.writeRecord("k") {
-		t.Errorf("nothing is written after the loss of %s", second)
+		t.Errorf("a write was not committed after the loss of %s", second)
 	}
 }
 
-// A group change that its leader began is finished by the next if the newcomer is there,
-// and undone if not.
+// The next leader must finish a group change of its predecessor if the joining replica
+// answers, and undo it if not.
 func TestNextLeaderFinishesOrUndoesGroupChange(t *testing.T) {
-	for _, there := range []bool{true, false} {
+	for _, isJoiningUp := range []bool{true, false} {
 		c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 		c.advance(2 * time.Second)
 		first, one, two := c.leaderAndOthers()
 		c.advance(time.Second, c.maintain("d"))
 		c.replaceReplica(one, "d")
-		// The group change stands, and no word that d holds all.
+		// The joint group is replicated, but no confirmation that d holds the complete state.
 		c.isLost = func(_ string, m message.Message) bool {
 			return m.Op == opJoin || m.Kind == message.KindStateInstalled
 		}
 		c.deliver()
 		if _, r := c.leader(); len(r.Group().Next) == 0 || len(c.replicas[two].Group().Next) == 0 {
-			t.Fatalf("no group change: %+v, %s has %+v", r.Group(), two, c.replicas[two].Group())
+			t.Fatalf("no group change in progress: %+v, %s has %+v", r.Group(), two, c.replicas[two].Group())
 		}
-		if c.isDown["d"] = !there; there {
+		if c.isDown["d"] = !isJoiningUp; isJoiningUp {
 			c.isDown[first] = true
-		} else { // two losses at once are more than three replicas bear
+		} else { // three replicas don't tolerate two losses at once
 			c.replicas[first].Resign()
 		}
 		c.isLost = func(string, message.Message) bool { return false }
 		c.advance(6*time.Second, c.maintain("d"))
 		id, r := c.leader()
-		want := map[bool][]string{true: {first, two, "d"}, false: {"a", "b", "c"}}[there]
+		want := map[bool][]string{true: {first, two, "d"}, false: {"a", "b", "c"}}[isJoiningUp]
 		slices.Sort(want)
 		expected := fmt.Sprint(want)
 		if id == one {
 			expected = "[a b c]"
 		}
 		if got := c.group(); got != expected || len(r.Group().Next) > 0 {
-			t.Errorf("the newcomer there %v: %s leads, group %s, expected %v", there, id, got, expected)
+			t.Errorf("joining replica up %v: leader %s, group %s, expected %v", isJoiningUp, id, got, expected)
 		}
 		if !c.writeRecord("k") {
-			t.Errorf("the newcomer there %v: nothing is written", there)
+			t.Errorf("joining replica up %v: a write was not committed", isJoiningUp)
 		}
 	}
 }
 
-// A leader doesn't take itself out, begins no group change beside another, takes none
-// that isn't ready, and none once it was asked to end.
+// A leader must refuse to remove itself, to start a second group change during another,
+// to admit a learner that isn't ready, and to start a change once it has resigned.
 func TestInvalidGroupChangesAreRefused(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d", "e", "f"})
 	c.advance(2 * time.Second)
-	own, one, two := c.leaderAndOthers()
-	r := c.replicas[own]
-	refused := func(what, out, in string) {
+	leaderID, one, two := c.leaderAndOthers()
+	r := c.replicas[leaderID]
+	refused := func(name, out, in string) {
 		t.Helper()
 		if o, ok := r.ReplaceReplica(c.now, 0, out, replicaOf(in)); ok || len(o.Sends)+len(o.Saves) > 0 {
-			t.Errorf("%s: %s is replaced by %s", what, out, in)
+			t.Errorf("%s: the leader began to replace %s by %s", name, out, in)
 		}
 	}
-	refused("no copy", one, "d")
+	refused("a learner without a copy", one, "d")
 	c.advance(time.Second, c.maintain("d", "e", "f"))
-	refused("itself", own, "d")
-	refused("no replica", "e", "d")
+	refused("itself", leaderID, "d")
+	refused("a daemon that is no replica", "e", "d")
 	c.isDown["d"] = true
 	c.advance(clusterConfig.LeaderLease+clusterConfig.HeartbeatInterval, c.maintain("d", "e", "f"))
 	refused("a learner that is silent", one, "d")
@@ -138,19 +138,19 @@
 	c.advance(time.Second, c.maintain("d", "e", "f"))
 	c.replicas["d"].Resign()
 	c.advance(clusterConfig.HeartbeatInterval*2, c.maintain("d", "e", "f"))
-	refused("a learner that ends", one, "d")
+	refused("a learner that is terminating", one, "d")
 	c.replaceReplica(one, "e")
-	refused("two at once", two, "f")
+	refused("a second change", two, "f")
 	if !r.LearnerReady(c.now, "f") {
 		t.Error("f is not ready")
 	}
 	c.advance(time.Second, c.maintain("d", "e", "f"))
 	r.Resign()
-	refused("asked to end", two, one)
+	refused("a resigned leader", two, one)
 }
 
-// A replica that was replaced while it was bound to a higher term is a learner
-// at once, and keeps no term that it stood with.
+// A replica that was replaced while it was cut off as a candidate in a higher term must
+// become a learner at once, released from its vote in that term.
 func TestReplacedReplicaBecomesLearner(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 	c.advance(2 * time.Second)
@@ -161,28 +161,28 @@
 	c.replaceReplica(one, "d")
 	c.advance(time.Second, c.maintain())
 	meta := c.replicas[one].Meta()
-	// It was a candidate while it was cut off.
+	// Its stored state is that of a candidate in a higher term.
 	meta.VotedTerm, meta.VotedFor, meta.VotedForEpoch, meta.CandidateTerm = 40, one, 1, 40
 	c.replicas[one] = restartedReplica(clusterConfig, replicaOf(one), meta, c.now)
 	c.isDown[one] = false
 	c.advance(2*time.Second, c.maintain(one))
 	id, r := c.leader()
 	if !r.LearnerReady(c.now, one) || c.replicas[one].Group().Has(one) || c.replicas[one].Meta().CandidateTerm != 40 {
-		t.Fatalf("%s is no learner of %s: %+v", one, id, c.replicas[one].Meta())
+		t.Fatalf("%s is not a ready learner of %s: %+v", one, id, c.replicas[one].Meta())
 	}
 	c.replaceReplica(map[bool]string{true: two, false: "d"}[id != two], one)
 	c.advance(time.Second, c.maintain("d"))
 	if g := c.group(); !c.replicas[id].Group().Has(one) || len(c.replicas[id].Group().Next) > 0 {
-		t.Errorf("%s has no replica again: %s", one, g)
+		t.Errorf("%s is not a replica again: %s", one, g)
 	}
 }
 
-// A replica that is asked to end says so, and differs from one that is silent.
+// A resigned replica reports that it is terminating, and must not be treated as lost.
 func TestTerminatingReplicaIsNotLost(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, nil)
 	c.advance(2 * time.Second)
-	own, one, two := c.leaderAndOthers()
-	r := c.replicas[own]
+	leaderID, one, two := c.leaderAndOthers()
+	r := c.replicas[leaderID]
 	c.replicas[one].Resign()
 	c.isDown[two] = true
 	c.advance(clusterConfig.LostAfter - 2*clusterConfig.HeartbeatInterval)
@@ -195,133 +195,136 @@
 			two, r.IsTerminating(two), r.IsLost(c.now, two), r.MissedHeartbeats(c.now, two))
 	}
 	c.advance(3 * clusterConfig.HeartbeatInterval)
-	if r.IsLost(c.now, one) || !r.IsLost(c.now, two) || r.IsLost(c.now, own) {
-		t.Errorf("late: %s lost %v; %s lost %v; the leader itself %v",
-			one, r.IsLost(c.now, one), two, r.IsLost(c.now, two), r.IsLost(c.now, own))
+	if r.IsLost(c.now, one) || !r.IsLost(c.now, two) || r.IsLost(c.now, leaderID) {
+		t.Errorf("late: %s lost %v; %s lost %v; the leader itself lost %v",
+			one, r.IsLost(c.now, one), two, r.IsLost(c.now, two), r.IsLost(c.now, leaderID))
 	}
 }
 
-// One that was asked to end is free to leave once each other replica has answered to
-// what was sent since: not beside one that was lost just before, and not by a new
-// leader before it knows.
+// A terminating replica may leave only after each other replica has answered a
+// heartbeat sent since the leader knew of the termination. It may not leave if another
+// replica was lost just before.
 func TestTerminatingReplicaMayLeave(t *testing.T) {
-	for _, lost := range []bool{false, true} {
+	for _, otherIsLost := range []bool{false, true} {
 		c := newCluster(t, []string{"a", "b", "c"}, nil)
 		c.advance(2 * time.Second)
-		own, one, two := c.leaderAndOthers()
-		r := c.replicas[own]
-		c.isDown[two] = lost
+		leaderID, one, two := c.leaderAndOthers()
+		r := c.replicas[leaderID]
+		c.isDown[two] = otherIsLost
 		c.replicas[one].Resign()
-		early := false
-		c.advance(clusterConfig.HeartbeatInterval, func() { early = early || r.IsTerminating(one) && r.MayLeave(c.now, one) })
-		if early {
-			t.Errorf("another lost %v: free to leave before a renewal was answered", lost)
+		mayLeaveEarly := false
+		c.advance(clusterConfig.HeartbeatInterval, func() {
+			mayLeaveEarly = mayLeaveEarly || r.IsTerminating(one) && r.MayLeave(c.now, one)
+		})
+		if mayLeaveEarly {
+			t.Errorf("another lost %v: may leave before a heartbeat was answered", otherIsLost)
 		}
 		c.advance(3 * clusterConfig.HeartbeatInterval)
-		if !r.IsTerminating(one) || r.MayLeave(c.now, one) == lost {
-			t.Errorf("another lost %v: terminating %v, free to leave %v", lost, r.IsTerminating(one), r.MayLeave(c.now, one))
+		if !r.IsTerminating(one) || r.MayLeave(c.now, one) == otherIsLost {
+			t.Errorf("another lost %v: terminating %v, may leave %v",
+				otherIsLost, r.IsTerminating(one), r.MayLeave(c.now, one))
 		}
 	}
 }
 
-// A new leader counts from when the one before was last there, so that the replica
-// of one that is lost isn't kept for longer because it led the partition.
+// A new leader counts its predecessor's silence from when that was last supported, so
+// that a lost former leader is replaced no later than any other lost replica.
 func TestFormerLeaderIsLostAfterSameDelay(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, nil)
 	c.advance(2 * time.Second)
 	first, _, _ := c.leaderAndOthers()
-	lost := c.now
+	lostAt := c.now
 	c.isDown[first] = true
 	c.advance(clusterConfig.LostAfter - 2*clusterConfig.HeartbeatInterval)
 	if _, r := c.leader(); r.IsLost(c.now, first) || !r.MissedHeartbeats(c.now, first) {
 		t.Errorf("%v after the loss: lost %v, missed heartbeats %v",
-			c.now-lost, r.IsLost(c.now, first), r.MissedHeartbeats(c.now, first))
+			c.now-lostAt, r.IsLost(c.now, first), r.MissedHeartbeats(c.now, first))
 	}
 	c.advance(2*clusterConfig.HeartbeatInterval + 20*time.Millisecond)
 	_, r := c.leader()
 	if !r.IsLost(c.now, first) {
-		t.Errorf("%v after the loss it is not gone", c.now-lost)
+		t.Errorf("%v after the loss the former leader is not reported as lost", c.now-lostAt)
 	}
 	for _, id := range []string{"a", "b", "c"} {
 		if id != first && r.MissedHeartbeats(c.now, id) {
-			t.Errorf("%s is missing", id)
+			t.Errorf("%s missed heartbeats", id)
 		}
 	}
 }
 
-// A write that is under way doesn't hold a group change up, and then needs both
-// majorities like any other.
+// A pending write must not delay a group change, and then needs both majorities like
+// any other write.
 func TestPendingWriteNeedsBothMajorities(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 	c.advance(2 * time.Second)
-	own, keep, out := c.leaderAndOthers()
+	leaderID, keep, out := c.leaderAndOthers()
 	c.advance(time.Second, c.maintain("d"))
 	c.isLost = func(to string, m message.Message) bool {
-		return to != own && to != "d" && m.Kind == message.KindReplicate && len(m.Records) > 0
+		return to != leaderID && to != "d" && m.Kind == message.KindReplicate && len(m.Records) > 0
 	}
 	if c.writeRecord("k") {
-		t.Fatal("written without a majority")
+		t.Fatal("a write was committed without a majority")
 	}
 	c.replaceReplica(out, "d")
 	c.deliver()
-	if g := c.replicas[own].Group(); len(g.Next) == 0 || slices.Contains(c.results, WriteResult{9, Committed}) {
-		t.Fatalf("written %v by one of the old group and one more of the new: %+v", c.results, g)
+	if g := c.replicas[leaderID].Group(); len(g.Next) == 0 || slices.Contains(c.results, WriteResult{9, Committed}) {
+		t.Fatalf("results %v, with one replica of the old group and one more of the new: %+v", c.results, g)
 	}
 	c.isLost = func(string, message.Message) bool { return false }
 	c.advance(time.Second, c.maintain("d"))
 	isCommitted := slices.Contains(c.results, WriteResult{9, Committed})
-	if !isCommitted || !c.holdsKey(keep, "k") || !c.holdsKey("d", "k") || c.replicas[own].Group().Has(out) {
+	if !isCommitted || !c.holdsKey(keep, "k") || !c.holdsKey("d", "k") || c.replicas[leaderID].Group().Has(out) {
 		t.Errorf("results %v, %s holds the record: %v, d holds it: %v, group %s",
 			c.results, keep, c.holdsKey(keep, "k"), c.holdsKey("d", "k"), c.group())
 	}
 }
 
-// A stranger's word on a copy, and one that was given before a group change began,
-// count for nothing; nor does a learner speak on anything but its copy.
+// Only the joining replica may confirm its copy, and only for the current group change.
+// A learner's messages other than answers about its copy must be ignored.
 func TestOnlyJoiningReplicaConfirmsItsCopy(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 	c.advance(2 * time.Second)
-	own, one, _ := c.leaderAndOthers()
+	leaderID, one, _ := c.leaderAndOthers()
 	c.advance(time.Second, c.maintain("d"))
-	r := c.replicas[own]
+	r := c.replicas[leaderID]
 	c.isLost = func(_ string, m message.Message) bool { return m.Op == opJoin }
 	c.replaceReplica(one, "d")
 	c.deliver()
 	number := r.Group().Number
-	for what, m := range map[string]message.Message{
-		"an earlier change's": {From: "d", Op: opJoin, Term: r.Term(), ResponseTo: number - 1},
-		"an earlier term's":   {From: "d", Op: opJoin, Term: r.Term() - 1, ResponseTo: number},
-		"a stranger's":        {From: "z", Op: opJoin, Term: r.Term(), ResponseTo: number},
-		"a plain copy's":      {From: "d", Term: r.Term()},
+	for name, m := range map[string]message.Message{
+		"of an earlier change":          {From: "d", Op: opJoin, Term: r.Term(), ResponseTo: number - 1},
+		"of an earlier term":            {From: "d", Op: opJoin, Term: r.Term() - 1, ResponseTo: number},
+		"of a daemon outside the group": {From: "z", Op: opJoin, Term: r.Term(), ResponseTo: number},
+		"of an install without a join":  {From: "d", Term: r.Term()},
 	} {
 		m.Kind, m.Addr, m.Partition = message.KindStateInstalled, m.From, 1
-		c.apply(own, r.Step(c.now, m))
-		c.apply(own, r.ContinueChange(c.now, 0))
+		c.apply(leaderID, r.Step(c.now, m))
+		c.apply(leaderID, r.ContinueChange(c.now, 0))
 		c.deliver()
 		if len(r.Group().Next) == 0 {
-			t.Fatalf("%s word ends the group change", what)
+			t.Fatalf("a confirmation %s ended the group change", name)
 		}
 	}
 	c.isLost = func(string, message.Message) bool { return false }
 	if c.advance(time.Second, c.maintain("d")); len(r.Group().Next) > 0 || !r.Group().Has("d") {
-		t.Errorf("the group change doesn't end: %+v", r.Group())
+		t.Errorf("the group change didn't end: %+v", r.Group())
 	}
-	high := r.Term() + 100 // one of whom we don't hear is no reason to step down
+	high := r.Term() + 100 // a term that only a learner reports is no reason to step down
 	rejection := message.VoteRejection{Term: r.Term(), VotedTerm: high}.Message(1)
 	rejection.From, rejection.Addr = one, one
-	c.apply(own, r.Step(c.now, rejection))
+	c.apply(leaderID, r.Step(c.now, rejection))
 	c.advance(repairIntervalLeases*clusterConfig.LeaderLease+time.Second, c.maintain(one))
 	if !r.IsLeader(c.now) {
-		t.Error("a learner's refusal ended the leadership")
+		t.Error("a learner's rejection ended the leadership")
 	}
 }
 
-// A lease that the old replicas gave holds over a change: no second leader is
-// elected by the new ones while it lasts.
+// A leader lease supported by the old replicas must hold during a group change: the
+// new replicas must not elect a second leader while it is valid.
 func TestLeaderLeaseHoldsDuringGroupChange(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 	c.advance(2 * time.Second)
-	own, keep, out := c.leaderAndOthers()
+	leaderID, keep, out := c.leaderAndOthers()
 	begun := false
 	step := func() {
 		leaders := 0
@@ -331,10 +334,10 @@
 			}
 		}
 		if leaders > 1 {
-			t.Fatalf("%v: %d lead; %s has %+v, %s has %+v",
-				c.now, leaders, own, c.replicas[own].Group(), keep, c.replicas[keep].Group())
+			t.Fatalf("%v: %d leaders; %s has %+v, %s has %+v",
+				c.now, leaders, leaderID, c.replicas[leaderID].Group(), keep, c.replicas[keep].Group())
 		}
-		if r := c.replicas[own]; !begun && r.SilentFor(c.now, "d") > clusterConfig.LeaderLease-30*time.Millisecond {
+		if r := c.replicas[leaderID]; !begun && r.SilentFor(c.now, "d") > clusterConfig.LeaderLease-30*time.Millisecond {
 			c.replaceReplica(out, "d")
 			begun = true
 		}
@@ -343,48 +346,48 @@
 	c.isLost = func(to string, m message.Message) bool { return m.Kind == message.KindHeartbeat && to == keep }
 	c.advance(time.Second, c.maintain("d"))
 	c.isLost = func(to string, m message.Message) bool {
-		return m.Kind == message.KindHeartbeat && (to == keep || to == "d") || to == own && m.From == keep
+		return m.Kind == message.KindHeartbeat && (to == keep || to == "d") || to == leaderID && m.From == keep
 	}
 	c.advance(3*time.Second, step, c.maintain("d"))
 	c.isLost = func(string, message.Message) bool { return false }
 	if c.advance(3*time.Second, step, c.maintain("d", out)); !begun || !c.writeRecord("k") {
-		t.Errorf("begun %v, group %s", begun, c.group())
+		t.Errorf("group change begun %v, group %s, or a write was not committed", begun, c.group())
 	}
 }
 
-// The new group doesn't stand alone before a majority of the old one has taken
-// the group change, whatever the newcomer says: neither in one of this leader's own
-// nor in one that it learned of in the middle of its term.
+// A group change must not end before a majority of the old group has committed it, even
+// if the joining replica has confirmed its copy. This holds for a leader's own change
+// and for one that it inherited from an earlier leader.
 func TestGroupChangeEndsOnlyAfterOldMajorityHasIt(t *testing.T) {
-	for _, learned := range []bool{false, true} {
+	for _, isInherited := range []bool{false, true} {
 		c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 		c.advance(2 * time.Second)
 		first, one, _ := c.leaderAndOthers()
 		c.advance(time.Second, c.maintain("d"))
-		own := first
-		if learned { // the leader before began it, and nobody heard
+		leaderID := first
+		if isInherited { // the previous leader began it, and all messages about it were lost
 			c.isLost = func(string, message.Message) bool { return true }
 			c.replaceReplica(one, "d")
 			c.deliver()
 			c.isLost = func(to string, m message.Message) bool { return to == first || m.From == first }
 			c.advance(4*time.Second, c.maintain("d"))
-			own, _ = c.leader()
+			leaderID, _ = c.leader()
 		}
-		r := c.replicas[own]
+		r := c.replicas[leaderID]
 		c.isLost = func(to string, m message.Message) bool {
-			return to != own && to != "d" && (m.Kind == message.KindReplicate || m.Kind == message.KindInstallState)
+			return to != leaderID && to != "d" && (m.Kind == message.KindReplicate || m.Kind == message.KindInstallState)
 		}
-		if !learned {
+		if !isInherited {
 			c.replaceReplica(one, "d")
 		}
 		c.advance(clusterConfig.LeaderLease/2, c.maintain("d"))
 		if g := r.Group(); len(g.Next) == 0 && g.Has("d") {
-			t.Errorf("learned %v: the new group stands alone: %+v", learned, g)
+			t.Errorf("inherited %v: the group change ended without the old majority: %+v", isInherited, g)
 		}
 		c.isLost = func(string, message.Message) bool { return false }
 		c.advance(2*time.Second, c.maintain("d"))
 		if _, r := c.leader(); len(r.Group().Next) > 0 || !c.writeRecord("k") {
-			t.Errorf("learned %v: the group change doesn't end: %+v", learned, r.Group())
+			t.Errorf("inherited %v: the group change didn't end: %+v", isInherited, r.Group())
 		}
 	}
 }
--- a/control/quorum/install.go
+++ b/control/quorum/install.go
@@ -35,8 +35,8 @@
 	delete(c.lagging, ident)
 }
 
-// sendInstall sends a replica whose records have the given digests the ranges that
-// differ, under this leader's term. Without digests it only asks for them.
+// sendInstall sends a replica this leader's records in the ranges where the replica's
+// digests differ, under this leader's term. Without digests it only asks for them.
 func (r *Replica) sendInstall(now time.Duration, to message.Replica, digests []uint64, out *Out) {
 	if to.Ident == r.self.Ident {
 		return
@@ -52,7 +52,7 @@
 	}.Message(r.partition))
 }
 
-// resendInstalls asks the peers that don't hold this term yet again.
+// resendInstalls sends another InstallState to each peer that doesn't hold this term yet.
 func (r *Replica) resendInstalls(now time.Duration, out *Out) {
 	for _, peer := range r.peers() {
 		if !r.copies.installed[peer.Ident] && now-r.copies.installSentAt[peer.Ident] >= 2*r.cfg.HeartbeatInterval {
@@ -126,7 +126,8 @@
 	}
 }
 
-// stateInstalledEnvelope returns the answer that this replica holds a leader's term.
+// stateInstalledEnvelope returns the answer which confirms that this replica holds a
+// leader's term.
 func (r *Replica) stateInstalledEnvelope(from message.Sender, term uint64) message.Envelope {
 	return envelope(from.Replica, message.StateInstalled{Term: term}.Message(r.partition))
 }
--- a/control/quorum/meta_test.go
+++ b/control/quorum/meta_test.go
@@ -10,7 +10,8 @@
 	"mulleinmast/wire/message"
 )
 
-// fullMeta has every field set, so that a field whose stored name changes shows.
+// fullMeta returns a Meta with every field set, so that a change of any stored name is
+// detected.
 func fullMeta() Meta {
 	return Meta{
 		VotedTerm: 11, VotedFor: "b", VotedForEpoch: 2<<32 + 5, CandidateTerm: 12, LastComplete: 10,
@@ -29,7 +30,7 @@
 	}
 }
 
-// What every build so far stored for fullMeta.
+// fullMetaStored is how every build so far stored fullMeta.
 const fullMetaStored = `{"Promised":11,"To":"b","ToEpoch":8589934597,"Tried":12,"Set":10,` +
 	`"Group":{"Num":196609,"Seats":[{"Ident":"a","Addr":"10.0.0.1:7"},{"Ident":"b","Addr":"10.0.0.2:7"}],` +
 	`"Next":[{"Ident":"a","Addr":"10.0.0.1:7"},{"Ident":"c","Addr":"10.0.0.3:7"}]},"Short":true,` +
@@ -37,11 +38,11 @@
 	`"History":[{"Epoch":8589934601,"Saves":3},{"Epoch":12884901896,"Saves":7}],` +
 	`"Peers":[{"Ident":"b","Epoch":8589934597,"State":{"Epoch":8589934597,"Saves":41}},{"Ident":"c","Epoch":4294967302}]}`
 
-// What every build so far stored for a replica that knows nothing yet.
+// emptyMetaStored is how every build so far stored an empty Meta.
 var emptyMetaStored = strings.ReplaceAll(
 	`{"Promised":0,"To":"","ToEpoch":0,"Tried":0,"Set":0,"Group":{"Num":0,"Seats":[],"Next":[]}}`, "[]", "null")
 
-// A stored vote that a build can't read is a vote forgotten.
+// Stored field names must not change: a vote that a later build can't read is lost.
 func TestMetaKeepsStoredFieldNames(t *testing.T) {
 	for name, c := range map[string]struct {
 		meta   Meta
@@ -53,21 +54,21 @@
 				t.Fatal(err)
 			}
 			if string(raw) != c.stored {
-				t.Errorf("stored as\n%s\nnot as\n%s", raw, c.stored)
+				t.Errorf("stored as\n%s\nwant\n%s", raw, c.stored)
 			}
 			var read Meta
 			if err := json.Unmarshal([]byte(c.stored), &read); err != nil {
 				t.Fatal(err)
 			}
 			if !reflect.DeepEqual(read, c.meta) {
-				t.Errorf("read as %+v, not as %+v", read, c.meta)
+				t.Errorf("read as %+v, want %+v", read, c.meta)
 			}
 		})
 	}
 }
 
-// The checksums stand beside the state on disk: one that is computed otherwise
-// makes a whole copy look damaged.
+// The checksums are stored with the state. If a build computed them differently, it
+// would treat an intact copy as damaged.
 func TestMetaChecksumsMatchEarlierBuilds(t *testing.T) {
 	records := digest.NewRecords()
 	records.Put(message.Record{Key: "plan/now", Version: message.Version{Term: 9, Seq: 4}, Value: []byte("value")})
@@ -80,15 +81,15 @@
 		sum, pastSum uint64
 	}{
 		"every field set": {fullMeta(), records, 6848617890316624777, 4339655454683573597},
-		"not short":       {votable, records, 5275727718337320453, 4339655454683573597},
+		"not incomplete":  {votable, records, 5275727718337320453, 4339655454683573597},
 		"empty":           {Meta{}, digest.NewRecords(), 13389207865668415525, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := c.meta.Sum(c.records); got != c.sum {
-				t.Errorf("Sum %d, not %d", got, c.sum)
+				t.Errorf("Sum %d, want %d", got, c.sum)
 			}
 			if got := c.meta.PastSum(); got != c.pastSum {
-				t.Errorf("PastSum %d, not %d", got, c.pastSum)
+				t.Errorf("PastSum %d, want %d", got, c.pastSum)
 			}
 		})
 	}
--- a/control/quorum/replica_test.go
+++ b/control/quorum/replica_test.go
@@ -13,7 +13,7 @@
 	HeartbeatInterval: 333 * time.Millisecond,
 }
 
-// single is a group of one, with messages to itself and saves carried out at once.
+// single is a group of one replica, whose messages and saves are carried out at once.
 type single struct {
 	replica *Replica
 	now     time.Duration
@@ -61,7 +61,7 @@
 	put("once/new", nil)
 	put(FloorKey, floor)
 	if len(a.results) != 4 || len(a.deleted) != 1 || a.deleted[0] != "once/old" {
-		t.Errorf("done %v, dropped %v", a.results, a.deleted)
+		t.Errorf("results %v, deleted %v", a.results, a.deleted)
 	}
 	for key, want := range map[string]bool{"once/old": false, "once/new": true, "plan/old": true} {
 		if _, ok := a.replica.Records().Get(key); ok != want {
@@ -70,8 +70,8 @@
 	}
 }
 
-// A leader whose renewals are not heard is none when its lease ends, and says
-// of a write that it does not know.
+// A leader whose lease isn't renewed must stop being leader when the lease ends, and
+// report its pending writes as uncertain, even if they are acknowledged later.
 func TestWriteAfterLeaseExpiryIsUncertain(t *testing.T) {
 	a := newSingleLeader(t)
 	o, _ := a.replica.Write(a.now, 7, []message.Record{{Key: "k"}})
@@ -84,10 +84,10 @@
 		t.Errorf("%+v", out)
 	}
 	a.now = lease
-	a.apply(o) // the write's own messages come late
+	a.apply(o) // the messages of the write arrive late
 	for _, d := range a.results {
 		if d.Tag == 7 && d.Outcome == Committed {
-			t.Error("acknowledged after the lease")
+			t.Error("the write was reported as committed after the lease ended")
 		}
 	}
 }
--- a/control/quorum/walk_test.go
+++ b/control/quorum/walk_test.go
@@ -13,10 +13,10 @@
 	"mulleinmast/wire/message"
 )
 
-// walk is a group of three among five machines and more under every trouble at
-// once: messages are lost, late, overtaken and doubled, daemons are killed
-// with saves under way, disks are lost, and whoever leads replaces replicas at
-// random, as fast as it may.
+// walk is a randomized run of a group of three replicas among five or more machines,
+// with many faults at once: messages are lost, delayed, reordered and duplicated,
+// daemons restart with saves in flight, machines are lost with their disks, and the
+// leader replaces replicas at random, as fast as it may.
 type walk struct {
 	*testing.T
 	seed           int64
@@ -27,11 +27,11 @@
 	disks          map[string]*disk
 	inFlight       []delivery
 	newMachines    int
-	pendingKeys    map[uint64]string // writes under way, by tag
+	pendingKeys    map[uint64]string // the keys of pending writes, by tag
 	lastTag        uint64
 	committedKeys  []string
-	ledTerms       map[string]uint64        // the term that each daemon was last seen to lead with
-	diskFreeAt     map[string]time.Duration // when the last save of each is on disk
+	ledTerms       map[string]uint64        // the last term in which each daemon was seen as leader
+	diskFreeAt     map[string]time.Duration // when the last save of each daemon is on disk
 	groupChanges   int
 	mayLoseMachine bool
 }
@@ -63,7 +63,7 @@
 			w.inFlight = append(w.inFlight, delivery{arrivesAt: w.now + late, envelope: m})
 		}
 	}
-	for i := range o.Saves { // one after the other
+	for i := range o.Saves { // saves are synced one after the other
 		w.diskFreeAt[id] = max(w.diskFreeAt[id], w.now+time.Duration(w.rng.Intn(8))*time.Millisecond)
 		saved := delivery{arrivesAt: w.diskFreeAt[id], save: &o.Saves[i], from: id, epoch: w.epochs[id]}
 		w.inFlight = append(w.inFlight, saved)
@@ -134,8 +134,8 @@
 	w.start(fmt.Sprintf("n%d", w.newMachines))
 }
 
-// check looks at whoever leads: no two at once, and each holds all that was
-// acknowledged when it began.
+// check fails the test if there are two leaders at once, or if a new leader lacks a
+// record that was committed before.
 func (w *walk) check() {
 	var leaders []string
 	for _, id := range slices.Sorted(maps.Keys(w.replicas)) {
@@ -150,18 +150,18 @@
 		w.ledTerms[id] = r.Term()
 		for _, k := range w.committedKeys {
 			if _, ok := r.Records().Get(k); !ok {
-				w.Fatalf("seed %d at %v: %s leads in term %d without %s, group %+v",
+				w.Fatalf("seed %d at %v: leader %s of term %d lacks %s, group %+v",
 					w.seed, w.now, id, r.Term(), k, r.Group())
 			}
 		}
 	}
 	if len(leaders) > 1 {
-		w.Fatalf("seed %d at %v: two lead: %v", w.seed, w.now, leaders)
+		w.Fatalf("seed %d at %v: two leaders at once: %v", w.seed, w.now, leaders)
 	}
 }
 
-// actAsLeader is what a leader's daemon does: it keeps learners, goes on with a group change,
-// begins one at random, and writes.
+// actAsLeader does what a leader's daemon does: it sets the learners, advances a group
+// change in progress, starts one at random, and writes.
 func (w *walk) actAsLeader(id string, r *Replica) {
 	var learners []message.Replica
 	for _, other := range slices.Sorted(maps.Keys(w.replicas)) {
@@ -187,8 +187,8 @@
 	}
 }
 
-// canLose tells whether the loss of a machine leaves a majority of all sets that
-// some daemon goes by, of machines that have stood long enough to count.
+// canLose reports whether the loss of a machine leaves a majority of every group that
+// some daemon currently uses.
 func (w *walk) canLose(id string) bool {
 	for _, r := range w.replicas {
 		g := r.Group()
@@ -203,13 +203,13 @@
 	ids := slices.Sorted(maps.Keys(w.replicas))
 	id := ids[w.rng.Intn(len(ids))]
 	switch w.rng.Intn(4) {
-	case 0, 1: // a restart, with saves lost that were under way
+	case 0, 1: // a restart that loses the saves in flight
 		delete(w.replicas, id)
 		w.start(id)
 	case 2:
 		w.replicas[id].Resign()
 	case 3:
-		if w.mayLoseMachine && w.canLose(id) && len(ids) > 4 { // it is gone for good
+		if w.mayLoseMachine && w.canLose(id) && len(ids) > 4 { // the machine is lost for good
 			w.mayLoseMachine = false
 			delete(w.replicas, id)
 			w.startNewMachine()
@@ -225,7 +225,7 @@
 	}
 }
 
-// step lets a little time pass everywhere, and perhaps brings a fault about.
+// step ticks all replicas, checks the leaders, and sometimes injects a fault.
 func (w *walk) step() {
 	for _, id := range slices.Sorted(maps.Keys(w.replicas)) {
 		r := w.replicas[id]
@@ -262,11 +262,11 @@
 		}
 		steps, acked = steps+w.groupChanges, acked+len(w.committedKeys)
 	}
-	t.Logf("%d walks: %d group changes begun, %d writes acknowledged", numWalks, steps, acked)
+	t.Logf("%d walks: %d group changes begun, %d writes committed", numWalks, steps, acked)
 	if steps < 3*numWalks || acked < 50*numWalks {
-		t.Errorf("too little happened")
+		t.Errorf("too few group changes or committed writes")
 	}
 }
 
-// numWalks is how many random numWalks are made.
+// numWalks is the number of random walks in a test run.
 const numWalks = 12
