--- a/control/digest/digest.go
+++ b/control/digest/digest.go
@@ -1,6 +1,6 @@
-// Package digest compares copies of a partition by digests over ranges of keys. The
-// ranges and fingerprints stand on disk and on the wire: builds that speak to one
-// another must agree on them.
+// Package digest compares copies of a partition by digests over ranges of keys. Ranges
+// and fingerprints are stored on disk and sent on the wire, so all builds that
+// communicate must compute them identically.
 package digest
 
 import (
@@ -9,15 +9,15 @@
 	"mulleinmast/wire/message"
 )
 
-// Ranges is the number of ranges a partition's keys are cut into, by their hash.
+// Ranges is the number of ranges into which a partition's keys are divided by hash.
 const Ranges = 64
 
-// RangeOf tells which range a key falls in.
+// RangeOf returns the index of the range that a key belongs to.
 //
 // Example: digest.RangeOf("plan/now") < digest.Ranges
 func RangeOf(key string) int { return int(mix(hash(key)) % Ranges) }
 
-// Fingerprint is what one record adds to its range's digest.
+// Fingerprint returns the contribution of one record to the digest of its range.
 //
 // Example: digest.Fingerprint(record) != digest.Fingerprint(newerRecord)
 func Fingerprint(record message.Record) uint64 {
@@ -30,8 +30,8 @@
 	return mix(hash(record.Key) ^ version ^ mix(value.Sum64()))
 }
 
-// DifferingRanges lists the ranges whose digests differ; digests of another length
-// differ everywhere.
+// DifferingRanges returns the indexes of the ranges whose digests differ. If either
+// slice does not hold exactly Ranges digests, all ranges are reported.
 //
 // Example: digest.DifferingRanges(a.Digests(), a.Digests()) == nil
 func DifferingRanges(a, b []uint64) (ranges []int) {
@@ -50,7 +50,8 @@
 	return h.Sum64()
 }
 
-// mix is the finalizer of SplitMix64: each bit of x changes about half of the result's.
+// mix is the SplitMix64 finalizer: flipping one bit of x flips about half of the bits
+// of the result.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -59,7 +60,7 @@
 	return x ^ x>>31
 }
 
-// sum is one digest of those of all ranges; never 0, which stands for none.
+// sum combines the digests of all ranges into one. It is never 0, which means "no sum".
 func sum(digests [Ranges]uint64) uint64 {
 	all := uint64(0)
 	for _, d := range digests {
--- a/control/digest/digest_test.go
+++ b/control/digest/digest_test.go
@@ -9,9 +9,9 @@
 	"mulleinmast/wire/message"
 )
 
-// Whatever is put, put if newer and deleted, digests are those of what is in the
-// records; two records differ in just the ranges whose records do, in value too.
-func TestDigestsFollowTheRecords(t *testing.T) {
+// After any sequence of Put, PutNewer and Delete, the digests match the stored records.
+// Two sets differ only in the ranges whose records differ, also if only a value does.
+func TestDigestsMatchRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := NewRecords()
 		for i := 0; i < 60; i++ {
@@ -26,7 +26,7 @@
 			case 1:
 				old, had := a.Get(r.Key)
 				if put := a.PutNewer(r); put != (!had || old.Version.Less(r.Version)) {
-					t.Fatalf("put %v: %v over %v", put, r.Version, old.Version)
+					t.Fatalf("PutNewer returned %v for version %v over %v", put, r.Version, old.Version)
 				}
 			case 2:
 				a.Delete(r.Key)
@@ -39,13 +39,13 @@
 			n++
 		}
 		if d := DifferingRanges(a.Digests(), b.Digests()); len(d) > 0 || n != a.Size() {
-			t.Fatalf("a copy differs in %v, %d records of %d", d, n, a.Size())
+			t.Fatalf("copy differs in ranges %v; copied %d records of %d", d, n, a.Size())
 		}
-		for r := range a.All() { // one record altered
+		for r := range a.All() { // change one record
 			r.Value = append([]byte{1}, r.Value...)
 			b.Put(r)
 			if d := DifferingRanges(a.Digests(), b.Digests()); len(d) != 1 || d[0] != RangeOf(r.Key) {
-				t.Fatalf("%s altered, ranges %v differ", r.Key, d)
+				t.Fatalf("after changing only %s, ranges %v differ", r.Key, d)
 			}
 			return
 		}
--- a/control/digest/records.go
+++ b/control/digest/records.go
@@ -6,14 +6,15 @@
 	"mulleinmast/wire/message"
 )
 
-// Records is a set of records, one a key, with its digests kept up to date.
+// Records is a set of records, at most one per key, that maintains the digests of its
+// ranges.
 type Records struct {
 	records [Ranges]map[string]message.Record // by key
-	digests [Ranges]uint64                    // the fingerprints of a range's records, XORed
+	digests [Ranges]uint64                    // per range, the XOR of its records' fingerprints
 	size    int
 }
 
-// NewRecords makes an empty set of records.
+// NewRecords returns an empty set of records.
 //
 // Example: r := digest.NewRecords(); r.Put(record)
 func NewRecords() *Records {
@@ -24,7 +25,7 @@
 	return r
 }
 
-// Get returns a record.
+// Get returns the record with the given key, and whether there is one.
 //
 // Example: record, ok := r.Get("plan/now")
 func (r *Records) Get(key string) (message.Record, bool) {
@@ -32,7 +33,7 @@
 	return record, ok
 }
 
-// Put sets a record, whatever was there.
+// Put stores a record, replacing any record with the same key.
 //
 // Example: r.Put(message.Record{Key: "plan/now", Version: v})
 func (r *Records) Put(record message.Record) {
@@ -46,7 +47,8 @@
 	r.digests[i] ^= Fingerprint(record)
 }
 
-// PutNewer sets a record only if it is newer than the one there, and tells whether.
+// PutNewer stores a record if it is newer than the stored one, and reports whether it
+// did.
 //
 // Example: if r.PutNewer(record) { save(record) }
 func (r *Records) PutNewer(record message.Record) bool {
@@ -58,7 +60,7 @@
 	return true
 }
 
-// Delete removes a record.
+// Delete removes the record with the given key, if any.
 //
 // Example: r.Delete("once/x")
 func (r *Records) Delete(key string) {
@@ -70,22 +72,23 @@
 	}
 }
 
-// Size is the number of records.
+// Size returns the number of records.
 //
 // Example: digest.NewRecords().Size() == 0
 func (r *Records) Size() int { return r.size }
 
-// Digests returns the digests of all ranges.
+// Digests returns a copy of the digests of all ranges.
 //
 // Example: ranges := digest.DifferingRanges(a.Digests(), b.Digests())
 func (r *Records) Digests() []uint64 { return append([]uint64(nil), r.digests[:]...) }
 
-// Sum is one digest of all records; never 0.
+// Sum returns a single digest of all records; it is never 0.
 //
-// Example: a.Sum() == b.Sum() // two copies are alike
+// Example: a.Sum() == b.Sum() // the two copies are equal
 func (r *Records) Sum() uint64 { return sum(r.digests) }
 
-// SumAfterInstall is what Sum would be once the records in some ranges were replaced.
+// SumAfterInstall returns what Sum would return if the contents of the given ranges were
+// replaced by the given records.
 //
 // Example: if r.SumAfterInstall(ranges, records) != wanted { refuse() }
 func (r *Records) SumAfterInstall(ranges []int, records []message.Record) uint64 {
@@ -105,7 +108,7 @@
 	return sum(digests)
 }
 
-// RecordsIn lists the records of some ranges, range by range.
+// RecordsIn returns the records of the given ranges, range by range.
 //
 // Example: records := r.RecordsIn(digest.DifferingRanges(r.Digests(), theirs))
 func (r *Records) RecordsIn(ranges []int) (records []message.Record) {
@@ -117,7 +120,7 @@
 	return records
 }
 
-// InRange iterates over the records of one range, in no order.
+// InRange iterates over the records of one range, in unspecified order.
 //
 // Example: for record := range r.InRange(3) { ... }
 func (r *Records) InRange(i int) iter.Seq[message.Record] {
@@ -130,7 +133,7 @@
 	}
 }
 
-// All iterates over every record, in no order.
+// All iterates over all records, in unspecified order.
 //
 // Example: for record := range r.All() { ... }
 func (r *Records) All() iter.Seq[message.Record] {
--- a/control/incarnation/incarnation.go
+++ b/control/incarnation/incarnation.go
@@ -1,32 +1,32 @@
-// Package incarnation numbers the starts of a daemon that has a data folder. The
-// number (elsewhere an epoch) counts the starts of the folder and bears a nonce that is
-// drawn at each start, so that two processes that were started from copies of one
-// folder are told apart, also where both counted to the same number.
+// Package incarnation numbers the starts of a daemon that has a data folder. An
+// incarnation number (called an epoch elsewhere) combines the number of starts from that
+// folder with a random nonce drawn at each start. The nonce distinguishes processes that
+// were started from copies of the same folder and have the same start count.
 package incarnation
 
 import "fmt"
 
-// nonceBits is the length of the nonce, below the count.
+// nonceBits is the length of the nonce, which fills the bits below the start count.
 const nonceBits = 32
 
-// MaxNonce is the largest nonce. No start draws it: folders hold it in place of the one
-// that was drawn, so that a build that knows of no nonce and adds one to the number
-// counts a start.
+// MaxNonce is the largest nonce. It is never drawn at a start: data folders store it in
+// place of the drawn nonce, so that a build without nonces, which adds one to the stored
+// number, increments the start count.
 const MaxNonce = 1<<nonceBits - 1
 
-// Number joins a count of starts and a nonce.
+// Number combines a start count and a nonce into an incarnation number.
 //
 // Example: epoch := incarnation.Number(7, rand.Uint32())
 func Number(starts uint64, nonce uint32) uint64 { return starts<<nonceBits | uint64(nonce) }
 
-// Starts is the count of starts. It is 0 in the numbers of daemons without a
-// folder and of builds that know of no nonce.
+// Starts returns the start count. It is 0 for daemons without a data folder and for
+// builds without nonces.
 //
 // Example: incarnation.Starts(incarnation.Number(7, 99)) == 7
 func Starts(epoch uint64) uint64 { return epoch >> nonceBits }
 
-// String prints an incarnation as its count of starts and its nonce; one without
-// a nonce as its number.
+// String formats an incarnation as its start count and nonce, or as a plain number if it
+// has no nonce.
 //
 // Example: incarnation.String(incarnation.Number(7, 0xbeef)) == "7-beef"
 func String(epoch uint64) string {
@@ -36,18 +36,18 @@
 	return fmt.Sprintf("%d-%x", Starts(epoch), epoch&MaxNonce)
 }
 
-// Order is how one incarnation stands to another.
+// Order is the result of comparing two incarnations.
 type Order uint8
 
-// The orders of two incarnations of one identity.
+// Possible orders of two incarnations of the same identity.
 const (
 	Same     Order = iota
 	Earlier        // fewer starts
 	Later          // more starts
-	Conflict       // as many starts, and not the same one: two copies of one folder run
+	Conflict       // same start count but different nonces: two copies of one folder are running
 )
 
-// Compare tells how an incarnation stands to another one of the same identity.
+// Compare returns the order of epoch relative to other, both of the same identity.
 //
 // Example: incarnation.Compare(own, known) == incarnation.Conflict
 func Compare(epoch, other uint64) Order {
