--- a/control/lease/downstream.go
+++ b/control/lease/downstream.go
@@ -8,43 +8,43 @@
 	"mulleinmast/wire/message"
 )
 
-// Reasons of a denial, for people.
+// Human-readable reasons for a denial.
 const (
 	denyNoLease = "no lease"
-	denyLapsed  = "lease lapsed"
+	denyExpired = "lease lapsed"
 )
 
-// downstream is a node's side as a parent.
+// downstream is the state of a node in its role as a parent.
 type downstream struct {
-	sequence  uint64            // numbers all messages to children, so that they can drop late ones
+	sequence  uint64            // last sequence number sent; children drop messages that arrive out of order
 	children  map[string]*child // by childID
-	lastCheck time.Duration     // when the children were last scanned
-	// waiting are, for a key, the children that wait for the record, with the version
-	// that each holds.
-	waiting map[string]map[string]message.Version
+	lastCheck time.Duration     // time of the last scan of the children
+	// waiters holds, by key, the children that wait for the record, and for each the version
+	// from which it can apply patches.
+	waiters map[string]map[string]message.Version
 }
 
-// child is what a node knows of one incarnation of a child.
+// child is the state that a node keeps for one incarnation of a child.
 type child struct {
 	id      string
 	replica message.Replica
 	epoch   uint64
 
-	volumeExpiry time.Duration            // when no volume lease granted to it can be valid any more
-	objectExpiry map[string]time.Duration // key -> when no object lease granted to it can be valid any more
+	volumeExpiry time.Duration            // end of all volume leases granted to it, with drift and margin
+	objectExpiry map[string]time.Duration // key -> end of the object lease granted to it, with drift and margin
 
-	reconnected bool   // went through a reconnect since this node knows it
-	unreachable bool   // on the unreachable list: it may hold what was invalidated, and must reconnect
-	reconciled  uint64 // sequence of the reconciliation whose ReconnectDone takes it off the list; 0: none does
+	reconnected bool   // has reconnected since this node first saw it
+	unreachable bool   // on the unreachable list: may still hold invalidated records and must reconnect
+	reconciled  uint64 // sequence of the reconciliation whose ReconnectDone takes it off the list; 0 if none
 
-	pending      *pendingRenewal // the latest that came while this node had no lease itself; nil: none
-	pendingSince time.Duration   // when the first of those came
+	pending      *pendingRenewal // latest renewal received while this node had no lease itself; nil if none
+	pendingSince time.Duration   // when the first of these renewals was received
 
-	renewCost time.Duration // that it measured here
+	renewCost time.Duration // cost of renewing at this node, as measured by the child
 	lastSeen  time.Duration // when its last renewal was handled
 }
 
-// pendingRenewal is a renewal that waits until this node has a lease to grant from.
+// pendingRenewal is a renewal that waits until this node has a volume lease itself.
 type pendingRenewal struct {
 	requestID   uint64
 	volumeEpoch message.VolumeEpoch
@@ -52,16 +52,17 @@
 	bases       []message.Record
 }
 
-// markUnreachable puts a child on the unreachable list; only the ReconnectDone of a
-// later reconciliation takes it off.
+// markUnreachable puts a child on the unreachable list. Only the ReconnectDone of a later
+// reconciliation removes it.
 func (c *child) markUnreachable() { c.unreachable, c.reconciled = true, 0 }
 
-// childID tells one incarnation of a child from another: a relay that starts anew
-// can't answer for what it granted before, so its earlier lease is waited out.
+// childID returns an identifier that differs between incarnations of a child. A restarted
+// relay cannot account for the leases that it granted before, so the lease of its previous
+// incarnation must expire first.
 func childID(s message.Sender) string { return fmt.Sprintf("%s#%d", s.Ident, s.Epoch) }
 
-// childOf is the child that sent a message, a new one if it is not known.
-func (n *Node) childOf(sender message.Sender) *child {
+// getOrAddChild returns the child that sent a message, and adds it if it is unknown.
+func (n *Node) getOrAddChild(sender message.Sender) *child {
 	id := childID(sender)
 	c := n.downstream.children[id]
 	if c == nil {
@@ -81,18 +82,18 @@
 	out.Sends = append(out.Sends, message.Envelope{Addr: c.replica.Addr, Message: m})
 }
 
-// handleRenewLease answers a child's renewal.
+// handleRenewLease handles a child's renewal.
 func (n *Node) handleRenewLease(now time.Duration, sender message.Sender, m message.LeaseRenewal, out *Out) {
-	c := n.childOf(sender)
+	c := n.getOrAddChild(sender)
 	c.renewCost = m.RenewCost
 	n.answerRenewal(now, c, pendingRenewal{
 		requestID: m.RequestID, volumeEpoch: m.VolumeEpoch, keys: m.Keys, bases: m.Bases,
 	}, out)
 }
 
-// answerRenewal grants, has the child reconnect, or has the renewal wait for this
-// node's own lease. A child that has owed an acknowledgement for too long gets no
-// answer: its lease lapses.
+// answerRenewal grants the lease, requests a reconnect, or defers the renewal until this
+// node has a lease itself. A child that has not acknowledged an invalidation for too long
+// gets no answer, so that its lease expires.
 func (n *Node) answerRenewal(now time.Duration, c *child, renewal pendingRenewal, out *Out) {
 	c.lastSeen = now
 	n.countRenewal(now, c, n.HasVolumeLease(now) && n.servesAll(now, renewal.keys))
@@ -102,7 +103,7 @@
 	}
 	c.pending = nil
 	n.resendInvalidationsTo(now, c, out)
-	if n.invalidations.owedFor(c.id, now) > n.cfg.maxOwingRenewal() {
+	if n.invalidations.awaitingAckFor(c.id, now) > n.cfg.maxRenewalWithoutAck() {
 		return
 	}
 	if !c.reconnected || c.unreachable || renewal.volumeEpoch != n.VolumeEpoch() {
@@ -112,8 +113,8 @@
 	n.grantVolume(now, c, renewal, out)
 }
 
-// deferRenewal keeps a renewal until this node has a lease, and asks for that. Where
-// none can come, or only from the child itself, the child is denied.
+// deferRenewal holds a renewal until this node has a lease, and requests one. The renewal
+// is denied if this node is the root, has no parent, or has the child itself as its parent.
 func (n *Node) deferRenewal(now time.Duration, c *child, renewal pendingRenewal, out *Out) {
 	parent := n.upstream.parent.Ident
 	if n.root.active || parent == "" || parent == c.replica.Ident {
@@ -130,7 +131,7 @@
 	}
 }
 
-// answerPendingRenewals answers the renewals that waited for this node's own lease.
+// answerPendingRenewals answers the renewals that were deferred until this node had a lease.
 func (n *Node) answerPendingRenewals(now time.Duration, out *Out) {
 	if !n.HasVolumeLease(now) {
 		return
@@ -144,7 +145,7 @@
 	}
 }
 
-// servesAll tells whether all these records can be served now.
+// servesAll reports whether all of these records can be served now.
 func (n *Node) servesAll(now time.Duration, keys []string) bool {
 	for _, key := range keys {
 		if _, ok := n.Get(now, key); !ok {
@@ -154,8 +155,8 @@
 	return true
 }
 
-// grantVolume grants the volume lease with the records that were asked for and can
-// be served now.
+// grantVolume grants the volume lease, along with the requested records that can be
+// served now.
 func (n *Node) grantVolume(now time.Duration, c *child, renewal pendingRenewal, out *Out) {
 	grant := message.LeaseGrant{ResponseTo: renewal.requestID, VolumeLease: n.grantVolumeLease(now, c)}
 	for _, key := range renewal.keys {
@@ -164,7 +165,7 @@
 	n.sendToChild(c, grant.Message(n.partition), out)
 }
 
-// versionOf is the version that a list names for a key; zero: none.
+// versionOf returns the version that a list contains for a key; zero if none.
 func versionOf(list []message.Record, key string) message.Version {
 	i := slices.IndexFunc(list, func(r message.Record) bool { return r.Key == key })
 	if i < 0 {
@@ -173,42 +174,43 @@
 	return list[i].Version
 }
 
-// grantVolumeLease is the length of the volume lease that a child is granted now,
-// never beyond this node's own; it is noted as granted.
+// grantVolumeLease returns the length of the volume lease to grant to a child now, and
+// records it as granted. It never extends beyond this node's own lease.
 func (n *Node) grantVolumeLease(now time.Duration, c *child) time.Duration {
 	length := n.maxVolumeLease(now)
-	withinOwn.Hold(length == 0 || now+length <= n.VolumeExpiry(),
-		"partition %d: %v are granted, and the own lease ends in %v", n.partition, length, n.VolumeExpiry()-now)
+	grantWithinOwnLease.Hold(length == 0 || now+length <= n.VolumeExpiry(),
+		"partition %d: granted a volume lease of %v, but the node's own lease ends in %v",
+		n.partition, length, n.VolumeExpiry()-now)
 	c.volumeExpiry = max(c.volumeExpiry, now+n.cfg.granterExpiry(length))
 	return length
 }
 
-// maxVolumeLease is the longest volume lease that may be granted now.
+// maxVolumeLease returns the length of the longest volume lease that may be granted now.
 func (n *Node) maxVolumeLease(now time.Duration) time.Duration {
 	return max(0, min(n.cfg.VolumeLease, n.VolumeExpiry()-now))
 }
 
-// addRecord adds a record to a grant; one that can't be served now is asked for, and
-// sent when it comes. base is the version that the child can take patches from.
+// addRecord adds a record to a grant. If the record cannot be served now, the child is
+// registered as waiting for it. base is the version from which the child can apply patches.
 func (n *Node) addRecord(
 	now time.Duration, c *child, grant *message.LeaseGrant, key string, base message.Version, out *Out,
 ) {
 	record, ok := n.Get(now, key)
-	if !ok || n.invalidations.underWay(key) {
-		n.waitFor(now, c, key, base, out)
+	if !ok || n.invalidations.isInProgress(key) {
+		n.addWaiter(now, c, key, base, out)
 		return
 	}
-	grant.Records = append(grant.Records, n.recordFor(record, base))
+	grant.Records = append(grant.Records, n.recordForChild(record, base))
 	grant.ObjectLease = n.cfg.ObjectLease
 	c.objectExpiry[key] = now + n.cfg.granterExpiry(n.cfg.ObjectLease)
 }
 
-// waitFor notes that a child waits for a record, and asks the parent for it.
-func (n *Node) waitFor(now time.Duration, c *child, key string, base message.Version, out *Out) {
-	if n.downstream.waiting[key] == nil {
-		n.downstream.waiting[key] = map[string]message.Version{}
+// addWaiter registers a child as waiting for a record, and requests it from the parent.
+func (n *Node) addWaiter(now time.Duration, c *child, key string, base message.Version, out *Out) {
+	if n.downstream.waiters[key] == nil {
+		n.downstream.waiters[key] = map[string]message.Version{}
 	}
-	n.downstream.waiting[key][c.id] = base
+	n.downstream.waiters[key][c.id] = base
 	if n.root.active {
 		return
 	}
@@ -218,70 +220,70 @@
 	}
 }
 
-// serveWaiting sends a record that can be served again to the children that wait for
-// it.
-func (n *Node) serveWaiting(now time.Duration, key string, out *Out) {
-	waiting := n.downstream.waiting[key]
-	if len(waiting) == 0 || n.invalidations.underWay(key) {
+// serveWaiters sends a record to the children that wait for it, if it can be served now.
+func (n *Node) serveWaiters(now time.Duration, key string, out *Out) {
+	waiters := n.downstream.waiters[key]
+	if len(waiters) == 0 || n.invalidations.isInProgress(key) {
 		return
 	}
 	if _, ok := n.Get(now, key); !ok {
 		return
 	}
-	delete(n.downstream.waiting, key)
-	for _, id := range sortedKeys(waiting) {
+	delete(n.downstream.waiters, key)
+	for _, id := range sortedKeys(waiters) {
 		c := n.downstream.children[id]
 		if c == nil || !n.mayGrantRecord(now, c) {
 			continue
 		}
 		var grant message.LeaseGrant
-		n.addRecord(now, c, &grant, key, waiting[id], out)
+		n.addRecord(now, c, &grant, key, waiters[id], out)
 		if len(grant.Records) > 0 {
 			n.sendToChild(c, grant.Message(n.partition), out)
 		}
 	}
 }
 
-// joinGrants joins the grants of records to a child into the first of them. All are of one
-// step, in which no record is withdrawn after it was granted.
-func joinGrants(sends []message.Envelope) []message.Envelope {
-	first := map[string]int{} // child's identity -> place of its first grant
-	joined := sends[:0]
+// mergeGrants merges the record grants for each child into the first of them. This is safe
+// because all grants are from one step, in which no record is withdrawn after its grant.
+func mergeGrants(sends []message.Envelope) []message.Envelope {
+	first := map[string]int{} // child's identity -> index of its first grant
+	merged := sends[:0]
 	for _, e := range sends {
-		at, seen := first[e.Message.To]
+		i, seen := first[e.Message.To]
 		switch {
 		case !isRecordGrant(e.Message):
 		case seen:
-			joined[at].Message.Records = append(joined[at].Message.Records, e.Message.Records...)
+			merged[i].Message.Records = append(merged[i].Message.Records, e.Message.Records...)
 			continue
 		default:
-			first[e.Message.To] = len(joined)
+			first[e.Message.To] = len(merged)
 		}
-		joined = append(joined, e)
+		merged = append(merged, e)
 	}
-	return joined
+	return merged
 }
 
-// isRecordGrant tells whether a message grants records that were waited for, and nothing else.
+// isRecordGrant reports whether a message grants only records, to a child that was waiting
+// for them.
 func isRecordGrant(m message.Message) bool {
 	return m.Kind == message.KindGrantLease && m.ResponseTo == 0 && m.Length == 0
 }
 
-// mayGrantRecord tells whether a child may be granted a record without having asked
-// just now.
+// mayGrantRecord reports whether a child may be granted a record other than in response
+// to a renewal.
 func (n *Node) mayGrantRecord(now time.Duration, c *child) bool {
-	return c.reconnected && !c.unreachable && now < c.volumeExpiry && !n.invalidations.isOwedBy(c.id)
+	return c.reconnected && !c.unreachable && now < c.volumeExpiry && !n.invalidations.isAwaitingAck(c.id)
 }
 
-// handleLeaseList is the second half of a reconnect: matching records are granted,
-// the rest invalidated, and the volume lease granted, in one message.
+// handleLeaseList handles the second half of a reconnect. One message grants the volume
+// lease and the listed records that are current; the child drops all other records.
 func (n *Node) handleLeaseList(now time.Duration, sender message.Sender, m message.LeaseList, out *Out) {
-	c := n.childOf(sender)
-	if !n.HasVolumeLease(now) || n.invalidations.isOwedBy(c.id) || m.VolumeEpoch != n.VolumeEpoch() {
+	c := n.getOrAddChild(sender)
+	if !n.HasVolumeLease(now) || n.invalidations.isAwaitingAck(c.id) || m.VolumeEpoch != n.VolumeEpoch() {
 		return
 	}
-	// Unreachable until its ReconnectDone; object leases noted earlier stay noted, since
-	// a late list must not make this node forget what the child got meanwhile.
+	// The child remains unreachable until its ReconnectDone. Object leases recorded earlier
+	// are kept: this list may be late, and the child may have been granted records since.
 	c.unreachable, c.reconnected = true, true
 	answer := message.Reconciliation{ResponseTo: m.RequestID, ObjectLease: n.cfg.ObjectLease}
 	for _, r := range m.Records {
@@ -295,13 +297,13 @@
 	c.reconciled = n.downstream.sequence
 }
 
-// isCurrent tells whether a child's version of a record is the one that is served.
+// isCurrent reports whether a child's version of a record is the one that is served now.
 func (n *Node) isCurrent(now time.Duration, r message.Record) bool {
 	current, ok := n.Get(now, r.Key)
-	return ok && !n.invalidations.underWay(r.Key) && current.Version == r.Version && current.Deleted == r.Deleted
+	return ok && !n.invalidations.isInProgress(r.Key) && current.Version == r.Version && current.Deleted == r.Deleted
 }
 
-// handleReconnectDone takes a child off the unreachable list.
+// handleReconnectDone removes a child from the unreachable list.
 func (n *Node) handleReconnectDone(sender message.Sender, m message.ReconnectDone) {
 	c := n.downstream.children[childID(sender)]
 	if c != nil && m.VolumeEpoch == n.VolumeEpoch() && m.Sequence == c.reconciled {
@@ -309,10 +311,10 @@
 	}
 }
 
-// checkChildren denies renewals that have waited too long, and forgets children that
-// are lost.
+// checkChildren denies renewals that were deferred for too long, and forgets children
+// that have not renewed for a long time.
 func (n *Node) checkChildren(now time.Duration, out *Out) {
-	if now-n.downstream.lastCheck < n.cfg.childCheckInterval() { // the tables are long, and nothing here is urgent
+	if now-n.downstream.lastCheck < n.cfg.childCheckInterval() { // a scan is expensive and not urgent
 		return
 	}
 	n.downstream.lastCheck = now
@@ -320,10 +322,10 @@
 		c := n.downstream.children[id]
 		if c.pending != nil && now-c.pendingSince > n.cfg.VolumeLease {
 			c.pending = nil
-			n.sendToChild(c, message.LeaseDenial{Reason: denyLapsed}.Message(n.partition), out)
+			n.sendToChild(c, message.LeaseDenial{Reason: denyExpired}.Message(n.partition), out)
 		}
 		isLost := now-c.lastSeen > n.cfg.forgetChildAfter() && now >= c.volumeExpiry
-		if isLost && !n.invalidations.isOwedBy(id) {
+		if isLost && !n.invalidations.isAwaitingAck(id) {
 			delete(n.downstream.children, id)
 		}
 	}
--- a/control/lease/generation_test.go
+++ b/control/lease/generation_test.go
@@ -9,42 +9,43 @@
 	"mulleinmast/wire/message"
 )
 
-// A snapshot that was read at the root stands only while Generation is the same, so
-// suspending a record must change it, and so must resuming it: the leader's own
-// reads once went on from a list that was being written.
-func TestGenerationChangesWhenARootRecordIsSuspended(t *testing.T) {
+// Suspend and Resume must change Generation, since a snapshot read at the root is valid
+// only while Generation is unchanged. Without this, the leader once continued to serve a
+// server list from a snapshot while the list was being written.
+func TestSuspendAndResumeChangeGeneration(t *testing.T) {
 	n := New(cfg, 0, message.Replica{Ident: "p", Addr: "p"}, 1)
 	records := func(key string) message.Record { return message.Record{Key: key} }
 	n.BecomeRoot(1, records, func() time.Duration { return time.Hour })
 	before := n.Generation()
 	if _, ok := n.Get(0, "k"); !ok {
-		t.Fatal("the root doesn't serve it")
+		t.Fatal("the root does not serve the record")
 	}
 	n.Suspend(0, "k", 7)
 	suspended := n.Generation()
 	if _, ok := n.Get(0, "k"); ok || suspended == before {
-		t.Errorf("suspended: served %v, generation %d after %d", ok, suspended, before)
+		t.Errorf("after Suspend: served %v, generation %d, before %d", ok, suspended, before)
 	}
 	n.Resume(0, "k")
 	if _, ok := n.Get(0, "k"); !ok || n.Generation() == suspended || n.Generation() == before {
-		t.Errorf("resumed: served %v, generation %d after %d", ok, n.Generation(), suspended)
+		t.Errorf("after Resume: served %v, generation %d, while suspended %d", ok, n.Generation(), suspended)
 	}
 	n.ResignRoot()
 	if n.Generation() == suspended {
-		t.Error("a root that has resigned has the same generation")
+		t.Error("ResignRoot did not change the generation")
 	}
 }
 
-// randomNode is a node that a random sequence of steps drives: a parent "p" whose
-// records only count up, and the leader's writes while the node is the root itself.
+// randomNode is a node that is driven by a random sequence of steps. They include messages
+// from a parent "p", whose record versions only increase, and the leader's writes while
+// the node is the root itself.
 type randomNode struct {
 	*Node
 	now       time.Duration
 	versions  map[string]uint64 // of the stored records, by key
-	suspended map[string]int    // key -> calls of Suspend without their Resume
+	suspended map[string]int    // key -> calls of Suspend without a matching Resume
 	epoch     message.VolumeEpoch
-	sequence  uint64          // of the parent's messages
-	lists     map[uint64]bool // request IDs of lease lists that are not answered
+	sequence  uint64          // of the parent's latest message
+	lists     map[uint64]bool // request IDs of unanswered lease lists
 }
 
 var randomKeys = []string{"a", "b"}
@@ -61,11 +62,12 @@
 	for _, key := range randomKeys {
 		r.Pin(r.now, key)
 	}
-	r.take(r.SetParent(r.now, message.Replica{Ident: "p", Addr: "p"}))
+	r.trackLeaseLists(r.SetParent(r.now, message.Replica{Ident: "p", Addr: "p"}))
 	return r
 }
 
-func (r *randomNode) take(out Out) {
+// trackLeaseLists records the lease lists that a step sends.
+func (r *randomNode) trackLeaseLists(out Out) {
 	for _, s := range out.Sends {
 		if s.Message.Kind == message.KindLeaseList {
 			r.lists[s.Message.RequestID] = true
@@ -73,52 +75,52 @@
 	}
 }
 
-// hear brings a message of the parent's.
-func (r *randomNode) hear(m message.Message) {
+// receiveFromParent delivers a message from the parent.
+func (r *randomNode) receiveFromParent(m message.Message) {
 	r.sequence++
 	m.From, m.Addr = "p", "p"
 	header := message.GrantHeader{Sequence: r.sequence, ChildEpoch: 1, VolumeEpoch: r.epoch}
-	r.take(r.Step(r.now, m.WithGrantHeader(header)))
+	r.trackLeaseLists(r.Step(r.now, m.WithGrantHeader(header)))
 }
 
-// served is what Get says of one key.
-type served struct {
+// readResult is the result of Get for one key.
+type readResult struct {
 	version uint64
 	isValid bool
 }
 
-func (r *randomNode) read() (all [2]served) {
+func (r *randomNode) read() (all [2]readResult) {
 	for i, key := range randomKeys {
 		record, ok := r.Get(r.now, key)
-		all[i] = served{record.Version.Seq, ok}
+		all[i] = readResult{record.Version.Seq, ok}
 	}
 	return all
 }
 
-// randomSteps are what may happen to a node; each is drawn as often as the others.
+// randomSteps returns the possible steps, which are drawn with equal probability.
 func (r *randomNode) randomSteps(t *rapid.T, key string) []func() {
 	return []func(){
 		func() {
-			passes := []time.Duration{1, time.Millisecond, 300 * time.Millisecond, time.Second}
-			r.now += rapid.SampledFrom(passes).Draw(t, "passes")
-			r.take(r.Tick(r.now))
+			durations := []time.Duration{1, time.Millisecond, 300 * time.Millisecond, time.Second}
+			r.now += rapid.SampledFrom(durations).Draw(t, "passes")
+			r.trackLeaseLists(r.Tick(r.now))
 		},
-		func() { r.hear(message.ReconnectRequest{}.Message(0)) },
+		func() { r.receiveFromParent(message.ReconnectRequest{}.Message(0)) },
 		r.answerLeaseList,
 		func() { r.grant(key) },
-		func() { r.hear(message.Invalidation{Key: key, Number: 3}.Message(0)) },
+		func() { r.receiveFromParent(message.Invalidation{Key: key, Number: 3}.Message(0)) },
 		r.becomeRoot,
 		func() {
 			if r.IsRoot() {
 				r.suspended[key]++
-				r.take(r.Suspend(r.now, key, 1))
+				r.trackLeaseLists(r.Suspend(r.now, key, 1))
 			}
 		},
 		func() {
-			if r.suspended[key] > 0 { // a write is complete: what is suspended may change
+			if r.suspended[key] > 0 { // a write completes: only suspended records may change
 				r.versions[key]++
 				r.suspended[key]--
-				r.take(r.Resume(r.now, key))
+				r.trackLeaseLists(r.Resume(r.now, key))
 			}
 		},
 		func() {
@@ -129,30 +131,30 @@
 		},
 		func() {
 			r.epoch.Epoch++
-			r.hear(message.ReconnectRequest{}.Message(0))
+			r.receiveFromParent(message.ReconnectRequest{}.Message(0))
 		},
 	}
 }
 
-// answerLeaseList confirms nothing of one of the lists that are not answered.
+// answerLeaseList answers one of the unanswered lease lists without confirming a record.
 func (r *randomNode) answerLeaseList() {
 	for request := range r.lists {
 		delete(r.lists, request)
-		r.hear(message.Reconciliation{
+		r.receiveFromParent(message.Reconciliation{
 			ResponseTo: request, VolumeLease: cfg.VolumeLease, ObjectLease: cfg.ObjectLease,
 		}.Message(0))
 		return
 	}
 }
 
-// grant brings a later version of a record.
+// grant delivers a grant of a newer version of a record.
 func (r *randomNode) grant(key string) {
 	if r.IsRoot() {
-		return // there a record changes only while it is suspended
+		return // at the root, a record changes only while it is suspended
 	}
 	r.versions[key]++
 	record := message.Record{Key: key, Version: message.Version{Term: 1, Seq: r.versions[key]}}
-	r.hear(message.LeaseGrant{Records: []message.Record{record}, ObjectLease: cfg.ObjectLease}.Message(0))
+	r.receiveFromParent(message.LeaseGrant{Records: []message.Record{record}, ObjectLease: cfg.ObjectLease}.Message(0))
 }
 
 func (r *randomNode) becomeRoot() {
@@ -166,8 +168,8 @@
 	r.BecomeRoot(2, records, func() time.Duration { return 10 * time.Second })
 }
 
-// As long as Generation is the same and ValidUntil has not passed, what was read stands;
-// whatever a node goes through.
+// While Generation is unchanged and ValidUntil has not passed, reads return the same
+// results, whatever steps a node goes through.
 func TestReadsStayValidWhileGenerationIsUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := newRandomNode()
@@ -176,7 +178,7 @@
 			steps := r.randomSteps(t, rapid.SampledFrom(randomKeys).Draw(t, "key"))
 			steps[rapid.IntRange(0, len(steps)-1).Draw(t, "step")]()
 			if got := r.read(); r.Generation() == generation && r.now < until && got != before {
-				t.Fatalf("read %v, then %v, generation %d all the while", before, got, generation)
+				t.Fatalf("read %v, then %v, both at generation %d", before, got, generation)
 			}
 			generation, until, before = r.Generation(), r.ValidUntil(), r.read()
 		}
--- a/control/lease/invalidation.go
+++ b/control/lease/invalidation.go
@@ -6,37 +6,37 @@
 	"mulleinmast/wire/message"
 )
 
-// invalidations are the records that are being withdrawn from the children.
+// invalidations tracks the records that are being withdrawn from the children.
 type invalidations struct {
-	last  uint64                   // numbers them
-	byKey map[string]*invalidation // under way
+	lastNumber uint64                   // number of the latest invalidation
+	byKey      map[string]*invalidation // in progress
 }
 
-// invalidation withdraws one record from all children. It is complete when each has
-// acknowledged it or its leases have lapsed.
+// invalidation is the withdrawal of one record from all children. It is complete when
+// each child has acknowledged it or the child's volume lease has expired.
 type invalidation struct {
 	key            string
 	since          time.Duration
-	number         uint64                   // an acknowledgement of an earlier one of the same key doesn't count
-	unacknowledged map[string]time.Duration // child -> when the invalidation was last sent to it
+	number         uint64                   // acknowledgements of earlier invalidations, with other numbers, are ignored
+	unacknowledged map[string]time.Duration // child -> when it was last sent
 
-	// Who is notified when it is complete:
-	granters []waitingGranter // parents that asked for it
-	tags     []uint64         // writers at the root, see Suspend
+	// Notified when the invalidation is complete:
+	granters []waitingGranter // parents that requested it
+	tags     []uint64         // tags of writers at the root, see Suspend
 }
 
-// waitingGranter is a parent that waits for the acknowledgement of its invalidation.
+// waitingGranter is a parent that is waiting for the acknowledgement of its invalidation.
 type waitingGranter struct {
 	replica     message.Replica
-	number      uint64              // that the parent gave it
+	number      uint64              // assigned by the parent
 	volumeEpoch message.VolumeEpoch // of the parent
 }
 
-// underWay tells whether a record is being withdrawn.
-func (i *invalidations) underWay(key string) bool { return i.byKey[key] != nil }
+// isInProgress reports whether a record is being withdrawn.
+func (i *invalidations) isInProgress(key string) bool { return i.byKey[key] != nil }
 
-// isOwedBy tells whether a child has an acknowledgement outstanding.
-func (i *invalidations) isOwedBy(child string) bool {
+// isAwaitingAck reports whether any invalidation is still unacknowledged by a child.
+func (i *invalidations) isAwaitingAck(child string) bool {
 	for _, inv := range i.byKey {
 		if _, ok := inv.unacknowledged[child]; ok {
 			return true
@@ -45,9 +45,9 @@
 	return false
 }
 
-// owedFor is for how long a child has had an acknowledgement outstanding; 0: it has
-// none.
-func (i *invalidations) owedFor(child string, now time.Duration) (longest time.Duration) {
+// awaitingAckFor returns the age of the oldest invalidation that a child has not
+// acknowledged; 0 if there is none.
+func (i *invalidations) awaitingAckFor(child string, now time.Duration) (longest time.Duration) {
 	for _, inv := range i.byKey {
 		if _, ok := inv.unacknowledged[child]; ok {
 			longest = max(longest, now-inv.since)
@@ -56,22 +56,22 @@
 	return longest
 }
 
-// start makes an invalidation of a record that none is under way for.
+// start adds an invalidation of a record; none may be in progress for the key.
 func (i *invalidations) start(now time.Duration, key string) *invalidation {
-	i.last++
-	inv := &invalidation{key: key, since: now, number: i.last, unacknowledged: map[string]time.Duration{}}
+	i.lastNumber++
+	inv := &invalidation{key: key, since: now, number: i.lastNumber, unacknowledged: map[string]time.Duration{}}
 	i.byKey[key] = inv
 	return inv
 }
 
-// Suspend stops serving a record at the root and withdraws it from the tree;
-// Out.Invalidated carries the tag when no valid lease on it is left below.
+// Suspend stops serving a record at the root and withdraws it from the tree. Once no
+// valid lease on the record remains below the root, Out.Invalidated contains the tag.
 //
 // Example: out := n.Suspend(now, "plan/now", 17)
 func (n *Node) Suspend(now time.Duration, key string, tag uint64) (out Out) {
 	n.root.suspended[key]++
 	if n.root.active && n.root.suspended[key] == 1 {
-		n.extendChain(n.root.record(key)) // nobody may have asked for it since it was written
+		n.extendChain(n.root.record(key)) // its patch may be missing if no child has requested it since it was written
 		n.patches.keepBase(now, n.root.record(key))
 	}
 	n.generation++
@@ -83,7 +83,7 @@
 	return out
 }
 
-// Resume serves a suspended record again, in its new version.
+// Resume ends a suspension, so that the root serves the record again in its new version.
 //
 // Example: out := n.Resume(now, "plan/now")
 func (n *Node) Resume(now time.Duration, key string) (out Out) {
@@ -91,13 +91,13 @@
 	n.root.suspended[key]--
 	if n.root.suspended[key] <= 0 {
 		delete(n.root.suspended, key)
-		n.serveWaiting(now, key, &out)
+		n.serveWaiters(now, key, &out)
 	}
 	return out
 }
 
-// ResumeAll serves suspended records again; a child that waits for several of them gets them
-// in one message.
+// ResumeAll resumes several suspended records. A child that waits for more than one of
+// them receives them in one message.
 //
 // Example: out := n.ResumeAll(now, []string{"server/a", "server/b"})
 func (n *Node) ResumeAll(now time.Duration, keys []string) (out Out) {
@@ -105,18 +105,18 @@
 		resumed := n.Resume(now, key)
 		out.Sends = append(out.Sends, resumed.Sends...)
 	}
-	out.Sends = joinGrants(out.Sends)
+	out.Sends = mergeGrants(out.Sends)
 	return out
 }
 
-// invalidate drops a record here and below, with nobody to notify.
+// invalidate drops a record here and below, without notifying a parent or writer.
 func (n *Node) invalidate(now time.Duration, key string, out *Out) {
 	n.completeIfAcknowledged(now, n.withdraw(now, key, out), out)
 }
 
-// withdraw drops a record here and has the children drop it, unless that is under
-// way already. Children with a valid volume lease are waited for; lapsed ones go on
-// the unreachable list.
+// withdraw drops a record here and invalidates it at the children, unless an
+// invalidation is already in progress. Children with a valid volume lease must
+// acknowledge it; those whose lease has expired are put on the unreachable list.
 func (n *Node) withdraw(now time.Duration, key string, out *Out) *invalidation {
 	if cached, ok := n.records.cached[key]; ok {
 		n.extendChain(cached.record)
@@ -135,7 +135,7 @@
 	return inv
 }
 
-// withdrawFrom has one child drop a record, if it may hold a lease on it.
+// withdrawFrom invalidates a record at one child, if the child may hold a lease on it.
 func (n *Node) withdrawFrom(now time.Duration, c *child, inv *invalidation, out *Out) {
 	expiry, ok := c.objectExpiry[inv.key]
 	delete(c.objectExpiry, inv.key)
@@ -153,8 +153,8 @@
 	n.sendToChild(c, message.Invalidation{Key: inv.key, Number: inv.number}.Message(n.partition), out)
 }
 
-// resendInvalidationsTo sends a child that renews what it has not acknowledged, unless
-// that was just sent: its acknowledgement may be under way.
+// resendInvalidationsTo resends the invalidations that a renewing child has not
+// acknowledged, except recent ones, whose acknowledgement may still be in flight.
 func (n *Node) resendInvalidationsTo(now time.Duration, c *child, out *Out) {
 	for _, key := range sortedKeys(n.invalidations.byKey) {
 		inv := n.invalidations.byKey[key]
@@ -164,12 +164,12 @@
 	}
 }
 
-// resendInvalidations sends again what is not acknowledged, and waits no longer for
-// children whose lease has lapsed.
+// resendInvalidations resends unacknowledged invalidations, and stops waiting for children
+// whose volume lease has expired.
 func (n *Node) resendInvalidations(now time.Duration, out *Out) {
 	for _, key := range sortedKeys(n.invalidations.byKey) {
 		inv := n.invalidations.byKey[key]
-		if inv == nil { // completed with another one
+		if inv == nil { // completed along with another invalidation
 			continue
 		}
 		for _, id := range sortedKeys(inv.unacknowledged) {
@@ -188,8 +188,8 @@
 	}
 }
 
-// handleInvalidated notes a child's acknowledgement.
-func (n *Node) handleInvalidated(now time.Duration, sender message.Sender, m message.InvalidationAck, out *Out) {
+// handleInvalidationAck records a child's acknowledgement.
+func (n *Node) handleInvalidationAck(now time.Duration, sender message.Sender, m message.InvalidationAck, out *Out) {
 	inv := n.invalidations.byKey[m.Key]
 	if inv == nil || inv.number != m.Number {
 		return
@@ -201,8 +201,9 @@
 	}
 }
 
-// completeIfAcknowledged ends an invalidation that waits for no child any more: it
-// notifies those that asked for it, fetches the record anew and serves it.
+// completeIfAcknowledged completes an invalidation that no longer waits for any child: it
+// notifies those who requested it, fetches the record again if it is pinned, and serves
+// waiting children.
 func (n *Node) completeIfAcknowledged(now time.Duration, inv *invalidation, out *Out) {
 	if len(inv.unacknowledged) > 0 {
 		return
@@ -218,10 +219,10 @@
 			n.renewSoon(now, out)
 		}
 	}
-	n.serveWaiting(now, inv.key, out)
+	n.serveWaiters(now, inv.key, out)
 }
 
-// acknowledge tells a parent that its invalidation is complete here and below.
+// acknowledge notifies a parent that its invalidation is complete here and below.
 func (n *Node) acknowledge(key string, granter waitingGranter, out *Out) {
 	m := message.InvalidationAck{
 		Key: key, Number: granter.number, VolumeEpoch: granter.volumeEpoch,
--- a/control/lease/invariants.go
+++ b/control/lease/invariants.go
@@ -2,7 +2,7 @@
 
 import "mulleinmast/control/invariant"
 
-// withinOwn must hold at every grant: whoever waits out one child has then waited
-// out all below it.
-var withinOwn = invariant.New("lease_outlasts_granter",
-	"no volume lease is granted for longer than the granter's own lasts")
+// grantWithinOwnLease must hold at every grant. It ensures that a node which waits for a
+// child's volume lease to expire has also waited for the leases of all its descendants.
+var grantWithinOwnLease = invariant.New("lease_outlasts_granter",
+	"no volume lease is granted for longer than the granter's own")
--- a/control/lease/lastknown_test.go
+++ b/control/lease/lastknown_test.go
@@ -7,42 +7,43 @@
 	"mulleinmast/wire/message"
 )
 
-// leaf is a node below a parent that answers at once while it can be reached.
+// leaf is a node with a simulated parent that answers immediately while it is reachable.
 type leaf struct {
 	*Node
-	now         time.Duration
-	sequence    uint64 // of the parent's messages
-	isCutOff    bool   // the parent neither hears nor answers
-	objectLease time.Duration
-	stored      map[string]message.Record // at the parent
-	renewedAt   time.Duration             // when a renewal last went out
+	now           time.Duration
+	sequence      uint64 // of the parent's latest message
+	isCutOff      bool   // messages to the parent are lost
+	objectLease   time.Duration
+	parentRecords map[string]message.Record // at the parent
+	renewedAt     time.Duration             // when the last renewal was sent
 }
 
 func newLeaf(keys ...string) *leaf {
 	l := &leaf{
 		Node: New(cfg, 0, message.Replica{Ident: "c", Addr: "c"}, 1), now: time.Second,
-		objectLease: cfg.ObjectLease, stored: map[string]message.Record{},
+		objectLease: cfg.ObjectLease, parentRecords: map[string]message.Record{},
 	}
 	for _, k := range keys {
-		l.stored[k] = message.Record{Key: k, Version: message.Version{Term: 1, Seq: 1}}
-		l.carry(l.Pin(l.now, k))
+		l.parentRecords[k] = message.Record{Key: k, Version: message.Version{Term: 1, Seq: 1}}
+		l.deliver(l.Pin(l.now, k))
 	}
-	l.carry(l.SetParent(l.now, message.Replica{Ident: "p", Addr: "p"}))
-	l.run(2 * time.Second)
+	l.deliver(l.SetParent(l.now, message.Replica{Ident: "p", Addr: "p"}))
+	l.runUntil(2 * time.Second)
 	return l
 }
 
-// hear brings a message of the parent's.
-func (l *leaf) hear(m message.Message) {
+// receiveFromParent delivers a message from the parent.
+func (l *leaf) receiveFromParent(m message.Message) {
 	l.sequence++
 	m.From, m.Addr = "p", "p"
 	m = m.WithGrantHeader(message.GrantHeader{
 		Sequence: l.sequence, ChildEpoch: 1, VolumeEpoch: message.VolumeEpoch{Ident: "p", Epoch: 1},
 	})
-	l.carry(l.Step(l.now, m))
+	l.deliver(l.Step(l.now, m))
 }
 
-func (l *leaf) carry(out Out) {
+// deliver passes the messages of a step to the simulated parent, and its answers back.
+func (l *leaf) deliver(out Out) {
 	for _, s := range out.Sends {
 		m := s.Message
 		if m.Kind == message.KindRenewLease {
@@ -51,35 +52,35 @@
 		switch {
 		case l.isCutOff:
 		case m.Kind == message.KindRenewLease && m.VolumeEpoch == (message.VolumeEpoch{}):
-			l.hear(message.ReconnectRequest{ResponseTo: m.RequestID}.Message(0))
+			l.receiveFromParent(message.ReconnectRequest{ResponseTo: m.RequestID}.Message(0))
 		case m.Kind == message.KindRenewLease:
 			grant := message.LeaseGrant{
 				ResponseTo: m.RequestID, VolumeLease: cfg.VolumeLease, ObjectLease: l.objectLease,
 			}
 			for _, k := range m.Keys {
-				if r, ok := l.stored[k]; ok {
+				if r, ok := l.parentRecords[k]; ok {
 					grant.Records = append(grant.Records, r)
 				}
 			}
-			l.hear(grant.Message(0))
+			l.receiveFromParent(grant.Message(0))
 		case m.Kind == message.KindLeaseList:
 			answer := message.Reconciliation{
 				ResponseTo: m.RequestID, VolumeLease: cfg.VolumeLease, ObjectLease: l.objectLease,
 			}
 			for _, r := range m.Records {
-				if l.stored[r.Key].Version == r.Version {
+				if l.parentRecords[r.Key].Version == r.Version {
 					answer.Records = append(answer.Records, r)
 				}
 			}
-			l.hear(answer.Message(0))
+			l.receiveFromParent(answer.Message(0))
 		}
 	}
 }
 
-// run lets time pass as a daemon's ticker does.
-func (l *leaf) run(until time.Duration) {
+// runUntil advances the time with regular ticks, as a daemon does.
+func (l *leaf) runUntil(until time.Duration) {
 	for ; l.now < until; l.now += 25 * time.Millisecond {
-		l.carry(l.Tick(l.now))
+		l.deliver(l.Tick(l.now))
 	}
 }
 
@@ -88,91 +89,93 @@
 	return ok
 }
 
-// A cached record is served beyond its leases once renewals were unanswered for half a
-// renew interval, and not before: a node that runs goes on without a gap, one that was
-// frozen asks first. Nothing of it while the leases stand.
-func TestLastKnownOnlyAfterAnUnansweredRenewal(t *testing.T) {
+// LastKnown serves a record only after its leases have expired and renewals have been
+// unanswered for half a renew interval. A node that keeps running has no gap between
+// leased and last known records, while a node that was frozen must renew first.
+func TestLastKnownRequiresUnansweredRenewal(t *testing.T) {
 	l := newLeaf("k")
 	l.isCutOff = true
-	for till := l.VolumeExpiry(); l.now < till; l.run(l.now + 1) {
+	for expiry := l.VolumeExpiry(); l.now < expiry; l.runUntil(l.now + 1) {
 		if l.servesLastKnown("k") {
-			t.Fatalf("at %v, and the lease stands until %v", l.now, till)
+			t.Fatalf("last known record served at %v, but the lease is valid until %v", l.now, expiry)
 		}
 	}
 	if _, ok := l.Get(l.now, "k"); ok {
-		t.Fatal("served without a lease")
+		t.Fatal("Get serves the record without a lease")
 	}
-	if r, at, ok := l.LastKnown(l.now, "k"); !ok || at != l.VolumeExpiry() || r.Version != l.stored["k"].Version {
-		t.Errorf("renewals were unanswered since %v, it is %v: %v %v %v", l.renewedAt, l.now, r.Version, at, ok)
+	if r, at, ok := l.LastKnown(l.now, "k"); !ok || at != l.VolumeExpiry() || r.Version != l.parentRecords["k"].Version {
+		t.Errorf("renewals unanswered since %v, now %v: got version %v, expired at %v, ok %v",
+			l.renewedAt, l.now, r.Version, at, ok)
 	}
-	l.run(l.now + time.Minute/2)
+	l.runUntil(l.now + time.Minute/2)
 	if !l.servesLastKnown("k") {
-		t.Error("for how long is its user's to bound")
+		t.Error("LastKnown stopped serving the record after 30 s; only its caller may bound the duration")
 	}
 
-	// Frozen until 8 s, with a renewal under way for long, or none.
+	// Frozen until 8 s, with or without an unanswered renewal.
 	for _, renewing := range []bool{true, false} {
 		for _, answered := range []bool{true, false} {
 			l := newLeaf("k")
 			if l.isCutOff = renewing; renewing {
-				l.run(l.now + cfg.RenewInterval + cfg.RenewInterval/2)
+				l.runUntil(l.now + cfg.RenewInterval + cfg.RenewInterval/2)
 			}
 			l.now, l.isCutOff = 8*time.Second, !answered
 			if l.servesLastKnown("k") {
-				t.Error("frozen: served before the first step")
+				t.Error("after a freeze: served before the first tick")
 			}
-			for wokeAt := l.now; l.now < wokeAt+cfg.RenewInterval/2; l.run(l.now + 1) {
+			for wokeAt := l.now; l.now < wokeAt+cfg.RenewInterval/2; l.runUntil(l.now + 1) {
 				if l.servesLastKnown("k") {
-					t.Fatalf("frozen: served %v after it woke, asked at %v", l.now-wokeAt, l.renewedAt)
+					t.Fatalf("after a freeze: served %v after waking up, last renewal at %v", l.now-wokeAt, l.renewedAt)
 				}
 			}
-			l.run(l.now + 1)
+			l.runUntil(l.now + 1)
 			if _, ok := l.Get(l.now, "k"); ok != answered || l.servesLastKnown("k") == answered || l.renewedAt < 8*time.Second {
-				t.Errorf("frozen, answered %v: leased %v, last %v, asked at %v", answered, ok, l.servesLastKnown("k"), l.renewedAt)
+				t.Errorf("after a freeze, answered %v: Get %v, LastKnown %v, renewed at %v",
+					answered, ok, l.servesLastKnown("k"), l.renewedAt)
 			}
 		}
 	}
 }
 
-// A record that was withdrawn is never served again, in whichever way that was.
-func TestLastKnownNeverServesAWithdrawnRecord(t *testing.T) {
+// LastKnown never serves a record that was withdrawn, however it was withdrawn.
+func TestLastKnownNeverServesWithdrawnRecord(t *testing.T) {
 	for name, withdraw := range map[string]func(*leaf){
-		"invalidated under leases": func(l *leaf) {
+		"invalidated under valid leases": func(l *leaf) {
 			l.isCutOff = true
-			l.hear(message.Invalidation{Key: "k", Number: 3}.Message(0))
+			l.receiveFromParent(message.Invalidation{Key: "k", Number: 3}.Message(0))
 		},
-		"invalidated when they lapsed": func(l *leaf) {
+		"invalidated after the leases expired": func(l *leaf) {
 			l.isCutOff = true
-			l.run(l.now + 2*cfg.VolumeLease)
-			l.hear(message.Invalidation{Key: "k", Number: 3}.Message(0))
+			l.runUntil(l.now + 2*cfg.VolumeLease)
+			l.receiveFromParent(message.Invalidation{Key: "k", Number: 3}.Message(0))
 		},
-		"not confirmed by a list": func(l *leaf) {
-			l.stored = nil
-			l.hear(message.ReconnectRequest{}.Message(0))
+		"not confirmed in a reconnect": func(l *leaf) {
+			l.parentRecords = nil
+			l.receiveFromParent(message.ReconnectRequest{}.Message(0))
 			l.isCutOff = true
 		},
-		"being invalidated below": func(l *leaf) {
+		"invalidation still in progress below": func(l *leaf) {
 			addSilentChild(l, "k")
 			l.isCutOff = true
-			l.hear(message.Invalidation{Key: "k", Number: 3}.Message(0))
+			l.receiveFromParent(message.Invalidation{Key: "k", Number: 3}.Message(0))
 		},
-		"its own lease had lapsed": func(l *leaf) {
+		"object lease expired first": func(l *leaf) {
 			l.isCutOff = true
-			l.records.cached["k"] = cachedRecord{record: l.stored["k"], expiry: l.VolumeExpiry() - 1}
+			l.records.cached["k"] = cachedRecord{record: l.parentRecords["k"], expiry: l.VolumeExpiry() - 1}
 		},
 	} {
 		l := newLeaf("k", "other")
 		withdraw(l)
-		for end := l.now + 3*cfg.VolumeLease; l.now < end; l.run(l.now + 1) {
+		for end := l.now + 3*cfg.VolumeLease; l.now < end; l.runUntil(l.now + 1) {
 			if l.servesLastKnown("k") {
-				t.Errorf("%s: served at %v, lapsed at %v", name, l.now, l.VolumeExpiry())
+				t.Errorf("%s: served at %v, leases expired at %v", name, l.now, l.VolumeExpiry())
 				break
 			}
 		}
 	}
 }
 
-// addSilentChild puts a child below a leaf that holds the record and answers no more.
+// addSilentChild adds a child to a leaf that holds the record and no longer answers.
 func addSilentChild(l *leaf, key string) {
 	fromChild := func(m message.Message) []message.Envelope {
 		m.From, m.Epoch, m.Addr = "d", 1, "d"
@@ -186,8 +189,9 @@
 	fromChild(renewal.Message(0))
 }
 
-// The root serves by its leadership alone. When that has ended it knows what it last
-// read, though not what was being written, nor what a later leader brought it.
+// A root serves records only under its leader lease. After it resigns, LastKnown serves the
+// records that it last served, but not those that were being written or that a later
+// leader has already written.
 func TestLastKnownRecordsOfAFormerLeader(t *testing.T) {
 	store := map[string]message.Record{}
 	for _, k := range []string{"k", "held", "later"} {
@@ -195,39 +199,40 @@
 	}
 	l := newLeaf("k", "held", "later")
 	l.isCutOff = true
-	lease := l.now + time.Second
-	l.BecomeRoot(4, func(k string) message.Record { return store[k] }, func() time.Duration { return lease })
+	leaseEnd := l.now + time.Second
+	l.BecomeRoot(4, func(k string) message.Record { return store[k] }, func() time.Duration { return leaseEnd })
 	l.Suspend(l.now, "held", 1)
-	for range 3 { // its lease ends, and nobody has told it yet
-		l.run(l.now + time.Second)
+	for range 3 { // the lease expires before the root has resigned
+		l.runUntil(l.now + time.Second)
 		for k := range store {
 			if l.servesLastKnown(k) {
-				t.Errorf("the root serves the last %s at %v, its lease ends at %v", k, l.now, lease)
+				t.Errorf("LastKnown serves %s at the root at %v, leader lease ends at %v", k, l.now, leaseEnd)
 			}
 		}
 	}
 	store["later"] = message.Record{Key: "later", Version: message.Version{Term: 5, Seq: 1}, Value: []byte("new")}
 	l.ResignRoot()
 	if l.servesLastKnown("k") {
-		t.Error("it asked nobody yet")
+		t.Error("LastKnown serves a record before a renewal was attempted")
 	}
-	l.run(l.now + cfg.RenewInterval)
-	if r, at, ok := l.LastKnown(l.now, "k"); !ok || string(r.Value) != "old" || at != lease {
-		t.Errorf("a former leader: %q, lapsed at %v, %v", r.Value, at, ok)
+	l.runUntil(l.now + cfg.RenewInterval)
+	if r, at, ok := l.LastKnown(l.now, "k"); !ok || string(r.Value) != "old" || at != leaseEnd {
+		t.Errorf("after ResignRoot: value %q, expired at %v, ok %v", r.Value, at, ok)
 	}
 	for _, k := range []string{"held", "later"} {
 		if l.servesLastKnown(k) {
-			t.Errorf("a former leader serves %q", k)
+			t.Errorf("LastKnown serves %q after ResignRoot", k)
 		}
 	}
-	// What the next leader doesn't confirm is gone, what it grants is the last then.
-	l.stored = map[string]message.Record{"k": {Key: "k", Version: message.Version{Term: 5, Seq: 9}}}
+	// Records that the next leader does not confirm are dropped; those that it grants become
+	// the last known ones.
+	l.parentRecords = map[string]message.Record{"k": {Key: "k", Version: message.Version{Term: 5, Seq: 9}}}
 	l.isCutOff = false
-	l.carry(l.SetParent(l.now, message.Replica{Ident: "p", Addr: "p"}))
-	l.run(l.now + cfg.RenewInterval)
+	l.deliver(l.SetParent(l.now, message.Replica{Ident: "p", Addr: "p"}))
+	l.runUntil(l.now + cfg.RenewInterval)
 	l.isCutOff = true
-	l.run(l.now + 3*cfg.VolumeLease)
-	if r, at, ok := l.LastKnown(l.now, "k"); !ok || r.Version.Seq != 9 || at <= lease {
-		t.Errorf("after the next leader: %v, lapsed at %v, %v", r.Version, at, ok)
+	l.runUntil(l.now + 3*cfg.VolumeLease)
+	if r, at, ok := l.LastKnown(l.now, "k"); !ok || r.Version.Seq != 9 || at <= leaseEnd {
+		t.Errorf("after the next leader: version %v, expired at %v, ok %v", r.Version, at, ok)
 	}
 }
--- a/control/lease/lease.go
+++ b/control/lease/lease.go
@@ -1,30 +1,31 @@
-// Package lease is one daemon's place in a partition's tree of volume leases
-// (Yin, Alvisi, Dahlin, Lin: Hierarchical Cache Consistency in a WAN, 1999).
-// A Node is a child of its parent and a parent to its children at once; at
-// the root it stands on the leader lease instead of a parent's.
-//
-// A record is served only under its object lease and the volume lease. A
-// holder counts a lease from when it sent the request; a granter from when it
-// sent the grant, stretched by drift and margin. No node grants a volume lease
-// that outlasts its own.
-//
-// What parents and children send each other:
-//
-//   - A child renews (LeaseRenewal), also to ask for records; the parent grants
-//     (LeaseGrant), now or when it has them.
-//   - A child that the parent doesn't know, that is on the unreachable list, or that has
-//     another volume epoch must reconnect (ReconnectRequest): it lists what it holds
-//     (LeaseList), the parent confirms what is up to date (Reconciliation), and the child
-//     says that it has dropped the rest (ReconnectDone).
-//   - A parent that withdraws a record sends an Invalidation; the child answers
-//     (InvalidationAck) once all below it have, or have lapsed.
-//   - A parent without a lease of its own keeps a renewal until it has one, and denies
-//     (LeaseDenial) after a volume lease, or at once if none can come; one that knows of
-//     a better parent names it (Redirect).
+// Package lease implements one daemon's node in a partition's tree of volume leases
+// (Yin, Alvisi, Dahlin, Lin: Hierarchical Cache Consistency in a WAN, 1999). A Node is
+// both a child of its parent and a parent of its children. The root has no parent and
+// relies on the leader lease instead.
+//
+// A record is served only while both its object lease and the volume lease are valid. A
+// holder measures a lease from the time it sent the request. A granter measures it from
+// the time it sent the grant, and adds clock drift and a margin. No node grants a volume
+// lease that outlasts its own.
+//
+// The protocol between parents and children:
+//
+//   - A child renews its lease and requests records with a LeaseRenewal. The parent
+//     answers with a LeaseGrant, and sends records that it does not have yet later.
+//   - A child must reconnect (ReconnectRequest) if the parent does not know it, if it is
+//     on the unreachable list, or if its volume epoch differs. It lists the records that
+//     it holds (LeaseList), the parent confirms those that are current (Reconciliation),
+//     and the child acknowledges that it dropped the others (ReconnectDone).
+//   - A parent withdraws a record with an Invalidation. The child responds with an
+//     InvalidationAck once all of its own children have acknowledged or their leases have
+//     expired.
+//   - A parent that has no valid lease itself holds renewals until it has one. It sends a
+//     LeaseDenial after the length of a volume lease, or at once if it cannot get a lease.
+//   - A parent that knows a better parent for a child sends a Redirect.
 //
 // Step and Tick are in step.go, the child's side in upstream.go and records.go, the
-// parent's in downstream.go and invalidation.go, patches in patches.go, joins and splits
-// in reshape.go.
+// parent's side in downstream.go and invalidation.go, patches in patches.go, and joins and
+// splits in reshape.go.
 package lease
 
 import (
@@ -35,26 +36,26 @@
 	"mulleinmast/wire/message"
 )
 
-// RecordSource reads the root's committed records.
+// RecordSource returns the root's committed record for a key.
 type RecordSource func(key string) message.Record
 
-// Out is what a step asks for.
+// Out holds the actions that the daemon must take after a step, and what changed.
 type Out struct {
 	Sends       []message.Envelope
-	Readable    []string        // keys of records that became servable
+	Readable    []string        // keys of records that can now be served
 	Withdrawn   []string        // keys of records that are no longer served
-	Invalidated []uint64        // tags given to Suspend whose invalidation is complete
-	Orphaned    bool            // the parent denies the lease or is silent: find another
-	Redirect    message.Replica // a better parent; zero: none is named
+	Invalidated []uint64        // tags passed to Suspend whose invalidation is complete
+	Orphaned    bool            // the parent denied the lease or does not answer: choose another
+	Redirect    message.Replica // a better parent to connect to; zero if none
 }
 
-// Node is the state machine. It is not safe for concurrent use.
+// Node is the lease state machine. It is not safe for concurrent use.
 type Node struct {
 	cfg        Config
 	partition  int
 	self       message.Replica
 	epoch      uint64 // of this daemon's incarnation
-	generation uint64 // counts changes of what is served, see Generation
+	generation uint64 // number of changes to the served records, see Generation
 
 	root          rootRole
 	upstream      upstream
@@ -64,12 +65,12 @@
 	patches       patchCache
 	load          loadStats
 
-	// RelayOf names the static relay that a child would go through if it didn't come
-	// straight here; zero: none. The daemon sets it, from the member list.
+	// RelayOf returns the static relay that a child would use if it did not connect
+	// directly to this node; zero if none. The daemon sets it from the member list.
 	RelayOf func(ident string) message.Replica
 }
 
-// New makes a node without a parent.
+// New returns a node without a parent.
 //
 // Example: n := lease.New(cfg, 0, self, epoch)
 func New(cfg Config, partition int, self message.Replica, epoch uint64) *Node {
@@ -81,18 +82,18 @@
 	return n
 }
 
-// rootRole is what a node has while it is the root of the tree.
+// rootRole is the state of a node in its role as the root of the tree.
 type rootRole struct {
-	active    bool
-	term      uint64               // of the leadership; part of the volume epoch
-	record    RecordSource         // nil unless active
-	leaseEnd  func() time.Duration // of the leader lease; nil unless active
-	suspended map[string]int       // key -> calls of Suspend without their Resume
-	formerEnd time.Duration        // when the last leader lease of this node ended
+	active         bool
+	term           uint64               // of the leadership; part of the volume epoch
+	record         RecordSource         // nil unless active
+	leaseEnd       func() time.Duration // of the leader lease; nil unless active
+	suspended      map[string]int       // key -> calls of Suspend without a matching Resume
+	formerLeaseEnd time.Duration        // end of this node's previous leader lease
 }
 
-// BecomeRoot makes this node the root: records reads its records, leaseEnd is the
-// end of the leader lease. It forgets its children and what it held as a child.
+// BecomeRoot makes this node the root: records reads its records, leaseEnd returns the
+// end of the leader lease. The node drops its children and the state it had as a child.
 //
 // Example: n.BecomeRoot(replica.Term(), records, replica.LeaseEnd)
 func (n *Node) BecomeRoot(term uint64, records RecordSource, leaseEnd func() time.Duration) {
@@ -100,15 +101,15 @@
 	n.generation++
 	n.root = rootRole{
 		active: true, term: term, record: records, leaseEnd: leaseEnd,
-		suspended: map[string]int{}, formerEnd: n.root.formerEnd,
+		suspended: map[string]int{}, formerLeaseEnd: n.root.formerLeaseEnd,
 	}
 	n.records.cached = map[string]cachedRecord{}
 	n.records.checkNow = true
 	n.upstream.disconnect()
 }
 
-// ResignRoot ends the root's role; all that it granted lapses with its lease. What
-// it read from its own records is the last that it knows.
+// ResignRoot ends the root role. All leases that the node granted expire with its own
+// lease. The pinned records that it served as root become its last known records.
 //
 // Example: n.ResignRoot()
 func (n *Node) ResignRoot() {
@@ -117,49 +118,51 @@
 	if n.root.active {
 		n.keepRootRecords()
 	}
-	n.root = rootRole{suspended: map[string]int{}, formerEnd: n.root.formerEnd}
+	n.root = rootRole{suspended: map[string]int{}, formerLeaseEnd: n.root.formerLeaseEnd}
 	n.records.checkNow = true
 	n.upstream.unansweredSince = 0
 }
 
-// keepRootRecords keeps what a root that resigns served, as the last known. A later
-// leader may have brought its own records before this node knew of it.
+// keepRootRecords caches the records that a resigning root served as its last known ones.
+// It skips records of later terms: the next leader may have written records here before
+// this node noticed the change of leadership.
 func (n *Node) keepRootRecords() {
-	n.root.formerEnd = n.root.leaseEnd()
+	n.root.formerLeaseEnd = n.root.leaseEnd()
 	for key := range n.records.pinned {
 		record := n.root.record(key)
 		if n.root.suspended[key] == 0 && record.Version.Term <= n.root.term {
-			n.records.cached[key] = cachedRecord{record: record, expiry: n.root.formerEnd + n.cfg.ObjectLease}
+			n.records.cached[key] = cachedRecord{record: record, expiry: n.root.formerLeaseEnd + n.cfg.ObjectLease}
 		}
 	}
 }
 
-// forgetChildren drops all children with what was under way towards them.
+// forgetChildren drops all children, and the invalidations and waiting requests that
+// concern them.
 func (n *Node) forgetChildren() {
 	n.downstream.children = map[string]*child{}
-	n.downstream.waiting = map[string]map[string]message.Version{}
+	n.downstream.waiters = map[string]map[string]message.Version{}
 	n.invalidations.byKey = map[string]*invalidation{}
 	n.load = loadStats{renewCost: n.load.renewCost, skipped: map[message.Replica]*skippedRelay{}}
 }
 
-// IsRoot tells whether this node is the root.
+// IsRoot reports whether this node is the root.
 //
 // Example: if n.IsRoot() { ... }
 func (n *Node) IsRoot() bool { return n.root.active }
 
-// Parent is the replica this node renews at; zero: none.
+// Parent returns the replica at which this node renews its lease; zero if none.
 //
 // Example: p := n.Parent()
 func (n *Node) Parent() message.Replica { return n.upstream.parent }
 
-// VolumeEpoch is this node's volume epoch towards its children.
+// VolumeEpoch returns the volume epoch of the leases that this node grants.
 //
 // Example: current := m.VolumeEpoch == n.VolumeEpoch()
 func (n *Node) VolumeEpoch() message.VolumeEpoch {
 	return message.VolumeEpoch{Ident: n.self.Ident, Epoch: n.epoch, Term: n.root.term}
 }
 
-// VolumeExpiry is when this node's own volume lease ends.
+// VolumeExpiry returns when this node's own volume lease ends.
 //
 // Example: if now < n.VolumeExpiry() { serve() }
 func (n *Node) VolumeExpiry() time.Duration {
@@ -169,20 +172,20 @@
 	return n.upstream.volumeExpiry
 }
 
-// HasVolumeLease tells whether the volume lease is valid.
+// HasVolumeLease reports whether the volume lease is valid.
 //
 // Example: ready := n.HasVolumeLease(now)
 func (n *Node) HasVolumeLease(now time.Duration) bool { return now < n.VolumeExpiry() }
 
-// Generation counts the changes of what this node serves: what was read stands as
-// long as Generation is the same and ValidUntil has not passed. At the root a
-// suspended record is not served either, so Suspend and Resume count.
+// Generation returns the number of changes to the records that this node serves. A read
+// remains valid while Generation is unchanged and ValidUntil has not passed. Suspend and
+// Resume also count as changes, since the root does not serve a suspended record.
 //
 // Example: before := n.Generation(); read(); if n.Generation() != before { readAgain() }
 func (n *Node) Generation() uint64 { return n.generation }
 
-// ValidUntil is when the first lease lapses, the volume's or an object's, under
-// which this node serves what it holds.
+// ValidUntil returns the earliest expiry among the volume lease and the object leases of
+// the cached records.
 //
 // Example: if now < n.ValidUntil() { serveFromSnapshot() }
 func (n *Node) ValidUntil() time.Duration {
@@ -193,8 +196,8 @@
 	return until
 }
 
-// Get serves a record if both leases are valid. A deleted record with ok true is
-// known absence.
+// Get returns a record if both leases are valid. If ok is true and the record is marked
+// as deleted, the record is known not to exist.
 //
 // Example: record, ok := n.Get(now, "plan/now")
 func (n *Node) Get(now time.Duration, key string) (record message.Record, ok bool) {
@@ -214,7 +217,7 @@
 	return cached.record, true
 }
 
-// Pin keeps a record wanted: it is fetched now and again when withdrawn.
+// Pin keeps a record cached: it is fetched now, and again each time it is withdrawn.
 //
 // Example: out := n.Pin(now, "plan/now")
 func (n *Node) Pin(now time.Duration, key string) (out Out) {
@@ -229,15 +232,15 @@
 	return out
 }
 
-// Unpin ends what Pin began: the record is not fetched again once it is withdrawn.
+// Unpin reverses Pin: the record is no longer fetched again after it is withdrawn.
 //
 // Example: n.Unpin("server/of/yesterday")
 func (n *Node) Unpin(key string) {
 	delete(n.records.pinned, key)
-	if _, waitedFor := n.downstream.waiting[key]; !waitedFor {
+	if _, isAwaited := n.downstream.waiters[key]; !isAwaited {
 		delete(n.upstream.fetches, key)
 	}
 }
 
-// sortedKeys are the keys of a map, in an order that does not vary from run to run.
+// sortedKeys returns the keys of a map in sorted order, so that runs are deterministic.
 func sortedKeys[T any](m map[string]T) []string { return slices.Sorted(maps.Keys(m)) }
--- a/control/lease/lease_test.go
+++ b/control/lease/lease_test.go
@@ -13,16 +13,17 @@
 	Margin: 20 * time.Millisecond, RenewInterval: 266 * time.Millisecond,
 }
 
-// connecting is a child that wants one record, and the parent's side of its reconnect.
-type connecting struct {
+// reconnectingChild is a child that requests one record, with its simulated parent.
+type reconnectingChild struct {
 	child    *Node
 	epoch    message.VolumeEpoch // of the parent
-	sequence uint64              // of the parent's messages
+	sequence uint64              // of the parent's latest message
 }
 
-// newConnecting makes a child of an incarnation that wants the record "k".
-func newConnecting(incarnation uint64, now time.Duration) *connecting {
-	c := &connecting{
+// newReconnectingChild returns a child with the given incarnation that has pinned the
+// record "k".
+func newReconnectingChild(incarnation uint64, now time.Duration) *reconnectingChild {
+	c := &reconnectingChild{
 		child: New(cfg, 0, message.Replica{Ident: "c", Addr: "c"}, incarnation),
 		epoch: message.VolumeEpoch{Ident: "p", Epoch: 1},
 	}
@@ -31,78 +32,81 @@
 	return c
 }
 
-// hear brings the child a message of the parent's, meant for one of its incarnations.
-func (c *connecting) hear(now time.Duration, incarnation uint64, m message.Message) []message.Envelope {
+// receiveFromParent delivers a message from the parent that is addressed to one of the
+// child's incarnations, and returns what the child sends.
+func (c *reconnectingChild) receiveFromParent(
+	now time.Duration, incarnation uint64, m message.Message,
+) []message.Envelope {
 	c.sequence++
 	m.From, m.Addr = "p", "p"
 	header := message.GrantHeader{Sequence: c.sequence, ChildEpoch: incarnation, VolumeEpoch: c.epoch}
 	return c.child.Step(now, m.WithGrantHeader(header)).Sends
 }
 
-// reconcile answers a lease list without confirming a record.
-func reconcile(list message.Message) message.Message {
+// emptyReconciliation returns an answer to a lease list that confirms no record.
+func emptyReconciliation(list message.Message) message.Message {
 	return message.Reconciliation{
 		ResponseTo: list.RequestID, VolumeLease: cfg.VolumeLease, ObjectLease: cfg.ObjectLease,
 	}.Message(0)
 }
 
-// Reconnects that overlap each drop what came by a grant since the other's
-// list went out, and once did so for ever with the lease valid all the while:
-// one list at a time, and the record is fetched again.
+// Overlapping reconnects used to drop the records that were granted since the other one's
+// lease list was sent. This repeated forever while the volume lease remained valid.
+// Therefore only one list is sent at a time, and the record is fetched again.
 func TestOverlappingReconnectsKeepGrantedRecords(t *testing.T) {
 	now := time.Second
-	c := newConnecting(1, now)
+	c := newReconnectingChild(1, now)
 	reconnect := message.ReconnectRequest{}.Message(0)
-	list := c.hear(now, 1, reconnect)[0].Message
-	if more := c.hear(now+1, 1, reconnect); len(more) != 0 {
-		t.Errorf("a second list right after the first: %v", more)
+	list := c.receiveFromParent(now, 1, reconnect)[0].Message
+	if more := c.receiveFromParent(now+1, 1, reconnect); len(more) != 0 {
+		t.Errorf("a second list was sent right after the first: %v", more)
 	}
-	out := c.hear(now+2, 1, reconcile(list))
+	out := c.receiveFromParent(now+2, 1, emptyReconciliation(list))
 	if len(out) != 2 || out[0].Message.Kind != message.KindReconnectDone ||
 		out[1].Message.Kind != message.KindRenewLease || out[1].Message.VolumeEpoch != c.epoch {
-		t.Fatalf("after the reconciliation: %+v", out)
+		t.Fatalf("unexpected messages after the reconciliation: %+v", out)
 	}
 	record := message.Record{Key: "k", Version: message.Version{Term: 1, Seq: 1}}
 	grant := message.LeaseGrant{Records: []message.Record{record}, ObjectLease: cfg.ObjectLease}
-	c.hear(now+3, 1, grant.Message(0))
-	if more := c.hear(now+4, 1, reconnect); len(more) != 0 {
-		t.Errorf("a late reconnect was followed: %v", more)
+	c.receiveFromParent(now+3, 1, grant.Message(0))
+	if more := c.receiveFromParent(now+4, 1, reconnect); len(more) != 0 {
+		t.Errorf("the child handled a late reconnect request: %v", more)
 	}
 	if got, ok := c.child.Get(now+5, "k"); !ok || got.Version != record.Version {
-		t.Error("the record is not served")
+		t.Error("the granted record is not served")
 	}
-	// A later one is followed, and what it does not confirm is dropped.
+	// A later reconnect request is handled, and unconfirmed records are dropped.
 	c.epoch = message.VolumeEpoch{Ident: "p", Epoch: 2}
 	now += cfg.RenewInterval
-	list = c.hear(now, 1, reconnect)[0].Message
+	list = c.receiveFromParent(now, 1, reconnect)[0].Message
 	if len(list.Records) != 1 {
-		t.Fatalf("%+v", list)
+		t.Fatalf("the list should contain one record: %+v", list)
 	}
-	c.hear(now, 1, reconcile(list))
+	c.receiveFromParent(now, 1, emptyReconciliation(list))
 	if _, ok := c.child.Get(now, "k"); ok {
 		t.Error("an unconfirmed record was kept")
 	}
 }
 
-// What was meant for an earlier incarnation of the child is not taken by the next:
-// the granter would withdraw it there.
-func TestGrantForAnEarlierIncarnationIsIgnored(t *testing.T) {
+// A child ignores grants addressed to an earlier incarnation: the granter would send the
+// invalidation of such a record to that incarnation only.
+func TestGrantForEarlierIncarnationIsIgnored(t *testing.T) {
 	for incarnation, want := range map[uint64]bool{1: false, 2: true} {
 		now := time.Second
-		c := newConnecting(2, now)
-		list := c.hear(now, 2, message.ReconnectRequest{}.Message(0))[0].Message
-		c.hear(now, 2, reconcile(list))
+		c := newReconnectingChild(2, now)
+		list := c.receiveFromParent(now, 2, message.ReconnectRequest{}.Message(0))[0].Message
+		c.receiveFromParent(now, 2, emptyReconciliation(list))
 		grant := message.LeaseGrant{Records: []message.Record{{Key: "k"}}, ObjectLease: cfg.ObjectLease}
-		c.hear(now, incarnation, grant.Message(0))
+		c.receiveFromParent(now, incarnation, grant.Message(0))
 		if _, ok := c.child.Get(now, "k"); ok != want {
-			t.Errorf("grant for incarnation %d taken by incarnation 2: %v", incarnation, ok)
+			t.Errorf("grant for incarnation %d accepted by incarnation 2: %v", incarnation, ok)
 		}
 	}
 }
 
-// What a child waits for and becomes readable together, it gets in one message; another child's
-// grants and all other messages stay as they are, in their order.
-func TestWaitingChildrenGetTheirRecordsTogether(t *testing.T) {
+// mergeGrants merges the record grants for each child into one message. It neither mixes
+// grants for different children nor changes other messages or the order of messages.
+func TestMergeGrantsJoinsRecordsPerChild(t *testing.T) {
 	grant := func(to, key string) message.Envelope {
 		m := message.LeaseGrant{ObjectLease: time.Minute, Records: []message.Record{{Key: key}}}.Message(0)
 		m.To = to
@@ -110,11 +114,11 @@
 	}
 	answer := message.LeaseGrant{ResponseTo: 7, VolumeLease: time.Second}.Message(0)
 	answer.To = "b"
-	joined := joinGrants([]message.Envelope{
+	merged := mergeGrants([]message.Envelope{
 		grant("a", "1"), grant("b", "1"), {Addr: "b", Message: answer}, grant("a", "2"), grant("b", "2"), grant("a", "3"),
 	})
 	var got []string
-	for _, e := range joined {
+	for _, e := range merged {
 		line := e.Message.To
 		for _, r := range e.Message.Records {
 			line += " " + r.Key
@@ -122,28 +126,32 @@
 		got = append(got, line)
 	}
 	if want := []string{"a 1 2 3", "b 1 2", "b"}; !slices.Equal(got, want) {
-		t.Errorf("%q, expected %q", got, want)
+		t.Errorf("got %q, want %q", got, want)
 	}
 }
 
-// A record that isn't wanted any more is neither asked for nor fetched again once it is withdrawn.
-func TestAnUnpinnedRecordIsNotFetchedAgain(t *testing.T) {
+// A record that was unpinned is not requested again after it is withdrawn.
+func TestUnpinnedRecordIsNotRefetched(t *testing.T) {
 	now := time.Second
-	c := newConnecting(1, now)
-	list := c.hear(now, 1, message.ReconnectRequest{}.Message(0))[0].Message
-	asked := c.hear(now, 1, reconcile(list))
-	if len(asked) != 2 || !slices.Equal(asked[1].Message.Keys, []string{"k"}) {
-		t.Fatalf("the record isn't asked for: %v", asked)
+	c := newReconnectingChild(1, now)
+	list := c.receiveFromParent(now, 1, message.ReconnectRequest{}.Message(0))[0].Message
+	sent := c.receiveFromParent(now, 1, emptyReconciliation(list))
+	if len(sent) != 2 || !slices.Equal(sent[1].Message.Keys, []string{"k"}) {
+		t.Fatalf("the record is not requested: %v", sent)
 	}
 	record := message.Record{Key: "k", Version: message.Version{Term: 1, Seq: 1}, Value: []byte("x")}
-	c.hear(now, 1, message.LeaseGrant{ObjectLease: cfg.ObjectLease, Records: []message.Record{record}}.Message(0))
+	c.receiveFromParent(now, 1, message.LeaseGrant{
+		ObjectLease: cfg.ObjectLease, Records: []message.Record{record},
+	}.Message(0))
 	c.child.Unpin("k")
-	for _, e := range c.hear(now+cfg.RenewInterval/4, 1, message.Invalidation{Key: "k", Number: 3}.Message(0)) {
+	for _, e := range c.receiveFromParent(
+		now+cfg.RenewInterval/4, 1, message.Invalidation{Key: "k", Number: 3}.Message(0),
+	) {
 		if e.Message.Kind != message.KindInvalidated {
-			t.Errorf("after the withdrawal it sends %v", e.Message.Kind)
+			t.Errorf("unexpected message after the invalidation: %v", e.Message.Kind)
 		}
 	}
 	if _, ok := c.child.Get(now, "k"); ok {
-		t.Error("the withdrawn record is served")
+		t.Error("the invalidated record is served")
 	}
 }
--- a/control/lease/nolease_test.go
+++ b/control/lease/nolease_test.go
@@ -7,22 +7,22 @@
 	"mulleinmast/wire/message"
 )
 
-// A node that goes by last known records, and a root whose lease has ended, grant
-// nothing to those below: no lease, no record and no confirmation of one.
-func TestNothingIsGrantedWithoutALease(t *testing.T) {
+// A node that serves last known records, and a root whose lease has expired, must not
+// grant leases or records to their children, nor confirm records.
+func TestNothingIsGrantedWithoutLease(t *testing.T) {
 	for _, root := range []bool{false, true} {
 		l := newLeaf("k")
 		if root {
 			end := l.now + cfg.VolumeLease
-			l.BecomeRoot(4, func(k string) message.Record { return l.stored[k] }, func() time.Duration { return end })
+			l.BecomeRoot(4, func(k string) message.Record { return l.parentRecords[k] }, func() time.Duration { return end })
 		}
 		addSilentChild(l, "k")
 		l.isCutOff = true
-		l.run(l.now + 2*cfg.VolumeLease)
+		l.runUntil(l.now + 2*cfg.VolumeLease)
 		if _, ok := l.Get(l.now, "k"); ok || root == l.servesLastKnown("k") {
-			t.Fatalf("root %v: leased %v, last %v", root, ok, l.servesLastKnown("k"))
+			t.Fatalf("root %v: Get %v, LastKnown %v", root, ok, l.servesLastKnown("k"))
 		}
-		confirmed := []message.Record{{Key: "k", Version: l.stored["k"].Version}}
+		confirmed := []message.Record{{Key: "k", Version: l.parentRecords["k"].Version}}
 		requests := []message.Message{
 			message.LeaseRenewal{RequestID: 7, VolumeEpoch: l.VolumeEpoch(), Keys: []string{"k"}}.Message(0),
 			message.LeaseRenewal{RequestID: 8}.Message(0),
@@ -33,7 +33,7 @@
 			for _, s := range l.Step(l.now, request).Sends {
 				m := s.Message
 				if m.To == "d" && m.Kind != message.KindDenyLease && m.Kind != message.KindReconnect {
-					t.Errorf("root %v: a %s is answered by a %s with %d records for %v",
+					t.Errorf("root %v: a %s was answered by a %s with %d records and a lease of %v",
 						root, request.Kind, m.Kind, len(m.Records), time.Duration(m.Length))
 				}
 			}
--- a/control/lease/patches.go
+++ b/control/lease/patches.go
@@ -7,51 +7,52 @@
 	"mulleinmast/wire/message"
 )
 
-// A record that changes goes down the tree as patches. A child that asks for a record
-// names the version that it held last; the parent sends the patches from that version
-// to the current one, none if they are the same, and the full value if the child's
-// version is too old. A relay forwards the patches that it received. A patch holds a
-// checksum of the value that it leads to; if that doesn't match, the child drops it and
-// asks for the full value.
-
-// Codec makes and applies patches of records' values.
+// Changes of a record are sent down the tree as patches. A child that requests a record
+// includes the version that it last held. The parent sends the patches from that version
+// to the current one: none if the versions are the same, or the full value if the child's
+// version is too old. Relays forward the patches that they receive. Each patch contains a
+// checksum of the resulting value; if it does not match, the child discards the patch and
+// requests the full value.
+
+// Codec computes and applies patches between record values.
 type Codec interface {
-	// Patch returns what turns one value into another; nil if that isn't shorter.
+	// Patch returns a patch that turns one value into another, or nil if the patch would
+	// not be shorter than the value.
 	Patch(from, to []byte) []byte
-	// Apply returns the value that a patch leads to, in the form in which it is stored
-	// below the root. It fails if the patch was made from another value.
+	// Apply returns the result of applying a patch, in the form in which values are stored
+	// below the root. It fails if the patch was computed from a different value.
 	Apply(from, patch []byte) ([]byte, error)
-	// Whole returns a stored value in the form in which it is sent in full.
+	// Whole returns the full value in the form in which it is sent to children.
 	Whole(stored []byte) []byte
 }
 
-// MinPatchedLength is the length in bytes below which values are sent in full: a patch
-// has a header, too.
+// MinPatchedLength is the minimum length in bytes of values that are sent as patches.
+// Shorter values are sent in full, since a patch has a header of its own.
 const MinPatchedLength = 256
 
-// maxPatches is the number of changes of a record that a parent keeps patches for.
+// maxPatches is the maximum number of patches that a parent keeps per record.
 const maxPatches = 32
 
-// patchCache is what a node knows of changes: as a child the values that it held
-// last, as a parent the patches that lead from earlier versions to the present one.
+// patchCache holds the state needed for patches: as a child, the values that were last
+// held; as a parent, the patches from earlier versions to the current one.
 type patchCache struct {
-	codec     Codec // nil: every value is sent in full, and the maps are nil
+	codec     Codec // if nil, all values are sent in full and the maps are nil
 	minLength int   // in bytes; shorter values are sent in full
 
-	bases  map[string]withdrawnRecord // key -> the value that was withdrawn last
-	chains map[string][]message.Patch // key -> patches, each from the version that the one before leads to
-	full   map[string]message.Record  // key -> the record as it goes to children that hold none
+	bases  map[string]withdrawnRecord // key -> the last withdrawn record
+	chains map[string][]message.Patch // key -> patches, each starting at the version where the previous one ends
+	full   map[string]message.Record  // key -> the record as sent to children that hold no version of it
 
-	sentAsPatches, sentInFull int // records that were sent to children
+	sentAsPatches, sentInFull int // numbers of records sent to children
 }
 
-// withdrawnRecord is a record that isn't served any more.
+// withdrawnRecord is a record that is no longer served.
 type withdrawnRecord struct {
 	record message.Record
 	at     time.Duration // when it was withdrawn
 }
 
-// UseCodec has changes go down as patches, for values of minLength bytes and more.
+// UseCodec enables patches for values of at least minLength bytes.
 //
 // Example: node.UseCodec(fleetconfig.Codec{}, lease.MinPatchedLength)
 func (n *Node) UseCodec(codec Codec, minLength int) {
@@ -61,31 +62,31 @@
 	n.patches.full = map[string]message.Record{}
 }
 
-// SentAsPatches is the number of records that were sent to children as patches.
+// SentAsPatches returns the number of records that were sent to children as patches.
 //
 // Example: gauge("records_sent_as_changes", n.SentAsPatches())
 func (n *Node) SentAsPatches() int { return n.patches.sentAsPatches }
 
-// SentInFull is the number of records that were sent to children in full, of those
-// that are long enough for patches.
+// SentInFull returns the number of records that were sent to children in full although
+// they are long enough for patches.
 //
 // Example: gauge("records_sent_whole", n.SentInFull())
 func (n *Node) SentInFull() int { return n.patches.sentInFull }
 
-// isPatchable tells whether a record is long enough to be patched.
+// isPatchable reports whether a record may be sent as patches.
 func (p *patchCache) isPatchable(record message.Record) bool {
 	return p.codec != nil && !record.Deleted && len(record.Value) >= p.minLength
 }
 
-// keepBase keeps a record that is withdrawn, to take the next version as a patch.
+// keepBase keeps a withdrawn record as the base for a patch to the next version.
 func (p *patchCache) keepBase(now time.Duration, record message.Record) {
 	if p.isPatchable(record) {
 		p.bases[record.Key] = withdrawnRecord{record, now}
 	}
 }
 
-// forget drops what belongs to values that were withdrawn longer ago than a time.
-func (p *patchCache) forget(now, age time.Duration) {
+// evictOlderThan drops the data of records that were withdrawn longer ago than age.
+func (p *patchCache) evictOlderThan(now, age time.Duration) {
 	for key, base := range p.bases {
 		if now-base.at > age {
 			delete(p.bases, key)
@@ -95,31 +96,31 @@
 	}
 }
 
-// setChain keeps the last of a record's patches.
+// setChain stores the latest patches of a record, at most maxPatches.
 func (p *patchCache) setChain(key string, chain []message.Patch) {
 	p.chains[key] = chain[max(0, len(chain)-maxPatches):]
 }
 
-// continueChain adds a patch to a chain; one that doesn't end where the patch begins
-// is given up.
-func continueChain(chain []message.Patch, patch message.Patch) []message.Patch {
+// appendToChain returns a chain extended by a patch. If the chain does not end at the
+// version where the patch starts, the result contains only the patch.
+func appendToChain(chain []message.Patch, patch message.Patch) []message.Patch {
 	if len(chain) > 0 && chain[len(chain)-1].To != patch.From {
 		chain = nil
 	}
 	return append(slices.Clone(chain), patch)
 }
 
-// leadsTo tells whether a chain ends at a version.
-func leadsTo(chain []message.Patch, version message.Version) bool {
+// endsAt reports whether a chain ends at a version.
+func endsAt(chain []message.Patch, version message.Version) bool {
 	return len(chain) > 0 && chain[len(chain)-1].To == version
 }
 
-// between are the patches from one version to another, if they are all there and
-// shorter than the full value.
-func (p *patchCache) between(key string, from, to message.Version) []message.Patch {
+// patchesBetween returns the patches from one version to another, or nil if they are not
+// all available or not shorter than the full value.
+func (p *patchCache) patchesBetween(key string, from, to message.Version) []message.Patch {
 	chain := p.chains[key]
 	first := slices.IndexFunc(chain, func(patch message.Patch) bool { return patch.From == from })
-	if first < 0 || !leadsTo(chain, to) {
+	if first < 0 || !endsAt(chain, to) {
 		return nil
 	}
 	chain = chain[first:]
@@ -133,8 +134,8 @@
 	return chain
 }
 
-// extendChain makes the patch that leads to a record that is served now from the
-// version before, if there are children that it may go to.
+// extendChain computes the patch from the previous version of a record to the current one,
+// unless it already exists or there are no children to send it to.
 func (n *Node) extendChain(record message.Record) {
 	p := &n.patches
 	base, ok := p.bases[record.Key]
@@ -142,7 +143,7 @@
 		return
 	}
 	chain := p.chains[record.Key]
-	if leadsTo(chain, record.Version) {
+	if endsAt(chain, record.Version) {
 		return
 	}
 	delta := p.codec.Patch(base.record.Value, record.Value)
@@ -151,11 +152,12 @@
 		return
 	}
 	patch := message.Patch{From: base.record.Version, To: record.Version, Delta: delta}
-	p.setChain(record.Key, continueChain(chain, patch))
+	p.setChain(record.Key, appendToChain(chain, patch))
 }
 
-// recordFor is a record as it goes to a child that holds a version of it; zero: none.
-func (n *Node) recordFor(record message.Record, base message.Version) message.Record {
+// recordForChild returns a record in the form to send to a child that holds version base
+// of it; base is zero if the child holds none.
+func (n *Node) recordForChild(record message.Record, base message.Version) message.Record {
 	p := &n.patches
 	if !p.isPatchable(record) {
 		return record
@@ -166,7 +168,7 @@
 	}
 	if base != (message.Version{}) {
 		n.extendChain(record)
-		if chain := p.between(record.Key, base, record.Version); chain != nil {
+		if chain := p.patchesBetween(record.Key, base, record.Version); chain != nil {
 			p.sentAsPatches++
 			return message.Record{Key: record.Key, Version: record.Version, Patched: true, Patches: chain}
 		}
@@ -175,7 +177,7 @@
 	return p.fullRecord(record)
 }
 
-// fullRecord is a record as it goes to a child that holds none.
+// fullRecord returns a record in the form to send to a child that holds no version of it.
 func (p *patchCache) fullRecord(record message.Record) message.Record {
 	if full, ok := p.full[record.Key]; !ok || full.Version != record.Version {
 		record.Value = p.codec.Whole(record.Value)
@@ -184,8 +186,8 @@
 	return p.full[record.Key]
 }
 
-// baseVersions are, of the records that are asked for, the versions from which this
-// node can take patches.
+// baseVersions returns, for the requested records, the versions from which this node can
+// apply patches.
 func (n *Node) baseVersions(keys []string) (list []message.Record) {
 	for _, key := range keys {
 		if version := n.baseVersion(key); version != (message.Version{}) {
@@ -195,8 +197,8 @@
 	return list
 }
 
-// baseVersion is the version of a record from which this node can take a patch; zero:
-// none.
+// baseVersion returns the version of a record from which this node can apply patches;
+// zero if none.
 func (n *Node) baseVersion(key string) message.Version {
 	if cached, ok := n.records.cached[key]; ok && n.patches.isPatchable(cached.record) {
 		return cached.record.Version
@@ -204,7 +206,8 @@
 	return n.patches.bases[key].record.Version
 }
 
-// applyPatches returns the full record that a parent sent as patches.
+// applyPatches returns the full version of a granted record, applying its patches if there
+// are any.
 func (n *Node) applyPatches(granted message.Record) (record message.Record, ok bool) {
 	if !granted.Patched {
 		return granted, true
@@ -226,7 +229,7 @@
 			return message.Record{}, false
 		}
 		record.Value, record.Version = value, patch.To
-		chain = continueChain(chain, patch)
+		chain = appendToChain(chain, patch)
 	}
 	if record.Version != granted.Version {
 		return message.Record{}, false
--- a/control/lease/records.go
+++ b/control/lease/records.go
@@ -8,12 +8,12 @@
 	"mulleinmast/wire/message"
 )
 
-// recordCache is what a node holds of its parent's records.
+// recordCache holds the records that a node has received from its parent.
 type recordCache struct {
-	pinned    map[string]bool         // keys of the records that are fetched unasked and kept
-	cached    map[string]cachedRecord // by key; the record is served while its lease and the volume lease stand
-	lastCheck time.Duration           // when they were last scanned
-	checkNow  bool                    // scan them at the next tick
+	pinned    map[string]bool         // keys of the records that are fetched proactively and kept
+	cached    map[string]cachedRecord // by key; a record is served while its lease and the volume lease are valid
+	lastCheck time.Duration           // time of the last scan
+	checkNow  bool                    // scan at the next tick
 }
 
 // cachedRecord is a record under its object lease.
@@ -22,9 +22,9 @@
 	expiry time.Duration // end of the object lease
 }
 
-// list is what a lease list says: key and version of each record whose lease is
-// valid, in the order of the keys.
-func (c *recordCache) list(now time.Duration) (list []message.Record) {
+// leaseList returns the contents of a lease list: key and version of each record whose
+// object lease is valid, sorted by key.
+func (c *recordCache) leaseList(now time.Duration) (list []message.Record) {
 	for key, cached := range c.cached {
 		if now < cached.expiry {
 			record := cached.record
@@ -35,8 +35,8 @@
 	return list
 }
 
-// expired are the keys of the records whose object lease has ended, in order.
-func (c *recordCache) expired(now time.Duration) (keys []string) {
+// expiredKeys returns the sorted keys of the records whose object lease has expired.
+func (c *recordCache) expiredKeys(now time.Duration) (keys []string) {
 	for key, cached := range c.cached {
 		if now >= cached.expiry {
 			keys = append(keys, key)
@@ -46,8 +46,8 @@
 	return keys
 }
 
-// checkRecords scans the cached records at intervals: those whose object lease soon
-// ends are asked for, those whose object lease has ended are dropped.
+// checkRecords periodically scans the records: it requests pinned ones that are missing
+// or whose object lease expires soon, and drops those whose object lease has expired.
 func (n *Node) checkRecords(now time.Duration, out *Out) {
 	if !n.records.checkNow && now-n.records.lastCheck < n.cfg.recordCheckInterval() {
 		return
@@ -55,63 +55,65 @@
 	n.records.checkNow, n.records.lastCheck = false, now
 	for key := range n.records.pinned {
 		cached, ok := n.records.cached[key]
-		lapsesSoon := !ok || now >= cached.expiry-n.cfg.refreshAhead()
-		if lapsesSoon && !n.invalidations.underWay(key) {
+		expiresSoon := !ok || now >= cached.expiry-n.cfg.refreshAhead()
+		if expiresSoon && !n.invalidations.isInProgress(key) {
 			n.upstream.fetch(now, key)
 		}
 	}
-	n.patches.forget(now, n.cfg.ObjectLease)
-	for _, key := range n.records.expired(now) {
+	n.patches.evictOlderThan(now, n.cfg.ObjectLease)
+	for _, key := range n.records.expiredKeys(now) {
 		n.invalidate(now, key, out)
 	}
 }
 
-// LastKnown is a record whose volume lease lapsed, and when, if it was not withdrawn
-// since. It is no lease: only what may go by old records while the leader can't be
-// reached may use it, and for how long is its user's to bound.
+// LastKnown returns a record whose volume lease has expired, and when it expired, unless
+// the record has been withdrawn since. The record is not protected by a lease: only
+// callers that may use stale records while the leader is unreachable may call LastKnown,
+// and they must bound how long they do.
 //
 // Example: if record, at, ok := n.LastKnown(now, "plan/now"); ok && now-at < bound { route(record) }
-func (n *Node) LastKnown(now time.Duration, key string) (record message.Record, lapsed time.Duration, ok bool) {
+func (n *Node) LastKnown(now time.Duration, key string) (record message.Record, expiredAt time.Duration, ok bool) {
 	cached, isCached := n.records.cached[key]
-	lapsed, ok = n.Lapsed(now)
-	return cached.record, lapsed, ok && isCached && cached.expiry >= lapsed && !n.invalidations.underWay(key)
+	expiredAt, ok = n.Lapsed(now)
+	return cached.record, expiredAt, ok && isCached && cached.expiry >= expiredAt && !n.invalidations.isInProgress(key)
 }
 
-// Lapsed tells when the volume lease lapsed, and whether LastKnown serves now: once a
-// renewal was unanswered for half a renew interval, of which this node saw all. One
-// that stood still asks, or at least listens, first.
+// Lapsed returns when the volume lease expired, and whether LastKnown may serve records
+// now. It may once a renewal has been unanswered for half a renew interval during which
+// this node ran without interruption. A node that was stalled must first renew, or at
+// least wait for an answer that may already be on its way.
 //
 // Example: if at, ok := n.Lapsed(now); ok { goOnUntil(at + bound) }
 func (n *Node) Lapsed(now time.Duration) (at time.Duration, ok bool) {
-	u, patience := &n.upstream, n.cfg.patience()
-	isUnanswered := u.unansweredSince > 0 && now-u.unansweredSince >= patience
-	stoodStill := now-u.lastTick > patience
-	ok = !n.root.active && !n.HasVolumeLease(now) && isUnanswered && !stoodStill
-	return max(u.volumeExpiry, n.root.formerEnd), ok
+	u, timeout := &n.upstream, n.cfg.renewalTimeout()
+	isUnanswered := u.unansweredSince > 0 && now-u.unansweredSince >= timeout
+	wasStalled := now-u.lastTick > timeout
+	ok = !n.root.active && !n.HasVolumeLease(now) && isUnanswered && !wasStalled
+	return max(u.volumeExpiry, n.root.formerLeaseEnd), ok
 }
 
-// ReadAllowingStale serves a record under both leases or, while LastKnown does, until the
-// volume lease lapsed longer ago than a bound.
+// ReadAllowingStale returns a record if both leases are valid, or else its last known
+// version if the volume lease expired less than maxStaleness ago and LastKnown serves it.
 //
 // Example: if record, ok := n.ReadAllowingStale(now, "plan/now", bound); ok { route(record) }
 func (n *Node) ReadAllowingStale(now time.Duration, key string, maxStaleness time.Duration) (message.Record, bool) {
 	if record, ok := n.Get(now, key); ok {
 		return record, true
 	}
-	record, lapsed, ok := n.LastKnown(now, key)
-	return record, ok && now < lapsed+maxStaleness
+	record, expiredAt, ok := n.LastKnown(now, key)
+	return record, ok && now < expiredAt+maxStaleness
 }
 
-// StaleUntil is when what ReadAllowingStale serves ends, unless leases are renewed.
+// StaleUntil returns until when ReadAllowingStale serves records if no lease is renewed.
 //
 // Example: if now < n.StaleUntil(now, bound) { route() }
 func (n *Node) StaleUntil(now, maxStaleness time.Duration) time.Duration {
 	if until := n.ValidUntil(); now < until {
 		return until
 	}
-	lapsed, ok := n.Lapsed(now)
-	if !ok { // nothing is served until a renewal was asked for in vain
-		return lapsed
+	expiredAt, ok := n.Lapsed(now)
+	if !ok { // no stale record is served until a renewal has gone unanswered
+		return expiredAt
 	}
-	return lapsed + maxStaleness
+	return expiredAt + maxStaleness
 }
--- a/control/lease/reshape.go
+++ b/control/lease/reshape.go
@@ -9,35 +9,37 @@
 	"mulleinmast/wire/message"
 )
 
-// maxJoinChildren is the most children that a join may send to our parent: where there
-// are more, the relay is slow because all are, and the parent would be next.
+// maxJoinChildren is the maximum number of children that a join may redirect to the
+// parent. With more children, a relay is likely slow because all nodes are overloaded, and
+// the redirected children would overload the parent, too.
 const maxJoinChildren = 24
 
-// loadStats is what a node measures to decide whether the tree should be deeper
-// or flatter at it: the paper's RenewCost, F, HitCount and ReqCount.
+// loadStats holds the measurements by which a node decides whether the tree should be
+// deeper or flatter at this node: the paper's RenewCost, F, HitCount and ReqCount.
 type loadStats struct {
-	renewCost   time.Duration // RenewCost at our parent, smoothed
+	renewCost   time.Duration // RenewCost at the parent, smoothed
 	requests    int           // ReqCount: renewals of children since windowStart
-	hits        int           // HitCount: those of them that could be granted from here at once
-	windowStart time.Duration // 0: not yet counting
+	hits        int           // HitCount: the renewals that could be granted immediately
+	windowStart time.Duration // 0 if counting has not started
 	lastChange  time.Duration // when children were last redirected
 	skipped     map[message.Replica]*skippedRelay
 }
 
-// skippedRelay counts what a relay would see whose children come straight here.
+// skippedRelay holds the load that a relay would have if the children that bypass it
+// renewed there.
 type skippedRelay struct {
 	requests, hits int
-	volumeExpiry   time.Duration // of the lease that it would have
+	volumeExpiry   time.Duration // of the volume lease that the relay would have
 	children       map[string]bool
 }
 
-// RenewCost is the time that a renewal at the parent takes, smoothed.
+// RenewCost returns the smoothed duration of a renewal at the parent.
 //
 // Example: if n.RenewCost() > 20*time.Millisecond { look() }
 func (n *Node) RenewCost() time.Duration { return n.load.renewCost }
 
-// measure takes a renewal's time into RenewCost.
-func (s *loadStats) measure(took time.Duration) {
+// addRenewCost updates RenewCost with the duration of a renewal.
+func (s *loadStats) addRenewCost(took time.Duration) {
 	if s.renewCost == 0 {
 		s.renewCost = took
 		return
@@ -45,13 +47,14 @@
 	s.renewCost += (took - s.renewCost) / 4
 }
 
-// startWindow begins counting anew.
+// startWindow resets the counters and starts a new window.
 func (s *loadStats) startWindow(now time.Duration) {
 	s.requests, s.hits, s.windowStart = 0, 0, now
 	s.skipped = map[message.Replica]*skippedRelay{}
 }
 
-// countRenewal counts a child's renewal, and whether it could be granted from here.
+// countRenewal counts a child's renewal, and whether it could be granted immediately. It
+// also counts it for the relay that the child bypasses, if any.
 func (n *Node) countRenewal(now time.Duration, c *child, hit bool) {
 	n.load.requests++
 	if hit {
@@ -72,7 +75,7 @@
 	skipped.count(now, c.id, n.cfg.VolumeLease)
 }
 
-// count counts a renewal that the relay would have got.
+// count counts a renewal that the relay would have received.
 func (r *skippedRelay) count(now time.Duration, child string, volumeLease time.Duration) {
 	r.requests++
 	r.children[child] = true
@@ -82,8 +85,8 @@
 	r.volumeExpiry = now + volumeLease
 }
 
-// reshape applies the paper's inequalities once a LoadInterval; after a change it
-// waits for two more.
+// reshape evaluates the paper's inequalities once per LoadInterval. After a change it waits
+// for at least two intervals.
 func (n *Node) reshape(now time.Duration, out *Out) {
 	s, interval := &n.load, n.cfg.LoadInterval
 	if interval == 0 || now-s.windowStart < interval {
@@ -100,21 +103,21 @@
 	s.startWindow(now)
 }
 
-// shouldJoin tells whether our children do better straight at our parent, and it has
-// room for them.
+// shouldJoin reports whether the children would renew faster directly at this node's
+// parent, and the parent has room for them.
 func (n *Node) shouldJoin(childCost time.Duration) bool {
 	s := &n.load
 	if n.root.active || n.upstream.parent.Ident == "" || s.requests == 0 || childCost <= 0 {
 		return false
 	}
 	hitRate := float64(s.hits) / float64(s.requests)
-	throughHere := childCost + time.Duration((1-hitRate)*float64(s.renewCost))
-	return throughHere > s.renewCost+n.cfg.MinGain && s.requests < n.cfg.MaxRenewals/2 &&
+	costThroughHere := childCost + time.Duration((1-hitRate)*float64(s.renewCost))
+	return costThroughHere > s.renewCost+n.cfg.MinGain && s.requests < n.cfg.MaxRenewals/2 &&
 		len(n.downstream.children) <= maxJoinChildren
 }
 
-// split sends children to relays that they skip, where these would serve them better
-// or this node is loaded.
+// split redirects children to the relays that they bypass if they would renew faster there
+// or this node is overloaded.
 func (n *Node) split(now, childCost time.Duration, out *Out) {
 	relays := slices.SortedFunc(maps.Keys(n.load.skipped), func(a, b message.Replica) int {
 		return strings.Compare(a.Addr+a.Ident, b.Addr+b.Ident)
@@ -131,14 +134,15 @@
 	}
 }
 
-// isRelayBetter tells whether children that skip a relay would renew faster there.
+// isRelayBetter reports whether children that bypass a relay would renew faster there.
 func (n *Node) isRelayBetter(relay message.Replica, skipped *skippedRelay, childCost time.Duration) bool {
 	missRate := 1 - float64(skipped.hits)/float64(skipped.requests)
-	atRelay := n.relayRenewCost(relay)
-	return atRelay > 0 && atRelay+time.Duration(missRate*float64(childCost)) < childCost-n.cfg.MinGain
+	relayCost := n.relayRenewCost(relay)
+	return relayCost > 0 && relayCost+time.Duration(missRate*float64(childCost)) < childCost-n.cfg.MinGain
 }
 
-// redirectChildren names another parent to those of the children that are still known.
+// redirectChildren redirects the given children, if they are still known, to another
+// parent.
 func (n *Node) redirectChildren(ids []string, parent message.Replica, reason string, out *Out) {
 	redirect := message.Redirect{Parent: parent, Reason: reason}
 	for _, id := range ids {
@@ -148,7 +152,8 @@
 	}
 }
 
-// childRenewCost is the mean RenewCost that our children measured here; 0: unknown.
+// childRenewCost returns the mean RenewCost that children measured at this node; 0 if
+// unknown.
 func (n *Node) childRenewCost() time.Duration {
 	sum, count := time.Duration(0), 0
 	for _, c := range n.downstream.children {
@@ -163,8 +168,8 @@
 	return sum / time.Duration(count)
 }
 
-// relayRenewCost is what a child would pay at the relay, by our own link to it; 0:
-// unknown.
+// relayRenewCost estimates the cost of a renewal at a relay as half of the RenewCost that
+// the relay measured at this node; 0 if unknown.
 func (n *Node) relayRenewCost(relay message.Replica) time.Duration {
 	for _, c := range n.downstream.children {
 		if c.replica == relay {
--- a/control/lease/step.go
+++ b/control/lease/step.go
@@ -20,13 +20,13 @@
 	case message.KindReconnectDone:
 		n.handleReconnectDone(sender, m.AsReconnectDone())
 	case message.KindInvalidated:
-		n.handleInvalidated(now, sender, m.AsInvalidationAck(), &out)
-	// from the parent, or an earlier one
+		n.handleInvalidationAck(now, sender, m.AsInvalidationAck(), &out)
+	// from the current parent or an earlier one
 	case message.KindInvalidate:
 		n.handleInvalidate(now, sender, header, m.AsInvalidation(), &out)
 	case message.KindRedirect:
 		n.handleRedirect(now, sender, header, m.AsRedirect(), &out)
-	// from the parent alone
+	// from the current parent only
 	case message.KindGrantLease:
 		if n.acceptFromParent(now, sender, header) {
 			n.handleGrantLease(now, header, m.AsLeaseGrant(), &out)
@@ -47,7 +47,7 @@
 	return out
 }
 
-// Tick lets time pass: renewals, resends, lapses.
+// Tick does the time-based work: renewals, resends, and the expiry of leases and children.
 //
 // Example: out := n.Tick(now)
 func (n *Node) Tick(now time.Duration) (out Out) {
--- a/control/lease/upstream.go
+++ b/control/lease/upstream.go
@@ -7,35 +7,36 @@
 	"mulleinmast/wire/message"
 )
 
-// A request older than maxRequestAge later ones is taken to be lost; they are looked
-// through when there are more than maxRequests.
+// A request is considered lost once more than maxRequestAge later requests have been sent.
+// Lost requests are dropped when there are more than maxRequests.
 const (
 	maxRequests   = 16
 	maxRequestAge = 12
 )
 
-// maxBackoff bounds the doubling of the time between two requests for a record.
+// maxBackoff is the maximum number of times that the interval between two requests for a
+// record is doubled.
 const maxBackoff = 4
 
-// upstream is a node's side as a child: its parent, the volume lease that it has
-// from there, and what it asked for.
+// upstream is the state of a node in its role as a child: its parent, the volume lease
+// granted by it, and the outstanding requests.
 type upstream struct {
-	parent       message.Replica                // zero: none
-	volumeEpoch  message.VolumeEpoch            // of the parent, since the last reconnect; zero: not yet connected
-	volumeExpiry time.Duration                  // end of the volume lease, also of the one from an earlier parent
-	lastSequence map[message.VolumeEpoch]uint64 // highest number that came from each granter
+	parent       message.Replica                // zero if none
+	volumeEpoch  message.VolumeEpoch            // of the parent, as of the last reconnect; zero if not yet connected
+	volumeExpiry time.Duration                  // end of the volume lease, which may be from an earlier parent
+	lastSequence map[message.VolumeEpoch]uint64 // highest sequence number received from each granter
 
-	lastRequest uint64                   // numbers renewals and lease lists
-	requests    map[uint64]time.Duration // unanswered ones -> when sent; a lease counts from then
+	lastRequest uint64                   // last request ID, shared by renewals and lease lists
+	requests    map[uint64]time.Duration // ID of unanswered request -> when sent, which is when its lease begins
 	fetches     map[string]pendingFetch  // by key
 
-	lastRenewal   time.Duration // when one was sent last
-	lastLeaseList time.Duration // when one was sent last to this parent; 0: none
-	lastAnswer    time.Duration // when the parent answered last, was set, or was given up
-	renewNext     bool          // renew before the interval has passed, as soon as minRenewGap allows it
+	lastRenewal   time.Duration // when the last renewal was sent
+	lastLeaseList time.Duration // when the last lease list was sent to this parent; 0 if never
+	lastAnswer    time.Duration // when the parent last answered, was set, or was reported as silent
+	renewEarly    bool          // renew before the interval has passed, as soon as minRenewGap allows it
 
-	unansweredSince time.Duration // since when a renewal is needed and not answered; 0: none is
-	lastTick        time.Duration // a longer gap means that the node stood still
+	unansweredSince time.Duration // since when a renewal is due and unanswered; 0 if none is
+	lastTick        time.Duration // a gap longer than renewalTimeout means that the node was stalled
 }
 
 func newUpstream() upstream {
@@ -46,36 +47,36 @@
 	}
 }
 
-// pendingFetch is a record to be asked for at the parent.
+// pendingFetch is a record to be requested from the parent.
 type pendingFetch struct {
-	since    time.Duration // an object lease counts from here
-	lastSent time.Duration // when a renewal asked for it last
-	attempts int           // renewals that asked for it; 0: none, or none that will be answered
+	since    time.Duration // start of the object lease
+	lastSent time.Duration // when a renewal last requested it
+	attempts int           // renewals that requested it; 0 if none did, or none will be answered
 }
 
-// shouldAsk tells whether the next renewal is to ask for the record. The interval is
-// doubled with each attempt: a parent that is slow would otherwise get the more requests,
-// the slower it is.
-func (f pendingFetch) shouldAsk(now, renewInterval time.Duration) bool {
+// shouldRequest reports whether the next renewal should request the record. The interval
+// doubles with each attempt; otherwise a slow parent would receive more requests the
+// slower it gets.
+func (f pendingFetch) shouldRequest(now, renewInterval time.Duration) bool {
 	return f.attempts == 0 || now-f.lastSent >= renewInterval/2<<min(f.attempts-1, maxBackoff)
 }
 
-// fetch has a record asked for with the next renewal.
+// fetch makes the next renewal request a record.
 func (u *upstream) fetch(now time.Duration, key string) {
 	if _, ok := u.fetches[key]; !ok {
 		u.fetches[key] = pendingFetch{since: now}
 	}
 }
 
-// refetchAll has every pending record asked for with the next renewal, since the
-// requests under way won't be answered.
+// refetchAll makes the next renewal request every pending record again, since the
+// outstanding requests will not be answered.
 func (u *upstream) refetchAll() {
 	for key, f := range u.fetches {
 		u.fetches[key] = pendingFetch{since: f.since}
 	}
 }
 
-// connectTo sets another parent.
+// connectTo switches to another parent.
 func (u *upstream) connectTo(now time.Duration, parent message.Replica) {
 	u.parent, u.volumeEpoch = parent, message.VolumeEpoch{}
 	u.requests, u.lastLeaseList = map[uint64]time.Duration{}, 0
@@ -83,21 +84,21 @@
 	u.refetchAll()
 }
 
-// disconnect drops parent, lease and requests.
+// disconnect drops the parent, the volume lease and all requests.
 func (u *upstream) disconnect() {
 	u.parent, u.volumeEpoch, u.volumeExpiry = message.Replica{}, message.VolumeEpoch{}, 0
 	u.requests, u.fetches = map[uint64]time.Duration{}, map[string]pendingFetch{}
 	u.unansweredSince = 0
 }
 
-// newRequest numbers a request that is sent now.
+// newRequest returns the ID of a new request that is sent now.
 func (u *upstream) newRequest(now time.Duration) uint64 {
 	u.lastRequest++
 	u.requests[u.lastRequest] = now
 	return u.lastRequest
 }
 
-// forgetOldRequests drops requests whose answer is no longer expected.
+// forgetOldRequests drops requests for which an answer is no longer expected.
 func (u *upstream) forgetOldRequests() {
 	if len(u.requests) <= maxRequests {
 		return
@@ -109,14 +110,14 @@
 	}
 }
 
-// isConnected tells whether the parent knows what this node holds.
+// isConnected reports whether this node has reconnected to its current parent.
 func (u *upstream) isConnected() bool { return u.volumeEpoch.Ident == u.parent.Ident }
 
-// isParentSilent tells whether the parent has not answered for longer than a time.
+// isParentSilent reports whether the parent has not answered for longer than bound.
 func (u *upstream) isParentSilent(now, bound time.Duration) bool { return now-u.lastAnswer > bound }
 
-// SetParent sets the parent. The old one's lease goes on being honoured until the
-// new one has confirmed our records.
+// SetParent sets the parent. The lease granted by the old parent continues to be used until
+// the new parent has confirmed this node's records.
 //
 // Example: out := n.SetParent(now, replica)
 func (n *Node) SetParent(now time.Duration, parent message.Replica) (out Out) {
@@ -131,11 +132,13 @@
 	return out
 }
 
-// noteTick notes that time passed. A node that stood still may not have heard the
-// answer to its renewal yet; without a parent there is nobody to ask.
+// noteTick records the time of a tick. After a stall, the wait for an unanswered renewal
+// starts over, since the answer may have arrived without having been handled yet. The wait
+// also starts, even if no renewal was sent, when there is no valid volume lease: a node
+// without a parent cannot send one.
 func (n *Node) noteTick(now time.Duration) {
 	u := &n.upstream
-	if now-u.lastTick > n.cfg.patience() {
+	if now-u.lastTick > n.cfg.renewalTimeout() {
 		u.unansweredSince = 0
 	}
 	u.lastTick = now
@@ -144,35 +147,36 @@
 	}
 }
 
-// renewOnSchedule renews when the interval has passed, or earlier if a record is wanted.
+// renewOnSchedule renews when the interval has passed, or earlier if a record is needed.
 func (n *Node) renewOnSchedule(now time.Duration, out *Out) {
 	switch {
 	case now-n.upstream.lastRenewal >= n.cfg.RenewInterval:
 		n.renew(now, out)
-	case n.upstream.renewNext:
+	case n.upstream.renewEarly:
 		n.renewSoon(now, out)
 	}
 }
 
-// renewSoon asks for what is wanted at once, but for what comes in a row only
-// once, a little later: each renewal is a message up and a message down.
+// renewSoon renews at once, unless another renewal was sent less than minRenewGap ago. In
+// that case one later renewal requests all records needed until then, since each renewal
+// costs a message in each direction.
 func (n *Node) renewSoon(now time.Duration, out *Out) {
 	if now-n.upstream.lastRenewal < n.cfg.minRenewGap() {
-		n.upstream.renewNext = true
+		n.upstream.renewEarly = true
 		return
 	}
 	n.renew(now, out)
 }
 
-// renew asks the parent for the volume lease, and for what is wanted and was
-// not asked for just now.
+// renew requests the volume lease from the parent, along with the records that are needed
+// and were not requested recently.
 func (n *Node) renew(now time.Duration, out *Out) {
 	u := &n.upstream
-	u.renewNext = false
+	u.renewEarly = false
 	if n.root.active || u.parent.Ident == "" {
 		return
 	}
-	keys := n.keysToAsk(now)
+	keys := n.keysToRequest(now)
 	request := u.newRequest(now)
 	u.forgetOldRequests()
 	u.lastRenewal = now
@@ -186,15 +190,16 @@
 	n.sendToParent(renewal.Message(n.partition), out)
 }
 
-// keysToAsk are the keys of the records to ask for in a renewal now, in order. A parent that
-// doesn't know this node yet has it reconnect and looks at no key.
-func (n *Node) keysToAsk(now time.Duration) (keys []string) {
+// keysToRequest returns the sorted keys of the records that a renewal should request now.
+// There are none until this node is connected: the parent would ignore them and request a
+// reconnect.
+func (n *Node) keysToRequest(now time.Duration) (keys []string) {
 	u := &n.upstream
 	if !u.isConnected() {
 		return nil
 	}
 	for key, f := range u.fetches {
-		if f.shouldAsk(now, n.cfg.RenewInterval) {
+		if f.shouldRequest(now, n.cfg.RenewInterval) {
 			keys = append(keys, key)
 			u.fetches[key] = pendingFetch{since: f.since, lastSent: now, attempts: f.attempts + 1}
 		}
@@ -208,17 +213,18 @@
 	out.Sends = append(out.Sends, message.Envelope{Addr: n.upstream.parent.Addr, Message: m})
 }
 
-// isAddressee tells whether a granter's message comes from the granter itself and is
-// meant for this incarnation. A granter tells an earlier one what it granted to that.
-func (n *Node) isAddressee(sender message.Sender, header message.GrantHeader) bool {
+// isForThisIncarnation reports whether a message was sent by the granter named in its
+// header and is addressed to this incarnation. Granters also send messages about the
+// leases of earlier incarnations.
+func (n *Node) isForThisIncarnation(sender message.Sender, header message.GrantHeader) bool {
 	return header.VolumeEpoch.Ident == sender.Ident && header.ChildEpoch == n.epoch
 }
 
-// acceptFromParent tells whether a message is the parent's and was not overtaken by
-// a later one, and notes it then.
+// acceptFromParent reports whether a message is from the current parent and no later
+// message has arrived before it. If so, it records the message as received.
 func (n *Node) acceptFromParent(now time.Duration, sender message.Sender, header message.GrantHeader) bool {
 	u := &n.upstream
-	if !n.isAddressee(sender, header) || n.root.active || sender.Ident != u.parent.Ident ||
+	if !n.isForThisIncarnation(sender, header) || n.root.active || sender.Ident != u.parent.Ident ||
 		header.Sequence <= u.lastSequence[header.VolumeEpoch] {
 		return false
 	}
@@ -227,13 +233,13 @@
 	return true
 }
 
-// handleInvalidate drops a record here and below. Whoever says so, dropping a record
-// is safe; the sequence number makes a grant that was overtaken by this invalidation
-// come too late.
+// handleInvalidate drops a record here and below. Dropping a record is safe no matter which
+// granter requests it. Recording the sequence number ensures that a grant overtaken by this
+// invalidation is rejected when it arrives.
 func (n *Node) handleInvalidate(
 	now time.Duration, sender message.Sender, header message.GrantHeader, m message.Invalidation, out *Out,
 ) {
-	if !n.isAddressee(sender, header) {
+	if !n.isForThisIncarnation(sender, header) {
 		return
 	}
 	last := n.upstream.lastSequence
@@ -245,8 +251,8 @@
 	n.completeIfAcknowledged(now, inv, out)
 }
 
-// handleRedirect passes on the name of a better parent. A relay that is back is no
-// parent of this node, and asks for its return in any case.
+// handleRedirect reports a better parent to the daemon. A relay that has returned may
+// redirect its former children to itself, although it is not their parent at that time.
 func (n *Node) handleRedirect(
 	now time.Duration, sender message.Sender, header message.GrantHeader, m message.Redirect, out *Out,
 ) {
@@ -261,7 +267,7 @@
 	}
 }
 
-// handleReconnect sends the list of the records that are held under a valid lease.
+// handleReconnect sends the list of the records that are held under valid object leases.
 func (n *Node) handleReconnect(now time.Duration, header message.GrantHeader, out *Out) {
 	u := &n.upstream
 	if u.lastLeaseList > 0 && now-u.lastLeaseList < n.cfg.leaseListGap() {
@@ -269,13 +275,13 @@
 	}
 	u.lastLeaseList = now
 	list := message.LeaseList{
-		RequestID: u.newRequest(now), VolumeEpoch: header.VolumeEpoch, Records: n.records.list(now),
+		RequestID: u.newRequest(now), VolumeEpoch: header.VolumeEpoch, Records: n.records.leaseList(now),
 	}
 	n.sendToParent(list.Message(n.partition), out)
 }
 
-// handleReconciled takes the volume lease with the records that the parent confirms,
-// and drops the others.
+// handleReconciled accepts the volume lease and the records that the parent confirmed,
+// and drops all other records.
 func (n *Node) handleReconciled(
 	now time.Duration, header message.GrantHeader, m message.Reconciliation, out *Out,
 ) {
@@ -284,8 +290,8 @@
 	if !ok {
 		return
 	}
-	n.noteAnswered(now, m.ResponseTo, sentAt)
-	n.keepConfirmed(now, m.Records, sentAt+m.ObjectLease, out)
+	n.completeRequest(now, m.ResponseTo, sentAt)
+	n.reconcileRecords(now, m.Records, sentAt+m.ObjectLease, out)
 	u.volumeEpoch = header.VolumeEpoch
 	u.volumeExpiry = sentAt + m.VolumeLease
 	done := message.ReconnectDone{Sequence: header.Sequence, VolumeEpoch: header.VolumeEpoch}
@@ -298,9 +304,9 @@
 	n.answerPendingRenewals(now, out)
 }
 
-// keepConfirmed gives records that the parent confirmed a new object lease, and
-// withdraws all others.
-func (n *Node) keepConfirmed(now time.Duration, confirmed []message.Record, expiry time.Duration, out *Out) {
+// reconcileRecords extends the object leases of the records that the parent confirmed, and
+// withdraws all other records.
+func (n *Node) reconcileRecords(now time.Duration, confirmed []message.Record, expiry time.Duration, out *Out) {
 	byKey := map[string]message.Record{}
 	for _, record := range confirmed {
 		byKey[record.Key] = record
@@ -317,7 +323,7 @@
 	}
 }
 
-// fetchPinned has the pinned records asked for that can't be served.
+// fetchPinned requests the pinned records that cannot be served.
 func (n *Node) fetchPinned(now time.Duration) {
 	for key := range n.records.pinned {
 		if _, ok := n.Get(now, key); !ok {
@@ -326,8 +332,8 @@
 	}
 }
 
-// handleGrantLease takes the volume lease, if the grant answers a renewal, and the
-// records that come with it.
+// handleGrantLease accepts the granted records and, if the grant answers a renewal, the
+// volume lease.
 func (n *Node) handleGrantLease(now time.Duration, header message.GrantHeader, m message.LeaseGrant, out *Out) {
 	u := &n.upstream
 	if header.VolumeEpoch != u.volumeEpoch {
@@ -335,41 +341,41 @@
 	}
 	if sentAt, ok := u.requests[m.ResponseTo]; ok && m.VolumeLease > 0 {
 		u.volumeExpiry = max(u.volumeExpiry, sentAt+m.VolumeLease)
-		n.noteAnswered(now, m.ResponseTo, sentAt)
+		n.completeRequest(now, m.ResponseTo, sentAt)
 	}
-	var passedOn Out
+	var recordsOut Out
 	for _, record := range m.Records {
-		n.takeGranted(now, record, m.ObjectLease, &passedOn)
+		n.acceptGrantedRecord(now, record, m.ObjectLease, &recordsOut)
 	}
-	out.Readable = append(out.Readable, passedOn.Readable...)
-	out.Sends = append(out.Sends, joinGrants(passedOn.Sends)...)
+	out.Readable = append(out.Readable, recordsOut.Readable...)
+	out.Sends = append(out.Sends, mergeGrants(recordsOut.Sends)...)
 	n.answerPendingRenewals(now, out)
 }
 
-// takeGranted serves a record that was granted, here and to the children that wait
-// for it. One whose patches don't apply is asked for once more, in full.
-func (n *Node) takeGranted(now time.Duration, granted message.Record, objectLease time.Duration, out *Out) {
+// acceptGrantedRecord caches a granted record and sends it to the children that wait for
+// it. If its patches do not apply, the record is requested again in full.
+func (n *Node) acceptGrantedRecord(now time.Duration, granted message.Record, objectLease time.Duration, out *Out) {
 	key := granted.Key
 	fetch, ok := n.upstream.fetches[key]
-	if !ok || n.invalidations.underWay(key) {
+	if !ok || n.invalidations.isInProgress(key) {
 		return
 	}
 	record, ok := n.applyPatches(granted)
 	if !ok {
 		n.upstream.fetches[key] = pendingFetch{since: fetch.since}
-		n.upstream.renewNext = true
+		n.upstream.renewEarly = true
 		return
 	}
 	delete(n.upstream.fetches, key)
 	n.records.cached[key] = cachedRecord{record: record, expiry: fetch.since + objectLease}
 	n.generation++
 	out.Readable = append(out.Readable, key)
-	n.serveWaiting(now, key, out)
+	n.serveWaiters(now, key, out)
 }
 
-// noteAnswered notes the answer to a request, and what it cost.
-func (n *Node) noteAnswered(now time.Duration, request uint64, sentAt time.Duration) {
+// completeRequest records that a request was answered, and how long that took.
+func (n *Node) completeRequest(now time.Duration, request uint64, sentAt time.Duration) {
 	delete(n.upstream.requests, request)
 	n.upstream.unansweredSince = 0
-	n.load.measure(now - sentAt)
+	n.load.addRenewCost(now - sentAt)
 }
--- a/control/lease/view.go
+++ b/control/lease/view.go
@@ -6,26 +6,26 @@
 	"mulleinmast/wire/message"
 )
 
-// ChildView is what a node knows of one child.
+// ChildView is a snapshot of one child as its parent sees it.
 type ChildView struct {
 	Replica     message.Replica `json:"seat"`
-	LeaseLeft   int64           `json:"left_ms"` // of its volume lease, in ms; negative: lapsed
-	Records     int             `json:"objs"`    // under object leases, lapsed ones included
+	LeaseLeft   int64           `json:"left_ms"` // remaining volume lease in ms; negative if expired
+	Records     int             `json:"objs"`    // object leases, including expired ones
 	Unreachable bool            `json:"listed"`  // on the unreachable list
 }
 
-// View is the node as the query shell shows it.
+// View is a snapshot of a node for the query shell.
 type View struct {
 	Partition     int               `json:"part"`
 	Root          bool              `json:"root"`
 	Parent        message.Replica   `json:"parent"`
-	LeaseLeft     int64             `json:"left_ms"` // of its own volume lease, in ms; negative: lapsed
-	Records       map[string]string `json:"objs"`    // key -> version, of the records that it holds
+	LeaseLeft     int64             `json:"left_ms"` // remaining volume lease of this node in ms; negative if expired
+	Records       map[string]string `json:"objs"`    // key -> version of the cached records
 	Children      []ChildView       `json:"kids"`
-	Invalidations []string          `json:"sweeps,omitempty"` // keys that are being withdrawn
+	Invalidations []string          `json:"sweeps,omitempty"` // keys of the invalidations in progress
 }
 
-// View snapshots the node.
+// View returns a snapshot of the node.
 //
 // Example: json.Marshal(n.View(now))
 func (n *Node) View(now time.Duration) View {
