--- a/control/lease/golden_test.go
+++ b/control/lease/golden_test.go
@@ -20,20 +20,20 @@
 	"mulleinmast/wire/message"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write testdata/messages.golden anew instead of comparing with it")
+var writeGolden = flag.Bool("write-golden", false, "rewrite testdata/messages.golden instead of comparing with it")
 
-// goldenBounds are the leases' bounds of the recorded scenes.
-var goldenBounds = lease.Config{
+// goldenConfig is the lease configuration of the recorded scenarios.
+var goldenConfig = lease.Config{
 	VolumeLease: 800 * time.Millisecond, ObjectLease: 3 * time.Second, Drift: 0.02,
 	Margin: 20 * time.Millisecond, RenewInterval: 266 * time.Millisecond,
 }
 
-// prefixCodec patches a value by what follows a common prefix; the first four bytes
-// of a patch are the checksum of the value that it applies to. Values below the root
+// prefixCodec encodes a patch as the length of the common prefix and the bytes that follow
+// it, preceded by a checksum of the value that the patch applies to. Values below the root
 // begin with '#'.
 type prefixCodec struct{}
 
-// Patch gives none where less than the half is in common.
+// Patch returns nil if the common prefix is shorter than half of the new value.
 func (prefixCodec) Patch(from, to []byte) []byte {
 	from, to = bytes.TrimPrefix(from, []byte("#")), bytes.TrimPrefix(to, []byte("#"))
 	n := 0
@@ -46,66 +46,67 @@
 	return append([]byte(fmt.Sprintf("%08x%04d", crc32.ChecksumIEEE(from), n)), to[n:]...)
 }
 
-// Apply fails where the checksum differs.
+// Apply fails if the checksum does not match.
 func (prefixCodec) Apply(from, patch []byte) ([]byte, error) {
 	from = bytes.TrimPrefix(from, []byte("#"))
 	var sum uint32
 	var n int
 	if len(patch) < 12 {
-		return nil, errors.New("too short")
+		return nil, errors.New("patch is too short")
 	}
 	if _, err := fmt.Sscanf(string(patch[:12]), "%08x%04d", &sum, &n); err != nil || sum != crc32.ChecksumIEEE(from) {
-		return nil, fmt.Errorf("another base: %w", err)
+		return nil, fmt.Errorf("patch is for a different base value: %w", err)
 	}
 	return slices.Concat([]byte("#"), from[:n], patch[12:]), nil
 }
 
-// Whole marks the value.
-func (prefixCodec) Whole(kept []byte) []byte {
-	return slices.Concat([]byte("#"), bytes.TrimPrefix(kept, []byte("#")))
+// Whole returns the value with the '#' mark.
+func (prefixCodec) Whole(stored []byte) []byte {
+	return slices.Concat([]byte("#"), bytes.TrimPrefix(stored, []byte("#")))
 }
 
-// recordedFrame is a message on its way.
+// recordedFrame is an encoded message in flight.
 type recordedFrame struct {
 	at       time.Duration
 	from, to string
 	bytes    []byte
 }
 
-// recorder runs nodes, carries their messages as bytes, and writes down what they ask for.
+// recorder runs nodes, delivers their messages in encoded form, and logs their messages and
+// other output.
 type recorder struct {
-	t        *testing.T
-	cfg      lease.Config
-	now      time.Duration
-	nodes    map[string]*lease.Node
-	epochs   map[string]uint64
-	records  map[string]message.Record // the root's
-	rootEnds time.Duration             // of the leader lease
-	frames   []recordedFrame
-	delay    func(from, to string) time.Duration
-	lost     func(from, to string, m *message.Message) bool
-	complete []uint64 // tags of invalidations
-	log      *strings.Builder
+	t             *testing.T
+	cfg           lease.Config
+	now           time.Duration
+	nodes         map[string]*lease.Node
+	epochs        map[string]uint64
+	records       map[string]message.Record // at the root
+	rootLeaseEnd  time.Duration             // end of the leader lease
+	inFlight      []recordedFrame
+	delay         func(from, to string) time.Duration
+	isLost        func(from, to string, m *message.Message) bool
+	completedTags []uint64 // tags of completed invalidations
+	log           *strings.Builder
 }
 
 func newRecorder(t *testing.T, cfg lease.Config, log *strings.Builder) *recorder {
 	r := &recorder{t: t, cfg: cfg, now: time.Second, log: log}
 	r.nodes, r.epochs, r.records = map[string]*lease.Node{}, map[string]uint64{}, map[string]message.Record{}
 	r.delay = func(string, string) time.Duration { return 2 * time.Millisecond }
-	r.lost = func(string, string, *message.Message) bool { return false }
+	r.isLost = func(string, string, *message.Message) bool { return false }
 	return r
 }
 
-func (r *recorder) scene(name string) { fmt.Fprintf(r.log, "\n== %s\n", name) }
+func (r *recorder) logScenario(name string) { fmt.Fprintf(r.log, "\n== %s\n", name) }
 
-// start makes a node anew, with a later epoch.
-func (r *recorder) start(name string, pins ...string) *lease.Node {
+// startNode starts or restarts a node, with a new epoch.
+func (r *recorder) startNode(name string, pins ...string) *lease.Node {
 	r.epochs[name]++
 	n := lease.New(r.cfg, 3, goldenReplica(name), r.epochs[name])
 	n.UseCodec(prefixCodec{}, 40)
 	r.nodes[name] = n
 	for _, key := range pins {
-		r.take(name, n.Pin(r.now, key))
+		r.logAndSend(name, n.Pin(r.now, key))
 	}
 	return n
 }
@@ -114,23 +115,23 @@
 	return message.Replica{Ident: name, Addr: name + ":7"}
 }
 
-// lead makes a node the root.
-func (r *recorder) lead(name string, term uint64) {
-	r.rootEnds = r.now + 2*r.cfg.VolumeLease
+// makeRoot makes a node the root.
+func (r *recorder) makeRoot(name string, term uint64) {
+	r.rootLeaseEnd = r.now + 2*r.cfg.VolumeLease
 	r.nodes[name].BecomeRoot(term, func(key string) message.Record {
 		if rec, ok := r.records[key]; ok {
 			return rec
 		}
 		return message.Record{Key: key, Deleted: true}
-	}, func() time.Duration { return r.rootEnds })
+	}, func() time.Duration { return r.rootLeaseEnd })
 }
 
-func (r *recorder) adopt(name, parent string) {
-	r.take(name, r.nodes[name].SetParent(r.now, goldenReplica(parent)))
+func (r *recorder) setParent(name, parent string) {
+	r.logAndSend(name, r.nodes[name].SetParent(r.now, goldenReplica(parent)))
 }
 
-// take writes down what a step asks for and sends it.
-func (r *recorder) take(from string, o lease.Out) {
+// logAndSend logs the output of a step and sends its messages.
+func (r *recorder) logAndSend(from string, o lease.Out) {
 	for _, s := range o.Sends {
 		m := s.Message
 		m.From, m.Addr, m.Epoch = from, goldenReplica(from).Addr, r.epochs[from]
@@ -145,42 +146,42 @@
 		fmt.Fprintf(r.log, "%v %s>%s %v %s %08x\n",
 			r.now, from, s.Addr, s.ExactAddr, text.String(), crc32.ChecksumIEEE(b))
 		to := strings.TrimSuffix(s.Addr, ":7")
-		if r.lost(from, to, &m) {
+		if r.isLost(from, to, &m) {
 			continue
 		}
 		if b, err = m.MarshalMsg(nil); err != nil {
 			r.t.Fatal(err)
 		}
-		r.frames = append(r.frames, recordedFrame{r.now + r.delay(from, to), from, to, b})
+		r.inFlight = append(r.inFlight, recordedFrame{r.now + r.delay(from, to), from, to, b})
 	}
 	if len(o.Readable)+len(o.Withdrawn)+len(o.Invalidated) > 0 || o.Orphaned || o.Redirect.Ident != "" {
 		fmt.Fprintf(r.log, "%v %s: readable %q, withdrawn %q, invalidated %v, orphaned %v, redirected to %q %q\n",
 			r.now, from, o.Readable, o.Withdrawn, o.Invalidated, o.Orphaned, o.Redirect.Ident, o.Redirect.Addr)
 	}
-	r.complete = append(r.complete, o.Invalidated...)
+	r.completedTags = append(r.completedTags, o.Invalidated...)
 }
 
-// deliver brings what has arrived, in the order of sending.
+// deliver delivers the messages that are due, in the order of sending.
 func (r *recorder) deliver() {
 	for {
-		i := slices.IndexFunc(r.frames, func(f recordedFrame) bool { return f.at <= r.now })
+		i := slices.IndexFunc(r.inFlight, func(f recordedFrame) bool { return f.at <= r.now })
 		if i < 0 {
 			return
 		}
-		f := r.frames[i]
-		r.frames = slices.Delete(r.frames, i, i+1)
+		f := r.inFlight[i]
+		r.inFlight = slices.Delete(r.inFlight, i, i+1)
 		var m message.Message
 		if _, err := m.UnmarshalMsg(f.bytes); err != nil {
 			r.t.Fatal(err)
 		}
 		if n := r.nodes[f.to]; n != nil {
-			r.take(f.to, n.Step(r.now, m))
+			r.logAndSend(f.to, n.Step(r.now, m))
 		}
 	}
 }
 
-// pass lets time pass, in steps of a millisecond; nodes tick every 20.
-func (r *recorder) pass(d time.Duration) {
+// advance advances the time in steps of 1 ms; nodes tick every 20 ms.
+func (r *recorder) advance(d time.Duration) {
 	for end := r.now + d; r.now < end; r.now += time.Millisecond {
 		r.deliver()
 		if r.now%(20*time.Millisecond) != 0 {
@@ -188,75 +189,77 @@
 		}
 		for _, name := range slices.Sorted(maps.Keys(r.nodes)) {
 			if r.nodes[name].IsRoot() {
-				r.rootEnds = max(r.rootEnds, r.now+2*r.cfg.VolumeLease)
+				r.rootLeaseEnd = max(r.rootLeaseEnd, r.now+2*r.cfg.VolumeLease)
 			}
-			r.take(name, r.nodes[name].Tick(r.now))
+			r.logAndSend(name, r.nodes[name].Tick(r.now))
 		}
 	}
 }
 
-// write changes a record at the root: all of it, or as much as is complete in a time.
-func (r *recorder) write(root, key, value string, tag uint64, most time.Duration) {
-	r.take(root, r.nodes[root].Suspend(r.now, key, tag))
-	for end := r.now + most; r.now < end && !slices.Contains(r.complete, tag); {
-		r.pass(time.Millisecond)
+// writeRecord changes a record at the root once its invalidation is complete, or after
+// maxWait if it is not complete by then.
+func (r *recorder) writeRecord(root, key, value string, tag uint64, maxWait time.Duration) {
+	r.logAndSend(root, r.nodes[root].Suspend(r.now, key, tag))
+	for end := r.now + maxWait; r.now < end && !slices.Contains(r.completedTags, tag); {
+		r.advance(time.Millisecond)
 	}
 	r.records[key] = message.Record{Key: key, Version: message.Version{Term: 1, Seq: tag}, Value: []byte(value)}
-	r.take(root, r.nodes[root].Resume(r.now, key))
+	r.logAndSend(root, r.nodes[root].Resume(r.now, key))
 }
 
-// show writes down what the nodes would answer.
-func (r *recorder) show(keys ...string) {
+// logState logs the state of all nodes and the records that they would serve.
+func (r *recorder) logState(keys ...string) {
 	for _, name := range slices.Sorted(maps.Keys(r.nodes)) {
 		n := r.nodes[name]
 		view, err := json.Marshal(n.View(r.now))
 		if err != nil {
 			r.t.Fatal(err)
 		}
-		lapsed, lasts := n.Lapsed(r.now)
+		expiredAt, servesStale := n.Lapsed(r.now)
 		fmt.Fprintf(r.log, "%v %s: %s parent %q cost %v till %v until %v lapsed %v %v changes %d whole %d\n",
 			r.now, name, view, n.Parent().Ident, n.RenewCost(), n.VolumeExpiry()-r.now, n.ValidUntil()-r.now,
-			lapsed, lasts, n.SentAsPatches(), n.SentInFull())
+			expiredAt, servesStale, n.SentAsPatches(), n.SentInFull())
 		for _, key := range keys {
 			rec, ok := n.Get(r.now, key)
-			last, at, lasts := n.LastKnown(r.now, key)
+			last, at, servesStale := n.LastKnown(r.now, key)
 			fmt.Fprintf(r.log, "  %s: %v %v %v %.20q, last %v %v %v\n",
-				key, ok, rec.Version, rec.Deleted, rec.Value, lasts, last.Version, at)
+				key, ok, rec.Version, rec.Deleted, rec.Value, servesStale, last.Version, at)
 		}
 	}
 }
 
-// zoneOfTwo is a root, a relay and two children below it.
-func zoneOfTwo(t *testing.T, cfg lease.Config, log *strings.Builder) *recorder {
+// newRelayWithTwoChildren returns a recorder with a root, a relay, and two children below
+// the relay.
+func newRelayWithTwoChildren(t *testing.T, cfg lease.Config, log *strings.Builder) *recorder {
 	r := newRecorder(t, cfg, log)
 	r.records["k"] = message.Record{Key: "k", Version: message.Version{Term: 1, Seq: 1}, Value: longValue(0)}
-	r.start("root")
-	r.start("relay", "k")
-	r.start("a", "k", "absent")
-	r.start("b", "k")
-	r.lead("root", 1)
-	r.adopt("a", "relay")
-	r.adopt("b", "relay")
-	r.adopt("relay", "root")
+	r.startNode("root")
+	r.startNode("relay", "k")
+	r.startNode("a", "k", "absent")
+	r.startNode("b", "k")
+	r.makeRoot("root", 1)
+	r.setParent("a", "relay")
+	r.setParent("b", "relay")
+	r.setParent("relay", "root")
 	return r
 }
 
 func longValue(n int) []byte { return []byte(fmt.Sprintf("%s%d", strings.Repeat("value ", 10), n)) }
 
-// recordScenes runs the scenes whose messages are written down one by one.
-func recordScenes(t *testing.T, log *strings.Builder) {
-	r := zoneOfTwo(t, goldenBounds, log)
-	r.scene("two children and a relay connect")
-	r.pass(500 * time.Millisecond)
-	r.show("k", "absent")
+// recordScenarios runs the scenarios whose messages are logged individually.
+func recordScenarios(t *testing.T, log *strings.Builder) {
+	r := newRelayWithTwoChildren(t, goldenConfig, log)
+	r.logScenario("two children and a relay connect")
+	r.advance(500 * time.Millisecond)
+	r.logState("k", "absent")
 
-	r.scene("a record changes, and goes down as a patch")
-	r.write("root", "k", string(longValue(1)), 2, time.Second)
-	r.pass(40 * time.Millisecond)
-	r.show("k")
+	r.logScenario("a record changes, and goes down as a patch")
+	r.writeRecord("root", "k", string(longValue(1)), 2, time.Second)
+	r.advance(40 * time.Millisecond)
+	r.logState("k")
 
-	r.scene("a patch is spoilt on its way")
-	r.lost = func(_, to string, m *message.Message) bool {
+	r.logScenario("a patch is spoilt on its way")
+	r.isLost = func(_, to string, m *message.Message) bool {
 		if to == "a" && len(m.Records) > 0 && len(m.Records[0].Patches) > 0 {
 			m.Records = slices.Clone(m.Records)
 			m.Records[0].Patches = slices.Clone(m.Records[0].Patches)
@@ -264,75 +267,76 @@
 		}
 		return false
 	}
-	r.write("root", "k", string(longValue(2)), 3, time.Second)
-	r.pass(100 * time.Millisecond)
-	r.show("k")
-
-	r.scene("a child is silent, until its lease lapses")
-	r.lost = func(from, to string, _ *message.Message) bool { return from == "b" || to == "b" }
-	r.write("root", "k", string(longValue(3)), 4, 3*time.Second)
-	r.pass(100 * time.Millisecond)
-	r.show("k")
-	r.lost = func(string, string, *message.Message) bool { return false }
-	r.pass(600 * time.Millisecond)
-	r.show("k")
+	r.writeRecord("root", "k", string(longValue(2)), 3, time.Second)
+	r.advance(100 * time.Millisecond)
+	r.logState("k")
+
+	r.logScenario("a child is silent, until its lease lapses")
+	r.isLost = func(from, to string, _ *message.Message) bool { return from == "b" || to == "b" }
+	r.writeRecord("root", "k", string(longValue(3)), 4, 3*time.Second)
+	r.advance(100 * time.Millisecond)
+	r.logState("k")
+	r.isLost = func(string, string, *message.Message) bool { return false }
+	r.advance(600 * time.Millisecond)
+	r.logState("k")
 
 	recordFailures(r)
-	recordOddMessages(t, log)
+	recordUnexpectedMessages(t, log)
 	recordRedirects(t, log)
 }
 
-// recordFailures goes on with a tree whose root is silent, whose relay starts anew, and
-// whose leader changes.
+// recordFailures continues with a root that is silent, a relay that restarts, and a change
+// of leader.
 func recordFailures(r *recorder) {
-	r.scene("the root is silent, leases lapse")
-	r.lost = func(from, _ string, _ *message.Message) bool { return from == "root" }
-	r.pass(2500 * time.Millisecond)
-	r.show("k", "absent")
-	r.lost = func(string, string, *message.Message) bool { return false }
-	r.pass(600 * time.Millisecond)
-	r.show("k", "absent")
-
-	r.scene("the relay starts anew")
-	r.start("relay", "k")
-	r.adopt("relay", "root")
-	r.pass(700 * time.Millisecond)
-	r.show("k")
-
-	r.scene("another leader")
-	r.take("root", r.nodes["root"].Suspend(r.now, "absent", 9))
+	r.logScenario("the root is silent, leases lapse")
+	r.isLost = func(from, _ string, _ *message.Message) bool { return from == "root" }
+	r.advance(2500 * time.Millisecond)
+	r.logState("k", "absent")
+	r.isLost = func(string, string, *message.Message) bool { return false }
+	r.advance(600 * time.Millisecond)
+	r.logState("k", "absent")
+
+	r.logScenario("the relay starts anew")
+	r.startNode("relay", "k")
+	r.setParent("relay", "root")
+	r.advance(700 * time.Millisecond)
+	r.logState("k")
+
+	r.logScenario("another leader")
+	r.logAndSend("root", r.nodes["root"].Suspend(r.now, "absent", 9))
 	r.nodes["root"].ResignRoot()
-	r.pass(60 * time.Millisecond)
-	r.show("k")
-	r.lead("relay", 2)
-	r.adopt("root", "relay")
-	r.pass(400 * time.Millisecond)
-	r.show("k", "absent")
+	r.advance(60 * time.Millisecond)
+	r.logState("k")
+	r.makeRoot("relay", 2)
+	r.setParent("root", "relay")
+	r.advance(400 * time.Millisecond)
+	r.logState("k", "absent")
 }
 
-// recordOddMessages gives a relay with a child what comes late, twice or from others.
-func recordOddMessages(t *testing.T, log *strings.Builder) {
-	r := zoneOfTwo(t, goldenBounds, log)
-	r.pass(500 * time.Millisecond)
-	r.scene("messages that are late, repeated or from others")
+// recordUnexpectedMessages sends a relay messages that are late, repeated or from unknown
+// nodes.
+func recordUnexpectedMessages(t *testing.T, log *strings.Builder) {
+	r := newRelayWithTwoChildren(t, goldenConfig, log)
+	r.advance(500 * time.Millisecond)
+	r.logScenario("messages that are late, repeated or from others")
 	relay := r.nodes["relay"]
-	for i, m := range oddMessages(r.nodes["root"].VolumeEpoch(), relay.VolumeEpoch()) {
+	for i, m := range unexpectedMessages(r.nodes["root"].VolumeEpoch(), relay.VolumeEpoch()) {
 		m.Partition, m.Addr = 3, m.From+":7"
 		fmt.Fprintf(r.log, "message %d, %v\n", i, m.Kind)
-		r.take("relay", relay.Step(r.now, m))
+		r.logAndSend("relay", relay.Step(r.now, m))
 		r.now++
 	}
-	r.show("k")
+	r.logState("k")
 	r.now -= r.now % time.Millisecond
-	r.pass(200 * time.Millisecond)
-	r.take("a", r.nodes["a"].SetParent(r.now, message.Replica{}))
-	r.pass(1200 * time.Millisecond)
-	r.show("k", "absent")
+	r.advance(200 * time.Millisecond)
+	r.logAndSend("a", r.nodes["a"].SetParent(r.now, message.Replica{}))
+	r.advance(1200 * time.Millisecond)
+	r.logState("k", "absent")
 }
 
-// oddMessages are for a relay: root and mine are the volume epochs of its parent and
-// its own. They are flat frames: other builds may send any of them.
-func oddMessages(root, mine message.VolumeEpoch) []message.Message {
+// unexpectedMessages returns messages for a relay, given the volume epochs of its parent
+// and its own. They are built field by field, since other builds may send any combination.
+func unexpectedMessages(root, mine message.VolumeEpoch) []message.Message {
 	older, stranger := root, message.VolumeEpoch{Ident: "x", Epoch: 1}
 	older.Term--
 	ver := message.Version{Term: 1, Seq: 1}
@@ -419,25 +423,25 @@
 	}
 }
 
-// recordRedirects has a slow relay join its children to the root, and a root send
-// the children of a relay to it.
+// recordRedirects runs scenarios in which a slow relay redirects its children to the root,
+// and the root redirects children that bypass their relay to it.
 func recordRedirects(t *testing.T, log *strings.Builder) {
-	cfg := goldenBounds
+	cfg := goldenConfig
 	cfg.LoadInterval, cfg.MaxRenewals, cfg.MinGain = time.Second, 2000, 5*time.Millisecond
-	r := zoneOfTwo(t, cfg, log)
+	r := newRelayWithTwoChildren(t, cfg, log)
 	r.delay = func(from, to string) time.Duration {
 		if from == "root" || to == "root" {
 			return time.Millisecond
 		}
 		return 25 * time.Millisecond
 	}
-	r.scene("a slow relay")
-	r.pass(2400 * time.Millisecond)
-	r.show()
+	r.logScenario("a slow relay")
+	r.advance(2400 * time.Millisecond)
+	r.logState()
 
-	for _, most := range []int{2000, 3} {
-		cfg.MaxRenewals = most
-		r = zoneOfTwo(t, cfg, log)
+	for _, maxRenewals := range []int{2000, 3} {
+		cfg.MaxRenewals = maxRenewals
+		r = newRelayWithTwoChildren(t, cfg, log)
 		r.nodes["root"].RelayOf = func(ident string) message.Replica {
 			if ident == "a" || ident == "b" {
 				return goldenReplica("relay")
@@ -445,24 +449,24 @@
 			return message.Replica{}
 		}
 		r.delay = func(from, to string) time.Duration {
-			if most == 2000 && (from == "a" || from == "b" || to == "a" || to == "b") {
+			if maxRenewals == 2000 && (from == "a" || from == "b" || to == "a" || to == "b") {
 				return 30 * time.Millisecond
 			}
 			return time.Millisecond
 		}
-		r.adopt("a", "root")
-		r.adopt("b", "root")
-		r.scene(fmt.Sprintf("children beside their relay, at most %d renewals", most))
-		r.pass(2400 * time.Millisecond)
-		r.show()
+		r.setParent("a", "root")
+		r.setParent("b", "root")
+		r.logScenario(fmt.Sprintf("children beside their relay, at most %d renewals", maxRenewals))
+		r.advance(2400 * time.Millisecond)
+		r.logState()
 	}
 }
 
-// What the nodes of a tree send, byte by byte, and what they ask of their daemon is
-// what testdata holds: the record of the build before the handlers were split.
-func TestMessagesAreAsRecorded(t *testing.T) {
+// The encoded messages and other output of the nodes must match the golden file, which was
+// recorded with the build before the message handlers were split.
+func TestMessagesMatchGoldenFile(t *testing.T) {
 	var log strings.Builder
-	recordScenes(t, &log)
+	recordScenarios(t, &log)
 	for seed := range int64(12) {
 		recordRandom(t, seed, &log)
 	}
@@ -480,10 +484,10 @@
 	for i, line := range strings.Split(string(want), "\n") {
 		if i >= len(got) || got[i] != line {
 			actual := strings.Join(got[min(i, len(got)):min(i+1, len(got))], "")
-			t.Fatalf("line %d is\n%s\nrecorded is\n%s", i+1, actual, line)
+			t.Fatalf("line %d differs, got\n%s\nwant\n%s", i+1, actual, line)
 		}
 	}
 	if len(got) != strings.Count(string(want), "\n")+1 {
-		t.Errorf("%d lines, recorded are %d", len(got), strings.Count(string(want), "\n")+1)
+		t.Errorf("got %d lines, want %d", len(got), strings.Count(string(want), "\n")+1)
 	}
 }
--- a/control/lease/patches_test.go
+++ b/control/lease/patches_test.go
@@ -14,135 +14,137 @@
 	"mulleinmast/wire/message"
 )
 
-var bounds = lease.Config{
+var patchTestConfig = lease.Config{
 	VolumeLease: 800 * time.Millisecond, ObjectLease: 48 * time.Second, Drift: 0.02,
 	Margin: 20 * time.Millisecond, RenewInterval: 266 * time.Millisecond,
 	LoadInterval: 4 * time.Second, MaxRenewals: 2000,
 }
 
-// oneZone names each node's parent.
-var oneZone = map[string]string{"relay": "root", "leaf-1": "relay", "leaf-2": "relay", "leaf-3": "relay"}
+// parents maps each node below the root to its parent.
+var parents = map[string]string{"relay": "root", "leaf-1": "relay", "leaf-2": "relay", "leaf-3": "relay"}
 
-// forest is a root, relays below it and leaves below these; messages arrive at once.
-type forest struct {
+// testTree is a root with a relay and leaves below it. Messages are delivered immediately.
+type testTree struct {
 	t          *testing.T
 	now        time.Duration
 	nodes      map[string]*lease.Node
 	stored     message.Record // at the root
 	lastTag    uint64
 	completed  []uint64       // tags of invalidations
-	grantBytes map[string]int // node -> bytes of grants with records that it was sent
-	sentWhole  map[string]int // node -> records that it was sent whole
+	grantBytes map[string]int // node -> bytes of the record grants sent to it
+	sentInFull map[string]int // node -> number of records sent to it in full
 	corrupt    func(to string, m *message.Message)
 }
 
-const watched = "plan/now"
+const planKey = "plan/now"
 
 func replica(name string) message.Replica { return message.Replica{Ident: name, Addr: name} }
 
-// plant makes a forest of one zone, in which these nodes have a codec.
-func plant(t *testing.T, codecs map[string]lease.Codec) *forest {
+// newTestTree returns a tree in which the nodes use the given codecs, if any.
+func newTestTree(t *testing.T, codecs map[string]lease.Codec) *testTree {
 	t.Helper()
-	f := &forest{
+	tree := &testTree{
 		t: t, now: time.Second, nodes: map[string]*lease.Node{},
-		grantBytes: map[string]int{}, sentWhole: map[string]int{},
+		grantBytes: map[string]int{}, sentInFull: map[string]int{},
 	}
 	names := []string{"root"}
-	for name := range oneZone {
+	for name := range parents {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		n := lease.New(bounds, 0, replica(name), 1)
+		n := lease.New(patchTestConfig, 0, replica(name), 1)
 		if codec := codecs[name]; codec != nil {
 			n.UseCodec(codec, lease.MinPatchedLength)
 		}
-		f.nodes[name] = n
+		tree.nodes[name] = n
 	}
-	f.nodes["root"].BecomeRoot(1, func(key string) message.Record {
-		if key == watched {
-			return f.stored
+	tree.nodes["root"].BecomeRoot(1, func(key string) message.Record {
+		if key == planKey {
+			return tree.stored
 		}
 		return message.Record{Key: key, Deleted: true}
-	}, func() time.Duration { return f.now + time.Hour })
+	}, func() time.Duration { return tree.now + time.Hour })
 	for _, name := range names {
-		if parent := oneZone[name]; parent != "" {
-			f.carry(name, f.nodes[name].Pin(f.now, watched))
-			f.carry(name, f.nodes[name].SetParent(f.now, replica(parent)))
+		if parent := parents[name]; parent != "" {
+			tree.deliver(name, tree.nodes[name].Pin(tree.now, planKey))
+			tree.deliver(name, tree.nodes[name].SetParent(tree.now, replica(parent)))
 		}
 	}
-	return f
+	return tree
 }
 
-// carry delivers what a step sends, at once.
-func (f *forest) carry(from string, out lease.Out) {
-	f.completed = append(f.completed, out.Invalidated...)
+// deliver delivers the messages of a step immediately.
+func (tree *testTree) deliver(from string, out lease.Out) {
+	tree.completed = append(tree.completed, out.Invalidated...)
 	for _, s := range out.Sends {
 		m := s.Message
 		m.From, m.Addr, m.Epoch = from, from, 1
-		to := f.nodes[m.To]
+		to := tree.nodes[m.To]
 		if to == nil {
 			continue
 		}
-		if f.corrupt != nil {
-			f.corrupt(m.To, &m)
+		if tree.corrupt != nil {
+			tree.corrupt(m.To, &m)
 		}
 		if len(m.Records) > 0 && m.Kind == message.KindGrantLease {
 			b, err := m.MarshalMsg(nil)
 			if err != nil {
-				f.t.Fatal(err)
+				tree.t.Fatal(err)
 			}
-			f.grantBytes[m.To] += len(b)
+			tree.grantBytes[m.To] += len(b)
 			for _, r := range m.Records {
 				if !r.Patched && !r.Deleted {
-					f.sentWhole[m.To]++
+					tree.sentInFull[m.To]++
 				}
 			}
 		}
-		f.carry(m.To, to.Step(f.now, m))
+		tree.deliver(m.To, to.Step(tree.now, m))
 	}
 }
 
-// pass lets time pass, renewals included.
-func (f *forest) pass(d time.Duration) {
-	for end := f.now + d; f.now < end; f.now += 10 * time.Millisecond {
-		for name, n := range f.nodes {
-			f.carry(name, n.Tick(f.now))
+// advance advances the time and ticks all nodes.
+func (tree *testTree) advance(d time.Duration) {
+	for end := tree.now + d; tree.now < end; tree.now += 10 * time.Millisecond {
+		for name, n := range tree.nodes {
+			tree.deliver(name, n.Tick(tree.now))
 		}
 	}
 }
 
-// write changes the record at the root: withdrawn everywhere, then served again.
-func (f *forest) write(val []byte) {
-	f.t.Helper()
-	f.lastTag++
-	root := f.nodes["root"]
-	f.carry("root", root.Suspend(f.now, watched, f.lastTag))
-	for n := 0; n < 400 && !slices.Contains(f.completed, f.lastTag); n++ {
-		f.pass(10 * time.Millisecond)
+// writeRecord changes the record at the root: it is withdrawn everywhere, then served again.
+func (tree *testTree) writeRecord(val []byte) {
+	tree.t.Helper()
+	tree.lastTag++
+	root := tree.nodes["root"]
+	tree.deliver("root", root.Suspend(tree.now, planKey, tree.lastTag))
+	for n := 0; n < 400 && !slices.Contains(tree.completed, tree.lastTag); n++ {
+		tree.advance(10 * time.Millisecond)
 	}
-	if !slices.Contains(f.completed, f.lastTag) {
-		f.t.Fatal("the invalidation is never complete")
+	if !slices.Contains(tree.completed, tree.lastTag) {
+		tree.t.Fatal("the invalidation was not completed")
 	}
-	f.stored = message.Record{Key: watched, Version: message.Version{Term: 1, Seq: f.lastTag}, Value: val}
-	f.carry("root", root.Resume(f.now, watched))
+	tree.stored = message.Record{Key: planKey, Version: message.Version{Term: 1, Seq: tree.lastTag}, Value: val}
+	tree.deliver("root", root.Resume(tree.now, planKey))
 }
 
-// serves looks whether all nodes serve what the root holds.
-func (f *forest) serves(what string) {
-	f.t.Helper()
-	for name, n := range f.nodes {
-		got, ok := n.Get(f.now, watched)
-		if !ok || got.Version != f.stored.Version || !bytes.Equal(planJSON(f.t, got.Value), planJSON(f.t, f.stored.Value)) {
-			f.t.Errorf("%s: %s serves %v %v, the root %v", what, name, got.Version, ok, f.stored.Version)
+// checkServed checks that all nodes serve the root's version of the record.
+func (tree *testTree) checkServed(context string) {
+	tree.t.Helper()
+	for name, n := range tree.nodes {
+		got, ok := n.Get(tree.now, planKey)
+		if !ok || got.Version != tree.stored.Version ||
+			!bytes.Equal(planJSON(tree.t, got.Value), planJSON(tree.t, tree.stored.Value)) {
+			tree.t.Errorf("%s: %s serves version %v, ok %v; the root has %v",
+				context, name, got.Version, ok, tree.stored.Version)
 		}
 	}
 }
 
-// planJSON is a plan as JSON, in whichever form its record is.
+// planJSON returns the JSON encoding of a plan, regardless of the form of its record.
 func planJSON(t *testing.T, val []byte) []byte {
 	t.Helper()
-	p, err := fleetconfig.ReadPlan(message.Record{Key: watched, Value: val})
+	p, err := fleetconfig.ReadPlan(message.Record{Key: planKey, Value: val})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -153,8 +155,8 @@
 	return b
 }
 
-// routes is a plan of so many routes, one of them changed n times.
-func routes(t *testing.T, count, n int) []byte {
+// encodedPlan returns a plan with count routes, one of which has been changed n times.
+func encodedPlan(t *testing.T, count, n int) []byte {
 	t.Helper()
 	p := fleetconfig.Plan{
 		ID: fmt.Sprintf("%032x", n*7919), Version: uint64(n),
@@ -181,89 +183,90 @@
 	return b
 }
 
-// countingCodec counts the patches that are made.
+// countingCodec counts the patches that it computes.
 type countingCodec struct {
 	fleetconfig.Codec
 	made *int
 }
 
-// Patch counts.
+// Patch counts the call.
 func (c countingCodec) Patch(from, to []byte) []byte {
 	*c.made++
 	return c.Codec.Patch(from, to)
 }
 
-// everywhere gives all nodes a codec.
-func everywhere(codec lease.Codec) map[string]lease.Codec {
+// onAllNodes maps all nodes to the same codec.
+func onAllNodes(codec lease.Codec) map[string]lease.Codec {
 	codecs := map[string]lease.Codec{"root": codec}
-	for name := range oneZone {
+	for name := range parents {
 		codecs[name] = codec
 	}
 	return codecs
 }
 
-// A change costs each daemon what it changes: at most three times the change and 200
-// bytes, of a plan of 84 routes and of 1,500; made once, at the root.
-func TestAChangeIsSentAsAPatch(t *testing.T) {
+// A change costs each node at most three times the size of the change plus 200 bytes,
+// whether the plan has 84 or 1,500 routes. Its patch is computed only once, at the root.
+func TestChangeIsSentAsPatch(t *testing.T) {
 	for _, count := range []int{84, 1500} {
 		made := 0
-		f := plant(t, everywhere(countingCodec{made: &made}))
-		f.write(routes(t, count, 0))
-		f.pass(time.Second)
-		f.serves("at first")
-		atFirst := f.grantBytes["leaf-1"]
-		const change = 170 // the item that changes, as its operator sends it
+		tree := newTestTree(t, onAllNodes(countingCodec{made: &made}))
+		tree.writeRecord(encodedPlan(t, count, 0))
+		tree.advance(time.Second)
+		tree.checkServed("first version")
+		firstBytes := tree.grantBytes["leaf-1"]
+		const change = 170 // bytes of the changed item, as sent by the operator
 		for n := 1; n <= 5; n++ {
 			before := made
-			clear(f.grantBytes)
-			clear(f.sentWhole)
-			f.write(routes(t, count, n))
-			f.pass(500 * time.Millisecond)
-			f.serves(fmt.Sprintf("change %d", n))
+			clear(tree.grantBytes)
+			clear(tree.sentInFull)
+			tree.writeRecord(encodedPlan(t, count, n))
+			tree.advance(500 * time.Millisecond)
+			tree.checkServed(fmt.Sprintf("change %d", n))
 			if made-before != 1 {
-				t.Errorf("%d routes: a change was made into %d patches", count, made-before)
+				t.Errorf("%d routes: %d patches were computed for one change", count, made-before)
 			}
 			for _, name := range []string{"relay", "leaf-1", "leaf-2", "leaf-3"} {
-				if f.grantBytes[name] > 3*change+200 || f.sentWhole[name] > 0 {
-					t.Errorf("%d routes, change %d: %s is sent %d bytes, %d records whole",
-						count, n, name, f.grantBytes[name], f.sentWhole[name])
+				if tree.grantBytes[name] > 3*change+200 || tree.sentInFull[name] > 0 {
+					t.Errorf("%d routes, change %d: %s was sent %d bytes and %d records in full",
+						count, n, name, tree.grantBytes[name], tree.sentInFull[name])
 				}
 			}
 		}
-		t.Logf("%d routes: %d bytes to a daemon at first, %d for a change", count, atFirst, f.grantBytes["leaf-1"])
+		t.Logf("%d routes: %d bytes to a node for the first version, %d for a change",
+			count, firstBytes, tree.grantBytes["leaf-1"])
 	}
 }
 
-// A daemon that was away for some changes gets them in a row, one that was away for
-// more than are remembered gets the whole.
-func TestAReturningDaemonGetsPatchesInARow(t *testing.T) {
-	for _, c := range []struct{ missed, wantWhole int }{{1, 0}, {20, 0}, {40, 1}} {
-		f := plant(t, everywhere(fleetconfig.Codec{}))
-		f.write(routes(t, 300, 0))
-		f.pass(time.Second)
-		away := f.nodes["leaf-1"]
-		delete(f.nodes, "leaf-1")
-		f.pass(2 * bounds.VolumeLease)
+// A node that missed some changes receives their patches together. A node that missed more
+// changes than the parent keeps patches for receives the record in full.
+func TestReturningNodeGetsMissedPatches(t *testing.T) {
+	for _, c := range []struct{ missed, wantFull int }{{1, 0}, {20, 0}, {40, 1}} {
+		tree := newTestTree(t, onAllNodes(fleetconfig.Codec{}))
+		tree.writeRecord(encodedPlan(t, 300, 0))
+		tree.advance(time.Second)
+		away := tree.nodes["leaf-1"]
+		delete(tree.nodes, "leaf-1")
+		tree.advance(2 * patchTestConfig.VolumeLease)
 		for n := 1; n <= c.missed; n++ {
-			f.write(routes(t, 300, n))
-			f.pass(20 * time.Millisecond)
+			tree.writeRecord(encodedPlan(t, 300, n))
+			tree.advance(20 * time.Millisecond)
 		}
-		clear(f.sentWhole)
-		f.nodes["leaf-1"] = away
-		f.pass(2 * time.Second)
-		f.serves(fmt.Sprintf("%d changes missed", c.missed))
-		if f.sentWhole["leaf-1"] != c.wantWhole {
-			t.Errorf("%d changes missed: %d records whole", c.missed, f.sentWhole["leaf-1"])
+		clear(tree.sentInFull)
+		tree.nodes["leaf-1"] = away
+		tree.advance(2 * time.Second)
+		tree.checkServed(fmt.Sprintf("%d changes missed", c.missed))
+		if tree.sentInFull["leaf-1"] != c.wantFull {
+			t.Errorf("%d changes missed: %d records sent in full", c.missed, tree.sentInFull["leaf-1"])
 		}
 	}
 }
 
-// A patch that is corrupted on its way is no record: the whole is asked for, and nothing
-// else is ever served.
-func TestACorruptPatchIsNotServed(t *testing.T) {
-	f := plant(t, everywhere(fleetconfig.Codec{}))
-	f.write(routes(t, 300, 0))
-	f.pass(time.Second)
+// A node that receives a corrupt patch requests the full record, and never serves anything
+// else.
+func TestCorruptPatchIsNotServed(t *testing.T) {
+	tree := newTestTree(t, onAllNodes(fleetconfig.Codec{}))
+	tree.writeRecord(encodedPlan(t, 300, 0))
+	tree.advance(time.Second)
 	for n, corrupt := range []func(p *message.Patch){
 		func(p *message.Patch) { p.Delta = p.Delta[:len(p.Delta)/2] },
 		func(p *message.Patch) { p.Delta[len(p.Delta)-1] ^= 1 },
@@ -271,7 +274,7 @@
 		func(p *message.Patch) { p.To.Seq += 7 },
 	} {
 		corrupted := 0
-		f.corrupt = func(to string, m *message.Message) {
+		tree.corrupt = func(to string, m *message.Message) {
 			for i := range m.Records {
 				if to == "leaf-1" && len(m.Records[i].Patches) > 0 && corrupted == 0 {
 					corrupted++
@@ -283,60 +286,61 @@
 				}
 			}
 		}
-		clear(f.sentWhole)
-		f.write(routes(t, 300, n+1))
-		f.pass(2 * time.Second)
-		if f.serves(fmt.Sprintf("corrupted, %d", n)); corrupted != 1 {
-			t.Errorf("%d: nothing was corrupted", n)
+		clear(tree.sentInFull)
+		tree.writeRecord(encodedPlan(t, 300, n+1))
+		tree.advance(2 * time.Second)
+		if tree.checkServed(fmt.Sprintf("corruption %d", n)); corrupted != 1 {
+			t.Errorf("corruption %d: no patch was corrupted", n)
 		}
-		f.corrupt = nil
+		tree.corrupt = nil
 	}
 }
 
-// Parents and children of a build that knows of no patches are sent, and send, what
-// is whole.
-func TestABuildWithoutPatchesGetsWholeRecords(t *testing.T) {
+// Nodes of a build without patches send and receive records in full.
+func TestBuildWithoutPatchesGetsFullRecords(t *testing.T) {
 	for _, old := range []string{"root", "relay", "leaf-1"} {
-		codecs := everywhere(fleetconfig.Codec{})
+		codecs := onAllNodes(fleetconfig.Codec{})
 		delete(codecs, old)
-		f := plant(t, codecs)
+		tree := newTestTree(t, codecs)
 		for n := range 4 {
-			f.write(routes(t, 300, n))
-			f.pass(time.Second)
-			f.serves(old + " is of an older build")
+			tree.writeRecord(encodedPlan(t, 300, n))
+			tree.advance(time.Second)
+			tree.checkServed(old + " has an older build")
 		}
 	}
 }
 
-// A record that is asked for anew before its lease ends isn't sent again.
-func TestARenewedRecordIsNotSentAgain(t *testing.T) {
-	f := plant(t, everywhere(fleetconfig.Codec{}))
-	f.write(routes(t, 300, 0))
-	f.pass(time.Second)
-	clear(f.grantBytes)
-	f.pass(bounds.ObjectLease)
-	f.serves("an object lease later")
-	for name, n := range f.grantBytes {
+// A record that is requested again before its lease expires is not resent if it has not
+// changed.
+func TestRenewedRecordIsNotResent(t *testing.T) {
+	tree := newTestTree(t, onAllNodes(fleetconfig.Codec{}))
+	tree.writeRecord(encodedPlan(t, 300, 0))
+	tree.advance(time.Second)
+	clear(tree.grantBytes)
+	tree.advance(patchTestConfig.ObjectLease)
+	tree.checkServed("one object lease later")
+	for name, n := range tree.grantBytes {
 		if n > 600 {
-			t.Errorf("%s is sent %d bytes of records in an object lease", name, n)
+			t.Errorf("%s was sent %d bytes of records within one object lease", name, n)
 		}
 	}
 }
 
-// failingCodec applies nothing.
+// failingCodec is a codec that cannot apply patches.
 type failingCodec struct{ fleetconfig.Codec }
 
-// Apply fails.
-func (failingCodec) Apply(_, _ []byte) ([]byte, error) { return nil, errors.New("can't") }
+// Apply always fails.
+func (failingCodec) Apply(_, _ []byte) ([]byte, error) { return nil, errors.New("cannot apply patch") }
 
-// A daemon that can't apply any patch serves all the same: it gets the whole each time.
-func TestADaemonThatCannotApplyPatchesGetsWholeRecords(t *testing.T) {
-	codecs := everywhere(fleetconfig.Codec{})
+// A node that cannot apply patches still serves each version: it receives the record in
+// full each time.
+func TestNodeThatCannotApplyPatchesGetsFullRecords(t *testing.T) {
+	codecs := onAllNodes(fleetconfig.Codec{})
 	codecs["leaf-2"], codecs["relay"] = failingCodec{}, failingCodec{}
-	f := plant(t, codecs)
+	tree := newTestTree(t, codecs)
 	for n := range 5 {
-		f.write(routes(t, 300, n))
-		f.pass(time.Second)
-		f.serves("a codec that fails")
+		tree.writeRecord(encodedPlan(t, 300, n))
+		tree.advance(time.Second)
+		tree.checkServed("failing codec")
 	}
 }
--- a/proof/standin/mutants/rules.sh
+++ b/proof/standin/mutants/rules.sh
@@ -52,8 +52,8 @@
 mutant left-state-claims control/storage TestRestoredStateDisownsIncarnations control/storage/head.go 'starts += restoredStarts' 'starts += 0'
 mutant spoilt-past-counts control/storage TestCorruptIncarnationsAreDisowned control/storage/load.go 'if r.Past != r.PastSum() {' 'if r.Past == 0 && r.PastSum() != 0 {'
 # what goes down the tree, joined changes, formats
-mutant patch-on-any-base control/lease TestACorruptPatchIsNotServed $patches 'err != nil || patch.From != record.Version' 'err != nil && patch.From != record.Version'
-mutant patches-end-at-relays control/lease TestAChangeIsSentAsAPatch $patches '	p.setChain(granted.Key, chain)
+mutant patch-on-any-base control/lease TestCorruptPatchIsNotServed $patches 'err != nil || patch.From != record.Version' 'err != nil && patch.From != record.Version'
+mutant patches-end-at-relays control/lease TestChangeIsSentAsPatch $patches '	p.setChain(granted.Key, chain)
 ' ''
 mutant patch-without-sum control/fleetconfig TestAPatchFitsOnlyItsBase control/fleetconfig/codec.go 'zstd.WithEncoderLevel(zstd.SpeedFastest),' 'zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderCRC(false),'
 mutant refused-by-what-is-lost control/partition TestMergedJobsFailTogether control/partition/batch.go 'case j.writesNought && outcome == Done:' 'case j.writesNought:'
