--- a/control/lease/lease_test.go
+++ b/control/lease/lease_test.go
@@ -80,7 +80,7 @@
 	now += cfg.RenewInterval
 	list = c.receiveFromParent(now, 1, reconnect)[0].Message
 	if len(list.Records) != 1 {
-		t.Fatalf("the list should contain one record: %+v", list)
+		t.Fatalf("%+v", list)
 	}
 	c.receiveFromParent(now, 1, emptyReconciliation(list))
 	if _, ok := c.child.Get(now, "k"); ok {
@@ -104,8 +104,8 @@
 	}
 }
 
-// mergeGrants merges the record grants for each child into one message. It neither mixes
-// grants for different children nor changes other messages or the order of messages.
+// Record grants for the same child are merged into one message. Grants for different
+// children are not mixed, and other messages and the order of messages do not change.
 func TestMergeGrantsJoinsRecordsPerChild(t *testing.T) {
 	grant := func(to, key string) message.Envelope {
 		m := message.LeaseGrant{ObjectLease: time.Minute, Records: []message.Record{{Key: key}}}.Message(0)
--- a/control/lease/patches_test.go
+++ b/control/lease/patches_test.go
@@ -330,7 +330,7 @@
 type failingCodec struct{ fleetconfig.Codec }
 
 // Apply always fails.
-func (failingCodec) Apply(_, _ []byte) ([]byte, error) { return nil, errors.New("cannot apply patch") }
+func (failingCodec) Apply(_, _ []byte) ([]byte, error) { return nil, errors.New("can't") }
 
 // A node that cannot apply patches still serves each version: it receives the record in
 // full each time.
