--- a/control/leader/call.go
+++ b/control/leader/call.go
@@ -18,21 +18,21 @@
 	List    fleetconfig.List `json:"List"`
 }
 
-// ReplicaCall is the body of leadercall.OpReplica: a replica of the group is to go to another daemon.
+// ReplicaCall is the body of leadercall.OpReplica: it moves a replica of the group to another daemon.
 type ReplicaCall struct {
-	Out   string `json:"out"`   // identity of the daemon that has the replica
-	Ident string `json:"ident"` // of the daemon that is to have it
-	Addr  string `json:"addr"`  // of that daemon: IP address and port
+	Out   string `json:"out"`   // identity of the daemon that holds the replica now
+	Ident string `json:"ident"` // identity of the daemon that takes it over
+	Addr  string `json:"addr"`  // IP address and port of the daemon that takes it over
 }
 
-// ClaimCall is the body of leadercall.OpClaim and leadercall.OpRelease: a once key is claimed,
-// or the end of its request reported.
+// ClaimCall is the body of leadercall.OpClaim and leadercall.OpRelease: it claims a once key,
+// or reports the end of the request that claimed it.
 type ClaimCall struct {
 	Key   string           `json:"Key"` // tenant and key; see OnceKey
 	Claim leadercall.Claim `json:"Claim"`
 }
 
-// answer is what a try of a call is answered.
+// answer is the response to one attempt of a call.
 type answer struct {
 	status int
 	body   []byte
@@ -41,18 +41,18 @@
 
 func (c *Controller) respond(to message.Sender, call message.Call, a answer) {
 	result := message.CallResult{RequestID: call.RequestID, Status: a.status, Body: a.body, Basis: a.basis}
-	frame := result.Message(c.number)
+	frame := result.Message(c.partitionNumber)
 	frame.To = to.Ident
 	c.callResults = append(c.callResults, message.Envelope{Addr: to.Addr, Message: frame})
 }
 
-// invalidBody is the answer to a call whose body can't be read.
-func invalidBody(err error) answer {
+// invalidBodyAnswer is the answer to a call whose body can't be decoded.
+func invalidBodyAnswer(err error) answer {
 	response := leadercall.Response{Result: leadercall.ResultInvalid, Faults: []string{err.Error()}}
 	return answer{status: http.StatusBadRequest, body: leadercall.Pack(response)}
 }
 
-// handleCall carries out a call if this daemon is the leader.
+// handleCall executes a call if this daemon is the leader.
 func (c *Controller) handleCall(now time.Duration, from message.Sender, call message.Call) Out {
 	switch call.Op {
 	case leadercall.OpDemand:
@@ -62,14 +62,14 @@
 		c.handleToken(now, from, call)
 		return c.finishStep(partition.Out{})
 	}
-	if !c.partition.IsLeader(now) { // only the leader may find fault with a call
+	if !c.partition.IsLeader(now) { // only the leader may reject a call as invalid
 		c.respond(from, call, answer{status: leadercall.StatusNotLeader})
 		return c.finishStep(partition.Out{})
 	}
 	c.orders.now = now
-	job, err := c.request(from, call).job(call.Op, call.Body)
+	job, err := c.newCallRequest(from, call).job(call.Op, call.Body)
 	if err != nil {
-		c.respond(from, call, invalidBody(err))
+		c.respond(from, call, invalidBodyAnswer(err))
 		return c.finishStep(partition.Out{})
 	}
 	if call.Op == leadercall.OpServers {
@@ -77,18 +77,19 @@
 	}
 	var events []Event
 	out := c.Submit(now, job, func(r partition.Result) {
-		c.reload = c.reload || call.Op == leadercall.OpServers // other calls concern no server's record
+		c.reload = c.reload || call.Op == leadercall.OpServers // no other call affects server records
 		a, event := answerTo(call.Op, r)
 		c.respond(from, call, a)
 		if event.Kind != "" {
 			events = append(events, event)
 		}
 	})
-	out.Events = append(out.Events, events...) // of a write that ended within this step
+	out.Events = append(out.Events, events...) // of a write that completed within this step
 	return out
 }
 
-// answerTo is the answer to a call whose write has ended, with what is logged of it, if anything.
+// answerTo returns the answer to a call whose write has completed, and the event to log; the event's Kind is
+// empty if there is nothing to log.
 func answerTo(op string, r partition.Result) (answer, Event) {
 	switch r.Outcome {
 	case partition.NotLeader:
@@ -96,20 +97,20 @@
 	case partition.Uncertain:
 		return answer{status: leadercall.StatusUncertain}, Event{}
 	}
-	switch word := r.Answer.(type) {
+	switch value := r.Answer.(type) {
 	case fleetconfig.Verdict:
-		event := Event{"plan", fmt.Sprintf("%s: %s, version %d", op, word.Result, word.Version)}
-		return answer{status: verdictStatus(word), body: leadercall.Pack(word)}, event
+		event := Event{"plan", fmt.Sprintf("%s: %s, version %d", op, value.Result, value.Version)}
+		return answer{status: verdictStatus(value), body: leadercall.Pack(value)}, event
 	case leadercall.Response:
 		var event Event
-		if word.Result == leadercall.ResultUnclear {
-			event = Event{"call", fmt.Sprintf("%s: %s, %s", op, word.Result, word.Reason)}
+		if value.Result == leadercall.ResultUnclear {
+			event = Event{"call", fmt.Sprintf("%s: %s, %s", op, value.Result, value.Reason)}
 		}
-		return answer{status: responseStatus(word), body: leadercall.Pack(word)}, event
-	case behind:
-		return answer{status: leadercall.StatusBehind, basis: word.basis}, Event{}
+		return answer{status: responseStatus(value), body: leadercall.Pack(value)}, event
+	case basisMismatch:
+		return answer{status: leadercall.StatusBehind, basis: value.basis}, Event{}
 	default:
-		panic("job without a result: " + op)
+		panic("write returned no known result for call " + op)
 	}
 }
 
@@ -137,19 +138,19 @@
 	return 0
 }
 
-// request is a try of a call as its handler sees it.
-type request struct {
-	id    string          // names the call over all its tries; "": its daemon's build doesn't number them
-	basis message.Version // that a leader named to the caller; zero: its daemon's build knows none
-	// orders are those of the leadership; used only where id is set.
+// callRequest is one attempt of a call, with what its handlers need.
+type callRequest struct {
+	id    string          // identifies the call across all its attempts; "" if the daemon's build doesn't number calls
+	basis message.Version // version a leader returned to the caller; zero if the daemon's build doesn't support it
+	// orders holds the recent orders of the current leadership; used only if id is set.
 	orders         *recentOrders
 	readableFormat func() int // see Config.ReadableFormat
 	plans          *fleetconfig.PlanReader
 	replicas       []message.Replica // of the partition's group
 }
 
-func (c *Controller) request(from message.Sender, call message.Call) request {
-	r := request{readableFormat: c.cfg.ReadableFormat, plans: &c.plans, replicas: c.replicas()}
+func (c *Controller) newCallRequest(from message.Sender, call message.Call) callRequest {
+	r := callRequest{readableFormat: c.cfg.ReadableFormat, plans: &c.plans, replicas: c.replicas()}
 	if call.CallID != 0 {
 		r.id = fmt.Sprintf("%s#%d/%d", from.Ident, from.Epoch, call.CallID)
 		r.basis, r.orders = call.Basis, &c.orders
@@ -157,8 +158,8 @@
 	return r
 }
 
-// job turns a call into a write of the partition; the error says what is wrong with its body.
-func (r request) job(op string, body []byte) (partition.Job, error) {
+// job turns a call into a write to the partition; the error describes a fault in its body.
+func (r callRequest) job(op string, body []byte) (partition.Job, error) {
 	switch op {
 	case leadercall.OpPlan:
 		return r.handlePlan(body)
@@ -179,17 +180,17 @@
 	}
 }
 
-// decodeBody reads the body of a call.
+// decodeBody decodes the JSON body of a call.
 func decodeBody[T any](body []byte) (value T, err error) {
 	err = json.Unmarshal(body, &value)
 	return value, err
 }
 
-// responseDone says that a call was carried out, or found nothing to change.
+// responseDone reports that a call was executed, or that there was nothing to change.
 var responseDone = leadercall.Response{Result: leadercall.ResultDone}
 
-// unclear is the result of a call on a record that this build can't read: nothing
-// was changed, and nobody here knows what the call would have met.
-func unclear(err error) leadercall.Response {
+// unclearResponse is the result of a call on a record that this build can't read: nothing
+// was changed, and the state that the call would have found is unknown.
+func unclearResponse(err error) leadercall.Response {
 	return leadercall.Response{Result: leadercall.ResultUnclear, Reason: err.Error()}
 }
--- a/control/leader/calls_test.go
+++ b/control/leader/calls_test.go
@@ -8,14 +8,14 @@
 	"mulleinmast/wire/message"
 )
 
-// noRecord reads a partition without records.
+// noRecord reads from a partition without records.
 func noRecord(key string) message.Record { return message.Record{Key: key, Deleted: true} }
 
-// newRequest is a call of a daemon whose build doesn't number its calls.
-func newRequest() request { return request{plans: new(fleetconfig.PlanReader)} }
+// newUnnumberedRequest returns a call of a daemon whose build doesn't number its calls.
+func newUnnumberedRequest() callRequest { return callRequest{plans: new(fleetconfig.PlanReader)} }
 
-// Every call's body, one byte changed at a time, is accepted or found invalid; what
-// is written is always a record that can be read.
+// Each call body with any single byte changed is either accepted or rejected as invalid, and every record
+// written for it is readable.
 func TestMutatedCallsWriteOnlyReadableRecords(t *testing.T) {
 	plan := fleetconfig.Plan{
 		ID: "p", Tenants: []fleetconfig.Tenant{{Name: "x", Priority: 1, TimeoutMillis: 100, QueueFraction: 0.5}},
@@ -33,9 +33,9 @@
 		"claim":   leadercall.Pack(ClaimCall{Key: "t/k", Claim: leadercall.Claim{Request: "r", State: "claimed"}}),
 		"unclaim": leadercall.Pack(ClaimCall{Key: "t/k", Claim: leadercall.Claim{Request: "r", State: "shed"}}),
 	}
-	writes := map[string]int{"plan": 2, "changes": 2} // with what is remembered of it
+	writes := map[string]int{"plan": 2, "changes": 2} // the plan, and the changes accepted so far
 	for op, good := range bodies {
-		if j, err := newRequest().job(op, good); err != nil {
+		if j, err := newUnnumberedRequest().job(op, good); err != nil {
 			t.Errorf("%s: %v", op, err)
 		} else if recs, answer := j.Build(noRecord); len(recs) != max(1, writes[op]) && op != leadercall.OpReplica {
 			t.Errorf("%s: wrote %v, answered %v", op, recs, answer)
@@ -45,7 +45,7 @@
 			for _, x := range []byte{0, '"', '}', '-', '9', 'x', good[i] ^ 1} {
 				b := append([]byte(nil), good...)
 				b[i] = x
-				j, err := newRequest().job(op, b)
+				j, err := newUnnumberedRequest().job(op, b)
 				if err != nil {
 					invalid++
 					continue
@@ -64,13 +64,13 @@
 			t.Errorf("%s: only %d of %d mutations were found invalid", op, invalid, 7*len(good))
 		}
 	}
-	if _, err := newRequest().job("evict", nil); err == nil {
-		t.Error("an unknown call has no fault")
+	if _, err := newUnnumberedRequest().job("evict", nil); err == nil {
+		t.Error("an unknown call was accepted")
 	}
 }
 
-// A list of an earlier version that comes late is in conflict; a key that was
-// released before its claim came can't be claimed by it any more.
+// A late list of an earlier version is answered with a conflict, and a claim that
+// arrives after the release of its request doesn't take the key.
 func TestLateListsAndClaimsConflict(t *testing.T) {
 	recs := map[string]message.Record{}
 	read := func(key string) message.Record {
@@ -80,7 +80,7 @@
 		return noRecord(key)
 	}
 	do := func(op string, in any) leadercall.Response {
-		j, err := newRequest().job(op, leadercall.Pack(in))
+		j, err := newUnnumberedRequest().job(op, leadercall.Pack(in))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -103,27 +103,27 @@
 	do("servers", list(2, true))
 	if response := do("servers", list(1, false)); response.Result != "beaten" ||
 		!fleetconfig.OpenList(read(fleetconfig.ListKey("m"))).Servers[0].Leaving {
-		t.Errorf("an old list brought a leaving server back: %+v", response)
+		t.Errorf("a late list of version 1 restored a leaving server: %+v", response)
 	}
 	claim := func(req, state string) ClaimCall {
 		return ClaimCall{"t/k", leadercall.Claim{Request: req, State: state}}
 	}
 	do("unclaim", claim("r1", "shed"))
 	if response := do("claim", claim("r1", "claimed")); response.Result != "duplicate" {
-		t.Errorf("a request that released its key claimed it: %+v", response)
+		t.Errorf("request r1 claimed a key that it had already released: %+v", response)
 	}
 	if response := do("claim", claim("r2", "claimed")); response.Result != "done" {
-		t.Errorf("a released key is held: %+v", response)
+		t.Errorf("request r2 could not claim a released key: %+v", response)
 	}
 	do("unclaim", claim("r1", "shed"))
 	if response := do("claim", claim("r3", "claimed")); response.Result != "duplicate" {
-		t.Errorf("another's release freed a key: %+v", response)
+		t.Errorf("request r1 released a key held by r2: %+v", response)
 	}
 }
 
-// A claim that was held up doesn't take a key that its request released, with
-// another's claim come and ended since.
-func TestALateClaimTakesNothing(t *testing.T) {
+// A delayed claim doesn't take a key that its own request has released, even if other
+// requests have claimed and released the key since.
+func TestLateClaimDoesNotTakeKey(t *testing.T) {
 	l := startLeader(t, 1, nil)
 	callID := uint64(0)
 	call := func(op, request, state string) string {
@@ -140,9 +140,9 @@
 		call(leadercall.OpRelease, request, leadercall.ClaimReleased)
 	}
 	if result := call(leadercall.OpClaim, "r1", leadercall.ClaimHeld); result != "duplicate" {
-		t.Errorf("a request that released the key got it again: %s", result)
+		t.Errorf("request r1 claimed a key that it had already released: %s", result)
 	}
 	if result := call(leadercall.OpClaim, "r4", leadercall.ClaimHeld); result != "done" {
-		t.Errorf("the key is held: %s", result)
+		t.Errorf("request r4 could not claim a released key: %s", result)
 	}
 }
--- a/control/leader/configcalls.go
+++ b/control/leader/configcalls.go
@@ -12,8 +12,8 @@
 	"mulleinmast/wire/message"
 )
 
-// handlePlan takes a whole plan.
-func (r request) handlePlan(body []byte) (partition.Job, error) {
+// handlePlan proposes a complete plan.
+func (r callRequest) handlePlan(body []byte) (partition.Job, error) {
 	plan, err := decodeStrictly[fleetconfig.Plan](body)
 	if err != nil {
 		return partition.Job{}, err
@@ -21,8 +21,8 @@
 	return r.planJob(plan.Propose()), nil
 }
 
-// handleChanges takes named changes of the plan in force.
-func (r request) handleChanges(body []byte) (partition.Job, error) {
+// handleChanges proposes individual changes to the current plan.
+func (r callRequest) handleChanges(body []byte) (partition.Job, error) {
 	changes, err := decodeStrictly[fleetconfig.Changes](body)
 	if err != nil {
 		return partition.Job{}, err
@@ -30,7 +30,7 @@
 	return r.planJob(changes.Propose()), nil
 }
 
-// decodeStrictly reads a body that the calling daemon may have compressed; the error is the first fault.
+// decodeStrictly decodes a body that the calling daemon may have compressed; the error is the first fault found.
 func decodeStrictly[T any](body []byte) (value T, err error) {
 	body, err = fleetconfig.Decompress(body)
 	if err != nil {
@@ -42,21 +42,21 @@
 	return value, nil
 }
 
-// planJob decides about a proposal, which is accepted only if all daemons can read the plan.
-func (r request) planJob(proposal fleetconfig.Proposal) partition.Job {
+// planJob decides on a proposal, which is accepted only if all daemons can read the resulting plan.
+func (r callRequest) planJob(proposal fleetconfig.Proposal) partition.Job {
 	build := func(read lease.RecordSource) ([]message.Record, any) {
 		unreadable := ""
 		checked := proposal
 		checked.Next = func(current fleetconfig.Plan) (fleetconfig.Plan, fleetconfig.Faults) {
 			plan, faults := proposal.Next(current)
 			if unreadable = r.whyUnreadable(plan); unreadable != "" {
-				faults.Add("%s", unreadable) // it is not written
+				faults.Add("%s", unreadable) // a proposal with faults isn't written
 			}
 			return plan, faults
 		}
 		records, verdict, err := fleetconfig.Decide(read, r.plans, checked)
 		if err != nil {
-			return nil, unclear(err)
+			return nil, unclearResponse(err)
 		}
 		if unreadable != "" {
 			return nil, leadercall.Response{Result: leadercall.ResultNotDone, Reason: unreadable}
@@ -66,8 +66,8 @@
 	return partition.Job{Keys: []string{fleetconfig.PlanKey}, Mergeable: true, Build: build}
 }
 
-// whyUnreadable says why a plan can't be accepted: there are daemons that couldn't read it. "": all can.
-func (r request) whyUnreadable(p fleetconfig.Plan) string {
+// whyUnreadable returns why a plan can't be accepted because some daemons couldn't read it, or "" if all can.
+func (r callRequest) whyUnreadable(p fleetconfig.Plan) string {
 	needs := p.RequiredFormat()
 	if r.readableFormat == nil || needs == 0 {
 		return ""
@@ -80,12 +80,12 @@
 }
 
 // handleZone evacuates a zone or ends its evacuation.
-func (r request) handleZone(op, zone string) partition.Job {
+func (r callRequest) handleZone(op, zone string) partition.Job {
 	evacuated := op == leadercall.OpEvacuate
 	build := func(read lease.RecordSource) ([]message.Record, any) {
 		zones, err := fleetconfig.ReadZones(read(fleetconfig.ZoneKey))
 		if err != nil {
-			return nil, unclear(err)
+			return nil, unclearResponse(err)
 		}
 		if zones[zone] == evacuated {
 			return nil, responseDone
@@ -93,12 +93,12 @@
 		zones[zone] = evacuated
 		return []message.Record{{Key: fleetconfig.ZoneKey, Value: fleetconfig.EncodeZones(zones)}}, responseDone
 	}
-	return r.onceOnly(op+"/"+zone, partition.Job{Keys: []string{fleetconfig.ZoneKey}, Build: build})
+	return r.deduplicate(op+"/"+zone, partition.Job{Keys: []string{fleetconfig.ZoneKey}, Build: build})
 }
 
-// handleReplica changes the replicas that an operator wants: those that were wanted
-// before, or as the group has become since.
-func (r request) handleReplica(body []byte) (partition.Job, error) {
+// handleReplica replaces one of the replicas that an operator requested. If the outgoing replica isn't among
+// those requested before, but is in the current group, the change starts from the current group.
+func (r callRequest) handleReplica(body []byte) (partition.Job, error) {
 	in, err := decodeBody[ReplicaCall](body)
 	if err != nil {
 		return partition.Job{}, err
@@ -106,7 +106,7 @@
 	build := func(read lease.RecordSource) ([]message.Record, any) {
 		desired, err := readReplicas(read(fleetconfig.ReplicaKey))
 		if err != nil {
-			return nil, unclear(err)
+			return nil, unclearResponse(err)
 		}
 		if !isReplica(desired, in.Out) && isReplica(r.replicas, in.Out) {
 			desired = slices.Clone(r.replicas)
@@ -123,7 +123,7 @@
 		reason := fmt.Sprintf("no replica of %q in %v", in.Out, desired)
 		return nil, leadercall.Response{Result: leadercall.ResultNotDone, Reason: reason}
 	}
-	return r.onceOnly("", partition.Job{Keys: []string{fleetconfig.ReplicaKey}, Build: build}), nil
+	return r.deduplicate("", partition.Job{Keys: []string{fleetconfig.ReplicaKey}, Build: build}), nil
 }
 
 func isReplica(replicas []message.Replica, ident string) bool {
--- a/control/leader/cost_test.go
+++ b/control/leader/cost_test.go
@@ -9,10 +9,10 @@
 	"mulleinmast/wire/message"
 )
 
-// A change costs each replica its plan and one small record more, however many
-// changes came before; what daemons keep of the plan doesn't grow.
-func TestWhatAChangeCosts(t *testing.T) {
-	a := startLeader(t, 0, nil)
+// A change sends each replica the plan and one small additional record, regardless of how many
+// changes came before, and the plan record that daemons cache doesn't grow.
+func TestChangeReplicationCostIsBounded(t *testing.T) {
+	l := startLeader(t, 0, nil)
 	plan := fleetconfig.Plan{
 		ID: "p", Number: 1, Tenants: []fleetconfig.Tenant{},
 		Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}},
@@ -29,11 +29,11 @@
 	no := uint64(0)
 	call := func(op string, body []byte) (group, daemons int) {
 		no++
-		if code, w := a.call("p", no, no, op, body); code != 200 {
+		if code, w := l.call("p", no, no, op, body); code != 200 {
 			t.Fatalf("%s %d: %d %s", op, no, code, w)
 		}
-		for _, r := range a.lastSave {
-			size := packed(t, message.Message{Kind: message.KindReplicate, Records: []message.Record{r}})
+		for _, r := range l.lastSave {
+			size := encodedSize(t, message.Message{Kind: message.KindReplicate, Records: []message.Record{r}})
 			group += size
 			if r.Key == fleetconfig.PlanKey {
 				daemons += size
@@ -60,14 +60,14 @@
 	_, first := mean(8)
 	mean(100)
 	group, daemons := mean(400)
-	t.Logf("a change: %d bytes to each replica, %d of them to each daemon, who had %d at first", group, daemons, first)
+	t.Logf("a change sends %d bytes to each replica, %d of them to each daemon (%d at first)", group, daemons, first)
 	if daemons > first+first/20 || group-daemons > 800 {
-		t.Errorf("a change costs %d bytes a replica and %d a daemon, who had %d at first", group, daemons, first)
+		t.Errorf("a change sends %d bytes to each replica and %d to each daemon (%d at first)", group, daemons, first)
 	}
 }
 
-// packed is the length of a message as it goes on the wire.
-func packed(t *testing.T, m message.Message) int {
+// encodedSize returns the encoded size of a message on the wire.
+func encodedSize(t *testing.T, m message.Message) int {
 	t.Helper()
 	b, err := m.MarshalMsg(nil)
 	if err != nil {
--- a/control/leader/cutoff_test.go
+++ b/control/leader/cutoff_test.go
@@ -9,10 +9,10 @@
 	"mulleinmast/wire/message"
 )
 
-// A leader whose leader lease has lapsed by its own clock, and that doesn't know of
-// another, answers every call that it is not the leader: it confirms nothing,
-// refuses nothing, and finds no fault with a call either.
-func TestALapsedLeaderAnswersNoCall(t *testing.T) {
+// A leader whose leader lease has expired by its own clock, and that doesn't know of
+// another leader, answers every call with "not leader": it neither confirms nor refuses
+// a call, and doesn't reject one as invalid.
+func TestLeaderWithExpiredLeaseAnswersNoCall(t *testing.T) {
 	l := startLeader(t, 0, nil)
 	base := fleetconfig.Plan{ID: "one", Tenants: []fleetconfig.Tenant{}}
 	plan, err := fleetconfig.EncodeCall(base)
@@ -22,7 +22,7 @@
 	calls := []struct {
 		op     string
 		body   []byte
-		status int // from the leader
+		status int // while the leader lease is valid
 	}{
 		{"plan", plan, 200},
 		{"plan", leadercall.Pack(fleetconfig.Plan{ID: "two"}), 409},
@@ -34,7 +34,7 @@
 	}
 	for i, call := range calls {
 		if status, result := l.call("d", uint64(i+1), uint64(i+1), call.op, call.body); status != call.status {
-			t.Errorf("%s, by the leader: %d %s, expected %d", call.op, status, result, call.status)
+			t.Errorf("%s, with a valid lease: %d %s, expected %d", call.op, status, result, call.status)
 		}
 	}
 	l.now = l.controller.Partition().Replica.LeaseEnd()
@@ -42,11 +42,11 @@
 		id := uint64(i + 100)
 		l.send("d", message.Call{RequestID: id, CallID: id, Op: call.op, Body: call.body})
 		if len(l.answers) != 1 || l.answers[0].Status != leadercall.StatusNotLeader || len(l.answers[0].Body) > 0 {
-			t.Errorf("%s, after the lease: %+v, expected %d", call.op, l.answers, http.StatusMisdirectedRequest)
+			t.Errorf("%s, after the lease expired: %+v, expected %d", call.op, l.answers, http.StatusMisdirectedRequest)
 		}
 	}
 	_, isServed := l.controller.Partition().Node.Get(l.now, fleetconfig.PlanKey)
 	if isServed || l.controller.MayOrder(l.now, l.controller.Partition().Replica.Term()) {
-		t.Error("after the lease a record is served or an order may go out")
+		t.Error("after the lease expired, a record is served or orders may be sent")
 	}
 }
--- a/control/leader/demand.go
+++ b/control/leader/demand.go
@@ -10,7 +10,7 @@
 	"mulleinmast/wire/message"
 )
 
-// demandNumber orders the demands that one daemon reports for a service: by its
+// demandNumber orders the demands that one daemon reports for a service: by the daemon's
 // incarnation, then by the number of the call.
 type demandNumber struct{ epoch, call uint64 }
 
@@ -18,14 +18,14 @@
 	return n.epoch > other.epoch || n.epoch == other.epoch && n.call > other.call
 }
 
-// handleDemand gives a daemon its share of the slots. Shares live in memory only.
+// handleDemand returns a daemon's share of the slots. Shares are kept in memory only.
 func (c *Controller) handleDemand(now time.Duration, from message.Sender, call message.Call) {
 	var demand placement.Demand
 	if err := json.Unmarshal(call.Body, &demand); err != nil {
-		c.respond(from, call, invalidBody(err))
+		c.respond(from, call, invalidBodyAnswer(err))
 		return
 	}
-	if !c.mayShare(now) || c.isOvertaken(from, call, demand.Service) {
+	if !c.canGrantShares(now) || c.isOutdated(from, call, demand.Service) {
 		c.respond(from, call, answer{status: leadercall.StatusNotLeader})
 		return
 	}
@@ -34,15 +34,15 @@
 	c.respond(from, call, answer{status: http.StatusOK, body: leadercall.Pack(share)})
 }
 
-// mayShare tells whether shares may be given out: shares of an earlier leader may stand
-// until this one may write.
-func (c *Controller) mayShare(now time.Duration) bool {
+// canGrantShares reports whether shares may be granted: an earlier leader's shares may remain valid
+// until this leader may write.
+func (c *Controller) canGrantShares(now time.Duration) bool {
 	return c.partition.IsLeader(now) && c.placement != nil && now >= c.partition.WritesFrom()
 }
 
-// isOvertaken tells whether a later demand of the same daemon came before this
-// one, whose requests in flight are then out of date.
-func (c *Controller) isOvertaken(from message.Sender, call message.Call, service string) bool {
+// isOutdated reports whether a later demand of the same daemon arrived before this
+// one, so that its count of requests in flight is out of date.
+func (c *Controller) isOutdated(from message.Sender, call message.Call, service string) bool {
 	if call.CallID == 0 { // a build that doesn't number its calls
 		return false
 	}
--- a/control/leader/demand_test.go
+++ b/control/leader/demand_test.go
@@ -9,7 +9,7 @@
 	"mulleinmast/wire/message"
 )
 
-// startPlacementLeader makes a leader of a service's partition that gives out shares.
+// startPlacementLeader starts a leader of a service partition that grants shares.
 func startPlacementLeader(t *testing.T) *testLeader {
 	t.Helper()
 	l := startLeader(t, 1, nil)
@@ -17,8 +17,8 @@
 	return l
 }
 
-// demand sends a daemon's demand, and returns the status that it is answered.
-func (l *testLeader) demand(epoch, callID uint64) int {
+// sendDemand sends a daemon's demand and returns the status of the answer.
+func (l *testLeader) sendDemand(epoch, callID uint64) int {
 	l.t.Helper()
 	from := message.Sender{Replica: message.Replica{Ident: "p", Addr: "10.0.0.9:1"}, Epoch: epoch}
 	body := leadercall.Pack(placement.Demand{Service: "m"})
@@ -29,9 +29,9 @@
 	return l.answers[0].Status
 }
 
-// A daemon's demand that was overtaken by a later one is not taken for what it
-// has in flight now.
-func TestALateDemandIsDropped(t *testing.T) {
+// A demand that arrives after a later one of the same daemon is rejected, since its count
+// of requests in flight is out of date.
+func TestOutOfOrderDemandIsRejected(t *testing.T) {
 	l := startPlacementLeader(t)
 	for i, test := range []struct {
 		callID, epoch uint64
@@ -44,21 +44,21 @@
 		{7, 1, leadercall.StatusNotLeader},
 		{2, 2, 200},
 	} {
-		if status := l.demand(test.epoch, test.callID); status != test.status {
-			t.Errorf("%d: number %d of incarnation %d: %d", i, test.callID, test.epoch, status)
+		if status := l.sendDemand(test.epoch, test.callID); status != test.status {
+			t.Errorf("%d: call %d of incarnation %d: status %d", i, test.callID, test.epoch, status)
 		}
 	}
 }
 
-// Shares that a leader gave out before its daemon was lost stand as long as its
-// leases: the next one, elected early, gives out none until then.
-func TestNoSharesWhileOlderOnesStand(t *testing.T) {
+// Shares that a leader granted before its daemon was lost stay valid as long as its
+// leases: a new leader that was elected earlier grants no shares until then.
+func TestNoSharesWhileEarlierSharesAreValid(t *testing.T) {
 	l := startPlacementLeader(t)
 	writesFrom := l.now + time.Second
 	l.controller.Partition().WritesFrom = func() time.Duration { return writesFrom }
 	for i, want := range []int{leadercall.StatusNotLeader, 200} {
-		if status := l.demand(1, uint64(i+1)); status != want {
-			t.Errorf("%v before the first write: %d", writesFrom-l.now, status)
+		if status := l.sendDemand(1, uint64(i+1)); status != want {
+			t.Errorf("%v before writes are allowed: status %d", writesFrom-l.now, status)
 		}
 		writesFrom = l.now
 	}
--- a/control/leader/leader.go
+++ b/control/leader/leader.go
@@ -1,7 +1,7 @@
-// Package leader is one partition on one daemon, with what its leader does beside
-// replication: it carries out calls, keeps the group's replicas placed, drops old once
-// keys and controls the model servers. It is a plain state machine around
-// control/partition; the daemon and the simulator drive the same one.
+// Package leader runs one partition on one daemon, with the leader's tasks beyond
+// replication: it executes calls, places the group's replicas, expires old once
+// keys and controls the model servers. It is a deterministic state machine around
+// control/partition, driven by both the daemon and the simulator.
 package leader
 
 import (
@@ -15,60 +15,60 @@
 	"mulleinmast/wire/message"
 )
 
-// Config holds the bounds of a leader's work.
+// Config holds a leader's settings and time limits.
 type Config struct {
 	Placement        placement.Config
 	OnceKeyRetention time.Duration // a once key's record is kept at least this long after its last write
-	RepeatWindow     time.Duration // for how long a caller may send an operator's order again as a new call
-	// ReadableFormat is the newest format of plans that all daemons of the fleet read; 0: not known. Where it is
-	// nil, no plan is refused for the format that it needs.
+	RepeatWindow     time.Duration // for how long a caller may resend an operator's order as a new call
+	// ReadableFormat returns the newest plan format that all daemons of the fleet can read, or 0 if it isn't known.
+	// If it is nil, no plan is refused for the format that it needs.
 	ReadableFormat func() int
 }
 
-// ClusterView is what this daemon sees of the fleet's configuration, under valid leases, and of its control daemons.
+// ClusterView is this daemon's view of the fleet's configuration and of its control daemons.
 type ClusterView struct {
 	Plan, Zones, Replicas                message.Record
 	PlanValid, ZonesValid, ReplicasValid bool // the record was served under valid leases
-	// Pressure says how hard a server of a service is pressed, as far as this daemon heard; nil: not known.
+	// Pressure returns the pressure on a server of a service, as last reported to this daemon; nil if it isn't known.
 	Pressure func(service, server string) placement.Pressure
-	// ControlDaemons are those that are in the fleet now.
+	// ControlDaemons are the fleet's current control daemons.
 	ControlDaemons []message.Member
 }
 
 // Controller is the state machine of one partition on one daemon. It is not safe for concurrent use.
 type Controller struct {
-	cfg       Config
-	number    int // of the partition
-	self      message.Replica
-	partition *partition.Partition
-	plans     fleetconfig.PlanReader
-
-	// Writes under way and answers to calls.
-	lastTag     uint64                            // of a write; tags rise
-	onResult    map[uint64]func(partition.Result) // by tag; called once, when the write ends
-	callResults []message.Envelope                // of the step under way; finishStep sends them
-
-	// What belongs to the leadership held now.
-	placement *placement.Controller // nil until the first Reconcile of a leadership, and when it is lost
-	orders    recentOrders
-	demands   map[string]demandNumber // of each daemon's last demand for a service, by "service/daemon"
-	retention retention
-	limits    *ratelimit.Allocator // nil until the first request for a token of a leadership
-
-	reload      bool                  // the servers' lists and records are to be loaded into placement again
-	loaded      configurationVersions // that placement works by
-	loggedGroup uint64                // number of the group that was logged last
-}
-
-// configurationVersions are those of the configuration that placement works by.
+	cfg             Config
+	partitionNumber int // of the partition
+	self            message.Replica
+	partition       *partition.Partition
+	plans           fleetconfig.PlanReader
+
+	// Pending writes and answers to calls.
+	lastTag     uint64                            // tag of the last write; tags increase
+	onResult    map[uint64]func(partition.Result) // by tag; called once, when the write completes
+	callResults []message.Envelope                // of the current step; finishStep sends them
+
+	// State of the current leadership.
+	placement       *placement.Controller // nil until the first Reconcile of a leadership, and once it is lost
+	orders          recentOrders
+	demands         map[string]demandNumber // each daemon's last demand for a service, by "service/daemon"
+	writtenVersions writtenVersions
+	limits          *ratelimit.Allocator // nil until the first token request of a leadership
+
+	reload      bool                  // server lists and records must be loaded into placement again
+	loaded      configurationVersions // versions that placement currently uses
+	loggedGroup uint64                // number of the group that was last logged
+}
+
+// configurationVersions are the versions of the plan and of the evacuated zones.
 type configurationVersions struct{ plan, zones message.Version }
 
-// New puts a controller over a partition.
+// New creates the controller of a partition.
 //
 // Example: c := leader.New(cfg, 3, self, partition.New(3, self, epoch, replica, node))
 func New(cfg Config, number int, self message.Replica, part *partition.Partition) *Controller {
 	return &Controller{
-		cfg: cfg, number: number, self: self, partition: part,
+		cfg: cfg, partitionNumber: number, self: self, partition: part,
 		onResult: map[uint64]func(partition.Result){},
 		orders:   recentOrders{window: cfg.RepeatWindow, acceptedAt: map[string]time.Duration{}},
 		demands:  map[string]demandNumber{},
@@ -76,17 +76,17 @@
 	}
 }
 
-// Partition is the partition underneath.
+// Partition returns the underlying partition.
 //
 // Example: rec, ok := c.Partition().Node.Get(now, key)
 func (c *Controller) Partition() *partition.Partition { return c.partition }
 
-// IsLeader tells whether this daemon holds the partition's leadership now.
+// IsLeader reports whether this daemon currently leads the partition.
 //
 // Example: if c.IsLeader(now) { reconcile() }
 func (c *Controller) IsLeader(now time.Duration) bool { return c.partition.IsLeader(now) }
 
-// Step takes a message: of the leases, of the group, or a call.
+// Step handles a message: a lease message, a message within the replica group, or a call.
 //
 // Example: out := c.Step(now, message)
 func (c *Controller) Step(now time.Duration, m message.Message) Out {
@@ -96,14 +96,14 @@
 	return c.finishStep(c.partition.Step(now, m))
 }
 
-// Saved tells that a save is on disk.
+// Saved notifies the partition that a save is on disk.
 //
 // Example: out := c.Saved(now, ticket)
 func (c *Controller) Saved(now time.Duration, ticket uint64) Out {
 	return c.finishStep(c.partition.Saved(now, ticket))
 }
 
-// Tick lets time pass.
+// Tick advances the time.
 //
 // Example: out := c.Tick(now)
 func (c *Controller) Tick(now time.Duration) Out {
@@ -111,22 +111,22 @@
 	return c.finishStep(c.partition.Tick(now))
 }
 
-// Bootstrap makes the first group.
+// Bootstrap creates the partition's first group.
 //
 // Example: out := c.Bootstrap(now, group)
 func (c *Controller) Bootstrap(now time.Duration, g message.Group) Out {
 	return c.finishStep(c.partition.Bootstrap(now, g))
 }
 
-// Supersede takes the vote from this daemon's replica: another process, or a later
-// state of its folder, has its identity.
+// Supersede revokes the vote of this daemon's replica because another process, or a later
+// state of its data folder, has the same identity.
 //
 // Example: out := c.Supersede(now, why)
 func (c *Controller) Supersede(now time.Duration, why string) Out {
 	return c.finishStep(c.partition.Supersede(now, why))
 }
 
-// SetParent sets the parent in the lease tree.
+// SetParent sets this daemon's parent in the lease tree.
 //
 // Example: out := c.SetParent(now, replica)
 func (c *Controller) SetParent(now time.Duration, parent message.Replica) Out {
@@ -140,12 +140,12 @@
 	return c.finishStep(c.partition.Pin(now, key))
 }
 
-// Unpin ends what Pin began.
+// Unpin lets a record that Pin kept leave the cache.
 //
 // Example: c.Unpin("server/of/yesterday")
 func (c *Controller) Unpin(key string) { c.partition.Unpin(key) }
 
-// Submit runs a write; onResult, if there is one, is called once with its outcome.
+// Submit starts a write; onResult, if it isn't nil, is called once with its outcome.
 //
 // Example: out := c.Submit(now, job, func(r partition.Result) { log(r.Outcome) })
 func (c *Controller) Submit(now time.Duration, job partition.Job, onResult func(partition.Result)) Out {
@@ -156,7 +156,7 @@
 	return c.finishStep(c.partition.Submit(now, c.lastTag, job))
 }
 
-// finishStep hands out the results of a step of the partition, and adds what this daemon answers to calls.
+// finishStep delivers the results of a partition step to their callbacks, and adds the pending answers to calls.
 func (c *Controller) finishStep(step partition.Out) (out Out) {
 	for _, result := range step.Results {
 		if onResult := c.onResult[result.Tag]; onResult != nil {
@@ -173,26 +173,26 @@
 	}
 	if step.Won {
 		c.beginLeadership()
-		out.log("leader", "partition %d: leader with term %d", c.number, c.partition.Replica.Term())
+		out.log("leader", "partition %d: leader with term %d", c.partitionNumber, c.partition.Replica.Term())
 	}
 	out.Out = step
 	return out
 }
 
-// beginLeadership forgets what belonged to an earlier leadership.
+// beginLeadership discards the state of an earlier leadership.
 func (c *Controller) beginLeadership() {
 	c.placement = nil
-	c.retention = retention{}
+	c.writtenVersions = writtenVersions{}
 	c.demands = map[string]demandNumber{}
 	c.limits = nil
-	c.orders.since = c.partition.Replica.LeaderSince()
+	c.orders.leaderSince = c.partition.Replica.LeaderSince()
 	c.orders.acceptedAt = map[string]time.Duration{}
 }
 
-// Event is a line for the event log.
+// Event is an entry for the event log.
 type Event struct{ Kind, Text string }
 
-// Out is what a step asks for, beside what its partition does.
+// Out is the output of a step: the partition's output, and what the leader requests.
 type Out struct {
 	partition.Out
 	Polls  []string // keys of server records whose servers are to be polled
@@ -204,7 +204,7 @@
 	o.Events = append(o.Events, Event{kind, fmt.Sprintf(format, args...)})
 }
 
-// add joins what a later step asks for to what earlier ones did.
+// add merges the output of a later step into o.
 func (o *Out) add(later Out) {
 	o.Sends = append(o.Sends, later.Sends...)
 	o.Saves = append(o.Saves, later.Saves...)
--- a/control/leader/leader_test.go
+++ b/control/leader/leader_test.go
@@ -17,18 +17,18 @@
 
 var self = message.Replica{Ident: "o", Addr: "10.0.0.1:1"}
 
-// testLeader is a leader that is alone in its group, with its disk at hand.
+// testLeader is the leader of a single-replica group, with its simulated disk.
 type testLeader struct {
 	t          *testing.T
 	controller *Controller
 	now        time.Duration
-	records    map[string]message.Record // what the disk holds
+	records    map[string]message.Record // contents of the disk
 	meta       quorum.Meta
-	answers    []message.Message // call results of the last call
+	answers    []message.Message // results of the last call
 	lastSave   []message.Record
 }
 
-// startLeader makes a leader of what the disk of another holds, or of nothing.
+// startLeader starts a leader from the disk of a former one, or from an empty disk if former is nil.
 func startLeader(t *testing.T, number int, former *testLeader) *testLeader {
 	t.Helper()
 	l := &testLeader{
@@ -58,7 +58,7 @@
 	l.controller = New(cfg, number, self, partition.New(number, self, 1, replica, node))
 	for l.tick(); !l.controller.IsLeader(l.now); l.tick() {
 		if l.now > time.Minute {
-			t.Fatal("no leader")
+			t.Fatal("no leader was elected within a minute")
 		}
 	}
 	return l
@@ -66,18 +66,18 @@
 
 func (l *testLeader) tick() {
 	l.now += 10 * time.Millisecond
-	l.carryOut(l.controller.Tick(l.now))
+	l.apply(l.controller.Tick(l.now))
 }
 
-// carryOut writes what a step saves, and keeps the answers to calls.
-func (l *testLeader) carryOut(out Out) {
+// apply executes the saves of a step and collects the answers to calls.
+func (l *testLeader) apply(out Out) {
 	for _, save := range out.Saves {
 		l.meta = save.Meta
 		l.lastSave = save.Records
 		for _, r := range save.Records {
 			l.records[r.Key] = r
 		}
-		l.carryOut(l.controller.Saved(l.now, save.Ticket))
+		l.apply(l.controller.Saved(l.now, save.Ticket))
 	}
 	for _, sent := range out.Sends {
 		if sent.Message.Kind == message.KindCallResult {
@@ -86,20 +86,20 @@
 	}
 }
 
-// send hands a try of a daemon's call, in its first incarnation, to the leader.
+// send delivers an attempt of a call to the leader, from a daemon's first incarnation.
 func (l *testLeader) send(from string, call message.Call) {
 	l.sendAs(message.Sender{Replica: message.Replica{Ident: from, Addr: "10.0.0.9:1"}, Epoch: 1}, call)
 }
 
 func (l *testLeader) sendAs(from message.Sender, call message.Call) {
 	l.answers = nil
-	frame := call.Message(l.controller.number)
+	frame := call.Message(l.controller.partitionNumber)
 	frame.From, frame.Addr, frame.Epoch = from.Ident, from.Addr, from.Epoch
-	l.carryOut(l.controller.Step(l.now, frame))
+	l.apply(l.controller.Step(l.now, frame))
 }
 
-// call hands a try of a daemon's call to the leader and returns the status and the
-// result that it was answered.
+// call delivers an attempt of a daemon's call to the leader and returns the status and the
+// result of the answer.
 func (l *testLeader) call(from string, callID, requestID uint64, op string, body []byte) (status int, result string) {
 	l.t.Helper()
 	l.send(from, message.Call{RequestID: requestID, CallID: callID, Op: op, Body: body})
@@ -113,8 +113,8 @@
 	return l.answers[0].Status, response.Result
 }
 
-// read is a record as the leader serves it.
-func (l *testLeader) read(key string) message.Record {
+// readRecord returns a record as the leader serves it.
+func (l *testLeader) readRecord(key string) message.Record {
 	l.t.Helper()
 	r, ok := l.controller.Partition().Node.Get(l.now, key)
 	if !ok {
@@ -123,8 +123,8 @@
 	return r
 }
 
-// What later steps ask for isn't lost, whatever it is.
-func TestAddJoinsEveryField(t *testing.T) {
+// Out.add merges every field, so that no request of a later step is lost.
+func TestOutAddMergesEveryField(t *testing.T) {
 	var later Out
 	value := reflect.ValueOf(&later).Elem()
 	for _, field := range reflect.VisibleFields(value.Type()) {
@@ -132,15 +132,15 @@
 			setNonZero(t, value.FieldByIndex(field.Index))
 		}
 	}
-	later.Results = nil // finishStep hands them out
+	later.Results = nil // finishStep delivers them
 	var out Out
 	out.add(later)
 	if !reflect.DeepEqual(out, later) {
-		t.Errorf("joined %+v, expected %+v", out, later)
+		t.Errorf("merged %+v, expected %+v", out, later)
 	}
 }
 
-// setNonZero sets a field of a step's result to something.
+// setNonZero sets a field to a non-zero value.
 func setNonZero(t *testing.T, field reflect.Value) {
 	t.Helper()
 	switch field.Kind() {
@@ -153,6 +153,6 @@
 	case reflect.Struct:
 		setNonZero(t, field.Field(0))
 	default:
-		t.Fatalf("a field of kind %v", field.Kind())
+		t.Fatalf("unsupported field kind %v", field.Kind())
 	}
 }
--- a/control/leader/orders_test.go
+++ b/control/leader/orders_test.go
@@ -11,8 +11,8 @@
 
 const repeatWindow = 5 * time.Second
 
-// orderLeader is a leader that remembers orders for as long as they may be sent again, and
-// the daemons that send them there as control/leadercall does.
+// orderLeader is a leader that keeps orders for as long as they may be resent, together with
+// daemons that send calls the way control/leadercall does.
 type orderLeader struct {
 	*testLeader
 	lastRequest uint64
@@ -30,16 +30,18 @@
 	return l
 }
 
-// pass lets time pass, and has the leader reconcile.
-func (l *orderLeader) pass(long time.Duration) {
-	for end := l.now + long; l.now < end; {
+// advance advances the time by d, with the leader reconciling.
+func (l *orderLeader) advance(d time.Duration) {
+	for end := l.now + d; l.now < end; {
 		l.tick()
-		l.carryOut(l.controller.Reconcile(l.now, ClusterView{}))
+		l.apply(l.controller.Reconcile(l.now, ClusterView{}))
 	}
 }
 
-// try sends one try of a call, on a basis.
-func (l *orderLeader) try(from string, callID uint64, op, zone string, basis message.Version) message.CallResult {
+// sendAttempt sends one attempt of a call with a basis.
+func (l *orderLeader) sendAttempt(
+	from string, callID uint64, op, zone string, basis message.Version,
+) message.CallResult {
 	l.t.Helper()
 	l.lastRequest++
 	l.send(from, message.Call{RequestID: l.lastRequest, CallID: callID, Op: op, Body: []byte(zone), Basis: basis})
@@ -49,118 +51,118 @@
 	return l.answers[0].AsCallResult()
 }
 
-// unknownBasis is that of a call that was named none yet.
+// unknownBasis is the basis of a call that no leader has returned one to yet.
 var unknownBasis = message.Version{Seq: 1 << 60}
 
-// order sends a call until it is not behind, and returns the status that it is answered.
-func (l *orderLeader) order(from string, callID uint64, op, zone string) int {
+// sendOrder sends a call, repeats it if its basis doesn't match, and returns the status of the answer.
+func (l *orderLeader) sendOrder(from string, callID uint64, op, zone string) int {
 	l.t.Helper()
-	result := l.try(from, callID, op, zone, unknownBasis)
+	result := l.sendAttempt(from, callID, op, zone, unknownBasis)
 	if result.Status == leadercall.StatusBehind {
-		result = l.try(from, callID, op, zone, result.Basis)
+		result = l.sendAttempt(from, callID, op, zone, result.Basis)
 	}
 	return result.Status
 }
 
-// An order that was accepted and undone since, and comes again as another call, has
-// no clear answer for as long as it may be a late repeat, whoever is leader; then
-// it is a new order.
-func TestAnUndoneOrderComesBackOnlyAsANewOne(t *testing.T) {
+// An order that was accepted, then undone, and is resent as another call gets an unclear
+// answer for as long as it may be a late repeat, even after a leader change. After that
+// it is executed as a new order.
+func TestUndoneOrderIsNotRepeatedWithinWindow(t *testing.T) {
 	for _, test := range []struct{ first, undo string }{{"evacuate", "return"}, {"return", "evacuate"}} {
 		for _, leaderChanges := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, leader changed %v", test.first, leaderChanges), func(t *testing.T) {
 				l := startOrderLeader(t, nil)
 				if test.first == "return" {
-					l.order("q", 1, "evacuate", "north")
-					l.pass(2 * repeatWindow)
+					l.sendOrder("q", 1, "evacuate", "north")
+					l.advance(2 * repeatWindow)
 				}
-				for i, op := range []string{test.first, test.first, test.undo} { // the second is a repeat at once
-					if status := l.order("p", uint64(10+i), op, "north"); status != 200 {
+				for i, op := range []string{test.first, test.first, test.undo} { // the second is an immediate repeat
+					if status := l.sendOrder("p", uint64(10+i), op, "north"); status != 200 {
 						t.Fatalf("%s: %d", op, status)
 					}
 				}
 				if leaderChanges {
 					l = startOrderLeader(t, l)
 				}
-				status, out := l.order("r", 1, test.first, "north"), l.isEvacuated("north")
+				status, out := l.sendOrder("r", 1, test.first, "north"), l.isEvacuated("north")
 				if status != leadercall.StatusNotDone || out != (test.undo == "evacuate") {
-					t.Errorf("a late repeat: %d, out %v", status, out)
+					t.Errorf("a late repeat: status %d, north evacuated: %v", status, out)
 				}
-				if status := l.order("r", 2, test.undo, "north"); status != 200 {
-					t.Errorf("%s sent again: %d", test.undo, status)
+				if status := l.sendOrder("r", 2, test.undo, "north"); status != 200 {
+					t.Errorf("repeated %s: status %d", test.undo, status)
 				}
-				if status := l.order("r", 3, "evacuate", "south"); status != 200 || !l.isEvacuated("south") {
-					t.Errorf("another zone: %d", status)
+				if status := l.sendOrder("r", 3, "evacuate", "south"); status != 200 || !l.isEvacuated("south") {
+					t.Errorf("an order for another zone: status %d", status)
 				}
-				l.pass(repeatWindow + time.Second)
-				status, out = l.order("r", 4, test.first, "north"), l.isEvacuated("north")
+				l.advance(repeatWindow + time.Second)
+				status, out = l.sendOrder("r", 4, test.first, "north"), l.isEvacuated("north")
 				if status != 200 || out != (test.first == "evacuate") {
-					t.Errorf("a new order later: %d, out %v", status, out)
+					t.Errorf("a new order after the window: status %d, north evacuated: %v", status, out)
 				}
 			})
 		}
 	}
 }
 
-// An order that is too old to be sent again isn't taken for a late one by the
-// next leader, which can't know its age.
-func TestAnOldOrderIsForgottenBeforeTheNextLeader(t *testing.T) {
+// An order that can no longer be resent is removed from the record, so that the next
+// leader, which can't know its age, doesn't refuse a new order as its late repeat.
+func TestExpiredOrderIsForgottenBeforeNextLeader(t *testing.T) {
 	l := startOrderLeader(t, nil)
 	for i, op := range []string{"evacuate", "return"} {
-		if status := l.order("p", uint64(i+1), op, "north"); status != 200 {
+		if status := l.sendOrder("p", uint64(i+1), op, "north"); status != 200 {
 			t.Fatal(status)
 		}
 	}
-	l.pass(2 * repeatWindow)
+	l.advance(2 * repeatWindow)
 	l = startOrderLeader(t, l)
-	if status := l.order("q", 1, "evacuate", "north"); status != 200 || !l.isEvacuated("north") {
-		t.Errorf("a new order to a new leader: %d", status)
+	if status := l.sendOrder("q", 1, "evacuate", "north"); status != 200 || !l.isEvacuated("north") {
+		t.Errorf("a new order to a new leader: status %d", status)
 	}
 }
 
-// A try that was held up on its way, and was never carried out, does nothing
-// once the zones are others than its caller was named.
-func TestATryOnOlderZonesDoesNothing(t *testing.T) {
+// A delayed attempt that was never executed does nothing once the record of evacuated zones
+// has a later version than the basis that its caller was given.
+func TestAttemptOnStaleZonesDoesNothing(t *testing.T) {
 	l := startOrderLeader(t, nil)
-	first := l.try("p", 1, "evacuate", "north", unknownBasis)
+	first := l.sendAttempt("p", 1, "evacuate", "north", unknownBasis)
 	if first.Status != leadercall.StatusBehind || first.Basis == (message.Version{}) {
 		t.Fatalf("%+v", first)
 	}
-	// Its second try is held up; the same order comes through another daemon.
-	if status := l.order("q", 1, "evacuate", "north"); status != 200 {
+	// The second attempt is delayed, and the same order arrives through another daemon.
+	if status := l.sendOrder("q", 1, "evacuate", "north"); status != 200 {
 		t.Fatal(status)
 	}
-	if status := l.order("q", 2, "return", "north"); status != 200 {
+	if status := l.sendOrder("q", 2, "return", "north"); status != 200 {
 		t.Fatal(status)
 	}
-	l.pass(4 * repeatWindow)
-	late := l.try("p", 1, "evacuate", "north", first.Basis)
+	l.advance(4 * repeatWindow)
+	late := l.sendAttempt("p", 1, "evacuate", "north", first.Basis)
 	if late.Status != leadercall.StatusBehind || l.isEvacuated("north") {
-		t.Errorf("a try that was held up: %d, north is out: %v", late.Status, l.isEvacuated("north"))
+		t.Errorf("a delayed attempt: status %d, north evacuated: %v", late.Status, l.isEvacuated("north"))
 	}
 }
 
-// Orders that may be sent again are kept, and when there are very many no
-// further one is accepted rather than one forgotten.
-func TestOrdersAreBoundedInMemory(t *testing.T) {
+// All orders that may be resent are kept: once there are maxPastCalls of them, further orders
+// are refused, and none is dropped.
+func TestRecentOrdersAreBounded(t *testing.T) {
 	l := startOrderLeader(t, nil)
 	for i := range uint64(maxPastCalls + 20) {
 		want := 200
 		if i >= maxPastCalls {
 			want = leadercall.StatusNotDone
 		}
-		if status := l.order("p", i+1, "evacuate", fmt.Sprint("zone-", i)); status != want {
-			t.Fatalf("order %d: %d", i, status)
+		if status := l.sendOrder("p", i+1, "evacuate", fmt.Sprint("zone-", i)); status != want {
+			t.Fatalf("order %d: status %d", i, status)
 		}
 	}
 	if n := l.countPastCalls(); n != maxPastCalls {
-		t.Errorf("%d are kept", n)
+		t.Errorf("%d past calls are kept", n)
 	}
-	l.pass(2 * repeatWindow)
-	if status := l.order("p", 9000, "evacuate", "late"); status != 200 {
-		t.Errorf("later: %d", status)
+	l.advance(2 * repeatWindow)
+	if status := l.sendOrder("p", 9000, "evacuate", "late"); status != 200 {
+		t.Errorf("an order after the window: status %d", status)
 	}
 	if n := l.countPastCalls(); n != keptPastCalls {
-		t.Errorf("%d are kept later", n)
+		t.Errorf("%d past calls are kept after the window", n)
 	}
 }
--- a/control/leader/plan_test.go
+++ b/control/leader/plan_test.go
@@ -9,9 +9,9 @@
 	"mulleinmast/wire/message"
 )
 
-// A daemon may pass a plan or changes on compressed: the leader does the same with
-// them as with plain ones, and names one that can't be decompressed.
-func TestCompressedCallsDoWhatPlainOnesDo(t *testing.T) {
+// A daemon may compress a plan or changes before forwarding them: the leader handles them
+// like uncompressed ones, and reports a fault if they can't be decompressed.
+func TestCompressedCallsMatchPlainCalls(t *testing.T) {
 	plan := fleetconfig.Plan{
 		ID: "p", Number: 4, Tenants: []fleetconfig.Tenant{}, Services: []fleetconfig.Service{
 			{Name: "m", PrefillServers: 1, DecodeServers: 1},
@@ -32,7 +32,7 @@
 		return noRecord(key)
 	}
 	do := func(op string, body []byte) (fleetconfig.Verdict, error) {
-		j, err := newRequest().job(op, body)
+		j, err := newUnnumberedRequest().job(op, body)
 		if err != nil {
 			return fleetconfig.Verdict{}, err
 		}
@@ -46,13 +46,13 @@
 		op      string
 		body    any
 		version uint64
-		routes  int // that are left
+		routes  int // number of routes afterwards
 	}{{leadercall.OpPlan, plan, 4, 1}, {leadercall.OpChanges, drop, 9, 0}} {
 		compressed, err := fleetconfig.EncodeCall(test.body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, body := range [][]byte{compressed, leadercall.Pack(test.body)} { // the second is the first sent again
+		for _, body := range [][]byte{compressed, leadercall.Pack(test.body)} { // the second repeats the first
 			v, err := do(test.op, body)
 			routes := len(fleetconfig.OpenPlan(read(fleetconfig.PlanKey)).Routes)
 			if err != nil || v.Result != fleetconfig.VerdictAccepted || v.Version != test.version || routes != test.routes {
@@ -60,18 +60,18 @@
 			}
 		}
 		if _, err := do(test.op, compressed[:len(compressed)/2]); err == nil {
-			t.Errorf("%s: cut short and not named", test.op)
+			t.Errorf("%s: a truncated body was accepted", test.op)
 		}
 	}
 }
 
-// A plan that some daemon of the fleet couldn't read isn't accepted, and nothing is written.
-func TestAPlanThatNotAllDaemonsRead(t *testing.T) {
+// A plan that some daemon of the fleet couldn't read is refused, and nothing is written.
+func TestPlanUnreadableBySomeDaemonIsRefused(t *testing.T) {
 	plan := fleetconfig.Plan{
 		ID: "p", Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}, Needs: 3,
 	}
 	for format, isAccepted := range map[int]bool{0: true, 1: false, 2: false, 3: true, 4: true} {
-		r := newRequest()
+		r := newUnnumberedRequest()
 		r.readableFormat = func() int { return format }
 		j, err := r.job(leadercall.OpPlan, leadercall.Pack(plan))
 		if err != nil {
@@ -79,9 +79,9 @@
 		}
 		recs, answer := j.Build(noRecord)
 		response, isRefused := answer.(leadercall.Response)
-		saysWhy := response.Result == leadercall.ResultNotDone && strings.Contains(response.Reason, "format 3")
-		if (len(recs) > 0) != isAccepted || isRefused == isAccepted || isRefused && !saysWhy {
-			t.Errorf("daemons read up to %d: %d records, %+v", format, len(recs), answer)
+		hasReason := response.Result == leadercall.ResultNotDone && strings.Contains(response.Reason, "format 3")
+		if (len(recs) > 0) != isAccepted || isRefused == isAccepted || isRefused && !hasReason {
+			t.Errorf("readable format %d: wrote %d records, answered %+v", format, len(recs), answer)
 		}
 	}
 }
--- a/control/leader/readable.go
+++ b/control/leader/readable.go
@@ -10,16 +10,16 @@
 	"mulleinmast/wire/message"
 )
 
-// Kinds of records: what stands before the first '/' of their keys.
+// Kinds of records: the part of a key before the first '/'.
 const (
 	kindList         = "list"
 	kindServerRecord = "berth"
 	kindOnceKey      = "once"
 )
 
-// CheckReadable gives the error of a record that this build can't read. Such a record
-// comes from another build, or was corrupted before it got its checksum. It says
-// nothing, and is not the absence of a record either.
+// CheckReadable returns an error if this build can't read a record. Such a record
+// comes from another build, or was corrupted before its checksum was computed. It carries
+// no usable information, but must not be treated as absent either.
 //
 // Example: if err := leader.CheckReadable(&plans, rec); err != nil { serveNothing() }
 func CheckReadable(plans *fleetconfig.PlanReader, r message.Record) (err error) {
@@ -44,7 +44,7 @@
 	return err
 }
 
-// readReplicas reads the record of the replicas that an operator wants; absence is none.
+// readReplicas reads the record of the replicas that an operator requested; an absent record means none.
 func readReplicas(r message.Record) (replicas []message.Replica, err error) {
 	if !r.Deleted && len(r.Value) > 0 {
 		err = json.Unmarshal(r.Value, &replicas)
--- a/control/leader/reconcile.go
+++ b/control/leader/reconcile.go
@@ -13,8 +13,8 @@
 	"mulleinmast/wire/message"
 )
 
-// Reconcile brings the partition's group, its records of calls and once keys, and its servers nearer to what they
-// are to be. Without the leadership it does nothing.
+// Reconcile brings the partition's group, its records of calls and once keys, and its servers closer to their
+// desired state. It does nothing unless this daemon is the leader.
 //
 // Example: out := c.Reconcile(now, view)
 func (c *Controller) Reconcile(now time.Duration, view ClusterView) (out Out) {
@@ -24,7 +24,7 @@
 	}
 	c.reconcileReplicas(now, view, &out)
 	c.expireOrders(now, &out)
-	if c.number == 0 {
+	if c.partitionNumber == 0 {
 		return out // the configuration partition has neither once keys nor servers
 	}
 	c.startPlacement()
@@ -34,7 +34,7 @@
 	return out
 }
 
-// startPlacement makes the placement controller of a new leadership.
+// startPlacement creates the placement controller of a new leadership.
 func (c *Controller) startPlacement() {
 	if c.placement != nil {
 		return
@@ -43,7 +43,7 @@
 	c.reload = true
 }
 
-// updatePlacement gives placement the configuration and the servers' records, where these changed.
+// updatePlacement passes the configuration and the server records to placement if they changed.
 func (c *Controller) updatePlacement(now time.Duration, view ClusterView) {
 	c.placement.Pressure = view.Pressure
 	if !view.PlanValid || !view.ZonesValid {
@@ -58,7 +58,7 @@
 	c.reload = !c.loadServers(now)
 }
 
-// reconcileServers runs placement and begins the writes that it asks for.
+// reconcileServers runs a round of placement and starts the writes that it requests.
 func (c *Controller) reconcileServers(now time.Duration, out *Out) {
 	controller := c.placement // a write may end the leadership
 	step := controller.Reconcile(now)
@@ -72,8 +72,8 @@
 	out.Orders = append(out.Orders, step.Orders...)
 }
 
-// loadServers gives placement the committed lists and server records of this partition. It
-// returns false if one of them is being written just now.
+// loadServers passes the committed lists and server records of this partition to placement. It
+// returns false if one of them is being written.
 func (c *Controller) loadServers(now time.Duration) (complete bool) {
 	complete = true
 	services := map[string]*committedService{}
@@ -101,27 +101,27 @@
 	return complete
 }
 
-// committedService is the list of a service's servers, and their records, as they are committed.
+// committedService is the committed server list of a service, with the committed records of its servers.
 type committedService struct {
 	list    fleetconfig.List
 	hasList bool
 	records map[string]placement.ServerRecord // by key
 }
 
-// add takes a record of the service; one that can't be read counts as none.
+// add adds a record of the service; an unreadable record is treated as absent.
 func (s *committedService) add(kind, key string, r message.Record) {
 	if kind == kindList {
-		if list, err := fleetconfig.ReadList(r); err == nil { // else its source's next list takes its place
+		if list, err := fleetconfig.ReadList(r); err == nil { // otherwise the next list from its source replaces it
 			s.list, s.hasList = list, true
 		}
 		return
 	}
-	if record, ok, err := placement.ReadServerRecord(r); ok && err == nil { // else it is made anew
+	if record, ok, err := placement.ReadServerRecord(r); ok && err == nil { // otherwise it is created again
 		s.records[key] = record
 	}
 }
 
-// writeServerRecords writes the records of a round together: each daemon hears of them at once.
+// writeServerRecords writes the records of a round together, so that each daemon is notified of them once.
 func (c *Controller) writeServerRecords(now time.Duration, controller *placement.Controller, writes []placement.Write) Out {
 	var keys []string
 	var records []message.Record
@@ -137,12 +137,12 @@
 		}
 		for _, record := range records {
 			written, _ := placement.OpenServerRecord(record)
-			controller.HandleWritten(record.Key, written, r.Outcome == partition.Done)
+			controller.HandleWriteResult(record.Key, written, r.Outcome == partition.Done)
 		}
 	})
 }
 
-// Term is the term under which this daemon controls the partition's servers, 0 if it doesn't.
+// Term returns the term under which this daemon controls the partition's servers, or 0 if it doesn't.
 //
 // Example: term := c.Term()
 func (c *Controller) Term() uint64 {
@@ -152,14 +152,14 @@
 	return c.partition.Replica.Term()
 }
 
-// MayOrder checks the leadership once more, just before an order of a term goes out.
+// MayOrder reports whether this daemon still leads in a term; it is checked immediately before an order is sent.
 //
 // Example: if c.MayOrder(now, order.Term) { send(order) }
 func (c *Controller) MayOrder(now time.Duration, term uint64) bool {
 	return c.placement != nil && c.partition.IsLeader(now) && c.partition.Replica.Term() == term
 }
 
-// HandlePoll takes a server's answer to a poll of a term; ok is false where it gave none.
+// HandlePoll handles a server's answer to a poll of a term; ok is false if there was no answer.
 //
 // Example: c.HandlePoll(now, term, key, usage, true)
 func (c *Controller) HandlePoll(now time.Duration, term uint64, key string, usage placement.Usage, ok bool) {
@@ -168,16 +168,16 @@
 	}
 }
 
-// HandleOrdered takes a server's answer to an order; ok is false where it gave none.
+// HandleOrdered handles a server's answer to an order; ok is false if there was no answer.
 //
 // Example: c.HandleOrdered(order, true)
 func (c *Controller) HandleOrdered(order placement.Order, ok bool) {
 	if c.Term() == order.Term && c.placement != nil {
-		c.placement.HandleOrdered(order, ok)
+		c.placement.HandleOrderResult(order, ok)
 	}
 }
 
-// Rows is placement's table of servers, for the query shell.
+// Rows returns placement's table of servers, for the query shell.
 //
 // Example: for _, row := range c.Rows(now) { show(row) }
 func (c *Controller) Rows(now time.Duration) []placement.Row {
@@ -187,27 +187,27 @@
 	return c.placement.Rows(now)
 }
 
-// retention knows which versions of records were written by when, under this leadership. What an earlier
-// leader wrote counts as written when this one took over.
-type retention struct {
+// writtenVersions samples the last written version over time, within one leadership. Records written by an
+// earlier leader count as written when this one took over.
+type writtenVersions struct {
 	samples []versionAt // oldest first
 }
 
-// versionAt is the last version that was written at some time.
+// versionAt is the last version that had been written at a given time.
 type versionAt struct {
 	at      time.Duration
 	version message.Version
 }
 
-// sample notes the version written last, if the latest note is older than the interval.
-func (r *retention) sample(now, interval time.Duration, written message.Version) {
+// sample adds the last written version if the latest sample is older than the interval.
+func (r *writtenVersions) sample(now, interval time.Duration, written message.Version) {
 	if n := len(r.samples); n == 0 || now-r.samples[n-1].at > interval {
 		r.samples = append(r.samples, versionAt{now, written})
 	}
 }
 
-// takeExpired takes out the oldest version, if it was written longer ago than keep.
-func (r *retention) takeExpired(now, keep time.Duration) (message.Version, bool) {
+// popExpired removes and returns the oldest version if it was sampled longer ago than keep.
+func (r *writtenVersions) popExpired(now, keep time.Duration) (message.Version, bool) {
 	oldest := r.samples[0]
 	if now-oldest.at <= keep {
 		return message.Version{}, false
@@ -216,11 +216,11 @@
 	return oldest.version, true
 }
 
-// advanceOnceKeyFloor has the replicas drop once keys that were written longer ago than they are kept.
+// advanceOnceKeyFloor makes the replicas drop once keys that were last written before the retention period.
 func (c *Controller) advanceOnceKeyFloor(now time.Duration, out *Out) {
 	keep := c.cfg.OnceKeyRetention
-	c.retention.sample(now, keep/8, c.partition.Replica.LastWritten())
-	version, ok := c.retention.takeExpired(now, keep)
+	c.writtenVersions.sample(now, keep/8, c.partition.Replica.LastWritten())
+	version, ok := c.writtenVersions.popExpired(now, keep)
 	if !ok {
 		return
 	}
--- a/control/leader/repeats.go
+++ b/control/leader/repeats.go
@@ -11,35 +11,36 @@
 	"mulleinmast/wire/message"
 )
 
-// A call may reach its leader, or the next one, more than once: it is sent again
-// when it got no answer, and a try may be held up on its way. Plans are ordered by
-// their base, lists by their version, claims by their request. What nothing
-// orders (evacuations and their ends, replicas, lists without a version) is kept
-// from being done twice in three ways.
-//   - Each call has a number over all its tries: the partition keeps the last calls,
-//     with their responses, in a record that is written together with what they
-//     change.
-//   - A try is carried out only on the version of its record (its basis) that the
-//     leader named to that very call, whose caller then waited still: one that was
-//     held up on its way while others changed the record does nothing.
-//   - The caller itself may send an order again, as another call, for a bounded
-//     time. An order that was accepted, and undone by another since, is refused
-//     until that time is over: nobody can tell before whether it is a new one.
+// A call may reach its leader, or a later leader, more than once: it is retried if
+// it gets no answer, and an attempt may be delayed in the network. Plans are ordered
+// by their base, lists by their version, claims by their request. Calls without such
+// an order (starting and ending an evacuation, replica changes, lists without a
+// version) are protected against duplicate execution in three ways.
+//   - Each call has one number for all its attempts: the partition keeps the most
+//     recent calls, with their responses, in a record that is written together with
+//     their changes.
+//   - An attempt is executed only if its record still has the version (the attempt's
+//     basis) that the leader returned to the same call while its caller was waiting:
+//     an attempt that was delayed while other calls changed the record does nothing.
+//   - The caller itself may resend an order, as another call, for a bounded time. An
+//     order that was accepted and has since been undone by another one is refused
+//     until that time has passed, because until then a late repeat can't be told from
+//     a new order.
 
 const (
 	pastCallsKey  = "calls/done"
-	keptPastCalls = 64  // the last ones are kept, however old they are
-	maxPastCalls  = 512 // with those that may still be sent again; more are not accepted
+	keptPastCalls = 64  // the most recent calls, kept regardless of age
+	maxPastCalls  = 512 // including calls whose order may still be resent; beyond this, calls are refused
 )
 
-// pastCall is a call that was carried out or refused for good, and its response.
+// pastCall is a call that was executed or finally refused, with its response.
 type pastCall struct {
-	Call     string              `json:"call"` // request.id
+	Call     string              `json:"call"` // callRequest.id
 	Response leadercall.Response `json:"word"`
-	Order    string              `json:"what,omitempty"` // names the order as long as its caller may send it again
+	Order    string              `json:"what,omitempty"` // identifies the order as long as its caller may resend it
 }
 
-// readPastCalls reads the record of past calls; absence is none.
+// readPastCalls reads the record of past calls; an absent record means none.
 func readPastCalls(r message.Record) (list []pastCall, err error) {
 	if !r.Deleted && len(r.Value) > 0 {
 		err = json.Unmarshal(r.Value, &list)
@@ -47,42 +48,42 @@
 	return list, err
 }
 
-// basisOf stands for a version of a record; it is never zero, also for one that isn't there.
+// basisOf returns the basis that corresponds to a record's version; it is never zero, even for an absent record.
 func basisOf(r message.Record) message.Version {
 	return message.Version{Term: r.Version.Term, Seq: r.Version.Seq + 1}
 }
 
-// behind is the result of a try on another version than the present one.
-type behind struct{ basis message.Version }
+// basisMismatch is the result of an attempt whose basis isn't the record's current version.
+type basisMismatch struct{ basis message.Version }
 
-// recentOrders knows when operators' orders were last accepted under this leadership.
+// recentOrders holds when operators' orders were last accepted under this leadership.
 type recentOrders struct {
-	window     time.Duration // Config.RepeatWindow
-	now        time.Duration // of the step under way; the controller sets it
-	since      time.Duration // when the leadership began: orders found in the record count as accepted then
-	nextExpiry time.Duration // of the next look for orders whose window is over
-	acceptedAt map[string]time.Duration
+	window          time.Duration // Config.RepeatWindow
+	now             time.Duration // time of the current step; set by the controller
+	leaderSince     time.Duration // start of the leadership; orders found in the record count as accepted then
+	nextExpiryCheck time.Duration // when to look again for orders whose window has passed
+	acceptedAt      map[string]time.Duration
 }
 
-// mayRepeat tells whether a call's order may still be sent again by its caller.
-func (o *recentOrders) mayRepeat(p pastCall) bool {
+// isRepeatable reports whether a call's order may still be resent by its caller.
+func (o *recentOrders) isRepeatable(p pastCall) bool {
 	return p.Order != "" && o.repeatableFor(p.Order) > 0
 }
 
-// repeatableFor is for how long an order may still be sent again.
+// repeatableFor returns for how long an order may still be resent.
 func (o *recentOrders) repeatableFor(order string) time.Duration {
 	accepted, ok := o.acceptedAt[order]
 	if !ok {
-		accepted = o.since
+		accepted = o.leaderSince
 	}
 	return max(0, accepted+o.window-o.now)
 }
 
-// prune drops the oldest calls beyond those that are always kept, up to one whose order
-// may still be sent again; of the others the order is forgotten.
+// prune clears the orders that can no longer be resent. It then drops the oldest calls in excess of
+// keptPastCalls, up to the first one whose order may still be resent.
 func (o *recentOrders) prune(past []pastCall) []pastCall {
 	for i := range past {
-		if !o.mayRepeat(past[i]) {
+		if !o.isRepeatable(past[i]) {
 			past[i].Order = ""
 		}
 	}
@@ -92,37 +93,40 @@
 	return past
 }
 
-// onceOnly makes a job that carries out a call once: see above. order names what is ordered,
-// if the caller may send it again as another call; "" if not.
-func (r request) onceOnly(order string, job partition.Job) partition.Job {
+// deduplicate wraps a job so that its call is executed only once, as described above. order identifies the
+// order if the caller may resend it as another call, and is "" otherwise.
+func (r callRequest) deduplicate(order string, job partition.Job) partition.Job {
 	if r.id == "" {
 		return job
 	}
-	build := func(read lease.RecordSource) ([]message.Record, any) { return r.buildOnce(order, job, read) }
+	build := func(read lease.RecordSource) ([]message.Record, any) { return r.buildDeduplicated(order, job, read) }
 	return partition.Job{Keys: append([]string{pastCallsKey}, job.Keys...), Build: build}
 }
 
-// buildOnce carries out a call unless it was before, or is behind, or may be a late repeat.
-func (r request) buildOnce(order string, job partition.Job, read lease.RecordSource) ([]message.Record, any) {
+// buildDeduplicated executes a call unless it was executed before, its basis doesn't match, or it may be a
+// late repeat.
+func (r callRequest) buildDeduplicated(
+	order string, job partition.Job, read lease.RecordSource,
+) ([]message.Record, any) {
 	past, err := readPastCalls(read(pastCallsKey))
 	if err != nil {
-		return nil, unclear(err)
+		return nil, unclearResponse(err)
 	}
 	if i := slices.IndexFunc(past, func(p pastCall) bool { return p.Call == r.id }); i >= 0 {
 		return nil, past[i].Response
 	}
 	if basis := basisOf(read(job.Keys[0])); r.basis != (message.Version{}) && r.basis != basis {
-		return nil, behind{basis}
+		return nil, basisMismatch{basis}
 	}
 	past = r.orders.prune(past)
-	records, word := job.Build(read)
-	response := word.(leadercall.Response)
+	records, result := job.Build(read)
+	response := result.(leadercall.Response)
 	if response.Result == leadercall.ResultUnclear {
 		return nil, response // nothing was decided
 	}
-	undone := len(records) > 0 && order != "" && isRemembered(past, order)
-	if undone || len(past) >= maxPastCalls {
-		return nil, r.lateRepeat(order)
+	mayBeLateRepeat := len(records) > 0 && order != "" && isRecentOrder(past, order)
+	if mayBeLateRepeat || len(past) >= maxPastCalls {
+		return nil, r.lateRepeatResponse(order)
 	}
 	if order != "" {
 		r.orders.acceptedAt[order] = r.orders.now
@@ -131,13 +135,13 @@
 	return append(records, message.Record{Key: pastCallsKey, Value: leadercall.Pack(past)}), response
 }
 
-// isRemembered tells whether an order was accepted, and may still be sent again by its caller.
-func isRemembered(past []pastCall, order string) bool {
+// isRecentOrder reports whether an order is among the past calls: it was accepted, and its caller may still resend it.
+func isRecentOrder(past []pastCall, order string) bool {
 	return slices.ContainsFunc(past, func(p pastCall) bool { return p.Order == order })
 }
 
-// lateRepeat is the response to an order that may be a late repeat of one that was undone since.
-func (r request) lateRepeat(order string) leadercall.Response {
+// lateRepeatResponse is the response to an order that may be a late repeat of one that has since been undone.
+func (r callRequest) lateRepeatResponse(order string) leadercall.Response {
 	return leadercall.Response{
 		Result: leadercall.ResultUnclear,
 		Reason: "the same order was taken a moment ago and undone since; " +
@@ -146,13 +150,13 @@
 	}
 }
 
-// expireOrders takes the orders out of the record that can't be sent again any more, so
-// that the next leader, who can't know their age, doesn't take them for recent.
+// expireOrders removes orders that can no longer be resent from the record, so that the
+// next leader, which can't know their age, doesn't treat them as recent.
 func (c *Controller) expireOrders(now time.Duration, out *Out) {
-	if c.number != 0 || now < c.orders.nextExpiry {
+	if c.partitionNumber != 0 || now < c.orders.nextExpiryCheck {
 		return
 	}
-	c.orders.now, c.orders.nextExpiry = now, now+c.orders.window/4
+	c.orders.now, c.orders.nextExpiryCheck = now, now+c.orders.window/4
 	record, _ := c.partition.Replica.Records().Get(pastCallsKey)
 	past, err := readPastCalls(record)
 	if err != nil || !slices.ContainsFunc(past, c.orders.hasExpired) {
@@ -168,5 +172,5 @@
 	out.add(c.Submit(now, job, nil))
 }
 
-// hasExpired tells whether a call's order is still named and can't be sent again any more.
-func (o *recentOrders) hasExpired(p pastCall) bool { return p.Order != "" && !o.mayRepeat(p) }
+// hasExpired reports whether a call still has an order that can no longer be resent.
+func (o *recentOrders) hasExpired(p pastCall) bool { return p.Order != "" && !o.isRepeatable(p) }
--- a/control/leader/repeats_test.go
+++ b/control/leader/repeats_test.go
@@ -11,15 +11,15 @@
 	"mulleinmast/wire/message"
 )
 
-// An evacuation or its end that was held up on its way, or sent a second time
-// since its answer was lost, undoes nothing that came between; nor when another
-// daemon has become leader meanwhile. Each try gets the first one's answer.
-func TestALateTryUndoesNothing(t *testing.T) {
+// A delayed or repeated attempt to start or end an evacuation doesn't undo a later order, even if
+// the leader has changed since. Attempts are repeated if an answer is lost; each attempt gets the
+// same answer as the first one.
+func TestLateAttemptDoesNotUndoLaterOrder(t *testing.T) {
 	for name, test := range map[string]struct {
-		before string // an order that was carried out before; "": none
-		late   string // came first and comes again at the end
-		then   string // came between
-		out    bool   // whether the zone is evacuated in the end
+		before string // order executed at the start; "" if none
+		late   string // order executed next, and repeated at the end
+		then   string // order executed in between
+		out    bool   // whether the zone is evacuated at the end
 	}{
 		"an end of an evacuation":             {"evacuate", "return", "evacuate", true},
 		"an evacuation":                       {"", "evacuate", "return", false},
@@ -41,15 +41,15 @@
 					call("q", 1, test.before)
 				}
 				call("p", 7, test.late)
-				call("q", 7, test.then) // another daemon may number its calls alike
+				call("q", 7, test.then) // another daemon may use the same call number
 				if leaderChanges {
 					l = startLeader(t, 0, l)
 				}
 				call("p", 7, test.late)
 				if out := l.isEvacuated("north"); out != test.out {
-					t.Errorf("north is out: %v", out)
+					t.Errorf("north evacuated: %v", out)
 				}
-				call("p", 8, test.late) // a call of its own is carried out
+				call("p", 8, test.late) // a new call is executed
 				if out := l.isEvacuated("north"); out == test.out {
 					t.Error("a new call did nothing")
 				}
@@ -60,11 +60,11 @@
 
 func (l *testLeader) isEvacuated(zone string) bool {
 	l.t.Helper()
-	return fleetconfig.OpenZones(l.read(fleetconfig.ZoneKey))[zone]
+	return fleetconfig.OpenZones(l.readRecord(fleetconfig.ZoneKey))[zone]
 }
 
-// So with a replica that is moved away and back, and one that could not be moved at first.
-func TestALateReplicaUndoesNothing(t *testing.T) {
+// A late attempt doesn't repeat a replica move that has been reverted since, nor one that was refused at first.
+func TestLateReplicaCallDoesNotUndoLaterMove(t *testing.T) {
 	l := startLeader(t, 0, nil)
 	replicas := leadercall.Pack([]message.Replica{
 		self, {Ident: "b", Addr: "10.0.0.2:1"}, {Ident: "c", Addr: "10.0.0.3:1"},
@@ -72,7 +72,7 @@
 	job := partition.Job{Keys: []string{fleetconfig.ReplicaKey}, Build: func(lease.RecordSource) ([]message.Record, any) {
 		return []message.Record{{Key: fleetconfig.ReplicaKey, Value: replicas}}, nil
 	}}
-	l.carryOut(l.controller.Submit(l.now, job, func(partition.Result) {}))
+	l.apply(l.controller.Submit(l.now, job, func(partition.Result) {}))
 	move := func(out, in string) []byte {
 		return leadercall.Pack(ReplicaCall{Out: out, Ident: in, Addr: "10.0.0.4:1"})
 	}
@@ -89,55 +89,55 @@
 		{2, move("c", "d"), "done", "c"},
 	} {
 		if _, result := l.call("p", test.callID, uint64(i+1), leadercall.OpReplica, test.body); result != test.want {
-			t.Errorf("%d: %s", i, result)
+			t.Errorf("%d: result %q", i, result)
 		}
-		replicas, err := readReplicas(l.read(fleetconfig.ReplicaKey))
+		replicas, err := readReplicas(l.readRecord(fleetconfig.ReplicaKey))
 		if err != nil || !isReplica(replicas, test.has) {
-			t.Errorf("%d: %v lacks %s (%v)", i, replicas, test.has, err)
+			t.Errorf("%d: replicas %v lack %s (error %v)", i, replicas, test.has, err)
 		}
 	}
 }
 
-// So with a list of servers without a version.
-func TestALateListUndoesNothing(t *testing.T) {
+// A late attempt to store a list of servers without a version doesn't undo a later one.
+func TestLateUnversionedListDoesNotUndoLaterList(t *testing.T) {
 	l := startLeader(t, 1, nil)
 	list := func(leaving bool) []byte {
 		server := fleetconfig.Server{Addr: "10.0.0.1:1", Zone: "a", Capacity: 8, Leaving: leaving}
 		return leadercall.Pack(ServersCall{"m", fleetconfig.List{Servers: []fleetconfig.Server{server}}})
 	}
-	for i, leaving := range []bool{false, true, false} { // the third is the first again
+	for i, leaving := range []bool{false, true, false} { // the third repeats the first
 		status, result := l.call("p", uint64(i%2+1), uint64(i+1), leadercall.OpServers, list(leaving))
 		if status != 200 || result != "done" {
 			t.Errorf("%d %s", status, result)
 		}
 	}
-	if !fleetconfig.OpenList(l.read(fleetconfig.ListKey("m"))).Servers[0].Leaving {
-		t.Error("a list that came a second time brought a leaving server back")
+	if !fleetconfig.OpenList(l.readRecord(fleetconfig.ListKey("m"))).Servers[0].Leaving {
+		t.Error("a repeated list restored a leaving server")
 	}
 }
 
-// Past calls are bounded; a call of a build that doesn't number its
-// calls is carried out each time.
+// The number of past calls is bounded, and a call of a build that doesn't number its
+// calls is executed each time.
 func TestPastCallsAreBounded(t *testing.T) {
 	l := startLeader(t, 0, nil)
 	for i := uint64(1); i <= 3*keptPastCalls; i++ {
 		l.call("p", i, i, []string{"evacuate", "return"}[i%2], fmt.Appendf(nil, "zone-%d", i%5))
 	}
 	if n := l.countPastCalls(); n != keptPastCalls {
-		t.Errorf("%d calls are kept", n)
+		t.Errorf("%d past calls are kept", n)
 	}
 	for i, op := range []string{"evacuate", "return", "evacuate"} {
 		l.call("old", 0, uint64(i+1), op, []byte("south"))
 		if out := l.isEvacuated("south"); out != (op == "evacuate") {
-			t.Errorf("%s by an older build: south is out: %v", op, out)
+			t.Errorf("%s by an older build: south evacuated: %v", op, out)
 		}
 	}
 }
 
-// countPastCalls counts the calls of the record, which must be one that can be read.
+// countPastCalls returns the number of calls in the record of past calls, which must be readable.
 func (l *testLeader) countPastCalls() int {
 	l.t.Helper()
-	list, err := readPastCalls(l.read(pastCallsKey))
+	list, err := readPastCalls(l.readRecord(pastCallsKey))
 	if err != nil {
 		l.t.Fatal(err)
 	}
--- a/control/leader/replicas.go
+++ b/control/leader/replicas.go
@@ -8,7 +8,7 @@
 	"mulleinmast/wire/message"
 )
 
-// replicas are those of this partition's group, as known here.
+// replicas returns the replicas of this partition's group, as known to this daemon.
 func (c *Controller) replicas() []message.Replica {
 	if c.partition.Replica == nil {
 		return nil
@@ -16,10 +16,10 @@
 	return c.partition.Replica.Group().Replicas
 }
 
-// reconcileReplicas keeps learners at the control daemons without a replica, and changes the group one
-// replica at a time: one whose daemon is lost, or is terminating, is replaced by a learner that is caught
-// up. Each partition sees to its own group. It is safe to be wrong about which daemon is lost, since
-// a change takes both majorities and a complete copy; it costs the transfer of a copy.
+// reconcileReplicas keeps learners on the control daemons without a replica, and changes the group one
+// replica at a time: a replica whose daemon is lost or terminating is replaced by a learner that has caught
+// up. Each partition manages its own group. Treating a running daemon as lost is safe, since a change
+// requires both majorities and a complete copy; its only cost is the transfer of a copy.
 func (c *Controller) reconcileReplicas(now time.Duration, view ClusterView, out *Out) {
 	group := c.partition.Replica.Group()
 	c.logGroup(group, out)
@@ -32,20 +32,20 @@
 		now: now, health: c.partition.Replica, group: group, controlDaemons: view.ControlDaemons, self: c.self.Ident,
 	}
 	if view.ReplicasValid {
-		choice.desired, _ = readReplicas(view.Replicas) // what can't be read asks for nothing
+		choice.desired, _ = readReplicas(view.Replicas) // an unreadable record requests nothing
 	}
-	if leaving, joining := choice.next(); joining.Ident != "" {
+	if leaving, joining := choice.nextChange(); joining.Ident != "" {
 		out.add(c.finishStep(c.partition.ReplaceReplica(now, leaving, joining)))
 	}
 }
 
-// logGroup logs a group that is another than the one logged last.
+// logGroup logs the group if it differs from the last one logged.
 func (c *Controller) logGroup(g message.Group, out *Out) {
 	if g.Number == c.loggedGroup {
 		return
 	}
 	c.loggedGroup = g.Number
-	out.log("replicas", "partition %d: group %d is %v next %v", c.number, g.Number, g.Replicas, g.Next)
+	out.log("replicas", "partition %d: group %d: replicas %v, next %v", c.partitionNumber, g.Number, g.Replicas, g.Next)
 }
 
 // learners lists the control daemons without a replica.
@@ -58,37 +58,40 @@
 	return out
 }
 
-// replicaHealth says how the daemons that hold copies are, by their identities; a partition's replica knows.
+// replicaHealth reports the health of the daemons that hold copies, by identity. The partition's own replica
+// implements it.
 type replicaHealth interface {
-	LearnerReady(now time.Duration, id string) bool     // its copy is caught up, and it answers
-	MissedHeartbeats(now time.Duration, id string) bool // it missed some; it may be back soon
-	IsLost(now time.Duration, id string) bool           // it answered nothing for so long that it is replaced
-	IsTerminating(id string) bool                       // it is ending for good
-	MayLeave(now time.Duration, id string) bool         // the group does without it: no other replica is away
+	LearnerReady(now time.Duration, id string) bool     // its copy has caught up, and it responds
+	MissedHeartbeats(now time.Duration, id string) bool // it missed some, but may be back soon
+	IsLost(now time.Duration, id string) bool           // it hasn't responded for so long that it is replaced
+	IsTerminating(id string) bool                       // it is shutting down permanently
+	MayLeave(now time.Duration, id string) bool         // no other replica is away, so the group can do without it
 }
 
 var _ replicaHealth = (*quorum.Replica)(nil)
 
-// replicaChoice is the choice of the next change of one group.
+// replicaChoice chooses the next change to one group.
 type replicaChoice struct {
 	now            time.Duration
 	health         replicaHealth
 	group          message.Group
-	controlDaemons []message.Member  // in the fleet now
-	desired        []message.Replica // what an operator asked for; none: nothing
-	self           string            // identity of the leader, whose replica stays
+	controlDaemons []message.Member  // currently in the fleet
+	desired        []message.Replica // requested by an operator; empty if none
+	self           string            // identity of the leader, whose replica is never replaced
 }
 
-// next names the replica that is to leave and the learner that takes its place; none: nothing is
-// to be done, or no learner is ready.
-func (c replicaChoice) next() (leaving string, joining message.Replica) {
-	reasons := []func(message.Replica) bool{c.isSucceeded, c.isLost, c.isMissingBesideTerminating, c.isTerminating}
+// nextChange returns the replica to remove and the learner that replaces it. joining is empty if no change is
+// needed or no learner is ready.
+func (c replicaChoice) nextChange() (leaving string, joining message.Replica) {
+	reasons := []func(message.Replica) bool{
+		c.isReplacedAtAddress, c.isLost, c.isMissingWhileAnotherTerminates, c.isTerminating,
+	}
 	for _, mustLeave := range reasons {
 		for _, replica := range c.group.Replicas {
 			if replica.Ident == c.self || !mustLeave(replica) {
 				continue
 			}
-			if joining = c.learnerFor(replica.Ident); joining.Ident != "" {
+			if joining = c.replacementFor(replica.Ident); joining.Ident != "" {
 				return replica.Ident, joining
 			}
 		}
@@ -99,9 +102,9 @@
 	return c.spreadOverZones()
 }
 
-// isSucceeded tells whether another daemon has come up at a replica's address, so that the
-// one that had it is known to be lost.
-func (c replicaChoice) isSucceeded(replica message.Replica) bool {
+// isReplacedAtAddress reports whether another daemon now runs at a replica's address, which means
+// that the replica's daemon is lost.
+func (c replicaChoice) isReplacedAtAddress(replica message.Replica) bool {
 	if !c.health.MissedHeartbeats(c.now, replica.Ident) || c.isControlDaemon(replica.Ident) {
 		return false
 	}
@@ -116,9 +119,9 @@
 	return c.health.IsLost(c.now, replica.Ident)
 }
 
-// isMissingBesideTerminating tells whether a replica misses heartbeats while another one's daemon is
-// terminating: soon two would be away, and the terminating one's disk is whole.
-func (c replicaChoice) isMissingBesideTerminating(replica message.Replica) bool {
+// isMissingWhileAnotherTerminates reports whether a replica misses heartbeats while another replica's daemon is
+// terminating. Two replicas would soon be away, and the terminating daemon's disk is intact.
+func (c replicaChoice) isMissingWhileAnotherTerminates(replica message.Replica) bool {
 	return c.health.MissedHeartbeats(c.now, replica.Ident) && c.isAnotherTerminating(replica)
 }
 
@@ -128,13 +131,13 @@
 	})
 }
 
-// isTerminating tells whether a replica's daemon is terminating, and may leave: a learner is
-// kept for one that may be lost, whose disk isn't coming back.
+// isTerminating reports whether a replica's daemon is terminating and may leave. While another replica may be
+// lost, learners are kept for that one, since its disk won't come back.
 func (c replicaChoice) isTerminating(replica message.Replica) bool {
 	return c.health.IsTerminating(replica.Ident) && c.health.MayLeave(c.now, replica.Ident)
 }
 
-// replicasByZone counts the replicas of each zone, one left out.
+// replicasByZone counts the replicas in each zone, without the leaving one.
 func (c replicaChoice) replicasByZone(leaving string) map[string]int {
 	count := map[string]int{}
 	for _, m := range c.controlDaemons {
@@ -145,13 +148,13 @@
 	return count
 }
 
-// isReadyLearner tells whether a control daemon may take a replica now.
+// isReadyLearner reports whether a control daemon is ready to take over a replica.
 func (c replicaChoice) isReadyLearner(m message.Member) bool {
 	return !c.group.Has(m.Ident) && c.health.LearnerReady(c.now, m.Ident)
 }
 
-// learnerFor is a ready learner, from the zone with the fewest replicas.
-func (c replicaChoice) learnerFor(leaving string) (joining message.Replica) {
+// replacementFor returns a ready learner from the zone with the fewest replicas, or none.
+func (c replicaChoice) replacementFor(leaving string) (joining message.Replica) {
 	count, zone := c.replicasByZone(leaving), ""
 	for _, m := range c.controlDaemons {
 		if c.isReadyLearner(m) && (joining.Ident == "" || count[m.Zone] < count[zone]) {
@@ -161,7 +164,7 @@
 	return joining
 }
 
-// desiredChange is the change that an operator asked for, if only one is left of it.
+// desiredChange returns the change that an operator requested, if exactly one replica remains to be changed.
 func (c replicaChoice) desiredChange() (leaving string, joining message.Replica) {
 	for _, replica := range c.desired {
 		if c.group.Has(replica.Ident) {
@@ -180,8 +183,8 @@
 	return "", message.Replica{}
 }
 
-// spreadOverZones moves a replica out of a zone that has a majority of them, if a
-// learner is ready in a zone with two fewer.
+// spreadOverZones moves a replica out of a zone that holds a majority, if a learner
+// is ready in a zone with at least two replicas fewer.
 func (c replicaChoice) spreadOverZones() (leaving string, joining message.Replica) {
 	count := c.replicasByZone("")
 	for _, m := range c.controlDaemons {
--- a/control/leader/servicecalls.go
+++ b/control/leader/servicecalls.go
@@ -11,32 +11,31 @@
 	"mulleinmast/wire/message"
 )
 
-// maxPastRequests bounds the requests that gave a once key back and are kept with it.
+// maxPastRequests is how many past requests that released a once key are kept in its record.
 const maxPastRequests = 16
 
-// OnceKey is the key of a once key's record.
+// OnceKey returns the record key of a once key.
 //
 // Example: leader.OnceKey("express/k-17") == "once/express/k-17"
 func OnceKey(key string) string { return kindOnceKey + "/" + key }
 
-// handleServers takes a list of servers. One without a version has no order: it is carried out once a call.
-func (r request) handleServers(body []byte) (partition.Job, error) {
+// handleServers stores a list of servers. Lists without a version have no order, so each call is executed only once.
+func (r callRequest) handleServers(body []byte) (partition.Job, error) {
 	in, err := decodeBody[ServersCall](body)
 	if err != nil {
 		return partition.Job{}, err
 	}
-	job := listJob(in)
+	job := serverListJob(in)
 	if in.List.Version == 0 {
-		job = r.onceOnly("", job)
+		job = r.deduplicate("", job)
 	}
 	return job, nil
 }
 
-// listJob takes a list unless one with a later version is in force: a call
-// that was held up on its way must not bring a leaving server back. A record that can't
-// be read gives way: its source sends the list again all the time. One that comes while an
-// earlier one is withdrawn takes its place.
-func listJob(in ServersCall) partition.Job {
+// serverListJob stores a list unless the current one has the same or a later version: a delayed call must not
+// bring back a leaving server. An unreadable record is overwritten, since its source keeps resending the list.
+// A list with a version that arrives while an earlier list's record is being invalidated replaces that list.
+func serverListJob(in ServersCall) partition.Job {
 	next := message.Record{Key: fleetconfig.ListKey(in.Service), Value: leadercall.Pack(in.List)}
 	return partition.Job{Keys: []string{next.Key}, Mergeable: in.List.Version > 0, Build: func(read lease.RecordSource) ([]message.Record, any) {
 		current := read(next.Key)
@@ -46,10 +45,10 @@
 		if string(current.Value) == string(next.Value) {
 			return nil, responseDone
 		}
-		inForce, err := fleetconfig.ReadList(current)
-		if err == nil && in.List.Version > 0 && in.List.Version <= inForce.Version {
+		currentList, err := fleetconfig.ReadList(current)
+		if err == nil && in.List.Version > 0 && in.List.Version <= currentList.Version {
 			return nil, leadercall.Response{
-				Result: leadercall.ResultConflict, Version: inForce.Version,
+				Result: leadercall.ResultConflict, Version: currentList.Version,
 				Reason: "a list of a later or the same version is in force",
 			}
 		}
@@ -57,22 +56,22 @@
 	}}
 }
 
-// withdrawLeaving has the records of servers that a list names as leaving written beside the list,
-// not after it: either may wait for a daemon that doesn't answer. Lists that may be older than the
-// one in force say nothing.
+// withdrawLeaving makes placement write the records of leaving servers concurrently with the list that names
+// them, not after it, since either write may have to wait for an unresponsive daemon. Lists that may be older
+// than the current one are ignored.
 func (c *Controller) withdrawLeaving(body []byte) {
 	in, err := decodeBody[ServersCall](body)
 	if err != nil || c.placement == nil {
 		return
 	}
 	committed, _ := c.partition.Replica.Records().Get(fleetconfig.ListKey(in.Service))
-	if inForce, err := fleetconfig.ReadList(committed); err == nil && in.List.Version > inForce.Version {
+	if current, err := fleetconfig.ReadList(committed); err == nil && in.List.Version > current.Version {
 		c.placement.WithdrawLeaving(in.Service, in.List)
 	}
 }
 
-// handleClaim claims a once key for a request, or says what became of it.
-func (r request) handleClaim(body []byte) (partition.Job, error) {
+// handleClaim claims a once key for a request, or returns the existing claim.
+func (r callRequest) handleClaim(body []byte) (partition.Job, error) {
 	in, err := decodeBody[ClaimCall](body)
 	if err != nil {
 		return partition.Job{}, err
@@ -81,8 +80,8 @@
 	return onceKeyJob(in.Key, change), nil
 }
 
-// handleRelease takes the end of a once key's request: it gives the key back, or was done under it.
-func (r request) handleRelease(body []byte) (partition.Job, error) {
+// handleRelease records the end of a once key's request, which either released the key or completed under it.
+func (r callRequest) handleRelease(body []byte) (partition.Job, error) {
 	in, err := decodeBody[ClaimCall](body)
 	if err != nil {
 		return partition.Job{}, err
@@ -91,7 +90,7 @@
 	return onceKeyJob(in.Key, change), nil
 }
 
-// onceKeyJob changes the record of a once key; change gives what to write, nil for nothing.
+// onceKeyJob changes the record of a once key; change returns the claim to write, or nil to leave the record alone.
 func onceKeyJob(name string, change func(onceKey) (*leadercall.Claim, leadercall.Response)) partition.Job {
 	key := OnceKey(name)
 	return partition.Job{Keys: []string{key}, Build: func(read lease.RecordSource) ([]message.Record, any) {
@@ -99,7 +98,7 @@
 		current := onceKey{exists: !record.Deleted}
 		if current.exists {
 			if err := json.Unmarshal(record.Value, &current.claim); err != nil {
-				return nil, unclear(err)
+				return nil, unclearResponse(err)
 			}
 		}
 		next, response := change(current)
@@ -110,14 +109,14 @@
 	}}
 }
 
-// onceKey is the record of a once key as it stands.
+// onceKey is the current record of a once key.
 type onceKey struct {
 	exists bool
 	claim  leadercall.Claim
 }
 
-// claimFor claims the key for a request. One that gave the key back before its claim arrived
-// can't claim it any more, also when other requests had the key since.
+// claimFor claims the key for a request. A request that released the key before its claim arrived
+// can no longer claim it, even if other requests have held the key since.
 func (k onceKey) claimFor(claim leadercall.Claim) (*leadercall.Claim, leadercall.Response) {
 	isSameRequest := k.claim.Request == claim.Request
 	if isSameRequest && k.claim.State == claim.State {
@@ -136,7 +135,7 @@
 	return &claim, responseDone
 }
 
-// release takes the end of a request: of the one that has the key, or of one whose claim may still be on its way.
+// release records the end of a request: the one that holds the key, or one whose claim may still arrive.
 func (k onceKey) release(ended leadercall.Claim) (*leadercall.Claim, leadercall.Response) {
 	if !k.exists || k.claim.Request == ended.Request {
 		ended.Past = k.claim.Past
@@ -152,7 +151,7 @@
 
 func (k onceKey) wasReleasedBy(request string) bool { return slices.Contains(k.claim.Past, request) }
 
-// withRequest adds a request to those that gave a key back; the last ones are kept.
+// withRequest appends a request to those that released a key, and keeps only the latest maxPastRequests.
 func withRequest(past []string, request string) []string {
 	past = append(slices.Clone(past), request)
 	return past[max(0, len(past)-maxPastRequests):]
--- a/control/leader/stored_test.go
+++ b/control/leader/stored_test.go
@@ -19,8 +19,8 @@
 	return []message.Replica{{Ident: "a", Addr: "10.0.0.1:1"}, {Ident: "b", Addr: "10.0.0.2:1"}}
 }
 
-// The bodies of calls, and the records that a leader writes by them, are the JSON that other builds read.
-func TestStoredJSONKeepsItsBytes(t *testing.T) {
+// Call bodies, and the records that a leader writes for them, keep the JSON encoding that other builds read.
+func TestStoredJSONEncodingIsUnchanged(t *testing.T) {
 	list := fleetconfig.List{Version: 3, Servers: []fleetconfig.Server{{
 		ID: "server-1", Addr: "10.0.0.1:9000", Zone: "north", Capacity: 8, Leaving: true, Role: placement.Decode, Warming: true,
 	}}}
@@ -45,21 +45,21 @@
 	golden.Check(t, "floor.json", message.Version{Term: 4, Seq: 900}, golden.JSON[message.Version]())
 }
 
-// Keys of records that only a leader writes stay.
-func TestStoredKeysStay(t *testing.T) {
+// The keys of records that only a leader writes don't change.
+func TestStoredKeysAreUnchanged(t *testing.T) {
 	for key, want := range map[string]string{
 		pastCallsKey: "calls/done", OnceKey("express/k-17"): "once/express/k-17", quorum.FloorKey: "floor/once",
 	} {
 		if key != want {
-			t.Errorf("%q was %q", key, want)
+			t.Errorf("stored key %q, expected %q", key, want)
 		}
 	}
 }
 
-// storedRecords is what a step left on disk, a line a record.
-func (a *testLeader) storedRecords() string {
+// storedRecords returns the records of the last save, one per line.
+func (l *testLeader) storedRecords() string {
 	var out strings.Builder
-	for _, r := range a.lastSave {
+	for _, r := range l.lastSave {
 		if r.Key == fleetconfig.PlanKey {
 			r.Value = []byte(fmt.Sprintf("version %d", fleetconfig.OpenPlan(r).Version))
 		}
@@ -68,7 +68,7 @@
 	return out.String()
 }
 
-// transcript is a series of calls at a leader, with what each was answered and what it wrote.
+// transcript records a series of calls to a leader, with their answers and the records written.
 type transcript struct {
 	*testLeader
 	text strings.Builder
@@ -78,8 +78,8 @@
 func (c *transcript) call(ref uint64, op string, body []byte) {
 	c.no++
 	c.answers, c.lastSave = nil, nil
-	c.carryOut(c.controller.Step(c.now, message.Message{
-		Kind: message.KindCall, Partition: c.controller.number, From: "p", Epoch: 1, Addr: "10.0.0.9:1", ResponseTo: ref, RequestID: c.no, Op: op, Body: body,
+	c.apply(c.controller.Step(c.now, message.Message{
+		Kind: message.KindCall, Partition: c.controller.partitionNumber, From: "p", Epoch: 1, Addr: "10.0.0.9:1", ResponseTo: ref, RequestID: c.no, Op: op, Body: body,
 	}))
 	fmt.Fprintf(&c.text, "%s %q\n", op, body)
 	for _, m := range c.answers {
@@ -92,8 +92,8 @@
 	c.text.WriteString(c.storedRecords())
 }
 
-// Every call, by its name, with its body as it is sent by other builds, has the same answer and writes the same records.
-func TestCallsKeepTheirAnswersAndRecords(t *testing.T) {
+// Every call, with its name and body as other builds send them, gets the same answer and writes the same records.
+func TestCallAnswersAndRecordsAreUnchanged(t *testing.T) {
 	config := &transcript{testLeader: startLeader(t, 0, nil)}
 	plan := fleetconfig.Plan{
 		ID: "p1", Tenants: []fleetconfig.Tenant{},
@@ -133,7 +133,7 @@
 	} {
 		config.call(config.no+1, x.op, x.body)
 	}
-	config.call(9, "evacuate", []byte("north")) // a try of an earlier call
+	config.call(9, "evacuate", []byte("north")) // another attempt of an earlier call
 	golden.Bytes(t, "calls-configuration.txt", []byte(config.text.String()))
 
 	service := &transcript{testLeader: startLeader(t, 1, nil)}
@@ -172,25 +172,25 @@
 	}
 	service.controller.placement = placement.New(placement.Config{ShareLength: time.Second}, 1, 0)
 	service.call(service.no+1, "want", []byte(`{"s":"m","a":0}`))
-	service.call(service.no-1, "want", []byte(`{"s":"m","a":0}`)) // overtaken
+	service.call(service.no-1, "want", []byte(`{"s":"m","a":0}`)) // an earlier demand that arrives late
 	golden.Bytes(t, "calls-service.txt", []byte(service.text.String()))
 
 	follower := &transcript{testLeader: startLeader(t, 0, nil)}
 	follower.now = follower.controller.Partition().Replica.LeaseEnd()
 	follower.call(1, "plan", leadercall.Pack(plan))
 	if follower.answers[0].Status != http.StatusMisdirectedRequest {
-		t.Errorf("a lapsed leader answers %d", follower.answers[0].Status)
+		t.Errorf("a leader with an expired lease answered %d", follower.answers[0].Status)
 	}
 	golden.Bytes(t, "calls-lapsed.txt", []byte(follower.text.String()))
 }
 
-// The record below which once keys are dropped is the JSON of a version.
-func TestFloorRecordKeepsItsBytes(t *testing.T) {
-	a := startLeader(t, 1, nil)
-	a.controller.cfg.OnceKeyRetention = time.Second
-	for a.now < 4*time.Second && len(a.records) == 0 {
-		a.tick()
-		a.carryOut(a.controller.Reconcile(a.now, ClusterView{}))
+// The record of the version below which once keys are dropped keeps its JSON encoding.
+func TestFloorRecordEncodingIsUnchanged(t *testing.T) {
+	l := startLeader(t, 1, nil)
+	l.controller.cfg.OnceKeyRetention = time.Second
+	for l.now < 4*time.Second && len(l.records) == 0 {
+		l.tick()
+		l.apply(l.controller.Reconcile(l.now, ClusterView{}))
 	}
-	golden.Bytes(t, "floor-records.txt", []byte(a.storedRecords()))
+	golden.Bytes(t, "floor-records.txt", []byte(l.storedRecords()))
 }
--- a/control/leader/token.go
+++ b/control/leader/token.go
@@ -9,8 +9,8 @@
 	"mulleinmast/wire/message"
 )
 
-// handleToken gives a daemon a token of a tenant's limit. Buckets live in memory only, as
-// long as the leadership.
+// handleToken grants a daemon a token of a tenant's rate limit. Token buckets are kept in memory only, for
+// the duration of the leadership.
 func (c *Controller) handleToken(now time.Duration, from message.Sender, call message.Call) {
 	request, err := decodeBody[ratelimit.Request](call.Body)
 	switch {
--- a/control/leader/unreadable_test.go
+++ b/control/leader/unreadable_test.go
@@ -8,10 +8,10 @@
 	"mulleinmast/wire/message"
 )
 
-// A record that this build can't read stops no leader: a call that needs it
-// changes nothing and is answered that its outcome isn't clear; a server list, which its
-// source sends again all the time, gives way to the next one.
-func TestACallOnARecordThatCanNotBeRead(t *testing.T) {
+// An unreadable record doesn't stop a leader: a call that needs it changes nothing and
+// is answered that its outcome is unclear. An unreadable server list is overwritten by
+// the next one, which its source keeps resending.
+func TestCallOnUnreadableRecord(t *testing.T) {
 	stored := map[string][]byte{
 		fleetconfig.PlanKey:      []byte("m\xffof another build"),
 		fleetconfig.ZoneKey:      []byte(`{"zones":["north"]}`),
@@ -37,7 +37,7 @@
 		"claim":    leadercall.Pack(ClaimCall{Key: "t/k", Claim: leadercall.Claim{Request: "r", State: "claimed"}}),
 		"unclaim":  leadercall.Pack(ClaimCall{Key: "t/k", Claim: leadercall.Claim{Request: "r", State: "shed"}}),
 	} {
-		recs, answer, panicked := carriedOut(op, body, read)
+		recs, answer, panicked := buildCall(op, body, read)
 		if response, ok := answer.(leadercall.Response); panicked != nil || !ok || response.Result != "not clear" ||
 			len(recs) > 0 {
 			t.Errorf("%s: wrote %d records, answered %+v, panicked with %v", op, len(recs), answer, panicked)
@@ -46,35 +46,35 @@
 	list := ServersCall{
 		"m", fleetconfig.List{Version: 2, Servers: []fleetconfig.Server{{Addr: "10.0.0.1:1", Zone: "a", Capacity: 8}}},
 	}
-	recs, answer, panicked := carriedOut("servers", leadercall.Pack(list), read)
+	recs, answer, panicked := buildCall("servers", leadercall.Pack(list), read)
 	if response, ok := answer.(leadercall.Response); panicked != nil || len(recs) != 1 || !ok ||
 		response.Result != responseDone.Result {
-		t.Errorf("a list: wrote %d records, answered %+v, panicked with %v", len(recs), answer, panicked)
+		t.Errorf("server list: wrote %d records, answered %+v, panicked with %v", len(recs), answer, panicked)
 	}
 }
 
-// The record of orders that were carried out can't be read: none is carried out,
-// as nobody knows whether it was before.
-func TestAnOrderWhoseRecordCanNotBeRead(t *testing.T) {
+// If the record of past calls can't be read, no order is executed, since it may have been
+// executed before.
+func TestOrderWithUnreadablePastCalls(t *testing.T) {
 	read := func(key string) message.Record {
 		return message.Record{
 			Key: key, Value: []byte("{}"), Deleted: key != pastCallsKey, Version: message.Version{Term: 3, Seq: 9},
 		}
 	}
-	recs, answer, panicked := carriedOut("evacuate", []byte("south"), read)
+	recs, answer, panicked := buildCall("evacuate", []byte("south"), read)
 	if response, ok := answer.(leadercall.Response); panicked != nil || !ok || response.Result != "not clear" ||
 		len(recs) > 0 {
 		t.Errorf("wrote %d records, answered %+v, panicked with %v", len(recs), answer, panicked)
 	}
 }
 
-// carriedOut runs a call's write on some records; panicked is what stopped it, if
-// anything did.
-func carriedOut(
+// buildCall runs the write of a call on the given records; panicked is the recovered
+// panic value, if any.
+func buildCall(
 	op string, body []byte, read func(string) message.Record,
 ) (recs []message.Record, answer, panicked any) {
 	defer func() { panicked = recover() }()
-	r := newRequest()
+	r := newUnnumberedRequest()
 	r.id, r.orders = "d#1/1", &recentOrders{}
 	j, err := r.job(op, body)
 	if err != nil {
--- a/control/placement/balance.go
+++ b/control/placement/balance.go
@@ -2,17 +2,17 @@
 
 import "fmt"
 
-// Where the platform lists the servers' roles, sides are balanced by the pressure on their servers: on average,
-// as a fraction of what requests bear.
+// Where the platform lists the servers' roles, the prefill and decode sides of a service are balanced by the
+// average pressure on their servers; see Pressure.
 const (
-	highPressure     = 0.5     // from then on a side is short
-	lowPressure      = 0.4     // up to this the other side can spare a server: its pressure with one less
-	maxPressureRatio = 0.8     // and its pressure then is at most this fraction of the pressed side's
-	pressureWeight   = 1.0 / 8 // of a new value in the average of a server's pressure
-	deniedSwapBounds = 4       // that the list may deny an order before it is given again: requests there may go on
+	highPressure      = 0.5     // a side at or above this pressure needs another server
+	lowPressure       = 0.4     // the other side can spare one if its pressure with one server less is at most this
+	maxPressureRatio  = 0.8     // and at most this fraction of the pressed side's pressure
+	pressureWeight    = 1.0 / 8 // weight of a new value in the moving average of a server's pressure
+	ignoredSwapBounds = 4       // an order that the list contradicts is repeated after so many swap bounds
 )
 
-// hasListedRoles tells whether the platform lists the roles of these servers.
+// hasListedRoles reports whether the platform lists the roles of the service's servers.
 func (r *round) hasListedRoles() bool {
 	for _, key := range r.keys {
 		if r.servers[key].hasListedRole() {
@@ -22,10 +22,10 @@
 	return false
 }
 
-// enterListed gives a server that the platform lists with a role its first record. A
-// new one takes the role that keeps the proportion of the sides: it isn't used while
-// it warms up, so that a change costs least now.
-func (r *round) enterListed(key string, s *server, count map[string]int) {
+// addListedServer writes the first record of a server that the platform lists with a role. A
+// server that is still warming up takes the role that keeps the sides in proportion: it isn't
+// in use yet, so changing its role is cheapest now.
+func (r *round) addListedServer(key string, s *server, count map[string]int) {
 	role := s.listing.role
 	if s.order.role != "" {
 		role = s.order.role
@@ -35,7 +35,7 @@
 	}
 	count[role]++
 	if role != s.order.role {
-		r.order(key, s, role, "keeps the sides in proportion")
+		r.issueOrder(key, s, role, "keeps the sides in proportion")
 		return
 	}
 	status := s.listedStatus()
@@ -45,7 +45,7 @@
 	r.write(key, s, s.firstRecord(role, status), "listed")
 }
 
-// proportionateRole is the role for one server more that keeps the fraction of prefill servers as it was.
+// proportionateRole returns the role for an additional server that keeps the fraction of prefill servers unchanged.
 func (r *round) proportionateRole(role string, count map[string]int) string {
 	share, ok := r.prefillShare[r.service]
 	if !ok || count[Prefill] == 0 || count[Decode] == 0 {
@@ -61,31 +61,32 @@
 	return role
 }
 
-// repeatDeniedOrder orders again what the platform's list goes on denying.
-func (r *round) repeatDeniedOrder(key string, s *server) {
+// repeatIgnoredOrder repeats an order if the platform's list keeps naming another role than the server's record. It
+// waits for ignoredSwapBounds first, since requests in flight at the server may delay the shift.
+func (r *round) repeatIgnoredOrder(key string, s *server) {
 	if s.listing.role == s.Role || s.isLeaving() {
-		s.listing.deniedSince = 0
+		s.listing.mismatchSince = 0
 		return
 	}
-	if s.listing.deniedSince == 0 {
-		s.listing.deniedSince = r.now
+	if s.listing.mismatchSince == 0 {
+		s.listing.mismatchSince = r.now
 	}
-	if r.now-s.listing.deniedSince > deniedSwapBounds*r.cfg.SwapBound {
-		s.listing.deniedSince = r.now
-		r.order(key, s, s.Role, "again")
+	if r.now-s.listing.mismatchSince > ignoredSwapBounds*r.cfg.SwapBound {
+		s.listing.mismatchSince = r.now
+		r.issueOrder(key, s, s.Role, "again")
 	}
 }
 
-// sides are the servers of one service whose roles the platform lists, by the role
-// that they play.
+// sides are the servers of one service whose roles the platform lists, grouped by
+// role.
 type sides struct {
-	inUse      map[string][]string // keys of those that requests go to now
-	present    map[string]int      // those that warm up, too: they are in use soon
+	inUse      map[string][]string // keys of the servers that currently receive requests
+	present    map[string]int      // number of servers in use or warming up, which will be in use soon
 	all        int
-	isShifting bool // one of them is shifting, or the list doesn't follow an order yet
+	isShifting bool // a server is shifting, or the list doesn't reflect an order yet
 }
 
-// observeSides counts the sides and takes the pressure on their servers into the averages.
+// observeSides counts the servers of each side and updates the average pressure of each server.
 func (r *round) observeSides() sides {
 	s := sides{inUse: map[string][]string{}, present: map[string]int{}}
 	for _, key := range r.keys {
@@ -95,7 +96,7 @@
 		}
 		s.all++
 		s.isShifting = s.isShifting || server.NextRole != "" || server.order.pending || server.listing.role != server.Role
-		server.observed.pressure.average(r.Pressure(r.service, server.key()))
+		server.observed.pressure.addSample(r.Pressure(r.service, server.key()))
 		if server.NextRole == "" && server.Status != Dark {
 			s.present[server.Role]++
 		}
@@ -106,23 +107,23 @@
 	return s
 }
 
-// average takes a new value into a moving average.
-func (p *Pressure) average(now Pressure) {
+// addSample adds a new value to the moving average.
+func (p *Pressure) addSample(now Pressure) {
 	p.Prefill += (now.Prefill - p.Prefill) * pressureWeight
 	p.Decode += (now.Decode - p.Decode) * pressureWeight
 }
 
-// of is the pressure on the requests that a role serves.
-func (p Pressure) of(role string) float64 {
+// forRole returns the pressure on the requests that a role serves.
+func (p Pressure) forRole(role string) float64 {
 	if role == Decode {
 		return p.Decode
 	}
 	return p.Prefill
 }
 
-// balanceListed shifts a server of a listed service from the side that is at ease to
-// the one that has been pressed, never the last one, never below the plan's least; and to a side
-// that has none left.
+// balanceListed shifts a server of a listed service to a side that has none left, or from
+// a side with low pressure to one under sustained high pressure. In the latter case it never takes
+// a side's last server or goes below the plan's minimum.
 func (r *round) balanceListed() {
 	if r.Pressure == nil || !r.hasListedRoles() {
 		return
@@ -139,24 +140,24 @@
 		return
 	}
 	for _, to := range []string{Decode, Prefill} {
-		if r.relieve(to, s) {
+		if r.relieveSide(to, s) {
 			return
 		}
 	}
 }
 
-// relieve shifts a server to a side that has been pressed for a while, and tells whether it did.
-func (r *round) relieve(to string, s sides) bool {
+// relieveSide shifts a server to a side that has been under high pressure for PressWindow, and reports whether it did.
+func (r *round) relieveSide(to string, s sides) bool {
 	from := otherRole(to)
 	side := shortage{service: r.service, role: to}
 	pressure := r.totalPressure(to, s) / float64(len(s.inUse[to]))
 	withOneLess := r.totalPressure(from, s) / float64(max(1, len(s.inUse[from])-1))
-	canSpare := len(s.inUse[from]) > r.leastServers(from)
+	canSpare := len(s.inUse[from]) > r.minServers(from)
 	if !canSpare || pressure < highPressure || withOneLess > lowPressure || withOneLess > pressure*maxPressureRatio {
 		delete(r.shortSince, side)
 		return false
 	}
-	if r.shortFor(r.now, side) < r.cfg.PressWindow {
+	if r.shortageDuration(r.now, side) < r.cfg.PressWindow {
 		return false
 	}
 	delete(r.shortSince, side)
@@ -166,25 +167,25 @@
 	}
 	r.prefillShare[r.service] = float64(prefill) / float64(s.all)
 	r.shiftLeastPressed(s.inUse[from], to, fmt.Sprintf(
-		"%s side is pressed %.2f, %s side would be %.2f with one less", to, pressure, from, withOneLess,
+		"pressure on %s side is %.2f, on %s side it would be %.2f with one server less", to, pressure, from, withOneLess,
 	))
 	return true
 }
 
-// totalPressure is the sum over the servers of a side that are in use.
+// totalPressure returns the sum of the pressure on the servers of a side that are in use.
 func (r *round) totalPressure(role string, s sides) (sum float64) {
 	for _, key := range s.inUse[role] {
-		sum += r.servers[key].observed.pressure.of(role)
+		sum += r.servers[key].observed.pressure.forRole(role)
 	}
 	return sum
 }
 
-// shiftLeastPressed begins the shift of the server of a side that has the least to do.
+// shiftLeastPressed starts to shift the server that leastPressed chooses from a side.
 func (r *round) shiftLeastPressed(from []string, to, reason string) {
 	r.beginShift(r.leastPressed(from), to, reason)
 }
 
-// leastPressed is the server with the least to do, of the zone that has most of them.
+// leastPressed returns the server under the least pressure in the zone with the most servers.
 func (r *round) leastPressed(keys []string) (least string) {
 	zones := map[string]int{}
 	for _, key := range keys {
@@ -198,7 +199,7 @@
 	return least
 }
 
-// isBetterToShift compares two servers of a side that has so many in each zone.
+// isBetterToShift reports whether s should be shifted rather than other; zones counts the side's servers by zone.
 func (r *round) isBetterToShift(s, other *server, zones map[string]int) bool {
 	if zones[s.Zone] != zones[other.Zone] {
 		return zones[s.Zone] > zones[other.Zone]
--- a/control/placement/balance_test.go
+++ b/control/placement/balance_test.go
@@ -9,8 +9,8 @@
 	"mulleinmast/wire/message"
 )
 
-// listedFleet is a platform that lists its servers with their roles and takes orders;
-// what it lists follows an order a second later, warming for a second more.
+// listedFleet simulates a platform that lists its servers with their roles and accepts orders.
+// Its list reflects an order after one second, and shows the server as warming for another second.
 type listedFleet struct {
 	t             *testing.T
 	controller    *Controller
@@ -18,142 +18,145 @@
 	now           time.Duration
 	list          []fleetconfig.Server
 	serverRecords map[string]ServerRecord
-	pressure      map[string]Pressure // by role that the platform lists
-	ignoresOrders bool                // it takes orders and doesn't follow them
+	pressure      map[string]Pressure // by listed role
+	ignoresOrders bool                // it accepts orders but doesn't execute them
 	later         map[time.Duration][]func()
 	orders        []Order
 	orderedAt     []time.Duration
-	shifts        []time.Duration // when a record began to leave its role
+	shifts        []time.Duration // when a server began to leave its role
 	polls         int
 }
 
 func newListedFleet(t *testing.T, prefillServers, decodeServers int, plan fleetconfig.Service) *listedFleet {
-	s := &listedFleet{
+	fleet := &listedFleet{
 		t: t, cfg: cfg, serverRecords: map[string]ServerRecord{}, pressure: map[string]Pressure{},
 		later: map[time.Duration][]func(){},
 	}
-	s.cfg.ListedDwell, s.cfg.PressWindow = 3*time.Second, 400*time.Millisecond
+	fleet.cfg.ListedDwell, fleet.cfg.PressWindow = 3*time.Second, 400*time.Millisecond
 	for i := range prefillServers + decodeServers {
-		s.add(map[bool]string{true: Prefill, false: Decode}[i < prefillServers], false)
+		fleet.add(map[bool]string{true: Prefill, false: Decode}[i < prefillServers], false)
 	}
-	s.startTerm(1, plan)
-	return s
+	fleet.startTerm(1, plan)
+	return fleet
 }
 
-// startTerm makes the controller of a new term.
-func (s *listedFleet) startTerm(term uint64, plan fleetconfig.Service) {
+// startTerm creates the controller of a new term.
+func (fleet *listedFleet) startTerm(term uint64, plan fleetconfig.Service) {
 	plan.Name = "m"
-	s.controller = New(s.cfg, term, s.now)
-	s.controller.SetPlan(fleetconfig.Plan{Services: []fleetconfig.Service{plan}}, nil)
-	s.controller.Pressure = func(_, id string) Pressure {
-		for _, x := range s.list {
+	fleet.controller = New(fleet.cfg, term, fleet.now)
+	fleet.controller.SetPlan(fleetconfig.Plan{Services: []fleetconfig.Service{plan}}, nil)
+	fleet.controller.Pressure = func(_, id string) Pressure {
+		for _, x := range fleet.list {
 			if x.ID == id {
-				return s.pressure[x.Role]
+				return fleet.pressure[x.Role]
 			}
 		}
 		return Pressure{}
 	}
 }
 
-func (s *listedFleet) add(role string, warming bool) string {
-	id := fmt.Sprintf("s%d", len(s.list))
-	s.list = append(
-		s.list,
+func (fleet *listedFleet) add(role string, warming bool) string {
+	id := fmt.Sprintf("s%d", len(fleet.list))
+	fleet.list = append(
+		fleet.list,
 		fleetconfig.Server{
-			ID: id, Addr: fmt.Sprintf("10.0.0.%d:1", len(s.list)+1), Zone: "a", Capacity: 8, Role: role, Warming: warming,
+			ID: id, Addr: fmt.Sprintf("10.0.0.%d:1", len(fleet.list)+1), Zone: "a", Capacity: 8, Role: role, Warming: warming,
 		},
 	)
 	return id
 }
 
-func (s *listedFleet) set(id string, f func(*fleetconfig.Server)) {
-	for i := range s.list {
-		if s.list[i].ID == id {
-			f(&s.list[i])
+func (fleet *listedFleet) set(id string, f func(*fleetconfig.Server)) {
+	for i := range fleet.list {
+		if fleet.list[i].ID == id {
+			f(&fleet.list[i])
 		}
 	}
 }
 
-func (s *listedFleet) run(d time.Duration) {
-	for end := s.now + d; s.now < end; s.now += 50 * time.Millisecond {
-		for _, f := range s.later[s.now] {
-			f()
+func (fleet *listedFleet) advance(d time.Duration) {
+	for end := fleet.now + d; fleet.now < end; fleet.now += 50 * time.Millisecond {
+		for _, event := range fleet.later[fleet.now] {
+			event()
 		}
-		s.controller.LoadService(
-			s.now, "m", fleetconfig.List{Servers: append([]fleetconfig.Server(nil), s.list...)}, s.serverRecords,
+		fleet.controller.LoadService(
+			fleet.now, "m", fleetconfig.List{Servers: append([]fleetconfig.Server(nil), fleet.list...)}, fleet.serverRecords,
 		)
-		o := s.controller.Reconcile(s.now)
-		s.polls += len(o.Polls)
-		for _, w := range o.Writes {
-			b, _ := OpenServerRecord(message.Record{Key: w.Key, Value: w.Value, Deleted: w.Delete})
-			if b.NextRole != "" && s.serverRecords[w.Key].NextRole == "" {
-				s.shifts = append(s.shifts, s.now)
+		out := fleet.controller.Reconcile(fleet.now)
+		fleet.polls += len(out.Polls)
+		for _, write := range out.Writes {
+			record, _ := OpenServerRecord(message.Record{Key: write.Key, Value: write.Value, Deleted: write.Delete})
+			if record.NextRole != "" && fleet.serverRecords[write.Key].NextRole == "" {
+				fleet.shifts = append(fleet.shifts, fleet.now)
 			}
-			s.serverRecords[w.Key] = b
-			s.controller.HandleWritten(w.Key, b, true)
+			fleet.serverRecords[write.Key] = record
+			fleet.controller.HandleWriteResult(write.Key, record, true)
 		}
-		for _, x := range o.Orders {
-			s.orders, s.orderedAt = append(s.orders, x), append(s.orderedAt, s.now)
-			if s.serverRecords[x.Key].NextRole != "" && s.serverRecords[x.Key].Status != Leaving {
-				s.t.Errorf("%s is ordered to another role and still in use: %+v", x.ID, s.serverRecords[x.Key])
+		for _, order := range out.Orders {
+			fleet.orders, fleet.orderedAt = append(fleet.orders, order), append(fleet.orderedAt, fleet.now)
+			if fleet.serverRecords[order.Key].NextRole != "" && fleet.serverRecords[order.Key].Status != Leaving {
+				fleet.t.Errorf("%s is ordered to shift while in use: %+v", order.ID, fleet.serverRecords[order.Key])
 			}
-			s.controller.HandleOrdered(x, true)
-			if s.ignoresOrders {
+			fleet.controller.HandleOrderResult(order, true)
+			if fleet.ignoresOrders {
 				continue
 			}
-			s.later[s.now+time.Second] = append(s.later[s.now+time.Second], func() {
-				s.set(x.ID, func(e *fleetconfig.Server) { e.Role, e.Warming = x.Role, true })
+			fleet.later[fleet.now+time.Second] = append(fleet.later[fleet.now+time.Second], func() {
+				fleet.set(order.ID, func(e *fleetconfig.Server) { e.Role, e.Warming = order.Role, true })
 			})
-			s.later[s.now+2*time.Second] = append(s.later[s.now+2*time.Second], func() {
-				s.set(x.ID, func(e *fleetconfig.Server) { e.Warming = false })
+			fleet.later[fleet.now+2*time.Second] = append(fleet.later[fleet.now+2*time.Second], func() {
+				fleet.set(order.ID, func(e *fleetconfig.Server) { e.Warming = false })
 			})
 		}
 	}
 }
 
-// countInUse is how many servers are in use in a role.
-func (s *listedFleet) countInUse(role string) (n int) {
-	for _, b := range s.serverRecords {
-		if b.Role == role && b.NextRole == "" && b.Status == Up {
+// countInUse returns the number of servers in use in a role.
+func (fleet *listedFleet) countInUse(role string) (n int) {
+	for _, record := range fleet.serverRecords {
+		if record.Role == role && record.NextRole == "" && record.Status == Up {
 			n++
 		}
 	}
 	return n
 }
 
-func (s *listedFleet) serverRecord(id string) ServerRecord {
-	return s.serverRecords[fleetconfig.ServerRecordKey("m", id)]
+func (fleet *listedFleet) serverRecord(id string) ServerRecord {
+	return fleet.serverRecords[fleetconfig.ServerRecordKey("m", id)]
 }
 
-// Servers whose roles the platform lists keep them, and are never
-// polled, whatever happens to them.
-func TestAListedServerIsNeverPolled(t *testing.T) {
-	s := newListedFleet(t, 2, 2, fleetconfig.Service{})
-	s.run(time.Second)
-	if s.countInUse(Prefill) != 2 || s.countInUse(Decode) != 2 || len(s.orders) > 0 {
-		t.Errorf("%d prefill servers, %d decode servers, orders %v", s.countInUse(Prefill), s.countInUse(Decode), s.orders)
+// Servers whose roles the platform lists keep these roles and are never
+// polled, even if they leave, are removed, or the controller changes.
+func TestListedServerIsNeverPolled(t *testing.T) {
+	fleet := newListedFleet(t, 2, 2, fleetconfig.Service{})
+	fleet.advance(time.Second)
+	if fleet.countInUse(Prefill) != 2 || fleet.countInUse(Decode) != 2 || len(fleet.orders) > 0 {
+		t.Errorf(
+			"%d prefill servers, %d decode servers, orders %v",
+			fleet.countInUse(Prefill), fleet.countInUse(Decode), fleet.orders,
+		)
 	}
-	s.pressure[Prefill] = Pressure{Prefill: 0.9}
-	s.add(Prefill, true)
-	s.set("s0", func(e *fleetconfig.Server) { e.Leaving = true })
-	s.run(30 * time.Second)
-	s.list = s.list[1:]
-	s.startTerm(2, fleetconfig.Service{})
-	s.run(30 * time.Second)
-	if s.polls > 0 {
-		t.Errorf("%d polls", s.polls)
+	fleet.pressure[Prefill] = Pressure{Prefill: 0.9}
+	fleet.add(Prefill, true)
+	fleet.set("s0", func(e *fleetconfig.Server) { e.Leaving = true })
+	fleet.advance(30 * time.Second)
+	fleet.list = fleet.list[1:]
+	fleet.startTerm(2, fleetconfig.Service{})
+	fleet.advance(30 * time.Second)
+	if fleet.polls > 0 {
+		t.Errorf("%d polls", fleet.polls)
 	}
-	// Of a list that names no role each server is asked.
-	s.list = []fleetconfig.Server{{Addr: "10.0.1.1:1", Zone: "a", Capacity: 8}}
-	s.run(time.Second)
-	if s.polls == 0 {
+	// Servers in a list without roles are polled.
+	fleet.list = []fleetconfig.Server{{Addr: "10.0.1.1:1", Zone: "a", Capacity: 8}}
+	fleet.advance(time.Second)
+	if fleet.polls == 0 {
 		t.Error("a server without a listed role is not polled")
 	}
 }
 
-// A server that comes while it is warming takes the role that keeps the sides in
-// the proportion they had; a warm one, and one that fits, is left as it is.
-func TestANewServerKeepsTheProportion(t *testing.T) {
+// A new server that is still warming up takes the role that keeps the previous proportion
+// of the sides. A new server that is already warm, or has the right role, keeps its role.
+func TestNewServerKeepsSidesInProportion(t *testing.T) {
 	for _, test := range []struct {
 		leaves, comes string
 		warming       bool
@@ -166,39 +169,39 @@
 		{Decode, Prefill, false, Prefill},
 		{Prefill, Decode, false, Decode},
 	} {
-		s := newListedFleet(t, 4, 2, fleetconfig.Service{})
-		s.run(5 * time.Second)
-		for _, e := range s.list {
+		fleet := newListedFleet(t, 4, 2, fleetconfig.Service{})
+		fleet.advance(5 * time.Second)
+		for _, e := range fleet.list {
 			if e.Role == test.leaves {
-				s.set(e.ID, func(e *fleetconfig.Server) { e.Leaving = true })
+				fleet.set(e.ID, func(e *fleetconfig.Server) { e.Leaving = true })
 				break
 			}
 		}
-		s.run(time.Second)
-		id := s.add(test.comes, test.warming)
-		s.run(200 * time.Millisecond)
+		fleet.advance(time.Second)
+		id := fleet.add(test.comes, test.warming)
+		fleet.advance(200 * time.Millisecond)
 		wantOrders := map[bool]int{true: 1, false: 0}[test.comes != test.want]
-		isOther := len(s.orders) > 0 && (s.orders[0].ID != id || s.orders[0].Role != test.want)
-		if len(s.orders) != wantOrders || isOther {
-			t.Errorf("%+v: orders %+v", test, s.orders)
+		isOther := len(fleet.orders) > 0 && (fleet.orders[0].ID != id || fleet.orders[0].Role != test.want)
+		if len(fleet.orders) != wantOrders || isOther {
+			t.Errorf("%+v: orders %+v", test, fleet.orders)
 		}
-		if b := s.serverRecord(id); b.Role != test.want || b.Status == Up && test.warming {
-			t.Errorf("%+v: %+v", test, b)
+		if record := fleet.serverRecord(id); record.Role != test.want || record.Status == Up && test.warming {
+			t.Errorf("%+v: %+v", test, record)
 		}
-		s.set(id, func(e *fleetconfig.Server) { e.Warming = test.want != test.comes })
-		s.run(5 * time.Second)
-		if b := s.serverRecord(id); b.Role != test.want || b.Status != Up || len(s.orders) > 1 {
-			t.Errorf("%+v: in the end %+v, orders %+v", test, b, s.orders)
+		fleet.set(id, func(e *fleetconfig.Server) { e.Warming = test.want != test.comes })
+		fleet.advance(5 * time.Second)
+		if record := fleet.serverRecord(id); record.Role != test.want || record.Status != Up || len(fleet.orders) > 1 {
+			t.Errorf("%+v: at the end %+v, orders %+v", test, record, fleet.orders)
 		}
 	}
 }
 
-// A side that is pressed gets a server after PressWindow, one at a time with ListedDwell
-// between, from the side at ease, whose last one stays, or the plan's least.
-func TestAPressedSideGetsServers(t *testing.T) {
+// A side under high pressure gets servers from the other one, the first after PressWindow and then one
+// at a time, at least ListedDwell apart. The other side keeps the plan's minimum, and at least one server.
+func TestPressedSideGainsServers(t *testing.T) {
 	for _, test := range []struct {
-		press               string
-		strain              Pressure
+		side                string // under high pressure
+		pressure            Pressure
 		plan                fleetconfig.Service
 		prefillServers, all int
 	}{
@@ -207,116 +210,119 @@
 		{Decode, Pressure{Decode: 0.9}, fleetconfig.Service{}, 1, 6},
 		{Decode, Pressure{Decode: 0.9}, fleetconfig.Service{PrefillServers: 2, DecodeServers: 1}, 2, 6},
 	} {
-		s := newListedFleet(t, 3, 3, test.plan)
-		s.run(10 * time.Second)
-		from := s.now
-		s.pressure[test.press] = test.strain
-		s.run(60 * time.Second)
-		if s.countInUse(Prefill) != test.prefillServers || s.countInUse(Decode) != test.all-test.prefillServers {
+		fleet := newListedFleet(t, 3, 3, test.plan)
+		fleet.advance(10 * time.Second)
+		from := fleet.now
+		fleet.pressure[test.side] = test.pressure
+		fleet.advance(60 * time.Second)
+		if fleet.countInUse(Prefill) != test.prefillServers || fleet.countInUse(Decode) != test.all-test.prefillServers {
 			t.Errorf(
-				"%s pressed, plan %+v: %d prefill servers, %d decode servers", test.press, test.plan, s.countInUse(Prefill),
-				s.countInUse(Decode),
+				"%s under pressure, plan %+v: %d prefill servers, %d decode servers", test.side, test.plan,
+				fleet.countInUse(Prefill), fleet.countInUse(Decode),
 			)
 		}
-		if len(s.shifts) == 0 || s.shifts[0]-from < s.cfg.PressWindow || s.shifts[0]-from > 4*s.cfg.PressWindow {
-			t.Errorf("%s pressed from %v on: shifts at %v", test.press, from, s.shifts)
+		if len(fleet.shifts) == 0 || fleet.shifts[0]-from < fleet.cfg.PressWindow ||
+			fleet.shifts[0]-from > 4*fleet.cfg.PressWindow {
+			t.Errorf("%s under pressure from %v on: shifts at %v", test.side, from, fleet.shifts)
 		}
-		for i := 1; i < len(s.shifts); i++ {
-			if s.shifts[i]-s.shifts[i-1] < s.cfg.ListedDwell {
-				t.Errorf("%s pressed: shifts at %v", test.press, s.shifts)
+		for i := 1; i < len(fleet.shifts); i++ {
+			if fleet.shifts[i]-fleet.shifts[i-1] < fleet.cfg.ListedDwell {
+				t.Errorf("%s under pressure: shifts at %v", test.side, fleet.shifts)
 			}
 		}
 	}
 }
 
-// What presses for less than Press, presses both sides, or is not known, moves
-// nothing.
-func TestNothingMovesWithoutNeed(t *testing.T) {
-	for what, f := range map[string]func(*listedFleet){
-		"by turns": func(s *listedFleet) {
+// Pressure that lasts less than PressWindow, is high on both sides, or isn't known causes
+// no shift.
+func TestNoShiftWithoutSustainedPressure(t *testing.T) {
+	for name, setPressure := range map[string]func(*listedFleet){
+		"short bursts": func(fleet *listedFleet) {
 			for range 40 {
-				s.pressure = map[string]Pressure{Prefill: {Prefill: 0.9}}
-				s.run(300 * time.Millisecond)
-				s.pressure = map[string]Pressure{}
-				s.run(time.Second)
+				fleet.pressure = map[string]Pressure{Prefill: {Prefill: 0.9}}
+				fleet.advance(300 * time.Millisecond)
+				fleet.pressure = map[string]Pressure{}
+				fleet.advance(time.Second)
 			}
 		},
-		"both": func(s *listedFleet) { s.pressure = map[string]Pressure{Prefill: {Prefill: 0.9}, Decode: {Decode: 0.9}} },
-		"one, the other not at ease": func(s *listedFleet) {
-			s.pressure = map[string]Pressure{Decode: {Decode: 0.3}}
-			s.run(3 * time.Second)
-			s.pressure[Prefill] = Pressure{Prefill: 0.9}
+		"both": func(fleet *listedFleet) {
+			fleet.pressure = map[string]Pressure{Prefill: {Prefill: 0.9}, Decode: {Decode: 0.9}}
+		},
+		"one side, the other under moderate pressure": func(fleet *listedFleet) {
+			fleet.pressure = map[string]Pressure{Decode: {Decode: 0.3}}
+			fleet.advance(3 * time.Second)
+			fleet.pressure[Prefill] = Pressure{Prefill: 0.9}
 		},
-		"a little": func(s *listedFleet) { s.pressure = map[string]Pressure{Prefill: {Prefill: 0.4}} },
-		"not known": func(s *listedFleet) {
-			s.pressure = map[string]Pressure{Prefill: {Prefill: 0.9}}
-			s.controller.Pressure = nil
+		"below the threshold": func(fleet *listedFleet) { fleet.pressure = map[string]Pressure{Prefill: {Prefill: 0.4}} },
+		"not known": func(fleet *listedFleet) {
+			fleet.pressure = map[string]Pressure{Prefill: {Prefill: 0.9}}
+			fleet.controller.Pressure = nil
 		},
 	} {
-		s := newListedFleet(t, 3, 3, fleetconfig.Service{})
-		s.run(5 * time.Second)
-		f(s)
-		s.run(30 * time.Second)
-		if len(s.orders)+len(s.shifts) > 0 {
-			t.Errorf("%s: shifts at %v, orders %+v", what, s.shifts, s.orders)
+		fleet := newListedFleet(t, 3, 3, fleetconfig.Service{})
+		fleet.advance(5 * time.Second)
+		setPressure(fleet)
+		fleet.advance(30 * time.Second)
+		if len(fleet.orders)+len(fleet.shifts) > 0 {
+			t.Errorf("%s: shifts at %v, orders %+v", name, fleet.shifts, fleet.orders)
 		}
 	}
 }
 
-// A new controller of listed servers, too, gives no order before the swap bound,
-// neither to shift one nor to fit a new one in.
-func TestNoOrderToAListedServerBeforeTheSwapBound(t *testing.T) {
-	s := newListedFleet(t, 4, 2, fleetconfig.Service{})
-	s.run(20 * time.Second)
-	since := s.now
-	s.startTerm(2, fleetconfig.Service{})
-	s.pressure[Decode] = Pressure{Decode: 0.9}
-	s.run(time.Second)
-	s.add(Prefill, true)
-	s.run(10 * time.Second)
-	if len(s.orders) == 0 || len(s.shifts) == 0 {
-		t.Fatalf("shifts at %v, orders %v", s.shifts, s.orders)
+// A new controller of listed servers issues no order before the swap bound has passed,
+// neither to shift a server nor to give a new one its role.
+func TestNoOrderToListedServerBeforeSwapBound(t *testing.T) {
+	fleet := newListedFleet(t, 4, 2, fleetconfig.Service{})
+	fleet.advance(20 * time.Second)
+	since := fleet.now
+	fleet.startTerm(2, fleetconfig.Service{})
+	fleet.pressure[Decode] = Pressure{Decode: 0.9}
+	fleet.advance(time.Second)
+	fleet.add(Prefill, true)
+	fleet.advance(10 * time.Second)
+	if len(fleet.orders) == 0 || len(fleet.shifts) == 0 {
+		t.Fatalf("shifts at %v, orders %v", fleet.shifts, fleet.orders)
 	}
-	for i, at := range s.orderedAt {
-		if at-since < s.cfg.SwapBound {
-			t.Errorf("%+v ordered %v after an older controller could act", s.orders[i], at-since)
+	for i, at := range fleet.orderedAt {
+		if at-since < fleet.cfg.SwapBound {
+			t.Errorf("%+v ordered only %v after an older controller could act", fleet.orders[i], at-since)
 		}
 	}
-	if s.shifts[0]-since < s.cfg.SwapBound {
-		t.Errorf("a shift begun %v after an older controller could act", s.shifts[0]-since)
+	if fleet.shifts[0]-since < fleet.cfg.SwapBound {
+		t.Errorf("a shift began only %v after an older controller could act", fleet.shifts[0]-since)
 	}
 }
 
-// An order that the platform's list goes on denying is given again, now and
-// then, until the list says so.
-func TestADeniedOrderIsGivenAgain(t *testing.T) {
-	s := newListedFleet(t, 3, 3, fleetconfig.Service{})
-	s.run(5 * time.Second)
-	s.ignoresOrders, s.pressure[Prefill] = true, Pressure{Prefill: 0.9}
-	s.run(60 * time.Second)
-	if len(s.orders) < 4 || len(s.shifts) != 1 {
-		t.Fatalf("shifts at %v, orders at %v", s.shifts, s.orderedAt)
+// An order that the platform's list keeps contradicting is repeated, at long
+// intervals, until the list reflects it.
+func TestIgnoredOrderIsRepeated(t *testing.T) {
+	fleet := newListedFleet(t, 3, 3, fleetconfig.Service{})
+	fleet.advance(5 * time.Second)
+	fleet.ignoresOrders, fleet.pressure[Prefill] = true, Pressure{Prefill: 0.9}
+	fleet.advance(60 * time.Second)
+	if len(fleet.orders) < 4 || len(fleet.shifts) != 1 {
+		t.Fatalf("shifts at %v, orders at %v", fleet.shifts, fleet.orderedAt)
 	}
-	for i, o := range s.orders {
-		if o.ID != s.orders[0].ID || o.Role != Prefill {
+	for i, o := range fleet.orders {
+		if o.ID != fleet.orders[0].ID || o.Role != Prefill {
 			t.Errorf("order %d: %+v", i, o)
 		}
-		if i > 0 && s.orderedAt[i]-s.orderedAt[i-1] < 4*s.cfg.SwapBound {
-			t.Errorf("orders at %v", s.orderedAt)
+		if i > 0 && fleet.orderedAt[i]-fleet.orderedAt[i-1] < 4*fleet.cfg.SwapBound {
+			t.Errorf("orders at %v", fleet.orderedAt)
 			break
 		}
 	}
-	if s.countInUse(Prefill)+s.countInUse(Decode) != 5 { // it is used in neither role meanwhile
-		t.Errorf("%d prefill servers, %d decode servers in use", s.countInUse(Prefill), s.countInUse(Decode))
+	if fleet.countInUse(Prefill)+fleet.countInUse(Decode) != 5 { // until then the server is used in neither role
+		t.Errorf("%d prefill servers, %d decode servers in use", fleet.countInUse(Prefill), fleet.countInUse(Decode))
 	}
-	s.ignoresOrders, s.pressure = false, map[string]Pressure{}
-	s.run(30 * time.Second)
-	n := len(s.orders)
-	s.run(60 * time.Second)
-	if s.countInUse(Prefill) != 4 || s.countInUse(Decode) != 2 || len(s.orders) != n {
+	fleet.ignoresOrders, fleet.pressure = false, map[string]Pressure{}
+	fleet.advance(30 * time.Second)
+	n := len(fleet.orders)
+	fleet.advance(60 * time.Second)
+	if fleet.countInUse(Prefill) != 4 || fleet.countInUse(Decode) != 2 || len(fleet.orders) != n {
 		t.Errorf(
-			"followed: %d prefill servers, %d decode servers, %d orders more", s.countInUse(Prefill), s.countInUse(Decode),
-			len(s.orders)-n,
+			"after the order was followed: %d prefill servers, %d decode servers, %d more orders",
+			fleet.countInUse(Prefill), fleet.countInUse(Decode), len(fleet.orders)-n,
 		)
 	}
 }
--- a/control/placement/pairs.go
+++ b/control/placement/pairs.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// updatePairs keeps for each prefill server the decode servers that it may hand to. Servers whose
-// roles the platform lists are paired by the daemons, for each request: a record
-// that names all decode servers would be written anew for each that comes or goes.
+// updatePairs updates, for each prefill server, the decode servers that it may hand KV caches to. Servers whose
+// roles the platform lists are instead paired by the daemons, for each request, because a record
+// that names all decode servers would have to be rewritten whenever one is added or removed.
 func (r *round) updatePairs() {
 	var decodeServers []*server
 	for _, key := range r.keys {
@@ -32,10 +32,10 @@
 	}
 }
 
-// slowLink is the penalty of a slow link in linkPenalty.
+// slowLink is the penalty that linkPenalty adds for a slow link.
 const slowLink = 2
 
-// linkPenalty ranks a decode server for a prefill server: the same zone first, fast links first of all.
+// linkPenalty ranks a decode server for a prefill server: fast links come first, then servers in the same zone.
 func (r *round) linkPenalty(prefill, decode *server) (penalty int) {
 	if decode.Zone != prefill.Zone {
 		penalty = 1
@@ -47,8 +47,8 @@
 	return penalty
 }
 
-// pairsOf lists the decode servers that a prefill server hands to: those with fast links; where there
-// are none, the best one.
+// pairsOf returns the decode servers that a prefill server may hand to: all those with fast links or, if there
+// are none, the best-ranked one.
 func (r *round) pairsOf(prefill *server, decodeServers []*server) (pairs []string) {
 	ranked := slices.Clone(decodeServers)
 	slices.SortStableFunc(ranked, func(a, b *server) int { return r.linkPenalty(prefill, a) - r.linkPenalty(prefill, b) })
--- a/control/placement/placement.go
+++ b/control/placement/placement.go
@@ -1,8 +1,8 @@
-// Package placement is the leader's control of the model servers of its partition: it polls
-// their usage, decides which role each plays and which decode servers a prefill server
-// hands to, orders them, and divides their slots among the daemons. It is the only
-// controller; a new one gives no order until the swap bound has passed. A plain state
-// machine: each Reconcile brings the observed state of the servers nearer to the desired one.
+// Package placement controls the model servers of a partition on behalf of its leader: it polls
+// their usage, decides which role each server plays and which decode servers a prefill server
+// hands to, sends them orders, and divides their slots among the daemons. At most one controller
+// is active: a new one issues no order until the swap bound has passed. It is a deterministic state
+// machine: each Reconcile brings the observed state of the servers closer to the desired state.
 package placement
 
 import (
@@ -15,31 +15,31 @@
 	"mulleinmast/control/fleetconfig"
 )
 
-// Config holds the bounds that the controller works by.
+// Config holds the controller's time limits and thresholds.
 type Config struct {
-	SwapBound    time.Duration // no order before this has passed since an older controller could act
+	SwapBound    time.Duration // minimum time from when an older controller could last act to the first order
 	PollInterval time.Duration
-	WarmUp       time.Duration // a warming server's slots rise over this
-	ShareLength  time.Duration // of a share of slots; daemons renew them earlier
+	WarmUp       time.Duration // time over which a warming server's slots increase
+	ShareLength  time.Duration // validity of a share of slots; daemons renew shares earlier
 	Drift        float64       // bound on the drift between two clocks, as a fraction
-	Margin       time.Duration // beside Drift, against the granularity of clocks
-	Dwell        time.Duration // least time between shifts of role in a service
-	UsageWindow  time.Duration // utilization is averaged over this; a side is short for as long before a shift
-	DrainTimeout time.Duration // requests in flight at a server that leaves its role are waited for this long
-	SlowLink     time.Duration // a link slower than this loses its pair
-	MaxFailures  int           // failed polls that make a server dark
-	ListedDwell  time.Duration // least time between shifts where the platform lists the roles
-	PressWindow  time.Duration // a side is pressed for this long before a server is shifted to it
+	Margin       time.Duration // safety margin in addition to Drift, for the granularity of clocks
+	Dwell        time.Duration // minimum time between role shifts in a service
+	UsageWindow  time.Duration // averaging time of utilization, and how long a side must be short before a shift
+	DrainTimeout time.Duration // maximum wait for requests in flight at a server that leaves its role
+	SlowLink     time.Duration // latency above which a link counts as slow
+	MaxFailures  int           // number of failed polls after which a server counts as dark
+	ListedDwell  time.Duration // minimum time between shifts in a service whose roles the platform lists
+	PressWindow  time.Duration // how long a side must be under high pressure before a server is shifted to it
 	HighUsage    float64       // demand for a side's slots, as a fraction of them, above which the side is short
-	LowUsage     float64       // and below which it can spare a server
+	LowUsage     float64       // the same fraction, below which the side can spare a server
 }
 
-// Out is what a reconciliation asks for.
+// Out holds the actions that a reconciliation requests.
 type Out struct {
 	Polls  []string // keys of server records
 	Orders []Order
 	Writes []Write
-	Notes  []string // what was decided and why, for the event log
+	Notes  []string // decisions and their reasons, for the event log
 }
 
 // Controller is the state machine for the services of one partition, under one term.
@@ -47,24 +47,24 @@
 type Controller struct {
 	cfg       Config
 	term      uint64
-	since     time.Duration      // from then on no older controller could act
+	since     time.Duration      // no older controller could act after this time
 	lastOrder uint64             // number of the last order
 	servers   map[string]*server // by key of the server's record
 	daemons   map[string]*daemon // by "service/identity"
 
 	// Desired state, from the fleet's configuration.
-	services  map[string]fleetconfig.Service // of the plan in force, by name
+	services  map[string]fleetconfig.Service // of the current plan, by name
 	evacuated map[string]bool                // zones
 
-	// What shifts of role go by.
+	// State for role shifts.
 	lastShift    map[string]time.Duration   // by service: when a server last began to leave its role
-	shortSince   map[shortage]time.Duration // since when a side of a service has been short; absent: it isn't
-	prefillShare map[string]float64         // by service: the fraction of its listed servers that is to prefill
-	// Pressure says how hard a server of a service is pressed; nil: not known.
+	shortSince   map[shortage]time.Duration // when a side of a service became short; absent if it isn't
+	prefillShare map[string]float64         // by service: the fraction of its listed servers that should prefill
+	// Pressure returns the pressure on a server of a service; nil if it isn't known.
 	Pressure func(service, server string) Pressure
 }
 
-// New makes the controller of a new term; from since on no older one could act.
+// New creates the controller of a new term; since is the time after which no older controller could act.
 //
 // Example: c := placement.New(cfg, replica.Term(), replica.LeaderSince())
 func New(cfg Config, term uint64, since time.Duration) *Controller {
@@ -76,7 +76,7 @@
 	}
 }
 
-// SetPlan takes the plan and the evacuated zones in force.
+// SetPlan sets the current plan and the evacuated zones.
 //
 // Example: c.SetPlan(plan, zones)
 func (c *Controller) SetPlan(plan fleetconfig.Plan, evacuated map[string]bool) {
@@ -87,7 +87,7 @@
 	c.evacuated = evacuated
 }
 
-// LoadService takes a service's list of servers and their records as they are committed.
+// LoadService loads a service's committed list of servers and their committed records.
 //
 // Example: c.LoadService(now, "timetable", list, serverRecords)
 func (c *Controller) LoadService(
@@ -112,10 +112,10 @@
 		s.listed = true
 		s.withdrawn = entry.Leaving || excluded[entry.Addr] || c.evacuated[entry.Zone]
 		if !s.writePending {
-			s.ServerRecord = records[key] // none: it is new
+			s.ServerRecord = records[key] // the zero record if the server is new
 		}
 		s.Addr, s.Zone, s.Capacity = entry.Addr, entry.Zone, entry.Capacity
-		s.takeListing(entry)
+		s.updateListing(entry)
 	}
 	for key, record := range records {
 		if c.servers[key] == nil {
@@ -124,8 +124,8 @@
 	}
 }
 
-// WithdrawLeaving takes, of a list that isn't committed yet, which servers leave: nothing new is to
-// go to them, whatever becomes of the list.
+// WithdrawLeaving marks the servers that leave according to a list that isn't committed yet. They get no new
+// work, whether or not the list is committed.
 //
 // Example: c.WithdrawLeaving("timetable", list)
 func (c *Controller) WithdrawLeaving(service string, list fleetconfig.List) {
@@ -136,10 +136,10 @@
 	}
 }
 
-// HandleWritten takes the outcome of a write; ok tells that the record is committed.
+// HandleWriteResult handles the outcome of a write; ok is true if the record was committed.
 //
-// Example: c.HandleWritten(key, record, true)
-func (c *Controller) HandleWritten(key string, record ServerRecord, ok bool) {
+// Example: c.HandleWriteResult(key, record, true)
+func (c *Controller) HandleWriteResult(key string, record ServerRecord, ok bool) {
 	s := c.servers[key]
 	if s == nil {
 		return
@@ -148,7 +148,7 @@
 	if !ok {
 		return
 	}
-	record.Capacity = s.Capacity // as the list has it by now
+	record.Capacity = s.Capacity // the current list's value
 	s.ServerRecord = record
 	s.restarted = s.restarted && record.Status != Dark
 }
@@ -158,11 +158,11 @@
 	*Controller
 	now     time.Duration
 	service string
-	keys    []string // of the records of the service's servers, sorted
+	keys    []string // record keys of the service's servers, sorted
 	out     *Out
 }
 
-// Reconcile asks for the polls, orders and writes that bring the servers nearer to their desired state.
+// Reconcile returns the polls, orders and writes that bring the servers closer to their desired state.
 //
 // Example: out := c.Reconcile(now)
 func (c *Controller) Reconcile(now time.Duration) (out Out) {
@@ -175,7 +175,7 @@
 		slices.Sort(r.keys)
 		r.pollServers()
 		r.updateStatuses()
-		r.keys = slices.DeleteFunc(r.keys, func(key string) bool { return c.servers[key] == nil }) // deleted by now
+		r.keys = slices.DeleteFunc(r.keys, func(key string) bool { return c.servers[key] == nil }) // removed above
 		r.assignRoles()
 		r.balanceListed()
 		r.updatePairs()
@@ -184,7 +184,7 @@
 	return out
 }
 
-// write asks for a server record to be written.
+// write requests the write of a server record.
 func (r *round) write(key string, s *server, record ServerRecord, reason string) {
 	s.writePending = true
 	value, _ := json.Marshal(record)
--- a/control/placement/placement_test.go
+++ b/control/placement/placement_test.go
@@ -26,25 +26,26 @@
 	return c, list
 }
 
-// drive runs the controller against perfect servers and returns the orders seen.
-func drive(
+// runController runs the controller against servers that answer every poll and accept every order, and returns the
+// orders and when they were issued.
+func runController(
 	c *Controller, list fleetconfig.List, from, to time.Duration, serverRecords map[string]ServerRecord,
 	active func(string) int,
 ) (orders []Order, at []time.Duration) {
 	for now := from; now < to; now += 50 * time.Millisecond {
 		c.LoadService(now, "m", list, serverRecords)
-		o := c.Reconcile(now)
-		for _, k := range o.Polls {
-			c.HandlePoll(now, k, Usage{Active: active(k), UptimeMillis: int64(now/time.Millisecond) + 100000}, true)
+		out := c.Reconcile(now)
+		for _, key := range out.Polls {
+			c.HandlePoll(now, key, Usage{Active: active(key), UptimeMillis: int64(now/time.Millisecond) + 100000}, true)
 		}
-		for _, x := range o.Orders {
-			orders, at = append(orders, x), append(at, now)
-			c.HandleOrdered(x, true)
+		for _, order := range out.Orders {
+			orders, at = append(orders, order), append(at, now)
+			c.HandleOrderResult(order, true)
 		}
-		for _, w := range o.Writes {
-			b, _ := OpenServerRecord(message.Record{Key: w.Key, Value: w.Value, Deleted: w.Delete})
-			serverRecords[w.Key] = b
-			c.HandleWritten(w.Key, b, true)
+		for _, write := range out.Writes {
+			record, _ := OpenServerRecord(message.Record{Key: write.Key, Value: write.Value, Deleted: write.Delete})
+			serverRecords[write.Key] = record
+			c.HandleWriteResult(write.Key, record, true)
 		}
 	}
 	return orders, at
@@ -52,156 +53,156 @@
 
 func idle(string) int { return 0 }
 
-func TestNoOrderBeforeTheSwapBound(t *testing.T) {
+func TestNoOrderBeforeSwapBound(t *testing.T) {
 	c, list := newPolledFleet(4)
-	orders, at := drive(c, list, 0, 5*time.Second, map[string]ServerRecord{}, idle)
+	orders, at := runController(c, list, 0, 5*time.Second, map[string]ServerRecord{}, idle)
 	if len(orders) != 4 {
 		t.Fatalf("orders: %v", orders)
 	}
 	for i := range at {
 		if at[i] < cfg.SwapBound {
-			t.Errorf("an order %v after an older controller could act", at[i])
+			t.Errorf("an order was issued only %v after an older controller could act", at[i])
 		}
 	}
 }
 
-func TestShiftFollowsTheMix(t *testing.T) {
+func TestShiftFollowsDemand(t *testing.T) {
 	c, list := newPolledFleet(6)
 	serverRecords := map[string]ServerRecord{}
-	drive(c, list, 0, 8*time.Second, serverRecords, idle)
+	runController(c, list, 0, 8*time.Second, serverRecords, idle)
 	count := func(role string) (n int) {
-		for _, b := range serverRecords {
-			if b.Role == role && b.NextRole == "" {
+		for _, record := range serverRecords {
+			if record.Role == role && record.NextRole == "" {
 				n++
 			}
 		}
 		return n
 	}
 	if count(Prefill) != 3 || count(Decode) != 3 {
-		t.Fatalf("parts at first: %v", serverRecords)
+		t.Fatalf("initial roles: %v", serverRecords)
 	}
-	var w Demand
-	w.Service, w.Prefill[4], w.Decode[4] = "m", 60, 2
+	var demand Demand
+	demand.Service, demand.Prefill[4], demand.Decode[4] = "m", 60, 2
 	for now := 8 * time.Second; now < 80*time.Second; now += time.Second {
-		c.HandleDemand(now, "d", w, time.Second)
-		drive(c, list, now, now+time.Second, serverRecords, idle)
+		c.HandleDemand(now, "d", demand, time.Second)
+		runController(c, list, now, now+time.Second, serverRecords, idle)
 	}
 	if count(Decode) != 1 || count(Prefill) != 5 {
-		t.Errorf("after long prompts only: %d prefill servers, %d decode servers", count(Prefill), count(Decode))
+		t.Errorf("after prefill demand only: %d prefill servers, %d decode servers", count(Prefill), count(Decode))
 	}
-	for k, b := range serverRecords {
-		if b.Role == Prefill && len(b.Pairs) != 1 {
-			t.Errorf("%s: pairs %v", k, b.Pairs)
+	for key, record := range serverRecords {
+		if record.Role == Prefill && len(record.Pairs) != 1 {
+			t.Errorf("%s: pairs %v", key, record.Pairs)
 		}
 	}
 }
 
-// However daemons ask, drop out and come back, the slots that they may be
-// filling never exceed a server's capacity.
+// The slots that daemons may be using never exceed a server's capacity, whatever
+// the daemons demand and whichever answers are lost.
 func TestSharesNeverExceedCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c, list := newPolledFleet(3)
 		serverRecords := map[string]ServerRecord{}
-		drive(c, list, 0, 12*time.Second, serverRecords, idle)
-		type box struct {
-			share Share
-			till  time.Duration
-			held  map[string]int
+		runController(c, list, 0, 12*time.Second, serverRecords, idle)
+		type fakeDaemon struct {
+			share    Share
+			expires  time.Duration
+			inFlight map[string]int
 		}
-		boxes := map[string]*box{}
+		daemons := map[string]*fakeDaemon{}
 		now := 12 * time.Second
 		for i := 0; i < 60; i++ {
 			now += time.Duration(rapid.IntRange(1, 200).Draw(t, "ms")) * time.Millisecond
 			id := rapid.SampledFrom([]string{"d1", "d2", "d3", "d4"}).Draw(t, "daemon")
-			b := boxes[id]
-			if b == nil {
-				b = &box{held: map[string]int{}}
-				boxes[id] = b
+			d := daemons[id]
+			if d == nil {
+				d = &fakeDaemon{inFlight: map[string]int{}}
+				daemons[id] = d
 			}
-			var w Demand
-			w.Service, w.AckedShare, w.InFlight = "m", b.share.Number, b.held
-			w.Prefill[rapid.IntRange(0, 9).Draw(t, "prio")] = rapid.IntRange(0, 40).Draw(t, "read")
-			w.Decode[rapid.IntRange(0, 9).Draw(t, "mprio")] = rapid.IntRange(0, 40).Draw(t, "make")
-			sh := c.HandleDemand(now, id, w, time.Second)
-			if rapid.IntRange(0, 4).Draw(t, "lost") > 0 { // else the answer is lost
-				b.share, b.till = sh, now+time.Duration(sh.Length)
+			var demand Demand
+			demand.Service, demand.AckedShare, demand.InFlight = "m", d.share.Number, d.inFlight
+			demand.Prefill[rapid.IntRange(0, 9).Draw(t, "prio")] = rapid.IntRange(0, 40).Draw(t, "read")
+			demand.Decode[rapid.IntRange(0, 9).Draw(t, "mprio")] = rapid.IntRange(0, 40).Draw(t, "make")
+			share := c.HandleDemand(now, id, demand, time.Second)
+			if rapid.IntRange(0, 4).Draw(t, "lost") > 0 { // otherwise the answer is lost
+				d.share, d.expires = share, now+time.Duration(share.Length)
 			}
-			for a, n := range b.share.Slots { // fill some of it
-				if now < b.till && b.held[a] < n && rapid.Bool().Draw(t, "use") {
-					b.held[a]++
+			for addr, n := range d.share.Slots { // use some of the slots
+				if now < d.expires && d.inFlight[addr] < n && rapid.Bool().Draw(t, "use") {
+					d.inFlight[addr]++
 				}
 			}
-			for a := range b.held {
-				if b.held[a] > 0 && rapid.Bool().Draw(t, "end") {
-					b.held[a]--
+			for addr := range d.inFlight {
+				if d.inFlight[addr] > 0 && rapid.Bool().Draw(t, "end") {
+					d.inFlight[addr]--
 				}
 			}
 			for _, s := range list.Servers {
 				sum := 0
-				for _, x := range boxes {
-					n := x.held[s.Addr]
-					if now < x.till {
-						n = max(n, x.share.Slots[s.Addr])
+				for _, other := range daemons {
+					n := other.inFlight[s.Addr]
+					if now < other.expires {
+						n = max(n, other.share.Slots[s.Addr])
 					}
 					sum += n
 				}
 				if sum > s.Capacity {
-					t.Fatalf("%s: %d slots out of %d", s.Addr, sum, s.Capacity)
+					t.Fatalf("%s: %d slots may be in use, capacity %d", s.Addr, sum, s.Capacity)
 				}
 			}
 		}
 	})
 }
 
-func TestUrgentDemandFirst(t *testing.T) {
+func TestUrgentDemandIsServedFirst(t *testing.T) {
 	c, list := newPolledFleet(4)
 	serverRecords := map[string]ServerRecord{}
-	drive(c, list, 0, 12*time.Second, serverRecords, idle)
+	runController(c, list, 0, 12*time.Second, serverRecords, idle)
 	var low, top Demand
 	low.Service, low.Prefill[8] = "m", 100
 	top.Service, top.Prefill[0] = "m", 14
-	sum := func(s Share) (n int) {
-		for a, k := range s.Slots {
-			if serverRecords[fleetconfig.ServerRecordKey("m", a)].Role == Prefill {
-				n += k
+	prefillSlots := func(s Share) (sum int) {
+		for addr, n := range s.Slots {
+			if serverRecords[fleetconfig.ServerRecordKey("m", addr)].Role == Prefill {
+				sum += n
 			}
 		}
-		return n
+		return sum
 	}
 	now := 12 * time.Second
-	var a, b Share
+	var lowShare, topShare Share
 	for i := 0; i < 20; i++ {
 		now += 90 * time.Millisecond
-		low.AckedShare, top.AckedShare = a.Number, b.Number
-		a = c.HandleDemand(now, "low", low, time.Second)
-		b = c.HandleDemand(now, "top", top, time.Second)
+		low.AckedShare, top.AckedShare = lowShare.Number, topShare.Number
+		lowShare = c.HandleDemand(now, "low", low, time.Second)
+		topShare = c.HandleDemand(now, "top", top, time.Second)
 	}
-	if sum(b) < 14 || sum(a) > 2 {
-		t.Errorf("urgent daemon has %d slots, the other %d of 16", sum(b), sum(a))
+	if prefillSlots(topShare) < 14 || prefillSlots(lowShare) > 2 {
+		t.Errorf("the urgent daemon has %d of 16 slots, the other %d", prefillSlots(topShare), prefillSlots(lowShare))
 	}
 }
 
-// With more daemons than slots, those with nothing to do hold none back from
-// those that wait, and those that wait alike are served in turn.
-func TestIdleDaemonsHoldNothingBack(t *testing.T) {
+// With more daemons than slots, idle daemons don't keep slots from daemons with waiting
+// requests, and daemons with equal demand get slots in turn.
+func TestIdleDaemonsDoNotBlockWaitingOnes(t *testing.T) {
 	c, list := newPolledFleet(2)
 	serverRecords := map[string]ServerRecord{}
-	drive(c, list, 0, 12*time.Second, serverRecords, idle)
+	runController(c, list, 0, 12*time.Second, serverRecords, idle)
 	acks := map[string]uint64{}
 	got := map[string]int{}
 	ask := func(now time.Duration, id string, waiting int) {
-		w := Demand{Service: "m", AckedShare: acks[id]}
-		w.Decode[4] = waiting
-		s := c.HandleDemand(now, id, w, time.Second)
-		acks[id] = s.Number
-		for a, n := range s.Slots {
-			if serverRecords[fleetconfig.ServerRecordKey("m", a)].Role == Decode {
+		demand := Demand{Service: "m", AckedShare: acks[id]}
+		demand.Decode[4] = waiting
+		share := c.HandleDemand(now, id, demand, time.Second)
+		acks[id] = share.Number
+		for addr, n := range share.Slots {
+			if serverRecords[fleetconfig.ServerRecordKey("m", addr)].Role == Decode {
 				got[id] += n
 			}
 		}
 	}
 	now := 12 * time.Second
-	for i := 0; i < 30; i++ { // twenty daemons with nothing to do, eight slots
+	for i := 0; i < 30; i++ { // twenty idle daemons, eight slots
 		now += 90 * time.Millisecond
 		for k := 0; k < 20; k++ {
 			ask(now, fmt.Sprintf("idle%02d", k), 0)
@@ -219,7 +220,7 @@
 		t.Errorf("in three rounds the waiting daemon got %d slots for 2 requests", got["z"])
 	}
 	got = map[string]int{}
-	for i := 0; i < 120; i++ { // now all wait for ever
+	for i := 0; i < 120; i++ { // now all daemons always have waiting requests
 		now += 90 * time.Millisecond
 		for k := 0; k < 20; k++ {
 			ask(now, fmt.Sprintf("idle%02d", k), 3)
@@ -227,21 +228,21 @@
 	}
 	for k := 0; k < 20; k++ {
 		if id := fmt.Sprintf("idle%02d", k); got[id] == 0 {
-			t.Errorf("%s waited ten seconds and got nothing", id)
+			t.Errorf("%s got no slot in over ten seconds", id)
 		}
 	}
 }
 
-// A server that was killed and is back between two polls is a new one, even if
-// it is up for longer than it was when last seen; and a new controller sees that a
-// server which its record calls up is warming.
-func TestARestartIsSeen(t *testing.T) {
+// A server that is killed and restarts between two polls is detected as restarted, even if
+// its uptime is longer than the last one reported. A new controller also detects that a
+// server whose record has status "up" is still warming up.
+func TestRestartIsDetected(t *testing.T) {
 	c, list := newPolledFleet(2)
 	serverRecords := map[string]ServerRecord{}
-	drive(c, list, 0, 12*time.Second, serverRecords, idle)
+	runController(c, list, 0, 12*time.Second, serverRecords, idle)
 	key := fleetconfig.ServerRecordKey("m", list.Servers[0].Addr)
 	if serverRecords[key].Status != Up {
-		t.Fatalf("not up: %+v", serverRecords[key])
+		t.Fatalf("the server is not up: %+v", serverRecords[key])
 	}
 	now := 12 * time.Second
 	again := New(cfg, 2, now)
@@ -249,32 +250,32 @@
 	again.LoadService(now, "m", list, map[string]ServerRecord{key: serverRecords[key]})
 	again.Reconcile(now)
 	again.HandlePoll(now, key, Usage{UptimeMillis: 100}, true)
-	now += 900 * time.Millisecond // killed, and back for longer than the 100 ms seen last
+	now += 900 * time.Millisecond // restarted, with a longer uptime than the last 100 ms
 	again.Reconcile(now)
 	again.HandlePoll(now, key, Usage{UptimeMillis: 500}, true)
 	if s := again.servers[key]; !s.restarted || again.slots(now, s) != 0 {
-		t.Error("a restarted server was taken for the earlier process")
+		t.Error("a restart was not detected")
 	}
 	next := New(cfg, 2, now)
 	next.SetPlan(fleetconfig.Plan{Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}, nil)
-	b := serverRecords[key]
-	b.Status = Up
-	next.LoadService(now, "m", list, map[string]ServerRecord{key: b})
+	record := serverRecords[key]
+	record.Status = Up
+	next.LoadService(now, "m", list, map[string]ServerRecord{key: record})
 	slots := func() int {
-		var w Demand
-		w.Service, w.Prefill[0], w.Decode[0] = "m", 99, 99
-		return next.HandleDemand(now, "d", w, time.Second).Slots[list.Servers[0].Addr]
+		var demand Demand
+		demand.Service, demand.Prefill[0], demand.Decode[0] = "m", 99, 99
+		return next.HandleDemand(now, "d", demand, time.Second).Slots[list.Servers[0].Addr]
 	}
 	if n := slots(); n > 0 {
-		t.Errorf("%d slots on a server that this controller has not seen yet", n)
+		t.Errorf("%d slots on a server that this controller has not polled yet", n)
 	}
 	next.HandlePoll(now, key, Usage{UptimeMillis: 1000, Warming: true}, true)
 	if n := slots(); n < 1 || n > 2 {
-		t.Errorf("%d slots of 8 on a server that is up for a second", n)
+		t.Errorf("%d of 8 slots on a server with an uptime of one second", n)
 	}
 }
 
-// A server that doesn't say its uptime is used all the same, and is ordered its
+// A server that doesn't report its uptime is used as well, and is ordered to play its
 // role again when it is no longer dark.
 func TestServersWithoutUptimeAreUsed(t *testing.T) {
 	c, list := newPolledFleet(2)
@@ -283,24 +284,24 @@
 	run := func(from, to time.Duration, ok bool) {
 		for now := from; now < to; now += 50 * time.Millisecond {
 			c.LoadService(now, "m", list, serverRecords)
-			o := c.Reconcile(now)
-			for _, k := range o.Polls {
-				c.HandlePoll(now, k, Usage{}, ok)
+			out := c.Reconcile(now)
+			for _, key := range out.Polls {
+				c.HandlePoll(now, key, Usage{}, ok)
 			}
-			for _, x := range o.Orders {
+			for _, order := range out.Orders {
 				orders++
-				c.HandleOrdered(x, true)
+				c.HandleOrderResult(order, true)
 			}
-			for _, w := range o.Writes {
-				b, _ := OpenServerRecord(message.Record{Key: w.Key, Value: w.Value})
-				serverRecords[w.Key] = b
-				c.HandleWritten(w.Key, b, true)
+			for _, write := range out.Writes {
+				record, _ := OpenServerRecord(message.Record{Key: write.Key, Value: write.Value})
+				serverRecords[write.Key] = record
+				c.HandleWriteResult(write.Key, record, true)
 			}
 		}
 	}
 	up := func() (n int) {
-		for _, b := range serverRecords {
-			if b.Status == Up {
+		for _, record := range serverRecords {
+			if record.Status == Up {
 				n++
 			}
 		}
@@ -312,10 +313,10 @@
 	}
 	run(12*time.Second, 15*time.Second, false)
 	if up() != 0 {
-		t.Errorf("dark servers are up: %v", serverRecords)
+		t.Errorf("servers that answer no poll are up: %v", serverRecords)
 	}
 	run(15*time.Second, 25*time.Second, true)
 	if up() != 2 || orders != 4 {
-		t.Errorf("back: %d of 2 up after %d orders: %v", up(), orders, serverRecords)
+		t.Errorf("answering again: %d of 2 up after %d orders: %v", up(), orders, serverRecords)
 	}
 }
--- a/control/placement/roles.go
+++ b/control/placement/roles.go
@@ -2,11 +2,13 @@
 
 import "time"
 
-// mayOrder tells whether the controller may give orders: an older one may go on until the swap bound has passed.
+// mayOrder reports whether the controller may issue orders: until the swap bound has passed, actions of an older
+// controller may still be in progress.
 func (c *Controller) mayOrder(now time.Duration) bool { return now-c.since >= c.cfg.SwapBound }
 
-// order has a server play a role, unless it was ordered a moment ago or may not be ordered yet.
-func (r *round) order(key string, s *server, role, reason string) {
+// issueOrder orders a server to play a role, unless an order is pending, the last one was less than a poll interval
+// ago, or this controller may not issue orders yet.
+func (r *round) issueOrder(key string, s *server, role, reason string) {
 	if !r.mayOrder(r.now) || s.order.pending || r.now-s.order.sentAt < r.cfg.PollInterval {
 		return
 	}
@@ -15,13 +17,13 @@
 	r.out.Orders = append(r.out.Orders, Order{
 		Key: key, ID: s.listing.id, Addr: s.Addr, Role: role, Term: r.term, Number: r.lastOrder, Reason: reason,
 	})
-	r.note("%s %s: ordered to be %s (%s)", s.service, s.Addr, role, reason)
+	r.note("%s %s: ordered to take role %s (%s)", s.service, s.Addr, role, reason)
 }
 
-// HandleOrdered takes a server's answer to an order; ok is false where it gave none.
+// HandleOrderResult handles a server's answer to an order; ok is false if there was no answer.
 //
-// Example: c.HandleOrdered(order, true)
-func (c *Controller) HandleOrdered(order Order, ok bool) {
+// Example: c.HandleOrderResult(order, true)
+func (c *Controller) HandleOrderResult(order Order, ok bool) {
 	s := c.servers[order.Key]
 	if s == nil {
 		return
@@ -32,7 +34,7 @@
 	}
 }
 
-// assignRoles gives new servers a role, goes on with shifts of role, and begins one where a side is short.
+// assignRoles gives new servers a role, continues role shifts, and starts one if a side is short.
 func (r *round) assignRoles() {
 	count, isShifting := r.countRoles()
 	for _, key := range r.keys {
@@ -43,23 +45,23 @@
 		switch {
 		case s.Role == "" && s.hasListedRole():
 			if !s.isLeaving() {
-				r.enterListed(key, s, count)
+				r.addListedServer(key, s, count)
 			}
 		case s.Role == "":
-			r.enterPolled(key, s, count)
+			r.addPolledServer(key, s, count)
 		case s.NextRole != "":
 			r.continueShift(key, s)
 		case s.hasListedRole():
-			r.repeatDeniedOrder(key, s)
+			r.repeatIgnoredOrder(key, s)
 		case r.mustRepeatOrder(s):
-			r.order(key, s, s.Role, "again")
+			r.issueOrder(key, s, s.Role, "again")
 		}
 	}
 	r.shiftPolled(count, isShifting)
 }
 
-// countRoles counts the servers of each role that are, or will be, in use; isShifting tells whether
-// one of them is shifting.
+// countRoles counts the servers of each role that are, or will be, in use; isShifting reports whether
+// a server of the service is shifting.
 func (r *round) countRoles() (count map[string]int, isShifting bool) {
 	count = map[string]int{}
 	for _, key := range r.keys {
@@ -79,14 +81,15 @@
 	return count, isShifting
 }
 
-// enterPolled gives a new server its first role, the one that fewer servers play: it is ordered first, then written.
-func (r *round) enterPolled(key string, s *server, count map[string]int) {
+// addPolledServer gives a new server its first role, the one that fewer servers play. The role is ordered first,
+// then written.
+func (r *round) addPolledServer(key string, s *server, count map[string]int) {
 	if !s.observed.known || s.isLeaving() {
 		return
 	}
 	if s.order.role != "" {
 		s.warmingSince = r.now
-		r.write(key, s, s.firstRecord(s.order.role, Warming), "took its first order")
+		r.write(key, s, s.firstRecord(s.order.role, Warming), "accepted its first order")
 		return
 	}
 	role := Prefill
@@ -94,16 +97,16 @@
 		role = Decode
 	}
 	count[role]++
-	r.order(key, s, role, "new")
+	r.issueOrder(key, s, role, "new")
 }
 
-// firstRecord is the record of a server that had none.
+// firstRecord returns the record of a server that has none yet.
 func (s *server) firstRecord(role, status string) ServerRecord {
 	return ServerRecord{Addr: s.Addr, Zone: s.Zone, Capacity: s.Capacity, Role: role, Status: status}
 }
 
-// mustRepeatOrder tells whether a server is to be ordered the role of its record: the
-// controller is new, or the server restarted.
+// mustRepeatOrder reports whether a server must be ordered again to play the role in its record,
+// because the controller is new or the server has restarted.
 func (r *round) mustRepeatOrder(s *server) bool {
 	return s.order.role != s.Role && s.observed.failures == 0 && s.observed.known && !s.restarted
 }
--- a/control/placement/rows.go
+++ b/control/placement/rows.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Row is one server as the query shell shows it.
+// Row is one server in the query shell's table of servers.
 type Row struct {
 	ServerRecord
 	Service     string  `json:"service"`
-	Active      int     `json:"active"` // requests, by the server's report
-	Utilization float64 `json:"busy"`   // of its slots; averaged
-	Failures    int     `json:"fails"`  // polls and calls that failed since the last answer
-	Slots       int     `json:"total"`  // that daemons may fill now, all together
-	Granted     int     `json:"out"`    // that daemons may be filling
+	Active      int     `json:"active"` // requests being processed, as reported by the server
+	Utilization float64 `json:"busy"`   // average utilization of its slots
+	Failures    int     `json:"fails"`  // failed polls and calls since the last answer
+	Slots       int     `json:"total"`  // slots that all daemons together may use now
+	Granted     int     `json:"out"`    // slots that daemons may currently be using
 	Withdrawn   bool    `json:"leaves"` // it gets no new work
 }
 
-// Rows snapshots the table of servers.
+// Rows returns a snapshot of the table of servers.
 //
 // Example: for _, row := range c.Rows(now) { ... }
 func (c *Controller) Rows(now time.Duration) (rows []Row) {
@@ -27,7 +27,7 @@
 		}
 		for _, d := range c.daemons {
 			if d.demand.Service == s.service {
-				row.Granted += d.mayFill(now, s.Addr)
+				row.Granted += d.maxSlotsInUse(now, s.Addr)
 			}
 		}
 		rows = append(rows, row)
--- a/control/placement/server.go
+++ b/control/placement/server.go
@@ -6,57 +6,57 @@
 	"mulleinmast/control/fleetconfig"
 )
 
-// server is what the controller knows of one server. Its record is the desired state, as
-// committed; while a write is pending the next one is on its way.
+// server is the controller's state of one server. ServerRecord is the committed desired
+// state; while writePending is set, a new one is being written.
 type server struct {
 	ServerRecord
 	service      string
-	listed       bool // the platform's list names it
-	withdrawn    bool // it gets no new work by the list, the plan or an evacuation
+	listed       bool // it is in the platform's list
+	withdrawn    bool // it gets no new work, because of the list, the plan or an evacuation
 	writePending bool
 
 	listing  listing
 	observed observation
 	order    orderState
 
-	restarted    bool          // it restarted, and so lost its role, and its record doesn't say so yet
-	warmingSince time.Duration // its slots rise from then on, while it is warming
+	restarted    bool          // it restarted and so lost its role, which its record doesn't reflect yet
+	warmingSince time.Duration // when its slots began to increase, while it is warming
 	leavingSince time.Duration // when it began to leave its role
 }
 
-// listing is what the platform's list says of a server beside its place, where it names roles.
+// listing holds a server's run ID, role and warm-up state in the platform's list, if the list names roles.
 type listing struct {
-	id      string // of this start of the server, where the platform gives one
-	role    string // that it plays; "": the list names none, and the server is polled
+	id      string // ID of this run of the server, if the platform provides one
+	role    string // role that it plays; "" if the list names none, in which case the server is polled
 	warming bool
-	// deniedSince is since when the list has named another role than the record; 0: it doesn't.
-	deniedSince time.Duration
+	// mismatchSince is when the list began to name another role than the record; 0 if they agree.
+	mismatchSince time.Duration
 }
 
-// observation is what was seen of a server.
+// observation is the observed state of a server.
 type observation struct {
 	known       bool // a poll was answered, or the platform lists its role
 	usage       Usage
 	polledAt    time.Duration
 	pollPending bool
-	failures    int           // polls and daemons' calls that failed since the last answer
-	utilization float64       // of its slots; averaged
+	failures    int           // failed polls and failed calls of daemons since the last answer
+	utilization float64       // average utilization of its slots
 	pressure    Pressure      // averaged
-	startedBy   time.Duration // the latest that it can have started, by the poll at startSeenAt
+	latestStart time.Duration // latest possible time of its start, according to the poll at startSeenAt
 	startSeenAt time.Duration
 }
 
 // orderState is the last order to a server.
 type orderState struct {
-	role    string // that it took, or that the platform lists; "": none since it started
-	pending bool   // it is not answered yet
+	role    string // role that it accepted or that the platform lists; "" if none since it started
+	pending bool   // the order hasn't been answered yet
 	sentAt  time.Duration
 }
 
-// isLeaving tells whether nothing new goes to the server, by whoever's word.
+// isLeaving reports whether the server gets no new work, because it was withdrawn or by its own report.
 func (s *server) isLeaving() bool { return s.withdrawn || s.observed.known && s.observed.usage.Leaving }
 
-// key names the server within its service.
+// key identifies the server within its service.
 func (s *server) key() string {
 	if s.listing.id != "" {
 		return s.listing.id
@@ -64,16 +64,16 @@
 	return s.Addr
 }
 
-// hasListedRole tells whether the platform lists the server's role.
+// hasListedRole reports whether the platform lists the server's role.
 func (s *server) hasListedRole() bool { return s.listing.role != "" }
 
-// isInUse tells whether the server plays its role and is to go on with it.
+// isInUse reports whether the server plays its role and isn't shifting to another one.
 func (s *server) isInUse() bool { return s.Status == Up && s.NextRole == "" }
 
-// takeListing takes what the platform's list says of a server beside its place.
-// A role named there counts as ordered until this controller orders another; the list
-// lags behind an order, so a changed role is followed, a standing one is not.
-func (s *server) takeListing(entry fleetconfig.Server) {
+// updateListing updates the server's run ID, role and warm-up state from the platform's list.
+// A listed role counts as ordered until this controller orders another one. Since the list
+// lags behind orders, a listed role is followed only when it changes.
+func (s *server) updateListing(entry fleetconfig.Server) {
 	if entry.Role == "" {
 		return
 	}
@@ -84,7 +84,7 @@
 	s.observed.known = true
 }
 
-// listedStatus is the status of a server that the platform lists with its role.
+// listedStatus returns the status of a server whose role the platform lists.
 func (s *server) listedStatus() string {
 	if s.listing.warming {
 		return Warming
--- a/control/placement/shares.go
+++ b/control/placement/shares.go
@@ -7,23 +7,23 @@
 	"mulleinmast/control/fleetconfig"
 )
 
-// daemon is what the controller knows of one daemon's use of a service.
+// daemon is the controller's state of one daemon's use of a service.
 type daemon struct {
-	demand    Demand // the latest
-	askedAt   time.Duration
-	grants    []grant // those that may still be in use
-	lastShare uint64  // counts the shares that it was given
+	demand    Demand        // the latest demand
+	askedAt   time.Duration // when the latest demand arrived
+	grants    []grant       // shares that may still be in use
+	lastShare uint64        // number of shares granted so far
 }
 
-// grant is a share that a daemon was given.
+// grant is a share that was granted to a daemon.
 type grant struct {
 	number  uint64        // see Share.Number
-	expires time.Duration // by our clock; it counts from when it was given, the daemon from when it asked
+	expires time.Duration // by this clock, counted from the grant; the daemon counts from its request
 	slots   map[string]int
 }
 
-// mayFill is the most slots of a server that a daemon may be filling.
-func (d *daemon) mayFill(now time.Duration, addr string) int {
+// maxSlotsInUse returns an upper bound on the slots of a server that a daemon may be using.
+func (d *daemon) maxSlotsInUse(now time.Duration, addr string) int {
 	slots := d.demand.InFlight[addr]
 	for _, g := range d.grants {
 		if now < g.expires {
@@ -33,25 +33,25 @@
 	return slots
 }
 
-// dropGrants forgets the grants that have expired, or that a later one took the place of: the daemon has that by now.
-func (d *daemon) dropGrants(now time.Duration) {
+// pruneGrants removes grants that have expired or were replaced by a later one that the daemon has acknowledged.
+func (d *daemon) pruneGrants(now time.Duration) {
 	d.grants = slices.DeleteFunc(d.grants, func(g grant) bool {
 		return g.number < d.demand.AckedShare || now >= g.expires
 	})
 }
 
-// silentShares is after how many lengths of a share a daemon that asks for none is forgotten.
-const silentShares = 10
+// maxSilentShares is how many share lengths a daemon may send no demand before its state is discarded.
+const maxSilentShares = 10
 
 func (c *Controller) forgetSilentDaemons(now time.Duration) {
 	for key, d := range c.daemons {
-		if now-d.askedAt > silentShares*c.cfg.ShareLength {
+		if now-d.askedAt > maxSilentShares*c.cfg.ShareLength {
 			delete(c.daemons, key)
 		}
 	}
 }
 
-// inFlight is how many requests daemons have at a server of a service.
+// inFlight returns the number of requests that daemons have in flight at a server of a service.
 func (c *Controller) inFlight(service, addr string) (requests int) {
 	for _, d := range c.daemons {
 		if d.demand.Service == service {
@@ -61,11 +61,11 @@
 	return requests
 }
 
-// demand is how many requests wait for or hold a server of a role, over all daemons.
+// demand returns the number of requests on all daemons that wait for or hold a server of a role.
 func (c *Controller) demand(service, role string) (requests int) {
 	for _, d := range c.daemons {
 		if d.demand.Service == service {
-			for _, n := range d.demand.of(role) {
+			for _, n := range d.demand.forRole(role) {
 				requests += n
 			}
 		}
@@ -73,7 +73,7 @@
 	return requests
 }
 
-// slots is how many slots of a server daemons may fill now, all together.
+// slots returns the number of a server's slots that all daemons together may use now.
 func (c *Controller) slots(now time.Duration, s *server) int {
 	if !c.isServing(s) {
 		return 0
@@ -83,22 +83,22 @@
 		warm := min(1, float64(now-s.warmingSince)/float64(c.cfg.WarmUp))
 		slots = max(1, int(float64(s.Capacity)*warm/2))
 	}
-	// Work that no daemon accounts for still fills the server.
+	// Requests that no daemon accounts for still occupy slots.
 	if stray := s.observed.usage.Active - c.inFlight(s.service, s.Addr); stray > 0 {
 		slots -= stray
 	}
 	return max(0, slots)
 }
 
-// isServing tells whether a server may get work at all.
+// isServing reports whether a server may get work.
 func (c *Controller) isServing(s *server) bool {
 	return s.listed && !s.isLeaving() && s.Role != "" && s.NextRole == "" && s.Status != Dark &&
 		s.observed.known && !s.restarted && !c.isDark(s)
 }
 
-// HandleDemand takes a daemon's demand and returns its share: as many slots as the
-// more urgent demand over the whole fleet leaves it, never more than are free. It is valid no longer
-// than the leader lease is, of which leaseLeft is left.
+// HandleDemand handles a daemon's demand and returns its share: the slots left to it by more
+// urgent demand across the fleet, and never more than are free. leaseLeft is the remaining time of the
+// leader lease, which the share doesn't outlive.
 //
 // Example: share := c.HandleDemand(now, ident, demand, leaseLeft)
 func (c *Controller) HandleDemand(now time.Duration, ident string, demand Demand, leaseLeft time.Duration) Share {
@@ -110,12 +110,12 @@
 	}
 	d.demand, d.askedAt = demand, now
 	c.countFailures(now, demand)
-	d.dropGrants(now)
+	d.pruneGrants(now)
 	length := min(c.cfg.ShareLength, leaseLeft)
 	share := Share{Slots: map[string]int{}, Length: int64(max(0, length))}
 	if length > 0 {
-		c.divide(now, key, Prefill, share.Slots)
-		c.divide(now, key, Decode, share.Slots)
+		c.allocateSlots(now, key, Prefill, share.Slots)
+		c.allocateSlots(now, key, Decode, share.Slots)
 	}
 	d.lastShare++
 	share.Number = c.term<<32 | d.lastShare
@@ -124,7 +124,7 @@
 	return share
 }
 
-// countFailures counts calls that failed at daemons like failed polls, and brings the next poll on at once.
+// countFailures counts failed calls that a daemon reports like failed polls, and makes the next poll due immediately.
 func (c *Controller) countFailures(now time.Duration, demand Demand) {
 	for addr := range demand.Failures {
 		s := c.servers[fleetconfig.ServerRecordKey(demand.Service, addr)]
@@ -135,13 +135,13 @@
 	}
 }
 
-// offer is a server whose slots are divided.
+// offer is a server with slots to allocate.
 type offer struct {
 	addr string
-	free int // slots that no other daemon may be filling
+	free int // slots that no other daemon may be using
 }
 
-// offers lists the servers of a role, and how many slots they have in all, for the daemon of a key.
+// offers returns the servers of a role, with the slots that are free for the given daemon, and their total slots.
 func (c *Controller) offers(now time.Duration, daemonKey, service, role string) (offers []offer, all int) {
 	for _, key := range sortedKeys(c.servers) {
 		s := c.servers[key]
@@ -152,7 +152,7 @@
 		all += slots
 		for otherKey, other := range c.daemons {
 			if otherKey != daemonKey && other.demand.Service == service {
-				slots -= other.mayFill(now, s.Addr)
+				slots -= other.maxSlotsInUse(now, s.Addr)
 			}
 		}
 		offers = append(offers, offer{s.Addr, max(0, slots)})
@@ -160,9 +160,10 @@
 	return offers, all
 }
 
-// divide gives a daemon its quota of the slots of a role: at servers where it has requests in flight first, then at
-// the prefill servers that have a wanted prefix, then one by one from a place of the daemon's own.
-func (c *Controller) divide(now time.Duration, daemonKey, role string, slots map[string]int) {
+// allocateSlots allocates a daemon's quota of the slots of a role: first on servers where it has requests in flight,
+// then on prefill servers that have cached a prefix it needs, then round-robin, starting at a different server for
+// each daemon.
+func (c *Controller) allocateSlots(now time.Duration, daemonKey, role string, slots map[string]int) {
 	demand := &c.daemons[daemonKey].demand
 	offers, all := c.offers(now, daemonKey, demand.Service, role)
 	if len(offers) == 0 {
@@ -183,7 +184,7 @@
 	for i := range offers {
 		give(&offers[i], demand.PrefixHits[offers[i].addr])
 	}
-	at := startingPlace(daemonKey, len(offers))
+	at := startIndex(daemonKey, len(offers))
 	for exhausted := 0; left > 0 && exhausted < len(offers); at = (at + 1) % len(offers) {
 		if offers[at].free == 0 {
 			exhausted++
@@ -194,8 +195,8 @@
 	}
 }
 
-// startingPlace is a daemon's own among so many, by a hash of its key.
-func startingPlace(daemonKey string, places int) int {
+// startIndex returns the index, out of n, at which a daemon's allocation starts. It is a hash of the daemon's key.
+func startIndex(daemonKey string, places int) int {
 	hash := 0
 	for _, char := range daemonKey {
 		hash = hash*31 + int(char)
@@ -203,10 +204,10 @@
 	return (hash%places + places) % places
 }
 
-// quota is a daemon's share of so many slots: by priority first, within one priority
-// by demand, and half of what nobody needs in equal shares. The other half is
-// kept so that new demand finds something at once. What doesn't divide evenly
-// goes round among the daemons, so that none waits for ever.
+// quota returns how many of the given slots a daemon may have: slots are divided by
+// priority first and, within a priority, by demand. Half of the slots that no demand needs
+// are divided equally; the other half is reserved, so that new demand gets slots immediately.
+// The remainder of a division rotates among the daemons, so that none starves.
 func (c *Controller) quota(now time.Duration, service, daemonKey, role string, slots int) int {
 	var keys []string
 	for key, d := range c.daemons {
@@ -217,7 +218,7 @@
 	slices.Sort(keys)
 	left, quota := slots, 0
 	for priority := 0; priority < Priorities && left > 0; priority++ {
-		need := func(key string) int { return c.daemons[key].demand.of(role)[priority] }
+		need := func(key string) int { return c.daemons[key].demand.forRole(role)[priority] }
 		needed := 0
 		for _, key := range keys {
 			needed += need(key)
@@ -232,8 +233,8 @@
 	return quota + apportion(left/2, len(keys), keys, daemonKey, 0, func(string) int { return 1 })
 }
 
-// apportion is what one of some keys gets of so many slots, by weight; what doesn't divide evenly goes round
-// from a place that moves with the turn.
+// apportion returns the part of the slots that goes to one key when they are divided among all keys by weight.
+// The remainder is distributed one by one, starting at an index that advances with turn.
 func apportion(slots, totalWeight int, keys []string, key string, turn int, weight func(string) int) (quota int) {
 	rest := slots
 	for _, other := range keys {
--- a/control/placement/shift.go
+++ b/control/placement/shift.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// shortage names a side of a service that lacks servers.
+// shortage identifies a side of a service that lacks servers.
 type shortage struct {
 	service string
 	role    string
-	vacant  bool // no server is left that plays the role
+	vacant  bool // no server plays the role
 }
 
-// shortFor is for how long a side has been short; the first time it is noted.
-func (c *Controller) shortFor(now time.Duration, side shortage) time.Duration {
+// shortageDuration returns how long a side has been short, counted from the first call for that side.
+func (c *Controller) shortageDuration(now time.Duration, side shortage) time.Duration {
 	if _, ok := c.shortSince[side]; !ok {
 		c.shortSince[side] = now
 	}
@@ -27,8 +27,8 @@
 	return Decode
 }
 
-// leastServers is how many servers of a role a service keeps.
-func (r *round) leastServers(role string) int {
+// minServers returns the minimum number of servers of a role that the service keeps.
+func (r *round) minServers(role string) int {
 	service := r.services[r.service]
 	if role == Prefill {
 		return max(1, service.PrefillServers)
@@ -36,8 +36,9 @@
 	return max(1, service.DecodeServers)
 }
 
-// continueShift orders a server its next role once nothing of the old one is in flight there, and
-// writes the role once the order is accepted. That the record is committed means that the invalidation is complete.
+// continueShift orders a server to take its next role once no requests of the old role are in flight there, and
+// writes the new role once the order is accepted. It runs only after the record that began the shift is committed,
+// and so after the invalidation is complete.
 func (r *round) continueShift(key string, s *server) {
 	if s.order.role == s.NextRole {
 		record := s.ServerRecord
@@ -48,12 +49,12 @@
 	}
 	isDrained := s.observed.usage.Active == 0 && r.inFlight(r.service, s.Addr) == 0
 	if isDrained || r.now-s.leavingSince > r.cfg.DrainTimeout {
-		r.order(key, s, s.NextRole, "shift")
+		r.issueOrder(key, s, s.NextRole, "shift")
 	}
 }
 
-// beginShift has a server leave its role for another; the order follows once
-// nothing of the old role is in flight there.
+// beginShift makes a server leave its role for another one; the order follows once
+// no requests of the old role are in flight there.
 func (r *round) beginShift(key, role, reason string) {
 	s := r.servers[key]
 	r.lastShift[r.service], s.leavingSince = r.now, r.now
@@ -62,9 +63,10 @@
 	r.write(key, s, record, reason)
 }
 
-// shiftPolled shifts one server from the side that can spare it to the one that has
-// been short for a whole window; never the last one, never below the plan's least.
-// It is for services whose roles the platform doesn't list.
+// shiftPolled shifts one server from a side that can spare it to one that has been
+// short for UsageWindow. It never takes a side's last server, and goes below the plan's
+// minimum only to fill a side that is itself below it. It is for services whose roles
+// the platform doesn't list.
 func (r *round) shiftPolled(count map[string]int, isShifting bool) {
 	if isShifting || r.hasListedRoles() || r.now-r.lastShift[r.service] < r.cfg.Dwell || !r.mayOrder(r.now) {
 		return
@@ -73,13 +75,13 @@
 	for _, to := range []string{Prefill, Decode} {
 		from := otherRole(to)
 		side := shortage{service: r.service, role: to}
-		isShort := count[from] > r.leastServers(from) && load[to] > r.cfg.HighUsage && load[from] < r.cfg.LowUsage
-		isBelowPlan := count[to] < r.leastServers(to) && count[from] > 1
+		isShort := count[from] > r.minServers(from) && load[to] > r.cfg.HighUsage && load[from] < r.cfg.LowUsage
+		isBelowPlan := count[to] < r.minServers(to) && count[from] > 1
 		if !isShort && !isBelowPlan {
 			delete(r.shortSince, side)
 			continue
 		}
-		if r.shortFor(r.now, side) < r.cfg.UsageWindow && !isBelowPlan {
+		if r.shortageDuration(r.now, side) < r.cfg.UsageWindow && !isBelowPlan {
 			continue
 		}
 		key := r.leastActive(from)
@@ -87,13 +89,13 @@
 			continue
 		}
 		delete(r.shortSince, side)
-		reason := fmt.Sprintf("%s side needs %.2f of its slots, %s side %.2f", to, load[to], from, load[from])
+		reason := fmt.Sprintf("demand on %s side is %.2f of its slots, on %s side %.2f", to, load[to], from, load[from])
 		r.beginShift(key, to, reason)
 		return
 	}
 }
 
-// sideLoads is the demand for each side's slots, as a fraction of them.
+// sideLoads returns the demand for each side's slots, as a fraction of them.
 func (r *round) sideLoads() map[string]float64 {
 	slots := map[string]int{}
 	for _, key := range r.keys {
@@ -108,7 +110,7 @@
 	return load
 }
 
-// leastActive is the server of a side with the fewest active requests that may shift; "": there is none.
+// leastActive returns the server with the fewest active requests among those of a side that may shift, or "".
 func (r *round) leastActive(role string) (least string) {
 	for _, key := range r.keys {
 		s := r.servers[key]
