--- a/control/placement/status.go
+++ b/control/placement/status.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// HandlePoll takes a server's answer to a poll; ok is false where it gave none.
+// HandlePoll handles a server's answer to a poll; ok is false if there was no answer.
 //
 // Example: c.HandlePoll(now, key, usage, true)
 func (c *Controller) HandlePoll(now time.Duration, key string, usage Usage, ok bool) {
@@ -20,8 +20,8 @@
 	if c.hasRestarted(now, seen, usage) {
 		s.restarted, s.order.role, s.warmingSince = true, "", now
 	}
-	seen.startedBy, seen.startSeenAt = now-uptime, now
-	if seen.failures >= c.cfg.MaxFailures { // it may have restarted: its role is ordered again
+	seen.latestStart, seen.startSeenAt = now-uptime, now
+	if seen.failures >= c.cfg.MaxFailures { // it may have restarted, so its role is ordered again
 		s.warmingSince, s.order.role = now, ""
 	}
 	seen.failures, seen.known, seen.usage = 0, true, usage
@@ -29,20 +29,20 @@
 	seen.utilization += (float64(usage.Active)/float64(max(1, s.Capacity)) - seen.utilization) * min(1, weight)
 }
 
-// hasRestarted tells whether a server that answers a poll has restarted since it was seen last. It started
-// between its poll and the answer, less its uptime, by our clock; if that is later than it can have started
-// before, it is another process, however long its uptime. A server that doesn't say its uptime is known to
-// be another only by having been dark.
+// hasRestarted reports whether a server that answers a poll has restarted since the last answer. Its start time,
+// by this clock, lies between the poll and the answer, less its uptime. If that is later than the latest start
+// time computed before, it is a new process, even if its uptime is longer than the last one reported. A server
+// that doesn't report its uptime is assumed to have restarted only after it was dark.
 func (c *Controller) hasRestarted(now time.Duration, seen *observation, usage Usage) bool {
 	if !seen.known || usage.UptimeMillis <= 0 || seen.usage.UptimeMillis <= 0 {
 		return false
 	}
 	uptime := time.Duration(usage.UptimeMillis) * time.Millisecond
 	drift := time.Duration(float64(now-seen.startSeenAt)*c.cfg.Drift) + c.cfg.Margin
-	return usage.UptimeMillis < seen.usage.UptimeMillis || seen.polledAt-uptime > seen.startedBy+drift
+	return usage.UptimeMillis < seen.usage.UptimeMillis || seen.polledAt-uptime > seen.latestStart+drift
 }
 
-// isWarming tells whether a server is warming up, by its own report, its uptime or the platform's list.
+// isWarming reports whether a server is warming up, by its own report, its uptime or the platform's list.
 func (c *Controller) isWarming(s *server) bool {
 	if s.hasListedRole() {
 		return s.listing.warming
@@ -51,7 +51,7 @@
 	return s.observed.known && (s.observed.usage.Warming || uptime > 0 && uptime < c.cfg.WarmUp)
 }
 
-// isDark tells whether so many polls failed that a server counts as dark.
+// isDark reports whether enough polls failed for a server to count as dark.
 func (c *Controller) isDark(s *server) bool { return s.observed.failures >= c.cfg.MaxFailures }
 
 // pollServers polls the servers whose roles the platform doesn't list.
@@ -66,7 +66,7 @@
 	}
 }
 
-// updateStatuses writes what the polls and the list say, and deletes what is no longer listed.
+// updateStatuses writes status changes that follow from polls and the list, and removes servers no longer listed.
 func (r *round) updateStatuses() {
 	for _, key := range r.keys {
 		s := r.servers[key]
@@ -80,7 +80,7 @@
 	}
 }
 
-// removeServer deletes the record of a server that is no longer listed, then forgets it.
+// removeServer deletes the record of a server that is no longer listed, and discards its state once it has no record.
 func (r *round) removeServer(key string, s *server) {
 	if s.Role == "" && s.Status == "" {
 		delete(r.servers, key)
@@ -91,7 +91,7 @@
 	r.note("%s %s: no longer listed", s.service, s.Addr)
 }
 
-// updateStatus writes another status of a server, if the one in its record no longer holds.
+// updateStatus writes a server's new status if the one in its record is out of date.
 func (r *round) updateStatus(key string, s *server) {
 	stays := s.NextRole == ""
 	answers := s.observed.failures == 0 && s.observed.known
@@ -99,11 +99,11 @@
 	case (s.restarted || r.isDark(s)) && s.Status != Dark:
 		record := s.ServerRecord
 		record.Status, record.NextRole = Dark, ""
-		r.write(key, s, record, "polls fail or it started anew")
+		r.write(key, s, record, "polls fail or the server restarted")
 	case answers && s.Status == Dark && s.order.role == s.Role:
 		r.writeWarming(key, s, "back")
-	case s.isInUse() && r.isWarming(s) && !s.isLeaving(): // an earlier controller left it so
-		r.writeWarming(key, s, "warms up")
+	case s.isInUse() && r.isWarming(s) && !s.isLeaving(): // left in this state by an earlier controller
+		r.writeWarming(key, s, "warming up")
 	case s.isLeaving() && stays && (s.Status == Up || s.Status == Warming):
 		r.writeStatus(key, s, Leaving, "leaving")
 	case !s.isLeaving() && stays && s.Status == Leaving:
@@ -113,7 +113,7 @@
 	}
 }
 
-// isWarm tells whether a warming server is to be used fully.
+// isWarm reports whether a warming server may be used at full capacity.
 func (r *round) isWarm(s *server) bool {
 	if r.isWarming(s) {
 		return false
--- a/control/placement/stored_test.go
+++ b/control/placement/stored_test.go
@@ -14,8 +14,8 @@
 	}
 }
 
-// Server records, and what daemons and servers say to the controller, are the JSON that earlier builds wrote.
-func TestStoredJSONKeepsItsBytes(t *testing.T) {
+// Server records, and the messages between the controller, daemons and servers, keep their JSON encoding.
+func TestStoredJSONEncodingIsUnchanged(t *testing.T) {
 	golden.Check(t, "server-record.json", completeServerRecord(), golden.Encoding[ServerRecord]{
 		Encode: golden.JSON[ServerRecord]().Encode,
 		Decode: func(value []byte) (ServerRecord, error) {
@@ -45,13 +45,13 @@
 	}, golden.JSON[Row]())
 }
 
-// Words that stand in stored data and in orders stay.
-func TestStoredNamesStay(t *testing.T) {
+// Names used in stored data and in orders don't change.
+func TestStoredNamesAreUnchanged(t *testing.T) {
 	for name, want := range map[string]string{
 		Prefill: "reader", Decode: "maker", Warming: "warming", Up: "up", Dark: "dark", Leaving: "leaving",
 	} {
 		if name != want {
-			t.Errorf("%q was %q", name, want)
+			t.Errorf("stored name %q, expected %q", name, want)
 		}
 	}
 }
--- a/control/placement/vacant.go
+++ b/control/placement/vacant.go
@@ -3,10 +3,10 @@
 import "fmt"
 
 // fillVacant shifts a server to a side that has none left, in use or warming
-// up, and tells whether it did. Without a decode server nothing is served, so
-// the last prefill server goes, too: a decode server processes prompts itself.
-// Without a prefill server the decode servers process them, more slowly, so
-// their last one stays, and there is time to see whether another comes.
+// up, and reports whether it did. Without a decode server nothing is served, so
+// even the last prefill server is shifted: a decode server can process prompts itself.
+// Without a prefill server the decode servers process prompts, only more slowly, so
+// their last one stays, and the shift waits for ListedDwell in case another one joins.
 func (r *round) fillVacant(s sides) bool {
 	side := shortage{service: r.service, role: Prefill, vacant: true}
 	switch {
@@ -14,7 +14,7 @@
 		r.shiftLeastPressed(s.inUse[Prefill], Decode, noServerLeft(Decode))
 		return true
 	case s.present[Prefill] == 0 && len(s.inUse[Decode]) > 1:
-		if r.shortFor(r.now, side) < r.cfg.ListedDwell {
+		if r.shortageDuration(r.now, side) < r.cfg.ListedDwell {
 			return false
 		}
 		delete(r.shortSince, side)
--- a/control/placement/vacant_test.go
+++ b/control/placement/vacant_test.go
@@ -7,11 +7,12 @@
 	"mulleinmast/control/fleetconfig"
 )
 
-// Where the last server of a side leaves, is lost or falls silent, another takes
-// its role: without a decode server nothing is served.
-func TestASideWithoutServersGetsOne(t *testing.T) {
-	leave := func(s *listedFleet, id string) {
-		s.set(id, func(e *fleetconfig.Server) { e.Leaving = true })
+// If the last server of a side leaves, a server of the other side takes its role,
+// because nothing is served without a decode server. A last decode server is not
+// shifted to prefill.
+func TestVacantSideGetsServer(t *testing.T) {
+	leave := func(fleet *listedFleet, id string) {
+		fleet.set(id, func(e *fleetconfig.Server) { e.Leaving = true })
 	}
 	for _, test := range []struct {
 		name            string
@@ -26,28 +27,28 @@
 		{"the only prefill server of two", 1, 1, "s0", 0, 1},
 		{"one of two decode servers", 1, 2, "s2", 1, 1},
 	} {
-		s := newListedFleet(t, test.prefill, test.decode, fleetconfig.Service{})
-		s.run(10 * time.Second)
-		leave(s, test.leave)
-		s.run(20 * time.Second)
-		if s.countInUse(Prefill) != test.wantPrefill || s.countInUse(Decode) != test.wantDecode {
+		fleet := newListedFleet(t, test.prefill, test.decode, fleetconfig.Service{})
+		fleet.advance(10 * time.Second)
+		leave(fleet, test.leave)
+		fleet.advance(20 * time.Second)
+		if fleet.countInUse(Prefill) != test.wantPrefill || fleet.countInUse(Decode) != test.wantDecode {
 			t.Errorf(
 				"%s leaves: %d prefill and %d decode servers in use, expected %d and %d; orders %v", test.name,
-				s.countInUse(Prefill), s.countInUse(Decode), test.wantPrefill, test.wantDecode, s.orders,
+				fleet.countInUse(Prefill), fleet.countInUse(Decode), test.wantPrefill, test.wantDecode, fleet.orders,
 			)
 		}
 	}
 }
 
-// A server that warms up is there soon: nothing is shifted for its sake.
-func TestAServerThatWarmsUpFillsItsSide(t *testing.T) {
-	s := newListedFleet(t, 1, 1, fleetconfig.Service{})
-	s.run(10 * time.Second)
-	s.add(Decode, true)
-	s.run(time.Second)
-	s.set("s1", func(e *fleetconfig.Server) { e.Leaving = true })
-	s.run(10 * time.Second)
-	if len(s.shifts) > 0 || s.countInUse(Prefill) != 1 {
-		t.Errorf("shifts at %v, %d prefill servers in use", s.shifts, s.countInUse(Prefill))
+// No server is shifted to a side that has a warming server, since that one will be in use soon.
+func TestWarmingServerFillsItsSide(t *testing.T) {
+	fleet := newListedFleet(t, 1, 1, fleetconfig.Service{})
+	fleet.advance(10 * time.Second)
+	fleet.add(Decode, true)
+	fleet.advance(time.Second)
+	fleet.set("s1", func(e *fleetconfig.Server) { e.Leaving = true })
+	fleet.advance(10 * time.Second)
+	if len(fleet.shifts) > 0 || fleet.countInUse(Prefill) != 1 {
+		t.Errorf("shifts at %v, %d prefill servers in use", fleet.shifts, fleet.countInUse(Prefill))
 	}
 }
--- a/proof/standin/mutants/rules.sh
+++ b/proof/standin/mutants/rules.sh
@@ -25,8 +25,8 @@
 mutant each-has-the-whole traffic/limiter TestNoWindowHasMoreThanTheLimit $limits 'Rate: l.Rate / float64(buckets)' 'Rate: l.Rate'
 mutant first-version-counts control/ratelimit TestALaterVersionSetsTheLimit $limits 'if r.Version > b.version {' 'if r.Version < b.version {'
 mutant empty-is-asked-again traffic/limiter TestTheNearestLeaderIsAskedFirst traffic/limiter/limiter.go '= now + retryAfter' '= now'
-mutant limits-outlive-leaders control/leader TestANewLeadershipBeginsWithEmptyBuckets control/leader/leader.go '	c.limits = nil
-	c.orders.since' '	c.orders.since'
+mutant limits-outlive-leaders control/leader TestNewLeadershipStartsWithEmptyBuckets control/leader/leader.go '	c.limits = nil
+	c.orders.leaderSince' '	c.orders.leaderSince'
 mutant token-for-many-runs traffic/gateway TestEachRunTakesAToken traffic/gateway/limit.go 'func (p *permit) use() { p.until = 0 }' 'func (p *permit) use() {}'
 mutant lapsed-token-runs traffic/gateway TestATokenThatLapsedIsTakenAnew traffic/gateway/limit.go 'return now < p.until' 'return p.until > 0'
 mutant key-is-shown platform TestEveryCallNamesTheTenant platform/names.go 'hdrTenant, hdrKey,' 'hdrTenant,'
@@ -57,7 +57,7 @@
 ' ''
 mutant patch-without-sum control/fleetconfig TestAPatchFitsOnlyItsBase control/fleetconfig/codec.go 'zstd.WithEncoderLevel(zstd.SpeedFastest),' 'zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderCRC(false),'
 mutant refused-by-what-is-lost control/partition TestMergedJobsFailTogether control/partition/batch.go 'case j.writesNought && outcome == Done:' 'case j.writesNought:'
-mutant format-not-asked control/leader TestAPlanThatNotAllDaemonsRead control/leader/configcalls.go 'format > 0 && needs > format' 'format > 9 && needs > format'
+mutant format-not-asked control/leader TestPlanUnreadableBySomeDaemonIsRefused control/leader/configcalls.go 'format > 0 && needs > format' 'format > 9 && needs > format'
 # what is told of the servers' load
 mutant all-is-told traffic/loadreport TestLoadReportsAreBounded traffic/loadreport/exchange.go 'if !readsChanges(to) {' 'if readsChanges(to) {'
 mutant never-in-turn traffic/loadreport TestMissedReportsAreMadeUpInTurn traffic/loadreport/changes.go 'key%refreshReports == t.turn%refreshReports &&' 'key%refreshReports == t.turn%refreshReports && t.turn == 0 &&'
