--- a/control/leader/calls_test.go
+++ b/control/leader/calls_test.go
@@ -35,26 +35,26 @@
 	}
 	writes := map[string]int{"plan": 2, "changes": 2} // the plan, and the changes accepted so far
 	for op, good := range bodies {
-		if j, err := newUnnumberedRequest().job(op, good); err != nil {
+		if job, err := newUnnumberedRequest().job(op, good); err != nil {
 			t.Errorf("%s: %v", op, err)
-		} else if recs, answer := j.Build(noRecord); len(recs) != max(1, writes[op]) && op != leadercall.OpReplica {
-			t.Errorf("%s: wrote %v, answered %v", op, recs, answer)
+		} else if records, answer := job.Build(noRecord); len(records) != max(1, writes[op]) && op != leadercall.OpReplica {
+			t.Errorf("%s: wrote %v, answered %v", op, records, answer)
 		}
 		invalid := 0
 		for i := range good {
-			for _, x := range []byte{0, '"', '}', '-', '9', 'x', good[i] ^ 1} {
-				b := append([]byte(nil), good...)
-				b[i] = x
-				j, err := newUnnumberedRequest().job(op, b)
+			for _, char := range []byte{0, '"', '}', '-', '9', 'x', good[i] ^ 1} {
+				mutated := append([]byte(nil), good...)
+				mutated[i] = char
+				job, err := newUnnumberedRequest().job(op, mutated)
 				if err != nil {
 					invalid++
 					continue
 				}
-				recs, answer := j.Build(noRecord)
+				records, answer := job.Build(noRecord)
 				if v, ok := answer.(fleetconfig.Verdict); ok && v.Result == fleetconfig.VerdictInvalid {
 					invalid++
 				}
-				for _, r := range recs {
+				for _, r := range records {
 					fleetconfig.OpenPlan(message.Record{Deleted: r.Key != fleetconfig.PlanKey, Value: r.Value})
 					fleetconfig.OpenList(message.Record{Deleted: r.Key != fleetconfig.ListKey("m"), Value: r.Value})
 				}
@@ -72,21 +72,21 @@
 // A late list of an earlier version is answered with a conflict, and a claim that
 // arrives after the release of its request doesn't take the key.
 func TestLateListsAndClaimsConflict(t *testing.T) {
-	recs := map[string]message.Record{}
+	records := map[string]message.Record{}
 	read := func(key string) message.Record {
-		if r, ok := recs[key]; ok {
+		if r, ok := records[key]; ok {
 			return r
 		}
 		return noRecord(key)
 	}
 	do := func(op string, in any) leadercall.Response {
-		j, err := newUnnumberedRequest().job(op, leadercall.Pack(in))
+		job, err := newUnnumberedRequest().job(op, leadercall.Pack(in))
 		if err != nil {
 			t.Fatal(err)
 		}
-		written, answer := j.Build(read)
+		written, answer := job.Build(read)
 		for _, r := range written {
-			recs[r.Key] = r
+			records[r.Key] = r
 		}
 		response, _ := answer.(leadercall.Response)
 		return response
--- a/control/leader/cost_test.go
+++ b/control/leader/cost_test.go
@@ -26,11 +26,11 @@
 			},
 		)
 	}
-	no := uint64(0)
+	callID := uint64(0)
 	call := func(op string, body []byte) (group, daemons int) {
-		no++
-		if code, w := l.call("p", no, no, op, body); code != 200 {
-			t.Fatalf("%s %d: %d %s", op, no, code, w)
+		callID++
+		if status, result := l.call("p", callID, callID, op, body); status != 200 {
+			t.Fatalf("%s %d: %d %s", op, callID, status, result)
 		}
 		for _, r := range l.lastSave {
 			size := encodedSize(t, message.Message{Kind: message.KindReplicate, Records: []message.Record{r}})
@@ -45,11 +45,11 @@
 	mean := func(n int) (group, daemons int) {
 		for range n {
 			r := plan.Routes[0]
-			r.GiveUpMillis += int(no % 2)
+			r.GiveUpMillis += int(callID % 2)
 			g, d := call(
 				"changes",
 				leadercall.Pack(fleetconfig.Changes{
-					ID: fmt.Sprintf("%032x", no*0x9E3779B97F4A7C15), Base: no, Number: no + 1,
+					ID: fmt.Sprintf("%032x", callID*0x9E3779B97F4A7C15), Base: callID, Number: callID + 1,
 					Changes: []fleetconfig.Change{{Op: "set-route", Route: &r}},
 				}),
 			)
--- a/control/leader/leader.go
+++ b/control/leader/leader.go
@@ -195,7 +195,7 @@
 // Out is the output of a step: the partition's output, and what the leader requests.
 type Out struct {
 	partition.Out
-	Polls  []string // keys of server records whose servers are to be polled
+	Polls  []string // record keys of the servers to poll
 	Orders []placement.Order
 	Events []Event
 }
--- a/control/leader/plan_test.go
+++ b/control/leader/plan_test.go
@@ -32,12 +32,12 @@
 		return noRecord(key)
 	}
 	do := func(op string, body []byte) (fleetconfig.Verdict, error) {
-		j, err := newUnnumberedRequest().job(op, body)
+		job, err := newUnnumberedRequest().job(op, body)
 		if err != nil {
 			return fleetconfig.Verdict{}, err
 		}
-		recs, answer := j.Build(read)
-		for _, r := range recs {
+		records, answer := job.Build(read)
+		for _, r := range records {
 			stored[r.Key] = r
 		}
 		return answer.(fleetconfig.Verdict), nil
@@ -53,10 +53,11 @@
 			t.Fatal(err)
 		}
 		for _, body := range [][]byte{compressed, leadercall.Pack(test.body)} { // the second repeats the first
-			v, err := do(test.op, body)
+			verdict, err := do(test.op, body)
 			routes := len(fleetconfig.OpenPlan(read(fleetconfig.PlanKey)).Routes)
-			if err != nil || v.Result != fleetconfig.VerdictAccepted || v.Version != test.version || routes != test.routes {
-				t.Errorf("%s: %+v %v, %d routes", test.op, v, err, routes)
+			if err != nil || verdict.Result != fleetconfig.VerdictAccepted || verdict.Version != test.version ||
+				routes != test.routes {
+				t.Errorf("%s: %+v %v, %d routes", test.op, verdict, err, routes)
 			}
 		}
 		if _, err := do(test.op, compressed[:len(compressed)/2]); err == nil {
@@ -73,15 +74,15 @@
 	for format, isAccepted := range map[int]bool{0: true, 1: false, 2: false, 3: true, 4: true} {
 		r := newUnnumberedRequest()
 		r.readableFormat = func() int { return format }
-		j, err := r.job(leadercall.OpPlan, leadercall.Pack(plan))
+		job, err := r.job(leadercall.OpPlan, leadercall.Pack(plan))
 		if err != nil {
 			t.Fatal(err)
 		}
-		recs, answer := j.Build(noRecord)
+		records, answer := job.Build(noRecord)
 		response, isRefused := answer.(leadercall.Response)
 		hasReason := response.Result == leadercall.ResultNotDone && strings.Contains(response.Reason, "format 3")
-		if (len(recs) > 0) != isAccepted || isRefused == isAccepted || isRefused && !hasReason {
-			t.Errorf("readable format %d: wrote %d records, answered %+v", format, len(recs), answer)
+		if (len(records) > 0) != isAccepted || isRefused == isAccepted || isRefused && !hasReason {
+			t.Errorf("readable format %d: wrote %d records, answered %+v", format, len(records), answer)
 		}
 	}
 }
--- a/control/leader/stored_test.go
+++ b/control/leader/stored_test.go
@@ -71,15 +71,16 @@
 // transcript records a series of calls to a leader, with their answers and the records written.
 type transcript struct {
 	*testLeader
-	text strings.Builder
-	no   uint64
+	text      strings.Builder
+	requestID uint64
 }
 
-func (c *transcript) call(ref uint64, op string, body []byte) {
-	c.no++
+func (c *transcript) call(callID uint64, op string, body []byte) {
+	c.requestID++
 	c.answers, c.lastSave = nil, nil
 	c.apply(c.controller.Step(c.now, message.Message{
-		Kind: message.KindCall, Partition: c.controller.partitionNumber, From: "p", Epoch: 1, Addr: "10.0.0.9:1", ResponseTo: ref, RequestID: c.no, Op: op, Body: body,
+		Kind: message.KindCall, Partition: c.controller.partitionNumber, From: "p", Epoch: 1, Addr: "10.0.0.9:1",
+		ResponseTo: callID, RequestID: c.requestID, Op: op, Body: body,
 	}))
 	fmt.Fprintf(&c.text, "%s %q\n", op, body)
 	for _, m := range c.answers {
@@ -109,7 +110,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		op   string
 		body []byte
 	}{
@@ -131,7 +132,7 @@
 		{"seat", []byte("7")},
 		{"no such call", nil},
 	} {
-		config.call(config.no+1, x.op, x.body)
+		config.call(config.requestID+1, test.op, test.body)
 	}
 	config.call(9, "evacuate", []byte("north")) // another attempt of an earlier call
 	golden.Bytes(t, "calls-configuration.txt", []byte(config.text.String()))
@@ -145,7 +146,7 @@
 	once := func(request, state string) []byte {
 		return []byte(fmt.Sprintf(`{"Key":"t/k","Claim":{"request":%q,"daemon":"d","state":%q}}`, request, state))
 	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		op   string
 		body []byte
 	}{
@@ -168,11 +169,11 @@
 		{"want", []byte("{")},
 		{"want", []byte(`{"s":"m"}`)},
 	} {
-		service.call(service.no+1, x.op, x.body)
+		service.call(service.requestID+1, test.op, test.body)
 	}
 	service.controller.placement = placement.New(placement.Config{ShareLength: time.Second}, 1, 0)
-	service.call(service.no+1, "want", []byte(`{"s":"m","a":0}`))
-	service.call(service.no-1, "want", []byte(`{"s":"m","a":0}`)) // an earlier demand that arrives late
+	service.call(service.requestID+1, "want", []byte(`{"s":"m","a":0}`))
+	service.call(service.requestID-1, "want", []byte(`{"s":"m","a":0}`)) // an earlier demand that arrives late
 	golden.Bytes(t, "calls-service.txt", []byte(service.text.String()))
 
 	follower := &transcript{testLeader: startLeader(t, 0, nil)}
--- a/control/leader/token_test.go
+++ b/control/leader/token_test.go
@@ -43,7 +43,8 @@
 	}
 	l.now = l.controller.Partition().Replica.LeaderSince() + time.Second/2
 	for i, want := range []bool{true, true, false} {
-		if status, grant := l.requestToken(tokenBody); status != 200 || grant.Granted != want || !want && grant.RetryAfter <= 0 {
+		if status, grant := l.requestToken(tokenBody); status != 200 || grant.Granted != want ||
+			!want && grant.RetryAfter <= 0 {
 			t.Errorf("request %d: status %d, grant %+v", i, status, grant)
 		}
 	}
--- a/control/leader/unreadable_test.go
+++ b/control/leader/unreadable_test.go
@@ -20,8 +20,8 @@
 		OnceKey("t/k"):           []byte(`7`),
 	}
 	read := func(key string) message.Record {
-		val, ok := stored[key]
-		return message.Record{Key: key, Value: val, Deleted: !ok, Version: message.Version{Term: 3, Seq: 9}}
+		value, ok := stored[key]
+		return message.Record{Key: key, Value: value, Deleted: !ok, Version: message.Version{Term: 3, Seq: 9}}
 	}
 	plan := fleetconfig.Plan{
 		ID: "p", Base: 4, Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}},
@@ -37,19 +37,19 @@
 		"claim":    leadercall.Pack(ClaimCall{Key: "t/k", Claim: leadercall.Claim{Request: "r", State: "claimed"}}),
 		"unclaim":  leadercall.Pack(ClaimCall{Key: "t/k", Claim: leadercall.Claim{Request: "r", State: "shed"}}),
 	} {
-		recs, answer, panicked := buildCall(op, body, read)
+		records, answer, panicked := buildCall(op, body, read)
 		if response, ok := answer.(leadercall.Response); panicked != nil || !ok || response.Result != "not clear" ||
-			len(recs) > 0 {
-			t.Errorf("%s: wrote %d records, answered %+v, panicked with %v", op, len(recs), answer, panicked)
+			len(records) > 0 {
+			t.Errorf("%s: wrote %d records, answered %+v, panicked with %v", op, len(records), answer, panicked)
 		}
 	}
 	list := ServersCall{
 		"m", fleetconfig.List{Version: 2, Servers: []fleetconfig.Server{{Addr: "10.0.0.1:1", Zone: "a", Capacity: 8}}},
 	}
-	recs, answer, panicked := buildCall("servers", leadercall.Pack(list), read)
-	if response, ok := answer.(leadercall.Response); panicked != nil || len(recs) != 1 || !ok ||
+	records, answer, panicked := buildCall("servers", leadercall.Pack(list), read)
+	if response, ok := answer.(leadercall.Response); panicked != nil || len(records) != 1 || !ok ||
 		response.Result != responseDone.Result {
-		t.Errorf("server list: wrote %d records, answered %+v, panicked with %v", len(recs), answer, panicked)
+		t.Errorf("server list: wrote %d records, answered %+v, panicked with %v", len(records), answer, panicked)
 	}
 }
 
@@ -61,10 +61,10 @@
 			Key: key, Value: []byte("{}"), Deleted: key != pastCallsKey, Version: message.Version{Term: 3, Seq: 9},
 		}
 	}
-	recs, answer, panicked := buildCall("evacuate", []byte("south"), read)
+	records, answer, panicked := buildCall("evacuate", []byte("south"), read)
 	if response, ok := answer.(leadercall.Response); panicked != nil || !ok || response.Result != "not clear" ||
-		len(recs) > 0 {
-		t.Errorf("wrote %d records, answered %+v, panicked with %v", len(recs), answer, panicked)
+		len(records) > 0 {
+		t.Errorf("wrote %d records, answered %+v, panicked with %v", len(records), answer, panicked)
 	}
 }
 
@@ -72,14 +72,14 @@
 // panic value, if any.
 func buildCall(
 	op string, body []byte, read func(string) message.Record,
-) (recs []message.Record, answer, panicked any) {
+) (records []message.Record, answer, panicked any) {
 	defer func() { panicked = recover() }()
 	r := newUnnumberedRequest()
 	r.id, r.orders = "d#1/1", &recentOrders{}
-	j, err := r.job(op, body)
+	job, err := r.job(op, body)
 	if err != nil {
 		return nil, err, nil
 	}
-	recs, answer = j.Build(read)
-	return recs, answer, nil
+	records, answer = job.Build(read)
+	return records, answer, nil
 }
--- a/control/placement/placement.go
+++ b/control/placement/placement.go
@@ -49,12 +49,12 @@
 	term      uint64
 	since     time.Duration      // no older controller could act after this time
 	lastOrder uint64             // number of the last order
-	servers   map[string]*server // by key of the server's record
+	servers   map[string]*server // by record key
 	daemons   map[string]*daemon // by "service/identity"
 
 	// Desired state, from the fleet's configuration.
 	services  map[string]fleetconfig.Service // of the current plan, by name
-	evacuated map[string]bool                // zones
+	evacuated map[string]bool                // evacuated zones, by name
 
 	// State for role shifts.
 	lastShift    map[string]time.Duration   // by service: when a server last began to leave its role
--- a/control/placement/placement_test.go
+++ b/control/placement/placement_test.go
@@ -245,31 +245,31 @@
 		t.Fatalf("the server is not up: %+v", serverRecords[key])
 	}
 	now := 12 * time.Second
-	again := New(cfg, 2, now)
-	again.SetPlan(fleetconfig.Plan{Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}, nil)
-	again.LoadService(now, "m", list, map[string]ServerRecord{key: serverRecords[key]})
-	again.Reconcile(now)
-	again.HandlePoll(now, key, Usage{UptimeMillis: 100}, true)
+	second := New(cfg, 2, now)
+	second.SetPlan(fleetconfig.Plan{Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}, nil)
+	second.LoadService(now, "m", list, map[string]ServerRecord{key: serverRecords[key]})
+	second.Reconcile(now)
+	second.HandlePoll(now, key, Usage{UptimeMillis: 100}, true)
 	now += 900 * time.Millisecond // restarted, with a longer uptime than the last 100 ms
-	again.Reconcile(now)
-	again.HandlePoll(now, key, Usage{UptimeMillis: 500}, true)
-	if s := again.servers[key]; !s.restarted || again.slots(now, s) != 0 {
+	second.Reconcile(now)
+	second.HandlePoll(now, key, Usage{UptimeMillis: 500}, true)
+	if s := second.servers[key]; !s.restarted || second.slots(now, s) != 0 {
 		t.Error("a restart was not detected")
 	}
-	next := New(cfg, 2, now)
-	next.SetPlan(fleetconfig.Plan{Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}, nil)
+	third := New(cfg, 2, now)
+	third.SetPlan(fleetconfig.Plan{Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}, nil)
 	record := serverRecords[key]
 	record.Status = Up
-	next.LoadService(now, "m", list, map[string]ServerRecord{key: record})
+	third.LoadService(now, "m", list, map[string]ServerRecord{key: record})
 	slots := func() int {
 		var demand Demand
 		demand.Service, demand.Prefill[0], demand.Decode[0] = "m", 99, 99
-		return next.HandleDemand(now, "d", demand, time.Second).Slots[list.Servers[0].Addr]
+		return third.HandleDemand(now, "d", demand, time.Second).Slots[list.Servers[0].Addr]
 	}
 	if n := slots(); n > 0 {
 		t.Errorf("%d slots on a server that this controller has not polled yet", n)
 	}
-	next.HandlePoll(now, key, Usage{UptimeMillis: 1000, Warming: true}, true)
+	third.HandlePoll(now, key, Usage{UptimeMillis: 1000, Warming: true}, true)
 	if n := slots(); n < 1 || n > 2 {
 		t.Errorf("%d of 8 slots on a server with an uptime of one second", n)
 	}
--- a/control/placement/records.go
+++ b/control/placement/records.go
@@ -79,7 +79,7 @@
 	Decode     [Priorities]int `json:"m"`           // requests waiting for or holding a decode server, by priority
 	InFlight   map[string]int  `json:"h"`           // requests in flight, by server address
 	Failures   map[string]int  `json:"f,omitempty"` // failed calls, by server address
-	PrefixHits map[string]int  `json:"l,omitempty"` // waiting requests whose prefix a prefill server has cached, by server address
+	PrefixHits map[string]int  `json:"l,omitempty"` // waiting requests with a cached prefix, by prefill server address
 }
 
 // forRole returns the demand for servers of a role, by priority.
