--- a/proof/standin/mutants/mutants.sh
+++ b/proof/standin/mutants/mutants.sh
@@ -35,7 +35,7 @@
 mutant run-twice garble 120 TWICE $gate 'Repeatable: r.Kind == "safe" ||' 'Repeatable: true ||'
 mutant false-promise garble 80 REFUSED traffic/gateway/execute.go 'w.Fail(http.StatusBadGateway, m.Reason)' 'w.Refuse(503, 1e8, m.Reason)'
 mutant old-plan config 80 CONFIG traffic/gateway/plan.go 'last.generation == generation && g.daemon.Now() < last.validUntil {' 'g.daemon.Now() < last.validUntil+60e9 {'
-mutant no-bound lapse 200 BUDGET traffic/attempt/bucket.go 'return float64(again+1) <= b.Ratio*float64(first)+float64(b.Slack)' 'return true'
+mutant no-bound lapse 200 BUDGET traffic/attempt/bucket.go 'return float64(retries+1) <= b.Ratio*float64(firstSends)+float64(b.Slack)' 'return true'
 mutant from-the-start garble 120 ORDER $engine 'if last != "" {' 'if last == "never" {' traffic/gateway/execute.go 'resumed && first && !follows' 'resumed && first && has.clientGone && !follows'
 mutant ends-as-whole garble 120 ORDER platform/front.go 'if c.broken && (r.ProtoAtLeast(1, 1) || !reset(c.controller)) {' 'if c.broken && c.controller == nil {'
 mutant cut-at-sigterm roll 200 LOST platform/start.go 'h.daemon.Leave()
--- a/traffic/attempt/attempt.go
+++ b/traffic/attempt/attempt.go
@@ -1,31 +1,31 @@
-// Package attempt is the ledger of one request: each attempt and what is known
-// of it. The next move is a pure function of the ledger.
+// Package attempt records the attempts of one request and what is known of each.
+// The next move is a pure function of that ledger.
 package attempt
 
-// Known is what is known of an attempt.
-type Known uint8
+// State is what is known of an attempt.
+type State uint8
 
-// What can be known. For a prefill Lost means only wasted work; for a decode
+// States of an attempt. Lost costs a prefill only wasted work; for a decode
 // it means that the request may have run.
 const (
-	Open       Known = iota // no outcome yet
+	Open       State = iota // no outcome yet
 	NotSent                 // nothing reached the server
 	Refused                 // the server said that it did not and will not run it
 	Prefilled               // a prefill ended and left a handle
-	HandleLost              // a decode was turned away: its handle is gone or not ours
-	Lost                    // sent, and no word
-	First                   // a piece has gone out to the client, more may come
-	Ended                   // the whole answer has gone out
+	HandleLost              // a decode was rejected: its handle is gone or belongs to another request
+	Lost                    // sent, but no outcome was received
+	First                   // a piece was sent to the client, more may follow
+	Ended                   // the complete answer was sent to the client
 )
 
-var names = [...]string{"open", "not sent", "shed", "handle", "lapsed", "lost", "first piece", "ended"}
+var stateNames = [...]string{"open", "not sent", "shed", "handle", "lapsed", "lost", "first piece", "ended"}
 
-// String names what is known.
+// String returns the name of the state.
 //
 // Example: attempt.Lost.String() == "lost"
-func (k Known) String() string { return names[k] }
+func (s State) String() string { return stateNames[s] }
 
-// Phase is the half of the work that an attempt did.
+// Phase is the part of the work that an attempt does.
 type Phase uint8
 
 // The phases.
@@ -34,16 +34,16 @@
 	Decode
 )
 
-// String names the phase.
+// String returns the name of the phase.
 //
 // Example: attempt.Decode.String() == "decode"
 func (p Phase) String() string { return [...]string{"prefill", "decode"}[p] }
 
-// Attempt is one line of the ledger.
+// Attempt is one entry of the ledger.
 type Attempt struct {
 	Phase  Phase  `json:"phase"`
 	Server string `json:"server"`
-	Known  Known  `json:"known"`
+	Known  State  `json:"known"`
 	Why    string `json:"why,omitempty"`
 }
 
@@ -55,13 +55,13 @@
 	Wait      Move = iota // an attempt is open
 	DoPrefill             // find a prefill server
 	DoDecode              // hand over to a decode server
-	Refuse                // final: not run and never will be
+	Refuse                // final: has not run and never will
 	Unknown               // final: may have run
 	Break                 // final: abort the stream
-	Finish                // final: all went out
+	Finish                // final: the complete answer was sent
 )
 
-// String names the move.
+// String returns the name of the move.
 //
 // Example: attempt.Refuse.String() == "refused"
 func (m Move) String() string {
@@ -70,8 +70,8 @@
 
 // Ledger is a request's attempts.
 type Ledger struct {
-	AtMostOnce  bool // once it may have run it is never sent again
-	MaxPerPhase int  // attempts of one phase
+	AtMostOnce  bool // never sent again once it may have run
+	MaxPerPhase int  // maximum attempts per phase
 	Attempts    []Attempt
 }
 
@@ -82,15 +82,15 @@
 	l.Attempts = append(l.Attempts, Attempt{Phase: p, Server: server})
 }
 
-// Record says what became of the last attempt.
+// Record sets the state of the last attempt.
 //
 // Example: l.Record(attempt.Refused, "503")
-func (l *Ledger) Record(k Known, why string) {
+func (l *Ledger) Record(s State, why string) {
 	a := &l.Attempts[len(l.Attempts)-1]
-	a.Known, a.Why = k, why
+	a.Known, a.Why = s, why
 }
 
-// MayHaveRun tells whether the request may have run anywhere.
+// MayHaveRun reports whether the request may have run on any server.
 //
 // Example: if !l.MayHaveRun() { refused() }
 func (l Ledger) MayHaveRun() bool {
@@ -102,10 +102,10 @@
 	return false
 }
 
-// Tries counts the attempts of a phase.
+// AttemptCount returns the number of attempts of a phase.
 //
-// Example: l.Tries(attempt.Decode)
-func (l Ledger) Tries(p Phase) int {
+// Example: l.AttemptCount(attempt.Decode)
+func (l Ledger) AttemptCount(p Phase) int {
 	n := 0
 	for _, a := range l.Attempts {
 		if a.Phase == p {
@@ -115,7 +115,7 @@
 	return n
 }
 
-// Tried tells whether a server had an attempt of this phase.
+// Tried reports whether a server was already sent an attempt of this phase.
 //
 // Example: if l.Tried(attempt.Prefill, addr) { avoid(addr) }
 func (l Ledger) Tried(p Phase, addr string) bool {
@@ -127,8 +127,8 @@
 	return false
 }
 
-// Next derives the next move. isRetry tells whether it needs a retry of the bucket; where
-// none is to be had, End is the final move.
+// Next derives the next move. isRetry reports whether the move must take a retry from the
+// bucket; if the bucket has none left, End returns the final move instead.
 //
 // Example: move, isRetry := l.Next()
 func (l Ledger) Next() (m Move, isRetry bool) {
@@ -142,18 +142,18 @@
 	return l.afterDecode(last.Known)
 }
 
-func (l Ledger) afterPrefill(k Known) (m Move, isRetry bool) {
-	switch k {
+func (l Ledger) afterPrefill(s State) (m Move, isRetry bool) {
+	switch s {
 	case Open:
 		return Wait, false
 	case Prefilled:
 		return DoDecode, false
 	}
-	return l.retry(DoPrefill, l.mayTry(Prefill)), true
+	return l.moveOrEnd(DoPrefill, l.hasAttemptsLeft(Prefill)), true
 }
 
-func (l Ledger) afterDecode(k Known) (m Move, isRetry bool) {
-	switch k {
+func (l Ledger) afterDecode(s State) (m Move, isRetry bool) {
+	switch s {
 	case Open:
 		return Wait, false
 	case Ended:
@@ -161,26 +161,26 @@
 	case First:
 		return Break, false
 	case NotSent, Refused:
-		return l.retry(DoDecode, l.mayTry(Decode)), true
+		return l.moveOrEnd(DoDecode, l.hasAttemptsLeft(Decode)), true
 	case HandleLost:
-		return l.retry(DoPrefill, l.mayTry(Prefill)), true
+		return l.moveOrEnd(DoPrefill, l.hasAttemptsLeft(Prefill)), true
 	}
 	// Lost: it may have run.
-	return l.retry(DoPrefill, !l.AtMostOnce && l.mayTry(Prefill)), true
+	return l.moveOrEnd(DoPrefill, !l.AtMostOnce && l.hasAttemptsLeft(Prefill)), true
 }
 
-// mayTry tells whether one more attempt of a phase is allowed.
-func (l Ledger) mayTry(p Phase) bool { return l.Tries(p) < l.MaxPerPhase }
+// hasAttemptsLeft reports whether one more attempt of a phase is allowed.
+func (l Ledger) hasAttemptsLeft(p Phase) bool { return l.AttemptCount(p) < l.MaxPerPhase }
 
-// retry is a move if it is allowed, and else the final one.
-func (l Ledger) retry(m Move, allowed bool) Move {
+// moveOrEnd returns the move if it is allowed, and the final move otherwise.
+func (l Ledger) moveOrEnd(m Move, allowed bool) Move {
 	if allowed {
 		return m
 	}
 	return l.End()
 }
 
-// End is the final move when nothing more is to be tried.
+// End returns the final move of a request that gets no further attempt.
 //
 // Example: if !bucket.Take(now) { move = l.End() }
 func (l Ledger) End() Move {
@@ -190,7 +190,7 @@
 	return Refuse
 }
 
-// Undo takes the last attempt back: nothing went out, so it was none.
+// Undo removes the last attempt, of which nothing was sent.
 //
 // Example: if out == serverpool.Blocked { l.Undo() }
 func (l *Ledger) Undo() { l.Attempts = l.Attempts[:len(l.Attempts)-1] }
--- a/traffic/attempt/bucket.go
+++ b/traffic/attempt/bucket.go
@@ -3,32 +3,32 @@
 import "time"
 
 const (
-	slotsPerWindow = 16                 // how finely a Bucket tells time
-	slotsKept      = slotsPerWindow + 2 // retries count over a little more than the window
+	slotsPerWindow = 16                 // resolution at which a Bucket counts
+	slotsKept      = slotsPerWindow + 2 // retries are counted over slightly more than the window
 )
 
-// Bucket bounds retries to a fraction of first sends in every window, so that
-// what quiet times earned can't be spent in one failure. A sum of buckets
-// keeps the bound that each of them keeps.
+// Bucket limits retries to a fraction of the first sends in every window, so that
+// retries earned during a quiet period can't all be spent on one outage. Since the
+// limit is a ratio, it also holds for the sum of several buckets.
 type Bucket struct {
-	Ratio  float64       // retries over first sends
-	Window time.Duration // more than 0
-	Slack  int           // retries in a window beyond those earned
+	Ratio  float64       // retries per first send
+	Window time.Duration // must be above 0
+	Slack  int           // retries per window in addition to those earned
 	slots  [slotsKept]slot
 }
 
-// slot is what was sent in one part of the window.
+// slot counts the sends in one part of the window.
 type slot struct {
-	number       int64 // of the slots since the clock's zero
-	first, again int   // first sends, and retries
+	number              int64 // slots since the clock's zero
+	firstSends, retries int
 }
 
-// numberOf is the number of the slot of a time.
-func (b *Bucket) numberOf(at time.Duration) int64 { return int64(at / (b.Window / slotsPerWindow)) }
+// slotNumber returns the number of the slot that a time falls into.
+func (b *Bucket) slotNumber(at time.Duration) int64 { return int64(at / (b.Window / slotsPerWindow)) }
 
-// slotAt is the slot of now; it takes the place of the oldest.
+// slotAt returns the slot of now. A new slot replaces the oldest one.
 func (b *Bucket) slotAt(now time.Duration) *slot {
-	number := b.numberOf(now)
+	number := b.slotNumber(now)
 	s := &b.slots[number%slotsKept]
 	if s.number != number {
 		*s = slot{number: number}
@@ -39,24 +39,25 @@
 // Earn counts a first send.
 //
 // Example: b.Earn(now)
-func (b *Bucket) Earn(now time.Duration) { b.slotAt(now).first++ }
+func (b *Bucket) Earn(now time.Duration) { b.slotAt(now).firstSends++ }
 
-// Has tells whether a retry may be made now. First sends count over a little
-// less than the window, retries over a little more.
+// Has reports whether a retry may be made now. First sends are counted over slightly
+// less than the window and retries over slightly more, so that rounding to slots
+// never allows too many.
 //
 // Example: if !b.Has(now) { giveUp() }
 func (b *Bucket) Has(now time.Duration) bool {
 	number := b.slotAt(now).number
-	first, again := 0, 0
+	firstSends, retries := 0, 0
 	for _, s := range b.slots {
 		if s.number > number-slotsPerWindow+1 {
-			first += s.first
+			firstSends += s.firstSends
 		}
 		if s.number > number-slotsPerWindow-2 {
-			again += s.again
+			retries += s.retries
 		}
 	}
-	return float64(again+1) <= b.Ratio*float64(first)+float64(b.Slack)
+	return float64(retries+1) <= b.Ratio*float64(firstSends)+float64(b.Slack)
 }
 
 // Take spends a retry if one may be made.
@@ -66,16 +67,16 @@
 	if !b.Has(now) {
 		return false
 	}
-	b.slotAt(now).again++
+	b.slotAt(now).retries++
 	return true
 }
 
-// Return gives a retry back that was taken at that time and not made.
+// Return gives back a retry that was taken at takenAt but not made.
 //
 // Example: b.Return(takenAt)
 func (b *Bucket) Return(takenAt time.Duration) {
-	number := b.numberOf(takenAt)
-	if s := &b.slots[number%slotsKept]; s.number == number && s.again > 0 {
-		s.again--
+	number := b.slotNumber(takenAt)
+	if s := &b.slots[number%slotsKept]; s.number == number && s.retries > 0 {
+		s.retries--
 	}
 }
--- a/traffic/forward/pick.go
+++ b/traffic/forward/pick.go
@@ -11,7 +11,7 @@
 // picks the cheapest way.
 func (d *Dispatcher) pickServer(now time.Duration, r *pendingRequest) (Decision, bool) {
 	apart := r.Disaggregated && r.InputTokens > 0 && !r.streamStarted && !r.ContinuesStream &&
-		r.attempts.Tries(attempt.Prefill) < r.maxAttempts()
+		r.attempts.AttemptCount(attempt.Prefill) < r.maxAttempts()
 	if r.prefillAccepted { // another prefill counts, and so does the decode after it
 		apart = apart && r.countedSends+1 < r.maxAttempts() && d.retries.Has(now)
 	}
--- a/traffic/forward/request.go
+++ b/traffic/forward/request.go
@@ -255,7 +255,7 @@
 }
 
 // knownOf is what an outcome tells of its attempt.
-var knownOf = map[Outcome]attempt.Known{
+var knownOf = map[Outcome]attempt.State{
 	NotSent:     attempt.NotSent,
 	Overloaded:  attempt.Refused,
 	WrongServer: attempt.Refused,
--- a/traffic/slots/queue.go
+++ b/traffic/slots/queue.go
@@ -5,37 +5,38 @@
 	"time"
 )
 
-// Queue is the queue of one service; its user holds the lock.
+// Queue is the queue of one service. It is not safe for concurrent use: its user
+// must hold a lock.
 type Queue struct {
 	cfg          Config
-	entries      []*Entry // by comesBefore
+	entries      []*Entry // ordered by comesBefore
 	lastSequence uint64
-	results      []Result // not taken yet
+	results      []Result // not yet returned by TakeResults
 
-	share              map[string]int // slots that this daemon may use, by server
-	shareUntil         time.Duration  // it is valid before then
-	inFlight           map[string]int // slots in use, by server
+	share              map[string]int // slots that this daemon may use, by server address
+	shareUntil         time.Duration  // when the share expires
+	inFlight           map[string]int // slots in use, by server address
 	inFlightByPriority [phases][priorities]int
-	failures           map[string]int // calls that failed since the last Report, by server
+	failures           map[string]int // failed calls since the last Report, by server address
 
-	slotInterval [phases]time.Duration // smoothed time between two slots
+	slotInterval [phases]time.Duration // moving average of the time between two assigned slots
 	lastSlotAt   [phases]time.Duration
 }
 
-// New makes a queue.
+// New returns an empty queue.
 //
 // Example: q := slots.New(slots.Config{MaxQueued: 512})
 func New(cfg Config) *Queue {
 	return &Queue{cfg: cfg, share: map[string]int{}, inFlight: map[string]int{}, failures: map[string]int{}}
 }
 
-// comesBefore tells whether an entry is to have a slot before another one.
+// comesBefore reports whether an entry gets a slot before another one.
 func (e *Entry) comesBefore(other *Entry) bool {
 	if e.Priority != other.Priority {
 		return e.Priority < other.Priority
 	}
 	if e.Phase != other.Phase {
-		return e.Phase > other.Phase // a decode first: it holds a KV cache
+		return e.Phase > other.Phase // decodes first: they hold a KV cache
 	}
 	if e.Deadline != other.Deadline {
 		return e.Deadline < other.Deadline
@@ -43,7 +44,7 @@
 	return e.sequence < other.sequence
 }
 
-// TakeResults returns what was decided since it was last called.
+// TakeResults returns the results since the previous call.
 //
 // Example: for _, result := range q.TakeResults() { send(result) }
 func (q *Queue) TakeResults() []Result {
@@ -52,8 +53,9 @@
 	return results
 }
 
-// Enqueue queues a request, or refuses it or a less urgent one; tenantFraction is the
-// part of the queue that its tenant may fill. A request that comes again keeps its place.
+// Enqueue queues a request, or refuses it or a less urgent one. tenantFraction is the
+// fraction of the queue that the tenant's requests may fill. A request that is queued
+// again keeps its original position.
 //
 // Example: q.Enqueue(now, entry, 0.5)
 func (q *Queue) Enqueue(now time.Duration, e *Entry, tenantFraction float64) {
@@ -61,8 +63,8 @@
 		q.lastSequence++
 		e.sequence, e.queuedAt = q.lastSequence, now
 	}
-	ofTenant, ahead := q.countBefore(e)
-	if e.Phase == Prefill && float64(ofTenant) >= tenantFraction*float64(q.cfg.MaxQueued) {
+	tenantQueued, ahead := q.countQueued(e)
+	if e.Phase == Prefill && float64(tenantQueued) >= tenantFraction*float64(q.cfg.MaxQueued) {
 		q.refuse(e, "this tenant's part of the queue is full", ahead)
 		return
 	}
@@ -78,26 +80,27 @@
 	q.Assign(now)
 }
 
-// countBefore counts the tenant's requests in the queue, and those before an entry that
-// wait for the same phase.
-func (q *Queue) countBefore(e *Entry) (ofTenant, ahead int) {
+// countQueued returns the number of queued requests of the entry's tenant, and of those
+// ahead of the entry that wait for the same phase.
+func (q *Queue) countQueued(e *Entry) (tenantQueued, ahead int) {
 	for _, other := range q.entries {
 		if other.Tenant == e.Tenant {
-			ofTenant++
+			tenantQueued++
 		}
 		if other.Phase == e.Phase && other.comesBefore(e) {
 			ahead++
 		}
 	}
-	return ofTenant, ahead
+	return tenantQueued, ahead
 }
 
-// predictedWait is how long requests ahead will take slots.
+// predictedWait returns how long it takes until all requests ahead have a slot.
 func (q *Queue) predictedWait(phase Phase, ahead int) time.Duration {
 	return time.Duration(ahead) * q.slotInterval[phase]
 }
 
-// displaceFor refuses the last request of a full queue if another one is more urgent.
+// displaceFor refuses the last request of a full queue if the given one has a more
+// urgent priority, and reports whether it did.
 func (q *Queue) displaceFor(e *Entry) bool {
 	last := q.entries[len(q.entries)-1]
 	if !e.comesBefore(last) || last.Priority == e.Priority {
@@ -108,7 +111,7 @@
 	return true
 }
 
-// insert puts an entry at its place.
+// insert adds an entry at its position in the order.
 func (q *Queue) insert(e *Entry) {
 	i := sort.Search(len(q.entries), func(i int) bool { return e.comesBefore(q.entries[i]) })
 	q.entries = append(q.entries, nil)
@@ -120,12 +123,13 @@
 	q.results = append(q.results, Result{ID: e.ID, Refused: true, Reason: why, RetryAfter: q.retryAfter(e.Phase, ahead)})
 }
 
-// retryAfter is when to come back, by the requests ahead and the time each takes.
+// retryAfter returns the delay before a client should retry, from the number of
+// requests ahead and the time that each takes.
 func (q *Queue) retryAfter(phase Phase, ahead int) time.Duration {
 	return min(max(q.cfg.MinRetryAfter, q.predictedWait(phase, ahead+1)), q.cfg.MaxRetryAfter)
 }
 
-// Remove takes a request out that is not to wait any longer.
+// Remove removes a request that no longer waits.
 //
 // Example: q.Remove(entry)
 func (q *Queue) Remove(e *Entry) {
--- a/traffic/slots/report.go
+++ b/traffic/slots/report.go
@@ -2,7 +2,8 @@
 
 import "maps"
 
-// Report counts what waits and what is in flight; each failure is reported once.
+// Report counts the requests that wait and that are in flight. It resets the failure
+// counts, so that each failure is reported once.
 //
 // Example: r := q.Report()
 func (q *Queue) Report() Report {
@@ -11,7 +12,7 @@
 	return r
 }
 
-// Snapshot is a Report that changes nothing.
+// Snapshot returns the same counts as Report without resetting the failure counts.
 //
 // Example: q.Snapshot().Waiting
 func (q *Queue) Snapshot() Report {
--- a/traffic/slots/shares.go
+++ b/traffic/slots/shares.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// SetShare takes a new share of slots by server, valid before until.
+// SetShare sets the share of slots by server address; it is valid before until.
 //
 // Example: q.SetShare(now, map[string]int{addr: 3}, now+left)
 func (q *Queue) SetShare(now time.Duration, share map[string]int, until time.Duration) {
@@ -14,13 +14,14 @@
 	q.Assign(now)
 }
 
-// HasValidShare tells whether the share is valid; it is asked again just before a byte goes out.
+// HasValidShare reports whether the share is still valid. Callers check it again just before they
+// send the first byte of a call.
 //
 // Example: if !q.HasValidShare(now) { returnSlot() }
 func (q *Queue) HasValidShare(now time.Duration) bool { return now < q.shareUntil }
 
-// Assign gives the free slots to requests in order, and refuses those that can't be in
-// time any more.
+// Assign assigns free slots to requests in order, and refuses requests that can no longer
+// meet their deadline.
 //
 // Example: q.Assign(now)
 func (q *Queue) Assign(now time.Duration) {
@@ -54,7 +55,8 @@
 	}
 }
 
-// freeServers lists the servers of a valid share with a free slot, by address.
+// freeServers returns the sorted addresses of the servers with a free slot, none if
+// the share is not valid.
 func (q *Queue) freeServers(now time.Duration) (free []string) {
 	if !q.HasValidShare(now) {
 		return nil
@@ -68,7 +70,7 @@
 	return free
 }
 
-// without returns a list of the addresses but one.
+// without returns the addresses except the given one, without changing addrs.
 func without(addrs []string, addr string) []string {
 	if i := slices.Index(addrs, addr); i >= 0 {
 		return append(addrs[:i:i], addrs[i+1:]...)
@@ -76,13 +78,14 @@
 	return addrs
 }
 
-// isLate tells whether a request is given up on. That is not near its deadline, but once
-// those ahead can't have their slots in time, or half of its time has passed in the queue.
+// isLate reports whether a request is to be refused. It doesn't wait for the deadline to come near:
+// a request is refused once those ahead of it are predicted to take slots until its deadline, or
+// once it has spent half of its time in the queue.
 func (q *Queue) isLate(now time.Duration, e *Entry, ahead int) bool {
 	return now+q.predictedWait(e.Phase, ahead) >= e.Deadline || now-e.queuedAt > (e.Deadline-e.queuedAt)/2
 }
 
-// occupy gives a request a slot.
+// occupy assigns a slot to a request.
 func (q *Queue) occupy(now time.Duration, e *Entry, addr string) {
 	q.inFlight[addr]++
 	q.inFlightByPriority[e.Phase][e.Priority]++
@@ -90,10 +93,10 @@
 	q.results = append(q.results, Result{ID: e.ID, Addr: addr})
 }
 
-// measureInterval takes the time since the last slot into the average. It counts only
-// while something waited: idle time isn't slowness.
+// measureInterval adds the time since the last assigned slot to the moving average. The time
+// counts only while requests waited: an idle server is not a slow one.
 func (q *Queue) measureInterval(now time.Duration, e *Entry) {
-	const weight = 8 // of the average so far
+	const weight = 8 // the new interval counts 1/weight
 	average := &q.slotInterval[e.Phase]
 	if e.queuedAt < now || len(q.entries) > 1 {
 		interval := now - max(q.lastSlotAt[e.Phase], e.queuedAt)
@@ -104,7 +107,7 @@
 	q.lastSlotAt[e.Phase] = now
 }
 
-// Release returns a slot.
+// Release returns a slot and assigns the slots that are free now.
 //
 // Example: q.Release(now, slots.Decode, priority, addr, false)
 func (q *Queue) Release(now time.Duration, phase Phase, priority int, addr string, failed bool) {
--- a/traffic/slots/slots_test.go
+++ b/traffic/slots/slots_test.go
@@ -7,53 +7,53 @@
 	"pgregory.net/rapid"
 )
 
-func first(free []string) string { return free[0] }
+func pickFirst(free []string) string { return free[0] }
 
 func entry(id string, phase Phase, priority int, deadline time.Duration) *Entry {
 	return &Entry{
-		ID: id, Phase: phase, Priority: priority, Tenant: string(rune(97 + priority)), Deadline: deadline, Pick: first,
+		ID: id, Phase: phase, Priority: priority, Tenant: string(rune(97 + priority)), Deadline: deadline, Pick: pickFirst,
 	}
 }
 
-func TestUrgentGoesFirstAndDisplacesTheLast(t *testing.T) {
+func TestUrgentRequestGoesFirstAndDisplacesLast(t *testing.T) {
 	q := New(Config{MaxQueued: 2, MinRetryAfter: time.Second, MaxRetryAfter: time.Minute})
 	q.Enqueue(0, entry("low", Prefill, 8, time.Hour), 1)
 	q.Enqueue(0, entry("mid", Prefill, 4, time.Hour), 1)
 	q.Enqueue(0, entry("top", Prefill, 0, time.Hour), 1)
-	if k := q.TakeResults(); len(k) != 1 || k[0].ID != "low" || !k[0].Refused || k[0].RetryAfter < time.Second {
-		t.Errorf("the least urgent was not displaced: %+v", k)
+	if results := q.TakeResults(); len(results) != 1 || results[0].ID != "low" || !results[0].Refused || results[0].RetryAfter < time.Second {
+		t.Errorf("least urgent request was not displaced: %+v", results)
 	}
 	q.SetShare(1, map[string]int{"a": 1}, time.Minute)
-	if k := q.TakeResults(); len(k) != 1 || k[0].ID != "top" || k[0].Addr != "a" {
-		t.Errorf("the urgent one did not go first, alone: %+v", k)
+	if results := q.TakeResults(); len(results) != 1 || results[0].ID != "top" || results[0].Addr != "a" {
+		t.Errorf("expected a slot for the most urgent request only: %+v", results)
 	}
 	q.Release(2, Prefill, 0, "a", false)
-	if k := q.TakeResults(); len(k) != 1 || k[0].ID != "mid" || k[0].Addr != "a" {
-		t.Errorf("the slot was not passed on: %+v", k)
+	if results := q.TakeResults(); len(results) != 1 || results[0].ID != "mid" || results[0].Addr != "a" {
+		t.Errorf("released slot was not assigned to the next request: %+v", results)
 	}
 }
 
-func TestRefusedOnceHalfOfItsTimeHasPassed(t *testing.T) {
+func TestRequestIsRefusedAfterHalfItsTime(t *testing.T) {
 	q := New(Config{MaxQueued: 10, MinRetryAfter: time.Second, MaxRetryAfter: time.Minute})
 	q.Enqueue(0, entry("w", Prefill, 1, 10*time.Second), 1)
 	q.Assign(4900 * time.Millisecond)
 	if len(q.TakeResults()) != 0 {
-		t.Error("given up on too early")
+		t.Error("refused before half of its time had passed")
 	}
 	q.Assign(5100 * time.Millisecond)
 	if len(q.TakeResults()) == 0 {
-		t.Error("suntil held with half of its time gone")
+		t.Error("still queued after half of its time had passed")
 	}
 }
 
-// Slots held never exceed the share, and nothing is given after it lapsed.
-func TestSlotsInUseNeverExceedTheShare(t *testing.T) {
+// Slots in use never exceed the share, and no slot is assigned after the share has expired.
+func TestSlotsInUseNeverExceedShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(Config{MaxQueued: 20, MinRetryAfter: 1, MaxRetryAfter: time.Hour})
 		now, until := time.Duration(0), time.Duration(0)
 		share := map[string]int{}
 		held := map[string]int{}
-		var use []string
+		var inUse []string
 		for i := 0; i < 80; i++ {
 			now += time.Duration(rapid.IntRange(0, 50).Draw(t, "step"))
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
@@ -66,21 +66,21 @@
 				until = now + 100
 				q.SetShare(now, share, until)
 			case 3:
-				if len(use) > 0 {
-					a := use[0]
-					use = use[1:]
-					held[a]--
-					q.Release(now, Prefill, 0, a, false)
+				if len(inUse) > 0 {
+					addr := inUse[0]
+					inUse = inUse[1:]
+					held[addr]--
+					q.Release(now, Prefill, 0, addr, false)
 				}
 			}
-			for _, k := range q.TakeResults() {
-				if k.Refused {
+			for _, result := range q.TakeResults() {
+				if result.Refused {
 					continue
 				}
-				if held[k.Addr]++; held[k.Addr] > share[k.Addr] || now >= until {
-					t.Fatalf("%s: %d held of %d, share ends in %v", k.Addr, held[k.Addr], share[k.Addr], until-now)
+				if held[result.Addr]++; held[result.Addr] > share[result.Addr] || now >= until {
+					t.Fatalf("%s: %d slots in use, the share has %d and expires in %v", result.Addr, held[result.Addr], share[result.Addr], until-now)
 				}
-				use = append(use, k.Addr)
+				inUse = append(inUse, result.Addr)
 			}
 		}
 	})
