--- a/traffic/route/route.go
+++ b/traffic/route/route.go
@@ -1,5 +1,5 @@
-// Package route finds the route of a request: a plan's routes laid out by host
-// and prefix, so that a look-up costs the same however many routes there are.
+// Package route finds the route of a request. It indexes a plan's routes by host and
+// path prefix, so that the cost of a lookup does not depend on the number of routes.
 package route
 
 import (
@@ -8,20 +8,19 @@
 	"mulleinmast/control/fleetconfig"
 )
 
-// Table is a plan's routes ready for look-ups; it doesn't change and may be
-// used by many at once.
+// Table is an index of a plan's routes. It is immutable and safe for concurrent use.
 type Table struct {
 	hosts map[string]*host              // by normalized name
 	names map[string]*fleetconfig.Route // by the route's name
 }
 
-// host holds the routes of one host.
+// host indexes the routes of one host.
 type host struct {
-	lengths  []int // of its prefixes, in bytes; each once, the longest first
+	lengths  []int // distinct lengths of its prefixes in bytes, longest first
 	prefixes map[string]*fleetconfig.Route
 }
 
-// New lays out the routes of a plan; do it once a version.
+// New indexes the routes of a plan. Call it once per plan version.
 //
 // Example: t := route.New(fleetconfig.OpenPlan(rec))
 func New(plan fleetconfig.Plan) *Table {
@@ -48,9 +47,9 @@
 	return t
 }
 
-// Match finds the route with the longest prefix that begins the path, among
-// those of the host. The host may carry a port and be in any case; the path is
-// as it came, without the query. The route must not be changed.
+// Match returns the host's route with the longest prefix of the path. The host may
+// include a port and be in any case; the path is the escaped path of the request,
+// without the query. The returned route must not be modified.
 //
 // Example: r, ok := t.Match(req.Host, req.URL.EscapedPath())
 func (t *Table) Match(hostPort, path string) (*fleetconfig.Route, bool) {
@@ -69,7 +68,7 @@
 	return nil, false
 }
 
-// Named finds a route by its name.
+// Named returns the route with the given name.
 //
 // Example: r, ok := t.Named("r-7yd4a3h")
 func (t *Table) Named(name string) (*fleetconfig.Route, bool) {
@@ -77,13 +76,13 @@
 	return r, ok
 }
 
-// Len is the number of routes.
+// Len returns the number of routes.
 //
 // Example: route.New(fleetconfig.Plan{}).Len() == 0
 func (t *Table) Len() int { return len(t.names) }
 
-// Pick chooses a service by the weights of the route; the same random bits
-// give the same service. A route without a weight above 0 gives none.
+// Pick chooses a service in proportion to the route's weights; the same random bits
+// always choose the same service. It returns "" if no weight is above 0.
 //
 // Example: svc := route.Pick(r, rand.Uint64())
 func Pick(r *fleetconfig.Route, random uint64) string {
@@ -91,7 +90,7 @@
 	for _, s := range r.Services {
 		sum += max(0, s.Weight)
 	}
-	at, last := float64(random>>11)/(1<<53)*sum, "" // at is in [0, sum): a float64 has 53 bits
+	at, last := float64(random>>11)/(1<<53)*sum, "" // at is in [0, sum): the mantissa of a float64 has 53 bits
 	for _, s := range r.Services {
 		if s.Weight <= 0 {
 			continue
@@ -101,5 +100,5 @@
 		}
 		at, last = at-s.Weight, s.Service
 	}
-	return last // rounding brought at to the very end
+	return last // at reached the sum of the weights by rounding
 }
--- a/traffic/serverpool/client.go
+++ b/traffic/serverpool/client.go
@@ -1,5 +1,5 @@
-// Package serverpool speaks to the model servers over HTTP and has the types of
-// what is said; its index knows which prefill servers hold which prefixes.
+// Package serverpool is the HTTP client for model servers, with the types of its requests
+// and responses, and an index of the prompt prefixes that prefill servers have cached.
 package serverpool
 
 import (
@@ -17,7 +17,7 @@
 	"mulleinmast/control/placement"
 )
 
-// Bounds of what is read of a server's answers, in bytes.
+// Limits on how much of a server's response is read, and the stream's buffer, in bytes.
 const (
 	maxErrorBytes  = 4 << 10
 	maxHandleBytes = 1 << 16
@@ -30,7 +30,7 @@
 	idleTimeout      = 30 * time.Second
 )
 
-// Outcome is how a call to a server went.
+// Outcome is the result of a call to a server.
 type Outcome uint8
 
 // The outcomes.
@@ -38,23 +38,23 @@
 	OK         Outcome = iota
 	NotSent            // nothing reached the server
 	Refused            // the server did not and will not run it
-	HandleLost         // it did not run it: the KV cache can't be had, or isn't this request's
-	Lost               // sent, and no whole answer
-	Blocked            // not sent: maySend said no
+	HandleLost         // not run: the KV cache is not available or belongs to another request
+	Lost               // sent, but no complete response was received
+	Blocked            // not sent: maySend returned false
 )
 
-// The results by which a server says that it has not run a request.
+// Results in a server's response that mean that it has not run the request.
 const (
 	resultRefused    = "shed"
 	resultHandleLost = "lapsed"
 )
 
-// Client makes the calls to servers.
+// Client calls model servers.
 type Client struct {
 	http *http.Client
 }
 
-// NewClient makes a client with a connection pool of its own.
+// NewClient returns a client with its own connection pool.
 //
 // Example: c := serverpool.NewClient(300 * time.Millisecond)
 func NewClient(dialTimeout time.Duration) *Client {
@@ -64,17 +64,17 @@
 	}}}
 }
 
-// errBlocked stops a call that may not be made any more just before its first byte.
+// errBlocked aborts a call that is no longer allowed when its first byte is about to be sent.
 var errBlocked = errors.New("its record or lease lapsed before it was sent")
 
-// checkedBody asks once more, when its first byte is about to go out, whether
-// the call may still be made. A server that got no whole body runs nothing.
+// checkedBody checks again, when its first byte is about to be sent, whether the call
+// is still allowed. A server that did not receive the complete body runs nothing.
 type checkedBody struct {
 	body    *bytes.Reader
-	maySend func() bool // nil: it may
+	maySend func() bool // nil: always allowed
 }
 
-// Read is for net/http.
+// Read implements io.Reader for net/http.
 //
 // Example: n, err := body.Read(buf)
 func (c checkedBody) Read(b []byte) (int, error) {
@@ -85,10 +85,10 @@
 	return c.body.Read(b)
 }
 
-// post makes a call. Its answer's body is the caller's to close if the outcome is OK.
+// post makes a call. If the outcome is OK, the caller must close the response's body.
 func (c *Client) post(
 	ctx context.Context, url string, call any, maySend func() bool,
-) (answer *http.Response, outcome Outcome, why string) {
+) (res *http.Response, outcome Outcome, why string) {
 	body, err := json.Marshal(call)
 	if err != nil {
 		return nil, NotSent, err.Error()
@@ -99,22 +99,22 @@
 	}
 	req.ContentLength = int64(len(body))
 	req.Header.Set("Content-Type", "application/json")
-	// A POST with no GetBody is never sent twice by the library on its own.
+	// net/http does not retry a POST without GetBody by itself.
 	req.GetBody = nil
-	answer, err = c.http.Do(req)
+	res, err = c.http.Do(req)
 	if err != nil {
-		outcome, why = outcomeOf(err)
+		outcome, why = outcomeFromError(err)
 		return nil, outcome, why
 	}
-	if answer.StatusCode != http.StatusOK {
-		outcome, why = rejection(answer)
+	if res.StatusCode != http.StatusOK {
+		outcome, why = readRejection(res)
 		return nil, outcome, why
 	}
-	return answer, OK, ""
+	return res, OK, ""
 }
 
-// outcomeOf is the outcome of a call that ended by an error.
-func outcomeOf(err error) (Outcome, string) {
+// outcomeFromError returns the outcome of a call that failed with an error.
+func outcomeFromError(err error) (Outcome, string) {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return NotSent, "no connection"
@@ -125,62 +125,62 @@
 	return Lost, err.Error()
 }
 
-// rejection reads an answer other than OK, and closes it. The request has not run only if
-// the server says so.
-func rejection(answer *http.Response) (Outcome, string) {
-	body, _ := io.ReadAll(io.LimitReader(answer.Body, maxErrorBytes))
-	_ = answer.Body.Close()
-	var said struct {
+// readRejection reads and closes a response with a status other than 200. The request counts
+// as not run only if the response says so.
+func readRejection(res *http.Response) (Outcome, string) {
+	body, _ := io.ReadAll(io.LimitReader(res.Body, maxErrorBytes))
+	_ = res.Body.Close()
+	var rejection struct {
 		Result string `json:"result"`
 		Why    string `json:"why"`
 	}
-	_ = json.Unmarshal(body, &said)
-	switch said.Result {
+	_ = json.Unmarshal(body, &rejection)
+	switch rejection.Result {
 	case resultRefused:
-		return Refused, said.Why
+		return Refused, rejection.Why
 	case resultHandleLost:
-		return HandleLost, said.Why
+		return HandleLost, rejection.Why
 	}
-	return Lost, fmt.Sprintf("status %d", answer.StatusCode)
+	return Lost, fmt.Sprintf("status %d", res.StatusCode)
 }
 
-// Prefill has a prefill server read the prompt.
+// Prefill has a prefill server process the prompt and keep its KV cache.
 //
 // Example: handle, outcome, why := c.Prefill(ctx, "127.0.0.1:9000", call, maySend)
 func (c *Client) Prefill(
 	ctx context.Context, addr string, call PrefillRequest, maySend func() bool,
 ) (handle Handle, outcome Outcome, why string) {
-	answer, outcome, why := c.post(ctx, "http://"+addr+"/prefill", call, maySend)
+	res, outcome, why := c.post(ctx, "http://"+addr+"/prefill", call, maySend)
 	if outcome != OK {
 		return handle, outcome, why
 	}
-	defer func() { _ = answer.Body.Close() }()
-	if err := json.NewDecoder(io.LimitReader(answer.Body, maxHandleBytes)).Decode(&handle); err != nil {
+	defer func() { _ = res.Body.Close() }()
+	if err := json.NewDecoder(io.LimitReader(res.Body, maxHandleBytes)).Decode(&handle); err != nil {
 		return handle, Lost, err.Error()
 	}
 	return handle, OK, ""
 }
 
-// Decode has a decode server take up the KV cache and stream the answer.
+// Decode has a decode server fetch the KV cache and stream the answer.
 //
 // Example: stream, outcome, why := c.Decode(ctx, "127.0.0.1:9001", call, maySend)
 func (c *Client) Decode(
 	ctx context.Context, addr string, call DecodeRequest, maySend func() bool,
 ) (*Stream, Outcome, string) {
-	answer, outcome, why := c.post(ctx, "http://"+addr+"/decode", call, maySend)
+	res, outcome, why := c.post(ctx, "http://"+addr+"/decode", call, maySend)
 	if outcome != OK {
 		return nil, outcome, why
 	}
-	return &Stream{body: answer.Body, reader: bufio.NewReaderSize(answer.Body, streamBuffer)}, OK, ""
+	return &Stream{body: res.Body, reader: bufio.NewReaderSize(res.Body, streamBuffer)}, OK, ""
 }
 
-// Stream is an answer under way.
+// Stream is an answer that is being streamed.
 type Stream struct {
 	body   io.ReadCloser
 	reader *bufio.Reader
 }
 
-// Next reads one piece.
+// Next reads the next piece.
 //
 // Example: piece, err := stream.Next()
 func (s *Stream) Next() (p Piece, err error) {
@@ -201,7 +201,7 @@
 // Example: defer stream.Close()
 func (s *Stream) Close() { _ = s.body.Close() }
 
-// Usage asks a server for its load.
+// Usage fetches a server's load.
 //
 // Example: usage, err := c.Usage(ctx, "127.0.0.1:9000")
 func (c *Client) Usage(ctx context.Context, addr string) (usage placement.Usage, err error) {
@@ -209,28 +209,28 @@
 	if err != nil {
 		return usage, err
 	}
-	answer, err := c.http.Do(req)
+	res, err := c.http.Do(req)
 	if err != nil {
 		return usage, err
 	}
-	defer func() { _ = answer.Body.Close() }()
-	if answer.StatusCode != http.StatusOK {
-		return usage, fmt.Errorf("status %d", answer.StatusCode)
+	defer func() { _ = res.Body.Close() }()
+	if res.StatusCode != http.StatusOK {
+		return usage, fmt.Errorf("status %d", res.StatusCode)
 	}
-	err = json.NewDecoder(io.LimitReader(answer.Body, maxUsageBytes)).Decode(&usage)
+	err = json.NewDecoder(io.LimitReader(res.Body, maxUsageBytes)).Decode(&usage)
 	return usage, err
 }
 
-// Order gives a server its role.
+// Order assigns a server its role.
 //
 // Example: err := c.Order(ctx, order, holder, stillLeader)
 func (c *Client) Order(ctx context.Context, order placement.Order, holder string, maySend func() bool) error {
-	answer, outcome, why := c.post(ctx, "http://"+order.Addr+"/order", struct {
+	res, outcome, why := c.post(ctx, "http://"+order.Addr+"/order", struct {
 		placement.Order
 		Holder string `json:"holder"`
 	}{order, holder}, maySend)
 	if outcome != OK {
 		return errors.New(why)
 	}
-	return answer.Body.Close()
+	return res.Body.Close()
 }
--- a/traffic/serverpool/prefix.go
+++ b/traffic/serverpool/prefix.go
@@ -7,14 +7,14 @@
 	"slices"
 )
 
-// HashPrefixes hashes a prompt's parts cumulatively: entry i stands for parts 0..i.
+// HashPrefixes hashes a prompt's parts cumulatively: entry i is the hash of parts 0..i.
 //
 // Example: hashes := serverpool.HashPrefixes(parts); len(hashes) == len(parts)
 func HashPrefixes(parts []Part) []uint64 {
 	h := fnv.New64a()
 	hashes := make([]uint64, len(parts))
 	for i, p := range parts {
-		// A key names a part but doesn't stand for its text.
+		// The text is hashed even if there is a key: parts with the same key may differ in text.
 		_, _ = fmt.Fprintf(h, "%d:%d:", len(p.Key), len(p.Text))
 		_, _ = io.WriteString(h, p.Key)
 		_, _ = io.WriteString(h, p.Text)
@@ -23,28 +23,29 @@
 	return hashes
 }
 
-// PrefixIndex knows which prefill servers have which prefix cached; its user holds the lock.
+// PrefixIndex tracks which prefill servers have which prefixes cached. It is not safe for
+// concurrent use: its user must hold a lock.
 type PrefixIndex struct {
 	maxPrefixes int
-	servers     map[uint64][]string // by prefix
-	inOrder     []uint64            // the prefixes, the oldest first
+	servers     map[uint64][]string // addresses by prefix hash
+	insertions  []uint64            // prefix hashes, oldest first
 }
 
-// NewPrefixIndex makes an index of at most so many prefixes.
+// NewPrefixIndex returns an index of at most maxPrefixes prefixes.
 //
 // Example: p := serverpool.NewPrefixIndex(65536)
 func NewPrefixIndex(maxPrefixes int) *PrefixIndex {
 	return &PrefixIndex{maxPrefixes: maxPrefixes, servers: map[uint64][]string{}}
 }
 
-// Record records that a prefill server has every prefix of a prompt cached now.
+// Record records that a prefill server has every prefix of a prompt cached.
 //
 // Example: p.Record(hashes, addr)
 func (p *PrefixIndex) Record(hashes []uint64, addr string) {
 	for _, hash := range hashes {
 		servers, known := p.servers[hash]
 		if !known {
-			p.inOrder = append(p.inOrder, hash)
+			p.insertions = append(p.insertions, hash)
 			p.evictOldest()
 		}
 		if !slices.Contains(servers, addr) {
@@ -53,15 +54,15 @@
 	}
 }
 
-// evictOldest forgets the oldest prefix of an index that is too large.
+// evictOldest removes the oldest prefix if the index is over its limit.
 func (p *PrefixIndex) evictOldest() {
-	if len(p.inOrder) > p.maxPrefixes {
-		delete(p.servers, p.inOrder[0])
-		p.inOrder = p.inOrder[1:]
+	if len(p.insertions) > p.maxPrefixes {
+		delete(p.servers, p.insertions[0])
+		p.insertions = p.insertions[1:]
 	}
 }
 
-// CachedParts is how many leading parts of a prompt each prefill server has cached.
+// CachedParts returns how many leading parts of a prompt each prefill server has cached.
 //
 // Example: if p.CachedParts(hashes)[addr] > 0 { prefer(addr) }
 func (p *PrefixIndex) CachedParts(hashes []uint64) map[string]int {
@@ -76,7 +77,7 @@
 	return parts
 }
 
-// ForgetServer drops a prefill server that lost its caches.
+// ForgetServer removes a prefill server that lost its caches from all prefixes.
 //
 // Example: p.ForgetServer(addr)
 func (p *PrefixIndex) ForgetServer(addr string) {
--- a/traffic/serverpool/types.go
+++ b/traffic/serverpool/types.go
@@ -8,28 +8,28 @@
 	Key  string `json:"key,omitempty"`
 }
 
-// PrefillRequest is the call to a prefill server.
+// PrefillRequest is the body of a call to a prefill server.
 type PrefillRequest struct {
 	Request       string   `json:"request"`
 	Attempt       int      `json:"attempt"`
-	Term          uint64   `json:"term"` // of the partition's leader, as far as known
-	RecordVersion string   `json:"ver"`  // of the server's record
+	Term          uint64   `json:"term"` // latest known term of the partition's leader
+	RecordVersion string   `json:"ver"`  // version of the server's record
 	Parts         []Part   `json:"parts"`
 	PrefixHashes  []uint64 `json:"prefix"`
-	TimeoutMillis int64    `json:"budget_ms"` // until the request's deadline
+	TimeoutMillis int64    `json:"budget_ms"` // time left until the request's deadline
 }
 
-// Handle names the KV cache that a prefill left on a server, for one request and attempt.
+// Handle identifies the KV cache that the prefill of one request and attempt left on a server.
 type Handle struct {
 	ID            string `json:"handle"`
 	Request       string `json:"request"`
 	Attempt       int    `json:"attempt"`
 	PrefillServer string `json:"reader"`
 	RecordVersion string `json:"ver"`
-	CachedParts   int    `json:"cached"` // prompt parts that it had cached already
+	CachedParts   int    `json:"cached"` // leading prompt parts that were already cached
 }
 
-// Mismatch says what is wrong with a handle that this attempt was not to leave; "": nothing.
+// Mismatch describes how a handle differs from the one expected from an attempt; "" if it matches.
 //
 // Example: if why := handle.Mismatch("req-1", 1, "10.0.0.1:9000", "3.7"); why != "" { failed(why) }
 func (h Handle) Mismatch(request string, attempt int, prefillServer, recordVersion string) string {
@@ -41,29 +41,29 @@
 		h.Request, h.Attempt, h.PrefillServer, request, attempt, prefillServer)
 }
 
-// DecodeRequest is the call to a decode server.
+// DecodeRequest is the body of a call to a decode server.
 type DecodeRequest struct {
 	Handle        Handle `json:"kv"`
 	Term          uint64 `json:"term"`
-	RunID         string `json:"run"` // of this attempt; its pieces carry it
+	RunID         string `json:"run"` // identifies this attempt; each of its pieces carries it
 	Tokens        int    `json:"tokens"`
 	OnceKey       string `json:"once,omitempty"`
-	TimeoutMillis int64  `json:"budget_ms"` // until the request's deadline
+	TimeoutMillis int64  `json:"budget_ms"` // time left until the request's deadline
 }
 
-// Piece is one line of an answer.
+// Piece is one line of a streamed answer.
 type Piece struct {
 	Request string `json:"request"`
 	RunID   string `json:"run"`
-	Number  int    `json:"n"` // from 0
+	Number  int    `json:"n"` // sequence number, from 0
 	Text    string `json:"text,omitempty"`
 	End     bool   `json:"end,omitempty"`
-	Count   int    `json:"count,omitempty"` // of an end: the pieces before it
+	Count   int    `json:"count,omitempty"` // in the last piece: the number of pieces before it
 	Error   string `json:"error,omitempty"`
 }
 
-// Mismatch says what is wrong with a piece that is not the next one of the run, after so
-// many; "": nothing.
+// Mismatch describes why a piece is not the one expected next in a run of which some number
+// of pieces has arrived; "" if it is.
 //
 // Example: if why := piece.Mismatch("req-1", "run-1", 3); why != "" { breakOff(why) }
 func (p Piece) Mismatch(request, runID string, pieces int) string {
