--- a/proof/standin/mutants/invariants.sh
+++ b/proof/standin/mutants/invariants.sh
@@ -30,7 +30,7 @@
 
 trip=traffic/forward/request.go
 seen lost-call lane_accounts clients $trip 'st.inFlight--' 'st.inFlight -= len(r.Service) - len(r.Service)'
-seen id-taken-twice lane_accounts clients $trip 'if d.pending[c.ID] != nil {' 'if d.pending[c.ID] != nil && c.ID == "" {'
+seen id-taken-twice lane_accounts clients $trip 'if d.pending[req.ID] != nil {' 'if d.pending[req.ID] != nil && req.ID == "" {'
 seen no-bound retries_over_allowance servers traffic/attempt/bucket.go 'return float64(retries+1) <= b.Ratio*float64(firstSends)+float64(b.Slack)' 'return true' platform/settings.go 'Slack: int(t.RetrySlack)' 'Slack: 0'
 seen sent-again unsafe_run_twice servers $trip 'last.Known == attempt.Lost && last.Phase == attempt.Decode && !r.Repeatable' 'last.Known == attempt.Lost && last.Phase == attempt.Decode && r.ID == ""'
 seen false-promise refused_after_run servers $trip 'return d.finish(r, Unknown, last.Why)' 'return d.finish(r, Refuse, last.Why)'
--- a/proof/standin/mutants/mutants.sh
+++ b/proof/standin/mutants/mutants.sh
@@ -28,8 +28,8 @@
 }
 
 lane=traffic/forward/dispatcher.go engine=platform/engine.go gate=traffic/gateway/gateway.go
-mutant drain release 120 DRAIN $lane 's.Leaving || zonesOut[s.Zone]' 'zonesOut[s.Zone]' $lane '|| r.Status != placement.Up && r.Status != placement.Warming' ''
-mutant evacuation evacuate 80 EVAC $lane 's.Leaving || zonesOut[s.Zone]' 's.Leaving || zonesOut[""]' $lane '|| r.Status != placement.Up && r.Status != placement.Warming' ''
+mutant drain release 120 DRAIN $lane 's.Leaving || evacuatedZones[s.Zone]' 'evacuatedZones[s.Zone]' $lane '|| r.Status != placement.Up && r.Status != placement.Warming' ''
+mutant evacuation evacuate 80 EVAC $lane 's.Leaving || evacuatedZones[s.Zone]' 's.Leaving || evacuatedZones[""]' $lane '|| r.Status != placement.Up && r.Status != placement.Warming' ''
 mutant stray-answer garble 120 MIXED platform/exchange.go 'return id == "" && len(got) == 0 || len(got) == 1 && got[0] == id' 'return id != "never" || len(got) == 0'
 mutant no-seal garble 80 MIXED $engine 'if why := unfitReason(r); why != "" {' 'if why := unfitReason(r); why == "never" {'
 mutant run-twice garble 120 TWICE $gate 'Repeatable: r.Kind == "safe" ||' 'Repeatable: true ||'
--- a/proof/standin/mutants/rules.sh
+++ b/proof/standin/mutants/rules.sh
@@ -8,14 +8,14 @@
 
 guard=control/quorum/incarnation.go patches=control/lease/patches.go
 # rules of the users that no other script breaks
-mutant tries-unbounded traffic/forward TestNoMoreServersThanTries traffic/forward/request.go 'r.countedSends >= r.maxAttempts() ||' 'r.countedSends >= 9+r.maxAttempts() ||'
+mutant tries-unbounded traffic/forward TestSendsStayWithinMaxAttempts traffic/forward/request.go 'r.countedSends >= r.maxAttempts() ||' 'r.countedSends >= 9+r.maxAttempts() ||'
 mutant whole-time platform TestAServerIsHandedTheTimeThatIsLeft platform/exchange.go 'max(1, (call.deadline-e.now()).Milliseconds())' '3600000'
 mutant goes-on-for-nobody traffic/gateway TestAClientThatIsGone traffic/gateway/execute.go 'm, ctx.Err() != nil || has.clientGone)' 'm, has.clientGone)'
 mutant past-give-up traffic/gateway TestARequestIsGivenUpWhenItsRouteSaysSo traffic/gateway/gateway.go 'arrivedAt + time.Duration(r.GiveUpMillis)*time.Millisecond' 'arrivedAt + time.Hour'
 mutant weights-passed-over traffic/route TestPickFollowsTheWeights traffic/route/route.go 'if at < s.Weight {' 'if at < 50*s.Weight {'
 mutant unready-at-changes control/daemon TestAChangeMakesNoDaemonUnready control/daemon/readiness.go ' || d.readiness.wasReadyWithin(d.Now(), d.Cfg.VolumeLease())' ''
 mutant ends-while-it-changes control/membership TestADaemonHandsOverWhileItsGroupChanges control/membership/view.go 'len(g.Next) > 0 || v.hasReplacement(g)' 'v.hasReplacement(g)'
-mutant prompts-count-as-waiting traffic/forward TestWhoWaitsTooLongIsRefused traffic/forward/admission.go 'may := max(r.TTFTTarget-r.predictedPrefill, r.TTFTTarget/2)' 'may := r.TTFTTarget - r.predictedPrefill'
+mutant prompts-count-as-waiting traffic/forward TestRequestThatWouldWaitTooLongIsRefused traffic/forward/admission.go 'allowance := max(r.TTFTTarget-r.predictedPrefill, r.TTFTTarget/2)' 'allowance := r.TTFTTarget - r.predictedPrefill'
 # keys and limits of tenants
 limits=control/ratelimit/ratelimit.go
 mutant bucket-starts-full control/ratelimit TestABucketBeginsEmpty $limits 'b = &bucket{version: r.Version, limit: r.Limit, filledAt: a.since}' 'b = &bucket{version: r.Version, limit: r.Limit, filledAt: a.since, tokens: r.Limit.Burst}'
--- a/traffic/forward/affinity.go
+++ b/traffic/forward/affinity.go
@@ -5,8 +5,8 @@
 	"strconv"
 )
 
-// sharedPrefix is the length in tokens of the parts that others may have in common
-// with this prompt (the last part is its own), and a key for them.
+// sharedPrefix returns the length in tokens of the parts that other prompts may share
+// with this one (all but the last part), and a key for them.
 func sharedPrefix(parts []Part) (tokens int, key uint64) {
 	h := fnv.New64a()
 	for i, p := range parts {
@@ -20,7 +20,8 @@
 	return tokens, h.Sum64()
 }
 
-// rendezvousWeight ranks servers for a key, alike on all daemons without talk.
+// rendezvousWeight is the weight of a server for a key in rendezvous hashing: all daemons
+// compute the same order of servers without communication.
 func rendezvousWeight(key uint64, server string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write(strconv.AppendUint(nil, key, 16))
@@ -31,34 +32,34 @@
 	return x ^ x>>29
 }
 
-// affinityRanks orders the servers for a key, alike on all daemons of all zones; the
-// first few have rank 0, 1, 2, all others 3.
-func affinityRanks(list []Server, key uint64) map[string]int {
-	own := make([]uint64, len(list))
-	var top [3]uint64 // the highest, first to third
-	for i, s := range list {
+// affinityRanks ranks the servers for a key, identically on all daemons in all zones: the
+// first three have ranks 0, 1 and 2, all others 3.
+func affinityRanks(servers []Server, key uint64) map[string]int {
+	weights := make([]uint64, len(servers))
+	var top [3]uint64 // the three highest weights, in descending order
+	for i, s := range servers {
 		w := rendezvousWeight(key, s.Key)
-		own[i] = w
+		weights[i] = w
 		for j := range top {
 			if w > top[j] {
 				w, top[j] = top[j], w
 			}
 		}
 	}
-	out := make(map[string]int, len(list))
-	for i, s := range list {
-		n := 0
+	ranks := make(map[string]int, len(servers))
+	for i, s := range servers {
+		rank := 0
 		for _, w := range top {
-			if w > own[i] {
-				n++
+			if w > weights[i] {
+				rank++
 			}
 		}
-		out[s.Key] = n
+		ranks[s.Key] = rank
 	}
-	return out
+	return ranks
 }
 
-// isCachedAnywhere tells whether any server at all is known to keep the shared prefix.
+// isCachedAnywhere reports whether any servable server is likely to have the shared prefix cached.
 func (d *Dispatcher) isCachedAnywhere(key uint64) bool {
 	for server := range d.servable {
 		if d.load.HasPrefix(key, server) {
--- a/traffic/forward/dispatcher.go
+++ b/traffic/forward/dispatcher.go
@@ -11,18 +11,18 @@
 	"mulleinmast/wire/message"
 )
 
-// serverStats is what this daemon knows of a server by its own requests.
+// serverStats is the state of a server as this daemon observed it through its own requests.
 type serverStats struct {
-	inFlight            int // calls under way from this daemon
+	inFlight            int // calls in flight from this daemon
 	load                Load
 	loadAt              time.Duration
-	consecutiveFailures int // calls in a row that it didn't answer
+	consecutiveFailures int // consecutive calls without an answer
 	backoffUntil        time.Duration
 	seenAt              time.Duration
-	warmupSentAt        time.Duration // last send while it was warming
+	warmupSentAt        time.Duration // last send while it was warming up
 }
 
-// Dispatcher is the state machine of one service on one daemon.
+// Dispatcher is the state machine that forwards the requests of one service on one daemon.
 type Dispatcher struct {
 	cfg       Config
 	service   string
@@ -32,32 +32,32 @@
 	load LoadReporter
 
 	generations        [2]uint64
-	complete           bool // servable is what was read at these generations
+	complete           bool // servable was read at these generations
 	validUntil         time.Duration
 	servable           map[string]Server
-	sortedKeys         []string // of servable, so that equal choices fall alike
-	recordKeys         []string // of the list and of the records of its servers
+	sortedKeys         []string // sorted keys of servable, so that choices among equals are deterministic
+	recordKeys         []string // keys of the list and of its servers' records, in this order
 	listedServers      []fleetconfig.Server
-	listedAt           time.Duration // when the list could be read last
-	byWithdrawnList    bool          // servable comes from a list that can't be read any more
+	listReadAt         time.Duration // when the list was last readable
+	usingWithdrawnList bool          // servable comes from a list that can no longer be read
 	records            map[string]record
 	listVersion        message.Version
 	stats              map[string]*serverStats
-	prefillRate        float64       // tokens read in a ms, measured
+	prefillRate        float64       // tokens per ms
 	shortestTTFT       time.Duration // the shortest TTFT target of any request
 	shortestInterToken time.Duration // the shortest inter-token target of any request
 
 	daemons       daemonSet
 	warmup        WarmupLimit
-	warmupSpacing map[string]time.Duration // between sends to a warming server; below 0: none
+	warmupSpacing map[string]time.Duration // interval between sends to a warming server; negative: no sends
 
-	retries attempt.Bucket
-	window  windowCount
-	pending map[string]*pendingRequest
-	counts  Counts
+	retries     attempt.Bucket
+	retryWindow windowCount
+	pending     map[string]*pendingRequest
+	counts      Counts
 }
 
-// New makes a dispatcher for a service whose records stand in the given partition.
+// New returns a dispatcher for a service whose records are in the given partition.
 //
 // Example: d := forward.New(cfg, "timetable", 3, daemon, load)
 func New(cfg Config, service string, partition int, source Source, load LoadReporter) *Dispatcher {
@@ -68,7 +68,7 @@
 		source:        source,
 		load:          load,
 		servable:      map[string]Server{},
-		daemons:       daemonSet{seen: map[string]time.Duration{}},
+		daemons:       daemonSet{lastSeen: map[string]time.Duration{}},
 		warmupSpacing: map[string]time.Duration{},
 		stats:         map[string]*serverStats{},
 		prefillRate:   cfg.PrefillRate,
@@ -77,12 +77,12 @@
 	}
 }
 
-// Counts are the dispatcher's numbers so far.
+// Counts returns the dispatcher's counters.
 //
 // Example: n := d.Counts().Served
 func (d *Dispatcher) Counts() Counts { return d.counts }
 
-// Servers lists the servers in use, as the last look had them.
+// Servers returns the servable servers as of the last refresh.
 //
 // Example: for _, s := range d.Servers() { show(s) }
 func (d *Dispatcher) Servers() []Server {
@@ -93,13 +93,13 @@
 	return out
 }
 
-// InFlight is the number of requests under way.
+// InFlight returns the number of pending requests.
 //
 // Example: for d.InFlight() > 0 { wait() }
 func (d *Dispatcher) InFlight() int { return len(d.pending) }
 
-// Keys lists the records that the dispatcher reads, for its user to keep wanted: the list, and
-// the records of the servers that it names and that don't leave.
+// Keys returns the keys of the records that the dispatcher reads, so that its user keeps their
+// leases: the server list, and the records of the listed servers that are not leaving.
 //
 // Example: for _, k := range d.Keys() { daemon.Pin(part, k) }
 func (d *Dispatcher) Keys() []string {
@@ -116,13 +116,13 @@
 	return keys
 }
 
-// Refresh reads the records again if they changed. It is to be called at intervals shorter than
-// MaxListAge: by these it is known until when a list that was withdrawn could be read.
+// Refresh reads the records again if they changed. It must be called more often than every
+// MaxListAge, as the dispatcher only notes at these calls when the list was last readable.
 //
 // Example: d.Refresh(now)
 func (d *Dispatcher) Refresh(now time.Duration) { d.refreshServers(now) }
 
-// readList reads a list of servers, once a version.
+// readList decodes a list of servers, once per version.
 func (d *Dispatcher) readList(rec message.Record) []fleetconfig.Server {
 	if d.recordKeys == nil || d.listVersion != rec.Version {
 		d.listedServers = fleetconfig.OpenList(rec).Servers
@@ -140,14 +140,14 @@
 	return d.listedServers
 }
 
-// record is a server's record as it was read.
+// record is a decoded server record.
 type record struct {
 	version message.Version
 	placement.ServerRecord
 	readable bool
 }
 
-// readRecord reads a server's record, once a version.
+// readRecord decodes a server's record, once per version.
 func (d *Dispatcher) readRecord(rec message.Record) record {
 	r, known := d.records[rec.Key]
 	if !known || r.version != rec.Version || rec.Deleted == r.readable {
@@ -158,25 +158,25 @@
 	return r
 }
 
-// refreshServers reads the servable servers anew if a record changed or a lease
-// lapsed; it tells whether all that it needs may be used now.
+// refreshServers reads the servable servers again if a record changed or a lease
+// expired. It reports whether all records that it needs may be used now.
 func (d *Dispatcher) refreshServers(now time.Duration) bool {
 	gen := [2]uint64{d.source.Generation(0), d.source.Generation(d.partition)}
 	if gen == d.generations && now < d.validUntil {
-		d.noteListed(now)
+		d.noteListRead(now)
 		return true
 	}
 	d.validUntil = min(d.source.Until(0), d.source.Until(d.partition))
-	if d.complete && gen == d.generations && now < d.validUntil && !d.byWithdrawnList {
-		d.noteListed(now)
+	if d.complete && gen == d.generations && now < d.validUntil && !d.usingWithdrawnList {
+		d.noteListRead(now)
 		return true
 	}
 	d.generations, d.complete = gen, false
 	return d.readServers(now)
 }
 
-// readServers reads list, zones and records of the servers; false: not all may be
-// used now.
+// readServers reads the server list, the evacuated zones and the servers' records. It
+// returns false if the list or the zones may not be used now, or have expired.
 func (d *Dispatcher) readServers(now time.Duration) bool {
 	clear(d.servable)
 	d.sortedKeys = nil
@@ -186,9 +186,9 @@
 		d.validUntil = 0
 		return false
 	}
-	zonesOut := fleetconfig.OpenZones(zones)
+	evacuatedZones := fleetconfig.OpenZones(zones)
 	for i, s := range d.listedServers {
-		if s.Leaving || zonesOut[s.Zone] {
+		if s.Leaving || evacuatedZones[s.Zone] {
 			continue
 		}
 		if server, ok := d.readServer(s, d.recordKeys[i+1]); ok {
@@ -201,35 +201,35 @@
 	return true
 }
 
-// noteListed notes that the list can be read now, if servable comes from such a list.
-func (d *Dispatcher) noteListed(now time.Duration) {
-	if !d.byWithdrawnList {
-		d.listedAt = now
+// noteListRead notes that the list is readable now, unless servable comes from a withdrawn list.
+func (d *Dispatcher) noteListRead(now time.Duration) {
+	if !d.usingWithdrawnList {
+		d.listReadAt = now
 	}
 }
 
-// readCurrentList reads the list. One that was withdrawn just now still says which servers there
-// are, for MaxListAge: a change of one server doesn't take all others away.
+// readCurrentList reads the server list. A list that was withdrawn remains in use for MaxListAge, so
+// that a change of one server doesn't make all others unavailable.
 func (d *Dispatcher) readCurrentList(now time.Duration) bool {
 	rec, ok := d.source.Read(d.partition, fleetconfig.ListKey(d.service))
-	d.byWithdrawnList = !ok
+	d.usingWithdrawnList = !ok
 	if ok {
 		d.readList(rec)
-		d.listedAt = now
+		d.listReadAt = now
 		return true
 	}
-	d.validUntil = min(d.validUntil, d.listedAt+d.cfg.MaxListAge)
+	d.validUntil = min(d.validUntil, d.listReadAt+d.cfg.MaxListAge)
 	return d.recordKeys != nil
 }
 
-// readServer reads the record of a listed server; false: it may not be used now.
+// readServer reads the record of a listed server. It returns false if the server may not be used now.
 func (d *Dispatcher) readServer(listed fleetconfig.Server, recordKey string) (Server, bool) {
 	rec, ok := d.source.Read(d.partition, recordKey)
 	if !ok {
 		return Server{}, false
 	}
 	r := d.readRecord(rec)
-	if listed.Role != "" && listed.Role != r.Role { // the list says that it has not taken its role yet
+	if listed.Role != "" && listed.Role != r.Role { // according to the list, it has not taken on its role yet
 		return Server{}, false
 	}
 	if !r.readable || r.NextRole != "" || r.Status != placement.Up && r.Status != placement.Warming {
@@ -241,7 +241,7 @@
 	}, true
 }
 
-// forgetStats drops what is known of servers that were not servable for long.
+// forgetStats drops the stats of servers that are not servable and have not been used for long.
 func (d *Dispatcher) forgetStats(now time.Duration) {
 	for key, st := range d.stats {
 		if _, ok := d.servable[key]; !ok && st.inFlight == 0 && now-st.seenAt > 10*d.cfg.RetryWindow {
@@ -259,40 +259,40 @@
 	return st
 }
 
-// Pressure is the load of a server beside the targets: the wait before it reads a
-// prompt in parts of the TTFT target, the pause between its events in parts of the
-// inter-token target.
+// Pressure returns the load of a server relative to the latency targets: the wait before
+// it starts a prompt as a fraction of the TTFT target, and the time between its events
+// as a fraction of the inter-token target.
 //
-// Example: read, write := d.Pressure(now, server.Key)
-func (d *Dispatcher) Pressure(now time.Duration, key string) (read, write float64) {
-	tokens, _, pause := d.load.Load(now, key)
-	pace := d.prefillRate
+// Example: prefill, decode := d.Pressure(now, server.Key)
+func (d *Dispatcher) Pressure(now time.Duration, key string) (prefill, decode float64) {
+	tokens, _, interToken := d.load.Load(now, key)
+	rate := d.prefillRate
 	if d.servable[key].Role != placement.Prefill {
-		pace /= 2
+		rate /= 2
 	}
 	if d.shortestTTFT > 0 {
-		read = float64(prefillTime(tokens, pace)) / float64(d.shortestTTFT)
+		prefill = float64(prefillTime(tokens, rate)) / float64(d.shortestTTFT)
 	}
 	if d.shortestInterToken > 0 {
-		write = float64(pause) / float64(d.shortestInterToken)
+		decode = float64(interToken) / float64(d.shortestInterToken)
 	}
-	return read, write
+	return prefill, decode
 }
 
-// MaySend checks records, leases and deadline once more, just before a call's first
-// byte goes out.
+// MaySend checks records, leases and the deadline again, just before the first byte of a
+// call is sent.
 //
 // Example: if !d.MaySend(now, id, decision) { return forward.Blocked }
-func (d *Dispatcher) MaySend(now time.Duration, id string, m Decision) bool {
+func (d *Dispatcher) MaySend(now time.Duration, id string, decision Decision) bool {
 	r := d.pending[id]
-	if r == nil || r.attemptNumber != m.Attempt || now >= r.Deadline || !d.refreshServers(now) {
+	if r == nil || r.attemptNumber != decision.Attempt || now >= r.Deadline || !d.refreshServers(now) {
 		return false
 	}
-	row, ok := d.servable[m.Server.Key]
-	return ok && row.Role == m.Server.Role && row.Addr == m.Server.Addr
+	server, ok := d.servable[decision.Server.Key]
+	return ok && server.Role == decision.Server.Role && server.Addr == decision.Server.Addr
 }
 
-// LoadReported takes the load that a server reported with an answer.
+// LoadReported records the load that a server reported with an answer.
 //
 // Example: d.LoadReported(now, server.Key, forward.Load{Running: 3, Slots: 8})
 func (d *Dispatcher) LoadReported(now time.Duration, key string, load Load) {
--- a/traffic/forward/filter.go
+++ b/traffic/forward/filter.go
@@ -6,11 +6,11 @@
 	"mulleinmast/traffic/attempt"
 )
 
-// filter lists the servers of a role that may get the request now: not tried in
-// this phase before, and a warming one only as far as the daemons together may
-// use it. Servers in backoff come in only where there are no others. The list
-// begins elsewhere for each request, since where costs are equal the first is
-// picked.
+// filter returns the servers of a role that the request may be sent to now. It excludes
+// servers that were already tried in this phase, and warming servers beyond the rate that
+// all daemons together may send them. Servers in backoff are returned only if there are no
+// others. The order starts at a different server for each request, since the first of
+// several servers with equal cost is picked.
 func (d *Dispatcher) filter(now time.Duration, r *pendingRequest, role string, phase attempt.Phase) []Server {
 	var available, inBackoff []Server
 	for i := range d.sortedKeys {
--- a/traffic/forward/invariants.go
+++ b/traffic/forward/invariants.go
@@ -6,30 +6,31 @@
 	"mulleinmast/control/invariant"
 )
 
-// Conditions of a dispatcher that must hold at all times.
+// Invariants of a dispatcher.
 var (
-	accountsBalance = invariant.New("lane_accounts",
-		"calls under way at a server are never below 0, and none are left when no request is under way")
-	triesAllowed = invariant.New("retries_over_allowance", "further tries stay in what first tries have earned")
+	inFlightBalanced = invariant.New("lane_accounts",
+		"the number of calls in flight at a server is never negative, and 0 when no request is pending")
+	retriesWithinLimit = invariant.New("retries_over_allowance", "retries stay within the limit earned by first sends")
 )
 
-// windowCount counts tries from one turn of a window to the next, apart from the bucket
-// by which further ones are granted. What was earned in the window before may
-// still be spent.
+// windowCount counts sends per retry window, independently of the bucket that grants
+// retries. Retries earned in the previous window may still be used.
 type windowCount struct {
-	from                 time.Duration
-	first, before, spent int
+	start              time.Duration
+	firstSends         int
+	previousFirstSends int // in the window before
+	retries            int
 }
 
-// turn begins a new count if the window is over.
-func (t *windowCount) turn(now, window time.Duration) {
-	if now < t.from+window {
+// rotate starts a new window if the current one is over.
+func (w *windowCount) rotate(now, window time.Duration) {
+	if now < w.start+window {
 		return
 	}
-	if now < t.from+2*window {
-		t.before = t.first
+	if now < w.start+2*window {
+		w.previousFirstSends = w.firstSends
 	} else {
-		t.before = 0
+		w.previousFirstSends = 0
 	}
-	t.from, t.first, t.spent = now, 0, 0
+	w.start, w.firstSends, w.retries = now, 0, 0
 }
--- a/traffic/forward/load.go
+++ b/traffic/forward/load.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// LoadReporter tells what all daemons together have under way at servers and which
-// prompts servers keep. What it says may be old or lacking: it makes a choice
-// better, never safe.
+// LoadReporter reports the load of all daemons at servers and the prompts that servers have
+// cached. Its data may be stale or incomplete: it serves to improve choices, and correctness
+// must not depend on it.
 type LoadReporter interface {
-	// AddLoad records work sent from here; with the signs turned round, its end.
-	AddLoad(server string, tokens, writing int)
-	// Load is what is under way at a server from all daemons: prompt tokens to
-	// be read, answers being written, and the pause between their events of late.
-	Load(now time.Duration, server string) (tokens, writing int, pause time.Duration)
+	// AddLoad records work sent by this daemon. Negative numbers record its end.
+	AddLoad(server string, tokens, decoding int)
+	// Load returns the load of a server from all daemons: prompt tokens still to be
+	// prefilled, answers being decoded, and the recent time between their events.
+	Load(now time.Duration, server string) (tokens, decoding int, interToken time.Duration)
 	// ObserveInterTokenLatency records the time between two events of an answer.
 	ObserveInterTokenLatency(server string, d time.Duration)
-	// CallEnded records the end of a call: with an answer of any kind, or without a word.
+	// CallEnded records the end of a call, and whether the server answered at all.
 	CallEnded(now time.Duration, server string, answered bool)
-	// IsDown tells whether a server most likely answers nobody.
+	// IsDown reports whether a server most likely answers no daemon.
 	IsDown(now time.Duration, server string) bool
-	// RecordPrefix records that a server read or took up a prompt, and how many tokens
-	// it had to keep anew.
+	// RecordPrefix records that a server prefilled a prompt or fetched its KV cache, and how
+	// many tokens it had to add to its cache.
 	RecordPrefix(prefix uint64, server string, tokens int)
-	// HasPrefix tells whether a server most likely keeps a prompt's shared parts.
+	// HasPrefix reports whether a server most likely has a prompt's shared parts cached.
 	HasPrefix(prefix uint64, server string) bool
 }
--- a/traffic/forward/property_test.go
+++ b/traffic/forward/property_test.go
@@ -13,7 +13,7 @@
 	"mulleinmast/control/invariant"
 )
 
-// The model is quick: where nobody says otherwise it is run many times. A violated
+// The model is fast, so it runs 3000 times unless -rapid.checks is given. A violated
 // invariant fails the package's tests.
 func TestMain(m *testing.M) {
 	flag.Parse()
@@ -23,101 +23,99 @@
 	os.Exit(invariant.Main(m))
 }
 
-// Whatever happens to servers, records and calls: a request that may have run
-// is not sent again unless it may be repeated, it is refused only if it can't
-// have run, a handle goes to one decode server and is freed if none got it, a stream is
-// taken up elsewhere only if it may be, and every request ends.
-func TestWhateverHappensToARequest(t *testing.T) {
+// Random changes of servers, records and calls: a request that may have run is not sent
+// again unless it is repeatable, it is refused only if it can't have run, a handle goes to
+// one decode server and is released if none used it, a stream is resumed at another server
+// only if it is resumable, and every request ends.
+func TestRequestGuaranteesHoldForAnyOutcomes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newModel(t, bounds)
-		m.check = func(_ *model, j *journey) {
-			if most := max(2, j.MaxAttempts); j.sends() > most {
-				t.Fatalf("%s: %d sends, %d tries allowed", j.ID, j.sends(), j.MaxAttempts)
+		m := newModel(t, testConfig)
+		m.checkEnded = func(_ *model, req *modelRequest) {
+			if limit := max(2, req.MaxAttempts); req.countedSends() > limit {
+				t.Fatalf("%s: %d sends, MaxAttempts is %d", req.ID, req.countedSends(), req.MaxAttempts)
 			}
 		}
 		m.run(rapid.IntRange(1, 60).Draw(t, "steps"))
 	})
 }
 
-// What one daemon sends beyond the first call of each request stays within its
-// part of the allowance in every window, whatever fails.
-func TestFurtherSendsStayInBounds(t *testing.T) {
+// A daemon's retries stay within its share of the limit in every window, whatever fails.
+func TestRetriesStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := bounds
+		cfg := testConfig
 		cfg.RetrySlack = rapid.IntRange(0, 3).Draw(t, "slack")
 		m := newModel(t, cfg)
 		m.run(rapid.IntRange(1, 300).Draw(t, "steps"))
-		slices.Sort(m.extra)
-		for i, at := range m.extra {
-			n, last := 0, [3]int{}
-			for _, x := range m.extra[:i+1] {
+		slices.Sort(m.retryTimes)
+		for i, at := range m.retryTimes {
+			retries, requests := 0, [3]int{}
+			for _, x := range m.retryTimes[:i+1] {
 				if x > at-cfg.RetryWindow {
-					n++
+					retries++
 				}
 			}
 			for k, from := range []time.Duration{at - cfg.RetryWindow, at - 2*cfg.RetryWindow, at - cfg.RetryWindow*3/2} {
-				for _, x := range m.begun {
+				for _, x := range m.startTimes {
 					if x > from && x <= from+cfg.RetryWindow {
-						last[k]++
+						requests[k]++
 					}
 				}
 			}
-			if most := cfg.RetryRatio*float64(slices.Max(last[:])) + float64(cfg.RetrySlack); float64(n) > most {
-				t.Fatalf("%d further arrivals in the window that ends at %v, %v requests in it and before: more than %.1f", n, at, last, most)
+			if limit := cfg.RetryRatio*float64(slices.Max(requests[:])) + float64(cfg.RetrySlack); float64(retries) > limit {
+				t.Fatalf("%d retries in the window that ends at %v, for %v requests in it and in earlier windows: more than %.1f", retries, at, requests, limit)
 			}
 		}
 	})
 }
 
-// fleet names n daemons.
-func fleet(n int) (out []string) {
+// daemonNames returns the names of n daemons.
+func daemonNames(n int) (names []string) {
 	for i := range n {
-		out = append(out, fmt.Sprintf("d-%d", i))
+		names = append(names, fmt.Sprintf("d-%d", i))
 	}
-	return out
+	return names
 }
 
-// The fleet shares the slack: no daemon has more than its part of it.
-func TestTheSlackIsShared(t *testing.T) {
+// The daemons share the retry slack: none has more than its share.
+func TestRetrySlackIsShared(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slack, n := rapid.IntRange(0, 200).Draw(t, "slack"), rapid.IntRange(0, 300).Draw(t, "daemons")
-		cfg := bounds
+		cfg := testConfig
 		cfg.RetrySlack = slack
-		l := New(cfg, "s", 1, &records{now: new(time.Duration)}, tally{})
-		l.SetDaemons(time.Minute, "d-0", fleet(n))
-		if l.retries.Slack*max(1, n) > slack {
-			t.Fatalf("%d of %d for each of %d", l.retries.Slack, slack, n)
+		d := New(cfg, "s", 1, &fakeSource{now: new(time.Duration)}, fakeLoad{})
+		d.SetDaemons(time.Minute, "d-0", daemonNames(n))
+		if d.retries.Slack*max(1, n) > slack {
+			t.Fatalf("each of the daemons has slack %d of %d, with %d daemons", d.retries.Slack, slack, n)
 		}
 	})
 }
 
-// A route's tries are the greatest number of servers that one try may be sent to; the
-// first reading is not counted.
-func TestNoMoreServersThanTries(t *testing.T) {
+// A request is sent to at most MaxAttempts servers; the first accepted prefill does not count.
+func TestSendsStayWithinMaxAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newModel(t, bounds)
-		m.check = func(_ *model, j *journey) {
-			if j.sends() > j.MaxAttempts {
-				t.Fatalf("%s: %d sends, %d tries allowed", j.ID, j.sends(), j.MaxAttempts)
+		m := newModel(t, testConfig)
+		m.checkEnded = func(_ *model, req *modelRequest) {
+			if req.countedSends() > req.MaxAttempts {
+				t.Fatalf("%s: %d sends, MaxAttempts is %d", req.ID, req.countedSends(), req.MaxAttempts)
 			}
 		}
 		m.run(rapid.IntRange(1, 30).Draw(t, "steps"))
 	})
 }
 
-// A decode server that turned the request away did not take up its memory: that is
-// given to the next one, or freed.
-func TestMemoryThatWasTurnedAwayIsNotForgotten(t *testing.T) {
+// A decode server that rejected the call did not fetch the KV cache: the handle goes to the
+// next server or is released.
+func TestHandleOfRejectedDecodeIsReused(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newModel(t, bounds)
-		m.check = func(_ *model, j *journey) {
-			freed := map[string]bool{}
-			for _, h := range j.m.ReleaseHandles {
-				freed[h.ID] = true
+		m := newModel(t, testConfig)
+		m.checkEnded = func(_ *model, req *modelRequest) {
+			released := map[string]bool{}
+			for _, h := range req.decision.ReleaseHandles {
+				released[h.ID] = true
 			}
-			for id, is := range j.handles {
-				if is == "turned" && !freed[id] {
-					t.Fatalf("%s: handle %s was turned away and is forgotten", j.ID, id)
+			for id, state := range req.handles {
+				if state == "turned" && !released[id] {
+					t.Fatalf("%s: handle %s of a rejected decode was not released", req.ID, id)
 				}
 			}
 		}
--- a/traffic/forward/request.go
+++ b/traffic/forward/request.go
@@ -8,7 +8,7 @@
 	"mulleinmast/traffic/attempt"
 )
 
-// pendingRequest is one request under way, with what is known of its attempts.
+// pendingRequest is a request in progress with the state of its attempts.
 type pendingRequest struct {
 	Request
 	arrivedAt        time.Duration
@@ -19,86 +19,86 @@
 	server           Server
 	sentAt           time.Duration
 	handle           *Handle
-	countedSends     int           // sends that count against MaxAttempts: all but the first prefill that a server took
-	prefillAccepted  bool          // a server took a prefill
-	lostHandles      []Handle      // KV caches that a decode server could not get: they may be there still
-	streamStarted    bool          // events have gone out to the client
-	isRetry          bool          // the send under way is a retry
-	firstSendCounted bool          // in the counts and for the retry ratio
-	uncachedTokens   int           // that the server under way has to read, as far as known
-	predictedWait    time.Duration // behind other requests, as the last pick predicts it
-	predictedPrefill time.Duration // to read its prompt, by the same pick
+	countedSends     int           // sends that count against MaxAttempts: all but the first accepted prefill
+	prefillAccepted  bool          // a server accepted a prefill
+	lostHandles      []Handle      // KV caches that a decode server could not fetch; they may still exist
+	streamStarted    bool          // events were sent to the client
+	isRetry          bool          // the current send is a retry
+	firstSendCounted bool          // in Counts and for the retry ratio
+	uncachedTokens   int           // tokens that the current server still has to prefill, as far as known
+	predictedWait    time.Duration // wait for other requests, as predicted by the last pick
+	predictedPrefill time.Duration // prefill time of its prompt, by the same prediction
 	trace            []string
 }
 
-// maxAttempts is the number of sends that count.
+// maxAttempts returns the limit for countedSends.
 func (r *pendingRequest) maxAttempts() int { return max(1, r.MaxAttempts) }
 
-// Start takes a request in and makes its first decision. Its id is its client's
-// own: while a request of the same id is under way here it is a duplicate, and ends
-// at once.
+// Start accepts a request and returns the first decision. The client chooses the request's
+// ID: while another request with the same ID is pending here, the new one is a duplicate
+// and ends at once.
 //
 // Example: decision := d.Start(now, request)
-func (d *Dispatcher) Start(now time.Duration, c Request) Decision {
-	if d.pending[c.ID] != nil {
+func (d *Dispatcher) Start(now time.Duration, req Request) Decision {
+	if d.pending[req.ID] != nil {
 		d.counts.Duplicates++
 		return Decision{Action: Duplicate, Reason: "a request of this id is under way"}
 	}
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(c.ID))
+	_, _ = h.Write([]byte(req.ID))
 	r := &pendingRequest{
-		Request:   c,
+		Request:   req,
 		arrivedAt: now,
-		attempts:  attempt.Ledger{AtMostOnce: !c.Repeatable, MaxPerPhase: max(1, c.MaxAttempts)},
+		attempts:  attempt.Ledger{AtMostOnce: !req.Repeatable, MaxPerPhase: max(1, req.MaxAttempts)},
 		hash:      h.Sum64(),
 	}
-	d.pending[c.ID] = r
-	if c.TTFTTarget > 0 && (d.shortestTTFT == 0 || c.TTFTTarget < d.shortestTTFT) {
-		d.shortestTTFT = c.TTFTTarget
+	d.pending[req.ID] = r
+	if req.TTFTTarget > 0 && (d.shortestTTFT == 0 || req.TTFTTarget < d.shortestTTFT) {
+		d.shortestTTFT = req.TTFTTarget
 	}
-	if c.InterTokenTarget > 0 && (d.shortestInterToken == 0 || c.InterTokenTarget < d.shortestInterToken) {
-		d.shortestInterToken = c.InterTokenTarget
+	if req.InterTokenTarget > 0 && (d.shortestInterToken == 0 || req.InterTokenTarget < d.shortestInterToken) {
+		d.shortestInterToken = req.InterTokenTarget
 	}
 	return d.decide(now, r)
 }
 
-// Continue makes the decision after a Wait.
+// Continue returns the next decision after a Wait.
 //
 // Example: decision := d.Continue(now, id)
 func (d *Dispatcher) Continue(now time.Duration, id string) Decision {
 	return d.decide(now, d.pending[id])
 }
 
-// decide derives the next decision from what is known of the attempts.
+// decide derives the next decision from the state of the attempts.
 func (d *Dispatcher) decide(now time.Duration, r *pendingRequest) Decision {
-	if m, final := d.decideByAttempts(now, r); final {
-		return m
+	if decision, final := d.decideByAttempts(now, r); final {
+		return decision
 	}
 	if !d.refreshServers(now) || len(d.servable) == 0 {
 		return d.wait(now, r, "no valid leases here")
 	}
-	m, ok := d.pickServer(now, r)
+	decision, ok := d.pickServer(now, r)
 	if !ok {
 		return d.wait(now, r, "no server to go to")
 	}
 	if !d.canMeetTarget(now, r) {
 		return d.giveUp(r, "it can't be in time: the servers have too much under way")
 	}
-	isRetry := r.countedSends > 0 || m.Action == Prefill && r.prefillAccepted
+	isRetry := r.countedSends > 0 || decision.Action == Prefill && r.prefillAccepted
 	if isRetry && !d.takeRetry(now) {
 		return d.giveUp(r, "no further try to spare")
 	}
 	r.isRetry = isRetry
-	return d.startAttempt(now, r, m)
+	return d.startAttempt(now, r, decision)
 }
 
-// decideByAttempts ends a request whose attempts and deadline leave nothing to do;
+// decideByAttempts ends a request whose attempts or deadline allow no further attempt;
 // final is false if another attempt may be made.
-func (d *Dispatcher) decideByAttempts(now time.Duration, r *pendingRequest) (m Decision, final bool) {
+func (d *Dispatcher) decideByAttempts(now time.Duration, r *pendingRequest) (decision Decision, final bool) {
 	last, n := r.lastAttempt()
 	switch {
 	case n > 0 && last.Known == attempt.Ended:
-		return d.finish(r, Done, ""), true // even if its time is up by now
+		return d.finish(r, Done, ""), true // even if the deadline has passed by now
 	case now >= r.Deadline:
 		return d.giveUp(r, "its time is up"), true
 	case n == 0:
@@ -115,7 +115,7 @@
 	return Decision{}, false
 }
 
-// lastAttempt is the last attempt, and how many there were.
+// lastAttempt returns the last attempt and the number of attempts.
 func (r *pendingRequest) lastAttempt() (last attempt.Attempt, n int) {
 	n = len(r.attempts.Attempts)
 	if n > 0 {
@@ -124,76 +124,76 @@
 	return last, n
 }
 
-// startAttempt opens an attempt at the server that was picked, and counts it.
-func (d *Dispatcher) startAttempt(now time.Duration, r *pendingRequest, m Decision) Decision {
+// startAttempt starts and counts an attempt at the picked server.
+func (d *Dispatcher) startAttempt(now time.Duration, r *pendingRequest, decision Decision) Decision {
 	r.attemptNumber++
-	r.server, r.sentAt = m.Server, now
-	m.Attempt, m.Until = r.attemptNumber, r.Deadline
-	d.statsOf(m.Server.Key).inFlight++
-	if m.Server.Warming {
-		d.statsOf(m.Server.Key).warmupSentAt = now
+	r.server, r.sentAt = decision.Server, now
+	decision.Attempt, decision.Until = r.attemptNumber, r.Deadline
+	d.statsOf(decision.Server.Key).inFlight++
+	if decision.Server.Warming {
+		d.statsOf(decision.Server.Key).warmupSentAt = now
 	}
 	switch {
-	case m.Action == Prefill:
+	case decision.Action == Prefill:
 		r.phase = attempt.Prefill
-		d.load.AddLoad(m.Server.Key, r.uncachedTokens, 0)
-	case m.Handle != nil:
+		d.load.AddLoad(decision.Server.Key, r.uncachedTokens, 0)
+	case decision.Handle != nil:
 		r.phase, r.uncachedTokens = attempt.Decode, 0
-		d.load.AddLoad(m.Server.Key, 0, 1)
+		d.load.AddLoad(decision.Server.Key, 0, 1)
 	default:
 		r.phase = attempt.Decode
-		d.load.AddLoad(m.Server.Key, r.uncachedTokens, 1)
+		d.load.AddLoad(decision.Server.Key, r.uncachedTokens, 1)
 	}
 	if r.isRetry {
 		d.counts.Retries++
-	} else if !r.firstSendCounted { // MaySend may block it and have it come here again
+	} else if !r.firstSendCounted { // after MaySend blocked a send, the request gets here again
 		r.firstSendCounted = true
 		d.counts.FirstSends++
 		d.retries.Earn(now)
-		d.window.turn(now, d.cfg.RetryWindow)
-		d.window.first++
-		if m.Action == Prefill {
+		d.retryWindow.rotate(now, d.cfg.RetryWindow)
+		d.retryWindow.firstSends++
+		if decision.Action == Prefill {
 			d.counts.Disaggregated++
 		} else {
 			d.counts.Combined++
 		}
 	}
-	m.Priority = d.priority(now, r, m)
-	r.attempts.Add(r.phase, m.Server.Key)
+	decision.Priority = d.priority(now, r, decision)
+	r.attempts.Add(r.phase, decision.Server.Key)
 	r.trace = append(r.trace, fmt.Sprintf("%s at %s (%s), %d tokens to read, after %d ms",
-		m.Action, m.Server.Addr, m.Server.Zone, r.uncachedTokens, (now-r.arrivedAt).Milliseconds()))
-	return m
+		decision.Action, decision.Server.Addr, decision.Server.Zone, r.uncachedTokens, (now-r.arrivedAt).Milliseconds()))
+	return decision
 }
 
-// priority is a request's place among others at a server: its route's urgency, but
-// one that can't meet its TTFT target any more gives way to all that still can, and
-// a short prompt need not wait behind long ones.
-func (d *Dispatcher) priority(now time.Duration, r *pendingRequest, m Decision) int {
+// priority returns a request's priority at a server. It is the urgency of its route, except
+// that a request that has missed its TTFT target yields to all that can still meet theirs,
+// and that a short prompt doesn't wait behind long ones.
+func (d *Dispatcher) priority(now time.Duration, r *pendingRequest, decision Decision) int {
 	switch {
 	case !r.streamStarted && now-r.arrivedAt > r.TTFTTarget:
 		return min(9, r.LeastUrgency+1+r.Urgency)
-	case m.Action == Prefill && prefillTime(r.uncachedTokens, d.prefillRate) <= r.TTFTTarget/16:
+	case decision.Action == Prefill && prefillTime(r.uncachedTokens, d.prefillRate) <= r.TTFTTarget/16:
 		return 0
 	}
 	return min(9, r.Urgency)
 }
 
-// callEnded records the end of the call under way.
-func (d *Dispatcher) callEnded(now time.Duration, r *pendingRequest, out Outcome) {
+// callEnded records the end of the current call.
+func (d *Dispatcher) callEnded(now time.Duration, r *pendingRequest, outcome Outcome) {
 	st := d.statsOf(r.server.Key)
 	st.inFlight--
 	st.seenAt = now
 	d.prefillFinished(r)
-	accountsBalance.Hold(st.inFlight >= 0,
-		"%s: %d calls under way at %s after %s ended", d.service, st.inFlight, r.server.Key, r.ID)
+	inFlightBalanced.Hold(st.inFlight >= 0,
+		"%s: %d calls in flight at %s after %s ended", d.service, st.inFlight, r.server.Key, r.ID)
 	if r.phase == attempt.Decode {
 		d.load.AddLoad(r.server.Key, 0, -1)
 	}
-	if out == NotSent && r.isRetry { // nothing arrived
+	if outcome == NotSent && r.isRetry { // nothing reached the server
 		d.returnRetry(r.sentAt)
 	}
-	switch out {
-	case NotSent, Lost: // a longer backoff each time, until it answers
+	switch outcome {
+	case NotSent, Lost: // doubles, up to 8 times FailureBackoff, until the server answers
 		st.backoffUntil = now + d.cfg.FailureBackoff<<min(st.consecutiveFailures, 3)
 		st.consecutiveFailures++
 		d.load.CallEnded(now, r.server.Key, false)
@@ -206,7 +206,7 @@
 	}
 }
 
-// prefillFinished takes the prompt under way off the server's load once it was read.
+// prefillFinished removes the current prompt from the server's load once it is prefilled.
 func (d *Dispatcher) prefillFinished(r *pendingRequest) {
 	if r.uncachedTokens > 0 {
 		d.load.AddLoad(r.server.Key, -r.uncachedTokens, 0)
@@ -214,37 +214,37 @@
 	}
 }
 
-// recordPrefix records that the server under way has the prompt cached now.
+// recordPrefix records that the current server has the prompt cached now.
 func (d *Dispatcher) recordPrefix(r *pendingRequest, tokens int) {
 	if n, key := sharedPrefix(r.Parts); n > 0 {
 		d.load.RecordPrefix(key, r.server.Key, tokens)
 	}
 }
 
-// traceOutcome adds the outcome to the last line of the trace.
-func (r *pendingRequest) traceOutcome(now time.Duration, out Outcome, why string) {
+// traceOutcome appends the outcome to the last entry of the trace.
+func (r *pendingRequest) traceOutcome(now time.Duration, outcome Outcome, why string) {
 	if len(r.trace) == 0 {
 		return
 	}
 	last := &r.trace[len(r.trace)-1]
-	*last += fmt.Sprintf("; %s after %d ms", out, (now - r.arrivedAt).Milliseconds())
+	*last += fmt.Sprintf("; %s after %d ms", outcome, (now - r.arrivedAt).Milliseconds())
 	if why != "" {
 		*last += ": " + why
 	}
 }
 
-// checkBalance checks that no server is thought busy when no request is under way.
+// checkBalance checks that no calls are counted as in flight when no request is pending.
 func (d *Dispatcher) checkBalance() {
 	if len(d.pending) > 0 {
 		return
 	}
 	for key, st := range d.stats {
-		accountsBalance.Hold(st.inFlight == 0,
-			"%s: no request is under way, and %d calls are at %s", d.service, st.inFlight, key)
+		inFlightBalanced.Hold(st.inFlight == 0,
+			"%s: no request is pending, but %d calls are in flight at %s", d.service, st.inFlight, key)
 	}
 }
 
-// undoAttempt takes back an attempt of which nothing went out.
+// undoAttempt removes an attempt of which nothing was sent.
 func (d *Dispatcher) undoAttempt(r *pendingRequest) {
 	r.attempts.Undo()
 	r.trace = r.trace[:len(r.trace)-1]
@@ -254,8 +254,8 @@
 	}
 }
 
-// knownOf is what an outcome tells of its attempt.
-var knownOf = map[Outcome]attempt.State{
+// stateOf maps the outcome of a call to the state of its attempt.
+var stateOf = map[Outcome]attempt.State{
 	NotSent:     attempt.NotSent,
 	Overloaded:  attempt.Refused,
 	WrongServer: attempt.Refused,
@@ -263,60 +263,61 @@
 	Lost:        attempt.Lost,
 }
 
-// PrefillDone takes the end of a prefill.
+// PrefillDone handles the end of a prefill and returns the next decision.
 //
 // Example: decision := d.PrefillDone(now, id, forward.OK, forward.Handle{ID: "3fa0", ...}, "")
-func (d *Dispatcher) PrefillDone(now time.Duration, id string, out Outcome, h Handle, why string) Decision {
+func (d *Dispatcher) PrefillDone(now time.Duration, id string, outcome Outcome, h Handle, why string) Decision {
 	r := d.pending[id]
-	unread := r.uncachedTokens
-	d.callEnded(now, r, out)
-	r.traceOutcome(now, out, why)
-	if out == Blocked {
+	uncachedTokens := r.uncachedTokens
+	d.callEnded(now, r, outcome)
+	r.traceOutcome(now, outcome, why)
+	if outcome == Blocked {
 		d.undoAttempt(r)
 		return d.decide(now, r)
 	}
 	switch {
-	case out == Overloaded || out == WrongServer || (out == OK || out == Lost) && r.prefillAccepted:
+	case outcome == Overloaded || outcome == WrongServer || (outcome == OK || outcome == Lost) && r.prefillAccepted:
 		r.countedSends++
-	case out == OK || out == Lost:
-		if r.prefillAccepted = true; r.isRetry { // it did not count
+	case outcome == OK || outcome == Lost:
+		if r.prefillAccepted = true; r.isRetry { // the first accepted prefill doesn't count
 			d.returnRetry(r.sentAt)
 		}
 	}
-	if out == OK && (h.RequestID != r.ID || h.Attempt != r.attemptNumber || h.Server.Key != r.server.Key || h.ID == "") {
-		out, why = Lost, "a handle that is not this request's"
+	if outcome == OK && (h.RequestID != r.ID || h.Attempt != r.attemptNumber ||
+		h.Server.Key != r.server.Key || h.ID == "") {
+		outcome, why = Lost, "a handle that is not this request's"
 	}
-	if out == OK {
+	if outcome == OK {
 		r.handle = &h
-		d.recordPrefix(r, unread)
+		d.recordPrefix(r, uncachedTokens)
 		r.attempts.Record(attempt.Prefilled, "")
 		return d.decide(now, r)
 	}
-	r.attempts.Record(knownOf[out], why)
+	r.attempts.Record(stateOf[outcome], why)
 	return d.decide(now, r)
 }
 
-// StreamStarted tells that the first event of a stream, or the head of another answer,
-// has gone out to the client.
+// StreamStarted records that the first event of a stream, or the head of another answer,
+// was sent to the client.
 //
 // Example: d.StreamStarted(now, id)
 func (d *Dispatcher) StreamStarted(now time.Duration, id string) {
 	r := d.pending[id]
 	if r.attempts.Attempts[len(r.attempts.Attempts)-1].Known == attempt.Open {
 		r.attempts.Record(attempt.First, "")
-		fresh := r.uncachedTokens
+		newTokens := r.uncachedTokens
 		if r.handle != nil {
-			fresh = r.InputTokens
+			newTokens = r.InputTokens
 		}
-		d.recordPrefix(r, fresh)
+		d.recordPrefix(r, newTokens)
 	}
 	d.load.CallEnded(now, r.server.Key, true)
 	d.prefillFinished(r)
 	r.streamStarted = true
 }
 
-// DisableResume tells that what has gone out can't be resumed at another server: it
-// was no stream, or its events had no ids to go on from.
+// DisableResume records that an answer can't be resumed at another server: it is not a
+// stream, or its events have no IDs to resume from.
 //
 // Example: d.DisableResume(id)
 func (d *Dispatcher) DisableResume(id string) {
@@ -325,7 +326,7 @@
 	}
 }
 
-// EventSent tells that one more event has gone out, so long after the one before.
+// EventSent records that another event was sent to the client, and the time since the previous one.
 //
 // Example: d.EventSent(id, 42*time.Millisecond)
 func (d *Dispatcher) EventSent(id string, sinceLast time.Duration) {
@@ -334,30 +335,31 @@
 	}
 }
 
-// DecodeDone takes the end of a decode: OK means that all of it went out.
+// DecodeDone handles the end of a decode and returns the next decision. OK means that the
+// complete answer was sent.
 //
 // Example: decision := d.DecodeDone(now, id, forward.Lost, "reset")
-func (d *Dispatcher) DecodeDone(now time.Duration, id string, out Outcome, why string) Decision {
+func (d *Dispatcher) DecodeDone(now time.Duration, id string, outcome Outcome, why string) Decision {
 	r := d.pending[id]
-	d.callEnded(now, r, out)
-	r.traceOutcome(now, out, why)
-	if out == Blocked {
+	d.callEnded(now, r, outcome)
+	r.traceOutcome(now, outcome, why)
+	if outcome == Blocked {
 		d.undoAttempt(r)
 		return d.decide(now, r)
 	}
-	if out != NotSent {
+	if outcome != NotSent {
 		r.countedSends++
 	}
 	switch {
 	case r.handle == nil:
-	case out == HandleLost:
+	case outcome == HandleLost:
 		r.lostHandles, r.handle = append(r.lostHandles, *r.handle), nil
-	case out == OK || out == Lost: // taken up; a server that rejected it did not take it
+	case outcome == OK || outcome == Lost: // the server fetched the KV cache; one that rejects the call doesn't
 		r.handle = nil
 	}
 	last := &r.attempts.Attempts[len(r.attempts.Attempts)-1]
 	switch {
-	case out == OK:
+	case outcome == OK:
 		r.attempts.Record(attempt.Ended, "")
 	case last.Known == attempt.First:
 		r.attempts.Record(attempt.First, why)
@@ -365,13 +367,13 @@
 			d.counts.Resumed++
 		}
 	default:
-		r.attempts.Record(knownOf[out], why)
+		r.attempts.Record(stateOf[outcome], why)
 	}
 	return d.decide(now, r)
 }
 
-// ClientGone tells that the client went away; calling says that a call is under way,
-// which the caller cuts.
+// ClientGone ends a request whose client disconnected. calling is true if a call is in
+// flight, which the caller cancels.
 //
 // Example: d.ClientGone(now, id, true)
 func (d *Dispatcher) ClientGone(now time.Duration, id string, calling bool) Decision {
@@ -383,8 +385,8 @@
 	return d.release(r, Decision{Action: Break, Reason: "the client went away"})
 }
 
-// Withdraw ends a request that may not go on; its last decision was a call, which its caller
-// doesn't make.
+// Withdraw ends a request that may not continue. Its last decision was a call, which the caller
+// must not make.
 //
 // Example: decision := d.Withdraw(now, id, "its key was taken away")
 func (d *Dispatcher) Withdraw(now time.Duration, id, why string) Decision {
@@ -394,7 +396,7 @@
 	return d.giveUp(r, why)
 }
 
-// giveUp is the last decision where nothing more is to be tried.
+// giveUp ends a request that gets no further attempt.
 func (d *Dispatcher) giveUp(r *pendingRequest, why string) Decision {
 	switch {
 	case r.streamStarted:
@@ -406,8 +408,8 @@
 }
 
 // finish counts a final decision and ends the request.
-func (d *Dispatcher) finish(r *pendingRequest, k Action, why string) Decision {
-	switch k {
+func (d *Dispatcher) finish(r *pendingRequest, action Action, why string) Decision {
+	switch action {
 	case Done:
 		d.counts.Served++
 	case Refuse:
@@ -417,18 +419,18 @@
 	case Break:
 		d.counts.Broken++
 	}
-	return d.release(r, Decision{Action: k, Reason: why, RetryAfter: d.cfg.RetryAfter})
+	return d.release(r, Decision{Action: action, Reason: why, RetryAfter: d.cfg.RetryAfter})
 }
 
-// release forgets the request and hands back the KV caches that nobody took up.
-func (d *Dispatcher) release(r *pendingRequest, m Decision) Decision {
+// release removes the request and returns its unused KV caches for release.
+func (d *Dispatcher) release(r *pendingRequest, decision Decision) Decision {
 	delete(d.pending, r.ID)
 	d.checkBalance()
-	m.Trace = r.trace
-	m.ReleaseHandles = append(m.ReleaseHandles, r.lostHandles...)
+	decision.Trace = r.trace
+	decision.ReleaseHandles = append(decision.ReleaseHandles, r.lostHandles...)
 	if r.handle != nil {
-		m.ReleaseHandles = append(m.ReleaseHandles, *r.handle)
+		decision.ReleaseHandles = append(decision.ReleaseHandles, *r.handle)
 		r.handle = nil
 	}
-	return m
+	return decision
 }
--- a/traffic/forward/score.go
+++ b/traffic/forward/score.go
@@ -7,48 +7,48 @@
 	"mulleinmast/traffic/attempt"
 )
 
-// Weights say what a choice costs beside time, in parts of a request's worth.
+// Weights are the costs of a choice other than time, as fractions of a request's value.
 type Weights struct {
-	CrossZoneBody     float64 // a KB of the request's body sent to another zone
-	CacheMiss         float64 // 1,000 tokens read that another server has cached
-	ReportedLoad      float64 // part of the load that others reported which counts: it is older than a prompt takes to read
-	KVTransfer        float64 // 1,000 tokens of KV cache moved within a zone
-	CrossZoneTransfer float64 // factor on KVTransfer between zones
-	AffinityMiss      float64 // a server that is not first in a prefix's order, a place
-	Spread            float64 // the most that chance adds, so that daemons don't all choose alike
-	Warming           float64 // a server that warms up
-	Stall             float64 // an answer under way whose pause gets too long
+	CrossZoneBody     float64 // per KB of request body sent to another zone
+	CacheMiss         float64 // per 1,000 tokens to prefill that another server has cached
+	ReportedLoad      float64 // fraction of the reported load that counts: reports are older than a prefill takes
+	KVTransfer        float64 // per 1,000 tokens of KV cache transferred within a zone
+	CrossZoneTransfer float64 // factor on KVTransfer for transfers between zones
+	AffinityMiss      float64 // per rank of a server below the first in a prefix's affinity order
+	Spread            float64 // maximum of a pseudorandom cost, so that daemons don't all choose the same server
+	Warming           float64 // for a server that is warming up
+	Stall             float64 // per answer being decoded that is stalled too long
 }
 
-// scoredServer is one way to go: a server, what it costs in parts of the request's
-// worth, and what is predicted of it.
+// scoredServer is a candidate server with its cost, as a fraction of the request's value,
+// and its predicted times.
 type scoredServer struct {
 	Server
-	wait           time.Duration // until it could begin
-	prefill        time.Duration // to read the prompt
-	cost           float64       // beside time
-	uncachedTokens int           // that it has to read
-	decoding       int           // answers that it writes
-	interToken     time.Duration // between their events of late
+	wait           time.Duration // until it could start the prompt
+	prefill        time.Duration // duration of the prefill
+	cost           float64       // other than time
+	uncachedTokens int           // tokens that it has to prefill
+	decoding       int           // answers that it is decoding
+	interToken     time.Duration // recent time between their events
 }
 
-// prefillTime is how long tokens take to read at a rate in tokens a millisecond.
+// prefillTime returns how long a prefill takes at a rate in tokens per millisecond.
 func prefillTime(tokens int, rate float64) time.Duration {
 	return time.Duration(float64(tokens) / rate * float64(time.Millisecond))
 }
 
-// score filters the servers of a role and weighs each for reading the prompt at a
-// rate in tokens a millisecond.
+// score returns the available servers of a role with their costs and predicted times, for a
+// prefill rate in tokens per millisecond.
 func (d *Dispatcher) score(
 	now time.Duration, r *pendingRequest, role string, phase attempt.Phase, rate float64,
 ) []scoredServer {
-	list := d.filter(now, r, role, phase)
+	servers := d.filter(now, r, role, phase)
 	tokens, key := sharedPrefix(r.Parts)
 	tokens = min(tokens, r.InputTokens)
-	cached := make([]bool, len(list)) // stays on the stack
-	anyCached := d.markCached(cached, list, tokens, key)
-	out := make([]scoredServer, 0, len(list))
-	for i, s := range list {
+	cached := make([]bool, len(servers)) // stays on the stack
+	anyCached := d.markCached(cached, servers, tokens, key)
+	scored := make([]scoredServer, 0, len(servers))
+	for i, s := range servers {
 		o := scoredServer{Server: s, uncachedTokens: r.InputTokens}
 		if cached[i] {
 			o.uncachedTokens -= tokens
@@ -57,36 +57,36 @@
 		}
 		d.predict(now, r, role, rate, &o)
 		d.addFixedCosts(r, &o)
-		out = append(out, o)
+		scored = append(scored, o)
 	}
 	if tokens > 0 {
-		d.addAffinityCosts(list, out, key, tokens)
+		d.addAffinityCosts(servers, scored, key, tokens)
 	}
-	return out
+	return scored
 }
 
 // markCached marks the servers that most likely have the shared prefix cached, and
-// tells whether any has.
-func (d *Dispatcher) markCached(cached []bool, list []Server, tokens int, key uint64) (anyCached bool) {
-	for i, s := range list {
+// reports whether any does.
+func (d *Dispatcher) markCached(cached []bool, servers []Server, tokens int, key uint64) (anyCached bool) {
+	for i, s := range servers {
 		cached[i] = tokens > 0 && d.load.HasPrefix(key, s.Key)
 		anyCached = anyCached || cached[i]
 	}
 	return anyCached
 }
 
-// predict fills in the times of a server from the load of all daemons.
+// predict sets a server's predicted times from the load of all daemons.
 func (d *Dispatcher) predict(now time.Duration, r *pendingRequest, role string, rate float64, o *scoredServer) {
 	tokens, decoding, interToken := d.load.Load(now, o.Key)
 	tokens = int(float64(tokens) * d.cfg.Weights.ReportedLoad)
 	o.wait, o.decoding, o.interToken = prefillTime(tokens, rate), decoding, interToken
-	if over := decoding - o.Slots; over >= 0 && role == placement.Decode {
-		o.wait += time.Duration(over+1) * r.TTFTTarget / time.Duration(max(1, o.Slots))
+	if excess := decoding - o.Slots; excess >= 0 && role == placement.Decode {
+		o.wait += time.Duration(excess+1) * r.TTFTTarget / time.Duration(max(1, o.Slots))
 	}
 	o.prefill = prefillTime(o.uncachedTokens, rate)
 }
 
-// addFixedCosts adds what a server costs whatever its load is.
+// addFixedCosts adds the costs that don't depend on a server's load.
 func (d *Dispatcher) addFixedCosts(r *pendingRequest, o *scoredServer) {
 	w := d.cfg.Weights
 	if o.Zone != d.cfg.Zone {
@@ -95,23 +95,24 @@
 	if o.Warming {
 		o.cost += w.Warming
 	}
-	// A hair of chance from the request itself keeps daemons from herding.
+	// A small pseudorandom cost derived from the request keeps daemons from all choosing the same server.
 	o.cost += float64(rendezvousWeight(r.hash, o.Key)%1024) / 1024 * w.Spread
 }
 
-// addAffinityCosts weighs servers by an order that all daemons share: the first in a prefix's order
-// keeps it, without any talk. What daemons hear of who has it cached is old and has gaps, and each of
-// them hears of others: gone by alone, it has a prefix read at many servers.
-func (d *Dispatcher) addAffinityCosts(list []Server, scored []scoredServer, key uint64, tokens int) {
-	rank := affinityRanks(list, key)
+// addAffinityCosts adds a cost by a server's rank in the prefix's affinity order. All daemons compute
+// the same order without communication, so that a prefix stays at its first server. Reports of cached
+// prefixes are stale, incomplete and different on each daemon: used alone, they cause a prefix to be
+// prefilled on many servers.
+func (d *Dispatcher) addAffinityCosts(servers []Server, scored []scoredServer, key uint64, tokens int) {
+	ranks := affinityRanks(servers, key)
 	for i := range scored {
-		scored[i].cost += d.cfg.Weights.AffinityMiss * float64(rank[scored[i].Key]) * min(1, float64(tokens)/1000)
+		scored[i].cost += d.cfg.Weights.AffinityMiss * float64(ranks[scored[i].Key]) * min(1, float64(tokens)/1000)
 	}
 }
 
-// latenessCost is what an answer loses whose first event comes after so long:
-// nothing while that is well inside the target, half of its worth by the target,
-// more beyond.
+// latenessCost returns the cost of an answer whose first event comes after the given time: almost
+// nothing well within the target, about a quarter of its value just before the target, half of it
+// beyond, and then growing.
 func latenessCost(after, target time.Duration) float64 {
 	x := float64(after) / float64(max(target, time.Millisecond))
 	switch {
@@ -123,9 +124,9 @@
 	return 0.5 + 0.2*(x-1)
 }
 
-// stallCost is what the answers under way at a server lose while it reads a prompt
-// between their tokens: nothing while the pause that this makes is well below
-// the longest that is in time, all their timeliness beyond.
+// stallCost returns the cost for the answers that a server is decoding when it prefills a
+// prompt between their tokens: nothing while the resulting pause is well below the
+// inter-token target, and the full Stall weight per answer close to it and beyond.
 func (d *Dispatcher) stallCost(o scoredServer) float64 {
 	if d.shortestInterToken == 0 || o.decoding == 0 {
 		return 0
@@ -134,7 +135,7 @@
 	return d.cfg.Weights.Stall * float64(o.decoding) * min(1, max(0, x/0.3))
 }
 
-// interTokenCost is what an answer loses at a server whose events come too far apart.
+// interTokenCost returns the cost of an answer at a server with a long time between events.
 func (d *Dispatcher) interTokenCost(o scoredServer) float64 {
 	if d.shortestInterToken == 0 {
 		return 0
--- a/traffic/forward/servers_test.go
+++ b/traffic/forward/servers_test.go
@@ -9,51 +9,51 @@
 	"mulleinmast/control/placement"
 )
 
-// Leases that lapse and come back change no record, so Generation stays as it was: the
-// servers are read again all the same, as they were dropped in between.
-func TestServersComeBackWithTheLeases(t *testing.T) {
+// Leases that expire and are renewed change no record and so no Generation. The servers must
+// be read again nevertheless, as they were dropped when the leases expired.
+func TestServersReturnWithRenewedLeases(t *testing.T) {
 	now := time.Second
-	src := &records{now: &now, until: 2 * time.Second, gen: 1, list: []fleetconfig.Server{{ID: "a", Addr: "10.0.0.1:1", Zone: "z", Capacity: 8}}, part: map[string]string{"a": placement.Decode}}
-	l := New(Config{RetryWindow: time.Second}, "s", 1, src, nil)
+	src := &fakeSource{now: &now, until: 2 * time.Second, generation: 1, list: []fleetconfig.Server{{ID: "a", Addr: "10.0.0.1:1", Zone: "z", Capacity: 8}}, roles: map[string]string{"a": placement.Decode}}
+	d := New(Config{RetryWindow: time.Second}, "s", 1, src, nil)
 	for i, x := range []struct {
-		now, until time.Duration
-		gen        uint64
-		held, ok   bool
+		now, until    time.Duration
+		generation    uint64
+		withdrawn, ok bool
 	}{
 		{time.Second, 2 * time.Second, 1, false, true},
-		{3 * time.Second, 2 * time.Second, 1, false, false}, // lapsed
+		{3 * time.Second, 2 * time.Second, 1, false, false}, // expired
 		{4 * time.Second, 5 * time.Second, 1, false, true},
-		{4 * time.Second, 5 * time.Second, 2, true, false}, // being written
+		{4 * time.Second, 5 * time.Second, 2, true, false}, // list withdrawn
 		{4 * time.Second, 5 * time.Second, 2, true, false},
 		{6 * time.Second, 9 * time.Second, 3, false, true},
 		{7 * time.Second, 9 * time.Second, 3, false, true},
 	} {
-		now, src.until, src.gen, src.held = x.now, x.until, x.gen, x.held
-		if ok := l.refreshServers(now); ok != x.ok || ok && len(l.Servers()) != 1 {
-			t.Errorf("%d: stands %v, servers %v", i, ok, l.Servers())
+		now, src.until, src.generation, src.withdrawn = x.now, x.until, x.generation, x.withdrawn
+		if ok := d.refreshServers(now); ok != x.ok || ok && len(d.Servers()) != 1 {
+			t.Errorf("step %d: refreshServers returned %v, servers %v", i, ok, d.Servers())
 		}
 	}
 }
 
-// A list that is withdrawn, since one server changes, goes on saying which servers there are, for
-// MaxListAge from when it could be read last: those whose own records stand are used, the one whose
-// record is withdrawn, too, isn't, and a server that is only on the next list isn't known. After that,
-// or where no list was ever read, there is no server.
-func TestAWithdrawnListIsAnIndex(t *testing.T) {
-	const age = time.Second
+// A list that was withdrawn because one server changes remains in use for MaxListAge after it was last
+// readable: servers whose own records are valid are used, a server whose record is withdrawn as well
+// is not, and a server that is only on the next list is unknown. After that time, or if no list was
+// ever read, there are no servers.
+func TestWithdrawnListIsUsedForMaxListAge(t *testing.T) {
+	const maxListAge = time.Second
 	now := 10 * time.Second
 	server := func(id string) fleetconfig.Server {
 		return fleetconfig.Server{ID: id, Addr: "10.0.0." + id + ":1", Zone: "z", Capacity: 8}
 	}
-	src := &records{
-		now: &now, until: time.Minute, gen: 1, list: []fleetconfig.Server{server("1"), server("2")},
-		part: map[string]string{"1": placement.Decode, "2": placement.Decode},
+	src := &fakeSource{
+		now: &now, until: time.Minute, generation: 1, list: []fleetconfig.Server{server("1"), server("2")},
+		roles: map[string]string{"1": placement.Decode, "2": placement.Decode},
 	}
-	d := New(Config{RetryWindow: time.Second, MaxListAge: age}, "s", 1, src, nil)
+	d := New(Config{RetryWindow: time.Second, MaxListAge: maxListAge}, "s", 1, src, nil)
 	expect := func(when string, ids ...string) {
 		t.Helper()
 		if ok := d.refreshServers(now); ok != (len(ids) > 0) {
-			t.Errorf("%s: there are servers: %v", when, ok)
+			t.Errorf("%s: refreshServers returned %v", when, ok)
 		}
 		for _, id := range ids {
 			if _, ok := d.servable[id]; !ok || len(d.servable) != len(ids) {
@@ -61,37 +61,38 @@
 			}
 		}
 	}
-	src.held = true
-	expect("no list was read yet")
-	src.held = false
-	expect("at first", "1", "2")
+	src.withdrawn = true
+	expect("before a list was read")
+	src.withdrawn = false
+	expect("list readable", "1", "2")
 	now += time.Minute / 4
 	d.Refresh(now)
-	src.held, src.gen, src.list = true, 2, append(src.list, server("3"))
-	src.part["3"] = placement.Decode
+	src.withdrawn, src.generation, src.list = true, 2, append(src.list, server("3"))
+	src.roles["3"] = placement.Decode
 	expect("withdrawn", "1", "2")
-	src.gen, src.part["2"] = 3, ""
-	expect("one record withdrawn, too", "1")
-	now += age - 1
-	expect("just before the end", "1")
+	src.generation, src.roles["2"] = 3, ""
+	expect("one record withdrawn as well", "1")
+	now += maxListAge - 1
+	expect("just before MaxListAge", "1")
 	now++
-	expect("at the end")
-	src.held, src.gen = false, 4
+	expect("at MaxListAge")
+	src.withdrawn, src.generation = false, 4
 	expect("the next list", "1", "3")
 }
 
-// A server that leaves isn't read any more, and so isn't kept wanted; nor is one that isn't listed.
-func TestKeysAreThoseOfServersThatStay(t *testing.T) {
+// The records of leaving servers are no longer read, so their keys are not returned; nor are those
+// of servers that are not listed.
+func TestKeysOmitLeavingServers(t *testing.T) {
 	now := time.Second
-	src := &records{now: &now, until: time.Minute, gen: 1, list: []fleetconfig.Server{
+	src := &fakeSource{now: &now, until: time.Minute, generation: 1, list: []fleetconfig.Server{
 		{ID: "a", Addr: "10.0.0.1:1"}, {ID: "b", Addr: "10.0.0.2:1", Leaving: true},
-	}, part: map[string]string{}}
+	}, roles: map[string]string{}}
 	d := New(Config{}, "s", 1, src, nil)
 	want := []string{fleetconfig.ListKey("s"), fleetconfig.ServerRecordKey("s", "a")}
 	if got := d.Keys(); !slices.Equal(got, want) {
 		t.Errorf("keys %v, expected %v", got, want)
 	}
-	src.held = true
+	src.withdrawn = true
 	if got := d.Keys(); !slices.Equal(got, want) {
 		t.Errorf("while the list is withdrawn: keys %v, expected %v", got, want)
 	}
--- a/traffic/forward/types.go
+++ b/traffic/forward/types.go
@@ -1,14 +1,13 @@
-// Package forward decides what becomes of each client's request on one daemon:
-// which server prefills its prompt, which one decodes the answer, what is done
-// when one of them fails, and how the request ends. It is a plain state
-// machine for one service: it takes requests, outcomes of calls and time, and
-// returns the next decision. traffic/gateway carries the decisions out.
+// Package forward decides how each client request is handled on one daemon: which server
+// prefills its prompt, which server decodes the answer, what happens when one of them fails,
+// and how the request ends. It is a state machine for one service without any I/O: its inputs
+// are requests, outcomes of calls and the time, its output is the next decision.
+// traffic/gateway executes the decisions.
 //
-// The files: request.go is a request and its attempts, decision after decision;
-// filter.go, score.go and pick.go choose a server, affinity.go ranks servers for
-// a shared prefix; admission.go bounds waits and retries, warmup.go what new
-// servers get; dispatcher.go is the view of the records; load.go is the interface
-// to the load of all daemons.
+// Files: request.go handles a request and its attempts; filter.go, score.go and pick.go choose
+// a server, and affinity.go ranks servers for a shared prefix; admission.go limits waits and
+// retries, warmup.go the load of new servers; dispatcher.go maintains the view of the records;
+// load.go is the interface to the load of all daemons.
 package forward
 
 import (
@@ -17,65 +16,65 @@
 	"mulleinmast/wire/message"
 )
 
-// Part is one part of a prompt: its key and its length in tokens.
+// Part is one part of a prompt, given by its key and its length in tokens.
 type Part struct {
 	Key    uint64
 	Tokens int
 }
 
-// Request is one try of a client, as its route lets it in.
+// Request is a client request with the limits of its route.
 type Request struct {
 	ID                           string
 	Service                      string
-	Tenant                       string // whose client sent it; "": none
-	TenantAtLimit                bool   // the tenant asks for all that its limit gives
-	Repeatable                   bool   // it may run more than once
-	Resumable                    bool   // a stream that broke off may go on at another server
-	Disaggregated                bool   // prefill and decode may be on two servers
-	ContinuesStream              bool   // the client itself resumes a stream
-	Urgency                      int    // 0 is first, 9 last
-	LeastUrgency                 int    // the urgency of the least urgent route
-	MaxAttempts                  int    // servers that it may be sent to, at most
+	Tenant                       string // tenant of the client; "" for none
+	TenantAtLimit                bool   // the tenant uses all that its limit allows
+	Repeatable                   bool   // may run more than once
+	Resumable                    bool   // an interrupted stream may be resumed at another server
+	Disaggregated                bool   // prefill and decode may run on separate servers
+	ContinuesStream              bool   // the client is resuming an earlier stream
+	Urgency                      int    // 0 is the most urgent, 9 the least
+	LeastUrgency                 int    // urgency of the least urgent route
+	MaxAttempts                  int    // maximum number of servers that it may be sent to
 	TTFTTarget                   time.Duration
-	InterTokenTarget             time.Duration // longest pause between events that is in time
+	InterTokenTarget             time.Duration // maximum time between events
 	Deadline                     time.Duration // on the daemon's clock
 	Parts                        []Part
-	InputTokens, MaxOutputTokens int // tokens of the prompt, and the most out
-	BodyBytes                    int // of the body
+	InputTokens, MaxOutputTokens int // prompt tokens, and maximum tokens of the answer
+	BodyBytes                    int // size of the request body
 }
 
-// Config holds the bounds a dispatcher works by.
+// Config holds the limits and parameters of a dispatcher.
 type Config struct {
 	Zone        string
-	RetryRatio  float64       // retries over first sends in every RetryWindow
+	RetryRatio  float64       // retries per first send in every RetryWindow
 	RetryWindow time.Duration // see attempt.Bucket
-	RetrySlack  int           // retries beyond that, of all daemons together
-	MaxWait     time.Duration // that a request waits for leases and servers
-	// MaxPredictedWait is in parts of the TTFT target: a request that is predicted to
-	// wait for longer is refused at once; 0: none is.
+	RetrySlack  int           // additional retries per window, for all daemons together
+	MaxWait     time.Duration // maximum time that a request waits for leases and servers
+	// MaxPredictedWait is a multiple of the TTFT target: a request that is predicted to
+	// wait for longer is refused at once; 0 disables the check.
 	MaxPredictedWait float64
-	// MaxListAge is for how long after it was withdrawn a list still says which servers there
-	// are; whether one may be used is for its own record to say, under its own leases.
+	// MaxListAge is how long a server list remains in use after it was withdrawn. Whether a
+	// listed server may be used still depends on its own record, which has its own leases.
 	MaxListAge       time.Duration
-	FailureBackoff   time.Duration // a server that failed is passed over for so long
-	RejectionBackoff time.Duration // and one that rejected a request
-	RetryAfter       time.Duration // when to come back, where nothing better is known
-	PrefillRate      float64       // tokens read in a ms, before any was measured
+	FailureBackoff   time.Duration // how long a server is avoided after a failed call
+	RejectionBackoff time.Duration // how long a server is avoided after it rejected a request
+	RetryAfter       time.Duration // when a refused client should retry
+	PrefillRate      float64       // prefill rate of a server in tokens per ms
 	Weights          Weights
 }
 
-// Source reads the records by which requests may be routed now: under valid leases, or
-// for a bounded time after they lapsed.
+// Source reads the records that may be used for routing now: under valid leases, or for a
+// limited time after they expired.
 type Source interface {
-	// Read serves a record of a partition.
+	// Read returns a record of a partition; false if it may not be used now.
 	Read(partition int, key string) (message.Record, bool)
-	// Generation counts the changes of what a partition serves.
+	// Generation returns the number of changes to a partition's readable records.
 	Generation(partition int) uint64
-	// Until is when what Read serves of a partition ends, unless leases are renewed.
+	// Until returns when a partition's records stop being readable, unless leases are renewed.
 	Until(partition int) time.Duration
 }
 
-// Server is a model server as the records name it now.
+// Server is a model server as described by the current records.
 type Server struct {
 	Key, Addr, Zone string
 	Role            string
@@ -83,81 +82,81 @@
 	Warming         bool
 }
 
-// Handle names the KV cache that a prefill left on a server, for one request and attempt.
+// Handle identifies the KV cache that the prefill of one request and attempt left on a server.
 type Handle struct {
 	ID        string
-	RequestID string // the request that was prefilled
-	Attempt   int    // and the attempt
+	RequestID string // request that was prefilled
+	Attempt   int    // attempt that prefilled it
 	Server    Server
 	Tokens    int
 }
 
-// Outcome is how a call to a server went.
+// Outcome is the result of a call to a server.
 type Outcome uint8
 
 // The outcomes.
 const (
 	OK          Outcome = iota
 	NotSent             // nothing reached the server
-	Overloaded          // the server did not and will not run it: no place
-	WrongServer         // it did not run it: it is another server, or has another role
-	HandleLost          // it did not run it: the KV cache can't be had
-	Lost                // sent, and no whole answer
-	Blocked             // not sent: MaySend said no
+	Overloaded          // the server did not and will not run it: it has no free slot
+	WrongServer         // not run: a different server, or one with another role, has the address
+	HandleLost          // not run: the KV cache is not available
+	Lost                // sent, but no complete answer was received
+	Blocked             // not sent: MaySend returned false
 )
 
-// String names an outcome.
+// String returns the outcome's name, as used in traces.
 //
 // Example: forward.Lost.String() == "lost"
 func (o Outcome) String() string {
 	return [...]string{"ok", "not sent", "full", "moved", "gone", "lost", "barred"}[o]
 }
 
-// Load is what a server reported of itself with an answer.
+// Load is the load that a server reported with an answer.
 type Load struct{ Running, Waiting, Slots int }
 
-// Action says what a decision is.
+// Action is the kind of a decision.
 type Action uint8
 
 // The actions.
 const (
-	Wait      Action = iota + 1 // for leases or servers, then ask again
-	Prefill                     // have a server read the prompt and keep its KV cache
-	Decode                      // have a server write the answer
-	Refuse                      // final: it has not run and never will
-	Unknown                     // final: it may have run
-	Break                       // final: the stream has begun and can't go on
-	Done                        // final: all went out
-	Duplicate                   // final: another request of its id is under way
+	Wait      Action = iota + 1 // wait for leases or servers, then call Continue
+	Prefill                     // have a server prefill the prompt and keep its KV cache
+	Decode                      // have a server decode the answer
+	Refuse                      // final: has not run and never will
+	Unknown                     // final: may have run
+	Break                       // final: the stream has started and can't be continued
+	Done                        // final: the complete answer was sent
+	Duplicate                   // final: another request with the same ID is pending
 )
 
-// String names an action, as logs and figures have it.
+// String returns the action's name, as used in logs and metrics.
 //
 // Example: forward.Prefill.String() == "read"
-func (k Action) String() string {
-	return [...]string{"none", "wait", "read", "write", "refuse", "unknown", "break", "done", "duplicate"}[k]
+func (a Action) String() string {
+	return [...]string{"none", "wait", "read", "write", "refuse", "unknown", "break", "done", "duplicate"}[a]
 }
 
-// Final tells whether the request ends with this action.
+// Final reports whether the request ends with this action.
 //
 // Example: if decision.Action.Final() { respond(decision) }
-func (k Action) Final() bool { return k >= Refuse }
+func (a Action) Final() bool { return a >= Refuse }
 
-// Decision is what to do next for a request.
+// Decision is the next step for a request.
 type Decision struct {
 	Action         Action
-	Attempt        int // the attempt
+	Attempt        int // attempt number
 	Server         Server
-	Handle         *Handle       // of a Decode: the KV cache to take up; none: the server reads the prompt itself
-	Until          time.Duration // of a Wait; of a call: it is given up then
-	Priority       int           // for the server: 0 is first, 9 last
-	ReleaseHandles []Handle      // KV caches that won't be taken up
-	RetryAfter     time.Duration // of a Refuse: when to come back
+	Handle         *Handle       // for a Decode: the KV cache to fetch; nil if the server prefills the prompt itself
+	Until          time.Duration // for a Wait: its end; for a call: its deadline
+	Priority       int           // at the server: 0 is the most urgent, 9 the least
+	ReleaseHandles []Handle      // KV caches that won't be used
+	RetryAfter     time.Duration // for a Refuse: when the client should retry
 	Reason         string
-	Trace          []string // of a final decision: the sends, each with its outcome
+	Trace          []string // for a final decision: the sends with their outcomes
 }
 
-// Counts are a dispatcher's numbers.
+// Counts are a dispatcher's counters.
 type Counts struct {
 	FirstSends, Retries, Served, Refused, Unknown, Broken, Abandoned, Disaggregated, Combined, Resumed, Duplicates int64
 }
--- a/traffic/forward/warmup.go
+++ b/traffic/forward/warmup.go
@@ -2,43 +2,44 @@
 
 import "time"
 
-// WarmupLimit bounds what a warming server gets in a second from all daemons together:
-// Rate times Over, and Slack more.
+// WarmupLimit limits the requests per second that a warming server gets from all daemons
+// together: Rate times Over, plus Slack.
 type WarmupLimit struct {
-	Rate  float64 // requests a second; 0: as many as any other server
+	Rate  float64 // requests per second; 0: no limit
 	Over  float64
 	Slack float64
 }
 
-// daemonSet is the daemons that share the bounds of a fleet: by address, since a
-// daemon that restarts takes its earlier incarnation's place, and with those that
-// left of late, since an isolated daemon sees few others, and so do they.
+// daemonSet is the set of daemons that share the fleet's limits. They are identified by
+// address, so that a restarted daemon replaces its earlier incarnation. Daemons that
+// disappeared recently still count: during a network partition each side sees only its own
+// daemons, while all of them still send.
 type daemonSet struct {
-	me   string
-	seen map[string]time.Duration
+	self     string
+	lastSeen map[string]time.Duration
 }
 
-// SetDaemons tells which daemons there are, by address: the slack of retries and
-// the rate of warming servers are divided among them. One that was not named for
-// six retry windows is no longer counted.
+// SetDaemons sets the addresses of the current daemons, which share the slack of retries
+// and the rate of warming servers. A daemon that was not listed for six retry windows no
+// longer counts.
 //
 // Example: d.SetDaemons(now, view.Self.Addr, addresses)
-func (d *Dispatcher) SetDaemons(now time.Duration, me string, daemons []string) {
-	d.daemons.me = me
-	d.daemons.seen[me] = now
+func (d *Dispatcher) SetDaemons(now time.Duration, self string, daemons []string) {
+	d.daemons.self = self
+	d.daemons.lastSeen[self] = now
 	for _, addr := range daemons {
-		d.daemons.seen[addr] = now
+		d.daemons.lastSeen[addr] = now
 	}
-	for addr, at := range d.daemons.seen {
+	for addr, at := range d.daemons.lastSeen {
 		if now-at > 6*d.cfg.RetryWindow {
-			delete(d.daemons.seen, addr)
+			delete(d.daemons.lastSeen, addr)
 		}
 	}
-	d.retries.Slack = d.cfg.RetrySlack / len(d.daemons.seen)
+	d.retries.Slack = d.cfg.RetrySlack / len(d.daemons.lastSeen)
 	clear(d.warmupSpacing)
 }
 
-// SetWarmupLimit bounds what the service's warming servers get.
+// SetWarmupLimit sets the limit for each of the service's warming servers.
 //
 // Example: d.SetWarmupLimit(forward.WarmupLimit{Rate: 12, Over: 1.5, Slack: 5})
 func (d *Dispatcher) SetWarmupLimit(w WarmupLimit) {
@@ -48,10 +49,11 @@
 	}
 }
 
-// warmupSpacingOf is the time between two sends of this daemon to a warming server; none
-// at all if others are to use it. As many daemons use one as there are requests
-// between its rate and the bound, the first of an order that all see alike, and
-// each its part of the rate: in any second they send the rate and one more each.
+// warmupSpacingOf returns the interval between this daemon's sends to a warming server; false
+// if the daemon must not use the server. Each of the daemons that use it sends an equal share
+// of its rate, and in any second at most one request more. Therefore at most as many daemons
+// use it as there are requests between its rate and its limit: the first in an order that is
+// the same on all daemons.
 func (d *Dispatcher) warmupSpacingOf(server string) (time.Duration, bool) {
 	if d.warmup.Rate <= 0 {
 		return 0, true
@@ -59,24 +61,23 @@
 	spacing, ok := d.warmupSpacing[server]
 	if !ok {
 		key := rendezvousWeight(0, server)
-		most := max(1, int(d.warmup.Rate*(d.warmup.Over-1)+d.warmup.Slack))
-		before, mine := 0, rendezvousWeight(key, d.daemons.me)
-		for addr := range d.daemons.seen {
-			if rendezvousWeight(key, addr) > mine {
-				before++
+		maxDaemons := max(1, int(d.warmup.Rate*(d.warmup.Over-1)+d.warmup.Slack))
+		rank, ownWeight := 0, rendezvousWeight(key, d.daemons.self)
+		for addr := range d.daemons.lastSeen {
+			if rendezvousWeight(key, addr) > ownWeight {
+				rank++
 			}
 		}
 		spacing = -1
-		if d.daemons.me != "" && before < most {
-			spacing = time.Duration(float64(time.Second) * float64(min(most, len(d.daemons.seen))) / d.warmup.Rate)
+		if d.daemons.self != "" && rank < maxDaemons {
+			spacing = time.Duration(float64(time.Second) * float64(min(maxDaemons, len(d.daemons.lastSeen))) / d.warmup.Rate)
 		}
 		d.warmupSpacing[server] = spacing
 	}
 	return spacing, spacing >= 0
 }
 
-// acceptsWarmup tells whether a warming server may get one more request from this
-// daemon now.
+// acceptsWarmup reports whether this daemon may send a warming server another request now.
 func (d *Dispatcher) acceptsWarmup(now time.Duration, server string) bool {
 	spacing, ok := d.warmupSpacingOf(server)
 	return ok && (spacing == 0 || now >= d.statsOf(server).warmupSentAt+spacing || d.statsOf(server).warmupSentAt == 0)
