--- a/traffic/forward/invariants.go
+++ b/traffic/forward/invariants.go
@@ -14,12 +14,11 @@
 )
 
 // windowCount counts sends per retry window, independently of the bucket that grants
-// retries. Retries earned in the previous window may still be used.
+// retries. It keeps the first sends of the previous window, since the retries that they
+// earned may still be used.
 type windowCount struct {
-	start              time.Duration
-	firstSends         int
-	previousFirstSends int // in the window before
-	retries            int
+	start                                   time.Duration
+	firstSends, previousFirstSends, retries int
 }
 
 // rotate starts a new window if the current one is over.
--- a/traffic/route/route_test.go
+++ b/traffic/route/route_test.go
@@ -78,7 +78,7 @@
 	}
 	picks := 1 << 13
 	if got["a"]+got["b"] != picks || got["a"] < picks*89/100 || got["a"] > picks*91/100 {
-		t.Errorf("%d picks by weights 90 and 10: %v", picks, got)
+		t.Errorf("%v", got)
 	}
 	if s := Pick(r, 1<<64-1); s != "b" {
 		t.Errorf("highest random bits: picked %q", s)
