--- a/control/storage/backup.go
+++ b/control/storage/backup.go
@@ -5,8 +5,8 @@
 	"os"
 )
 
-// Backup writes a consistent copy of the state, marked as one, to a file that must
-// not exist.
+// Backup writes a consistent copy of the state to a file that must not exist yet, and
+// marks the copy as a back-up.
 //
 // Example: err := s.Backup("/safe/state-1.db")
 func (s *Store) Backup(path string) error {
@@ -14,19 +14,19 @@
 		return Error.Wrap(err)
 	}
 	if err := markBackup(path); err != nil {
-		_ = os.Remove(path) // unmarked it would be taken for a folder's own state
+		_ = os.Remove(path) // an unmarked copy would pass for the live state of a folder
 		return Error.Wrap(err)
 	}
 	return nil
 }
 
-// markBackup says in the head of a file that it is a back-up.
+// markBackup marks a file as a back-up in its header.
 func markBackup(path string) error {
 	db, err := sql.Open("sqlite3", databaseURI(path, "_synchronous=FULL"))
 	if err != nil {
 		return err
 	}
 	defer func() { _ = db.Close() }()
-	_, err = db.Exec("insert or replace into meta values(?,?)", headBackup, "1")
+	_, err = db.Exec("insert or replace into meta values(?,?)", headerBackup, "1")
 	return err
 }
--- a/control/storage/batch.go
+++ b/control/storage/batch.go
@@ -9,23 +9,23 @@
 	"mulleinmast/wire/message"
 )
 
-// Batch is what waits for the disk: of each partition only the last of everything.
-// So what a full or stalled disk has yet to take is bounded by the state,
-// however many changes come meanwhile, and one transaction takes it all.
+// Batch holds the saves that wait for the disk, merged into one save a partition. So
+// while the disk is full or stalled, the memory used is bounded by the size of the state,
+// however many changes arrive, and a single transaction writes them all.
 type Batch struct {
 	partitions map[int]*pendingSave
-	// Tickets are those of the saves in it, in order.
+	// Tickets identify the saves in the batch, in the order in which they were added.
 	Tickets []Ticket
 }
 
-// Ticket names a save of a partition.
+// Ticket identifies a save of a partition.
 type Ticket struct {
 	Partition int
 	Number    uint64 // quorum.Save.Ticket
 }
 
-// pendingSave is all saves of one partition as one. A key stands in records or in
-// deleted, never in both; both come after the wipes.
+// pendingSave merges all saves of one partition. A key is in records or in deleted, never
+// in both; both are applied after the wipes.
 type pendingSave struct {
 	quorum.Save
 	wipes   map[int]bool // ranges of keys
@@ -33,12 +33,12 @@
 	deleted map[string]bool
 }
 
-// IsEmpty tells whether nothing waits.
+// IsEmpty reports whether the batch holds no saves.
 //
 // Example: if b.IsEmpty() { sleep() }
 func (b *Batch) IsEmpty() bool { return len(b.Tickets) == 0 }
 
-// Add puts a save after those that are in the batch.
+// Add appends a save to the batch.
 //
 // Example: for _, save := range out.Saves { b.Add(save) }
 func (b *Batch) Add(save quorum.Save) {
@@ -46,7 +46,7 @@
 	b.merge(save)
 }
 
-// Append puts a later batch after this one.
+// Append appends the saves of a later batch.
 //
 // Example: failed.Append(later); waiting = failed
 func (b *Batch) Append(later Batch) {
@@ -68,7 +68,7 @@
 	p.merge(save)
 }
 
-// merge puts a later save over those before it.
+// merge applies a later save on top of the earlier ones.
 func (p *pendingSave) merge(save quorum.Save) {
 	p.Partition, p.Meta, p.Sum = save.Partition, save.Meta, save.Sum
 	for _, span := range save.WipeRanges {
@@ -84,14 +84,14 @@
 	}
 }
 
-// wipe notes that a range is deleted, with what would have been written to it.
+// wipe records the deletion of a range and discards earlier changes to keys in it.
 func (p *pendingSave) wipe(span int) {
 	p.wipes[span] = true
 	maps.DeleteFunc(p.records, func(key string, _ message.Record) bool { return digest.RangeOf(key) == span })
 	maps.DeleteFunc(p.deleted, func(key string, _ bool) bool { return digest.RangeOf(key) == span })
 }
 
-// Saves is what is to be written, one save a partition.
+// Saves returns the merged saves to write, one for each partition.
 //
 // Example: err := s.Write(b.Saves())
 func (b *Batch) Saves() (saves []quorum.Save) {
--- a/control/storage/batch_test.go
+++ b/control/storage/batch_test.go
@@ -11,7 +11,7 @@
 	"mulleinmast/wire/message"
 )
 
-// apply is what a save leaves behind.
+// apply applies a save to records in memory.
 func apply(records *digest.Records, s quorum.Save) {
 	for _, span := range s.WipeRanges {
 		for r := range records.InRange(span) {
@@ -26,11 +26,11 @@
 	}
 }
 
-// A batch leaves behind what its saves would one after another, also where it
-// failed and was put before what came later.
-func TestBatchEqualsItsSavesInOrder(t *testing.T) {
+// A merged batch must have the same effect as its saves in order, also where a failed batch
+// is merged with a later one.
+func TestBatchEqualsSavesInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		oneByOne, atOnce := digest.NewRecords(), digest.NewRecords()
+		sequential, merged := digest.NewRecords(), digest.NewRecords()
 		var first, later Batch
 		n := rapid.IntRange(1, 40).Draw(t, "n")
 		cut := rapid.IntRange(0, n).Draw(t, "cut")
@@ -44,7 +44,7 @@
 			for _, k := range rapid.SliceOfN(key, 0, 2).Draw(t, "wipe") {
 				s.WipeRanges = append(s.WipeRanges, digest.RangeOf(k))
 			}
-			apply(oneByOne, s)
+			apply(sequential, s)
 			if i < cut {
 				first.Add(s)
 			} else {
@@ -57,15 +57,15 @@
 			saves[0].Meta.VotedTerm != uint64(n-1) || saves[0].Sum != uint64(n-1) {
 			t.Fatalf("%d saves, tickets %v", len(saves), first.Tickets)
 		}
-		apply(atOnce, saves[0])
-		if oneByOne.Sum() != atOnce.Sum() {
-			t.Fatalf("%d records one after another, %d at once", oneByOne.Size(), atOnce.Size())
+		apply(merged, saves[0])
+		if sequential.Sum() != merged.Sum() {
+			t.Fatalf("%d records from the saves in order, %d from the merged one", sequential.Size(), merged.Size())
 		}
 	})
 }
 
-// What waits for a disk is bounded by the state.
-func TestBatchIsBoundedByTheState(t *testing.T) {
+// The size of a batch is bounded by the state, however many saves are added.
+func TestBatchIsBoundedByState(t *testing.T) {
 	var b Batch
 	for i := range 2000 {
 		r := message.Record{
--- a/control/storage/crash_test.go
+++ b/control/storage/crash_test.go
@@ -14,20 +14,21 @@
 	"mulleinmast/wire/message"
 )
 
-// The write stream of a batch is cut at every point, as a loss of power may:
-// what was synced stays, each later write is there, is missing or is torn. What
-// is read back is the state before the batch or the one after it.
+// These tests simulate a power failure at each point of the writes of a batch: data that
+// was synced stays, and each later write is present, missing or torn. The state that is
+// read back must be the one before the batch or the one after it.
 
+// Sizes in SQLite's write-ahead log, in bytes.
 const (
-	walHead   = 32
-	frameHead = 24
-	page      = 4096
+	walHeaderSize   = 32
+	frameHeaderSize = 24
+	pageSize        = 4096
 )
 
-// files is what a folder holds.
+// files holds the content of a data folder's files.
 type files struct{ db, wal []byte }
 
-func read(t *testing.T, dir string) (f files) {
+func readFiles(t *testing.T, dir string) (f files) {
 	t.Helper()
 	var err error
 	if f.db, err = os.ReadFile(filepath.Join(dir, "state.db")); err != nil {
@@ -39,8 +40,8 @@
 	return f
 }
 
-// state names what is read back from files: a partition's meta and digest each.
-func (f files) state(t *testing.T) string {
+// openedState opens a folder with these files and describes the state that is read from it.
+func (f files) openedState(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	for name, b := range map[string][]byte{"state.db": f.db, "state.db-wal": f.wal} {
@@ -53,33 +54,33 @@
 		return err.Error()
 	}
 	defer store.Close()
-	return store.state()
+	return store.describe()
 }
 
-func (s *Store) state() string {
-	out := fmt.Sprint("set aside ", s.QuarantinePath, " short ", s.IncompletePartitions, " empty ", s.Empty)
+// describe returns the state that was found on opening, with the digest of each partition's records.
+func (s *Store) describe() string {
+	out := fmt.Sprint("quarantined ", s.QuarantinePath, " incomplete ", s.IncompletePartitions, " empty ", s.Empty)
 	for p := range 3 {
 		if h, ok := s.Partitions[p]; ok {
-			out += fmt.Sprintf(" partition %d promised %d of %d records %x",
+			out += fmt.Sprintf(" partition %d voted term %d, %d records, digest %x",
 				p, h.Meta.VotedTerm, h.Records.Size(), h.Records.Sum())
 		}
 	}
 	return out
 }
 
-// filledFolder is a folder of two partitions in which batches are written, and the
-// records that they make.
-type filledFolder struct {
+// populatedStore is an open folder with two partitions and random batches.
+type populatedStore struct {
 	*Store
 	dir     string
 	rng     *rand.Rand
-	records map[int]*digest.Records
-	n       uint64
+	records map[int]*digest.Records // expected records of each partition
+	n       uint64                  // saves written so far
 }
 
-func fillFolder(t *testing.T, seed int64) *filledFolder {
+func newPopulatedStore(t *testing.T, seed int64) *populatedStore {
 	t.Helper()
-	s := &filledFolder{
+	s := &populatedStore{
 		dir:     t.TempDir(),
 		rng:     rand.New(rand.NewSource(seed)),
 		records: map[int]*digest.Records{0: digest.NewRecords(), 1: digest.NewRecords()},
@@ -87,166 +88,169 @@
 	s.Store = open(t, s.dir)
 	t.Cleanup(func() { s.Close() })
 	for range 6 {
-		s.write(t)
+		s.writeBatch(t)
 	}
 	return s
 }
 
-// write writes a batch over both partitions: records of up to three pages, some deleted,
-// a range replaced.
-func (s *filledFolder) write(t *testing.T) {
+// writeBatch writes a random batch to both partitions: records of up to three pages, some
+// deleted, and sometimes a wiped range.
+func (s *populatedStore) writeBatch(t *testing.T) {
 	t.Helper()
-	var list []quorum.Save
+	var saves []quorum.Save
 	for p := range 2 {
 		s.n++
-		b := s.records[p]
-		v := quorum.Save{Partition: p, Meta: quorum.Meta{VotedTerm: s.n, LastComplete: s.n}}
+		records := s.records[p]
+		save := quorum.Save{Partition: p, Meta: quorum.Meta{VotedTerm: s.n, LastComplete: s.n}}
 		if s.rng.Intn(2) == 0 {
-			v.WipeRanges = []int{s.rng.Intn(digest.Ranges)}
-			for r := range b.InRange(v.WipeRanges[0]) {
-				b.Delete(r.Key)
+			save.WipeRanges = []int{s.rng.Intn(digest.Ranges)}
+			for r := range records.InRange(save.WipeRanges[0]) {
+				records.Delete(r.Key)
 			}
 		}
 		for range 4 {
 			r := message.Record{
 				Key:     fmt.Sprint("k", s.rng.Intn(40)),
 				Version: message.Version{Term: 1, Seq: s.n},
-				Value:   make([]byte, s.rng.Intn(3*page)),
+				Value:   make([]byte, s.rng.Intn(3*pageSize)),
 			}
 			s.rng.Read(r.Value)
-			b.Put(r)
-			v.Records = append(v.Records, r)
+			records.Put(r)
+			save.Records = append(save.Records, r)
 		}
 		if k := fmt.Sprint("k", s.rng.Intn(40)); s.rng.Intn(2) == 0 {
-			b.Delete(k)
-			v.Delete = []string{k}
+			records.Delete(k)
+			save.Delete = []string{k}
 		}
-		v.Sum = v.Meta.Sum(b)
-		list = append(list, v)
+		save.Sum = save.Meta.Sum(records)
+		saves = append(saves, save)
 	}
-	if err := s.Write(list); err != nil {
+	if err := s.Write(saves); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// expect checks that files hold one of some states.
-func expect(t *testing.T, what string, f files, want ...string) {
+// expectState checks that the files open to one of the given states.
+func expectState(t *testing.T, name string, f files, want ...string) {
 	t.Helper()
-	got := f.state(t)
+	got := f.openedState(t)
 	for _, w := range want {
 		if got == w {
 			return
 		}
 	}
-	t.Errorf("%s: %s\nexpected one of %q", what, got, want)
+	t.Errorf("%s: %s\nexpected one of %q", name, got, want)
 }
 
-// A batch that is appended to the log: cut after each frame, inside a frame's
-// head, at each block of its page; a frame that is missing or spoilt with the
-// later ones there; any of them.
-func TestTruncatedBatchIsWholeOrAbsent(t *testing.T) {
-	s := fillFolder(t, 1)
-	earlier := read(t, s.dir)
-	s.write(t)
-	later := read(t, s.dir)
+// A batch that was appended to the log only in part must not be visible. The test cuts the
+// log at each frame, inside its header and inside its page, clears or tears single frames
+// while later ones are present, and clears random sets of frames.
+func TestPartiallyAppendedBatchIsAbsent(t *testing.T) {
+	s := newPopulatedStore(t, 1)
+	earlier := readFiles(t, s.dir)
+	s.writeBatch(t)
+	later := readFiles(t, s.dir)
 	if len(later.wal) <= len(earlier.wal) || !bytes.Equal(earlier.db, later.db) ||
 		!bytes.Equal(earlier.wal, later.wal[:len(earlier.wal)]) {
-		t.Fatalf("the batch wasn't appended to the log: %d, then %d bytes", len(earlier.wal), len(later.wal))
+		t.Fatalf("the batch wasn't appended to the log: %d bytes before, %d after", len(earlier.wal), len(later.wal))
 	}
-	before, after := earlier.state(t), later.state(t)
+	before, after := earlier.openedState(t), later.openedState(t)
 	if before == after {
 		t.Fatal("the batch changes nothing")
 	}
-	from, frames := len(earlier.wal), (len(later.wal)-len(earlier.wal))/(frameHead+page)
+	from, frames := len(earlier.wal), (len(later.wal)-len(earlier.wal))/(frameHeaderSize+pageSize)
 	for i := range frames {
-		at := from + i*(frameHead+page)
-		cuts := []int{0, 4, 8, frameHead - 1, frameHead, frameHead + 512, frameHead + page/2, frameHead + page - 1}
+		at := from + i*(frameHeaderSize+pageSize)
+		cuts := []int{
+			0, 4, 8, frameHeaderSize - 1, frameHeaderSize, frameHeaderSize + 512, frameHeaderSize + pageSize/2,
+			frameHeaderSize + pageSize - 1,
+		}
 		for _, cut := range cuts {
-			what := fmt.Sprintf("cut at byte %d of frame %d of %d", cut, i, frames)
-			expect(t, what, files{later.db, later.wal[:at+cut]}, before)
+			name := fmt.Sprintf("cut at byte %d of frame %d of %d", cut, i, frames)
+			expectState(t, name, files{later.db, later.wal[:at+cut]}, before)
 		}
 		faults := map[string]func([]byte){
 			"missing": func(x []byte) { clear(x) },
-			"torn":    func(x []byte) { clear(x[frameHead+512:]) },
+			"torn":    func(x []byte) { clear(x[frameHeaderSize+512:]) },
 		}
-		for what, spoil := range faults {
+		for fault, corrupt := range faults {
 			wal := bytes.Clone(later.wal)
-			spoil(wal[at : at+frameHead+page])
-			expect(t, fmt.Sprintf("frame %d of %d %s", i, frames, what), files{later.db, wal}, before)
+			corrupt(wal[at : at+frameHeaderSize+pageSize])
+			expectState(t, fmt.Sprintf("frame %d of %d %s", i, frames, fault), files{later.db, wal}, before)
 		}
 	}
 	for range 40 {
 		wal := bytes.Clone(later.wal)
 		lost := 0
 		for i := range frames {
-			if at := from + i*(frameHead+page); s.rng.Intn(3) == 0 {
-				clear(wal[at : at+frameHead+page])
+			if at := from + i*(frameHeaderSize+pageSize); s.rng.Intn(3) == 0 {
+				clear(wal[at : at+frameHeaderSize+pageSize])
 				lost++
 			}
 		}
 		if lost > 0 {
-			expect(t, fmt.Sprintf("%d of %d frames missing", lost, frames), files{later.db, wal}, before)
+			expectState(t, fmt.Sprintf("%d of %d frames missing", lost, frames), files{later.db, wal}, before)
 		}
 	}
-	expect(t, "whole", later, after)
+	expectState(t, "whole", later, after)
 }
 
-// The log is copied into the file: any of its pages may be there, missing or
-// torn while the log still is; nothing is lost.
+// While a checkpoint copies the log into the file, any page of the file may be new, old or
+// torn. The log is still complete, so nothing is lost.
 func TestPartialCheckpointLosesNothing(t *testing.T) {
-	s := fillFolder(t, 2)
-	earlier := read(t, s.dir)
-	want := earlier.state(t)
+	s := newPopulatedStore(t, 2)
+	earlier := readFiles(t, s.dir)
+	want := earlier.openedState(t)
 	if _, err := s.db.Exec("pragma wal_checkpoint(passive)"); err != nil {
 		t.Fatal(err)
 	}
-	later := read(t, s.dir)
+	later := readFiles(t, s.dir)
 	if bytes.Equal(earlier.db, later.db) {
-		t.Fatal("nothing was copied")
+		t.Fatal("the checkpoint copied nothing")
 	}
 	for try := range 60 {
 		db := bytes.Clone(later.db)
-		for at := 0; at+page <= len(db); at += page {
-			old := make([]byte, page)
-			if at+page <= len(earlier.db) {
+		for at := 0; at+pageSize <= len(db); at += pageSize {
+			old := make([]byte, pageSize)
+			if at+pageSize <= len(earlier.db) {
 				copy(old, earlier.db[at:])
 			}
 			switch s.rng.Intn(3) {
 			case 0: // missing
 				copy(db[at:], old)
 			case 1: // torn
-				copy(db[at+512:at+page], old[512:])
+				copy(db[at+512:at+pageSize], old[512:])
 			}
 		}
-		if len(earlier.db) > page && try%2 == 0 {
-			db = db[:max(len(earlier.db), len(db)/2/page*page)]
+		if len(earlier.db) > pageSize && try%2 == 0 {
+			db = db[:max(len(earlier.db), len(db)/2/pageSize*pageSize)]
 		}
-		expect(t, fmt.Sprintf("copied in part, try %d", try), files{db, earlier.wal}, want)
+		expectState(t, fmt.Sprintf("partial checkpoint, try %d", try), files{db, earlier.wal}, want)
 	}
-	expect(t, "copied", later, want)
+	expectState(t, "copied", later, want)
 }
 
-// The log begins anew over what was copied: its new head is on disk before any
-// frame is written, and any of the frames may be new, old or torn after that.
-func TestRestartedLogIsWholeOrAbsent(t *testing.T) {
-	s := fillFolder(t, 3)
+// After a checkpoint the log restarts at its beginning and overwrites old frames. Its new
+// header is on disk before any new frame; after that each frame may be new, old or torn.
+func TestBatchInRestartedLogIsAtomic(t *testing.T) {
+	s := newPopulatedStore(t, 3)
 	if _, err := s.db.Exec("pragma wal_checkpoint(passive)"); err != nil {
 		t.Fatal(err)
 	}
-	earlier := read(t, s.dir)
-	s.write(t)
-	later := read(t, s.dir)
-	if bytes.Equal(earlier.wal[:walHead], later.wal[:walHead]) || len(earlier.wal) != len(later.wal) {
-		t.Fatal("the log didn't begin anew")
+	earlier := readFiles(t, s.dir)
+	s.writeBatch(t)
+	later := readFiles(t, s.dir)
+	if bytes.Equal(earlier.wal[:walHeaderSize], later.wal[:walHeaderSize]) || len(earlier.wal) != len(later.wal) {
+		t.Fatal("the log wasn't restarted")
 	}
-	before, after := earlier.state(t), later.state(t)
+	before, after := earlier.openedState(t), later.openedState(t)
 	torn := bytes.Clone(earlier.wal)
 	copy(torn[:16], later.wal[:16])
-	expect(t, "head torn", files{later.db, torn}, before)
+	expectState(t, "torn header", files{later.db, torn}, before)
 	written := 0
-	for i := 0; walHead+(i+1)*(frameHead+page) <= len(earlier.wal); i++ {
-		at := walHead + i*(frameHead+page)
-		if !bytes.Equal(earlier.wal[at:at+frameHead+page], later.wal[at:at+frameHead+page]) {
+	for i := 0; walHeaderSize+(i+1)*(frameHeaderSize+pageSize) <= len(earlier.wal); i++ {
+		at := walHeaderSize + i*(frameHeaderSize+pageSize)
+		if !bytes.Equal(earlier.wal[at:at+frameHeaderSize+pageSize], later.wal[at:at+frameHeaderSize+pageSize]) {
 			written = i + 1
 		}
 	}
@@ -254,64 +258,65 @@
 		wal := bytes.Clone(later.wal)
 		lost := 0
 		for i := range written {
-			at := walHead + i*(frameHead+page)
+			at := walHeaderSize + i*(frameHeaderSize+pageSize)
 			switch s.rng.Intn(4) {
 			case 0:
-				copy(wal[at:at+frameHead+page], earlier.wal[at:])
+				copy(wal[at:at+frameHeaderSize+pageSize], earlier.wal[at:])
 				lost++
 			case 1:
-				copy(wal[at+frameHead+512:at+frameHead+page], earlier.wal[at+frameHead+512:])
+				copy(wal[at+frameHeaderSize+512:at+frameHeaderSize+pageSize], earlier.wal[at+frameHeaderSize+512:])
 				lost++
 			}
 		}
 		if lost > 0 {
-			expect(t, fmt.Sprintf("begun anew in part, try %d", try), files{later.db, wal}, before, after)
+			expectState(t, fmt.Sprintf("partially restarted log, try %d", try), files{later.db, wal}, before, after)
 		}
 	}
-	expect(t, "begun anew", later, after)
+	expectState(t, "restarted log", later, after)
 }
 
-// A folder that is cut short while it is made is an empty one; one whose old log
-// came back beside a new file, for its removal was lost, is not mixed with it.
-func TestPartiallyMadeFolderIsEmpty(t *testing.T) {
-	s := fillFolder(t, 4)
-	whole := read(t, s.dir)
+// A folder whose creation was interrupted opens as an empty one. An old log that reappears
+// next to a new file, because its removal wasn't synced, must not be applied to that file.
+func TestPartiallyCreatedFolderIsEmpty(t *testing.T) {
+	s := newPopulatedStore(t, 4)
+	complete := readFiles(t, s.dir)
 	fresh := open(t, t.TempDir())
 	fresh.Close()
-	for what, f := range map[string]files{"nothing synced": {}, "an old log alone": {nil, whole.wal}} {
-		got := f.state(t)
-		if got != fresh.state() {
-			t.Errorf("%s: %s", what, got)
+	for name, f := range map[string]files{"nothing synced": {}, "an old log alone": {nil, complete.wal}} {
+		got := f.openedState(t)
+		if got != fresh.describe() {
+			t.Errorf("%s: %s", name, got)
 		}
 	}
 }
 
-// What is on a disk and isn't what was written is never taken for whole: a
-// record that is gone with its sum, a promise that is another, a record more.
+// A partition whose rows were altered on disk must be incomplete, also where each remaining
+// record matches its checksum: a record deleted with its checksum, an altered vote, or an
+// added record.
 func TestAlteredPartitionIsIncomplete(t *testing.T) {
-	for what, spoil := range map[string]string{
+	for name, alteration := range map[string]string{
 		"a record gone": "delete from rec where key=(select min(key) from rec where part=0) and part=0",
 		"a record and its sum": "delete from sums where part=0; " +
 			"delete from rec where key=(select min(key) from rec where part=0) and part=0",
-		"all records gone":    "delete from rec where part=0",
-		"a promise of before": "update seat set v=replace(v,'\"Promised\":','\"Promised\":9') where part=0",
+		"all records gone": "delete from rec where part=0",
+		"an altered vote":  "update seat set v=replace(v,'\"Promised\":','\"Promised\":9') where part=0",
 		"a record of another partition": "insert into rec select 0, 'other', span, term, seq, dead, val " +
 			"from rec where part=1 limit 1",
 	} {
-		s := fillFolder(t, 5)
-		if _, err := s.db.Exec(spoil); err != nil {
+		s := newPopulatedStore(t, 5)
+		if _, err := s.db.Exec(alteration); err != nil {
 			t.Fatal(err)
 		}
 		s.Close()
 		store := open(t, s.dir)
 		if !slices.Equal(store.IncompletePartitions, []int{0}) ||
 			!store.Partitions[0].Meta.Incomplete || store.Partitions[1].Meta.Incomplete {
-			t.Errorf("%s: short %v", what, store.IncompletePartitions)
+			t.Errorf("%s: incomplete %v", name, store.IncompletePartitions)
 		}
 		store.Close()
-		store = open(t, s.dir) // and it stays so until it is filled
+		store = open(t, s.dir) // it stays incomplete until its state is reinstalled
 		if !store.Partitions[0].Meta.Incomplete {
-			t.Errorf("%s: whole after another start", what)
+			t.Errorf("%s: no longer incomplete after another start", name)
 		}
 		store.Close()
 	}
--- a/control/storage/disk_test.go
+++ b/control/storage/disk_test.go
@@ -15,12 +15,12 @@
 	"mulleinmast/wire/message"
 )
 
-// A write that SQLite refuses leaves nothing behind, neither for now nor after
-// a restart; with room again the same write is taken.
-func TestFullDiskTakesNothing(t *testing.T) {
+// A write that fails on a full disk must leave no part of it behind, also after a restart.
+// Once there is space, the same write succeeds.
+func TestFailedWriteLeavesNothing(t *testing.T) {
 	dir := t.TempDir()
 	store := open(t, dir)
-	meta := quorum.Meta{VotedTerm: 1, Group: groupOf(store.Ident)}
+	meta := quorum.Meta{VotedTerm: 1, Group: singleReplicaGroup(store.Ident)}
 	if err := store.Write([]quorum.Save{{Partition: 0, Meta: meta}}); err != nil {
 		t.Fatal(err)
 	}
@@ -35,21 +35,21 @@
 		{Partition: 1, Meta: next, Records: []message.Record{large}},
 	}
 	if err := store.Write(big); err == nil || !strings.Contains(err.Error(), "full") {
-		t.Fatalf("a full disk gave %v", err)
+		t.Fatalf("write to a full disk: %v", err)
 	}
 	store.Close()
 	store = open(t, dir)
 	defer store.Close()
 	if store.Partitions[0].Meta.VotedTerm != 1 || len(store.Partitions) != 1 {
-		t.Errorf("half of a write is there: %+v", store.Partitions)
+		t.Errorf("part of the failed write is on disk: %+v", store.Partitions)
 	}
 	if err := store.Write(big); err != nil {
-		t.Errorf("with room again: %v", err)
+		t.Errorf("write with space available: %v", err)
 	}
 }
 
-// A file that can't be read or written now isn't a damaged one: it stays where
-// it is, and opens once the disk allows it.
+// A file that can't be read or written at the moment must not be treated as damaged: it
+// stays in place and opens once it is accessible.
 func TestUnreadableFileIsNotCorrupt(t *testing.T) {
 	dir := t.TempDir()
 	store := open(t, dir)
@@ -60,7 +60,8 @@
 		t.Fatal(err)
 	}
 	if store, err := Open(dir, "f"); err == nil {
-		t.Fatalf("opened as %s, it was %s; set aside as %q", store.Ident, id, store.QuarantinePath)
+		t.Fatalf("opened as %s, expected an error; the identity was %s, quarantined as %q",
+			store.Ident, id, store.QuarantinePath)
 	}
 	if err := os.Remove(wal); err != nil {
 		t.Fatal(err)
@@ -68,17 +69,19 @@
 	store = open(t, dir)
 	defer store.Close()
 	if store.Ident != id || store.QuarantinePath != "" {
-		t.Errorf("it was %s, is %s; set aside as %q", id, store.Ident, store.QuarantinePath)
+		t.Errorf("the identity was %s, is %s; quarantined as %q", id, store.Ident, store.QuarantinePath)
 	}
 }
 
-// roomKey names the room that a child of the test has on its disk.
-const roomKey = "STORAGE_TEST_ROOM"
+// fileSizeLimitEnv is the environment variable that passes a file size limit and a folder
+// to the child process of a test.
+const fileSizeLimitEnv = "STORAGE_TEST_ROOM"
 
-// The same where the disk has no room for one more byte.
+// A full disk at start must not be treated as damage either. A child process opens the
+// folder under a limit on the size of files.
 func TestFullDiskAtStartIsNotCorrupt(t *testing.T) {
-	if room := os.Getenv(roomKey); room != "" {
-		openWithRoom(room)
+	if arg := os.Getenv(fileSizeLimitEnv); arg != "" {
+		openWithFileSizeLimit(arg)
 		return
 	}
 	dir := t.TempDir()
@@ -89,47 +92,48 @@
 		t.Fatal(err)
 	}
 	store.Close()
-	for _, room := range []string{"0", "32", "4096", "8192", "65536"} {
+	for _, limit := range []string{"0", "32", "4096", "8192", "65536"} {
 		cmd := exec.Command(os.Args[0], "-test.run=^"+t.Name()+"$")
-		cmd.Env = append(os.Environ(), roomKey+"="+room+" "+dir)
+		cmd.Env = append(os.Environ(), fileSizeLimitEnv+"="+limit+" "+dir)
 		output, _ := cmd.CombinedOutput()
-		left, _ := filepath.Glob(filepath.Join(dir, "*.damaged-*"))
+		quarantined, _ := filepath.Glob(filepath.Join(dir, "*.damaged-*"))
 		opened := strings.Contains(string(output), "opened as")
-		if len(left) > 0 || opened && !strings.Contains(string(output), "opened as "+id) {
-			t.Fatalf("room for %s bytes: %v\n%s", room, left, output)
+		if len(quarantined) > 0 || opened && !strings.Contains(string(output), "opened as "+id) {
+			t.Fatalf("limit of %s bytes: %v\n%s", limit, quarantined, output)
 		}
-		if !opened && !strings.Contains(string(output), "may pass: true") {
-			t.Errorf("room for %s bytes: not taken for trouble that may pass: %s", room, output)
+		if !opened && !strings.Contains(string(output), "transient error: true") {
+			t.Errorf("limit of %s bytes: not treated as a transient error: %s", limit, output)
 		}
-		t.Logf("room for %s bytes: %s", room, output)
+		t.Logf("limit of %s bytes: %s", limit, output)
 	}
 	store = open(t, dir)
 	defer store.Close()
 	if _, ok := store.Partitions[0].Records.Get("k"); store.Ident != id || !ok {
-		t.Errorf("with room again: %s, it was %s; record there: %v", store.Ident, id, ok)
+		t.Errorf("without a limit: identity %s, expected %s; record present: %v", store.Ident, id, ok)
 	}
 }
 
-// openWithRoom opens a folder where no file may grow above a length.
-func openWithRoom(of string) {
-	room, dir, _ := strings.Cut(of, " ")
-	most, _ := strconv.ParseUint(room, 10, 64)
+// openWithFileSizeLimit opens a folder under a limit on the size of files. Its argument
+// holds the limit in bytes and the folder.
+func openWithFileSizeLimit(arg string) {
+	size, dir, _ := strings.Cut(arg, " ")
+	limit, _ := strconv.ParseUint(size, 10, 64)
 	signal.Ignore(syscall.SIGXFSZ)
-	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: most, Max: most}); err != nil {
+	if err := syscall.Setrlimit(syscall.RLIMIT_FSIZE, &syscall.Rlimit{Cur: limit, Max: limit}); err != nil {
 		fmt.Println(err)
 		return
 	}
 	store, err := Open(dir, "f")
 	if err != nil {
-		fmt.Println("may pass:", IsTransient(err), err)
+		fmt.Println("transient error:", IsTransient(err), err)
 		return
 	}
 	fmt.Println("opened as " + store.Ident)
 	store.Close()
 }
 
-// Each batch is synced, and the index of the log is in memory: writes through a
-// mapping reach a file late.
+// Each batch is synced. The index of the log must not be memory-mapped, since writes
+// through a mapping reach the file late.
 func TestLogIsSyncedAndNotMapped(t *testing.T) {
 	dir := t.TempDir()
 	store := open(t, dir)
@@ -145,6 +149,6 @@
 		}
 	}
 	if _, err := os.Stat(filepath.Join(dir, "state.db-shm")); !os.IsNotExist(err) {
-		t.Errorf("the index of the log is mapped: %v", err)
+		t.Errorf("the index of the log is memory-mapped: %v", err)
 	}
 }
--- a/control/storage/errors.go
+++ b/control/storage/errors.go
@@ -12,28 +12,28 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("data folder")
 
-// ErrLocked says that another process has the folder open.
-var ErrLocked = errors.New("another daemon has it open")
+// ErrLocked means that another process has the folder open.
+var ErrLocked = errors.New("another daemon has the folder open")
 
 var (
-	errBackup     = errors.New("it is a back-up, and no file " + MajorityLostFile + " stands beside it")
-	errSuperseded = errors.New("its identity is another's")
+	errBackup     = errors.New("the state is a back-up, and there is no file " + MajorityLostFile + " next to it")
+	errSuperseded = errors.New("the state is superseded: another process or a later state uses its identity")
 )
 
-// NewerFormatError says that a file was written by a later build.
+// NewerFormatError means that a file was written by a newer build.
 type NewerFormatError struct {
 	Path   string
-	Format int // of the file; Format is the highest that is read here
+	Format int // of the file, above the constant Format
 }
 
-// Error says which format was found.
+// Error names the file's format and the newest one that this build reads.
 //
 // Example: storage.NewerFormatError{Path: "/data/state.db", Format: 9}.Error()
 func (e NewerFormatError) Error() string {
-	return fmt.Sprintf("%s: written in format %d, this build reads up to %d", e.Path, e.Format, Format)
+	return fmt.Sprintf("%s: the file has format %d, but this build reads formats up to %d", e.Path, e.Format, Format)
 }
 
-// OtherFleetError says that a file belongs to another fleet.
+// OtherFleetError means that a file belongs to another fleet.
 type OtherFleetError struct {
 	Path, Fleet string // the file, and the fleet that it belongs to
 	Want        string // this daemon's fleet
@@ -46,13 +46,12 @@
 	return fmt.Sprintf("%s: belongs to fleet %q, not %q", e.Path, e.Fleet, e.Want)
 }
 
-// corruptError says that a file's content is at fault, where SQLite finds no fault
-// with it.
+// corruptError marks content that is corrupt although SQLite itself reports no error.
 type corruptError struct{ error }
 
-// isCorrupt tells whether a file's content is at fault. A disk that is full, slow
-// to come back or refuses to be read says nothing of the content: what is on it
-// is kept, and opening fails.
+// isCorrupt reports whether an error is due to the content of a file. A disk that is full,
+// stalled or unreadable says nothing about the content: Open then fails and the file
+// stays in place.
 func isCorrupt(err error) bool {
 	var sqliteErr sqlite3.Error
 	if errors.As(err, &sqliteErr) {
@@ -62,8 +61,8 @@
 	return errors.As(err, &corrupt)
 }
 
-// IsTransient tells whether an error is of a disk that is full or in trouble, which
-// may pass, and not of what is on it.
+// IsTransient reports whether an error is due to a full or failing disk, which may
+// recover, rather than to the content on it.
 //
 // Example: if storage.IsTransient(err) { tryAgainLater() }
 func IsTransient(err error) bool {
--- a/control/storage/golden_test.go
+++ b/control/storage/golden_test.go
@@ -15,27 +15,26 @@
 	"mulleinmast/wire/message"
 )
 
-// update has the data folders of testdata written anew. They were written by the
-// build before issue 29 and stand for the disks of the machines that run it, so
-// they are written anew only for a new format.
-var update = flag.Bool("update", false, "write the data folders of testdata with this build")
+// update rewrites the data folders in testdata. They were written by the build before
+// issue 29 and represent the disks of machines that run it, so they are rewritten only
+// for a new format.
+var update = flag.Bool("update", false, "rewrite the data folders in testdata with this build")
 
 const (
 	goldenFleet  = "f"
 	goldenIdent  = "0123456789abcdef"
-	goldenStarts = 2 // of the folder, until it was put into testdata
+	goldenStarts = 2 // number of times that the folder had been opened when it was put into testdata
 )
 
-func goldenReplicas(idents string) (list []message.Replica) {
+func goldenReplicas(idents string) (replicas []message.Replica) {
 	for i, ident := range strings.Fields(idents) {
-		list = append(list, message.Replica{Ident: ident, Addr: fmt.Sprintf("10.0.0.%d:7000", i+1)})
+		replicas = append(replicas, message.Replica{Ident: ident, Addr: fmt.Sprintf("10.0.0.%d:7000", i+1)})
 	}
-	return list
+	return replicas
 }
 
-// goldenSaves is what the folders of testdata hold: a partition with every field of
-// its state set and its group in change, one that is short of records, one that was
-// only just founded.
+// goldenSaves returns the content of the folders in testdata: a partition with all fields
+// set and a group change in progress, an incomplete partition, and a newly created one.
 func goldenSaves() []quorum.Save {
 	saves := []quorum.Save{
 		{
@@ -89,11 +88,11 @@
 	return records
 }
 
-// writeGoldenFolders makes the three folders of testdata.
+// writeGoldenFolders writes the three folders in testdata.
 func writeGoldenFolders(t *testing.T) {
 	t.Helper()
-	made := filepath.Join("testdata", "folder")
-	for _, dir := range []string{made, filepath.Join("testdata", "superseded"), filepath.Join("testdata", "backup")} {
+	created := filepath.Join("testdata", "folder")
+	for _, dir := range []string{created, filepath.Join("testdata", "superseded"), filepath.Join("testdata", "backup")} {
 		if err := os.RemoveAll(dir); err != nil {
 			t.Fatal(err)
 		}
@@ -101,12 +100,12 @@
 			t.Fatal(err)
 		}
 	}
-	store := open(t, made)
+	store := open(t, created)
 	if _, err := store.db.Exec("update meta set v=? where k='ident'", goldenIdent); err != nil {
 		t.Fatal(err)
 	}
 	store.Close()
-	store = open(t, made)
+	store = open(t, created)
 	if err := store.Write(goldenSaves()); err != nil {
 		t.Fatal(err)
 	}
@@ -117,7 +116,7 @@
 		t.Fatal(err)
 	}
 	store.Close()
-	if err := os.CopyFS(filepath.Join("testdata", "superseded"), os.DirFS(made)); err != nil {
+	if err := os.CopyFS(filepath.Join("testdata", "superseded"), os.DirFS(created)); err != nil {
 		t.Fatal(err)
 	}
 	for _, path := range []string{"folder/superseded", "folder/lock", "superseded/lock"} {
@@ -127,7 +126,7 @@
 	}
 }
 
-// goldenFolder copies a folder of testdata to one that the test may write to.
+// goldenFolder copies a folder in testdata to a temporary one that the test may write to.
 func goldenFolder(t *testing.T, name string) (dir string) {
 	t.Helper()
 	if *update {
@@ -140,16 +139,16 @@
 	return dir
 }
 
-// expectGolden checks that an open folder holds what the folders of testdata do.
+// expectGolden checks that an open folder holds the expected saves under the golden identity.
 func expectGolden(t *testing.T, store *Store, want []quorum.Save) {
 	t.Helper()
 	if store.Empty || store.QuarantinePath != "" || store.CorruptRecords != 0 ||
 		len(store.IncompletePartitions) > 0 || store.Ident != goldenIdent {
-		t.Fatalf("empty %v, set aside as %q, corrupt %d, incomplete %v, identity %s", store.Empty,
+		t.Fatalf("empty %v, quarantined as %q, corrupt %d, incomplete %v, identity %s", store.Empty,
 			store.QuarantinePath, store.CorruptRecords, store.IncompletePartitions, store.Ident)
 	}
 	if len(store.Partitions) != len(want) {
-		t.Errorf("%d partitions instead of %d", len(store.Partitions), len(want))
+		t.Errorf("%d partitions, expected %d", len(store.Partitions), len(want))
 	}
 	for _, s := range want {
 		got, ok := store.Partitions[s.Partition]
@@ -161,20 +160,19 @@
 			t.Errorf("partition %d: %+v\nexpected %+v", s.Partition, got.Meta, s.Meta)
 		}
 		if got.Records.Size() != len(s.Records) || got.Records.Sum() != recordsOf(s).Sum() {
-			t.Errorf("partition %d: other records", s.Partition)
+			t.Errorf("partition %d: the records differ", s.Partition)
 		}
 		for _, r := range s.Records {
-			there, ok := got.Records.Get(r.Key)
-			if !ok || there.Version != r.Version || there.Deleted != r.Deleted || string(there.Value) != string(r.Value) {
-				t.Errorf("partition %d: %+v instead of %+v", s.Partition, there, r)
+			stored, ok := got.Records.Get(r.Key)
+			if !ok || stored.Version != r.Version || stored.Deleted != r.Deleted || string(stored.Value) != string(r.Value) {
+				t.Errorf("partition %d: %+v, expected %+v", s.Partition, stored, r)
 			}
 		}
 	}
 }
 
-// A folder that an earlier build wrote is opened, holds what was written, and is
-// gone on with.
-func TestFolderOfAnEarlierBuildIsUsed(t *testing.T) {
+// A folder written by an earlier build opens with its content and accepts further writes.
+func TestFolderOfEarlierBuildIsUsed(t *testing.T) {
 	dir, want := goldenFolder(t, "folder"), goldenSaves()
 	store := open(t, dir)
 	expectGolden(t, store, want)
@@ -198,8 +196,8 @@
 	}
 }
 
-// A state that an earlier build marked as superseded is set aside.
-func TestSupersededFolderOfAnEarlierBuildIsQuarantined(t *testing.T) {
+// A state that an earlier build marked as superseded is quarantined.
+func TestSupersededFolderOfEarlierBuildIsQuarantined(t *testing.T) {
 	dir := goldenFolder(t, "superseded")
 	store := open(t, dir)
 	defer store.Close()
@@ -208,17 +206,17 @@
 		t.Errorf("%+v", store)
 	}
 	if !strings.HasPrefix(store.QuarantinePath, filepath.Join(dir, "state.db.superseded-")) {
-		t.Errorf("set aside as %s", store.QuarantinePath)
+		t.Errorf("quarantined as %s", store.QuarantinePath)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "superseded")); !os.IsNotExist(err) {
-		t.Errorf("the mark counts for more than one start: %v", err)
+		t.Errorf("the mark still exists after one start: %v", err)
 	}
 }
 
-// A back-up that an earlier build wrote is set aside, and is the state where an
-// operator says that a majority of the disks is lost.
-func TestBackupOfAnEarlierBuild(t *testing.T) {
-	t.Run("in the place of a folder's own state", func(t *testing.T) {
+// A back-up written by an earlier build is quarantined, or restored where a file
+// MajorityLostFile is present.
+func TestBackupOfEarlierBuild(t *testing.T) {
+	t.Run("quarantined without the operator's file", func(t *testing.T) {
 		dir := goldenFolder(t, "backup")
 		store := open(t, dir)
 		defer store.Close()
@@ -227,7 +225,7 @@
 			t.Errorf("%+v", store)
 		}
 		if !strings.HasPrefix(store.QuarantinePath, filepath.Join(dir, "state.db.back-up-")) {
-			t.Errorf("set aside as %s", store.QuarantinePath)
+			t.Errorf("quarantined as %s", store.QuarantinePath)
 		}
 	})
 	t.Run("restored", func(t *testing.T) {
@@ -250,8 +248,8 @@
 	})
 }
 
-// What is written is what earlier builds wrote, and so what they read.
-func TestRowsAreThoseOfEarlierBuilds(t *testing.T) {
+// The rows written must equal those of earlier builds, so that these can still read them.
+func TestRowsMatchEarlierBuilds(t *testing.T) {
 	dir := t.TempDir()
 	store := open(t, dir)
 	defer store.Close()
@@ -271,7 +269,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var got strings.Builder
-			err := store.each(c.query, func(scan func(...any) error) error {
+			err := store.forEachRow(c.query, func(scan func(...any) error) error {
 				var line string
 				err := scan(&line)
 				got.WriteString(line + "\n")
--- a/control/storage/load.go
+++ b/control/storage/load.go
@@ -10,17 +10,18 @@
 	"mulleinmast/wire/message"
 )
 
-// replicaRow is what the table of replicas holds of one, as JSON.
+// replicaRow is the JSON value of a row of the replica table.
 type replicaRow struct {
 	quorum.Meta
-	// Sum is that of the state as it was written; 0: by a build that wrote none.
+	// Sum is the checksum of the state as written; 0 if an older build wrote none.
 	Sum uint64 `json:"Sum,omitempty"`
-	// Past is the sum of what the row says of incarnations.
+	// Past is the checksum of the row's incarnation fields (State, History, Peers).
 	Past uint64 `json:"Past,omitempty"`
 }
 
-// load reads all partitions. What is there and isn't what was written, by its
-// sums, counts as missing, and the partition as incomplete: marked on disk at once.
+// load reads all partitions. A record that doesn't match its checksum counts as missing.
+// A partition with such a record, or whose own checksum doesn't match, is incomplete and
+// is marked so on disk at once.
 func (s *Store) load() error {
 	sums, err := s.loadReplicas()
 	if err != nil {
@@ -32,8 +33,8 @@
 	}
 	var marks []quorum.Save
 	for partition, state := range s.Partitions {
-		isWhole := sums[partition] == 0 || sums[partition] == state.Meta.Sum(state.Records)
-		if len(corrupt[partition]) == 0 && isWhole {
+		sumMatches := sums[partition] == 0 || sums[partition] == state.Meta.Sum(state.Records)
+		if len(corrupt[partition]) == 0 && sumMatches {
 			continue
 		}
 		state.Meta.Incomplete = true
@@ -50,12 +51,12 @@
 	return s.Write(marks)
 }
 
-// loadReplicas reads each partition's state beside its records, and gives the sums of
-// the whole states as they were written.
+// loadReplicas reads the metadata of each partition and returns the checksums that were
+// written for the complete states.
 func (s *Store) loadReplicas() (sums map[int]uint64, err error) {
 	s.Partitions = map[int]PartitionState{}
 	sums = map[int]uint64{}
-	err = s.each("select part, v from seat", func(scan func(...any) error) error {
+	err = s.forEachRow("select part, v from seat", func(scan func(...any) error) error {
 		var partition int
 		var text string
 		var r replicaRow
@@ -65,7 +66,7 @@
 		if err := json.Unmarshal([]byte(text), &r); err != nil {
 			return corruptError{Error.Wrap(err)}
 		}
-		if r.Past != r.PastSum() { // it claims nothing rather than what was never written
+		if r.Past != r.PastSum() { // an altered row must not claim incarnations that were never written
 			r.State, r.History, r.Peers = message.SavePoint{}, nil, nil
 		}
 		s.Partitions[partition] = PartitionState{Meta: r.Meta, Records: digest.NewRecords()}
@@ -75,26 +76,26 @@
 	return sums, err
 }
 
-// selectRecords reads the records with the sum of each, where one was written for
-// this version of it.
+// selectRecords reads each record with its checksum, which is null unless one was written
+// for this version of the record.
 const selectRecords = `select r.part, r.key, r.term, r.seq, r.dead, r.val, s.sum from rec r
 left join sums s on s.part=r.part and s.key=r.key and s.term=r.term and s.seq=r.seq`
 
-// loadRecords reads the records of all partitions and names those whose value
-// isn't what was written.
+// loadRecords reads the records of all partitions and returns the keys of those that
+// don't match their checksums.
 func (s *Store) loadRecords() (corrupt map[int][]string, err error) {
 	corrupt = map[int][]string{}
-	err = s.each(selectRecords, func(scan func(...any) error) error {
+	err = s.forEachRow(selectRecords, func(scan func(...any) error) error {
 		var partition int
 		var r message.Record
-		var sum sql.NullInt64 // a build that keeps no sums writes none
+		var sum sql.NullInt64 // null for records of a build that keeps no checksums
 		err := scan(&partition, &r.Key, &r.Version.Term, &r.Version.Seq, &r.Deleted, &r.Value, &sum)
 		if err != nil {
 			return Error.Wrap(err)
 		}
 		state, ok := s.Partitions[partition]
 		if !ok {
-			return corruptError{Error.New("record %q of partition %d, which has no replica", r.Key, partition)}
+			return corruptError{Error.New("record %q belongs to partition %d, which has no replica here", r.Key, partition)}
 		}
 		if sum.Valid && sum.Int64 != int64(digest.Fingerprint(r)) {
 			s.CorruptRecords++
--- a/control/storage/quarantine.go
+++ b/control/storage/quarantine.go
@@ -11,18 +11,18 @@
 	"mulleinmast/wire/message"
 )
 
-// MajorityLostFile is the name of the file by which an operator says that a majority
-// of the disks is lost, so that the back-up beside it is the state that is left.
-// Without it a back-up counts for nothing: the other disks have what was written
-// since, which a vote of the back-up could undo.
+// MajorityLostFile is the name of the file by which an operator declares that a majority
+// of the disks is lost, so that the back-up next to it is to be restored. Without the file
+// a back-up isn't used: the other disks hold later writes, which a vote by the back-up
+// could undo.
 const MajorityLostFile = "majority-lost"
 
-// SupersededFile is the name of the file by which a daemon says that its state is
-// superseded: another process, or a later state, bears its identity.
+// SupersededFile is the name of the file by which a daemon marks its state as superseded:
+// another process, or a later state, uses its identity.
 const SupersededFile = "superseded"
 
-// quarantineReason is why a file isn't this folder's state. It stands in the name that
-// the file gets.
+// quarantineReason is the reason why a file isn't usable as the state of the folder. It
+// is part of the name that the file is given.
 type quarantineReason string
 
 const (
@@ -31,9 +31,9 @@
 	quarantinedSuperseded quarantineReason = "superseded"
 )
 
-// whyQuarantine tells whether a file that could not be opened, as err says, is to be
-// set aside, and as what.
-func whyQuarantine(err error) (why quarantineReason, ok bool) {
+// quarantineReasonOf returns the reason to quarantine a file that failed to open with err;
+// ok is false if the file must stay in place.
+func quarantineReasonOf(err error) (reason quarantineReason, ok bool) {
 	switch {
 	case errors.Is(err, errBackup):
 		return quarantinedBackup, true
@@ -45,17 +45,17 @@
 	return "", false
 }
 
-// openOwnState opens the folder's file, unless it was found superseded before. That
-// the majority is lost, as an operator says, goes before that.
+// openOwnState opens the state file unless it was marked as superseded. A file
+// MajorityLostFile overrides the mark.
 func (s *Store) openOwnState(fleet string) error {
-	if s.has(SupersededFile) && !s.has(MajorityLostFile) {
+	if s.mayExist(SupersededFile) && !s.mayExist(MajorityLostFile) {
 		return errSuperseded
 	}
 	return s.openState(fleet)
 }
 
-// MarkSuperseded has the next start set this state aside and begin empty, under a
-// new identity.
+// MarkSuperseded marks the state as superseded: the next Open quarantines it and starts
+// empty under a new identity.
 //
 // Example: err := s.MarkSuperseded()
 func (s *Store) MarkSuperseded() error {
@@ -69,27 +69,27 @@
 	return Error.Wrap(syncDir(s.dir))
 }
 
-// quarantine renames a file that isn't this folder's state, for the reason err; one
-// that was set aside before for the same reason makes room for it.
-// The new names last before anything is made under the old ones: a write-ahead
-// log that came back beside a new file would be taken for that file's.
-func quarantine(path string, why quarantineReason, err error) (moved string, _ error) {
-	earlier, _ := filepath.Glob(path + "." + string(why) + "-*")
+// quarantine renames a file, with its write-ahead log, that isn't usable because of err.
+// Files quarantined earlier for the same reason are deleted. The new names are synced
+// before any file is created under the old ones: a write-ahead log that reappeared next
+// to a new file after a crash would be treated as part of that file.
+func quarantine(path string, reason quarantineReason, err error) (moved string, _ error) {
+	earlier, _ := filepath.Glob(path + "." + string(reason) + "-*")
 	for _, old := range earlier {
 		_ = os.Remove(old)
 	}
-	moved = fmt.Sprintf("%s.%s-%d", path, why, time.Now().UnixNano())
+	moved = fmt.Sprintf("%s.%s-%d", path, reason, time.Now().UnixNano())
 	for _, suffix := range []string{"-wal", "-shm", ""} {
 		if renameErr := os.Rename(path+suffix, moved+suffix); renameErr != nil && !os.IsNotExist(renameErr) {
-			return "", Error.New("%s: not the state (%v) and can't be set aside: %v", path, err, renameErr)
+			return "", Error.New("%s: the state is unusable (%v) and can't be quarantined: %v", path, err, renameErr)
 		}
 	}
 	return moved, Error.Wrap(syncDir(filepath.Dir(path)))
 }
 
-// disownIncarnations takes out of a restored state what it says of incarnations: it
-// isn't where its identity came to, and the others may be restored as well.
-func (s *Store) disownIncarnations() error {
+// clearIncarnations removes the incarnation fields from a restored state: they are older
+// than what its identity reached, and the other daemons may have been restored as well.
+func (s *Store) clearIncarnations() error {
 	var saves []quorum.Save
 	for partition, state := range s.Partitions {
 		state.Meta.State, state.Meta.History, state.Meta.Peers = message.SavePoint{}, nil, nil
--- a/control/storage/quarantine_test.go
+++ b/control/storage/quarantine_test.go
@@ -10,8 +10,8 @@
 	"mulleinmast/wire/message"
 )
 
-// A state that was found superseded is set aside at the next start, once, and an
-// operator's word that the majority is lost goes before that.
+// A state that was marked as superseded is quarantined at the next start, and only then.
+// A file MajorityLostFile overrides the mark.
 func TestSupersededStateIsQuarantined(t *testing.T) {
 	dir := t.TempDir()
 	store := open(t, dir)
@@ -25,7 +25,7 @@
 	}
 	store = open(t, dir)
 	if store.Ident != was || store.WasSuperseded {
-		t.Errorf("against the operator's word: %+v", store)
+		t.Errorf("quarantined although the majority is declared lost: %+v", store)
 	}
 	if err := store.MarkSuperseded(); err != nil {
 		t.Fatal(err)
@@ -38,13 +38,13 @@
 	next := store.Ident
 	store.Close()
 	if store = open(t, dir); store.Ident != next || store.WasSuperseded {
-		t.Errorf("a second time: %+v", store)
+		t.Errorf("quarantined a second time: %+v", store)
 	}
 	store.Close()
 }
 
-// What an operator says is the state that is left starts past all that others may
-// know of it, and claims nothing of where it came from.
+// A restored state starts with an incarnation beyond any that other daemons may have seen,
+// and doesn't keep the incarnations recorded in it.
 func TestRestoredStateDisownsIncarnations(t *testing.T) {
 	dir := t.TempDir()
 	store := open(t, dir)
@@ -67,15 +67,15 @@
 		t.Errorf("started as %s after %s", incarnation.String(store.Epoch), incarnation.String(was))
 	}
 	store.Close()
-	store = open(t, dir) // and on disk
+	store = open(t, dir) // the cleared state was written to disk
 	defer store.Close()
 	if m := store.Partitions[1].Meta; m.State.Epoch != 0 || len(m.Peers)+len(m.History) > 0 || m.Group.Number != 1 {
 		t.Errorf("%+v", m)
 	}
 }
 
-// What a state says of incarnations claims nothing where it isn't what was written;
-// the rest stands.
+// If the incarnation fields of a row don't match their checksum, they are discarded; the
+// other fields stay valid.
 func TestCorruptIncarnationsAreDisowned(t *testing.T) {
 	dir := t.TempDir()
 	store := open(t, dir)
--- a/control/storage/storage.go
+++ b/control/storage/storage.go
@@ -1,10 +1,10 @@
-// Package storage keeps a control daemon's state in one SQLite file of its data
-// folder. A batch of saves is one transaction; it is on disk when Write returns.
+// Package storage keeps a control daemon's state in a single SQLite file in its data
+// folder. A batch of saves is one transaction, which is on disk when Write returns.
 //
-// What a folder is good for is judged at the start (Open): a file that is damaged, is
-// a back-up, or is a superseded copy is set aside, and the daemon starts empty under a
-// new identity; records that aren't what was written count as missing, and their
-// partition as incomplete.
+// Open checks the state at start. A file that is damaged, is a back-up or has been
+// superseded is quarantined (renamed), and the daemon starts empty under a new identity.
+// A record that doesn't match its checksum counts as missing, and its partition as
+// incomplete.
 package storage
 
 import (
@@ -21,68 +21,66 @@
 	"mulleinmast/control/quorum"
 )
 
-// Format is the version of the files written here.
+// Format is the version of the file format that this build writes.
 const Format = 1
 
-// Files of the folder.
+// Names of files in the data folder.
 const (
 	stateFile = "state.db"
 	lockFile  = "lock"
 )
 
-// PartitionState is one partition's state as found on disk.
+// PartitionState is the state of one partition as found on disk.
 type PartitionState struct {
 	Meta    quorum.Meta
 	Records *digest.Records
 }
 
-// Store is an open data folder. Its exported fields say what was found when it was
-// opened; nothing here writes them later.
+// Store is an open data folder. Its exported fields describe the state found by Open;
+// this package doesn't update them afterwards.
 type Store struct {
 	db   *sql.DB
 	lock *os.File // locked while the folder is open
 	dir  string
 
-	// Ident is the daemon's identity: it stays with the folder's state.
+	// Ident is the identity of the daemon. It is stored with the state.
 	Ident string
-	// Epoch is the incarnation of this start (package incarnation).
+	// Epoch is the incarnation number of this start (package incarnation).
 	Epoch uint64
-	// Empty says that the folder had no state, or none that counts.
+	// Empty reports that the folder had no usable state.
 	Empty bool
-	// QuarantinePath is where a file was put that isn't this folder's state; "" if
-	// there was none.
+	// QuarantinePath is the new name of a quarantined file; "" if none was quarantined.
 	QuarantinePath string
-	// WasBackup says that the file at QuarantinePath is a back-up.
+	// WasBackup reports that the file at QuarantinePath is a back-up.
 	WasBackup bool
-	// WasSuperseded says that the file at QuarantinePath is superseded: another
-	// process, or a later state, bears its identity.
+	// WasSuperseded reports that the file at QuarantinePath is superseded: another
+	// process, or a later state, uses its identity.
 	WasSuperseded bool
 	// Partitions is the state of each partition that has a replica here.
 	Partitions map[int]PartitionState
-	// CorruptRecords counts the records whose value isn't what was written: they count
-	// as missing.
+	// CorruptRecords is the number of records that don't match their checksums. They are
+	// treated as missing.
 	CorruptRecords int
-	// IncompletePartitions are, in order, those that aren't what was written: they have
-	// no vote until their state is installed again.
+	// IncompletePartitions are, in ascending order, the partitions whose state doesn't
+	// match what was written. Their replicas don't vote until the state is reinstalled.
 	IncompletePartitions []int
 }
 
 func (s *Store) statePath() string { return filepath.Join(s.dir, stateFile) }
 
-// SetFull is a switch for tests: the disk is as if full, so that SQLite itself
-// refuses to grow the file.
+// SetFull simulates a full disk for tests: SQLite itself refuses to grow the file.
 //
 // Example: err := s.SetFull(true)
 func (s *Store) SetFull(full bool) error {
 	maxPages := 1 << 30
 	if full {
-		maxPages = 1 // SQLite takes the pages in use as the least
+		maxPages = 1 // SQLite raises this to the number of pages in use
 	}
 	_, err := s.db.Exec(fmt.Sprintf("pragma max_page_count=%d", maxPages))
 	return Error.Wrap(err)
 }
 
-// Close closes the folder.
+// Close closes the database and releases the lock on the folder.
 //
 // Example: defer s.Close()
 func (s *Store) Close() {
@@ -97,16 +95,16 @@
 	identityBytes = 8
 )
 
-// newNonce makes the nonce of a start.
+// newNonce returns a random nonce for the incarnation number of a start.
 func newNonce() uint32 {
 	b := make([]byte, nonceBytes)
 	if _, err := rand.Read(b); err != nil {
-		panic(err) // without randomness two copies could be taken for one
+		panic(err) // without randomness two copies could get the same incarnation number
 	}
 	return min(binary.BigEndian.Uint32(b), incarnation.MaxNonce-1)
 }
 
-// NewIdent makes a fresh random identity.
+// NewIdent returns a new random identity.
 //
 // Example: identity := storage.NewIdent()
 func NewIdent() string {
--- a/control/storage/storage_test.go
+++ b/control/storage/storage_test.go
@@ -12,8 +12,8 @@
 	"mulleinmast/wire/message"
 )
 
-// groupOf is the first group, of one replica.
-func groupOf(ident string) message.Group {
+// singleReplicaGroup returns the first group of a partition with one replica.
+func singleReplicaGroup(ident string) message.Group {
 	return message.Group{Number: 1, Replicas: []message.Replica{{Ident: ident}}}
 }
 
@@ -26,14 +26,14 @@
 	return store
 }
 
-func TestStateSurvives(t *testing.T) {
+func TestStateSurvivesRestart(t *testing.T) {
 	dir := t.TempDir()
 	store := open(t, dir)
 	id := store.Ident
 	if !store.Empty || incarnation.Starts(store.Epoch) != 1 {
 		t.Fatalf("%+v", store)
 	}
-	meta := quorum.Meta{VotedTerm: 4, VotedFor: id, LastComplete: 3, Group: groupOf(id)}
+	meta := quorum.Meta{VotedTerm: 4, VotedFor: id, LastComplete: 3, Group: singleReplicaGroup(id)}
 	records := []message.Record{
 		{Key: "plan/now", Version: message.Version{Term: 3, Seq: 1}, Value: []byte("p")},
 		{Key: "once/k", Version: message.Version{Term: 3, Seq: 2}, Deleted: true},
@@ -51,7 +51,7 @@
 		state.Meta.VotedTerm != 4 || state.Records.Size() != 2 {
 		t.Errorf("%+v", store)
 	}
-	// A wipe of a range takes only what is in it.
+	// Wiping a range deletes only the records in it.
 	wipe := quorum.Save{Partition: 2, Meta: meta, WipeRanges: []int{digest.RangeOf("plan/now")}}
 	if err := store.Write([]quorum.Save{wipe}); err != nil {
 		t.Fatal(err)
@@ -80,25 +80,25 @@
 		t.Errorf("other fleet: %v", err)
 	}
 	if _, err := Open(filepath.Join(other, "state.db"), "f"); err == nil {
-		t.Error("a file taken for a folder")
+		t.Error("a file was opened as a folder")
 	}
-	// Damage: set aside, and the daemon is a new one with no vote.
-	hurt := t.TempDir()
-	store = open(t, hurt)
+	// A damaged file is quarantined, and the daemon gets a new identity.
+	damaged := t.TempDir()
+	store = open(t, damaged)
 	id := store.Ident
 	store.Close()
-	path := filepath.Join(hurt, "state.db")
+	path := filepath.Join(damaged, "state.db")
 	if err := os.WriteFile(path, []byte("this is no database, not at all, by no means"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	store = open(t, hurt)
+	store = open(t, damaged)
 	defer store.Close()
 	if store.QuarantinePath == "" || !store.Empty || store.Ident == id {
 		t.Errorf("damaged: %+v", store)
 	}
 }
 
-// A value altered in place, its version intact, counts as missing.
+// A record whose value was altered on disk counts as missing.
 func TestCorruptValueIsMissing(t *testing.T) {
 	dir := t.TempDir()
 	store := open(t, dir)
@@ -124,7 +124,7 @@
 	if _, ok := left.Get("a"); ok || store.CorruptRecords != 1 || left.Size() != 2 {
 		t.Errorf("%d corrupt, %d left", store.CorruptRecords, left.Size())
 	}
-	// A record written by a build that keeps no sums is taken as it is.
+	// A record written by a build that keeps no checksums is accepted unchecked.
 	if _, err := store.db.Exec("insert or replace into rec values(0,'a',0,2,1,0,'z')"); err != nil {
 		t.Fatal(err)
 	}
@@ -134,11 +134,11 @@
 	}
 }
 
-// Sums of records that are gone don't stay behind.
-func TestNoFingerprintIsLeftBehind(t *testing.T) {
-	s := fillFolder(t, 6)
+// Deleting a record also deletes its checksum.
+func TestDeletedRecordsLeaveNoSums(t *testing.T) {
+	s := newPopulatedStore(t, 6)
 	for range 40 {
-		s.write(t)
+		s.writeBatch(t)
 	}
 	var records, sums int
 	const count = "select (select count(*) from rec), (select count(*) from sums)"
@@ -148,8 +148,8 @@
 	}
 }
 
-// A folder may have any name: what is written there is read there.
-func TestFolderOfAnyName(t *testing.T) {
+// A folder may have any name, also one with characters that have a meaning in a URI.
+func TestFolderNameWithURICharacters(t *testing.T) {
 	for _, name := range []string{"a#b", "a?b=c", "a%41b", "a b", "a&_synchronous=OFF"} {
 		dir := filepath.Join(t.TempDir(), name)
 		first, err := Open(dir, "f")
--- a/control/storage/write.go
+++ b/control/storage/write.go
@@ -10,7 +10,7 @@
 	"mulleinmast/wire/message"
 )
 
-// Write puts a batch of saves on disk, in order and all or nothing.
+// Write writes a batch of saves to disk in order, in a single transaction.
 //
 // Example: err := s.Write(out.Saves)
 func (s *Store) Write(saves []quorum.Save) error {
@@ -27,8 +27,8 @@
 	return Error.Wrap(tx.Commit())
 }
 
-// writeSave writes one save: the state, then the records in the order that
-// quorum.Save says.
+// writeSave writes one save: first the replica's metadata, then the changes of records in
+// the order defined by quorum.Save.
 func writeSave(tx *sql.Tx, save quorum.Save) error {
 	if err := writeReplica(tx, save); err != nil {
 		return err
@@ -60,7 +60,7 @@
 	return err
 }
 
-// wipeRange deletes the records of a range of keys with their sums.
+// wipeRange deletes the records of a range of keys and their checksums.
 func wipeRange(tx *sql.Tx, partition, span int) error {
 	const wipeSums = "delete from sums where part=? and key in (select key from rec where part=? and span=?)"
 	if _, err := tx.Exec(wipeSums, partition, partition, span); err != nil {
@@ -70,7 +70,7 @@
 	return err
 }
 
-// putRecord writes a record, whatever was there, with its sum.
+// putRecord inserts or replaces a record and its checksum.
 func putRecord(tx *sql.Tx, partition int, r message.Record) error {
 	_, err := tx.Exec("insert or replace into rec values(?,?,?,?,?,?,?)",
 		partition, r.Key, digest.RangeOf(r.Key), r.Version.Term, r.Version.Seq, r.Deleted, r.Value)
--- a/proof/standin/mutants/rules.sh
+++ b/proof/standin/mutants/rules.sh
@@ -49,7 +49,7 @@
 mutant peers-in-memory-only control/quorum TestPeerIncarnationsAreSaved $guard 'if r.guard.unsaved && now' 'if r.guard.unsaved && r.resigned && now'
 mutant leader-tells-nobody control/quorum TestALeaderAnnouncesPeerIncarnations control/quorum/heartbeat.go ', Peers: r.announcePeers(to)}' '}'
 mutant superseded-goes-on control/storage TestSupersededStateIsQuarantined control/storage/quarantine.go 'return errSuperseded' 'return s.openState(fleet)'
-mutant left-state-claims control/storage TestRestoredStateDisownsIncarnations control/storage/head.go 'starts += restoredStarts' 'starts += 0'
+mutant left-state-claims control/storage TestRestoredStateDisownsIncarnations control/storage/header.go 'starts += restoreStartOffset' 'starts += 0'
 mutant spoilt-past-counts control/storage TestCorruptIncarnationsAreDisowned control/storage/load.go 'if r.Past != r.PastSum() {' 'if r.Past == 0 && r.PastSum() != 0 {'
 # what goes down the tree, joined changes, formats
 mutant patch-on-any-base control/lease TestACorruptPatchIsNotServed $patches 'err != nil || patch.From != record.Version' 'err != nil && patch.From != record.Version'
