--- a/control/fleetconfig/accepted.go
+++ b/control/fleetconfig/accepted.go
@@ -8,45 +8,45 @@
 	"mulleinmast/wire/message"
 )
 
-// Accepted changes are remembered beside the plan's record, so that a call that
-// is sent again gets its answer again. The memory is a ring of pages, each a
-// record of its own: a change is written together with the one page that it is
-// added to, and no daemon but the replicas keeps a page. A page is a head, then entries.
+// Accepted changes are stored separately from the plan record, so that a call that is
+// repeated gets the same answer again. They form a ring of pages, each in a separate
+// record: a change is written together with the single page that it is added to, and only
+// the replicas hold the pages. A page consists of a header and entries.
 const (
-	pageKey     = "taken/%02x"
-	pages       = 256
-	pageEntries = 32 // 8,192 changes in all: two days of 4,100
-	entryBytes  = 16 // a digest of the id, and the version that it became
+	pageKeyFmt  = "taken/%02x"
+	pageCount   = 256
+	pageEntries = 32 // 8,192 changes in all, enough for two days of 4,100
+	entryBytes  = 16 // a digest of the id and the accepted version
 	digestBytes = 8  // of an entry
-	headBytes   = 8  // how many pages have been begun, with this one
-	pageBytes   = headBytes + pageEntries*entryBytes
+	headerBytes = 8  // the number of pages started so far, including this one
+	pageBytes   = headerBytes + pageEntries*entryBytes
 )
 
-var pageKeys = func() (keys [pages]string) {
+var pageKeys = func() (keys [pageCount]string) {
 	for i := range keys {
-		keys[i] = fmt.Sprintf(pageKey, i)
+		keys[i] = fmt.Sprintf(pageKeyFmt, i)
 	}
 	return keys
 }()
 
-// AcceptedChanges are the accepted changes that the records remember.
+// AcceptedChanges holds the accepted changes that are stored in the records.
 type AcceptedChanges struct {
-	pages [pages][]byte
-	begun uint64 // pages begun so far; the newest stands at place (begun-1) mod pages
+	pages        [pageCount][]byte
+	pagesStarted uint64 // so far; the newest page has index (pagesStarted-1) mod pageCount
 }
 
-// ReadAcceptedChanges reads the pages; what can't be a page counts as none.
+// ReadAcceptedChanges reads the pages. It ignores records that can't be pages.
 //
 // Example: accepted := fleetconfig.ReadAcceptedChanges(read)
 func ReadAcceptedChanges(read func(key string) message.Record) (a AcceptedChanges) {
 	for i, key := range pageKeys {
 		r := read(key)
-		if r.Deleted || len(r.Value) < headBytes || (len(r.Value)-headBytes)%entryBytes != 0 {
+		if r.Deleted || len(r.Value) < headerBytes || (len(r.Value)-headerBytes)%entryBytes != 0 {
 			continue
 		}
 		a.pages[i] = r.Value
-		if begun := binary.BigEndian.Uint64(r.Value); begun%pages == uint64(i+1)%pages {
-			a.begun = max(a.begun, begun)
+		if started := binary.BigEndian.Uint64(r.Value); started%pageCount == uint64(i+1)%pageCount {
+			a.pagesStarted = max(a.pagesStarted, started)
 		}
 	}
 	return a
@@ -57,8 +57,8 @@
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// Find is the version that an accepted id became. Where the call names its own
-// number, that must be the version too.
+// Find returns the version that the change with the given id was accepted as. If the call
+// chose a version number, the accepted version must equal it.
 //
 // Example: version, ok := accepted.Find("c17", 0)
 func (a *AcceptedChanges) Find(id string, number uint64) (version uint64, ok bool) {
@@ -67,7 +67,7 @@
 	}
 	wanted := idDigest(id)
 	for _, page := range a.pages {
-		for at := headBytes; at < len(page); at += entryBytes {
+		for at := headerBytes; at < len(page); at += entryBytes {
 			if binary.BigEndian.Uint64(page[at:]) != wanted {
 				continue
 			}
@@ -80,31 +80,31 @@
 	return 0, false
 }
 
-// newest is the place of the newest page; there is one.
-func (a *AcceptedChanges) newest() uint64 { return (a.begun - 1) % pages }
+// newestIndex returns the index of the newest page. At least one page must have been started.
+func (a *AcceptedChanges) newestIndex() uint64 { return (a.pagesStarted - 1) % pageCount }
 
-// Add remembers accepted ids and gives the records that change; the oldest page
-// gives way where all are full.
+// Add adds accepted changes and returns the records that changed. If all pages are full, the
+// oldest one is overwritten.
 //
 // Example: records = append(records, accepted.Add(fleetconfig.AcceptedChange{ID: id, Version: 9})...)
 func (a *AcceptedChanges) Add(changes ...AcceptedChange) (records []message.Record) {
-	isTouched := map[uint64]bool{}
-	var touched []uint64
+	isChanged := map[uint64]bool{}
+	var changed []uint64
 	for _, change := range changes {
-		if a.begun == 0 || len(a.pages[a.newest()]) >= pageBytes {
-			a.begun++
-			a.pages[a.newest()] = binary.BigEndian.AppendUint64(nil, a.begun)
+		if a.pagesStarted == 0 || len(a.pages[a.newestIndex()]) >= pageBytes {
+			a.pagesStarted++
+			a.pages[a.newestIndex()] = binary.BigEndian.AppendUint64(nil, a.pagesStarted)
 		}
-		at := a.newest()
-		page := append([]byte(nil), a.pages[at]...) // the record's own bytes stay
+		at := a.newestIndex()
+		page := append([]byte(nil), a.pages[at]...) // copied, since the bytes belong to the record
 		page = binary.BigEndian.AppendUint64(page, idDigest(change.ID))
 		a.pages[at] = binary.BigEndian.AppendUint64(page, change.Version)
-		if !isTouched[at] {
-			isTouched[at] = true
-			touched = append(touched, at)
+		if !isChanged[at] {
+			isChanged[at] = true
+			changed = append(changed, at)
 		}
 	}
-	for _, at := range touched {
+	for _, at := range changed {
 		records = append(records, message.Record{Key: pageKeys[at], Value: a.pages[at]})
 	}
 	return records
--- a/control/fleetconfig/accepted_test.go
+++ b/control/fleetconfig/accepted_test.go
@@ -7,12 +7,12 @@
 	"mulleinmast/wire/message"
 )
 
-// testRecords holds the records of a part, as its leader reads and writes them.
+// testRecords holds the records of a partition as seen by its leader.
 type testRecords struct {
 	stored map[string]message.Record
 	plans  PlanReader
 	seq    uint64
-	bytes  int // of the records of the last write
+	bytes  int // size of the last write
 }
 
 func (s *testRecords) read(key string) message.Record {
@@ -39,9 +39,9 @@
 	return v
 }
 
-// A change that was accepted is acknowledged again with thousands of others in
-// between, and one that was in conflict stays in conflict; neither comes into force.
-func TestAnAcceptedChangeIsKnownAfterThousands(t *testing.T) {
+// Repeating an accepted change gets the same answer, even thousands of changes later, and
+// repeating a conflicting one is a conflict again; neither changes the plan.
+func TestAcceptedChangeIsRemembered(t *testing.T) {
 	s := &testRecords{stored: map[string]message.Record{}}
 	const changes = 5000
 	version := func(i uint64) uint64 { return 3 * i }
@@ -50,32 +50,32 @@
 			t.Fatalf("change %d: %+v", i, v)
 		}
 		if v := s.change(fmt.Sprint("rival", i), version(i-1), version(i)); v.Result != "beaten" {
-			t.Fatalf("a second change on version %d: %+v", version(i-1), v)
+			t.Fatalf("a second change to version %d: %+v", version(i-1), v)
 		}
 		if s.bytes != 0 {
-			t.Fatalf("a change in conflict wrote %d bytes", s.bytes)
+			t.Fatalf("a conflicting change wrote %d bytes", s.bytes)
 		}
 	}
 	for _, i := range []uint64{1, 2, 31, 32, 33, 64, 65, 200, 900, changes - 1, changes} {
 		v := s.change(fmt.Sprint("c", i), version(i-1), version(i))
 		if v.Result != "taken" || v.Version != version(i) || s.bytes != 0 {
-			t.Errorf("change %d sent again: %+v, %d bytes written", i, v, s.bytes)
+			t.Errorf("change %d repeated: %+v, %d bytes written", i, v, s.bytes)
 		}
 		if v := s.change(fmt.Sprint("rival", i), version(i-1), version(i)); v.Result != "beaten" {
-			t.Errorf("rival %d sent again: %+v", i, v)
+			t.Errorf("rival %d repeated: %+v", i, v)
 		}
 	}
 	if p := OpenPlan(s.read(PlanKey)); p.Version != version(changes) || len(p.PastChanges) != 0 {
-		t.Errorf("version %d is in force, with %d ids in its record", p.Version, len(p.PastChanges))
+		t.Errorf("the current version is %d, with %d ids in its record", p.Version, len(p.PastChanges))
 	}
 }
 
-// The memory has a bound, and so has each write of it.
-func TestTheMemoryOfChangesIsBounded(t *testing.T) {
+// The stored changes are bounded in total size, and so is each write.
+func TestAcceptedChangesAreBounded(t *testing.T) {
 	stored := map[string]message.Record{}
 	read := func(key string) message.Record { return stored[key] }
 	total, most := 0, 0
-	for i := range uint64(2*pages*pageEntries + 5) {
+	for i := range uint64(2*pageCount*pageEntries + 5) {
 		accepted := ReadAcceptedChanges(read)
 		for _, r := range accepted.Add(AcceptedChange{ID: fmt.Sprint(i), Version: i + 1}) {
 			stored[r.Key], most = r, max(most, len(r.Value))
@@ -84,25 +84,25 @@
 	for _, r := range stored {
 		total += len(r.Value)
 	}
-	if bound := headBytes + pageEntries*entryBytes; most > bound || len(stored) > pages || total > pages*bound {
-		t.Errorf("%d records of %d bytes, the longest of %d", len(stored), total, most)
+	if bound := headerBytes + pageEntries*entryBytes; most > bound || len(stored) > pageCount || total > pageCount*bound {
+		t.Errorf("%d records of %d bytes in total, the longest has %d", len(stored), total, most)
 	}
 	accepted, known := ReadAcceptedChanges(read), 0
-	for i := range uint64(2*pages*pageEntries + 5) {
+	for i := range uint64(2*pageCount*pageEntries + 5) {
 		if version, ok := accepted.Find(fmt.Sprint(i), 0); ok && version == i+1 {
 			known++
-		} else if i > pages*pageEntries+pageEntries+5 {
-			t.Fatalf("%d of the last is forgotten", i)
+		} else if i > pageCount*pageEntries+pageEntries+5 {
+			t.Fatalf("the recent change %d is not found", i)
 		}
 	}
-	if known < (pages-1)*pageEntries {
-		t.Errorf("%d are known", known)
+	if known < (pageCount-1)*pageEntries {
+		t.Errorf("only %d changes are found", known)
 	}
 }
 
-// What a build before this one kept in the plan's record is known, and moves
-// into the pages with the next change.
-func TestOlderMemoryMoves(t *testing.T) {
+// Changes that an older build stored in the plan record are found, and move to the pages with
+// the next accepted change.
+func TestPastChangesMoveToPages(t *testing.T) {
 	s := &testRecords{stored: map[string]message.Record{}}
 	old := validPlan()
 	old.ID, old.Version = "o64", 64
@@ -114,7 +114,7 @@
 		t.Fatal(err)
 	}
 	s.stored[PlanKey] = message.Record{Key: PlanKey, Version: message.Version{Term: 1, Seq: 1}, Value: val}
-	known := func(when string) {
+	checkKnown := func(when string) {
 		t.Helper()
 		for i := range uint64(64) {
 			if v := s.change(fmt.Sprint("o", i+1), i, 0); v.Result != "taken" || v.Version != i+1 {
@@ -122,16 +122,16 @@
 			}
 		}
 	}
-	known("before")
+	checkKnown("before")
 	s.seq = 1
 	if v := s.change("new", 64, 0); v.Result != "taken" || v.Version != 65 {
 		t.Fatal(v)
 	}
-	known("after")
+	checkKnown("after")
 }
 
-// A record that isn't a page, or a page that is lost, is none, and stops nothing.
-func TestADamagedPageIsNone(t *testing.T) {
+// A lost page, or a record that isn't a page, is ignored; the other pages are still used.
+func TestDamagedPageIsIgnored(t *testing.T) {
 	stored := map[string]message.Record{}
 	read := func(key string) message.Record { return stored[key] }
 	add := func(id string, version uint64) {
@@ -149,10 +149,10 @@
 	accepted := ReadAcceptedChanges(read)
 	for id, want := range map[string]bool{"0": false, "40": false, "70": true, "next": true} {
 		if _, ok := accepted.Find(id, 0); ok != want {
-			t.Errorf("%s is known: %v", id, ok)
+			t.Errorf("%s is found: %v", id, ok)
 		}
 	}
 	if _, ok := accepted.Find("next", 501); ok {
-		t.Error("an id with another number is known")
+		t.Error("an id with a different number is found")
 	}
 }
--- a/control/fleetconfig/change.go
+++ b/control/fleetconfig/change.go
@@ -5,28 +5,28 @@
 	"slices"
 )
 
-// Change is one named change to the plan in force.
+// Change is a single named change to the current plan.
 type Change struct {
 	Op      string   `json:"op"`             // one of the operations below
-	Name    string   `json:"name,omitempty"` // of what is dropped, or of the service of a server
+	Name    string   `json:"name,omitempty"` // of the item to drop, or of the service of Server
 	Tenant  *Tenant  `json:"tenant,omitempty"`
 	Service *Service `json:"service,omitempty"`
 	Route   *Route   `json:"route,omitempty"`
 	Limits  *Limits  `json:"limits,omitempty"`
-	Server  string   `json:"server,omitempty"`  // address of the server that is excluded or included
-	Needs   int      `json:"needs,omitempty"`   // the format that a build must read; 0: any
-	Lenient bool     `json:"lenient,omitempty"` // to drop what isn't there is no fault
+	Server  string   `json:"server,omitempty"`  // address of the server to exclude or include
+	Needs   int      `json:"needs,omitempty"`   // format that a build must read; 0: any
+	Lenient bool     `json:"lenient,omitempty"` // dropping a missing item is not a fault
 }
 
-// Changes is a set of named changes, accepted all or none, in their order.
+// Changes is a list of named changes that are applied in order, all or none.
 type Changes struct {
-	ID      string   `json:"id"`               // the operator's; the same id again gets the same answer
-	Base    uint64   `json:"base"`             // version of the plan that they are for
+	ID      string   `json:"id"`               // chosen by the operator; a repeated id gets the same answer
+	Base    uint64   `json:"base"`             // version of the plan that they apply to
 	Number  uint64   `json:"number,omitempty"` // see Plan.Number
 	Changes []Change `json:"changes"`
 }
 
-// The operations of a change. Operators' programs name them.
+// Operations of a change. Operators' programs depend on these values.
 const (
 	OpSetTenant     = "set-tenant"
 	OpDropTenant    = "drop-tenant"
@@ -36,50 +36,50 @@
 	OpDropRoute     = "drop-route"
 	OpSetLimits     = "set-limits"
 	OpSetNeeds      = "set-needs"
-	OpExcludeServer = "exclude-server" // a server of a service gets no work
-	OpIncludeServer = "include-server" // it does again
+	OpExcludeServer = "exclude-server" // stop sending work to a server of a service
+	OpIncludeServer = "include-server" // undo OpExcludeServer
 )
 
 const opExpected = "expected set-tenant, drop-tenant, set-service, drop-service, set-route, drop-route, " +
 	"set-limits, set-needs, exclude-server or include-server"
 
-// itemList is a plan's items under change, found by name; what is dropped is
-// removed at the end, so that places hold until then.
+// itemList is an editable list of a plan's items, indexed by name. Dropped items are only
+// removed by remaining, so that indexes stay valid until then.
 type itemList[T any] struct {
 	items   []T
-	places  map[string]int // by name; of those that aren't dropped
-	dropped map[int]bool   // places
+	indexes map[string]int // by name, without dropped items
+	dropped map[int]bool   // by index
 }
 
 func newItemList[T any](items []T, name func(*T) string) *itemList[T] {
-	l := &itemList[T]{items: slices.Clone(items), places: make(map[string]int, len(items)), dropped: map[int]bool{}}
+	l := &itemList[T]{items: slices.Clone(items), indexes: make(map[string]int, len(items)), dropped: map[int]bool{}}
 	for i := range l.items {
-		l.places[name(&l.items[i])] = i
+		l.indexes[name(&l.items[i])] = i
 	}
 	return l
 }
 
-// set replaces the item of that name in its place or adds it at the end.
+// set replaces the item of that name in place or appends it.
 func (l *itemList[T]) set(name string, item T) {
-	if i, ok := l.places[name]; ok {
+	if i, ok := l.indexes[name]; ok {
 		l.items[i] = item
 		return
 	}
-	l.places[name] = len(l.items)
+	l.indexes[name] = len(l.items)
 	l.items = append(l.items, item)
 }
 
-// drop tells whether there was an item of that name.
+// drop marks the item of that name as dropped and reports whether there was one.
 func (l *itemList[T]) drop(name string) bool {
-	i, ok := l.places[name]
+	i, ok := l.indexes[name]
 	if ok {
 		l.dropped[i] = true
-		delete(l.places, name)
+		delete(l.indexes, name)
 	}
 	return ok
 }
 
-// remaining are the items that aren't dropped, in their order.
+// remaining returns the items that aren't dropped, in order.
 func (l *itemList[T]) remaining() []T {
 	if len(l.dropped) == 0 {
 		return l.items
@@ -93,7 +93,7 @@
 	return out
 }
 
-// draft is a plan under change.
+// draft is an editable copy of the parts of a plan.
 type draft struct {
 	tenants  *itemList[Tenant]
 	services *itemList[Service]
@@ -110,12 +110,12 @@
 		limits:   p.Limits, needs: p.Needs,
 	}
 	for i := range d.services.items {
-		d.services.items[i].Exclude = slices.Clone(d.services.items[i].Exclude) // the plan in force keeps its own
+		d.services.items[i].Exclude = slices.Clone(d.services.items[i].Exclude) // don't modify the current plan
 	}
 	return d
 }
 
-// Apply applies named changes to a copy of the plan; faults name the change.
+// Apply applies named changes to a copy of the plan. Faults name the change that caused them.
 //
 // Example: next, f := plan.Apply(changes)
 func (p Plan) Apply(c Changes) (Plan, Faults) {
@@ -139,7 +139,7 @@
 	return next, next.Validate()
 }
 
-// apply makes one change; the fault is "" if it could.
+// apply applies one change and returns its fault, or "" if it succeeded.
 func (d *draft) apply(c Change) (fault string) {
 	switch c.Op {
 	case OpSetTenant, OpSetService, OpSetRoute, OpSetLimits:
@@ -156,7 +156,7 @@
 	}
 }
 
-// set adds an item or replaces the one of its name.
+// set adds an item or replaces the item of the same name.
 func (d *draft) set(c Change) (fault string) {
 	switch {
 	case c.Op == OpSetTenant && c.Tenant != nil:
@@ -179,7 +179,7 @@
 	return ""
 }
 
-// drop removes an item by its name.
+// drop removes the item of the given name.
 func (d *draft) drop(c Change) (fault string) {
 	kind, ok := "", false
 	switch c.Op {
@@ -196,9 +196,9 @@
 	return ""
 }
 
-// exclude adds a server to those of a service that get no work, or takes it from them.
+// exclude adds a server to a service's list of excluded servers, or removes it from the list.
 func (d *draft) exclude(c Change) (fault string) {
-	i, ok := d.services.places[c.Name]
+	i, ok := d.services.indexes[c.Name]
 	if !ok {
 		return fmt.Sprintf("no service %q", c.Name)
 	}
--- a/control/fleetconfig/codec.go
+++ b/control/fleetconfig/codec.go
@@ -2,19 +2,19 @@
 
 import "github.com/klauspost/compress/zstd"
 
-// Codec makes and applies patches of records' values (control/lease): a patch is the
-// later value compressed with the earlier one as dictionary, both as they are
-// before they are compressed. It ends with a checksum of the later value.
+// Codec creates and applies patches to the values of records (see control/lease). A patch
+// is the uncompressed new value, compressed with the uncompressed old value as dictionary.
+// It ends with a checksum of the new value.
 type Codec struct{}
 
-// dictionaryID is the number by which a patch names its base; there is one.
+// dictionaryID is the zstd dictionary id of the base; a patch has only one.
 const dictionaryID = 1
 
-// minPatchWindow is the least window of a patch, in bytes: a base may be as long as a plan.
+// minPatchWindow is the minimum zstd window of a patch, in bytes: a base may be as long as a plan.
 const minPatchWindow = 1 << 20
 
-// Patch gives what turns one value into another; none if it isn't shorter than
-// half of the compressed value.
+// Patch returns the patch that turns one value into another, or nil if the patch isn't
+// shorter than half of the compressed value.
 //
 // Example: patch := fleetconfig.Codec{}.Patch(old.Value, current.Value)
 func (Codec) Patch(from, to []byte) []byte {
@@ -36,7 +36,7 @@
 	return patch
 }
 
-// Apply gives the value that a patch was made for, uncompressed.
+// Apply applies a patch and returns the new value, uncompressed.
 //
 // Example: val, err := fleetconfig.Codec{}.Apply(old.Value, patch)
 func (Codec) Apply(from, patch []byte) ([]byte, error) {
@@ -55,7 +55,7 @@
 	return value, Error.Wrap(err)
 }
 
-// Whole gives a value as it goes to those who hold none: compressed, if it is a plan.
+// Whole returns a value as sent to daemons that have no base for a patch: compressed, if it is a plan.
 //
 // Example: rec.Value = fleetconfig.Codec{}.Whole(rec.Value)
 func (Codec) Whole(value []byte) []byte {
@@ -63,13 +63,13 @@
 		return value
 	}
 	compressed, err := compress(compressedMsgp, value[1:])
-	if err != nil { // it is longer than a plan may be: it never was one
+	if err != nil { // too long for a plan, so the value isn't one
 		return value
 	}
 	return compressed
 }
 
-// uncompressed is a value as daemons keep it that take it as patches.
+// uncompressed returns a value in the form kept by daemons that receive it as patches.
 func uncompressed(value []byte) ([]byte, error) {
 	if len(value) == 0 || value[0] != compressedMsgp {
 		return value, nil
@@ -81,7 +81,7 @@
 	return append([]byte{plainMsgp}, b...), nil
 }
 
-// patchWindow is a power of two that holds so many bytes.
+// patchWindow returns the smallest permitted power of two that is at least size.
 func patchWindow(size int) int {
 	window := minPatchWindow
 	for window < size && window < zstd.MaxWindowSize {
--- a/control/fleetconfig/codec_test.go
+++ b/control/fleetconfig/codec_test.go
@@ -9,7 +9,7 @@
 	"mulleinmast/wire/message"
 )
 
-// planOf is a plan of so many routes, as operators send them.
+// planOf returns a plan with the given number of routes, with raw fields as operators send them.
 func planOf(routes int) Plan {
 	p := Plan{ID: "p", Version: 7, Services: []Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}}
 	for i := range routes {
@@ -38,9 +38,9 @@
 	return b
 }
 
-// A change of one route of 1,500 goes as less than 200 bytes, from what a disk holds
-// and from what a daemon keeps, and the plan that comes of it is the one that was sent.
-func TestAPatchIsAsLongAsItsChange(t *testing.T) {
+// The patch for a change to one of 1,500 routes has at most 200 bytes. Applying it to the
+// uncompressed form that daemons keep results in the same plan as the new record.
+func TestPatchOfOneRouteIsSmall(t *testing.T) {
 	p := planOf(1500)
 	stored := recordOf(t, p)
 	kept := stored
@@ -60,18 +60,18 @@
 		}
 		got, err := ReadPlan(message.Record{Key: PlanKey, Value: val})
 		if err != nil || !reflect.DeepEqual(got, OpenPlan(message.Record{Key: PlanKey, Value: to})) {
-			t.Fatalf("change %d: %v, or another plan", n, err)
+			t.Fatalf("change %d: the plan differs, or %v", n, err)
 		}
 		if again := (Codec{}).Whole(val); string(again) != string(to) {
-			t.Fatalf("change %d: packed again it is another value", n)
+			t.Fatalf("change %d: the value differs after compressing it again", n)
 		}
 		p, stored, kept = next, to, val
 	}
 }
 
-// Applying a patch to another value than it was made from is an error, and so is
-// one that was cut short or corrupted.
-func TestAPatchFitsOnlyItsBase(t *testing.T) {
+// Applying a patch to a value other than its base must fail, and so must applying a truncated
+// or corrupted patch.
+func TestPatchAppliesOnlyToItsBase(t *testing.T) {
 	a, b := planOf(200), planOf(200)
 	b.Routes[7].GiveUpMillis = 17
 	other := planOf(200)
@@ -81,16 +81,16 @@
 		t.Fatal(err)
 	}
 	if _, err := (Codec{}).Apply(recordOf(t, other), patch); err == nil {
-		t.Error("applied to another base")
+		t.Error("the patch was applied to another base")
 	}
 	for i := range patch {
 		damaged := append([]byte(nil), patch...)
 		damaged[i] ^= 0x20
 		if val, err := (Codec{}).Apply(recordOf(t, a), damaged); err == nil && string(val[1:]) != plainOf(t, b) {
-			t.Fatalf("byte %d corrupted: read as another value", i)
+			t.Fatalf("byte %d corrupted: the patch results in another value", i)
 		}
 		if _, err := (Codec{}).Apply(recordOf(t, a), patch[:i]); err == nil && i > 0 {
-			t.Fatalf("taken when cut to %d bytes", i)
+			t.Fatalf("accepted although truncated to %d bytes", i)
 		}
 	}
 }
@@ -104,24 +104,24 @@
 	return string(b)
 }
 
-// Values that share little have no patch; lists have patches, too.
-func TestValuesThatShareLittleHaveNoPatch(t *testing.T) {
+// Dissimilar values have no patch. Server lists can be patched as well as plans.
+func TestDissimilarValuesHaveNoPatch(t *testing.T) {
 	if patch := (Codec{}).Patch([]byte(`{"a":1}`), recordOf(t, planOf(100))); patch != nil {
-		t.Errorf("%d bytes of patch between strangers", len(patch))
+		t.Errorf("a patch of %d bytes between dissimilar values", len(patch))
 	}
-	var was List
+	var before List
 	for i := range 60 {
-		was.Servers = append(was.Servers, Server{Addr: fmt.Sprintf("10.1.64.%d:8080", i), Zone: "north"})
+		before.Servers = append(before.Servers, Server{Addr: fmt.Sprintf("10.1.64.%d:8080", i), Zone: "north"})
 	}
-	is := was
-	is.Servers = was.Servers[1:]
-	from, to := mustJSON(t, was), mustJSON(t, is)
+	after := before
+	after.Servers = before.Servers[1:]
+	from, to := mustJSON(t, before), mustJSON(t, after)
 	patch := Codec{}.Patch(from, to)
 	if len(patch) == 0 || len(patch) > 100 {
-		t.Errorf("one server of 60 less: %d bytes", len(patch))
+		t.Errorf("removing one of 60 servers: a patch of %d bytes", len(patch))
 	}
 	if val, err := (Codec{}).Apply(from, patch); err != nil || string(val) != string(to) {
-		t.Errorf("another list: %v", err)
+		t.Errorf("the list differs, or %v", err)
 	}
 }
 
@@ -156,24 +156,24 @@
 			}
 		}
 	})
-	b.Run("make from kept", func(b *testing.B) {
+	b.Run("make from uncompressed", func(b *testing.B) {
 		for b.Loop() {
 			Codec{}.Patch(base, to)
 		}
 	})
-	b.Run("read whole", func(b *testing.B) {
+	b.Run("read compressed", func(b *testing.B) {
 		for b.Loop() {
 			if _, err := ReadPlan(message.Record{Value: to}); err != nil {
 				b.Fatal(err)
 			}
 		}
 	})
-	b.Run("read kept", func(b *testing.B) {
+	b.Run("read uncompressed", func(b *testing.B) {
 		for b.Loop() {
 			if _, err := ReadPlan(message.Record{Value: base}); err != nil {
 				b.Fatal(err)
 			}
 		}
 	})
-	b.Logf("plan %d bytes packed, %d kept, patch %d", len(to), len(base), len(patch))
+	b.Logf("plan: %d bytes compressed, %d uncompressed; patch: %d", len(to), len(base), len(patch))
 }
--- a/control/fleetconfig/encode.go
+++ b/control/fleetconfig/encode.go
@@ -7,31 +7,31 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// The first byte of a value says how it is encoded; plain JSON begins with '{'.
+// The first byte of a value identifies its encoding; uncompressed JSON begins with '{'.
 const (
-	compressedJSON = 'z' // the body of a call; plans' records of older builds
-	compressedMsgp = 'm' // a plan's record: it is read many times for each time it is written, on a fifth of a processor
-	plainMsgp      = 'o' // a plan's record as daemons keep it that take it as patches
+	compressedJSON = 'z' // bodies of calls, and plan records of older builds
+	compressedMsgp = 'm' // plan records: they are read far more often than written, on a fifth of a processor
+	plainMsgp      = 'o' // plan records in daemons that receive them as patches
 )
 
-// maxPlanBytes bounds a value before it is compressed: what EncodeCall makes, Decompress opens.
+// maxPlanBytes bounds the uncompressed size of a value, so that Decompress can read all that EncodeCall returns.
 const maxPlanBytes = 64 << 20
 
-// EncodeCall makes the compressed body of a call of a plan or changes; the error is
-// of a value that is too long or, in a raw part, isn't JSON.
+// EncodeCall returns the compressed body of a call with a plan or changes. It returns an
+// error if the value is too long or a raw field isn't JSON.
 //
 // Example: body, err := fleetconfig.EncodeCall(changes)
 func EncodeCall(x any) ([]byte, error) {
 	var b bytes.Buffer
 	e := json.NewEncoder(&b)
-	e.SetEscapeHTML(false) // a raw part stays as long as it is
+	e.SetEscapeHTML(false) // escaping would make raw fields longer
 	if err := e.Encode(x); err != nil {
 		return nil, Error.Wrap(err)
 	}
 	return compress(compressedJSON, b.Bytes())
 }
 
-// EncodePlan makes the record of a plan; the error is of one that is too long.
+// EncodePlan returns the value of a plan record. It returns an error if the plan is too long.
 //
 // Example: val, err := fleetconfig.EncodePlan(plan)
 func EncodePlan(p Plan) ([]byte, error) {
@@ -55,8 +55,8 @@
 	return w.EncodeAll(b, []byte{encoding}), nil
 }
 
-// Decompress gives what a compressed value holds; one that isn't compressed stays as
-// it is. The error is of a value that is damaged.
+// Decompress returns the content of a compressed value, and an uncompressed value unchanged.
+// It returns an error if the value is damaged.
 //
 // Example: b, err := fleetconfig.Decompress(rec.Value)
 func Decompress(b []byte) ([]byte, error) {
@@ -73,8 +73,8 @@
 	return out, Error.Wrap(err)
 }
 
-// planBytes gives what a plan's record holds, and whether it is msgp; else it is JSON.
-func planBytes(value []byte) (b []byte, isMsgp bool, err error) {
+// decompressPlan returns the encoded plan of a plan record and whether it is msgp rather than JSON.
+func decompressPlan(value []byte) (b []byte, isMsgp bool, err error) {
 	if value[0] == plainMsgp {
 		return value[1:], true, nil
 	}
--- a/control/fleetconfig/format.go
+++ b/control/fleetconfig/format.go
@@ -5,41 +5,42 @@
 	"strconv"
 )
 
-// formatRead is the newest format of plans that this build reads; a test's build sets
-// another at link time.
+// formatRead is the newest plan format that this build reads. Test builds set a different
+// one at link time.
 var formatRead = "2"
 
-// formatOfKeys is the first format that has tenants known by keys, and their limits. A
-// build that doesn't read it would serve everybody.
-const formatOfKeys = 2
+// keysFormat is the first plan format with tenants that are identified by keys and have
+// limits. A build that doesn't know it would serve clients without a key.
+const keysFormat = 2
 
-// maxFormat bounds the format that a plan may need.
+// maxFormat is the highest format that a plan may require.
 const maxFormat = 1000
 
-// NewestFormat is the newest format of plans that this build reads and serves by. A plan
-// says which it needs; by what a build can't read it serves nothing.
+// NewestFormat returns the newest plan format that this build reads. A build doesn't serve
+// requests by a plan that requires a newer one.
 //
 // Example: if plan.Needs > fleetconfig.NewestFormat() { serveNothing() }
 func NewestFormat() int {
 	n, err := strconv.Atoi(formatRead)
 	if err != nil {
-		panic(err) // a build that doesn't know what it reads serves nothing
+		panic(err) // a build that doesn't know which formats it reads must not serve requests
 	}
 	return n
 }
 
-// RequiredFormat is the format that a build must read to serve by the plan: what the
-// operator says, or more where the plan holds what older builds would pass over.
+// RequiredFormat returns the format that a build must read to serve requests by the plan:
+// the one given by the operator, or a newer one if the plan has fields that older builds
+// would ignore.
 //
 // Example: if plan.RequiredFormat() > format { refuse() }
 func (p Plan) RequiredFormat() int {
 	if p.NeedsKeys() {
-		return max(p.Needs, formatOfKeys)
+		return max(p.Needs, keysFormat)
 	}
 	return p.Needs
 }
 
-// checkFormat gives the error of a plan that needs a newer format than this build reads.
+// checkFormat returns an error if the plan requires a newer format than this build reads.
 func (p Plan) checkFormat() error {
 	if p.Needs <= NewestFormat() {
 		return nil
--- a/control/fleetconfig/judge.go
+++ b/control/fleetconfig/judge.go
@@ -9,43 +9,43 @@
 // Verdict is the answer to a plan or a change.
 type Verdict struct {
 	Result  string   `json:"result"`  // one of the results of a verdict
-	Version uint64   `json:"version"` // that the plan became; else the one in force
+	Version uint64   `json:"version"` // of the accepted plan, or else the current version
 	Faults  []string `json:"faults,omitempty"`
 }
 
-// Results of a verdict. Operators' programs read them.
+// Results of a verdict. Operators' programs depend on these values.
 const (
 	VerdictAccepted = "taken"
-	VerdictConflict = "beaten" // the version that it is based on is no longer in force
-	VerdictInvalid  = "broken" // it has faults
+	VerdictConflict = "beaten" // its base is no longer the current version
+	VerdictInvalid  = "broken" // the proposal has faults
 )
 
-// Proposal is a next plan on the version that it is made for: a whole plan, or named changes of the one in force.
+// Proposal proposes the next plan, as a complete plan or as named changes to the current one.
 type Proposal struct {
-	ID     string // the operator's; the same id again gets the same answer
-	Base   uint64 // version that must be in force
-	Number uint64 // the operator's own, for the next version; 0: none
-	// Next makes the proposed plan of the one in force. It is called only if that is the base.
+	ID     string // chosen by the operator; a repeated id gets the same answer
+	Base   uint64 // version that must be the current one
+	Number uint64 // version that the operator chose for the next plan; 0: none
+	// Next returns the proposed plan. It is called only if the current version is Base.
 	Next func(current Plan) (Plan, Faults)
 }
 
-// Propose is the proposal of a whole plan.
+// Propose returns the proposal to replace the current plan by p.
 //
 // Example: records, verdict, err := fleetconfig.Decide(read, plans, plan.Propose())
 func (p Plan) Propose() Proposal {
 	return Proposal{p.ID, p.Base, p.Number, func(Plan) (Plan, Faults) { return p, p.Validate() }}
 }
 
-// Propose is the proposal of named changes.
+// Propose returns the proposal to apply the named changes to the current plan.
 //
 // Example: records, verdict, err := fleetconfig.Decide(read, plans, changes.Propose())
 func (c Changes) Propose() Proposal {
 	return Proposal{c.ID, c.Base, c.Number, func(current Plan) (Plan, Faults) { return current.Apply(c) }}
 }
 
-// Judge decides about a proposal against the plan in force, which is accepted
-// again; what was accepted before that is for Decide. It returns the record's value
-// when the proposal is accepted.
+// Judge validates a proposal against the current plan. It returns the value of the new plan
+// record if the proposal is accepted. A proposal whose id the current plan's record names is
+// accepted again; Decide also recognizes earlier ones.
 //
 // Example: val, verdict := fleetconfig.Judge(current, changes.Propose())
 func Judge(current Plan, proposal Proposal) ([]byte, Verdict) {
@@ -77,10 +77,10 @@
 	return value, Verdict{Result: VerdictAccepted, Version: plan.Version}
 }
 
-// Decide judges a proposal by the records: one that was accepted before gets
-// its answer again, one that is accepted now is written together with its id. plans
-// reads the plan's record. The error is of a plan in force that this build can't read:
-// nothing is decided on it.
+// Decide judges a proposal and returns the records to write. A proposal that was accepted
+// before gets the same answer again. One that is accepted now is written together with its
+// id. plans reads the plan record. Decide returns an error, and no verdict, if this build
+// can't read the current plan.
 //
 // Example: records, verdict, err := fleetconfig.Decide(read, plans, plan.Propose())
 func Decide(
@@ -98,7 +98,7 @@
 	if value == nil {
 		return nil, verdict, nil
 	}
-	// What a build before this one kept in the plan's record moves out of it.
+	// Accepted ids that an older build stored in the plan record move to the pages.
 	change := AcceptedChange{ID: proposal.ID, Version: verdict.Version}
 	remembered := accepted.Add(slices.Concat(current.PastChanges, []AcceptedChange{change})...)
 	return append([]message.Record{{Key: PlanKey, Value: value}}, remembered...), verdict, nil
--- a/control/fleetconfig/list.go
+++ b/control/fleetconfig/list.go
@@ -9,18 +9,18 @@
 	"mulleinmast/wire/message"
 )
 
-// Server is one entry of the platform's list.
+// Server is an entry of the platform's list of servers.
 type Server struct {
-	ID       string `json:"id,omitempty"` // of this start of the server, where the platform gives one
+	ID       string `json:"id,omitempty"` // of this start of the server, if the platform assigns one
 	Addr     string `json:"addr"`         // IP address and port
 	Zone     string `json:"cell"`
-	Capacity int    `json:"capacity"` // requests that it works on at a time; 1 to 4096
+	Capacity int    `json:"capacity"` // concurrent requests; 1 to 4096
 	Leaving  bool   `json:"leaving,omitempty"`
-	Role     string `json:"part,omitempty"`    // that the platform says it plays; "": it is to be polled and ordered
-	Warming  bool   `json:"warming,omitempty"` // the platform says so
+	Role     string `json:"part,omitempty"`    // reported by the platform; "": the server is polled and given orders
+	Warming  bool   `json:"warming,omitempty"` // as reported by the platform
 }
 
-// Key names a server within its service: the id of its start, else its address.
+// Key identifies a server within its service: by the id of its start, or else by its address.
 //
 // Example: fleetconfig.Server{Addr: "10.0.0.1:9000"}.Key() == "10.0.0.1:9000"
 func (s Server) Key() string {
@@ -30,25 +30,25 @@
 	return s.Addr
 }
 
-// List is a service's servers as the platform names them.
+// List holds the servers of a service as listed by the platform.
 type List struct {
-	// Version is the platform's own count; a list with a lower one is in conflict. 0: it doesn't count.
+	// Version is the platform's version of the list; a list with a lower one is in conflict. 0: unversioned.
 	Version uint64   `json:"version,omitempty"`
 	Servers []Server `json:"servers"`
 }
 
-// ReadList reads a list record; absence is the empty list. The error is of one
-// that this build can't read.
+// ReadList decodes a list record; a missing record is an empty list. It returns an error if
+// this build can't read the record.
 //
 // Example: list, err := fleetconfig.ReadList(rec)
 func ReadList(r message.Record) (l List, err error) {
 	if !r.Deleted && len(r.Value) > 0 {
-		err = unreadable(r, json.Unmarshal(r.Value, &l))
+		err = unreadableError(r, json.Unmarshal(r.Value, &l))
 	}
 	return l, err
 }
 
-// OpenList is ReadList for records that were found readable before; it panics on others.
+// OpenList is like ReadList for records known to be readable; it panics on others.
 //
 // Example: for _, s := range fleetconfig.OpenList(rec).Servers { ... }
 func OpenList(r message.Record) List {
@@ -59,18 +59,18 @@
 	return l
 }
 
-// Validate lists every fault of a server list.
+// Validate returns all faults of a server list.
 //
 // Example: if f := list.Validate(); f.Any() { ... }
 func (l List) Validate() (f Faults) {
-	places := map[string]int{} // by key
+	indexes := map[string]int{} // by key
 	for i, s := range l.Servers {
 		at := fmt.Sprintf("servers[%d]", i)
 		f.addError(at, s.validate())
-		if j, ok := places[s.Key()]; ok {
+		if j, ok := indexes[s.Key()]; ok {
 			f.Add("%s: %q is listed already in servers[%d]", at, s.Key(), j)
 		}
-		places[s.Key()] = i
+		indexes[s.Key()] = i
 	}
 	return f
 }
--- a/control/fleetconfig/openapi/openapi.go
+++ b/control/fleetconfig/openapi/openapi.go
@@ -1,5 +1,5 @@
-// Package openapi imports services from OpenAPI files: each operation that
-// names a model in the extension x-model becomes a named change of the plan.
+// Package openapi imports services from OpenAPI documents: each model that operations name
+// in the extension x-model becomes a named change that adds a service to the plan.
 package openapi
 
 import (
@@ -13,11 +13,11 @@
 	"mulleinmast/control/fleetconfig"
 )
 
-// modelExtension names the model of an operation.
+// modelExtension is the OpenAPI extension that names the model of an operation.
 const modelExtension = "x-model"
 
-// Read turns an OpenAPI document into named changes, to be sent with an id and
-// the plan's current version as base.
+// Read converts an OpenAPI document into named changes. The caller has to set their id, and
+// their base to the current version of the plan.
 //
 // Example: changes, faults := openapi.Read(file)
 func Read(doc []byte) (changes fleetconfig.Changes, faults fleetconfig.Faults) {
@@ -37,7 +37,7 @@
 	return changes, faults
 }
 
-// readModels gives the names of the models of all operations.
+// readModels returns the names of the models of all operations.
 func readModels(spec *openapi3.T, faults *fleetconfig.Faults) map[string]bool {
 	models := map[string]bool{}
 	for path, item := range spec.Paths.Map() {
@@ -60,7 +60,7 @@
 	return models
 }
 
-// modelName is the value of the extension, which the loader may have left as JSON.
+// modelName returns the value of the extension, which the loader may have left as raw JSON.
 func modelName(extension any) (name string, err error) {
 	raw, isRaw := extension.(json.RawMessage)
 	if !isRaw {
--- a/control/fleetconfig/openapi/openapi_test.go
+++ b/control/fleetconfig/openapi/openapi_test.go
@@ -17,7 +17,7 @@
 		`{"openapi":"3.0.0","info":{"title":"t","version":"1"},"paths":{"/a":{"get":{"x-model":"a b","responses":{"200":{"description":"ok"}}}}}}`,
 	} {
 		if _, f := Read([]byte(bad)); !f.Any() {
-			t.Errorf("taken: %s", bad)
+			t.Errorf("accepted: %s", bad)
 		}
 	}
 }
--- a/control/fleetconfig/plan.go
+++ b/control/fleetconfig/plan.go
@@ -1,7 +1,7 @@
-// Package fleetconfig is the operators' configuration of the fleet: one template a tenant,
-// whole plans, named changes, the lists of model servers and the zones taken out of
-// service. A plan is validated in full before anything is written and is one
-// record, so all of it is in force or nothing.
+// Package fleetconfig implements the operators' configuration of the fleet: plans, named
+// changes to them, the lists of model servers and the evacuated zones. A plan is validated
+// completely before anything is written, and it is a single record, so it takes effect
+// completely or not at all.
 package fleetconfig
 
 import "encoding/json"
@@ -17,80 +17,80 @@
 	MaxServices = 5000
 )
 
-// Plan is a whole plan as it is in force.
+// Plan is a complete configuration of tenants, services, routes and limits.
 type Plan struct {
-	Version  uint64    `json:"version"` // rises with each accepted change
-	ID       string    `json:"id"`      // the operator's, of the change that made this plan
-	Base     uint64    `json:"base"`    // version that the change was made for
+	Version  uint64    `json:"version"` // increases with each accepted change
+	ID       string    `json:"id"`      // of the change that created this plan, chosen by the operator
+	Base     uint64    `json:"base"`    // version that the change applied to
 	Tenants  []Tenant  `json:"tenants"`
 	Services []Service `json:"services"`
 	Routes   []Route   `json:"routes,omitempty"`
 	Limits   Limits    `json:"limits,omitzero"`
-	// Number is the operator's own for the next version; it must be above the
-	// version in force. 0: the next version is one more. A plan in force has none.
+	// Number is the version that the operator chose for the plan, above the current version;
+	// 0: the current version plus one. It is 0 in an accepted plan.
 	Number uint64 `json:"number,omitempty"`
-	// Needs is the format that a build must read to serve by this plan, at most 1000; 0: any build does.
+	// Needs is the format that a build must read to serve requests by this plan, at most 1000; 0: any.
 	Needs int `json:"needs,omitempty"`
-	// Raw is what else the operator sent, an object of further fields.
+	// Raw is an object of further fields that the operator sent.
 	Raw json.RawMessage `json:"raw,omitempty"`
-	// PastChanges is what a build before this one remembered; see AcceptedChanges.
+	// PastChanges holds accepted changes in plans of older builds; now see AcceptedChanges.
 	PastChanges []AcceptedChange `json:"past,omitempty"`
 }
 
-// Tenant is the template that operators fill in.
+// Tenant is the configuration of a tenant; see Template.
 type Tenant struct {
 	Name          string   `json:"name"`               // 1 to 64 letters, digits, '.', '_' or '-'
 	Priority      int      `json:"priority"`           // 0 is the most urgent, 9 the least
-	Services      []string `json:"services,omitempty"` // that it may use; none means all
-	TimeoutMillis int      `json:"budget_ms"`          // for requests that name none; 1 to 600,000
-	QueueFraction float64  `json:"queue"`              // of a daemon's queue that it may fill at most; 0.001 to 1
+	Services      []string `json:"services,omitempty"` // that it may use; none: all
+	TimeoutMillis int      `json:"budget_ms"`          // of requests without a timeout; 1 to 600,000
+	QueueFraction float64  `json:"queue"`              // maximum fraction of a daemon's queue that it may fill; 0.001 to 1
 
-	// The rest is for tenants whose clients are known by a key.
-	ByKey bool `json:"by_key,omitempty"` // its clients come with keys; it may have none just now
-	// Keys are secrets: they stand in the plan alone, and in what operators read back.
+	// The fields below are for tenants whose clients are identified by keys.
+	ByKey bool `json:"by_key,omitempty"` // its clients need keys, even while Keys is empty
+	// Keys are secrets: they appear only in the plan and in operators' reads of it.
 	Keys    []string        `json:"keys,omitempty"`
-	Urgency *int            `json:"urgency,omitempty"` // of its requests, before that of their route; none: the route's
-	Rate    float64         `json:"rate,omitempty"`    // requests a second, over all daemons; 0: no limit
-	Burst   float64         `json:"burst,omitempty"`   // requests on top of the rate
-	Raw     json.RawMessage `json:"raw,omitempty"`     // the item as its operator sent it
+	Urgency *int            `json:"urgency,omitempty"` // overrides the urgency of the route; nil: the route's urgency
+	Rate    float64         `json:"rate,omitempty"`    // requests a second over all daemons; 0: no limit
+	Burst   float64         `json:"burst,omitempty"`   // requests allowed in excess of the rate
+	Raw     json.RawMessage `json:"raw,omitempty"`     // the tenant as sent by the operator
 }
 
-// IsLimited tells whether the tenant's requests have a limit.
+// IsLimited reports whether the rate of the tenant's requests is limited.
 //
 // Example: fleetconfig.Tenant{Rate: 20}.IsLimited() == true
 func (t Tenant) IsLimited() bool { return t.Rate > 0 }
 
-// Service is what a plan says of one model.
+// Service is the configuration of the servers of a model.
 type Service struct {
 	Name           string   `json:"name"`              // 1 to 1024 bytes without a '/'
-	PrefillServers int      `json:"readers"`           // never fewer by the controller's choice; at least 1
-	DecodeServers  int      `json:"makers"`            // likewise
+	PrefillServers int      `json:"readers"`           // minimum that the controller keeps; at least 1
+	DecodeServers  int      `json:"makers"`            // minimum, as for PrefillServers
 	Exclude        []string `json:"exclude,omitempty"` // addresses (IP and port) of servers that get no work
 
-	// The rest is for services whose servers the platform lists; 0: not given.
-	StatusPath     string          `json:"status,omitempty"`      // path at which a server answers with its state
-	MaxConnections int             `json:"conns,omitempty"`       // that a server takes from all daemons together
-	WarmUpSeconds  float64         `json:"cold_s,omitempty"`      // for so long after its start a server is cold
-	WarmUpRate     float64         `json:"cold_rate,omitempty"`   // that a cold server bears, in requests a second
-	Slots          int             `json:"slots,omitempty"`       // requests that a server works on at a time
-	MemoryTokens   int             `json:"memory,omitempty"`      // of a server, in tokens
-	TokenBytes     int             `json:"token_bytes,omitempty"` // moved for each token of a hand-over
-	LinkMbps       float64         `json:"link_mbps,omitempty"`   // of a server, for hand-overs, in megabits a second
-	TokensPerEvent int             `json:"stride,omitempty"`      // tokens in one event of a stream
-	HandleSeconds  float64         `json:"hold_s,omitempty"`      // for so long a handle of a KV cache is valid
-	SwitchSeconds  float64         `json:"switch_s,omitempty"`    // that a change of role takes
+	// The fields below are for services whose servers the platform lists; 0: not set.
+	StatusPath     string          `json:"status,omitempty"`      // path at which a server reports its state
+	MaxConnections int             `json:"conns,omitempty"`       // maximum of a server, over all daemons
+	WarmUpSeconds  float64         `json:"cold_s,omitempty"`      // time after its start during which a server is cold
+	WarmUpRate     float64         `json:"cold_rate,omitempty"`   // requests a second that a cold server sustains
+	Slots          int             `json:"slots,omitempty"`       // concurrent requests of a server
+	MemoryTokens   int             `json:"memory,omitempty"`      // capacity of a server, in tokens
+	TokenBytes     int             `json:"token_bytes,omitempty"` // bytes transferred for each token of a hand-over
+	LinkMbps       float64         `json:"link_mbps,omitempty"`   // bandwidth of a server for hand-overs, in Mbit/s
+	TokensPerEvent int             `json:"stride,omitempty"`      // tokens in each event of a stream
+	HandleSeconds  float64         `json:"hold_s,omitempty"`      // time for which a handle of a KV cache is valid
+	SwitchSeconds  float64         `json:"switch_s,omitempty"`    // duration of a change of role
 	Models         []string        `json:"models,omitempty"`
-	Raw            json.RawMessage `json:"raw,omitempty"` // the item as its operator sent it
+	Raw            json.RawMessage `json:"raw,omitempty"` // the service as sent by the operator
 }
 
-// AcceptedChange is the id of an accepted change and the version that it became, so that a
-// plan that is sent again gets the same answer.
+// AcceptedChange is the id of an accepted change and the resulting version. It is kept so
+// that a repeated proposal gets the same answer.
 type AcceptedChange struct {
 	ID      string `json:"id"`
 	Version uint64 `json:"version"`
 }
 
-// Template is an example for operators to fill in.
+// Template returns an example plan for operators to edit.
 //
 // Example: json.Marshal(fleetconfig.Template())
 func Template() Plan {
--- a/control/fleetconfig/records.go
+++ b/control/fleetconfig/records.go
@@ -17,22 +17,22 @@
 // Keys of the records in the configuration partition.
 const (
 	PlanKey    = "plan/now"
-	ZoneKey    = "cells/out" // the evacuated zones
-	ReplicaKey = "seats/now" // the replicas of the groups that an operator wants
+	ZoneKey    = "cells/out" // evacuated zones
+	ReplicaKey = "seats/now" // replicas of each group as requested by an operator
 )
 
-// ListKey is the key of the list of a service's servers.
+// ListKey returns the key of the server list of a service.
 //
 // Example: key := fleetconfig.ListKey("timetable")
 func ListKey(service string) string { return "list/" + service }
 
-// ServerRecordKey is the key of a server's record; see Server.Key.
+// ServerRecordKey returns the key of the record of a server, given its Server.Key.
 //
 // Example: key := fleetconfig.ServerRecordKey("timetable", "127.0.0.1:9000")
 func ServerRecordKey(service, server string) string { return "berth/" + service + "/" + server }
 
-// PartitionOf is the partition that holds a service's records, by a hash of its name;
-// partition 0 is configuration.
+// PartitionOf returns the partition that holds a service's records, by a hash of its name.
+// Partition 0 holds the configuration.
 //
 // Example: p := fleetconfig.PartitionOf("timetable", 8)
 func PartitionOf(service string, partitions int) int {
@@ -42,37 +42,37 @@
 	return 1 + int((sum^sum>>32)%uint64(partitions))
 }
 
-// unreadable names the record that an error is of.
-func unreadable(r message.Record, err error) error {
+// unreadableError adds the record's key and version to an error of decoding it.
+func unreadableError(r message.Record, err error) error {
 	if err == nil {
 		return nil
 	}
 	return Error.New("record %q of version %s can't be read: %w", r.Key, r.Version, err)
 }
 
-// ReadPlan reads a plan record; absence is the empty plan, version 0. The error is
-// of one that this build can't read: another build may have written it.
+// ReadPlan decodes a plan record; a missing record is the empty plan, version 0. It returns
+// an error if this build can't read the record, which another build may have written.
 //
 // Example: plan, err := fleetconfig.ReadPlan(rec)
 func ReadPlan(r message.Record) (p Plan, err error) {
 	if r.Deleted || len(r.Value) == 0 {
 		return p, nil
 	}
-	b, isMsgp, err := planBytes(r.Value)
+	b, isMsgp, err := decompressPlan(r.Value)
 	switch {
 	case err != nil:
 	case isMsgp:
 		if _, err = p.UnmarshalMsg(b); err == nil {
 			err = p.checkFormat()
 		}
-	default: // an older build's
+	default: // written by an older build
 		err = json.Unmarshal(b, &p)
 	}
-	return p, unreadable(r, err)
+	return p, unreadableError(r, err)
 }
 
-// OpenPlan is ReadPlan for records that were found readable before, as those that the daemon
-// serves are; it panics on others.
+// OpenPlan is like ReadPlan for records known to be readable, such as those that the daemon
+// serves; it panics on others.
 //
 // Example: plan := fleetconfig.OpenPlan(rec)
 func OpenPlan(r message.Record) Plan {
@@ -83,9 +83,9 @@
 	return p
 }
 
-// PlanReader keeps the last plan that it read, by its record's version: a plan is
-// read once a version, however many ask. Plans that it gives are not changed. It is safe
-// for concurrent use.
+// PlanReader caches the last plan that it decoded, by the version of its record, so that
+// each version is decoded only once. The plans that it returns must not be modified. It is
+// safe for concurrent use.
 type PlanReader struct {
 	mu      sync.Mutex // guards the fields below
 	version message.Version
@@ -93,7 +93,7 @@
 	err     error
 }
 
-// Read is ReadPlan, once a version.
+// Read is like ReadPlan, but decodes each version of the record only once.
 //
 // Example: plan, err := reader.Read(rec)
 func (r *PlanReader) Read(rec message.Record) (Plan, error) {
@@ -109,7 +109,7 @@
 	return r.plan, r.err
 }
 
-// Open is Read for records that were found readable before; it panics on others.
+// Open is like Read for records known to be readable; it panics on others.
 //
 // Example: plan := reader.Open(rec)
 func (r *PlanReader) Open(rec message.Record) Plan {
@@ -120,8 +120,8 @@
 	return p
 }
 
-// ReadZones reads the record of evacuated zones; absence is none. The error is of
-// one that this build can't read: it is not known then which zones are.
+// ReadZones decodes the record of evacuated zones; a missing record means none. It returns
+// an error if this build can't read the record, so that the evacuated zones are unknown.
 //
 // Example: evacuated, err := fleetconfig.ReadZones(rec)
 func ReadZones(r message.Record) (map[string]bool, error) {
@@ -131,7 +131,7 @@
 	}
 	var list []string
 	if err := json.Unmarshal(r.Value, &list); err != nil {
-		return nil, unreadable(r, err)
+		return nil, unreadableError(r, err)
 	}
 	for _, zone := range list {
 		evacuated[zone] = true
@@ -139,7 +139,7 @@
 	return evacuated, nil
 }
 
-// OpenZones is ReadZones for records that were found readable before; it panics on others.
+// OpenZones is like ReadZones for records known to be readable; it panics on others.
 //
 // Example: if fleetconfig.OpenZones(rec)["north"] { skip() }
 func OpenZones(r message.Record) map[string]bool {
@@ -150,13 +150,13 @@
 	return evacuated
 }
 
-// EncodeZones makes the value of the record of evacuated zones.
+// EncodeZones returns the value of the record of evacuated zones.
 //
 // Example: val := fleetconfig.EncodeZones(map[string]bool{"north": true})
 func EncodeZones(evacuated map[string]bool) []byte {
 	list := []string{}
-	for zone, isOut := range evacuated {
-		if isOut {
+	for zone, isEvacuated := range evacuated {
+		if isEvacuated {
 			list = append(list, zone)
 		}
 	}
--- a/control/fleetconfig/route_test.go
+++ b/control/fleetconfig/route_test.go
@@ -25,7 +25,7 @@
 	return p
 }
 
-func TestEveryFaultOfARouteIsNamed(t *testing.T) {
+func TestRouteValidationNamesEveryFault(t *testing.T) {
 	if f := routedPlan().Validate(); f.Any() {
 		t.Fatal(f)
 	}
@@ -59,13 +59,13 @@
 	p = routedPlan()
 	p.Services = append(p.Services, Service{Name: "Ünïcode: any name \"goes\"", PrefillServers: 1, DecodeServers: 1})
 	if f := p.Validate(); f.Any() {
-		t.Errorf("a service's odd name: %v", f)
+		t.Errorf("an unusual service name: %v", f)
 	}
 }
 
-// An operator's own number becomes the version if it is above the one in
-// force; a plan without one counts on from there.
-func TestAnOperatorsNumberBecomesTheVersion(t *testing.T) {
+// A number chosen by the operator becomes the version if it is above the current one. Plans
+// without a number continue counting from there.
+func TestOperatorNumberBecomesVersion(t *testing.T) {
 	propose := func(p Plan, id string, base, number uint64) Proposal {
 		p.ID, p.Base, p.Number = id, base, number
 		return p.Propose()
@@ -96,17 +96,17 @@
 			s.stored[r.Key] = r
 		}
 		if cur := OpenPlan(s.read(PlanKey)); len(recs) > 0 && (cur.Version != x.want || cur.Number != 0) {
-			t.Errorf("%d: version %d, number %d in force", i, cur.Version, cur.Number)
+			t.Errorf("%d: the current plan has version %d and number %d", i, cur.Version, cur.Number)
 		}
 	}
 	invalid := routedPlan()
 	invalid.Routes[0].GiveUpMillis = 0
 	if _, v := Judge(OpenPlan(s.read(PlanKey)), propose(invalid, "z", 13, 13)); len(v.Faults) != 2 {
-		t.Errorf("an invalid plan with an old number: %v", v.Faults)
+		t.Errorf("an invalid plan with an outdated number: %v", v.Faults)
 	}
 }
 
-func TestChangesOfRoutes(t *testing.T) {
+func TestRouteChanges(t *testing.T) {
 	p := routedPlan()
 	r := p.Routes[0]
 	r.GiveUpMillis = 7
@@ -134,9 +134,9 @@
 	}
 }
 
-// Named changes, in any order and number, leave the lists as a plain list with
-// the same changes done one by one would be.
-func TestChangesAgainstAPlainList(t *testing.T) {
+// Any sequence of named changes must have the same result as editing a plain slice one change
+// at a time.
+func TestChangesMatchPlainSlice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := routedPlan()
 		p.Routes = nil
@@ -181,7 +181,8 @@
 	})
 }
 
-// Records of either form open to the same plan; a packed one is shorter.
+// Compressed and uncompressed records are read as the same plan, and the compressed one is
+// shorter.
 func TestPlainAndCompressedRecordsAreRead(t *testing.T) {
 	p := routedPlan()
 	p.Version = 3
@@ -195,28 +196,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	packed, err := EncodeCall(p)
+	compressed, err := EncodeCall(p)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(packed)*5 > len(plain) {
-		t.Errorf("%d bytes packed to %d", len(plain), len(packed))
+	if len(compressed)*5 > len(plain) {
+		t.Errorf("%d bytes compressed to %d", len(plain), len(compressed))
 	}
-	a, b := OpenPlan(message.Record{Value: plain}), OpenPlan(message.Record{Value: packed})
+	a, b := OpenPlan(message.Record{Value: plain}), OpenPlan(message.Record{Value: compressed})
 	p.Raw, a.Raw = nil, nil // escaped by Marshal in the plain record
 	if b.Raw = nil; !reflect.DeepEqual(a, p) || !reflect.DeepEqual(b, p) {
-		t.Error("not the same plan")
+		t.Error("the records are read as different plans")
 	}
-	for _, damaged := range [][]byte{packed[:len(packed)/2], append([]byte("zz"), packed...), []byte("z")} {
+	for _, damaged := range [][]byte{compressed[:len(compressed)/2], append([]byte("zz"), compressed...), []byte("z")} {
 		if out, err := Decompress(damaged); err == nil && len(out) > 0 {
-			t.Errorf("opened: %.20q", out)
+			t.Errorf("a damaged value was read: %.20q", out)
 		}
 	}
 	if _, err := EncodeCall(Plan{Raw: bytes.Repeat([]byte("1"), maxPlanBytes)}); err == nil {
-		t.Error("a plan is packed that could not be opened")
+		t.Error("a plan that is too long to be read was compressed")
 	}
 	if _, err := EncodeCall(Plan{Raw: json.RawMessage("{")}); err == nil {
-		t.Error("a raw part that is no JSON is packed")
+		t.Error("a raw field that isn't JSON was accepted")
 	}
 }
 
@@ -231,7 +232,7 @@
 	}
 }
 
-// BenchmarkJudge is the leader's share of a change to a plan of 3000 routes.
+// BenchmarkJudge measures the leader's work for one change to a plan of 3000 routes.
 func BenchmarkJudge(b *testing.B) {
 	p := routedPlan()
 	for i := range 3000 {
--- a/control/fleetconfig/stored_test.go
+++ b/control/fleetconfig/stored_test.go
@@ -10,7 +10,7 @@
 	"mulleinmast/wire/message"
 )
 
-// completePlan is a plan with every field set.
+// completePlan returns a plan with every field set.
 func completePlan() Plan {
 	plan := planWithoutKeys()
 	plan.Tenants[0], plan.Routes[0] = completeTenant(), completeRoute()
@@ -30,7 +30,7 @@
 	}
 }
 
-// planWithoutKeys is a plan with every field that builds have which know no keys.
+// planWithoutKeys returns a plan with every field set that builds without support for keys have.
 func planWithoutKeys() Plan {
 	return Plan{
 		Version: 12, ID: "plan-12", Base: 11, Number: 13, Needs: 1, Raw: json.RawMessage(`{"further":true}`),
@@ -67,8 +67,9 @@
 	}
 }
 
-// The record of a plan is what earlier builds wrote, byte for byte, and theirs are read.
-func TestStoredPlanKeepsItsBytes(t *testing.T) {
+// Plan records must equal those of earlier builds byte for byte, and records of earlier builds
+// must be read correctly.
+func TestPlanEncodingIsStable(t *testing.T) {
 	read := func(value []byte) (Plan, error) { return ReadPlan(message.Record{Key: PlanKey, Value: value}) }
 	encodings := map[string]golden.Encoding[Plan]{
 		"record": {Encode: EncodePlan, Decode: read},
@@ -76,13 +77,13 @@
 			Encode: func(p Plan) ([]byte, error) { return p.MarshalMsg(nil) },
 			Decode: func(value []byte) (Plan, error) { return read(append([]byte{'o'}, value...)) },
 		},
-		// a record of the first builds
+		// plan records of the first builds
 		"json": {Encode: func(p Plan) ([]byte, error) { return json.Marshal(p) }, Decode: read},
-		// the body of a call
+		// bodies of calls
 		"packed": {Encode: func(p Plan) ([]byte, error) { return EncodeCall(p) }, Decode: read},
 	}
 	for form, encoding := range encodings {
-		golden.CheckEarlier(t, "plan."+form, planWithoutKeys(), encoding)
+		golden.CheckPartial(t, "plan."+form, planWithoutKeys(), encoding)
 		golden.Check(t, "plan-keys."+form, completePlan(), encoding)
 	}
 	empty, err := (&Plan{}).MarshalMsg(nil)
@@ -94,8 +95,8 @@
 	golden.Bytes(t, "template.json", mustJSON(t, Template()))
 }
 
-// Patches between plans' records are made and applied as earlier builds do.
-func TestPatchKeepsItsBytes(t *testing.T) {
+// Patches between plan records must equal those of earlier builds and be applied correctly.
+func TestPatchEncodingIsStable(t *testing.T) {
 	from, to := planOf(50), planOf(50)
 	to.Version, to.Routes[7].GiveUpMillis = 8, 17
 	patch := golden.Bytes(t, "plan.patch", Codec{}.Patch(recordOf(t, from), recordOf(t, to)))
@@ -103,13 +104,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if whole := (Codec{}).Whole(value); string(whole) != string(recordOf(t, to)) {
-		t.Error("the stored patch gives another plan")
+	if compressed := (Codec{}).Whole(value); string(compressed) != string(recordOf(t, to)) {
+		t.Error("the stored patch results in a different plan")
 	}
 }
 
-// Named changes, zones, server lists and verdicts are the JSON that earlier builds wrote.
-func TestStoredJSONKeepsItsBytes(t *testing.T) {
+// The JSON of named changes, zones, server lists and verdicts must equal that of earlier builds.
+func TestJSONEncodingIsStable(t *testing.T) {
 	changes := func(tenant Tenant, route Route) Changes {
 		service, limits := completeService(), completePlan().Limits
 		return Changes{ID: "change-1", Base: 12, Number: 14, Changes: []Change{{
@@ -118,7 +119,7 @@
 		}}}
 	}
 	encoding := golden.JSON[Changes]()
-	golden.CheckEarlier(t, "changes.json", changes(tenantWithoutKeys(), routeWithoutKeys()), encoding)
+	golden.CheckPartial(t, "changes.json", changes(tenantWithoutKeys(), routeWithoutKeys()), encoding)
 	golden.Check(t, "changes-keys.json", changes(completeTenant(), completeRoute()), encoding)
 	golden.Check(t, "zones.json", map[string]bool{"north": true, "south": true}, golden.Encoding[map[string]bool]{
 		Encode: func(zones map[string]bool) ([]byte, error) { return EncodeZones(zones), nil },
@@ -138,8 +139,9 @@
 	golden.Check(t, "faults.json", Faults{List: []string{"plan.id"}}, golden.JSON[Faults]())
 }
 
-// The pages of accepted changes keep their bytes, and those of earlier builds are searched.
-func TestStoredAcceptedChangesKeepTheirBytes(t *testing.T) {
+// Pages of accepted changes must equal those of earlier builds, and changes in pages of earlier
+// builds must be found.
+func TestAcceptedChangesEncodingIsStable(t *testing.T) {
 	var accepted AcceptedChanges
 	records := accepted.Add(AcceptedChange{ID: "plan-1", Version: 1}, AcceptedChange{ID: "change-2", Version: 7})
 	if len(records) != 1 || records[0].Key != "taken/00" {
@@ -153,12 +155,12 @@
 		t.Errorf("change-2 was accepted as %d, %v", version, ok)
 	}
 	if last := restored.Add(make([]AcceptedChange, 31)...); len(last) != 2 || last[1].Key != "taken/01" {
-		t.Errorf("31 more are kept in %d pages", len(last))
+		t.Errorf("31 more changes are stored in %d pages", len(last))
 	}
 }
 
-// Names that stand in stored data and in calls stay.
-func TestStoredNamesStay(t *testing.T) {
+// Names in stored data and in calls must not change.
+func TestStoredNamesAreStable(t *testing.T) {
 	for name, want := range map[string]string{
 		PlanKey: "plan/now", ZoneKey: "cells/out", ReplicaKey: "seats/now", ListKey("m"): "list/m",
 		ServerRecordKey("m", "10.0.0.1:9000"): "berth/" + "m/10.0.0.1:9000", Safe: "safe", Unsafe: "unsafe", Stream: "stream",
@@ -185,7 +187,7 @@
 		change.Op = op
 		_, faults := plan.Apply(Changes{ID: "c", Changes: []Change{change}})
 		if strings.Contains(strings.Join(faults.List, "\n"), "changes[0]") {
-			t.Errorf("%s isn't a change any more: %v", op, faults.List)
+			t.Errorf("%s is no longer a valid change: %v", op, faults.List)
 		}
 	}
 	if _, faults := plan.Apply(Changes{ID: "c", Changes: []Change{{Op: "set"}}}); !reflect.DeepEqual(faults.List, []string{
@@ -195,8 +197,8 @@
 	}
 }
 
-// What is wrong with a plan is answered in the same words.
-func TestWordsOfFaultsStay(t *testing.T) {
+// The messages of faults are part of the answers to operators and must not change.
+func TestFaultMessagesAreStable(t *testing.T) {
 	plan := Plan{
 		ID: "a/b", Needs: -1,
 		Tenants: []Tenant{
--- a/control/fleetconfig/validate.go
+++ b/control/fleetconfig/validate.go
@@ -15,7 +15,7 @@
 	v "github.com/go-ozzo/ozzo-validation/v4"
 )
 
-// Faults collects everything that is wrong with an input.
+// Faults collects all validation errors of an input.
 type Faults struct {
 	List []string `json:"faults"`
 }
@@ -27,12 +27,12 @@
 	f.List = append(f.List, fmt.Sprintf(format, args...))
 }
 
-// Any tells whether a fault was recorded.
+// Any reports whether a fault was recorded.
 //
 // Example: if f.Any() { respond(400, f) }
 func (f Faults) Any() bool { return len(f.List) > 0 }
 
-// addError records the faults of an item; those of its fields one by one, by their names.
+// addError records the validation error of an item. Errors of fields are recorded one by one, in order of name.
 func (f *Faults) addError(where string, err error) {
 	if err == nil {
 		return
@@ -65,19 +65,19 @@
 
 const nameExpected = "expected 1 to 64 letters, digits, '.', '_' or '-'"
 
-// IsValidName tells whether a name may stand in a key.
+// IsValidName reports whether a name may be part of a record's key.
 //
 // Example: fleetconfig.IsValidName("north") == true
 func IsValidName(s string) bool { return namePattern.MatchString(s) && !strings.Contains(s, "/") }
 
-// IsValidServiceName tells whether a service may have that name.
+// IsValidServiceName reports whether a service may have that name.
 //
 // Example: fleetconfig.IsValidServiceName("time table") == true
 func IsValidServiceName(s string) bool {
 	return s != "" && len(s) <= 1024 && !strings.Contains(s, "/") && utf8.ValidString(s)
 }
 
-// Validate lists every fault of the plan.
+// Validate returns all faults of the plan.
 //
 // Example: if f := plan.Validate(); f.Any() { ... }
 func (p Plan) Validate() (f Faults) {
@@ -92,7 +92,7 @@
 	return f
 }
 
-// validateServices lists the faults of the services, and gives the names of all of them.
+// validateServices adds the faults of the services and returns the names of all services.
 func (p Plan) validateServices(f *Faults) (names map[string]bool) {
 	names = map[string]bool{}
 	for i, s := range p.Services {
@@ -107,14 +107,14 @@
 }
 
 func (p Plan) validateTenants(services map[string]bool, f *Faults) {
-	places := map[string]int{} // by name
+	indexes := map[string]int{} // by name
 	for i, t := range p.Tenants {
 		at := fmt.Sprintf("tenants[%d]", i)
 		f.addError(at, t.validate())
-		if j, ok := places[t.Name]; ok {
+		if j, ok := indexes[t.Name]; ok {
 			f.Add("%s.name: %q stands already in tenants[%d]", at, t.Name, j)
 		}
-		places[t.Name] = i
+		indexes[t.Name] = i
 		for _, service := range t.Services {
 			if !services[service] {
 				f.Add("%s.services: no service %q in the plan", at, service)
@@ -143,7 +143,7 @@
 		v.Field(&s.Exclude, v.Each(v.By(validateAddress))))
 }
 
-// validateServiceName is lenient: a name has only to fit into the records' keys.
+// validateServiceName is lenient: a name only has to fit into the keys of records.
 func validateServiceName(x any) error {
 	if s, _ := x.(string); !IsValidServiceName(s) {
 		return fmt.Errorf("%.80q: expected 1 to 1024 bytes without a '/'", s)
--- a/control/fleetconfig/validate_test.go
+++ b/control/fleetconfig/validate_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// The valid plan is changed in one place at a time; each change is named.
-func TestEveryFaultOfAPlanIsNamed(t *testing.T) {
+// Each change makes a valid plan invalid in one field, which the fault must name.
+func TestPlanValidationNamesEveryFault(t *testing.T) {
 	if f := validPlan().Validate(); f.Any() {
 		t.Fatal(f)
 	}
@@ -73,7 +73,7 @@
 	}
 	cur := OpenPlan(message.Record{Value: val})
 	if val, v := Judge(cur, propose(validPlan(), "a", 0)); val != nil || v.Result != "taken" || v.Version != 1 {
-		t.Errorf("resent: %v", v)
+		t.Errorf("repeated: %v", v)
 	}
 	if val, v := Judge(cur, propose(validPlan(), "b", 0)); val != nil || v.Result != "beaten" || v.Version != 1 {
 		t.Errorf("old base: %v", v)
@@ -81,7 +81,7 @@
 	invalid := validPlan()
 	invalid.Tenants[0].TimeoutMillis = -1
 	if val, v := Judge(cur, propose(invalid, "c", 1)); val != nil || v.Result != "broken" || len(v.Faults) == 0 {
-		t.Errorf("broken: %v", v)
+		t.Errorf("invalid: %v", v)
 	}
 	_, f := cur.Apply(Changes{ID: "d", Base: 1, Changes: []Change{{Op: "drop-tenant", Name: "nobody"}, {Op: "what"}}})
 	if len(f.List) != 2 {
@@ -106,11 +106,11 @@
 	}
 	b, _ := json.Marshal(Template())
 	if f := Decode(b, &p); f.Any() || p.Validate().Any() {
-		t.Errorf("the template is not itself a good plan: %v %v", f, p.Validate())
+		t.Errorf("the template is not a valid plan: %v %v", f, p.Validate())
 	}
 }
 
-func TestEveryFaultOfAListIsNamed(t *testing.T) {
+func TestListValidationNamesEveryFault(t *testing.T) {
 	l := List{
 		Servers: []Server{
 			{Addr: "10.0.0.1:1", Zone: "a", Capacity: 1},
@@ -123,16 +123,16 @@
 	}
 }
 
-// A plan says which format a build must read to serve by it; a build that reads less
-// reads nothing of it, and says which is needed.
-func TestAPlanThatNeedsANewerBuild(t *testing.T) {
+// A plan that requires a newer format than this build reads is rejected, with an error that
+// names the required format.
+func TestPlanOfNewerFormatIsRejected(t *testing.T) {
 	p := Plan{ID: "p", Services: []Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}}, Needs: NewestFormat()}
 	val, err := EncodePlan(p)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got, err := ReadPlan(message.Record{Key: PlanKey, Value: val}); err != nil || got.Needs != NewestFormat() {
-		t.Errorf("needs what this build reads: %v, %+v", err, got)
+		t.Errorf("requires the newest format: %v, %+v", err, got)
 	}
 	p.Needs = NewestFormat() + 1
 	if val, err = EncodePlan(p); err != nil {
@@ -140,21 +140,21 @@
 	}
 	needed := fmt.Sprintf("format %d", NewestFormat()+1)
 	if _, err := ReadPlan(message.Record{Key: PlanKey, Value: val}); err == nil || !strings.Contains(err.Error(), needed) {
-		t.Errorf("needs more: %v", err)
+		t.Errorf("requires a newer format: %v", err)
 	}
 	next, f := p.Apply(Changes{ID: "c", Changes: []Change{{Op: "set-needs"}}})
 	if f.Any() || next.Needs != 0 {
-		t.Errorf("needs nothing any more: %v %d", f, next.Needs)
+		t.Errorf("after the requirement was removed: %v %d", f, next.Needs)
 	}
 	for _, needs := range []int{-1, maxFormat + 1} {
 		if p.Needs = needs; !p.Validate().Any() {
-			t.Errorf("a format of %d is in order", needs)
+			t.Errorf("a required format of %d is valid", needs)
 		}
 	}
 }
 
-// A fault of a key names the tenants that have it in common, and not the key.
-func TestFaultsNameNoKey(t *testing.T) {
+// A fault about a key shared by two tenants names the tenants, but not the key.
+func TestFaultsDoNotRevealKeys(t *testing.T) {
 	p := validPlan()
 	for _, name := range []string{"first", "second"} {
 		tenant := p.Tenants[0]
@@ -170,18 +170,19 @@
 	}
 }
 
-// A plan whose clients need keys is one that no older build serves by: it would serve all.
-func TestAPlanWithKeysNeedsTheFormatOfKeys(t *testing.T) {
+// A plan with keys requires the format that introduced them, since an older build would serve
+// clients without a key.
+func TestPlanWithKeysRequiresKeysFormat(t *testing.T) {
 	p := validPlan()
 	p.Tenants[0].ByKey = true
 	value, verdict := Judge(Plan{}, p.Propose())
 	if verdict.Result != VerdictAccepted {
 		t.Fatal(verdict)
 	}
-	if got := OpenPlan(message.Record{Value: value}).Needs; got != formatOfKeys {
-		t.Errorf("it needs format %d, expected %d", got, formatOfKeys)
+	if got := OpenPlan(message.Record{Value: value}).Needs; got != keysFormat {
+		t.Errorf("the plan requires format %d, expected %d", got, keysFormat)
 	}
 	if got := validPlan().RequiredFormat(); got != 0 {
-		t.Errorf("a plan without keys needs format %d", got)
+		t.Errorf("a plan without keys requires format %d", got)
 	}
 }
--- a/control/internal/golden/golden.go
+++ b/control/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden holds stored bytes and those sent between daemons to what an earlier
-// build made of the same values: the files in a package's testdata.
+// Package golden compares encoded values, as stored or sent between daemons, with the bytes
+// that an earlier build wrote for the same values: the files in a package's testdata.
 package golden
 
 import (
@@ -12,18 +12,18 @@
 	"testing"
 )
 
-// writeVariable is the variable that has missing files written. A file that is there
-// stays as it is: a new form of the bytes is a new file beside the old one, which must
-// be read still.
+// writeVariable is the environment variable that enables writing missing files. Existing
+// files are never overwritten: a new encoding gets an additional file, and the old one must
+// still be readable.
 const writeVariable = "WRITE_GOLDEN"
 
-// Encoding is how the values of a type become bytes and are read back.
+// Encoding encodes and decodes the values of a type.
 type Encoding[T any] struct {
 	Encode func(T) ([]byte, error)
-	Decode func([]byte) (T, error) // nil: the bytes are only written
+	Decode func([]byte) (T, error) // nil: decoding isn't checked
 }
 
-// JSON is the encoding of a type by encoding/json.
+// JSON returns the encoding of a type by encoding/json.
 //
 // Example: golden.Check(t, "response.json", response, golden.JSON[leadercall.Word]())
 func JSON[T any]() Encoding[T] {
@@ -33,22 +33,22 @@
 	}
 }
 
-// Check compares a value that has every field set with a file of testdata, both ways: the value is encoded
-// to the file's bytes, and these are decoded to the value.
+// Check compares a value with a file in testdata: the value must encode to the file's bytes,
+// and these must decode to the value. It also checks that every field of the value is set.
 //
 // Example: golden.Check(t, "zones.json", zones, encoding)
 func Check[T any](t *testing.T, name string, value T, encoding Encoding[T]) {
 	t.Helper()
 	checkAllSet(t, name, reflect.ValueOf(value))
-	CheckEarlier(t, name, value, encoding)
+	CheckPartial(t, name, value, encoding)
 }
 
-// CheckEarlier is Check for a value of an earlier build, which had fewer fields: what that
-// build wrote is written still where the later fields are unset. The same type with every
-// field set has a file of its own.
+// CheckPartial is like Check for a value without the fields that were added after an earlier
+// build: its encoding must still equal that build's. A value of the same type with every field
+// set has a separate file.
 //
-// Example: golden.CheckEarlier(t, "zones.json", zonesOfFirstBuild, encoding)
-func CheckEarlier[T any](t *testing.T, name string, value T, encoding Encoding[T]) {
+// Example: golden.CheckPartial(t, "zones.json", zonesOfFirstBuild, encoding)
+func CheckPartial[T any](t *testing.T, name string, value T, encoding Encoding[T]) {
 	t.Helper()
 	encoded, err := encoding.Encode(value)
 	if err != nil {
@@ -60,11 +60,11 @@
 	}
 	decoded, err := encoding.Decode(stored)
 	if err != nil || !reflect.DeepEqual(decoded, value) {
-		t.Errorf("%s is read as another value (%v):\n%+v\nexpected\n%+v", name, err, decoded, value)
+		t.Errorf("%s decodes to a different value (%v):\n%+v\nexpected\n%+v", name, err, decoded, value)
 	}
 }
 
-// Bytes compares bytes with a file of testdata, which it returns.
+// Bytes compares bytes with a file in testdata and returns the content of the file.
 //
 // Example: stored := golden.Bytes(t, "plan.bin", record)
 func Bytes(t *testing.T, name string, encoded []byte) []byte {
@@ -81,12 +81,12 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(encoded, stored) {
-		t.Errorf("%s: the bytes are now\n%q\nand were\n%q", name, encoded, stored)
+		t.Errorf("%s: the encoding is\n%q\nexpected\n%q", name, encoded, stored)
 	}
 	return stored
 }
 
-// checkAllSet reports each field of a value that is unset: its name would not stand in the bytes.
+// checkAllSet reports an error for each unset field, since its name may be missing from the encoding.
 func checkAllSet(t *testing.T, path string, value reflect.Value) {
 	t.Helper()
 	switch value.Kind() {
--- a/proof/standin/mutants/rules.sh
+++ b/proof/standin/mutants/rules.sh
@@ -34,8 +34,8 @@
 mutant prompt-without-tenant platform TestEveryCallNamesTheTenant platform/engine.go 'if c.Tenant != "" {' 'if c.Tenant != "" && decision.Handle != nil {'
 mutant unknown-key-is-served traffic/gateway TestWhoIsAdmitted traffic/gateway/admit.go 'case a.tenant != nil || route.Public || !p.tenants.Required():' 'case a.tenant != nil || route.Public || q.Key != "":'
 mutant key-outlives-its-tenant traffic/gateway TestAKeyThatIsTakenAwayMeanwhile traffic/gateway/admit.go 'return tenant != nil && tenant.Name == a.tenant.Name' 'return tenant != nil'
-mutant key-of-two-tenants control/fleetconfig TestFaultsNameNoKey control/fleetconfig/keys.go 'ok && first != i {' 'ok && first == i {'
-mutant older-builds-serve-all control/fleetconfig TestAPlanWithKeysNeedsTheFormatOfKeys control/fleetconfig/judge.go 'plan.Needs = plan.RequiredFormat()' ''
+mutant key-of-two-tenants control/fleetconfig TestFaultsDoNotRevealKeys control/fleetconfig/keys.go 'ok && first != i {' 'ok && first == i {'
+mutant older-builds-serve-all control/fleetconfig TestPlanWithKeysRequiresKeysFormat control/fleetconfig/judge.go 'plan.Needs = plan.RequiredFormat()' ''
 # incarnations
 mutant any-incarnation control/quorum TestWhichIncarnationsAreAdmitted $guard 'if claims.StartState.Epoch != 0 && precedes(claims.StartState, known.State) {' 'if claims.StartState.Epoch != 0 && false {'
 mutant blind-to-itself control/quorum TestWhatSupersedesAReplica $guard 'if !r.guard.folder.descendsFrom(claims.KnownState) {' 'if r.guard.folder.descendsFrom(claims.KnownState) && false {'
@@ -55,7 +55,7 @@
 mutant patch-on-any-base control/lease TestACorruptPatchIsNotServed $patches 'err != nil || patch.From != record.Version' 'err != nil && patch.From != record.Version'
 mutant patches-end-at-relays control/lease TestAChangeIsSentAsAPatch $patches '	p.setChain(granted.Key, chain)
 ' ''
-mutant patch-without-sum control/fleetconfig TestAPatchFitsOnlyItsBase control/fleetconfig/codec.go 'zstd.WithEncoderLevel(zstd.SpeedFastest),' 'zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderCRC(false),'
+mutant patch-without-sum control/fleetconfig TestPatchAppliesOnlyToItsBase control/fleetconfig/codec.go 'zstd.WithEncoderLevel(zstd.SpeedFastest),' 'zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderCRC(false),'
 mutant refused-by-what-is-lost control/partition TestMergedJobsFailTogether control/partition/batch.go 'case j.writesNought && outcome == Done:' 'case j.writesNought:'
 mutant format-not-asked control/leader TestAPlanThatNotAllDaemonsRead control/leader/configcalls.go 'format > 0 && needs > format' 'format > 9 && needs > format'
 # what is told of the servers' load
