--- a/wire/message/call.go
+++ b/wire/message/call.go
@@ -1,18 +1,18 @@
 package message
 
-// Call is one try of a call to a partition's leader. All tries of a call bear its number, so that a leader
-// carries it out once.
+// Call is one attempt of a call to a partition's leader. All attempts of a call carry the same CallID, so that the
+// leader executes it only once.
 type Call struct {
-	RequestID uint64 // of this try; its result names it
-	CallID    uint64 // of the call over all its tries; 0: from a build that doesn't number its calls
+	RequestID uint64 // of this attempt; echoed by its result
+	CallID    uint64 // of the call, the same in all its attempts; 0 from builds that don't number their calls
 	Op        string
 	Body      []byte
-	// Basis stands for the version of what the call changes, as the leader named it in the result of an earlier
-	// try. Zero: the caller's build, or its call, knows none.
+	// Basis is the version of the state that the call changes, as returned by the leader in the result of an earlier
+	// attempt. It is zero if the caller's build doesn't support it or the call has none.
 	Basis Version
 }
 
-// Message is the frame of the call, to be addressed by the sender.
+// Message encodes the call as a frame. The caller sets the recipient.
 //
 // Example: frame := message.Call{RequestID: 7, CallID: 6, Op: "servers"}.Message(3)
 func (c Call) Message(partition int) Message {
@@ -22,22 +22,22 @@
 	}
 }
 
-// AsCall reads a frame of KindCall.
+// AsCall decodes a frame of KindCall.
 //
 // Example: call := frame.AsCall()
 func (m Message) AsCall() Call {
 	return Call{RequestID: m.RequestID, CallID: m.ResponseTo, Op: m.Op, Body: m.Body, Basis: m.Version}
 }
 
-// CallResult is a leader's answer to one try of a call.
+// CallResult is a leader's answer to one attempt of a call.
 type CallResult struct {
-	RequestID uint64 // of the try
-	Status    int    // one of HTTP, or of control/leadercall
+	RequestID uint64 // of the attempt
+	Status    int    // an HTTP status, or one defined by control/leadercall
 	Body      []byte
-	Basis     Version // for the next try, where the try was on another version; else zero
+	Basis     Version // for the next attempt, if this one was based on another version; else zero
 }
 
-// Message is the frame of the result, to be addressed by the sender.
+// Message encodes the result as a frame. The caller sets the recipient.
 //
 // Example: frame := message.CallResult{RequestID: 7, Status: 200}.Message(3)
 func (r CallResult) Message(partition int) Message {
@@ -47,7 +47,7 @@
 	}
 }
 
-// AsCallResult reads a frame of KindCallResult.
+// AsCallResult decodes a frame of KindCallResult.
 //
 // Example: result := frame.AsCallResult()
 func (m Message) AsCallResult() CallResult {
--- a/wire/message/call_test.go
+++ b/wire/message/call_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A call and its result are read from their frames as they were, with every field.
-func TestCallsAreReadFromTheirFrames(t *testing.T) {
+// TestCallsDecodeAsEncoded checks that a frame carries every field of a call and of its result.
+func TestCallsDecodeAsEncoded(t *testing.T) {
 	call := Call{RequestID: 7, CallID: 6, Op: "servers", Body: []byte("{}"), Basis: Version{Term: 3, Seq: 9}}
 	result := CallResult{RequestID: 7, Status: 425, Body: []byte("{}"), Basis: Version{Term: 3, Seq: 9}}
 	for _, value := range []any{call, result} {
@@ -17,10 +17,10 @@
 		}
 	}
 	if frame := call.Message(4); frame.Kind != KindCall || frame.Partition != 4 || !reflect.DeepEqual(frame.AsCall(), call) {
-		t.Errorf("%+v is read as %+v", frame, frame.AsCall())
+		t.Errorf("%+v decodes as %+v", frame, frame.AsCall())
 	}
 	frame := result.Message(4)
 	if frame.Kind != KindCallResult || frame.Partition != 4 || !reflect.DeepEqual(frame.AsCallResult(), result) {
-		t.Errorf("%+v is read as %+v", frame, frame.AsCallResult())
+		t.Errorf("%+v decodes as %+v", frame, frame.AsCallResult())
 	}
 }
--- a/wire/message/envelope.go
+++ b/wire/message/envelope.go
@@ -1,21 +1,21 @@
 package message
 
-// Envelope is a message and the address it goes to.
+// Envelope is a message and its destination address.
 type Envelope struct {
 	Addr string
-	// ExactAddr sends it to that address, also where the addressee is known to be at
-	// another one.
+	// ExactAddr sends the message to Addr even if the recipient is known to have moved to
+	// another address.
 	ExactAddr bool
 	Message   Message
 }
 
-// Sender is the daemon that sent a message, as the message itself says.
+// Sender is the daemon that sent a message, as stated in the message.
 type Sender struct {
-	Replica        // identity, and the address that answers go to
+	Replica        // identity, and the address for answers
 	Epoch   uint64 // its incarnation
 }
 
-// Sender is the daemon that sent the message.
+// Sender returns the daemon that sent the message.
 //
 // Example: r.handleVoteRequest(now, m.Sender(), m.AsVoteRequest(), &out)
 func (m Message) Sender() Sender {
--- a/wire/message/json_test.go
+++ b/wire/message/json_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// TestJSONIsThatOfEarlierBuilds pins the JSON of the shapes that stand on disks, in
-// answers to operators and in dumps. The literals of Go name no field, so that each
-// field must be there.
-func TestJSONIsThatOfEarlierBuilds(t *testing.T) {
+// TestJSONMatchesEarlierBuilds pins the JSON of the types used on disk, in answers to
+// operators and in state dumps. The Go literals are unkeyed, so a new field doesn't
+// compile until it is covered here.
+func TestJSONMatchesEarlierBuilds(t *testing.T) {
 	version := Version{7, 9}
 	replica := Replica{"a", "10.0.0.1:7"}
 	const (
@@ -55,12 +55,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			got, err := json.Marshal(c.value)
 			if err != nil || string(got) != c.want {
-				t.Errorf("is  %s, %v\nwas %s", got, err, c.want)
+				t.Errorf("got  %s, %v\nwant %s", got, err, c.want)
 			}
 			read := reflect.New(reflect.TypeOf(c.value))
 			err = json.Unmarshal([]byte(c.want), read.Interface())
 			if err != nil || !reflect.DeepEqual(read.Elem().Interface(), c.value) {
-				t.Errorf("%s is read as %+v, %v", c.want, read.Elem().Interface(), err)
+				t.Errorf("%s decodes as %+v, %v", c.want, read.Elem().Interface(), err)
 			}
 		})
 	}
--- a/wire/message/kind.go
+++ b/wire/message/kind.go
@@ -2,62 +2,62 @@
 
 import "fmt"
 
-// Kind says what a Message is: which typed value it holds. Its number stands on the
-// wire, its name in histories and counts; both stay as they are.
+// Kind is the kind of a Message and determines which typed value it holds. The wire
+// format contains its number, histories and counters contain its name; neither may change.
 type Kind uint8
 
-// The kinds of messages, each with the typed value that it is read into.
+// The kinds of messages. Each decodes into one typed value.
 const (
 	KindNone Kind = iota
 
 	// Leases between a parent and a child of a partition's tree (lease.go).
 
-	KindRenewLease    // child asks for a volume lease and for records
+	KindRenewLease    // child requests a volume lease and records
 	KindGrantLease    // parent grants them
-	KindReconnect     // parent asks for the child's list
-	KindLeaseList     // child sends keys and versions
-	KindReconciled    // parent confirms the matching ones and grants the volume lease
-	KindReconnectDone // child is done
-	KindInvalidate    // parent withdraws a record
-	KindInvalidated   // child (and all below it) dropped it
-	KindDenyLease     // parent can't serve; look elsewhere
+	KindReconnect     // parent asks for the list of records that the child holds
+	KindLeaseList     // child sends the keys and versions of these records
+	KindReconciled    // parent confirms those that are up to date and grants the volume lease
+	KindReconnectDone // child has applied the reconciliation
+	KindInvalidate    // parent invalidates a record
+	KindInvalidated   // child and all its descendants have dropped it
+	KindDenyLease     // parent can't grant leases; the child tries another one
 	KindRedirect      // parent names a better parent (join, split, return)
 
 	// Votes, writes and leadership in a partition's group (quorum.go).
 
-	KindRequestVote    // a candidate asks for a vote, or whether it would get one
-	KindGrantVote      // the vote, with the voter's records that the candidate lacks
-	KindRejectVote     // no vote, and why
-	KindInstallState   // the leader makes a replica's records equal to its own
-	KindStateInstalled // they are
-	KindStateMismatch  // voter isn't at this term's state: here are its digests
-	KindReplicate      // the leader writes records
-	KindReplicated     // they are on the replica's disk
-	KindHeartbeat      // renews the leader lease
-	KindAbandonTerm    // a candidate gave this term up before it was won
-	KindHeartbeatAck   // the replica supports the leader
+	KindRequestVote    // candidate requests a vote or a pre-vote
+	KindGrantVote      // replica votes and sends the records that the candidate lacks
+	KindRejectVote     // replica refuses the vote and gives the reason
+	KindInstallState   // leader makes a replica's records equal to its own
+	KindStateInstalled // replica confirms that they are equal
+	KindStateMismatch  // replica lacks the state of this term and sends its digests
+	KindReplicate      // leader writes records
+	KindReplicated     // replica has them on disk
+	KindHeartbeat      // leader renews its lease
+	KindAbandonTerm    // candidate abandons a term that it has not won
+	KindHeartbeatAck   // replica supports the leader
 
 	// The membership table (membership.go).
 
-	KindHello        // a daemon opens or renews its session
-	KindWelcome      // the control daemon has it in its table
-	KindGossip       // control daemons exchange their tables
-	KindCensus       // a daemon without groups asks the seeds what they have
-	KindCensusAnswer // what this one has
+	KindHello        // daemon opens or renews its session
+	KindWelcome      // control daemon confirms the session
+	KindGossip       // control daemons exchange their sessions
+	KindCensus       // daemon that knows no group asks the seeds for theirs
+	KindCensusAnswer // seed's answer to a census
 
 	// Calls to a partition's leader (call.go).
 
 	KindCall
 	KindCallResult
 
-	KindBootstrap   // these replicas make the first group
-	KindLoadReport  // what is under way at servers, and what they keep (traffic/loadreport)
-	KindIncarnation // which incarnation of the other a replica goes by, and what it is itself
+	KindBootstrap   // names the replicas of the first group
+	KindLoadReport  // requests in progress at the servers, and what they cache (traffic/loadreport)
+	KindIncarnation // replica states its own incarnation and the one of the receiver that it recognizes
 
-	kindEnd // one past the last
+	kindEnd // one past the last kind
 )
 
-// kindNames are by the kind's number. They are older than the constants' names.
+// kindNames are indexed by kind. They predate the names of the constants.
 var kindNames = [...]string{
 	"none",
 	"renew", "grant", "reconnect", "listing", "synced", "connect", "invalidate", "invalidated", "deny", "steer",
@@ -67,7 +67,7 @@
 	"found", "board", "incarnation",
 }
 
-// String names a kind.
+// String returns the name of the kind, as in histories and counters.
 //
 // Example: message.KindInvalidate.String() == "invalidate"
 func (k Kind) String() string {
@@ -77,7 +77,7 @@
 	return fmt.Sprintf("kind-%d", uint8(k))
 }
 
-// IsKnown tells whether k is a kind of this version.
+// IsKnown reports whether this version of the protocol defines k.
 //
 // Example: message.Kind(200).IsKnown() == false
 func (k Kind) IsKnown() bool { return k > KindNone && k < kindEnd }
--- a/wire/message/lease.go
+++ b/wire/message/lease.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Reasons of a redirect.
+// Reasons for a redirect.
 const (
 	RedirectJoin   = "join"   // the children of a relay go to the relay's own parent
 	RedirectSplit  = "split"  // children go to a relay between them and the sender
-	RedirectReturn = "return" // a relay that has its lease again asks its zone back
+	RedirectReturn = "return" // a relay that has regained its lease takes back the children of its zone
 )
 
-// GrantHeader is in every message from a parent to a child of the lease tree.
+// GrantHeader is part of every message from a parent to a child of the lease tree.
 type GrantHeader struct {
-	Sequence    uint64      // numbers all that the parent sends: a child drops what a later message overtook
-	ChildEpoch  uint64      // the incarnation of the child that is meant; in the frame's Term
+	Sequence    uint64      // of the parent's messages; the child drops a message that arrives after a later one
+	ChildEpoch  uint64      // the child's incarnation that the message is for; in the frame's Term
 	VolumeEpoch VolumeEpoch // of the parent
 }
 
-// WithGrantHeader is the frame with the header of a message from a parent to a child.
+// WithGrantHeader returns the frame with the header of a message from a parent to a child.
 //
 // Example: m := grant.Message(3).WithGrantHeader(message.GrantHeader{Sequence: 7, ChildEpoch: 2, VolumeEpoch: own})
 func (m Message) WithGrantHeader(h GrantHeader) Message {
@@ -24,23 +24,23 @@
 	return m
 }
 
-// GrantHeader reads the header of a frame from a parent.
+// GrantHeader returns the header of a frame sent by a parent.
 //
 // Example: if m.GrantHeader().ChildEpoch != epoch { return }
 func (m Message) GrantHeader() GrantHeader {
 	return GrantHeader{Sequence: m.RequestID, ChildEpoch: m.Term, VolumeEpoch: m.VolumeEpoch}
 }
 
-// LeaseRenewal asks a parent for the volume lease, and for records.
+// LeaseRenewal requests the volume lease and records from a parent.
 type LeaseRenewal struct {
 	RequestID   uint64
 	VolumeEpoch VolumeEpoch   // of the parent, as of the last reconnect; zero before the first
-	Keys        []string      // records that are asked for
-	Bases       []Record      // key and version of those of them for which the child can apply patches
-	RenewCost   time.Duration // that the child measured at this parent, smoothed
+	Keys        []string      // of the requested records
+	Bases       []Record      // key and version of the requested records that the child can patch
+	RenewCost   time.Duration // smoothed cost of renewals at this parent, as measured by the child
 }
 
-// Message is the frame of the renewal, to be addressed by the sender.
+// Message encodes the renewal as a frame. The caller sets the recipient.
 //
 // Example: m := message.LeaseRenewal{RequestID: 4, Keys: []string{"plan/now"}}.Message(0)
 func (r LeaseRenewal) Message(partition int) Message {
@@ -50,7 +50,7 @@
 	}
 }
 
-// AsLeaseRenewal reads a frame of KindRenewLease.
+// AsLeaseRenewal decodes a frame of KindRenewLease.
 //
 // Example: n.handleRenewLease(now, m.Sender(), m.AsLeaseRenewal(), &out)
 func (m Message) AsLeaseRenewal() LeaseRenewal {
@@ -62,13 +62,13 @@
 
 // LeaseGrant grants the volume lease, records, or both.
 type LeaseGrant struct {
-	ResponseTo  uint64        // the renewal; 0: the records were waited for
-	VolumeLease time.Duration // from when the renewal was sent; 0: none is granted
-	ObjectLease time.Duration // of each record, from when it was first asked for
+	ResponseTo  uint64        // the renewal; 0 if the records became available only after its answer
+	VolumeLease time.Duration // counted from when the renewal was sent; 0: not granted
+	ObjectLease time.Duration // of each record, counted from when it was first requested
 	Records     []Record
 }
 
-// Message is the frame of the grant; the sender adds the header and the address.
+// Message encodes the grant as a frame. The caller adds the grant header and the recipient.
 //
 // Example: m := message.LeaseGrant{ResponseTo: 4, VolumeLease: time.Second}.Message(0)
 func (g LeaseGrant) Message(partition int) Message {
@@ -78,7 +78,7 @@
 	}
 }
 
-// AsLeaseGrant reads a frame of KindGrantLease.
+// AsLeaseGrant decodes a frame of KindGrantLease.
 //
 // Example: n.handleGrantLease(now, m.GrantHeader(), m.AsLeaseGrant(), &out)
 func (m Message) AsLeaseGrant() LeaseGrant {
@@ -88,33 +88,33 @@
 	}
 }
 
-// ReconnectRequest asks a child for the list of what it holds.
+// ReconnectRequest asks a child for the list of records that it holds.
 type ReconnectRequest struct {
 	ResponseTo uint64 // the renewal that could not be granted
 }
 
-// Message is the frame of the request; the sender adds the header and the address.
+// Message encodes the request as a frame. The caller adds the grant header and the recipient.
 //
 // Example: m := message.ReconnectRequest{ResponseTo: 4}.Message(0)
 func (r ReconnectRequest) Message(partition int) Message {
 	return Message{Kind: KindReconnect, Partition: partition, ResponseTo: r.ResponseTo}
 }
 
-// AsReconnectRequest reads a frame of KindReconnect.
+// AsReconnectRequest decodes a frame of KindReconnect.
 //
 // Example: request := m.AsReconnectRequest()
 func (m Message) AsReconnectRequest() ReconnectRequest {
 	return ReconnectRequest{ResponseTo: m.ResponseTo}
 }
 
-// LeaseList is a child's answer to a reconnect request.
+// LeaseList is a child's answer to a ReconnectRequest.
 type LeaseList struct {
 	RequestID   uint64
-	VolumeEpoch VolumeEpoch // of the parent that asked
+	VolumeEpoch VolumeEpoch // of the parent that sent the request
 	Records     []Record    // keys and versions, without values
 }
 
-// Message is the frame of the list, to be addressed by the sender.
+// Message encodes the list as a frame. The caller sets the recipient.
 //
 // Example: m := message.LeaseList{RequestID: 5, Records: held}.Message(0)
 func (l LeaseList) Message(partition int) Message {
@@ -124,7 +124,7 @@
 	}
 }
 
-// AsLeaseList reads a frame of KindLeaseList.
+// AsLeaseList decodes a frame of KindLeaseList.
 //
 // Example: n.handleLeaseList(now, m.Sender(), m.AsLeaseList(), &out)
 func (m Message) AsLeaseList() LeaseList {
@@ -132,15 +132,15 @@
 }
 
 // Reconciliation confirms the records of a lease list that are up to date and
-// grants the volume lease; what it doesn't confirm is invalid.
+// grants the volume lease. Records that it doesn't confirm are invalid.
 type Reconciliation struct {
 	ResponseTo  uint64        // the lease list
-	VolumeLease time.Duration // from when the list was sent
-	ObjectLease time.Duration // of each record, from when the list was sent
+	VolumeLease time.Duration // counted from when the list was sent
+	ObjectLease time.Duration // of each record, counted from when the list was sent
 	Records     []Record      // keys and versions, without values
 }
 
-// Message is the frame of the reconciliation; the sender adds the header and the address.
+// Message encodes the reconciliation as a frame. The caller adds the grant header and the recipient.
 //
 // Example: m := message.Reconciliation{ResponseTo: 5, VolumeLease: time.Second}.Message(0)
 func (r Reconciliation) Message(partition int) Message {
@@ -150,7 +150,7 @@
 	}
 }
 
-// AsReconciliation reads a frame of KindReconciled.
+// AsReconciliation decodes a frame of KindReconciled.
 //
 // Example: n.handleReconciled(now, m.GrantHeader(), m.AsReconciliation(), &out)
 func (m Message) AsReconciliation() Reconciliation {
@@ -160,53 +160,53 @@
 	}
 }
 
-// ReconnectDone says that a child has applied a reconciliation.
+// ReconnectDone confirms that a child has applied a reconciliation.
 type ReconnectDone struct {
 	Sequence    uint64      // of the reconciliation
 	VolumeEpoch VolumeEpoch // of the parent
 }
 
-// Message is the frame of the message, to be addressed by the sender.
+// Message encodes the confirmation as a frame. The caller sets the recipient.
 //
 // Example: m := message.ReconnectDone{Sequence: 7, VolumeEpoch: epoch}.Message(0)
 func (d ReconnectDone) Message(partition int) Message {
 	return Message{Kind: KindReconnectDone, Partition: partition, ResponseTo: d.Sequence, VolumeEpoch: d.VolumeEpoch}
 }
 
-// AsReconnectDone reads a frame of KindReconnectDone.
+// AsReconnectDone decodes a frame of KindReconnectDone.
 //
 // Example: n.handleReconnectDone(m.Sender(), m.AsReconnectDone())
 func (m Message) AsReconnectDone() ReconnectDone {
 	return ReconnectDone{Sequence: m.ResponseTo, VolumeEpoch: m.VolumeEpoch}
 }
 
-// Invalidation withdraws a record from a child and all below it.
+// Invalidation invalidates a record at a child and all its descendants.
 type Invalidation struct {
 	Key    string
-	Number uint64 // of the invalidation at the parent; the acknowledgement names it
+	Number uint64 // assigned by the parent; echoed by the acknowledgement
 }
 
-// Message is the frame of the invalidation; the sender adds the header and the address.
+// Message encodes the invalidation as a frame. The caller adds the grant header and the recipient.
 //
 // Example: m := message.Invalidation{Key: "plan/now", Number: 3}.Message(0)
 func (i Invalidation) Message(partition int) Message {
 	return Message{Kind: KindInvalidate, Partition: partition, Key: i.Key, ResponseTo: i.Number}
 }
 
-// AsInvalidation reads a frame of KindInvalidate.
+// AsInvalidation decodes a frame of KindInvalidate.
 //
 // Example: n.handleInvalidate(now, m.Sender(), m.GrantHeader(), m.AsInvalidation(), &out)
 func (m Message) AsInvalidation() Invalidation { return Invalidation{Key: m.Key, Number: m.ResponseTo} }
 
-// InvalidationAck says that no valid lease on a record is left at the sender or
-// below it.
+// InvalidationAck confirms that neither the sender nor any of its descendants holds
+// a valid lease on a record.
 type InvalidationAck struct {
 	Key         string
 	Number      uint64      // of the invalidation
 	VolumeEpoch VolumeEpoch // of the parent
 }
 
-// Message is the frame of the acknowledgement, to be addressed by the sender.
+// Message encodes the acknowledgement as a frame. The caller sets the recipient.
 //
 // Example: m := message.InvalidationAck{Key: "plan/now", Number: 3}.Message(0)
 func (a InvalidationAck) Message(partition int) Message {
@@ -215,47 +215,47 @@
 	}
 }
 
-// AsInvalidationAck reads a frame of KindInvalidated.
+// AsInvalidationAck decodes a frame of KindInvalidated.
 //
-// Example: n.handleInvalidated(now, m.Sender(), m.AsInvalidationAck(), &out)
+// Example: n.handleInvalidationAck(now, m.Sender(), m.AsInvalidationAck(), &out)
 func (m Message) AsInvalidationAck() InvalidationAck {
 	return InvalidationAck{Key: m.Key, Number: m.ResponseTo, VolumeEpoch: m.VolumeEpoch}
 }
 
-// LeaseDenial says that a parent has no lease of its own to grant from.
+// LeaseDenial reports that a parent holds no lease itself and so can't grant any.
 type LeaseDenial struct {
-	ResponseTo uint64 // the renewal; 0: one that waited too long
+	ResponseTo uint64 // the renewal; 0 if it timed out while waiting at the parent
 	Reason     string
 }
 
-// Message is the frame of the denial; the sender adds the header and the address.
+// Message encodes the denial as a frame. The caller adds the grant header and the recipient.
 //
 // Example: m := message.LeaseDenial{ResponseTo: 4, Reason: "no lease"}.Message(0)
 func (d LeaseDenial) Message(partition int) Message {
 	return Message{Kind: KindDenyLease, Partition: partition, ResponseTo: d.ResponseTo, Reason: d.Reason}
 }
 
-// AsLeaseDenial reads a frame of KindDenyLease.
+// AsLeaseDenial decodes a frame of KindDenyLease.
 //
 // Example: denial := m.AsLeaseDenial()
 func (m Message) AsLeaseDenial() LeaseDenial {
 	return LeaseDenial{ResponseTo: m.ResponseTo, Reason: m.Reason}
 }
 
-// Redirect names a better parent.
+// Redirect tells a child to use another parent.
 type Redirect struct {
 	Parent Replica
 	Reason string // RedirectJoin, RedirectSplit or RedirectReturn
 }
 
-// Message is the frame of the redirect; the sender adds the header and the address.
+// Message encodes the redirect as a frame. The caller adds the grant header and the recipient.
 //
 // Example: m := message.Redirect{Parent: relay, Reason: message.RedirectSplit}.Message(0)
 func (r Redirect) Message(partition int) Message {
 	return Message{Kind: KindRedirect, Partition: partition, Hint: r.Parent, Reason: r.Reason}
 }
 
-// AsRedirect reads a frame of KindRedirect.
+// AsRedirect decodes a frame of KindRedirect.
 //
 // Example: n.handleRedirect(now, m.Sender(), m.GrantHeader(), m.AsRedirect(), &out)
 func (m Message) AsRedirect() Redirect { return Redirect{Parent: m.Hint, Reason: m.Reason} }
--- a/wire/message/loadreport.go
+++ b/wire/message/loadreport.go
@@ -1,19 +1,19 @@
 package message
 
-// LoadReport is what a daemon reports of the servers' load; its body is a report of
+// LoadReport carries a daemon's report of the servers' load, encoded by
 // traffic/loadreport.
 type LoadReport struct {
 	Body []byte
 }
 
-// Message is the frame of the report to a daemon.
+// Message encodes the report as a frame for the daemon with identity to.
 //
 // Example: m := message.LoadReport{Body: body}.Message(head.Ident)
 func (r LoadReport) Message(to string) Message {
 	return Message{Kind: KindLoadReport, To: to, Body: r.Body}
 }
 
-// AsLoadReport reads a frame of KindLoadReport.
+// AsLoadReport decodes a frame of KindLoadReport.
 //
 // Example: report := m.AsLoadReport()
 func (m Message) AsLoadReport() LoadReport { return LoadReport{Body: m.Body} }
--- a/wire/message/membership.go
+++ b/wire/message/membership.go
@@ -1,29 +1,29 @@
 package message
 
-// Forms of a Welcome. One of another form is of a later build: its members may be a
-// part of the view, and are not taken for all of it.
+// Forms of a Welcome. Any other form comes from a later build: its members may be only
+// a part of the view and must not be treated as the complete view.
 const (
-	WelcomeWhole    = ""       // Members is the view, or empty where the addressee has that
-	WelcomeDiff     = "differ" // Members and RemovedAddrs are what changed since the addressee's view
-	WelcomeReferral = "refer"  // opens no session; Members are control daemons to ask
+	WelcomeWhole    = ""       // Members is the complete view, or empty if the recipient has it already
+	WelcomeDiff     = "differ" // Members and RemovedAddrs are the changes to the recipient's view
+	WelcomeReferral = "refer"  // no session is opened; Members are other control daemons to ask
 )
 
-// Values of the frame's Op in other messages of the membership.
+// Values of the frame's Op in the other membership messages.
 const (
 	helloTakesDiff   = WelcomeDiff
 	gossipUnchanged  = "same"
 	censusFirstStart = "first"
 )
 
-// Hello asks a control daemon for a session, or renews it.
+// Hello asks a control daemon to open or renew a session.
 type Hello struct {
 	Self              Member
-	ViewDigest        uint64 // of the view that the sender has; in the frame's Term
+	ViewDigest        uint64 // of the sender's view; in the frame's Term
 	LeadershipsDigest uint64 // of the leaderships that the sender knows
-	TakesDiff         bool   // the sender reads a WelcomeDiff
+	TakesDiff         bool   // the sender accepts a WelcomeDiff
 }
 
-// Message is the frame of the hello, to be addressed by the sender.
+// Message encodes the hello as a frame. The caller sets the recipient.
 //
 // Example: m := message.Hello{Self: self, TakesDiff: true}.Message()
 func (h Hello) Message() Message {
@@ -34,7 +34,7 @@
 	return m
 }
 
-// AsHello reads a frame of KindHello.
+// AsHello decodes a frame of KindHello.
 //
 // Example: t.handleHello(now, m.AsHello(), &out)
 func (m Message) AsHello() Hello {
@@ -43,18 +43,18 @@
 	}
 }
 
-// Welcome is a control daemon's answer to a Hello: the session stands, and this is
-// what changed. A daemon that can open no session answers with a referral.
+// Welcome is a control daemon's answer to a Hello. It confirms the session and carries
+// what has changed. A daemon that can't open a session answers with a referral.
 type Welcome struct {
 	Form         string // WelcomeWhole, WelcomeDiff or WelcomeReferral
 	Members      []Member
-	RemovedAddrs []string     // with WelcomeDiff: members that are no longer there
+	RemovedAddrs []string     // with WelcomeDiff: members that have left the view
 	ViewDigest   uint64       // of the sender's view; in the frame's Term
-	Leaderships  []Leadership // none where the addressee has them
-	Controls     int          // control daemons that the sender hears of, with itself; 0: an older build
+	Leaderships  []Leadership // empty if the recipient has them already
+	Controls     int          // number of control daemons known to the sender, including itself; 0 from older builds
 }
 
-// Message is the frame of the welcome, to be addressed by the sender.
+// Message encodes the welcome as a frame. The caller sets the recipient.
 //
 // Example: m := message.Welcome{Form: message.WelcomeReferral, Members: controls}.Message()
 func (w Welcome) Message() Message {
@@ -64,7 +64,7 @@
 	}
 }
 
-// AsWelcome reads a frame of KindWelcome.
+// AsWelcome decodes a frame of KindWelcome.
 //
 // Example: t.handleWelcome(now, m.Addr, m.AsWelcome(), &out)
 func (m Message) AsWelcome() Welcome {
@@ -74,18 +74,18 @@
 	}
 }
 
-// Gossip tells control daemons, and seeds, which sessions the sender has.
+// Gossip announces the sender's sessions to control daemons and seeds.
 type Gossip struct {
 	Self           Member
-	Members        []Member // with a session at the sender
+	Members        []Member // that have a session with the sender
 	Leaderships    []Leadership
-	Unchanged      bool   // Members and Leaderships are those of Digest, which the addressee has
+	Unchanged      bool   // Members and Leaderships are left out: the recipient has those of Digest
 	Digest         uint64 // of Members and Leaderships
-	Acknowledged   uint64 // Digest of the addressee's latest gossip that the sender has
+	Acknowledged   uint64 // Digest of the latest gossip received from the recipient
 	ControlsDigest uint64 // of the control daemons that the sender knows; in the frame's Term
 }
 
-// Message is the frame of the gossip, to be addressed by the sender.
+// Message encodes the gossip as a frame. The caller sets the recipient.
 //
 // Example: m := message.Gossip{Self: self, Members: sessions, Digest: digest}.Message()
 func (g Gossip) Message() Message {
@@ -99,7 +99,7 @@
 	return m
 }
 
-// AsGossip reads a frame of KindGossip.
+// AsGossip decodes a frame of KindGossip.
 //
 // Example: t.handleGossip(now, m.AsGossip(), &out)
 func (m Message) AsGossip() Gossip {
@@ -109,21 +109,21 @@
 	}
 }
 
-// Census asks a seed what it knows, before the first group is formed.
+// Census asks a seed which control daemons and group it knows, before the first group is formed.
 type Census struct {
-	Round uint64 // the answer names it
+	Round uint64 // echoed by the answer
 	Self  Member
-	Group Group // that the sender proposes; Number 0: none yet
+	Group Group // proposed by the sender; Number 0: none yet
 }
 
-// Message is the frame of the census, to be addressed by the sender.
+// Message encodes the census as a frame. The caller sets the recipient.
 //
 // Example: m := message.Census{Round: 3, Self: self}.Message()
 func (c Census) Message() Message {
 	return Message{Kind: KindCensus, RequestID: c.Round, Self: c.Self, Group: c.Group}
 }
 
-// AsCensus reads a frame of KindCensus.
+// AsCensus decodes a frame of KindCensus.
 //
 // Example: t.handleCensus(m.Addr, m.AsCensus(), &out)
 func (m Message) AsCensus() Census { return Census{Round: m.RequestID, Self: m.Self, Group: m.Group} }
@@ -131,13 +131,13 @@
 // CensusAnswer is a seed's answer to a census.
 type CensusAnswer struct {
 	Round      uint64 // of the census
-	Self       Member // Empty tells whether the seed knows of no group
+	Self       Member // Empty is set if the seed knows no group
 	Controls   []Member
-	FirstStart bool  // the seed has not restarted
-	Group      Group // that the seed is bound to; Number 0: none
+	FirstStart bool  // the seed has never been restarted
+	Group      Group // that the seed is committed to; Number 0: none
 }
 
-// Message is the frame of the answer, to be addressed by the sender.
+// Message encodes the answer as a frame. The caller sets the recipient.
 //
 // Example: m := message.CensusAnswer{Round: 3, Self: self}.Message()
 func (a CensusAnswer) Message() Message {
@@ -148,7 +148,7 @@
 	return m
 }
 
-// AsCensusAnswer reads a frame of KindCensusAnswer.
+// AsCensusAnswer decodes a frame of KindCensusAnswer.
 //
 // Example: t.handleCensusAnswer(m.Addr, m.AsCensusAnswer())
 func (m Message) AsCensusAnswer() CensusAnswer {
@@ -157,17 +157,17 @@
 	}
 }
 
-// Bootstrap tells a control daemon that it is a replica of the first group.
+// Bootstrap notifies a control daemon that it is a replica of the first group.
 type Bootstrap struct {
 	Group Group
 }
 
-// Message is the frame of the message, to be addressed by the sender.
+// Message encodes the notification as a frame. The caller sets the recipient.
 //
 // Example: m := message.Bootstrap{Group: message.Group{Number: 1, Replicas: replicas}}.Message()
 func (b Bootstrap) Message() Message { return Message{Kind: KindBootstrap, Group: b.Group} }
 
-// AsBootstrap reads a frame of KindBootstrap.
+// AsBootstrap decodes a frame of KindBootstrap.
 //
 // Example: t.handleBootstrap(m.Addr, m.AsBootstrap(), &out)
 func (m Message) AsBootstrap() Bootstrap { return Bootstrap{Group: m.Group} }
--- a/wire/message/quorum.go
+++ b/wire/message/quorum.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// The messages of a partition's group: votes, the leader lease, writes, and how a
-// replica's records are made equal to the leader's.
+// The messages of a partition's group: votes, the leader lease, writes, and the
+// transfer that makes a replica's records equal to the leader's.
 
-// What the Op of a frame says in the kinds of this file. They stand on the wire and in histories.
+// Values of the frame's Op in the kinds of this file. They are part of the wire format and of histories.
 const (
 	opPreVote     = "probe"
 	opTerminating = "parting"
@@ -14,13 +14,13 @@
 // VoteRequest asks a replica for its vote in a term.
 type VoteRequest struct {
 	Term       uint64
-	PreVote    bool          // asks only whether the vote would be granted, which binds nobody
+	PreVote    bool          // asks only whether the vote would be granted, without binding the voter
 	Group      Group         // the candidate's
-	Digests    []uint64      // of each range of the candidate's records; none in a pre-vote
-	WriteDelay time.Duration // for how long at most the candidate would write nothing as leader; an earlier build's: 0
+	Digests    []uint64      // of each range of the candidate's records; empty in a pre-vote
+	WriteDelay time.Duration // longest time that the candidate agrees to hold back writes as leader; 0 from earlier builds
 }
 
-// Message is the frame of the request.
+// Message encodes the request as a frame.
 //
 // Example: message.VoteRequest{Term: 7, Group: g}.Message(0).Kind == message.KindRequestVote
 func (v VoteRequest) Message(partition int) Message {
@@ -30,7 +30,7 @@
 	}
 }
 
-// AsVoteRequest reads a frame of KindRequestVote.
+// AsVoteRequest decodes a frame of KindRequestVote.
 //
 // Example: r.handleVoteRequest(now, m.Sender(), m.AsVoteRequest(), &out)
 func (m Message) AsVoteRequest() VoteRequest {
@@ -44,16 +44,16 @@
 // candidate needs to take over as leader.
 type VoteGrant struct {
 	Term             uint64
-	PreVote          bool   // the vote would be granted; only Term and the number of Group are set
+	PreVote          bool   // answers a pre-vote: the vote would be granted; only Term and Group.Number are set
 	Group            Group  // the voter's
-	CandidateEpoch   uint64 // the incarnation of the candidate that asked; an earlier build's: 0
+	CandidateEpoch   uint64 // the incarnation of the candidate that sent the request; 0 from earlier builds
 	LastCompleteTerm uint64
 	Digests          []uint64      // of each range of the voter's records
-	Records          []Record      // the voter's in the ranges that differ from the candidate's
-	LeasesStandFor   time.Duration // for how long leases of an earlier leader may still be valid
+	Records          []Record      // the voter's records in the ranges that differ from the candidate's
+	LeasesStandFor   time.Duration // remaining time for which leases of an earlier leader may be valid
 }
 
-// Message is the frame of the vote.
+// Message encodes the vote as a frame.
 //
 // Example: message.VoteGrant{Term: 7}.Message(0).Kind == message.KindGrantVote
 func (v VoteGrant) Message(partition int) Message {
@@ -64,7 +64,7 @@
 	}
 }
 
-// AsVoteGrant reads a frame of KindGrantVote.
+// AsVoteGrant decodes a frame of KindGrantVote.
 //
 // Example: r.handleVoteGrant(now, m.Sender(), m.AsVoteGrant(), &out)
 func (m Message) AsVoteGrant() VoteGrant {
@@ -74,17 +74,17 @@
 	}
 }
 
-// VoteRejection refuses a candidate its vote, or a leader of an earlier term its
-// heartbeat or write.
+// VoteRejection refuses the vote to a candidate, or refuses a heartbeat or write from
+// the leader of an earlier term.
 type VoteRejection struct {
-	Term        uint64        // that was asked for
-	VotedTerm   uint64        // the highest that the voter has voted in
+	Term        uint64        // of the refused request
+	VotedTerm   uint64        // the highest term that the voter has voted in
 	Group       Group         // the voter's
-	BoundFor    time.Duration // for how long the voter still supports another leader
-	KnownLeader Replica       // that the voter last supported
+	BoundFor    time.Duration // remaining time for which the voter supports another leader
+	KnownLeader Replica       // the leader that the voter last supported
 }
 
-// Message is the frame of the rejection.
+// Message encodes the rejection as a frame.
 //
 // Example: message.VoteRejection{Term: 7, VotedTerm: 8}.Message(0).Kind == message.KindRejectVote
 func (v VoteRejection) Message(partition int) Message {
@@ -94,7 +94,7 @@
 	}
 }
 
-// AsVoteRejection reads a frame of KindRejectVote.
+// AsVoteRejection decodes a frame of KindRejectVote.
 //
 // Example: r.handleVoteRejection(now, m.Sender(), m.AsVoteRejection(), &out)
 func (m Message) AsVoteRejection() VoteRejection {
@@ -104,52 +104,52 @@
 	}
 }
 
-// AbandonTerm says that a candidate gave its term up before it was won.
+// AbandonTerm announces that a candidate has abandoned a term that it has not won.
 type AbandonTerm struct {
 	Term uint64
 }
 
-// Message is the frame that gives the term up.
+// Message encodes the announcement as a frame.
 //
 // Example: message.AbandonTerm{Term: 7}.Message(0).Kind == message.KindAbandonTerm
 func (v AbandonTerm) Message(partition int) Message {
 	return Message{Kind: KindAbandonTerm, Partition: partition, Term: v.Term}
 }
 
-// AsAbandonTerm reads a frame of KindAbandonTerm.
+// AsAbandonTerm decodes a frame of KindAbandonTerm.
 //
 // Example: r.handleAbandonTerm(m.Sender(), m.AsAbandonTerm(), &out)
 func (m Message) AsAbandonTerm() AbandonTerm { return AbandonTerm{Term: m.Term} }
 
-// Heartbeat asks a replica or learner to support the leader's lease once more.
+// Heartbeat asks a replica or learner to renew its support for the leader's lease.
 type Heartbeat struct {
 	Term  uint64
-	Round uint64            // the leader counts its heartbeats
-	Peers []PeerIncarnation // what the leader knows of the other replicas, where that is news to the receiver
+	Round uint64            // number of the heartbeat, counted by the leader
+	Peers []PeerIncarnation // what the leader knows about the other replicas and the receiver may not
 }
 
-// Message is the frame of the heartbeat.
+// Message encodes the heartbeat as a frame.
 //
 // Example: message.Heartbeat{Term: 7, Round: 3}.Message(0).Kind == message.KindHeartbeat
 func (v Heartbeat) Message(partition int) Message {
 	return Message{Kind: KindHeartbeat, Partition: partition, Term: v.Term, RequestID: v.Round, Peers: v.Peers}
 }
 
-// AsHeartbeat reads a frame of KindHeartbeat.
+// AsHeartbeat decodes a frame of KindHeartbeat.
 //
 // Example: r.handleHeartbeat(now, m.Sender(), m.AsHeartbeat(), &out)
 func (m Message) AsHeartbeat() Heartbeat {
 	return Heartbeat{Term: m.Term, Round: m.RequestID, Peers: m.Peers}
 }
 
-// HeartbeatAck says that its sender supports the leader's lease from a round on.
+// HeartbeatAck confirms that its sender supports the leader's lease as of a round.
 type HeartbeatAck struct {
 	Term        uint64
 	Round       uint64
-	Terminating bool // the sender's daemon was asked to end
+	Terminating bool // the sender's daemon is shutting down
 }
 
-// Message is the frame of the acknowledgement.
+// Message encodes the acknowledgement as a frame.
 //
 // Example: message.HeartbeatAck{Term: 7, Round: 3}.Message(0).Kind == message.KindHeartbeatAck
 func (v HeartbeatAck) Message(partition int) Message {
@@ -159,37 +159,37 @@
 	}
 }
 
-// AsHeartbeatAck reads a frame of KindHeartbeatAck.
+// AsHeartbeatAck decodes a frame of KindHeartbeatAck.
 //
 // Example: r.handleHeartbeatAck(now, m.Sender(), m.AsHeartbeatAck())
 func (m Message) AsHeartbeatAck() HeartbeatAck {
 	return HeartbeatAck{Term: m.Term, Round: m.ResponseTo, Terminating: m.Op == opTerminating}
 }
 
-// InstallPurpose says what an install of state is for. It stands on the wire.
+// InstallPurpose is the purpose of a state installation. It is part of the wire format.
 type InstallPurpose string
 
-// The purposes of an install of state.
+// The purposes of a state installation.
 const (
-	InstallForTerm   InstallPurpose = ""        // raises a copy to the leader's term
-	InstallForRepair InstallPurpose = "compare" // compares a copy that holds the term, and sends what differs
-	InstallForJoin   InstallPurpose = "whole"   // has a new replica confirm that it holds all that the leader holds
+	InstallForTerm   InstallPurpose = ""        // brings a replica to the leader's state for its term
+	InstallForRepair InstallPurpose = "compare" // compares a replica in the leader's term, and sends the differences
+	InstallForJoin   InstallPurpose = "whole"   // has a new replica confirm that it holds all records of the leader
 )
 
-// InstallState makes a replica's records equal to the leader's, or asks it for the
-// digests of its records first.
+// InstallState makes a replica's records equal to the leader's, or first requests the
+// digests of the replica's records.
 type InstallState struct {
 	Term       uint64
 	Purpose    InstallPurpose
-	RequestID  uint64   // repair: the leader's last write, 0 where it waits for no answer; join: the group's number
-	RecordsSum uint64   // for a term: of the leader's whole records; an earlier build's: 0
-	Digests    []uint64 // for a term: of the replica's records as the leader knows them; else of the leader's
-	Ranges     []int    // that are to be replaced or compared; none: only digests are asked for
-	Records    []Record // all that the leader has in Ranges
+	RequestID  uint64   // repair: the leader's last write, or 0 if no answer is needed; join: the group's number
+	RecordsSum uint64   // term: checksum of all records of the leader; 0 from earlier builds
+	Digests    []uint64 // term: of the replica's records, as known to the leader; else of the leader's records
+	Ranges     []int    // to be replaced or compared; empty: only digests are requested
+	Records    []Record // all records of the leader in Ranges
 	Group      Group    // the leader's
 }
 
-// Message is the frame of the install.
+// Message encodes the installation as a frame.
 //
 // Example: message.InstallState{Term: 7}.Message(0).Kind == message.KindInstallState
 func (v InstallState) Message(partition int) Message {
@@ -200,7 +200,7 @@
 	}
 }
 
-// AsInstallState reads a frame of KindInstallState.
+// AsInstallState decodes a frame of KindInstallState.
 //
 // Example: r.handleInstallState(m.Sender(), m.AsInstallState(), &out)
 func (m Message) AsInstallState() InstallState {
@@ -210,15 +210,15 @@
 	}
 }
 
-// StateInstalled says that the sender's disk holds what was installed.
+// StateInstalled confirms that the installed state is on the sender's disk.
 type StateInstalled struct {
 	Term       uint64
 	Purpose    InstallPurpose
-	ResponseTo uint64   // the RequestID of the install
-	Records    []Record // repair: what the sender holds that is newer than the leader's
+	ResponseTo uint64   // the RequestID of the InstallState
+	Records    []Record // repair: the sender's records that are newer than the leader's
 }
 
-// Message is the frame of the answer.
+// Message encodes the answer as a frame.
 //
 // Example: message.StateInstalled{Term: 7}.Message(0).Kind == message.KindStateInstalled
 func (v StateInstalled) Message(partition int) Message {
@@ -228,23 +228,23 @@
 	}
 }
 
-// AsStateInstalled reads a frame of KindStateInstalled.
+// AsStateInstalled decodes a frame of KindStateInstalled.
 //
 // Example: r.handleStateInstalled(now, m.Sender(), m.AsStateInstalled(), &out)
 func (m Message) AsStateInstalled() StateInstalled {
 	return StateInstalled{Term: m.Term, Purpose: InstallPurpose(m.Op), ResponseTo: m.ResponseTo, Records: m.Records}
 }
 
-// StateMismatch says that the sender's records aren't what a write or an install
-// builds on, and what they are.
+// StateMismatch reports that the sender's records aren't the ones that a write or an
+// installation is based on, and returns their digests.
 type StateMismatch struct {
 	Term       uint64
-	Purpose    InstallPurpose // of the install that it answers to
-	ResponseTo uint64         // the RequestID of the install
+	Purpose    InstallPurpose // of the InstallState that it answers
+	ResponseTo uint64         // the RequestID of the InstallState
 	Digests    []uint64       // of each range of the sender's records
 }
 
-// Message is the frame of the answer.
+// Message encodes the answer as a frame.
 //
 // Example: message.StateMismatch{Term: 7}.Message(0).Kind == message.KindStateMismatch
 func (v StateMismatch) Message(partition int) Message {
@@ -254,22 +254,22 @@
 	}
 }
 
-// AsStateMismatch reads a frame of KindStateMismatch.
+// AsStateMismatch decodes a frame of KindStateMismatch.
 //
 // Example: r.handleStateMismatch(now, m.Sender(), m.AsStateMismatch(), &out)
 func (m Message) AsStateMismatch() StateMismatch {
 	return StateMismatch{Term: m.Term, Purpose: InstallPurpose(m.Op), ResponseTo: m.ResponseTo, Digests: m.Digests}
 }
 
-// Replicate has a replica or learner take a write of the leader.
+// Replicate sends a write of the leader to a replica or learner.
 type Replicate struct {
 	Term      uint64
-	RequestID uint64 // the leader counts its writes
+	RequestID uint64 // number of the write, counted by the leader
 	Records   []Record
 	Group     Group // the leader's
 }
 
-// Message is the frame of the write.
+// Message encodes the write as a frame.
 //
 // Example: message.Replicate{Term: 7, RequestID: 3}.Message(0).Kind == message.KindReplicate
 func (v Replicate) Message(partition int) Message {
@@ -279,41 +279,41 @@
 	}
 }
 
-// AsReplicate reads a frame of KindReplicate.
+// AsReplicate decodes a frame of KindReplicate.
 //
 // Example: r.handleReplicate(now, m.Sender(), m.AsReplicate(), &out)
 func (m Message) AsReplicate() Replicate {
 	return Replicate{Term: m.Term, RequestID: m.RequestID, Records: m.Records, Group: m.Group}
 }
 
-// Replicated says that the sender's disk holds a write.
+// Replicated confirms that a write is on the sender's disk.
 type Replicated struct {
 	Term       uint64
 	ResponseTo uint64 // the RequestID of the write
 }
 
-// Message is the frame of the answer.
+// Message encodes the answer as a frame.
 //
 // Example: message.Replicated{Term: 7, ResponseTo: 3}.Message(0).Kind == message.KindReplicated
 func (v Replicated) Message(partition int) Message {
 	return Message{Kind: KindReplicated, Partition: partition, Term: v.Term, ResponseTo: v.ResponseTo}
 }
 
-// AsReplicated reads a frame of KindReplicated.
+// AsReplicated decodes a frame of KindReplicated.
 //
 // Example: r.handleReplicated(now, m.Sender(), m.AsReplicated(), &out)
 func (m Message) AsReplicated() Replicated { return Replicated{Term: m.Term, ResponseTo: m.ResponseTo} }
 
-// IncarnationNotice says which incarnation of the receiver its sender goes by, and
-// has the receiver answer with its own. What the sender says of itself rides on
-// every message: see IncarnationClaims.
+// IncarnationNotice states which incarnation of the receiver the sender recognizes, and
+// requests the receiver's own in answer. The sender's own incarnation is part of every
+// message: see IncarnationClaims.
 type IncarnationNotice struct {
-	KnownEpoch uint64    // of the receiver; 0: filled in as the message leaves
-	KnownState SavePoint // the latest of it that the sender knows of
+	KnownEpoch uint64    // incarnation of the receiver; 0: set when the message is sent
+	KnownState SavePoint // latest state of the receiver that the sender knows
 	Group      Group     // the sender's
 }
 
-// Message is the frame of the notice.
+// Message encodes the notice as a frame.
 //
 // Example: message.IncarnationNotice{Group: g}.Message(0).Kind == message.KindIncarnation
 func (v IncarnationNotice) Message(partition int) Message {
@@ -323,20 +323,20 @@
 	}
 }
 
-// IncarnationClaims are what a message says of incarnations, its sender's and its
-// receiver's. Every kind of message of a group carries them.
+// IncarnationClaims are a message's statements about the incarnations of its sender and
+// its receiver. Every message between the replicas of a group carries them.
 type IncarnationClaims struct {
 	Epoch      uint64            // of the sender
-	StartState SavePoint         // that the sender started from, until the receiver is known to go by Epoch
-	Saves      uint64            // of this incarnation that are on the sender's disk
-	KnownEpoch uint64            // the incarnation of the receiver that the sender goes by; none: 0
-	KnownState SavePoint         // the latest of the receiver that the sender knows of
+	StartState SavePoint         // that the sender started from; set until the receiver is known to recognize Epoch
+	Saves      uint64            // number of saves on the sender's disk in this incarnation
+	KnownEpoch uint64            // incarnation of the receiver that the sender recognizes; 0: none
+	KnownState SavePoint         // latest state of the receiver that the sender knows
 	Group      Group             // the sender's
-	Peers      []PeerIncarnation // what a leader knows of the other replicas
-	IsNotice   bool              // the message says nothing else
+	Peers      []PeerIncarnation // what a leader knows about the other replicas
+	IsNotice   bool              // the message is an IncarnationNotice
 }
 
-// IncarnationClaims reads what any message of a group says of incarnations.
+// IncarnationClaims returns the incarnation claims of any message of a group.
 //
 // Example: if !r.admits(now, m.Sender(), m.IncarnationClaims(), &out) { return out }
 func (m Message) IncarnationClaims() IncarnationClaims {
@@ -346,9 +346,9 @@
 	}
 }
 
-// opIf is an Op where a condition holds, else none.
-func opIf(is bool, op string) string {
-	if is {
+// opIf returns op if the condition holds, else an empty Op.
+func opIf(condition bool, op string) string {
+	if condition {
 		return op
 	}
 	return ""
--- a/wire/message/quorum_test.go
+++ b/wire/message/quorum_test.go
@@ -5,18 +5,18 @@
 	"testing"
 )
 
-// every sets all fields of a value to values that differ from one another.
-func every(v reflect.Value, next *uint64) {
+// setDistinct sets each field of a value, recursively, to a different value.
+func setDistinct(v reflect.Value, next *uint64) {
 	*next++
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			every(v.Field(i), next)
+			setDistinct(v.Field(i), next)
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
 		for i := range v.Len() {
-			every(v.Index(i), next)
+			setDistinct(v.Index(i), next)
 		}
 	case reflect.String:
 		v.SetString(string(rune('a' + *next%26)))
@@ -27,21 +27,22 @@
 	case reflect.Int, reflect.Int64:
 		v.SetInt(int64(*next))
 	default:
-		panic("a field of a kind that the test doesn't know: " + v.Kind().String())
+		panic("no value for a field of kind " + v.Kind().String())
 	}
 }
 
-// framed gives what a typed message with all fields set is after a frame.
+// framed encodes a typed message with all fields set as a frame, and decodes that frame.
 func framed[T interface{ Message(partition int) Message }](read func(Message) T) (sent, got any, m Message) {
 	var v T
 	next := uint64(0)
-	every(reflect.ValueOf(&v).Elem(), &next)
+	setDistinct(reflect.ValueOf(&v).Elem(), &next)
 	m = v.Message(5)
 	return v, read(m), m
 }
 
-// A field that a frame doesn't carry is one that its receiver decides without.
-func TestTypedMessagesOfAGroupSurviveTheirFrame(t *testing.T) {
+// TestGroupMessagesDecodeAsEncoded guards against a field that the frame doesn't carry: the receiver would decide
+// without it.
+func TestGroupMessagesDecodeAsEncoded(t *testing.T) {
 	for kind, frame := range map[Kind]func() (sent, got any, m Message){
 		KindRequestVote:    func() (any, any, Message) { return framed(Message.AsVoteRequest) },
 		KindGrantVote:      func() (any, any, Message) { return framed(Message.AsVoteGrant) },
@@ -58,17 +59,17 @@
 		t.Run(kind.String(), func(t *testing.T) {
 			sent, got, m := frame()
 			if !reflect.DeepEqual(got, sent) {
-				t.Errorf("read as %+v, sent was %+v", got, sent)
+				t.Errorf("got %+v, want %+v", got, sent)
 			}
 			if m.Kind != kind || m.Partition != 5 {
-				t.Errorf("a frame of kind %v for partition %d", m.Kind, m.Partition)
+				t.Errorf("frame has kind %v and partition %d, want partition 5", m.Kind, m.Partition)
 			}
 		})
 	}
 }
 
-// What the Op of a frame says is read by earlier builds.
-func TestOpsOfGroupMessagesAreThoseOfEarlierBuilds(t *testing.T) {
+// TestGroupMessageOpsMatchEarlierBuilds pins the Op values of frames, which earlier builds read.
+func TestGroupMessageOpsMatchEarlierBuilds(t *testing.T) {
 	for want, m := range map[string]Message{
 		"probe":   VoteRequest{PreVote: true}.Message(0),
 		"parting": HeartbeatAck{Terminating: true}.Message(0),
@@ -77,18 +78,18 @@
 		"":        InstallState{Purpose: InstallForTerm}.Message(0),
 	} {
 		if m.Op != want {
-			t.Errorf("%v says %q, not %q", m.Kind, m.Op, want)
+			t.Errorf("%v has Op %q, want %q", m.Kind, m.Op, want)
 		}
 	}
 	if op := (VoteGrant{PreVote: true}).Message(0).Op; op != "probe" {
-		t.Errorf("a pre-vote says %q", op)
+		t.Errorf("pre-vote grant has Op %q, want \"probe\"", op)
 	}
 }
 
-func TestIncarnationNoticeIsFramedWhole(t *testing.T) {
+func TestIncarnationNoticeDecodesAsEncoded(t *testing.T) {
 	var notice IncarnationNotice
 	next := uint64(0)
-	every(reflect.ValueOf(&notice).Elem(), &next)
+	setDistinct(reflect.ValueOf(&notice).Elem(), &next)
 	m := notice.Message(5)
 	m.Epoch, m.Saves, m.State = 7, 8, SavePoint{Epoch: 9, Saves: 10}
 	m.Peers = []PeerIncarnation{{Ident: "b", Epoch: 11}}
@@ -97,9 +98,9 @@
 		Group: notice.Group, Peers: m.Peers, IsNotice: true,
 	}
 	if got := m.IncarnationClaims(); !reflect.DeepEqual(got, want) {
-		t.Errorf("claims %+v, not %+v", got, want)
+		t.Errorf("claims are %+v, want %+v", got, want)
 	}
 	if (Heartbeat{Round: 3}).Message(0).IncarnationClaims().IsNotice {
-		t.Error("a heartbeat is taken for a notice")
+		t.Error("heartbeat is treated as an incarnation notice")
 	}
 }
--- a/wire/message/typed_test.go
+++ b/wire/message/typed_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// fill gives every field of a value something that isn't its zero.
+// fill sets every field of a value, recursively, to a non-zero value.
 func fill(t *testing.T, v reflect.Value) {
 	t.Helper()
 	switch v.Kind() {
@@ -30,7 +30,7 @@
 	}
 }
 
-// filled is a value of a type with every field set.
+// filled returns a value with every field set.
 func filled[T any](t *testing.T) T {
 	t.Helper()
 	var value T
@@ -38,8 +38,8 @@
 	return value
 }
 
-// overWire is a frame as its addressee reads it.
-func overWire(t *testing.T, m Message) Message {
+// encodeAndDecode encodes and decodes a frame.
+func encodeAndDecode(t *testing.T, m Message) Message {
 	t.Helper()
 	b, err := m.MarshalMsg(nil)
 	if err != nil {
@@ -52,62 +52,63 @@
 	return read
 }
 
-// checkTyped sends a typed message with every field set, and one with none, and
-// compares what is read.
-func checkTyped[T any](t *testing.T, kind Kind, frame func(T) Message, read func(Message) T) {
+// checkDecodesAsEncoded encodes and decodes a typed message with every field set, and one with
+// no field set, and compares the results.
+func checkDecodesAsEncoded[T any](t *testing.T, kind Kind, frame func(T) Message, read func(Message) T) {
 	t.Helper()
 	var zero T
 	for _, value := range []T{filled[T](t), zero} {
-		m := overWire(t, frame(value))
+		m := encodeAndDecode(t, frame(value))
 		if got := read(m); !reflect.DeepEqual(got, value) {
-			t.Errorf("%v: read as %+v, built from %+v", kind, got, value)
+			t.Errorf("%v: got %+v, want %+v", kind, got, value)
 		}
 		if m.Kind != kind {
-			t.Errorf("a %T is a frame of kind %v, expected %v", value, m.Kind, kind)
+			t.Errorf("%T is encoded with kind %v, want %v", value, m.Kind, kind)
 		}
 	}
 }
 
-// inPartition is a constructor of frames for one partition.
+// inPartition returns an encoder of frames with the partition fixed.
 func inPartition[T any](frame func(T, int) Message) func(T) Message {
 	return func(value T) Message { return frame(value, 3) }
 }
 
-func TestLeaseMessagesAreReadAsBuilt(t *testing.T) {
-	checkTyped(t, KindRenewLease, inPartition(LeaseRenewal.Message), Message.AsLeaseRenewal)
-	checkTyped(t, KindGrantLease, inPartition(LeaseGrant.Message), Message.AsLeaseGrant)
-	checkTyped(t, KindReconnect, inPartition(ReconnectRequest.Message), Message.AsReconnectRequest)
-	checkTyped(t, KindLeaseList, inPartition(LeaseList.Message), Message.AsLeaseList)
-	checkTyped(t, KindReconciled, inPartition(Reconciliation.Message), Message.AsReconciliation)
-	checkTyped(t, KindReconnectDone, inPartition(ReconnectDone.Message), Message.AsReconnectDone)
-	checkTyped(t, KindInvalidate, inPartition(Invalidation.Message), Message.AsInvalidation)
-	checkTyped(t, KindInvalidated, inPartition(InvalidationAck.Message), Message.AsInvalidationAck)
-	checkTyped(t, KindDenyLease, inPartition(LeaseDenial.Message), Message.AsLeaseDenial)
-	checkTyped(t, KindRedirect, inPartition(Redirect.Message), Message.AsRedirect)
+func TestLeaseMessagesDecodeAsEncoded(t *testing.T) {
+	checkDecodesAsEncoded(t, KindRenewLease, inPartition(LeaseRenewal.Message), Message.AsLeaseRenewal)
+	checkDecodesAsEncoded(t, KindGrantLease, inPartition(LeaseGrant.Message), Message.AsLeaseGrant)
+	checkDecodesAsEncoded(t, KindReconnect, inPartition(ReconnectRequest.Message), Message.AsReconnectRequest)
+	checkDecodesAsEncoded(t, KindLeaseList, inPartition(LeaseList.Message), Message.AsLeaseList)
+	checkDecodesAsEncoded(t, KindReconciled, inPartition(Reconciliation.Message), Message.AsReconciliation)
+	checkDecodesAsEncoded(t, KindReconnectDone, inPartition(ReconnectDone.Message), Message.AsReconnectDone)
+	checkDecodesAsEncoded(t, KindInvalidate, inPartition(Invalidation.Message), Message.AsInvalidation)
+	checkDecodesAsEncoded(t, KindInvalidated, inPartition(InvalidationAck.Message), Message.AsInvalidationAck)
+	checkDecodesAsEncoded(t, KindDenyLease, inPartition(LeaseDenial.Message), Message.AsLeaseDenial)
+	checkDecodesAsEncoded(t, KindRedirect, inPartition(Redirect.Message), Message.AsRedirect)
 }
 
-// The header stands beside what any of a parent's messages says.
-func TestGrantHeaderIsReadAsBuilt(t *testing.T) {
+// TestGrantHeaderDecodesAsEncoded checks that adding the header to any of a parent's messages
+// overwrites none of the message's own fields.
+func TestGrantHeaderDecodesAsEncoded(t *testing.T) {
 	header := filled[GrantHeader](t)
 	for _, m := range []Message{
 		filled[LeaseGrant](t).Message(3), filled[ReconnectRequest](t).Message(3), filled[Reconciliation](t).Message(3),
 		filled[Invalidation](t).Message(3), filled[LeaseDenial](t).Message(3), filled[Redirect](t).Message(3),
 	} {
-		read := overWire(t, m.WithGrantHeader(header))
+		read := encodeAndDecode(t, m.WithGrantHeader(header))
 		if read.GrantHeader() != header {
-			t.Errorf("%v: header read as %+v, built from %+v", m.Kind, read.GrantHeader(), header)
+			t.Errorf("%v: got header %+v, want %+v", m.Kind, read.GrantHeader(), header)
 		}
-		if !reflect.DeepEqual(read.WithGrantHeader(GrantHeader{}), overWire(t, m)) {
-			t.Errorf("%v: the header overwrites %+v, left %+v", m.Kind, m, read)
+		if !reflect.DeepEqual(read.WithGrantHeader(GrantHeader{}), encodeAndDecode(t, m)) {
+			t.Errorf("%v: header overwrites fields of %+v: got %+v", m.Kind, m, read)
 		}
 	}
 }
 
-func TestMembershipMessagesAreReadAsBuilt(t *testing.T) {
-	checkTyped(t, KindHello, Hello.Message, Message.AsHello)
-	checkTyped(t, KindWelcome, Welcome.Message, Message.AsWelcome)
-	checkTyped(t, KindGossip, Gossip.Message, Message.AsGossip)
-	checkTyped(t, KindCensus, Census.Message, Message.AsCensus)
-	checkTyped(t, KindCensusAnswer, CensusAnswer.Message, Message.AsCensusAnswer)
-	checkTyped(t, KindBootstrap, Bootstrap.Message, Message.AsBootstrap)
+func TestMembershipMessagesDecodeAsEncoded(t *testing.T) {
+	checkDecodesAsEncoded(t, KindHello, Hello.Message, Message.AsHello)
+	checkDecodesAsEncoded(t, KindWelcome, Welcome.Message, Message.AsWelcome)
+	checkDecodesAsEncoded(t, KindGossip, Gossip.Message, Message.AsGossip)
+	checkDecodesAsEncoded(t, KindCensus, Census.Message, Message.AsCensus)
+	checkDecodesAsEncoded(t, KindCensusAnswer, CensusAnswer.Message, Message.AsCensusAnswer)
+	checkDecodesAsEncoded(t, KindBootstrap, Bootstrap.Message, Message.AsBootstrap)
 }
