--- a/wire/transport/compact.go
+++ b/wire/transport/compact.go
@@ -6,32 +6,32 @@
 	"mulleinmast/wire/message"
 )
 
-// frameCodec makes or reads the frames of one connection. It holds what the frame
-// before said, as both ends know it: the fields that are alike in all that a daemon
-// says, and whom it addressed last. A compact frame leaves them out. The zero value
-// is that of a new connection.
+// frameCodec encodes or decodes the frames of one connection. It keeps the values of
+// the previous frame that a compact frame omits, which both ends know: the fields that
+// are the same in all messages of a daemon, and the last recipient. The zero value is
+// ready for a new connection.
 type frameCodec struct {
 	hasBase bool
 	base    frameBase
 }
 
-// frameBase is what a compact frame leaves out, under the names of message.Message.
+// frameBase holds the values that a compact frame omits, named as in message.Message.
 type frameBase struct {
 	fleet, from string
 	epoch       uint64
 	addr, to    string
 }
 
-// What stands in a compact frame in place of an identity, shorter than any: no
-// addressee, and a volume epoch that is the sender's or the addressee's.
+// Reserved values that replace an identity in a compact frame. They are shorter than
+// any identity.
 const (
-	noAddressee   = "-"
-	sameSender    = "f"
-	sameAddressee = "t"
+	noRecipient   = "-" // the message has no recipient
+	sameSender    = "f" // the volume epoch is the sender's
+	sameRecipient = "t" // the volume epoch is the recipient's
 )
 
-// encode makes the next frame of a connection, a compact one if the reader
-// understands it and the message allows it.
+// encode returns the next frame of a connection. It is a compact one if compact is set
+// and the message allows it.
 func (c *frameCodec) encode(m message.Message, compact bool) (frame []byte, err error) {
 	next := m
 	if compact && c.canCompact(&m) {
@@ -42,13 +42,13 @@
 		frame, err = encodeFrame(&next, message.FrameVersion)
 	}
 	if err != nil {
-		return nil, err // nothing of it goes out: the base stays
+		return nil, err // the frame isn't sent, so the base stays
 	}
 	c.remember(&m)
 	return frame, nil
 }
 
-// read takes a message off the connection and gives the length of its frame.
+// read decodes the next message of the connection and returns it with the length of its frame.
 func (c *frameCodec) read(r io.Reader) (m message.Message, frameSize int, err error) {
 	version, size, err := readHeader(r)
 	if err != nil {
@@ -70,34 +70,34 @@
 	return m, headerSize + size, nil
 }
 
-// canCompact tells whether a message differs from the base in its addressee alone, and
-// holds nothing that would be read as one of the marks.
+// canCompact reports whether a message differs from the base in nothing but its recipient,
+// and contains none of the reserved values.
 func (c *frameCodec) canCompact(m *message.Message) bool {
 	sameBase := m.Fleet == c.base.fleet && m.From == c.base.from && m.Epoch == c.base.epoch && m.Addr == c.base.addr
-	holdsMark := m.To == noAddressee || m.VolumeEpoch.Ident == sameSender || m.VolumeEpoch.Ident == sameAddressee
-	return c.hasBase && sameBase && !holdsMark
+	holdsReserved := m.To == noRecipient || m.VolumeEpoch.Ident == sameSender || m.VolumeEpoch.Ident == sameRecipient
+	return c.hasBase && sameBase && !holdsReserved
 }
 
-// omitBase takes out of a message what its reader knows.
+// omitBase removes from a message the values that the receiver knows from the base.
 func (c *frameCodec) omitBase(m *message.Message) {
 	if m.VolumeEpoch.Ident != "" {
 		switch m.VolumeEpoch.Ident {
 		case m.From:
 			m.VolumeEpoch.Ident = sameSender
 		case m.To:
-			m.VolumeEpoch.Ident = sameAddressee
+			m.VolumeEpoch.Ident = sameRecipient
 		}
 	}
 	switch m.To {
 	case c.base.to:
 		m.To = ""
 	case "":
-		m.To = noAddressee
+		m.To = noRecipient
 	}
 	m.Fleet, m.From, m.Epoch, m.Addr, m.MaxFrameVersion = "", "", 0, "", 0
 }
 
-// restoreBase gives the message of a compact frame what was left out.
+// restoreBase restores the values that a compact frame omits.
 func (c *frameCodec) restoreBase(m *message.Message) error {
 	if !c.hasBase {
 		return Error.Wrap(ErrNoBaseFrame)
@@ -107,19 +107,19 @@
 	switch m.To {
 	case "":
 		m.To = c.base.to
-	case noAddressee:
+	case noRecipient:
 		m.To = ""
 	}
 	switch m.VolumeEpoch.Ident {
 	case sameSender:
 		m.VolumeEpoch.Ident = m.From
-	case sameAddressee:
+	case sameRecipient:
 		m.VolumeEpoch.Ident = m.To
 	}
 	return nil
 }
 
-// remember makes a message the base of the next frame.
+// remember makes a message the base for the next frame.
 func (c *frameCodec) remember(m *message.Message) {
 	c.hasBase = true
 	c.base = frameBase{fleet: m.Fleet, from: m.From, epoch: m.Epoch, addr: m.Addr, to: m.To}
--- a/wire/transport/counters.go
+++ b/wire/transport/counters.go
@@ -7,16 +7,16 @@
 	"mulleinmast/wire/message"
 )
 
-// kinds is room for every kind of message of this version.
-const kinds = 32
+// maxKinds is the capacity of the counters. The number of each message kind must be below it.
+const maxKinds = 32
 
-// Counters count, by kind, the messages that were sent and received, their bytes with
-// the frame, and the time that handling them took here.
+// Counters count the messages sent and received by kind, their size including the frame
+// header, and the time spent on handling them.
 type Counters struct {
-	sent, sentBytes, received, receivedBytes, handlingTime [kinds]atomic.Int64
+	sent, sentBytes, received, receivedBytes, handlingTime [maxKinds]atomic.Int64
 }
 
-// KindCount is what a transport carried of one kind of message since its start.
+// KindCount holds the counters of one kind of message since the start of the transport.
 type KindCount struct {
 	Sent          int64         `json:"sent"`
 	SentBytes     int64         `json:"sent_bytes"`
@@ -26,25 +26,25 @@
 }
 
 func (c *Counters) countSent(kind message.Kind, size int) {
-	c.sent[kind%kinds].Add(1)
-	c.sentBytes[kind%kinds].Add(int64(size))
+	c.sent[kind%maxKinds].Add(1)
+	c.sentBytes[kind%maxKinds].Add(int64(size))
 }
 
 func (c *Counters) countReceived(kind message.Kind, size int) {
-	c.received[kind%kinds].Add(1)
-	c.receivedBytes[kind%kinds].Add(int64(size))
+	c.received[kind%maxKinds].Add(1)
+	c.receivedBytes[kind%maxKinds].Add(int64(size))
 }
 
 func (c *Counters) countHandling(kind message.Kind, took time.Duration) {
-	c.handlingTime[kind%kinds].Add(int64(took))
+	c.handlingTime[kind%maxKinds].Add(int64(took))
 }
 
-// Counts gives the counts by the kinds' names, of those that came up.
+// Counts returns the non-zero counters by the name of the kind.
 //
 // Example: t.Counts()["grant"].ReceivedBytes
 func (c *Counters) Counts() map[string]KindCount {
 	counts := map[string]KindCount{}
-	for kind := range kinds {
+	for kind := range maxKinds {
 		count := KindCount{
 			Sent:          c.sent[kind].Load(),
 			SentBytes:     c.sentBytes[kind].Load(),
--- a/wire/transport/faults.go
+++ b/wire/transport/faults.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// Faults are switches for tests, off unless set. Each set of addresses may hold "*",
-// which stands for all.
+// Faults inject network faults for tests; all are off by default. A set of addresses may
+// contain "*", which matches every address.
 type Faults struct {
-	// DropPeers loses the messages to and from these addresses.
+	// DropPeers drops messages to and from these addresses.
 	DropPeers atomic.Pointer[map[string]bool]
-	// DropSenders loses the messages from these addresses, and not those to them.
+	// DropSenders drops messages from these addresses, but not those to them.
 	DropSenders atomic.Pointer[map[string]bool]
-	// MaxDelay is up to how many nanoseconds a message is on its way, each for itself, so
-	// that later ones arrive before earlier ones.
+	// MaxDelay is the upper limit, in nanoseconds, of a random delay that is chosen for each
+	// message, so that messages can overtake one another.
 	MaxDelay atomic.Int64
-	// Latency is how long each message to an address is on its way; nil: no time. It
-	// is set before Serve.
+	// Latency returns the delay of each message to an address; nil: no delay. It must be
+	// set before Serve.
 	Latency func(addr string) time.Duration
 }
 
-// allAddresses stands for every address in a set of the switches.
+// allAddresses matches every address in a set of Faults.
 const allAddresses = "*"
 
-func contains(set *atomic.Pointer[map[string]bool], addr string) bool {
+func containsAddr(set *atomic.Pointer[map[string]bool], addr string) bool {
 	addresses := set.Load()
 	return addresses != nil && ((*addresses)[addr] || (*addresses)[allAddresses])
 }
 
-func (f *Faults) dropsTo(addr string) bool { return contains(&f.DropPeers, addr) }
+func (f *Faults) dropsTo(addr string) bool { return containsAddr(&f.DropPeers, addr) }
 
 func (f *Faults) dropsFrom(addr string) bool {
-	return contains(&f.DropPeers, addr) || contains(&f.DropSenders, addr)
+	return containsAddr(&f.DropPeers, addr) || containsAddr(&f.DropSenders, addr)
 }
 
-// delayTo is how long a message to an address is held back.
+// delayTo returns the delay for one message to an address.
 func (f *Faults) delayTo(addr string) (delay time.Duration) {
 	if f.Latency != nil {
 		delay = f.Latency(addr)
--- a/wire/transport/frame.go
+++ b/wire/transport/frame.go
@@ -10,34 +10,34 @@
 	"mulleinmast/wire/message"
 )
 
-// MaxFrameSize is the largest message that a frame may hold, in bytes.
+// MaxFrameSize is the maximum size of the message in a frame, in bytes.
 const MaxFrameSize = 32 << 20
 
 const (
-	// headerSize is the length of a frame's header: the version, and the length of
-	// the message in four bytes, the highest first.
+	// headerSize is the length of a frame's header: one byte for the version, and four
+	// big-endian bytes for the length of the message.
 	headerSize = 5
-	// typicalSize is the room that is made for a small message.
-	typicalSize = 256
-	// maxPrealloc is how many bytes are made room for because a header says so; more
-	// only as they arrive.
+	// minMessageCapacity is the minimum capacity allocated for an encoded message.
+	minMessageCapacity = 256
+	// maxPrealloc limits the bytes allocated in advance from the length in a frame's header,
+	// which may be wrong. Beyond that, memory is allocated as data arrives.
 	maxPrealloc = 64 << 10
 )
 
-// EncodeFrame makes a whole frame of a message: one that needs no other to be read.
+// EncodeFrame encodes a message as a complete frame, which can be decoded on its own.
 //
 // Example: b, err := transport.EncodeFrame(m)
 func EncodeFrame(m message.Message) ([]byte, error) { return encodeFrame(&m, message.FrameVersion) }
 
 func encodeFrame(m *message.Message, version byte) ([]byte, error) {
-	frame := make([]byte, headerSize, headerSize+typicalSize+m.Msgsize()/4)
+	frame := make([]byte, headerSize, headerSize+minMessageCapacity+m.Msgsize()/4)
 	frame, err := m.MarshalMsg(frame)
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
 	size := len(frame) - headerSize
 	if size > MaxFrameSize {
-		return nil, Error.Wrap(fmt.Errorf("message of %d bytes, at most %d go in a frame: %w",
+		return nil, Error.Wrap(fmt.Errorf("message of %d bytes exceeds the limit of %d bytes: %w",
 			size, MaxFrameSize, ErrFrameSize))
 	}
 	frame[0] = version
@@ -45,7 +45,7 @@
 	return frame, nil
 }
 
-// ReadFrame takes the message of one whole frame off a stream.
+// ReadFrame reads one complete frame from a stream and returns its message.
 //
 // Example: m, err := transport.ReadFrame(conn)
 func ReadFrame(r io.Reader) (message.Message, error) {
@@ -54,8 +54,8 @@
 	return m, err
 }
 
-// readHeader reads a frame's header. What the reader returns is passed on as it is, so
-// that the end of a connection can be told from a bad frame.
+// readHeader reads the header of a frame. Errors of the reader are returned unwrapped, so
+// that callers can distinguish the end of a connection from an invalid frame.
 func readHeader(r io.Reader) (version byte, size int, err error) {
 	var header [headerSize]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -68,12 +68,13 @@
 	}
 	size = int(binary.BigEndian.Uint32(header[1:]))
 	if size > MaxFrameSize {
-		return 0, 0, Error.Wrap(fmt.Errorf("frame of %d bytes, at most %d are taken: %w", size, MaxFrameSize, ErrFrameSize))
+		return 0, 0, Error.Wrap(fmt.Errorf("frame of %d bytes exceeds the limit of %d bytes: %w",
+			size, MaxFrameSize, ErrFrameSize))
 	}
 	return version, size, nil
 }
 
-// readBody reads the message's bytes.
+// readBody reads the encoded message, which is size bytes long.
 func readBody(r io.Reader, size int) ([]byte, error) {
 	body := make([]byte, min(size, maxPrealloc))
 	got, err := io.ReadFull(r, body)
@@ -87,28 +88,28 @@
 		return nil, err
 	}
 	if got < size {
-		return nil, Error.Wrap(fmt.Errorf("frame cut short: %d of %d bytes: %w", got, size, ErrTruncated))
+		return nil, Error.Wrap(fmt.Errorf("got %d of %d bytes: %w", got, size, ErrTruncated))
 	}
 	return body, nil
 }
 
-// decodeBody reads the message out of its bytes.
+// decodeBody decodes a message and rejects trailing bytes and unknown kinds.
 func decodeBody(body []byte, m *message.Message) error {
 	rest, err := m.UnmarshalMsg(body)
 	if err != nil {
 		return Error.Wrap(fmt.Errorf("%w: %w", ErrMalformed, err))
 	}
 	if len(rest) > 0 {
-		return Error.Wrap(fmt.Errorf("%d bytes left over in a frame: %w", len(rest), ErrMalformed))
+		return Error.Wrap(fmt.Errorf("%d trailing bytes after the message: %w", len(rest), ErrMalformed))
 	}
 	if !m.Kind.IsKnown() {
-		return Error.Wrap(fmt.Errorf("message of unknown kind %d: %w", m.Kind, ErrUnknownKind))
+		return Error.Wrap(fmt.Errorf("kind %d: %w", m.Kind, ErrUnknownKind))
 	}
 	return nil
 }
 
-// hasWholeFrame tells whether a whole frame is in the buffer already.
-func hasWholeFrame(r *bufio.Reader) bool {
+// hasCompleteFrame reports whether the buffer already contains a complete frame.
+func hasCompleteFrame(r *bufio.Reader) bool {
 	if r.Buffered() < headerSize {
 		return false
 	}
--- a/wire/transport/frame_test.go
+++ b/wire/transport/frame_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestBadFramesAreRefused(t *testing.T) {
+func TestReadFrameRejectsInvalidFrames(t *testing.T) {
 	good, err := EncodeFrame(sampleMessage())
 	if err != nil {
 		t.Fatal(err)
@@ -47,11 +47,11 @@
 		frame      []byte
 		is         error
 	}{
-		{"truncated", "cut short", good[:len(good)-4], ErrTruncated},
-		{"unknown kind", "unknown kind 99", unknown, ErrUnknownKind},
+		{"truncated", "bytes: frame truncated", good[:len(good)-4], ErrTruncated},
+		{"unknown kind", "kind 99: unknown message kind", unknown, ErrUnknownKind},
 		{"other version", "wire version 7", otherVersion, ErrFrameVersion},
-		{"too long", "at most", tooLong, ErrFrameSize},
-		{"a byte too many", "left over", extraByte, ErrMalformed},
+		{"too long", "exceeds the limit", tooLong, ErrFrameSize},
+		{"extra byte", "trailing bytes", extraByte, ErrMalformed},
 		{"compact without a base", "base", compact, ErrNoBaseFrame},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -63,21 +63,22 @@
 	}
 }
 
-// One byte of a frame is changed at a time: it is read or refused, never more.
+// TestMutatedFrames changes one byte of a frame at a time. ReadFrame must decode or reject
+// the result without a panic.
 func TestMutatedFrames(t *testing.T) {
 	good, _ := EncodeFrame(sampleMessage())
 	rng := rand.New(rand.NewSource(1))
-	refused := 0
+	rejected := 0
 	for i := headerSize; i < len(good); i++ {
 		for k := 0; k < 8; k++ {
 			b := append([]byte(nil), good...)
 			b[i] ^= byte(1 + rng.Intn(255))
 			if _, err := ReadFrame(bytes.NewReader(b)); err != nil {
-				refused++
+				rejected++
 			}
 		}
 	}
-	if refused == 0 {
-		t.Error("no mutation was refused")
+	if rejected == 0 {
+		t.Error("no mutated frame was rejected")
 	}
 }
--- a/wire/transport/golden_test.go
+++ b/wire/transport/golden_test.go
@@ -14,15 +14,15 @@
 	"mulleinmast/wire/message"
 )
 
-// update has the golden file written anew. It was written by the build before issue
-// 29; daemons of builds that speak to one another must agree on it, so it is written
-// anew only where a frame is meant to change.
+// update regenerates the golden file, which was written by the build before issue 29.
+// Builds that exchange messages must agree on its contents, so regenerate it only for an
+// intended change of a frame.
 var update = flag.Bool("update", false, "write testdata/frames.txt from this build")
 
 var goldenFrames = filepath.Join("testdata", "frames.txt")
 
-// fillValue sets all that a value holds, each to something of its own, in the order
-// of the fields and whatever they are called; a slice gets one element.
+// fillValue sets each field of a value, recursively, to a different value. The values
+// depend on the order of the fields but not on their names. Slices get one element.
 func fillValue(t *testing.T, v reflect.Value, counter *int) {
 	t.Helper()
 	*counter++
@@ -51,7 +51,7 @@
 	}
 }
 
-// emptyElements gives each slice of a value one element in which nothing is set.
+// emptyElements sets each slice of a value to one zero element.
 func emptyElements(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Struct:
@@ -71,37 +71,38 @@
 	return m
 }
 
-// goldenFrame is one frame under the name that the golden file has for it, and the
-// message that its reader must get, as a whole frame.
+// goldenFrame is one frame with its name in the golden file, and the message that the
+// frame must decode to, encoded as a complete frame.
 type goldenFrame struct {
 	name        string
 	frame, read []byte
 }
 
-// framesOfThisBuild lists the frames that the golden file holds, in its order.
-// Of each kind: the frame that Pack makes of a message with every field set, and
-// what the second, third, ... message of a connection is packed into.
-func framesOfThisBuild(t *testing.T) (frames []goldenFrame) {
+// currentFrames returns the frames that this build encodes, in the order of the golden
+// file. For each kind of message it has the complete frame of a message with every
+// field set, and the frames of such messages sent one after another on a connection. The
+// "forms" cover the special cases of compact frames, and messages with few fields set.
+func currentFrames(t *testing.T) (frames []goldenFrame) {
 	t.Helper()
 	add := func(name string, frame []byte, m message.Message) {
-		whole, err := EncodeFrame(m)
+		complete, err := EncodeFrame(m)
 		if err != nil {
 			t.Fatal(name, err)
 		}
-		frames = append(frames, goldenFrame{name, frame, whole})
+		frames = append(frames, goldenFrame{name, frame, complete})
 	}
-	packed := func(name string, m message.Message) {
+	addComplete := func(name string, m message.Message) {
 		b, err := EncodeFrame(m)
 		if err != nil {
 			t.Fatal(name, err)
 		}
 		add(name, b, m)
 	}
-	// onConnection packs messages one after another for one connection.
-	onConnection := func(name string, short bool, list ...message.Message) {
-		var state frameCodec
+	// addConnection encodes messages one after another for one connection.
+	addConnection := func(name string, compact bool, list ...message.Message) {
+		var codec frameCodec
 		for i, m := range list {
-			b, err := state.encode(m, short)
+			b, err := codec.encode(m, compact)
 			if err != nil {
 				t.Fatal(name, err)
 			}
@@ -112,41 +113,41 @@
 	for kind := message.Kind(1); kind.IsKnown(); kind++ {
 		name := fmt.Sprintf("%d %s", kind, kind)
 		full := fullMessage(t, kind)
-		packed(name+" whole", full)
-		onConnection(name+" short", true, full, full)
+		addComplete(name+" whole", full)
+		addConnection(name+" short", true, full, full)
 	}
 	full := fullMessage(t, 1)
-	ofSender, ofAddressee, toAnother, toNobody := full, full, full, full
-	ofSender.VolumeEpoch.Ident = full.From
-	ofAddressee.VolumeEpoch.Ident = full.To
-	toAnother.To = "another"
-	toNobody.To = ""
-	onConnection("forms short", true, full, ofSender, ofAddressee, toAnother, toAnother, toNobody, toNobody, full)
-	onConnection("forms whole", false, full, ofSender)
+	senderEpoch, recipientEpoch, otherRecipient, withoutRecipient := full, full, full, full
+	senderEpoch.VolumeEpoch.Ident = full.From
+	recipientEpoch.VolumeEpoch.Ident = full.To
+	otherRecipient.To = "another"
+	withoutRecipient.To = ""
+	addConnection("forms short", true, full, senderEpoch, recipientEpoch, otherRecipient, otherRecipient,
+		withoutRecipient, withoutRecipient, full)
+	addConnection("forms whole", false, full, senderEpoch)
 	otherBase := full
 	otherBase.Epoch++
-	onConnection("forms base", true, full, otherBase, otherBase)
-	noBase := full
-	noBase.VolumeEpoch.Ident = "-"
-	noBase.To = "-"
-	onConnection("forms reserved", true, full, noBase)
-	noBase.VolumeEpoch.Ident, noBase.To = "f", full.To
-	onConnection("forms reserved sender", true, full, noBase)
-	noBase.VolumeEpoch.Ident = "t"
-	onConnection("forms reserved addressee", true, full, noBase)
+	addConnection("forms base", true, full, otherBase, otherBase)
+	reserved := full
+	reserved.VolumeEpoch.Ident = "-"
+	reserved.To = "-"
+	addConnection("forms reserved", true, full, reserved)
+	reserved.VolumeEpoch.Ident, reserved.To = "f", full.To
+	addConnection("forms reserved sender", true, full, reserved)
+	reserved.VolumeEpoch.Ident = "t"
+	addConnection("forms reserved addressee", true, full, reserved)
 	var bare message.Message
 	bare.Kind = 1
-	packed("forms nothing set", bare)
+	addComplete("forms nothing set", bare)
 	emptyElements(reflect.ValueOf(&bare).Elem())
-	packed("forms empty elements", bare)
+	addComplete("forms empty elements", bare)
 	return frames
 }
 
-// TestFramesAreThoseOfEarlierBuilds pins the bytes of the frames of each kind of
-// message, with the kind's number and name, and that each frame is read as the
-// message that was packed.
-func TestFramesAreThoseOfEarlierBuilds(t *testing.T) {
-	frames := framesOfThisBuild(t)
+// TestFramesMatchEarlierBuilds pins the encoded frames of each kind of message, with the
+// number and name of the kind.
+func TestFramesMatchEarlierBuilds(t *testing.T) {
+	frames := currentFrames(t)
 	if *update {
 		writeGoldenFrames(t, frames)
 	}
@@ -156,11 +157,11 @@
 	}
 	golden := strings.Split(strings.TrimSpace(string(text)), "\n")
 	if len(golden) != len(frames) {
-		t.Fatalf("%d frames, the golden file has %d", len(frames), len(golden))
+		t.Fatalf("got %d frames, the golden file has %d", len(frames), len(golden))
 	}
 	for i, f := range frames {
 		if line := f.name + ": " + hex.EncodeToString(f.frame); line != golden[i] {
-			t.Errorf("%s\nis  %s\nwas %s", f.name, line, golden[i])
+			t.Errorf("%s\ngot  %s\nwant %s", f.name, line, golden[i])
 		}
 	}
 }
@@ -179,40 +180,40 @@
 	}
 }
 
-// TestFramesOfEarlierBuildsAreRead reads the golden frames, those of one connection
-// in their order, and expects the message that was packed into each.
-func TestFramesOfEarlierBuildsAreRead(t *testing.T) {
+// TestGoldenFramesDecode decodes the golden frames, with one codec for each connection, and
+// expects the message that was encoded in each.
+func TestGoldenFramesDecode(t *testing.T) {
 	text, err := os.ReadFile(goldenFrames)
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := map[string][]byte{}
-	for _, f := range framesOfThisBuild(t) {
+	for _, f := range currentFrames(t) {
 		want[f.name] = f.read
 	}
-	var state frameCodec
+	var codec frameCodec
 	connection, read := "", 0
 	for line := range strings.Lines(string(text)) {
-		name, digits, _ := strings.Cut(strings.TrimSpace(line), ": ")
-		frame, err := hex.DecodeString(digits)
+		name, encoded, _ := strings.Cut(strings.TrimSpace(line), ": ")
+		frame, err := hex.DecodeString(encoded)
 		if err != nil {
 			t.Fatal(name, err)
 		}
-		if of, _, _ := strings.Cut(name, "/"); of != connection {
-			connection, state = of, frameCodec{}
+		if prefix, _, _ := strings.Cut(name, "/"); prefix != connection {
+			connection, codec = prefix, frameCodec{}
 		}
-		m, size, err := state.read(bytes.NewReader(frame))
+		m, size, err := codec.read(bytes.NewReader(frame))
 		if err != nil || size != len(frame) {
-			t.Errorf("%s: %d bytes read, %v", name, size, err)
+			t.Errorf("%s: read %d bytes: %v", name, size, err)
 			continue
 		}
-		whole, err := EncodeFrame(m)
-		if err != nil || !bytes.Equal(whole, want[name]) {
-			t.Errorf("%s: read as %+v, %v", name, m, err)
+		complete, err := EncodeFrame(m)
+		if err != nil || !bytes.Equal(complete, want[name]) {
+			t.Errorf("%s: decoded as %+v: %v", name, m, err)
 		}
 		read++
 	}
 	if read != len(want) {
-		t.Errorf("%d frames of %d were read", read, len(want))
+		t.Errorf("decoded %d of %d frames", read, len(want))
 	}
 }
--- a/wire/transport/peertimeout.go
+++ b/wire/transport/peertimeout.go
@@ -9,41 +9,40 @@
 	"golang.org/x/sys/unix"
 )
 
-// The machine of a connection's far end may be cut off or without power: it says
-// nothing, and the kernel retries more and more rarely: after a cut of 20 s up to
-// 20 s later. So a connection whose bytes aren't acknowledged for PeerTimeout is
-// closed, with what it holds, and made anew; what was on it is asked for again by
-// those above.
+// A remote machine that is cut off or without power sends nothing, and the kernel backs
+// off its retransmissions: after an outage of 20 s the next one may be another 20 s away.
+// A connection whose data isn't acknowledged for PeerTimeout is therefore closed, which
+// discards the data, and dialed again. The state machines that sent the data retry.
 
 const (
-	// defaultDialTimeout holds where there is no PeerTimeout.
+	// defaultDialTimeout applies if PeerTimeout isn't set.
 	defaultDialTimeout = 300 * time.Millisecond
-	// dialTimeoutRatio is the part of PeerTimeout in which a new connection comes up:
-	// what waits for one is lost if it doesn't.
+	// dialTimeoutRatio is the dial timeout as a fraction of PeerTimeout. Messages that wait
+	// for the connection are lost if the dial fails.
 	dialTimeoutRatio = 0.25
-	// keepAliveIdleRatio is after how many times PeerTimeout the far end of an idle
-	// connection is probed.
+	// keepAliveIdleRatio is the idle time before the first keep-alive probe, in multiples
+	// of PeerTimeout.
 	keepAliveIdleRatio = 4
-	// keepAliveProbes is how many unanswered probes end a connection.
+	// keepAliveProbes is the number of unanswered probes after which a connection is closed.
 	keepAliveProbes = 3
 )
 
-// dialer makes connections to other daemons.
+// dialer returns the dialer for connections to other daemons.
 func (t *Transport) dialer() *net.Dialer {
 	if t.PeerTimeout == 0 {
 		return &net.Dialer{Timeout: defaultDialTimeout}
 	}
 	return &net.Dialer{
 		Timeout:         time.Duration(float64(t.PeerTimeout) * dialTimeoutRatio),
-		KeepAliveConfig: t.keepAlive(),
+		KeepAliveConfig: t.keepAliveConfig(),
 		Control: func(_, _ string, conn syscall.RawConn) error {
 			return setUserTimeout(conn, t.PeerTimeout)
 		},
 	}
 }
 
-// setUserTimeout has the kernel close a connection whose bytes aren't acknowledged
-// for so long.
+// setUserTimeout makes the kernel close a connection whose data stays unacknowledged for
+// the timeout.
 func setUserTimeout(conn syscall.RawConn, timeout time.Duration) error {
 	var optionErr error
 	err := conn.Control(func(fd uintptr) {
@@ -52,16 +51,16 @@
 	return errors.Join(err, optionErr)
 }
 
-func (t *Transport) keepAlive() net.KeepAliveConfig {
+func (t *Transport) keepAliveConfig() net.KeepAliveConfig {
 	return net.KeepAliveConfig{
 		Enable: true, Idle: keepAliveIdleRatio * t.PeerTimeout, Interval: t.PeerTimeout, Count: keepAliveProbes,
 	}
 }
 
-// probeWhenIdle has the kernel find out when the far end's machine of an accepted
-// connection is gone without a word.
-func (t *Transport) probeWhenIdle(conn net.Conn) {
+// enableKeepAlive makes the kernel probe an idle accepted connection, so that it is closed
+// if the remote machine has vanished without closing it.
+func (t *Transport) enableKeepAlive(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok && t.PeerTimeout > 0 {
-		_ = tcp.SetKeepAliveConfig(t.keepAlive())
+		_ = tcp.SetKeepAliveConfig(t.keepAliveConfig())
 	}
 }
--- a/wire/transport/peertimeout_test.go
+++ b/wire/transport/peertimeout_test.go
@@ -11,8 +11,8 @@
 	"mulleinmast/wire/message"
 )
 
-// dropIncoming has the kernel drop all that comes for one end of a connection, as a
-// cut or a loss of power does: nothing is acknowledged and nothing is reset.
+// dropIncoming makes the kernel drop all packets that arrive at one end of a connection,
+// as in a network cut or a power loss: nothing is acknowledged and nothing is reset.
 func dropIncoming(t *testing.T, c net.Conn) {
 	t.Helper()
 	raw, err := c.(*net.TCPConn).SyscallConn()
@@ -29,9 +29,9 @@
 	}
 }
 
-// A peer that is cut off without a word is sent to on a new connection after
-// PeerTimeout, not when the kernel gives the old one up: that takes as long again as
-// the cut did, or a quarter of an hour.
+// TestUnresponsiveConnectionIsReplaced cuts off a connection without closing it. The
+// sender must dial a new one after PeerTimeout: the kernel alone would keep the old one
+// for as long again as the cut lasted, or for up to a quarter of an hour.
 func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -62,7 +62,7 @@
 	resend := time.NewTicker(timeout / 8)
 	defer resend.Stop()
 	limit := time.After(20 * timeout)
-	// next is the next connection that a message arrives on.
+	// next returns the next connection on which a message arrives.
 	next := func(what string) net.Conn {
 		for {
 			select {
@@ -85,22 +85,22 @@
 	start := time.Now()
 	second := next("after the first was cut off")
 	defer func() { _ = second.Close() }()
-	t.Logf("sent to again after %v", time.Since(start).Round(time.Millisecond))
+	t.Logf("message arrived on a new connection after %v", time.Since(start).Round(time.Millisecond))
 }
 
-// A machine without power answers no SYN, and during a dial all that goes to its
-// address waits: a message that a change of leader needs is lost when the dial fails.
-// So the dial's timeout is short.
+// TestDialTimeoutIsShort guards against losing messages that a leader change needs. A
+// machine without power doesn't answer a SYN, and all messages to its address wait for
+// the dial and are lost when it fails.
 func TestDialTimeoutIsShort(t *testing.T) {
 	const timeout = 800 * time.Millisecond
 	if dial := (&Transport{PeerTimeout: timeout}).dialer().Timeout; dial > timeout/4 || dial <= 0 {
-		t.Errorf("a dial may take %v where an unresponsive connection is closed after %v", dial, timeout)
+		t.Errorf("dial timeout is %v, want at most a quarter of the peer timeout of %v", dial, timeout)
 	}
 }
 
-// A connection whose bytes nobody acknowledges is given up after PeerTimeout: the
-// kernel doubles its pauses between retries, so that one which outlasted a cut
-// of seven seconds would be mute for six more after it has healed.
+// TestUnacknowledgedConnectionTimesOut checks that the kernel's timeout for unacknowledged
+// data is set to PeerTimeout. Without it, as the kernel doubles its retry interval, a
+// connection that survived a cut of 7 s would stay silent for another 6 s.
 func TestUnacknowledgedConnectionTimesOut(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -124,7 +124,7 @@
 			t.Fatal(err, optionErr)
 		}
 		if got != int(timeout.Milliseconds()) {
-			t.Errorf("times out after %d ms, expected %v", got, timeout)
+			t.Errorf("connection times out after %d ms, expected %v", got, timeout)
 		}
 		_ = c.Close()
 	}
--- a/wire/transport/queue.go
+++ b/wire/transport/queue.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// maxQueued is how many messages wait for one address, at most.
+	// maxQueued is the maximum number of messages queued for one address.
 	maxQueued = 4096
-	// maxSpare is the largest room, in messages, that an emptied queue keeps.
-	maxSpare = 32
+	// maxSpareCapacity is the largest capacity, in messages, that is reused once a queue is empty.
+	maxSpareCapacity = 32
 )
 
-// sendQueue is what waits for one address.
+// sendQueue holds the messages waiting to be written to one address.
 type sendQueue struct {
-	wake chan struct{} // holds one token while the writer has something to look at
+	wake chan struct{} // holds a token if the writer has to check the queue
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	messages []message.Message
-	closed   bool // the address is forgotten: nothing is taken any more
+	closed   bool // the queue has been removed and accepts no more messages
 }
 
-// put appends a message; false if there is no room or no writer for it.
+// put appends a message. It returns false if the queue is full or has been closed.
 func (q *sendQueue) put(m message.Message) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -33,10 +33,11 @@
 	return true
 }
 
-// take empties the queue; spare is room from before, if it isn't much.
-func (q *sendQueue) take(spare []message.Message) []message.Message {
+// takeAll empties the queue and returns its messages. The queue reuses the memory of spare,
+// the previous batch, unless its capacity is above maxSpareCapacity.
+func (q *sendQueue) takeAll(spare []message.Message) []message.Message {
 	clear(spare)
-	if cap(spare) > maxSpare {
+	if cap(spare) > maxSpareCapacity {
 		spare = nil
 	}
 	q.mu.Lock()
@@ -52,7 +53,7 @@
 	return len(q.messages) == 0
 }
 
-// wakeWriter has the queue written soon.
+// wakeWriter makes the writer check the queue.
 func (q *sendQueue) wakeWriter() {
 	select {
 	case q.wake <- struct{}{}:
@@ -60,8 +61,8 @@
 	}
 }
 
-// forget removes the queue of an address if nothing waits in it.
-func (t *Transport) forget(addr string, queue *sendQueue) bool {
+// removeIfEmpty removes the queue of an address if it is empty, and reports whether it did.
+func (t *Transport) removeIfEmpty(addr string, queue *sendQueue) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	queue.mu.Lock()
@@ -71,6 +72,6 @@
 	}
 	queue.closed = true
 	delete(t.queues, addr)
-	delete(t.compact, addr)
+	delete(t.compactSeen, addr)
 	return true
 }
--- a/wire/transport/receive.go
+++ b/wire/transport/receive.go
@@ -10,7 +10,7 @@
 	"mulleinmast/wire/message"
 )
 
-// readConnection receives what comes on an accepted connection until it ends.
+// readConnection receives the messages of an accepted connection until it ends.
 func (t *Transport) readConnection(ctx context.Context, conn net.Conn) {
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
@@ -21,13 +21,13 @@
 	for {
 		m, size, err := codec.read(reader)
 		if err != nil {
-			if ctx.Err() == nil && Error.Has(err) { // not the connection's end
+			if ctx.Err() == nil && Error.Has(err) { // an invalid frame, not the end of the connection
 				t.reportError(peer, err)
 			}
 			return
 		}
 		if m.Fleet != t.Fleet {
-			t.reportError(peer, Error.Wrap(fmt.Errorf("%w: %q, this is %q", ErrOtherFleet, m.Fleet, t.Fleet)))
+			t.reportError(peer, Error.Wrap(fmt.Errorf("%w: got %q, expected %q", ErrOtherFleet, m.Fleet, t.Fleet)))
 			return
 		}
 		if err := t.receiveWithBuffered(m, size, &codec, reader); err != nil {
@@ -37,14 +37,14 @@
 	}
 }
 
-// receiveWithBuffered receives a message and those whose frames came with it: what
-// came together is answered together.
+// receiveWithBuffered handles a message together with those whose complete frames are
+// already in the buffer, so that the answers to all of them go out together.
 func (t *Transport) receiveWithBuffered(
 	m message.Message, size int, codec *frameCodec, reader *bufio.Reader,
 ) (err error) {
 	t.Coalesce(func() {
 		t.receive(m, size)
-		for err == nil && hasWholeFrame(reader) {
+		for err == nil && hasCompleteFrame(reader) {
 			if m, size, err = codec.read(reader); err == nil && m.Fleet == t.Fleet {
 				t.receive(m, size)
 			}
@@ -53,12 +53,12 @@
 	return err
 }
 
-// receive gives a message to Receive, unless it is another's or a fault drops it.
+// receive passes a message to Receive, unless it is for another daemon or an injected fault drops it.
 func (t *Transport) receive(m message.Message, size int) {
 	if m.MaxFrameVersion >= message.CompactFrameVersion {
 		t.markCompactReader(m.Addr)
 	}
-	if !t.isAddressee(m.To) || t.dropsFrom(m.Addr) {
+	if !t.isRecipient(m.To) || t.dropsFrom(m.Addr) {
 		return
 	}
 	t.Received.Add(1)
@@ -68,23 +68,24 @@
 	t.countHandling(m.Kind, time.Since(start))
 }
 
-// isAddressee tells whether a message to an identity, or to none, is for this daemon.
-func (t *Transport) isAddressee(identity string) bool {
+// isRecipient reports whether a message for an identity is for this daemon. A message
+// without a recipient is for any daemon.
+func (t *Transport) isRecipient(identity string) bool {
 	return identity == "" || identity == t.Self.Ident
 }
 
-// markCompactReader remembers that the daemon at an address reads compact frames.
+// markCompactReader records that the daemon at an address reads compact frames.
 func (t *Transport) markCompactReader(addr string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.compact[addr] = time.Now()
+	t.compactSeen[addr] = time.Now()
 }
 
-// readsCompact tells whether the daemon at an address has shown, since a connection
-// to it was dialed, that it reads compact frames. An older build may run there by now
-// if it only showed it before.
+// readsCompact reports whether the daemon at an address has announced, since the
+// connection to it was dialed, that it reads compact frames. An earlier announcement
+// doesn't count, as an older build may have been started there since.
 func (t *Transport) readsCompact(addr string, dialedAt time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.compact[addr].After(dialedAt)
+	return t.compactSeen[addr].After(dialedAt)
 }
--- a/wire/transport/send.go
+++ b/wire/transport/send.go
@@ -10,8 +10,9 @@
 	"mulleinmast/wire/message"
 )
 
-// Send puts a message into the queue of an address, with what this daemon says of
-// itself in every message. It is dropped if the queue is full, or before Serve.
+// Send queues a message for its address, after setting the fields that describe this
+// daemon as the sender. The message is dropped if the queue is full or Serve hasn't
+// been called yet.
 //
 // Example: t.Send(message.Envelope{Addr: "127.0.0.1:7001", Message: m})
 func (t *Transport) Send(e message.Envelope) {
@@ -38,7 +39,7 @@
 	}
 }
 
-// sendLater is Send with a delay that a test asks for.
+// sendLater queues a message after an injected delay.
 func (t *Transport) sendLater(queue *sendQueue, m message.Message, delay time.Duration) {
 	time.AfterFunc(delay, func() {
 		if queue.put(m) {
@@ -48,8 +49,9 @@
 	})
 }
 
-// queueFor is the queue of an address, with its writer started, and whether a step is
-// under way at whose end the writers are woken. Before Serve there is no queue.
+// queueFor returns the queue of an address, creating it and starting its writer if
+// needed. It returns nil before Serve. coalescing is set while a Coalesce call is in
+// progress, at whose end the writers are woken.
 func (t *Transport) queueFor(addr string) (queue *sendQueue, coalescing bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -65,7 +67,7 @@
 	return queue, t.coalescing > 0
 }
 
-// Coalesce runs a step whose messages to one address go out in one write.
+// Coalesce runs a step and sends the messages that it queues for an address in one write.
 //
 // Example: t.Coalesce(func() { tickAll() })
 func (t *Transport) Coalesce(step func()) {
@@ -76,7 +78,7 @@
 	step()
 }
 
-// endCoalescing wakes the writers of what the steps left, once none is under way.
+// endCoalescing wakes the writers of all non-empty queues once no Coalesce call is in progress.
 func (t *Transport) endCoalescing() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,8 +92,8 @@
 	}
 }
 
-// writeQueue writes an address's queue to its connection until the context ends or
-// nothing was sent for idleTimeout.
+// writeQueue writes the queue of an address to its connection. It returns when the
+// context ends or the queue has been idle for idleTimeout.
 func (t *Transport) writeQueue(ctx context.Context, addr string, queue *sendQueue) {
 	w := &connectionWriter{transport: t, addr: addr, dialer: t.dialer()}
 	defer w.close()
@@ -103,13 +105,13 @@
 		case <-ctx.Done():
 			return
 		case <-idle.C:
-			if t.forget(addr, queue) {
+			if t.removeIfEmpty(addr, queue) {
 				return
 			}
 		case <-queue.wake:
 		}
 		idle.Reset(idleTimeout)
-		batch = queue.take(batch)
+		batch = queue.takeAll(batch)
 		if len(batch) == 0 {
 			continue
 		}
@@ -119,21 +121,21 @@
 	}
 }
 
-// connectionWriter writes to the connection of one address, and makes it when there
-// is something to write. It belongs to the goroutine of writeQueue.
+// connectionWriter writes to the connection of one address, which it dials on demand. It
+// is used only by the goroutine that runs writeQueue.
 type connectionWriter struct {
 	transport *Transport
 	addr      string
 	dialer    *net.Dialer
 
-	conn     net.Conn // nil: none
+	conn     net.Conn // nil: not connected
 	buffered *bufio.Writer
 	codec    frameCodec
-	dialedAt time.Time // when the last dial began
-	failedAt time.Time // when the last dial failed
+	dialedAt time.Time // start of the last dial
+	failedAt time.Time // time of the last failed dial
 }
 
-// write writes a batch; after an error all of it counts as dropped.
+// write writes a batch. On an error the caller counts the complete batch as dropped.
 func (w *connectionWriter) write(ctx context.Context, batch []message.Message) error {
 	if w.conn == nil {
 		if err := w.dial(ctx); err != nil {
@@ -158,19 +160,19 @@
 		return err
 	}
 	w.conn, w.buffered, w.codec = conn, bufio.NewWriterSize(conn, bufferSize), frameCodec{}
-	go closeWithPeer(conn)
+	go closeWhenPeerCloses(conn)
 	return nil
 }
 
-// closeWithPeer closes a dialed connection when the far end does: that never writes,
-// so a read which returns means that it is gone.
-func closeWithPeer(conn net.Conn) {
+// closeWhenPeerCloses closes a dialed connection when the remote end does. The remote end
+// never writes, so the read returns only once the connection has ended.
+func closeWhenPeerCloses(conn net.Conn) {
 	_, _ = io.Copy(io.Discard, conn)
 	_ = conn.Close()
 }
 
-// writeFrames writes the frames of a batch. A message that fits in no frame is
-// reported and left out.
+// writeFrames writes the frames of a batch. A message that can't be encoded is reported
+// and skipped.
 func (w *connectionWriter) writeFrames(batch []message.Message) error {
 	compact := w.transport.readsCompact(w.addr, w.dialedAt)
 	_ = w.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
--- a/wire/transport/transport.go
+++ b/wire/transport/transport.go
@@ -1,10 +1,10 @@
-// Package transport carries messages between daemons: msgp in frames over TCP.
-// A frame is a version byte, a length and the message. A frame that can't be read
-// closes its connection. Sending never blocks: a full queue or a broken connection
-// drops messages, and the state machines above send again.
+// Package transport exchanges messages between daemons, as msgp in frames over TCP.
+// A frame is a version byte, a length and the message. A connection is closed on the
+// first frame that can't be decoded. Sending never blocks: messages are dropped if a
+// queue is full or a connection is broken, and the state machines that sent them retry.
 //
-// Each address that is sent to has a queue and a goroutine that writes it to one
-// connection; each accepted connection has a goroutine that reads it. All of them
+// Each destination address has a queue and a goroutine that writes the queue to one
+// connection; each accepted connection has a goroutine that reads from it. All of them
 // end with the context of Serve.
 package transport
 
@@ -19,50 +19,49 @@
 )
 
 const (
-	// bufferSize is the buffer of a connection, in bytes each way; longer frames go round it.
+	// bufferSize is the size of a connection's buffer, in bytes; longer frames bypass it.
 	bufferSize = 4 << 10
-	// idleTimeout is how long an address that nothing is sent to keeps its queue and
-	// its connection: machines are replaced at new addresses all the time.
+	// idleTimeout is how long an idle address keeps its queue and its connection. Without
+	// it they would accumulate, as machines are often replaced at new addresses.
 	idleTimeout = time.Minute
-	// redialPause is how long an address is not dialed again after a failure.
+	// redialPause is the minimum time between a failed dial and the next one.
 	redialPause = 50 * time.Millisecond
-	// writeTimeout is how long one write to a connection may take.
+	// writeTimeout limits one write to a connection.
 	writeTimeout = 2 * time.Second
 )
 
-// Transport is a daemon's end of the wire. The exported fields are set before Serve.
+// Transport sends and receives a daemon's messages. The exported fields must be set before Serve.
 type Transport struct {
-	// Fleet is the name of the fleet: messages of another one close their connection.
+	// Fleet is the name of the fleet. A message from another fleet closes its connection.
 	Fleet string
-	// Self is this daemon; messages to another identity are dropped.
+	// Self is this daemon. Messages for another identity are dropped.
 	Self message.Replica
-	// Epoch is this daemon's incarnation; it stands in each message that is sent.
+	// Epoch is this daemon's incarnation, included in each message that it sends.
 	Epoch uint64
-	// Receive takes each message; it is called by many goroutines.
+	// Receive handles each received message. It is called concurrently.
 	Receive func(message.Message)
-	// OnError hears what is wrong with a peer's frames, or with a message that fits
-	// in no frame; nil: nobody does.
+	// OnError is called for an invalid frame of a peer, and for a message that can't be
+	// encoded as a frame; nil: errors are ignored.
 	OnError func(peer string, err error)
-	// PeerTimeout is how long a peer's machine may leave what was sent to it without
-	// an acknowledgement: its connection is closed then and made anew. 0: as long as
-	// the kernel retries.
+	// PeerTimeout is how long data sent to a peer may stay unacknowledged at TCP level
+	// before the connection is closed and dialed again. 0: as long as the kernel retries.
 	PeerTimeout time.Duration
 
-	// Sent, Received and Dropped count messages since the start.
+	// Sent, Received and Dropped count messages since the start of the transport.
 	Sent, Received, Dropped atomic.Int64
 	Counters
 	Faults
 
 	listener net.Listener
 
-	mu         sync.Mutex            // guards what follows
-	ctx        context.Context       // of Serve; nil before, when nothing is sent
-	queues     map[string]*sendQueue // by address
-	compact    map[string]time.Time  // by address: when it last showed that it reads compact frames
-	coalescing int                   // steps under way whose messages go out together
+	mu          sync.Mutex            // guards the fields below
+	ctx         context.Context       // of Serve; nil before Serve, when messages are dropped
+	queues      map[string]*sendQueue // by address
+	compactSeen map[string]time.Time  // by address: when it last announced that it reads compact frames
+	coalescing  int                   // number of Coalesce calls in progress
 }
 
-// Listen opens the port.
+// Listen opens the listening socket that Serve accepts connections on.
 //
 // Example: err := t.Listen("127.0.0.1:7000")
 func (t *Transport) Listen(addr string) error {
@@ -74,12 +73,12 @@
 	return nil
 }
 
-// Serve takes connections until the context ends.
+// Serve accepts connections until the context ends.
 //
 // Example: supervisor.Add(t)
 func (t *Transport) Serve(ctx context.Context) error {
 	t.mu.Lock()
-	t.ctx, t.queues, t.compact = ctx, map[string]*sendQueue{}, map[string]time.Time{}
+	t.ctx, t.queues, t.compactSeen = ctx, map[string]*sendQueue{}, map[string]time.Time{}
 	t.mu.Unlock()
 	stop := context.AfterFunc(ctx, func() { _ = t.listener.Close() })
 	defer stop()
@@ -91,12 +90,12 @@
 			}
 			return Error.Wrap(err)
 		}
-		t.probeWhenIdle(conn)
+		t.enableKeepAlive(conn)
 		go t.readConnection(ctx, conn)
 	}
 }
 
-// Addresses is how many addresses have a queue here.
+// Addresses returns the number of addresses that have a queue.
 //
 // Example: t.Addresses() == 3
 func (t *Transport) Addresses() int {
