--- a/traffic/nativeapi/status.go
+++ b/traffic/nativeapi/status.go
@@ -12,11 +12,11 @@
 	"mulleinmast/traffic/scheduler"
 )
 
-// traceRing keeps the last requests for the query shell.
+// traceRing keeps the traces of the last requests for the query shell.
 type traceRing struct {
 	mu     sync.Mutex // guards all below
 	traces [maxTraces]scheduler.Trace
-	count  int // of all that were added
+	count  int // number of traces ever added
 }
 
 func (t *traceRing) add(trace scheduler.Trace) {
@@ -26,7 +26,7 @@
 	t.count++
 }
 
-// find lists the traces of a request, or all of them, the oldest first.
+// find returns the traces of a request, oldest first; the ID "all" selects all traces.
 func (t *traceRing) find(id string) []any {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -39,7 +39,7 @@
 	return found
 }
 
-// handleWhy answers what became of a request.
+// handleWhy answers with the traces that explain a request's result.
 func (a *API) handleWhy(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("request")
 	found := a.traces.find(id)
@@ -55,7 +55,7 @@
 	daemon.Respond(w, http.StatusOK, found)
 }
 
-// counts sums the dispatchers' counts, and why requests were refused.
+// counts returns the sums of the dispatchers' counters, and the number of refusals by reason.
 func (a *API) counts() (counts, refusedByReason map[string]int64) {
 	var sum scheduler.Counts
 	refusedByReason = map[string]int64{}
@@ -67,7 +67,7 @@
 		sum.Retries += c.Retries
 		sum.Served += c.Served
 		sum.Refused += c.Refused
-		sum.Unknown += c.Unknown
+		sum.Uncertain += c.Uncertain
 		sum.Broken += c.Broken
 		sum.Duplicates += c.Duplicates
 		sum.Abandoned += c.Abandoned
@@ -84,14 +84,14 @@
 	}
 	return map[string]int64{
 		"first_tries": sum.FirstSends, "retries": sum.Retries, "served": sum.Served,
-		"shed": sum.Refused + refusedEarly, "uncertain": sum.Unknown, "broken": sum.Broken,
+		"shed": sum.Refused + refusedEarly, "uncertain": sum.Uncertain, "broken": sum.Broken,
 		"duplicates": sum.Duplicates, "gone": sum.Abandoned, "bad": a.badRequests.Load(),
 		"wasted_prefills": sum.WastedPrefills, "prefix_parts_held": sum.CachedParts, "prefix_parts": sum.PromptParts,
 		"open": a.inFlight.Load(),
 	}, refusedByReason
 }
 
-// trafficState is the state of the queues and the counts, as the daemon's state shows them.
+// trafficState returns the queues and counters for the daemon's state dump.
 func (a *API) trafficState() map[string]any {
 	queues := map[string]any{}
 	for d := range a.allDispatchers() {
@@ -107,7 +107,7 @@
 	return map[string]any{"counts": counts, "queues": queues, "sheds": refusedByReason}
 }
 
-// handleMetrics prints the numbers as plain lines that the usual collectors read.
+// handleMetrics writes the metrics in the Prometheus text format.
 func (a *API) handleMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	counts, refusedByReason := a.counts()
--- a/traffic/scheduler/call.go
+++ b/traffic/scheduler/call.go
@@ -10,9 +10,9 @@
 	"mulleinmast/traffic/slots"
 )
 
-// startCall opens the attempt for which a slot was given, if the server may still have it.
+// startCall starts the attempt that a slot was assigned for, if the server may still get new work.
 func (d *Dispatcher) startCall(now time.Duration, r *pendingRequest, addr string, out *Out) {
-	record, ok := d.servableFor(now, addr, roleOf(r.phase))
+	record, ok := d.servableInRole(now, addr, roleFor(r.phase))
 	if !ok {
 		d.requeue(now, r, addr)
 		return
@@ -25,9 +25,9 @@
 	d.countSend(now, r)
 	r.stage, r.server = calling, addr
 	r.attemptNumber++
-	// A silent server gets half of what is left, so that another can be tried.
+	// A server that doesn't answer gets half of the remaining time, so that another one can be tried.
 	half := (r.Deadline - now) / 2
-	r.callUntil = now + half
+	r.callDeadline = now + half
 	if r.phase == slots.Prefill {
 		out.add(d.prefillCall(now, r, record, half))
 	} else {
@@ -35,15 +35,15 @@
 	}
 }
 
-// roleOf is the role of the servers that do a phase.
-func roleOf(phase slots.Phase) string {
+// roleFor returns the server role that handles a phase.
+func roleFor(phase slots.Phase) string {
 	if phase == slots.Decode {
 		return placement.Decode
 	}
 	return placement.Prefill
 }
 
-// countSend counts a send, as a first one or as a retry.
+// countSend counts a call as the request's first one or as a retry.
 func (d *Dispatcher) countSend(now time.Duration, r *pendingRequest) {
 	if !r.firstSendCounted {
 		r.firstSendCounted = true
@@ -55,7 +55,7 @@
 	}
 }
 
-// prefillCall opens an attempt at a prefill server.
+// prefillCall records an attempt on a prefill server and returns the decision to call it.
 func (d *Dispatcher) prefillCall(
 	now time.Duration, r *pendingRequest, record placement.ServerRecord, timeout time.Duration,
 ) Decision {
@@ -77,7 +77,8 @@
 	}
 }
 
-// decodeCall opens an attempt at a decode server; its stream may take until the deadline.
+// decodeCall records an attempt on a decode server and returns the decision to call it. Its stream
+// may last until the request's deadline.
 func (d *Dispatcher) decodeCall(now time.Duration, r *pendingRequest) Decision {
 	r.attempts.Add(attempt.Decode, r.server)
 	r.picks = append(r.picks, fmt.Sprintf("decode server %s, paired with %s", r.server, r.handle.PrefillServer))
@@ -91,8 +92,8 @@
 	}
 }
 
-// requeue returns a slot that can't be used any more. Nothing was tried, so it is
-// no attempt and the request keeps its place.
+// requeue releases a slot that can no longer be used and queues the request again. Nothing was sent,
+// so this doesn't count as an attempt and the request keeps its place.
 func (d *Dispatcher) requeue(now time.Duration, r *pendingRequest, addr string) {
 	d.refreshServers(now)
 	d.queue.Release(now, r.phase, r.Priority, addr, false)
@@ -100,8 +101,8 @@
 	d.queue.Enqueue(now, r.queueEntry, r.QueueFraction)
 }
 
-// inCall finds a request by the call under way.
-func (d *Dispatcher) inCall(id string, attemptNumber int) *pendingRequest {
+// activeCall returns the request whose current call has this attempt number, or nil.
+func (d *Dispatcher) activeCall(id string, attemptNumber int) *pendingRequest {
 	r := d.pending[id]
 	if r == nil || r.attemptNumber != attemptNumber || r.stage != calling && r.stage != streaming {
 		return nil
@@ -109,12 +110,12 @@
 	return r
 }
 
-// takeOutcome finds the request that an outcome is for, unless there is nothing more to
-// do: a stray outcome, or that of a call which MaySend stopped.
-func (d *Dispatcher) takeOutcome(
+// requestForOutcome returns the request that an outcome belongs to. It returns nil if there is nothing
+// left to do: the outcome is stale, or MaySend blocked the call and the attempt has been undone.
+func (d *Dispatcher) requestForOutcome(
 	now time.Duration, id string, attemptNumber int, outcome serverpool.Outcome, out *Out,
 ) *pendingRequest {
-	r := d.inCall(id, attemptNumber)
+	r := d.activeCall(id, attemptNumber)
 	if r == nil {
 		return nil
 	}
@@ -126,7 +127,7 @@
 	return r
 }
 
-// undoAttempt takes back an attempt that MaySend stopped: nothing went out.
+// undoAttempt removes an attempt that MaySend blocked before anything was sent, and queues the request again.
 func (d *Dispatcher) undoAttempt(now time.Duration, r *pendingRequest, out *Out) {
 	r.attempts.Undo()
 	r.picks = r.picks[:len(r.picks)-1]
@@ -135,11 +136,11 @@
 		d.retries.Return(now)
 	}
 	d.requeue(now, r, r.server)
-	d.takeSlots(now, out)
+	d.processQueueResults(now, out)
 }
 
-// callEnded returns the slot of the attempt, and has a server that failed passed over.
-func (d *Dispatcher) callEnded(now time.Duration, r *pendingRequest, outcome serverpool.Outcome) {
+// finishCall releases the attempt's slot and backs off from a server that failed or rejected the call.
+func (d *Dispatcher) finishCall(now time.Duration, r *pendingRequest, outcome serverpool.Outcome) {
 	failed := outcome == serverpool.Lost || outcome == serverpool.NotSent
 	switch {
 	case failed:
@@ -152,34 +153,34 @@
 	d.queue.Release(now, r.phase, r.Priority, r.server, failed)
 }
 
-// cancelCall has the call under way ended.
+// cancelCall adds the decision to cancel the current call.
 func (r *pendingRequest) cancelCall(out *Out) {
 	out.add(Decision{RequestID: r.ID, Action: CancelCall, Attempt: r.attemptNumber})
 }
 
-// PrefillDone takes the end of a prefill.
+// PrefillDone handles the outcome of a prefill call.
 //
 // Example: out := d.PrefillDone(now, id, attempt, handle, serverpool.OK, "")
 func (d *Dispatcher) PrefillDone(
 	now time.Duration, id string, attemptNumber int, handle serverpool.Handle, outcome serverpool.Outcome, why string,
 ) (out Out) {
-	r := d.takeOutcome(now, id, attemptNumber, outcome, &out)
+	r := d.requestForOutcome(now, id, attemptNumber, outcome, &out)
 	if r == nil {
 		return out
 	}
 	if outcome == serverpool.OK {
-		// The handle is bound to this request, attempt, prefill server and record.
+		// The handle must belong to this request, attempt, prefill server and record version.
 		if why = handle.Mismatch(id, attemptNumber, r.server, r.recordVersion); why != "" {
 			outcome = serverpool.HandleLost
 		}
 	}
-	d.prefillEnded(now, r, handle, outcome, why, &out)
-	d.takeSlots(now, &out)
+	d.finishPrefill(now, r, handle, outcome, why, &out)
+	d.processQueueResults(now, &out)
 	return out
 }
 
-// prefillEnded records the end of a prefill and decides on.
-func (d *Dispatcher) prefillEnded(
+// finishPrefill records the outcome of a prefill and decides the request's next step.
+func (d *Dispatcher) finishPrefill(
 	now time.Duration, r *pendingRequest, handle serverpool.Handle, outcome serverpool.Outcome, why string, out *Out,
 ) {
 	switch outcome {
@@ -197,28 +198,28 @@
 	default:
 		r.attempts.Record(attempt.Lost, why)
 	}
-	d.callEnded(now, r, outcome)
-	d.decide(now, r, out)
+	d.finishCall(now, r, outcome)
+	d.decideNext(now, r, out)
 }
 
-// DecodeDone takes the end of a call to a decode server that streams nothing more: it
-// rejected the request, or its stream broke off.
+// DecodeDone handles a decode call that ended without a complete stream: the server rejected the
+// request, the call failed, or the stream broke off.
 //
 // Example: out := d.DecodeDone(now, id, attempt, serverpool.Refused, "full")
 func (d *Dispatcher) DecodeDone(
 	now time.Duration, id string, attemptNumber int, outcome serverpool.Outcome, why string,
 ) (out Out) {
-	r := d.takeOutcome(now, id, attemptNumber, outcome, &out)
+	r := d.requestForOutcome(now, id, attemptNumber, outcome, &out)
 	if r == nil {
 		return out
 	}
-	d.decodeEnded(now, r, outcome, why, &out)
-	d.takeSlots(now, &out)
+	d.finishDecode(now, r, outcome, why, &out)
+	d.processQueueResults(now, &out)
 	return out
 }
 
-// decodeEnded records the end of a decode that is not whole, and decides on.
-func (d *Dispatcher) decodeEnded(
+// finishDecode records the outcome of an incomplete decode and decides the request's next step.
+func (d *Dispatcher) finishDecode(
 	now time.Duration, r *pendingRequest, outcome serverpool.Outcome, why string, out *Out,
 ) {
 	switch {
@@ -234,6 +235,6 @@
 	default:
 		r.attempts.Record(attempt.Lost, why)
 	}
-	d.callEnded(now, r, outcome)
-	d.decide(now, r, out)
+	d.finishCall(now, r, outcome)
+	d.decideNext(now, r, out)
 }
--- a/traffic/scheduler/dispatcher.go
+++ b/traffic/scheduler/dispatcher.go
@@ -12,22 +12,23 @@
 	"mulleinmast/traffic/slots"
 )
 
-// Dispatcher is the state machine of one service on one daemon; its user holds the lock.
+// Dispatcher is the state machine of one service on one daemon. It is not safe for concurrent
+// use: callers must hold a lock.
 type Dispatcher struct {
 	cfg        Config
 	service    string
-	partition  int // of the service's records
+	partition  int // partition of the service's records
 	source     Source
-	leaderTerm func() uint64 // of the partition's leader, as far as known
+	leaderTerm func() uint64 // last known term of the partition's leader
 
 	queue        *slots.Queue
-	ackedShare   uint64 // number of the last share taken
+	ackedShare   uint64 // number of the last share that was applied
 	retries      attempt.Bucket
 	prefixes     *serverpool.PrefixIndex
-	backoffUntil map[string]time.Duration   // by address of a server that failed or rejected
-	pending      map[string]*pendingRequest // by id
+	backoffUntil map[string]time.Duration   // by address of a server that failed or rejected a call
+	pending      map[string]*pendingRequest // by ID
 
-	servable map[string]placement.ServerRecord // by address: servers that may get new work now
+	servable map[string]placement.ServerRecord // servers that may get new work now, by address
 	plan     *PlanIndex
 	list     serverList
 	records  map[string]parsedRecord // by address
@@ -35,8 +36,8 @@
 	counts Counts
 }
 
-// New makes a service's dispatcher. source reads records under valid leases, leaderTerm is
-// the term of the partition's leader as far as known.
+// New returns the dispatcher of a service. source reads records under valid leases; leaderTerm returns
+// the last known term of the partition's leader.
 //
 // Example: d := scheduler.New(cfg, "timetable", 3, daemon.Read, term)
 func New(cfg Config, service string, partition int, source Source, leaderTerm func() uint64) *Dispatcher {
@@ -53,12 +54,12 @@
 	}
 }
 
-// Service is the dispatcher's service.
+// Service returns the name of the dispatcher's service.
 //
 // Example: d.Service() == "timetable"
 func (d *Dispatcher) Service() string { return d.service }
 
-// Keys are the records that the dispatcher reads, for the daemon to keep cached.
+// Keys returns the keys of the records that the dispatcher reads, so that the daemon can keep them cached.
 //
 // Example: for _, key := range d.Keys() { daemon.Pin(partition, key) }
 func (d *Dispatcher) Keys() []string {
@@ -69,7 +70,7 @@
 	return keys
 }
 
-// Counts are the dispatcher's numbers so far.
+// Counts returns a copy of the dispatcher's counters.
 //
 // Example: d.Counts().Served
 func (d *Dispatcher) Counts() Counts {
@@ -78,23 +79,23 @@
 	return c
 }
 
-// InFlight is the number of requests under way.
+// InFlight returns the number of unfinished requests.
 //
 // Example: d.InFlight() == 0
 func (d *Dispatcher) InFlight() int { return len(d.pending) }
 
-// Report is the queue as the query shell shows it.
+// Report returns a snapshot of the queue for the query shell.
 //
 // Example: d.Report().Waiting
 func (d *Dispatcher) Report() slots.Report { return d.queue.Snapshot() }
 
-// HasValidShare tells whether the share of slots is still valid.
+// HasValidShare reports whether the share of slots is still valid.
 //
 // Example: if !d.HasValidShare(now) { requestSlots() }
 func (d *Dispatcher) HasValidShare(now time.Duration) bool { return d.queue.HasValidShare(now) }
 
-// Demand is what the leader hears: what waits, what is in flight, what failed since it
-// was last asked for.
+// Demand returns the report to the leader: waiting requests, slots in use, and the calls that failed
+// since Demand was last called.
 //
 // Example: share, at, ok := daemon.RequestSlots(ctx, partition, d.Demand(), timeout)
 func (d *Dispatcher) Demand() placement.Demand {
@@ -106,45 +107,45 @@
 	}
 }
 
-// SetShare takes a share of slots; its time counts from when it was asked for.
+// SetShare applies a share of slots. Its validity period starts at the time of the request for it.
 //
 // Example: out := d.SetShare(now, share, askedAt)
 func (d *Dispatcher) SetShare(now time.Duration, s placement.Share, askedAt time.Duration) (out Out) {
 	d.ackedShare = s.Number
 	d.refreshServers(now)
 	d.queue.SetShare(now, s.Slots, askedAt+time.Duration(s.Length))
-	d.takeSlots(now, &out)
+	d.processQueueResults(now, &out)
 	return out
 }
 
-// Tick lets time pass.
+// Tick assigns free slots and handles expired timeouts.
 //
 // Example: out := d.Tick(now)
 func (d *Dispatcher) Tick(now time.Duration) (out Out) {
 	d.refreshServers(now)
 	d.queue.Assign(now)
-	d.takeSlots(now, &out)
+	d.processQueueResults(now, &out)
 	for _, id := range slices.Sorted(maps.Keys(d.pending)) {
-		if r := d.pending[id]; r != nil { // it may have ended by another one's slot
+		if r := d.pending[id]; r != nil { // an earlier iteration may have ended it
 			d.checkTimeouts(now, r, &out)
 		}
 	}
-	d.takeSlots(now, &out)
+	d.processQueueResults(now, &out)
 	return out
 }
 
-// MaySend is the last check before a call's first byte goes out.
+// MaySend reports whether a call may still be sent. It is checked just before the first byte goes out.
 //
 // Example: if !d.MaySend(now, decision) { return serverpool.Blocked }
-func (d *Dispatcher) MaySend(now time.Duration, m Decision) bool {
-	r := d.pending[m.RequestID]
-	if r == nil || r.stage != calling || r.attemptNumber != m.Attempt || now >= r.Deadline {
+func (d *Dispatcher) MaySend(now time.Duration, decision Decision) bool {
+	r := d.pending[decision.RequestID]
+	if r == nil || r.stage != calling || r.attemptNumber != decision.Attempt || now >= r.Deadline {
 		return false
 	}
 	role := placement.Prefill
-	if m.Action == Decode {
+	if decision.Action == Decode {
 		role = placement.Decode
 	}
-	_, ok := d.servableFor(now, m.Addr, role)
+	_, ok := d.servableInRole(now, decision.Addr, role)
 	return ok
 }
--- a/traffic/scheduler/finish.go
+++ b/traffic/scheduler/finish.go
@@ -9,15 +9,15 @@
 	"mulleinmast/traffic/attempt"
 )
 
-// giveUp ends a request for which nothing more is to be tried.
+// giveUp ends a request without another attempt.
 func (d *Dispatcher) giveUp(now time.Duration, r *pendingRequest, why string, out *Out) {
 	r.reason = why
 	d.finish(now, r, r.attempts.End(), out)
 }
 
-// finish ends a request by the final move of its ledger.
+// finish ends a request with the final move of its attempt ledger.
 func (d *Dispatcher) finish(now time.Duration, r *pendingRequest, move attempt.Move, out *Out) {
-	reasonKind := r.explainEnd()
+	reasonKind := r.resolveReason()
 	a := Answer{Result: move.String(), Reason: r.reason, RetryAfter: r.retryAfter}
 	if a.RetryAfter == 0 {
 		a.RetryAfter = d.cfg.RetryAfter
@@ -30,21 +30,21 @@
 	case attempt.Break:
 		d.counts.Broken++
 	case attempt.Unknown:
-		d.counts.Unknown++
+		d.counts.Uncertain++
 		a.Status, a.Reason = http.StatusBadGateway, "it may have run: "+r.reason
 	case attempt.Refuse:
 		d.countRefusal(r, reasonKind)
 		a.Status = refusalStatus(r.reason)
 		r.settleClaim(claimReleased, out)
 	default:
-		panic("no final move: " + move.String())
+		panic("not a final move: " + move.String())
 	}
-	d.release(now, r, a, out)
+	d.respond(now, r, a, out)
 }
 
-// explainEnd sees to it that there is a reason, that of the last attempt if none else. It
-// returns the kind of reason: a few fixed texts, to count by.
-func (r *pendingRequest) explainEnd() string {
+// resolveReason sets the request's reason from its last attempt if it has none yet. It returns the kind
+// of reason to count by, which has only a few distinct values.
+func (r *pendingRequest) resolveReason() string {
 	if r.reason != "" || len(r.attempts.Attempts) == 0 {
 		return r.reason
 	}
@@ -53,14 +53,14 @@
 	return fmt.Sprintf("last %s: %s", last.Phase, last.Known)
 }
 
-// settleClaim records what became of a request, under its once key if it has one.
+// settleClaim adds the decision to record the request's result under its once key, if it has one.
 func (r *pendingRequest) settleClaim(state string, out *Out) {
 	if r.attempts.AtMostOnce {
 		out.add(r.claim(SettleClaim, state))
 	}
 }
 
-// countRefusal counts a refusal, and the prefills that were of no use.
+// countRefusal counts a refusal and the prefills wasted on the request.
 func (d *Dispatcher) countRefusal(r *pendingRequest, reasonKind string) {
 	d.counts.Refused++
 	d.counts.RefusedByReason[reasonKind]++
@@ -71,7 +71,7 @@
 	}
 }
 
-// refusalStatus is the HTTP status of a refusal: the tenant's own bound is told apart.
+// refusalStatus returns the HTTP status of a refusal: 429 if the tenant's own limit was reached, else 503.
 func refusalStatus(reason string) int {
 	if strings.HasPrefix(reason, "this tenant") {
 		return http.StatusTooManyRequests
@@ -79,8 +79,8 @@
 	return http.StatusServiceUnavailable
 }
 
-// release answers the client and forgets the request.
-func (d *Dispatcher) release(now time.Duration, r *pendingRequest, a Answer, out *Out) {
+// respond adds the decision to answer the client and removes the request.
+func (d *Dispatcher) respond(now time.Duration, r *pendingRequest, a Answer, out *Out) {
 	delete(d.pending, r.ID)
 	a.Trace = Trace{
 		Request: r.ID, Tenant: r.Tenant, Model: r.Model, Result: a.Result, Reason: a.Reason,
--- a/traffic/scheduler/pick.go
+++ b/traffic/scheduler/pick.go
@@ -6,8 +6,9 @@
 	"mulleinmast/traffic/slots"
 )
 
-// draw is a random number from the request's own identity, so that daemons don't herd.
-func (r *pendingRequest) draw() uint64 {
+// pseudoRandom returns a number derived from the request's ID and number of attempts, so that daemons
+// don't all pick the same server.
+func (r *pendingRequest) pseudoRandom() uint64 {
 	const fnvPrime = 1099511628211
 	x := uint64(len(r.attempts.Attempts)) + 1
 	for _, c := range r.ID {
@@ -16,7 +17,7 @@
 	return x >> 17
 }
 
-// pick chooses among free servers for the phase that the request waits for; "" is none.
+// pick chooses a free server for the request's phase, or returns "" if none is suitable.
 func (d *Dispatcher) pick(r *pendingRequest, free []string) string {
 	if r.phase == slots.Prefill {
 		return d.pickPrefill(r, free)
@@ -24,18 +25,18 @@
 	return d.pickDecode(r, free)
 }
 
-// pickPrefill is the server that has most of the prompt cached; random among equals.
+// pickPrefill returns the server that has most of the prompt cached. Ties are broken pseudo-randomly.
 func (d *Dispatcher) pickPrefill(r *pendingRequest, free []string) string {
-	best, most, equals := "", -1, uint64(0)
+	best, most, ties := "", -1, uint64(0)
 	for _, addr := range free {
-		if !d.mayPrefill(r, addr) {
+		if !d.canPrefill(r, addr) {
 			continue
 		}
 		switch parts := r.cachedParts[addr]; {
 		case parts > most:
-			best, most, equals = addr, parts, 1
+			best, most, ties = addr, parts, 1
 		case parts == most:
-			if equals++; r.draw()%equals == 0 {
+			if ties++; r.pseudoRandom()%ties == 0 {
 				best = addr
 			}
 		}
@@ -43,27 +44,27 @@
 	return best
 }
 
-// mayPrefill filters the servers for a prefill.
-func (d *Dispatcher) mayPrefill(r *pendingRequest, addr string) bool {
+// canPrefill reports whether a server may be picked for the request's prefill.
+func (d *Dispatcher) canPrefill(r *pendingRequest, addr string) bool {
 	record, ok := d.servable[addr]
 	return ok && record.Role == placement.Prefill && len(record.Pairs) > 0 &&
 		!r.attempts.Tried(attempt.Prefill, addr) && !d.isBackingOff(addr)
 }
 
-// pickDecode is a server that the prefill server is paired with, in its zone if there is
-// one; random among equals.
+// pickDecode returns a server paired with the prefill server, preferably in the same zone. Ties are broken
+// pseudo-randomly.
 func (d *Dispatcher) pickDecode(r *pendingRequest, free []string) string {
-	best, equals, bestInZone := "", uint64(0), false
+	best, ties, bestInZone := "", uint64(0), false
 	for _, addr := range free {
-		if !d.mayDecode(r, addr) {
+		if !d.canDecode(r, addr) {
 			continue
 		}
 		inZone := d.servable[addr].Zone == r.prefillZone
 		switch {
 		case best == "" || inZone && !bestInZone:
-			best, equals, bestInZone = addr, 1, inZone
+			best, ties, bestInZone = addr, 1, inZone
 		case inZone == bestInZone:
-			if equals++; r.draw()%equals == 0 {
+			if ties++; r.pseudoRandom()%ties == 0 {
 				best = addr
 			}
 		}
@@ -71,8 +72,8 @@
 	return best
 }
 
-// mayDecode filters the servers for a decode.
-func (d *Dispatcher) mayDecode(r *pendingRequest, addr string) bool {
+// canDecode reports whether a server may be picked for the request's decode.
+func (d *Dispatcher) canDecode(r *pendingRequest, addr string) bool {
 	record, ok := d.servable[addr]
 	return ok && record.Role == placement.Decode && r.pairedServers[addr] &&
 		!r.attempts.Tried(attempt.Decode, addr) && !d.isBackingOff(addr)
@@ -83,7 +84,7 @@
 	return ok
 }
 
-// canBeServed tells whether the request could go to any server, were it free.
+// canBeServed reports whether any servable server suits the request, regardless of free slots.
 func (d *Dispatcher) canBeServed(r *pendingRequest) bool {
 	all := make([]string, 0, len(d.servable))
 	for addr := range d.servable {
--- a/traffic/scheduler/plan.go
+++ b/traffic/scheduler/plan.go
@@ -12,24 +12,24 @@
 	"mulleinmast/wire/message"
 )
 
-// defaultTokens is the most tokens of an answer where the client names none.
-const defaultTokens = 16
+// defaultMaxTokens limits the answer's length when the client sets no limit.
+const defaultMaxTokens = 16
 
-// PlanIndex is a plan made ready for look-ups; it doesn't change.
+// PlanIndex is an immutable index of a plan for lookups.
 type PlanIndex struct {
-	Version    message.Version // of the record
-	planNumber uint64
-	tenants    map[string]fleetconfig.Tenant
-	excluded   map[string]map[string]bool // by service: addresses of servers that it excludes
+	Version     message.Version // version of the plan's record
+	planVersion uint64
+	tenants     map[string]fleetconfig.Tenant
+	excluded    map[string]map[string]bool // addresses of excluded servers, by service
 }
 
-// NewPlanIndex reads the plan in force; do it once a version.
+// NewPlanIndex parses the plan in a record. Callers do this once per record version.
 //
 // Example: index := scheduler.NewPlanIndex(rec)
 func NewPlanIndex(rec message.Record) *PlanIndex {
 	plan := fleetconfig.OpenPlan(rec)
 	p := &PlanIndex{
-		Version: rec.Version, planNumber: plan.Version,
+		Version: rec.Version, planVersion: plan.Version,
 		tenants: map[string]fleetconfig.Tenant{}, excluded: map[string]map[string]bool{},
 	}
 	for _, tenant := range plan.Tenants {
@@ -44,39 +44,40 @@
 	return p
 }
 
-// ClientRequest is what a client sends.
+// ClientRequest is the body of a client's request.
 type ClientRequest struct {
 	Model         string            `json:"model"`
 	Tenant        string            `json:"tenant"`
 	Parts         []serverpool.Part `json:"parts"`
-	Tokens        int               `json:"tokens"` // 0: defaultTokens
+	Tokens        int               `json:"tokens"` // maximum tokens of the answer; 0 means defaultMaxTokens
 	OnceKey       string            `json:"once,omitempty"`
-	TimeoutMillis *int64            `json:"budget_ms,omitempty"` // none: the tenant's
+	TimeoutMillis *int64            `json:"budget_ms,omitempty"` // nil means the tenant's timeout
 }
 
-// Admit checks a request against the plan; status is 0 if it may go on.
+// Admit checks a request against the plan. If it is admitted, status is 0; otherwise status is the HTTP
+// status of the rejection and why its reason.
 //
-// Example: request, status, why := index.Admit(asked, id, now)
-func (p *PlanIndex) Admit(c ClientRequest, id string, now time.Duration) (r Request, status int, why string) {
-	tenant, ok := p.tenants[c.Tenant]
+// Example: request, status, why := index.Admit(req, id, now)
+func (p *PlanIndex) Admit(req ClientRequest, id string, now time.Duration) (admitted Request, status int, why string) {
+	tenant, ok := p.tenants[req.Tenant]
 	if !ok {
-		why = fmt.Sprintf("tenant: %q isn't in the plan (version %d)", c.Tenant, p.planNumber)
-		return r, http.StatusForbidden, why
+		why = fmt.Sprintf("tenant: %q isn't in the plan (version %d)", req.Tenant, p.planVersion)
+		return admitted, http.StatusForbidden, why
 	}
-	if _, ok := p.excluded[c.Model]; !ok {
-		why = fmt.Sprintf("model: %q isn't in the plan (version %d)", c.Model, p.planNumber)
-		return r, http.StatusNotFound, why
+	if _, ok := p.excluded[req.Model]; !ok {
+		why = fmt.Sprintf("model: %q isn't in the plan (version %d)", req.Model, p.planVersion)
+		return admitted, http.StatusNotFound, why
 	}
-	if len(tenant.Services) > 0 && !slices.Contains(tenant.Services, c.Model) {
-		return r, http.StatusForbidden, fmt.Sprintf("model: tenant %q may not use %q", c.Tenant, c.Model)
+	if len(tenant.Services) > 0 && !slices.Contains(tenant.Services, req.Model) {
+		return admitted, http.StatusForbidden, fmt.Sprintf("model: tenant %q may not use %q", req.Tenant, req.Model)
 	}
 	timeoutMillis := int64(tenant.TimeoutMillis)
-	if c.TimeoutMillis != nil {
-		timeoutMillis = *c.TimeoutMillis
+	if req.TimeoutMillis != nil {
+		timeoutMillis = *req.TimeoutMillis
 	}
 	return Request{
-		ID: id, Tenant: c.Tenant, Model: c.Model, Priority: tenant.Priority, QueueFraction: tenant.QueueFraction,
+		ID: id, Tenant: req.Tenant, Model: req.Model, Priority: tenant.Priority, QueueFraction: tenant.QueueFraction,
 		Deadline: now + time.Duration(timeoutMillis)*time.Millisecond,
-		Tokens:   cmp.Or(c.Tokens, defaultTokens), OnceKey: c.OnceKey, Parts: c.Parts,
+		Tokens:   cmp.Or(req.Tokens, defaultMaxTokens), OnceKey: req.OnceKey, Parts: req.Parts,
 	}, 0, ""
 }
--- a/traffic/scheduler/request.go
+++ b/traffic/scheduler/request.go
@@ -9,82 +9,82 @@
 	"mulleinmast/traffic/slots"
 )
 
-// stage is what a request waits for.
+// stage is the event that a request waits for.
 type stage uint8
 
 const (
-	claiming  stage = iota // the leader's answer to the claim of its once key
-	queued                 // a slot
-	calling                // a prefill, or the first piece of a decode
-	streaming              // more pieces
+	claiming  stage = iota // the leader's answer to the claim of the once key
+	queued                 // a slot on a server
+	calling                // the end of a prefill, or the first piece of a decode
+	streaming              // further pieces of the decode
 )
 
-// pendingRequest is one request under way, with what is known of its attempts.
+// pendingRequest is an unfinished request with the state of its attempts.
 type pendingRequest struct {
 	Request
 	arrivedAt    time.Duration
 	stage        stage
 	attempts     attempt.Ledger
-	prefixHashes []uint64       // of the prompt, see serverpool.HashPrefixes
-	cachedParts  map[string]int // leading parts of the prompt that each prefill server has cached
+	prefixHashes []uint64       // prefixes of the prompt, see serverpool.HashPrefixes
+	cachedParts  map[string]int // number of leading prompt parts that each prefill server has cached
 
-	// In the queue.
-	queueEntry *slots.Entry
-	phase      slots.Phase   // that it waits for, or is in
-	servableAt time.Duration // when there last was a server for it
+	// Queue state.
+	queueEntry     *slots.Entry
+	phase          slots.Phase   // current or next phase
+	lastServableAt time.Duration // last time at which a suitable server existed
 
-	// The attempt under way.
+	// Current attempt.
 	attemptNumber    int
 	isRetry          bool
-	firstSendCounted bool // in the counts and for the retry ratio
+	firstSendCounted bool // in the counters and for the retry ratio
 	server           string
-	callUntil        time.Duration // a call with no answer is given up then
-	runID            string        // of a decode
-	recordVersion    string        // of the prefill server's record
+	callDeadline     time.Duration // a call without an answer times out then
+	runID            string        // run ID of a decode
+	recordVersion    string        // version of the prefill server's record
 
-	// The prefill that it has.
+	// Result of the prefill.
 	handle        serverpool.Handle
-	pairedServers map[string]bool // decode servers that can have its KV cache
+	pairedServers map[string]bool // decode servers that can fetch the KV cache
 	prefillZone   string
 
-	// The stream. A client that took all pieces is not behind.
+	// Stream state. A client that has taken all pieces can't stall.
 	piecesSent, piecesTaken int
-	takenAt                 time.Duration // when the client last took a piece, or had them all
+	lastTakenAt             time.Duration // last time at which the client took a piece or had taken all of them
 
-	// For the answer.
+	// For the answer and its trace.
 	picks      []string
 	reason     string
 	retryAfter time.Duration
 }
 
-// claimKey is the once key within its tenant.
+// claimKey returns the once key, qualified by its tenant.
 func (r *pendingRequest) claimKey() string { return r.Tenant + "/" + r.OnceKey }
 
-// claim is the decision that gives its claim a state.
+// claim returns the decision to set the state of the request's claim.
 func (r *pendingRequest) claim(action Action, state string) Decision {
 	return Decision{RequestID: r.ID, Action: action, OnceKey: r.claimKey(), ClaimState: state}
 }
 
-// Start takes a request in and makes its first decision.
+// Start accepts a new request and makes its first decision.
 //
 // Example: out := d.Start(now, request)
-func (d *Dispatcher) Start(now time.Duration, c Request) (out Out) {
+func (d *Dispatcher) Start(now time.Duration, request Request) (out Out) {
 	r := &pendingRequest{
-		Request: c, arrivedAt: now, servableAt: now, prefixHashes: serverpool.HashPrefixes(c.Parts),
-		attempts: attempt.Ledger{AtMostOnce: c.OnceKey != "", MaxPerPhase: d.cfg.MaxAttempts},
+		Request: request, arrivedAt: now, lastServableAt: now, prefixHashes: serverpool.HashPrefixes(request.Parts),
+		attempts: attempt.Ledger{AtMostOnce: request.OnceKey != "", MaxPerPhase: d.cfg.MaxAttempts},
 	}
-	d.pending[c.ID] = r
+	d.pending[request.ID] = r
 	d.refreshServers(now)
-	if c.OnceKey != "" {
+	if request.OnceKey != "" {
 		out.add(r.claim(Claim, claimTaken))
 		return out
 	}
-	d.decide(now, r, &out)
-	d.takeSlots(now, &out)
+	d.decideNext(now, r, &out)
+	d.processQueueResults(now, &out)
 	return out
 }
 
-// ClaimDone takes the leader's answer to the claim of a once key.
+// ClaimDone handles the leader's answer to the claim of a once key.
 //
 // Example: out := d.ClaimDone(now, id, http.StatusOK, nil)
 func (d *Dispatcher) ClaimDone(now time.Duration, id string, status int, body []byte) (out Out) {
@@ -95,31 +95,31 @@
 	switch status {
 	case http.StatusOK:
 		d.refreshServers(now)
-		d.decide(now, r, &out)
-		d.takeSlots(now, &out)
+		d.decideNext(now, r, &out)
+		d.processQueueResults(now, &out)
 	case http.StatusConflict:
 		d.counts.Duplicates++
-		d.release(now, r, Answer{Result: ResultDuplicate, Status: http.StatusConflict, Body: body}, &out)
+		d.respond(now, r, Answer{Result: ResultDuplicate, Status: http.StatusConflict, Body: body}, &out)
 	default:
-		d.claimFailed(now, r, &out)
+		d.handleFailedClaim(now, r, &out)
 	}
 	return out
 }
 
-// claimFailed ends a request whose claim has no answer. It was not and will not be run, but
-// whether its key ran before is not known: so it is no refusal.
-func (d *Dispatcher) claimFailed(now time.Duration, r *pendingRequest, out *Out) {
+// handleFailedClaim ends a request whose claim failed or got no answer. The request has not run and will not,
+// but an earlier request with the same key may have: the result is therefore uncertain, not a refusal.
+func (d *Dispatcher) handleFailedClaim(now time.Duration, r *pendingRequest, out *Out) {
 	const why = "the once key could not be claimed, whether it ran before is not known; ask again with the same key"
-	d.counts.Unknown++
+	d.counts.Uncertain++
 	out.add(r.claim(SettleClaim, claimReleased))
-	d.release(now, r, Answer{
+	d.respond(now, r, Answer{
 		Result: ResultUncertain, Status: http.StatusGatewayTimeout, Reason: why, RetryAfter: d.cfg.RetryAfter,
 	}, out)
 }
 
-// decide derives the next decision from what is known of the attempts.
-func (d *Dispatcher) decide(now time.Duration, r *pendingRequest, out *Out) {
-	move, again := r.attempts.Next()
+// decideNext derives the request's next decision from its attempt ledger.
+func (d *Dispatcher) decideNext(now time.Duration, r *pendingRequest, out *Out) {
+	move, isRetry := r.attempts.Next()
 	if move != attempt.DoPrefill && move != attempt.DoDecode {
 		d.finish(now, r, move, out)
 		return
@@ -128,8 +128,8 @@
 		d.giveUp(now, r, "its deadline passed", out)
 		return
 	}
-	r.isRetry = again
-	if again && !d.retries.Has(now) {
+	r.isRetry = isRetry
+	if isRetry && !d.retries.Has(now) {
 		d.giveUp(now, r, "no retry to spare", out)
 		return
 	}
@@ -137,14 +137,14 @@
 		d.enqueue(now, r, slots.Decode, "")
 	} else {
 		r.cachedParts = d.prefixes.CachedParts(r.prefixHashes)
-		d.enqueue(now, r, slots.Prefill, serverWithMost(r.cachedParts))
+		d.enqueue(now, r, slots.Prefill, serverWithMostCached(r.cachedParts))
 	}
 	out.NeedsSlots = true
 }
 
-// serverWithMost is the server that has the most parts cached, the first by address among
-// equals; "" if none has any.
-func serverWithMost(cachedParts map[string]int) string {
+// serverWithMostCached returns the server that has the most parts cached, or "" if none has any. Among servers
+// with the same number it returns the lowest address.
+func serverWithMostCached(cachedParts map[string]int) string {
 	best, most := "", 0
 	for addr, n := range cachedParts {
 		if n > most || n == most && addr < best {
@@ -154,9 +154,9 @@
 	return best
 }
 
-// enqueue has a request wait for a slot.
+// enqueue queues a request for a slot of a phase.
 func (d *Dispatcher) enqueue(now time.Duration, r *pendingRequest, phase slots.Phase, preferred string) {
-	r.stage, r.phase, r.servableAt = queued, phase, now
+	r.stage, r.phase, r.lastServableAt = queued, phase, now
 	r.queueEntry = &slots.Entry{
 		ID: r.ID, Phase: phase, Priority: r.Priority, Tenant: r.Tenant, Deadline: r.Deadline, PreferredServer: preferred,
 		Pick: func(free []string) string { return d.pick(r, free) },
@@ -164,8 +164,8 @@
 	d.queue.Enqueue(now, r.queueEntry, r.QueueFraction)
 }
 
-// takeSlots acts on the queue's results until there are no more.
-func (d *Dispatcher) takeSlots(now time.Duration, out *Out) {
+// processQueueResults handles the queue's assigned slots and refusals until there are no more.
+func (d *Dispatcher) processQueueResults(now time.Duration, out *Out) {
 	for {
 		results := d.queue.TakeResults()
 		if len(results) == 0 {
@@ -174,7 +174,7 @@
 		for _, result := range results {
 			r := d.pending[result.ID]
 			if r == nil || r.stage != queued {
-				panic("a result of the queue for " + result.ID + ", which doesn't wait")
+				panic("queue returned a result for request " + result.ID + ", which is not queued")
 			}
 			if result.Refused {
 				r.retryAfter = result.RetryAfter
--- a/traffic/scheduler/scheduler_test.go
+++ b/traffic/scheduler/scheduler_test.go
@@ -17,14 +17,13 @@
 	decode  = "10.0.0.2:1"
 )
 
-// harness is a dispatcher over records and a clock that a test may change.
+// harness is a dispatcher with records and a clock that tests may change.
 type harness struct {
 	*Dispatcher
 	records map[string]message.Record
 	now     time.Duration
 }
 
-// put stores a record.
 func (h *harness) put(key string, seq uint64, v any) {
 	h.records[key] = message.Record{Key: key, Version: message.Version{Term: 1, Seq: seq}, Value: leadercall.Pack(v)}
 }
@@ -46,49 +45,49 @@
 	put(fleetconfig.ServerRecordKey("m", decode), placement.ServerRecord{
 		Addr: decode, Zone: "a", Role: placement.Decode, Status: placement.Up,
 	})
-	src := func(_ int, key string) (message.Record, bool) { r, ok := h.records[key]; return r, ok }
+	source := func(_ int, key string) (message.Record, bool) { r, ok := h.records[key]; return r, ok }
 	cfg := Config{
 		Queue:      slots.Config{MaxQueued: 8, MinRetryAfter: time.Second, MaxRetryAfter: time.Minute},
 		RetryRatio: 0.2, RetryWindow: 16 * time.Second, MaxAttempts: 3, MaxWait: time.Second,
 		FailureBackoff: time.Second, RejectionBackoff: time.Second, StallTimeout: 2 * time.Second,
 		MaxPiecesAhead: 4, RetryAfter: time.Second, MaxPrefixes: 100,
 	}
-	h.Dispatcher = New(cfg, "m", 1, src, func() uint64 { return 1 })
-	slotsOf := map[string]int{prefill: 2, decode: 2}
-	h.SetShare(h.now, placement.Share{Number: 1, Length: int64(time.Hour), Slots: slotsOf}, h.now)
+	h.Dispatcher = New(cfg, "m", 1, source, func() uint64 { return 1 })
+	shareSlots := map[string]int{prefill: 2, decode: 2}
+	h.SetShare(h.now, placement.Share{Number: 1, Length: int64(time.Hour), Slots: shareSlots}, h.now)
 	return h
 }
 
-func (h *harness) start(id, once string) Out {
+func (h *harness) start(id, onceKey string) Out {
 	return h.Start(h.now, Request{
 		ID: id, Tenant: "t", Model: "m", QueueFraction: 1, Deadline: h.now + 10*time.Second, Tokens: 2,
-		OnceKey: once, Parts: []serverpool.Part{{Text: "x"}},
+		OnceKey: onceKey, Parts: []serverpool.Part{{Text: "x"}},
 	})
 }
 
-func one(t *testing.T, o Out, k Action) Decision {
+func mustFind(t *testing.T, o Out, action Action) Decision {
 	t.Helper()
-	for _, a := range o.Decisions {
-		if a.Action == k {
-			return a
+	for _, decision := range o.Decisions {
+		if decision.Action == action {
+			return decision
 		}
 	}
-	t.Fatalf("no %s among %+v", k, o.Decisions)
+	t.Fatalf("no decision %s in %+v", action, o.Decisions)
 	return Decision{}
 }
 
-// decoding brings a request to its call to the decode server.
-func (h *harness) decoding(t *testing.T, id, once string) Decision {
-	o := h.start(id, once)
-	if once != "" {
+// startDecode starts a request, completes its prefill, and returns the decision to call the decode server.
+func (h *harness) startDecode(t *testing.T, id, onceKey string) Decision {
+	o := h.start(id, onceKey)
+	if onceKey != "" {
 		o = h.ClaimDone(h.now, id, 200, nil)
 	}
-	a := one(t, o, Prefill)
-	return one(t, h.PrefillDone(h.now, id, a.Attempt, handleOf(a), serverpool.OK, ""), Decode)
+	a := mustFind(t, o, Prefill)
+	return mustFind(t, h.PrefillDone(h.now, id, a.Attempt, validHandle(a), serverpool.OK, ""), Decode)
 }
 
-// handleOf is the handle that a prefill is to leave.
-func handleOf(a Decision) serverpool.Handle {
+// validHandle returns the valid handle for a prefill call.
+func validHandle(a Decision) serverpool.Handle {
 	return serverpool.Handle{
 		ID: "h", Request: a.RequestID, Attempt: a.Attempt, PrefillServer: a.Addr,
 		RecordVersion: a.PrefillCall.RecordVersion,
@@ -99,23 +98,23 @@
 	return serverpool.Piece{Request: a.RequestID, RunID: a.DecodeCall.RunID, Number: n}
 }
 
-func TestRequestGoesFromPrefillToFinish(t *testing.T) {
+func TestRequestFinishesAfterPrefillAndDecode(t *testing.T) {
 	h := newHarness()
-	a := h.decoding(t, "r", "")
+	a := h.startDecode(t, "r", "")
 	for n := 0; n < 2; n++ {
-		one(t, h.PieceReceived(h.now, "r", a.Attempt, piece(a, n)), SendPiece)
+		mustFind(t, h.PieceReceived(h.now, "r", a.Attempt, piece(a, n)), SendPiece)
 	}
 	end := serverpool.Piece{Request: "r", RunID: a.DecodeCall.RunID, End: true, Count: 2}
 	o := h.PieceReceived(h.now, "r", a.Attempt, end)
-	one(t, o, SendPiece)
-	if e := one(t, o, Respond).Answer; e.Result != "finish" || h.InFlight() != 0 || len(h.Report().InFlight) != 0 {
-		t.Errorf("end %+v, %d open, held %v", e, h.InFlight(), h.Report().InFlight)
+	mustFind(t, o, SendPiece)
+	if e := mustFind(t, o, Respond).Answer; e.Result != "finish" || h.InFlight() != 0 || len(h.Report().InFlight) != 0 {
+		t.Errorf("answer %+v, %d requests in flight, slots in use %v", e, h.InFlight(), h.Report().InFlight)
 	}
 }
 
-// Whatever withdraws a server's record or the leases after it was picked, the
-// last look before the first byte sees it.
-func TestMaySendSeesEveryWithdrawal(t *testing.T) {
+// Guards against sending a call to a server whose record, plan, zone, lease or share became invalid
+// after the server was picked.
+func TestMaySendDetectsEveryInvalidation(t *testing.T) {
 	for what, change := range map[string]func(*harness){
 		"server record invalidated": func(h *harness) { delete(h.records, fleetconfig.ServerRecordKey("m", decode)) },
 		"list invalidated":          func(h *harness) { delete(h.records, fleetconfig.ListKey("m")) },
@@ -126,42 +125,41 @@
 		},
 		"share lapsed":  func(h *harness) { h.now += time.Hour },
 		"deadline over": func(h *harness) { h.now += 10 * time.Second },
-		"excluded":      func(h *harness) { h.plan(fleetconfig.Service{Name: "m", Exclude: []string{decode}}) },
+		"excluded":      func(h *harness) { h.setPlan(fleetconfig.Service{Name: "m", Exclude: []string{decode}}) },
 		"leaving listed": func(h *harness) {
-			h.list(fleetconfig.Server{Addr: decode, Zone: "a", Capacity: 2, Leaving: true})
+			h.setServers(fleetconfig.Server{Addr: decode, Zone: "a", Capacity: 2, Leaving: true})
 		},
 	} {
 		h := newHarness()
-		a := h.decoding(t, "r", "")
+		a := h.startDecode(t, "r", "")
 		if !h.MaySend(h.now, a) {
-			t.Fatalf("%s: no ground to begin with", what)
+			t.Fatalf("%s: MaySend is false before the change", what)
 		}
 		change(h)
 		if h.MaySend(h.now, a) {
-			t.Errorf("%s: not seen", what)
+			t.Errorf("%s: MaySend is still true after the change", what)
 		}
 	}
 }
 
-func (h *harness) plan(s fleetconfig.Service) {
+func (h *harness) setPlan(s fleetconfig.Service) {
 	h.put(fleetconfig.PlanKey, 9, fleetconfig.Plan{Version: 2, Services: []fleetconfig.Service{s}})
 }
 
-func (h *harness) list(s fleetconfig.Server) {
+func (h *harness) setServers(s fleetconfig.Server) {
 	h.put(fleetconfig.ListKey("m"), 9, fleetconfig.List{Servers: []fleetconfig.Server{s}})
 }
 
-// A once request whose decode was sent and lost is told "uncertain", its key
-// stays claimed; one that was turned away for certain is told "refused" and gives
-// its key back.
+// A request with a once key whose decode was sent and lost must end as uncertain and keep its claim, since it
+// may have run. One whose decode was rejected or never sent must end as refused and release its claim.
 func TestLostDecodeIsUncertainNeverRefused(t *testing.T) {
 	for out, want := range map[serverpool.Outcome]string{
 		serverpool.Lost: "uncertain", serverpool.Refused: "shed", serverpool.NotSent: "shed",
 	} {
 		h := newHarness()
-		a := h.decoding(t, "r", "k")
+		a := h.startDecode(t, "r", "k")
 		o := h.DecodeDone(h.now, "r", a.Attempt, out, "x")
-		e := one(t, o, Respond).Answer
+		e := mustFind(t, o, Respond).Answer
 		settled := ""
 		for _, x := range o.Decisions {
 			if x.Action == SettleClaim {
@@ -169,36 +167,36 @@
 			}
 		}
 		if e.Result != want || e.RetryAfter <= 0 || (want == "shed") != (settled == "shed") {
-			t.Errorf("outcome %d: %+v, key settled %q", out, e, settled)
+			t.Errorf("outcome %d: answer %+v, claim settled as %q", out, e, settled)
 		}
 	}
 }
 
-func TestStuckClientIsBrokenOff(t *testing.T) {
+func TestStalledClientIsDisconnected(t *testing.T) {
 	h := newHarness()
-	a := h.decoding(t, "r", "")
+	a := h.startDecode(t, "r", "")
 	h.PieceReceived(h.now, "r", a.Attempt, piece(a, 0))
 	h.PiecesTaken(h.now, "r", 1)
 	h.PieceReceived(h.now, "r", a.Attempt, piece(a, 1))
 	h.now += 1900 * time.Millisecond
 	if o := h.Tick(h.now); len(o.Decisions) > 0 {
-		t.Fatalf("broken off too early: %+v", o.Decisions)
+		t.Fatalf("stream aborted before the stall timeout: %+v", o.Decisions)
 	}
 	h.now += 200 * time.Millisecond
 	o := h.Tick(h.now)
-	one(t, o, CancelCall)
-	if e := one(t, o, Respond).Answer; e.Result != "break" || !e.ClientStalled || len(h.Report().InFlight) != 0 {
-		t.Errorf("%+v, held %v", e, h.Report().InFlight)
+	mustFind(t, o, CancelCall)
+	if e := mustFind(t, o, Respond).Answer; e.Result != "break" || !e.ClientStalled || len(h.Report().InFlight) != 0 {
+		t.Errorf("answer %+v, slots in use %v", e, h.Report().InFlight)
 	}
 }
 
-// One input at a time is mutated: late, twice, of another call, of a request
-// that is over or was never here. None does anything.
-func TestStrayInputsDoNothing(t *testing.T) {
+// Inputs that are late or repeated, or belong to another call or to a finished or unknown request, must be
+// ignored. Pieces and handles with one wrong field must be rejected.
+func TestStrayInputsAreIgnored(t *testing.T) {
 	h := newHarness()
-	a := h.decoding(t, "r", "")
+	a := h.startDecode(t, "r", "")
 	handle := serverpool.Handle{ID: "h", Request: "r", Attempt: 1, PrefillServer: prefill}
-	stray := func(when string) {
+	expectIgnored := func(when string) {
 		for what, o := range map[string]Out{
 			"claim":         h.ClaimDone(h.now, "r", 200, nil),
 			"early handle":  h.PrefillDone(h.now, "r", a.Attempt-1, handle, serverpool.OK, ""),
@@ -214,12 +212,12 @@
 		}
 		h.PiecesTaken(h.now, "x", 3)
 	}
-	stray("calling")
+	expectIgnored("calling")
 	h.PieceReceived(h.now, "r", a.Attempt, piece(a, 0))
-	stray("streaming")
-	one(t, h.DecodeDone(h.now, "r", a.Attempt, serverpool.Lost, "cut"), Respond)
-	stray("over")
-	// A piece with one field changed ends the stream instead of going out.
+	expectIgnored("streaming")
+	mustFind(t, h.DecodeDone(h.now, "r", a.Attempt, serverpool.Lost, "cut"), Respond)
+	expectIgnored("over")
+	// A piece with one wrong field must abort the stream instead of being sent.
 	for what, mutate := range map[string]func(*serverpool.Piece){
 		"request": func(p *serverpool.Piece) { p.Request = "s" },
 		"run":     func(p *serverpool.Piece) { p.RunID += "x" },
@@ -229,17 +227,17 @@
 		"early":   func(p *serverpool.Piece) { p.End, p.Count = true, 2 },
 	} {
 		h := newHarness()
-		a := h.decoding(t, "r", "")
+		a := h.startDecode(t, "r", "")
 		h.PieceReceived(h.now, "r", a.Attempt, piece(a, 0))
 		p := piece(a, 1)
 		mutate(&p)
 		o := h.PieceReceived(h.now, "r", a.Attempt, p)
-		one(t, o, CancelCall)
-		if e := one(t, o, Respond).Answer; e.Result != "break" {
+		mustFind(t, o, CancelCall)
+		if e := mustFind(t, o, Respond).Answer; e.Result != "break" {
 			t.Errorf("%s: %+v", what, e)
 		}
 	}
-	// A handle with one field changed is a failed hand-over.
+	// A handle with one wrong field must count as a failed handoff.
 	for what, mutate := range map[string]func(*serverpool.Handle){
 		"request": func(handle *serverpool.Handle) { handle.Request = "s" },
 		"attempt": func(handle *serverpool.Handle) { handle.Attempt++ },
@@ -248,12 +246,12 @@
 		"empty":   func(handle *serverpool.Handle) { handle.ID = "" },
 	} {
 		h := newHarness()
-		a := one(t, h.start("r", ""), Prefill)
-		handle := handleOf(a)
+		a := mustFind(t, h.start("r", ""), Prefill)
+		handle := validHandle(a)
 		mutate(&handle)
 		for _, x := range h.PrefillDone(h.now, "r", a.Attempt, handle, serverpool.OK, "").Decisions {
 			if x.Action == Decode {
-				t.Errorf("%s: a decode server was called with it", what)
+				t.Errorf("%s: the handle was passed to a decode server", what)
 			}
 		}
 	}
--- a/traffic/scheduler/servers.go
+++ b/traffic/scheduler/servers.go
@@ -8,21 +8,21 @@
 	"mulleinmast/wire/message"
 )
 
-// parsedRecord is a server's record, parsed once a version.
+// parsedRecord is a server's record, parsed once per version.
 type parsedRecord struct {
 	version message.Version
 	record  placement.ServerRecord
 	valid   bool
 }
 
-// serverList is a service's list of servers, parsed once a version.
+// serverList is a service's list of servers, parsed once per version.
 type serverList struct {
 	version message.Version
 	byAddr  map[string]fleetconfig.Server
 }
 
-// refreshServers reads the servers from the lease cache; without valid leases there are
-// none. Backoffs that are over end.
+// refreshServers rebuilds the set of servable servers from the lease cache, which is empty without valid
+// leases, and removes expired backoffs.
 func (d *Dispatcher) refreshServers(now time.Duration) {
 	clear(d.servable)
 	if rec, ok := d.source(d.partition, fleetconfig.ListKey(d.service)); ok {
@@ -40,7 +40,7 @@
 	}
 }
 
-// parseList makes the list of servers that of the record.
+// parseList parses the list of servers unless its version is already parsed.
 func (d *Dispatcher) parseList(rec message.Record) {
 	if d.list.byAddr != nil && d.list.version == rec.Version {
 		return
@@ -51,8 +51,8 @@
 	}
 }
 
-// parseServer reads a server's record.
-func (d *Dispatcher) parseServer(addr string, rec message.Record) parsedRecord {
+// parseServerRecord returns a server's parsed record, from the cache if its version is already parsed.
+func (d *Dispatcher) parseServerRecord(addr string, rec message.Record) parsedRecord {
 	p, known := d.records[addr]
 	if !known || p.version != rec.Version {
 		p.version = rec.Version
@@ -62,17 +62,17 @@
 	return p
 }
 
-// servableRecord is a server's record if the server may get new work now: both leases are
-// valid, it is listed and has a role, it is not leaving nor excluded, and its zone is in
+// servableRecord returns a server's record, and whether the server may get new work now: both leases are
+// valid, the server is listed and has a role, it is neither leaving nor excluded, and its zone is in
 // service.
 func (d *Dispatcher) servableRecord(addr string) (record placement.ServerRecord, ok bool) {
 	rec, ok := d.source(d.partition, fleetconfig.ServerRecordKey(d.service, addr))
 	if !ok {
 		return record, false
 	}
-	parsed := d.parseServer(addr, rec)
+	parsed := d.parseServerRecord(addr, rec)
 	record = parsed.record
-	if !parsed.valid || !takesWork(record) {
+	if !parsed.valid || !acceptsNewWork(record) {
 		return record, false
 	}
 	list, ok := d.source(d.partition, fleetconfig.ListKey(d.service))
@@ -80,22 +80,22 @@
 		return record, false
 	}
 	allowed := d.isAllowed(addr, record.Zone)
-	return record, allowed && d.staysListed(list, addr)
+	return record, allowed && d.isListed(list, addr)
 }
 
-// takesWork tells whether a server is up, or warming, in the role it is to keep.
-func takesWork(r placement.ServerRecord) bool {
+// acceptsNewWork reports whether a server is up or warming and not about to change its role.
+func acceptsNewWork(r placement.ServerRecord) bool {
 	return r.NextRole == "" && (r.Status == placement.Up || r.Status == placement.Warming)
 }
 
-// staysListed tells whether the list has a server, and it is to stay.
-func (d *Dispatcher) staysListed(list message.Record, addr string) bool {
+// isListed reports whether a server is in the list and not marked as leaving.
+func (d *Dispatcher) isListed(list message.Record, addr string) bool {
 	d.parseList(list)
 	server, ok := d.list.byAddr[addr]
 	return ok && !server.Leaving
 }
 
-// isAllowed tells whether zones and plan let a server serve.
+// isAllowed reports whether the server's zone is in service and the plan doesn't exclude the server.
 func (d *Dispatcher) isAllowed(addr, zone string) bool {
 	zones, okZones := d.source(0, fleetconfig.ZoneKey)
 	plan, okPlan := d.source(0, fleetconfig.PlanKey)
@@ -108,9 +108,9 @@
 	return !d.plan.excluded[d.service][addr]
 }
 
-// servableFor is a server's record, and whether the record and the share that a call to
-// the server in this role rests on are valid now.
-func (d *Dispatcher) servableFor(now time.Duration, addr, role string) (placement.ServerRecord, bool) {
+// servableInRole returns a server's record, and whether a call to the server in this role is allowed now:
+// the server is servable, has the role, and this daemon's share of slots is valid.
+func (d *Dispatcher) servableInRole(now time.Duration, addr, role string) (placement.ServerRecord, bool) {
 	record, ok := d.servableRecord(addr)
 	return record, ok && record.Role == role && d.queue.HasValidShare(now)
 }
--- a/traffic/scheduler/timeout.go
+++ b/traffic/scheduler/timeout.go
@@ -8,50 +8,50 @@
 	"mulleinmast/traffic/slots"
 )
 
-// checkTimeouts ends what a request has waited for too long.
+// checkTimeouts applies the timeout of the request's current stage.
 func (d *Dispatcher) checkTimeouts(now time.Duration, r *pendingRequest, out *Out) {
 	switch r.stage {
 	case queued:
 		d.checkQueued(now, r, out)
 	case calling:
-		if now >= r.callUntil || now >= r.Deadline {
-			d.callTimedOut(now, r, out)
+		if now >= r.callDeadline || now >= r.Deadline {
+			d.timeOutCall(now, r, out)
 		}
 	case streaming:
 		d.checkStream(now, r, out)
 	}
 }
 
-// checkQueued gives a request up that has had no server to go to for too long.
+// checkQueued gives up a queued request that has had no suitable server for too long.
 func (d *Dispatcher) checkQueued(now time.Duration, r *pendingRequest, out *Out) {
-	noView := !d.queue.HasValidShare(now) || len(d.servable) == 0
-	if !noView && d.canBeServed(r) {
-		r.servableAt = now
+	noLeasesOrShare := !d.queue.HasValidShare(now) || len(d.servable) == 0
+	if !noLeasesOrShare && d.canBeServed(r) {
+		r.lastServableAt = now
 	}
-	if now-r.servableAt <= d.cfg.MaxWait && now < r.Deadline {
+	if now-r.lastServableAt <= d.cfg.MaxWait && now < r.Deadline {
 		return
 	}
 	why := "no server left that it could go to"
-	if noView {
+	if noLeasesOrShare {
 		why = "no valid leases or share here"
 	}
 	d.queue.Remove(r.queueEntry)
 	d.giveUp(now, r, why, out)
 }
 
-// callTimedOut ends a call with no answer.
-func (d *Dispatcher) callTimedOut(now time.Duration, r *pendingRequest, out *Out) {
+// timeOutCall cancels a call that was not answered in time.
+func (d *Dispatcher) timeOutCall(now time.Duration, r *pendingRequest, out *Out) {
 	r.cancelCall(out)
 	if r.phase == slots.Prefill {
-		d.prefillEnded(now, r, serverpool.Handle{}, serverpool.Lost, "no answer in time", out)
+		d.finishPrefill(now, r, serverpool.Handle{}, serverpool.Lost, "no answer in time", out)
 	} else {
-		d.decodeEnded(now, r, serverpool.Lost, "no first piece in time", out)
+		d.finishDecode(now, r, serverpool.Lost, "no first piece in time", out)
 	}
 }
 
-// checkStream breaks a stream off whose deadline passed, or whose client takes nothing.
+// checkStream aborts a stream whose deadline has passed or whose client has stalled.
 func (d *Dispatcher) checkStream(now time.Duration, r *pendingRequest, out *Out) {
-	stalled := r.piecesSent > r.piecesTaken && now-r.takenAt > d.cfg.StallTimeout
+	stalled := r.piecesSent > r.piecesTaken && now-r.lastTakenAt > d.cfg.StallTimeout
 	if !stalled && now < r.Deadline {
 		return
 	}
@@ -61,10 +61,10 @@
 	}
 	d.abandon(now, r, why, out)
 	d.counts.Broken++
-	d.release(now, r, Answer{Result: ResultBreak, Reason: why, ClientStalled: stalled}, out)
+	d.respond(now, r, Answer{Result: ResultBreak, Reason: why, ClientStalled: stalled}, out)
 }
 
-// ClientGone tells that the client went away.
+// ClientGone ends a request whose client has disconnected.
 //
 // Example: out := d.ClientGone(now, id)
 func (d *Dispatcher) ClientGone(now time.Duration, id string) (out Out) {
@@ -79,12 +79,12 @@
 	if r.attempts.AtMostOnce && !r.attempts.MayHaveRun() {
 		out.add(r.claim(SettleClaim, claimReleased))
 	}
-	d.release(now, r, Answer{Result: ResultGone, Reason: why}, &out)
-	d.takeSlots(now, &out)
+	d.respond(now, r, Answer{Result: ResultGone, Reason: why}, &out)
+	d.processQueueResults(now, &out)
 	return out
 }
 
-// abandon takes a request out of the queue, or ends its call.
+// abandon removes a request from the queue or cancels its call.
 func (d *Dispatcher) abandon(now time.Duration, r *pendingRequest, why string, out *Out) {
 	switch r.stage {
 	case queued:
--- a/traffic/scheduler/types.go
+++ b/traffic/scheduler/types.go
@@ -1,13 +1,13 @@
-// Package scheduler decides what becomes of each request of one service on one
-// daemon: queue, prefill, handoff of the KV cache, decode, stream, answer. It is a plain
-// state machine: it takes requests, shares, outcomes of calls and time, and
-// returns decisions: calls, pieces and answers. The native API carries them out over
-// HTTP, the simulator over simulated servers.
+// Package scheduler schedules the requests of one service on one daemon: queueing, prefill,
+// handoff of the KV cache, decode, streaming and the answer. It is a pure state machine: its
+// inputs are requests, shares, outcomes of calls and the time, its outputs are decisions to
+// make calls, send pieces and answer clients. The native API executes them over HTTP, the
+// simulator on simulated servers.
 //
-// The files: dispatcher.go is the machine and its inputs from the leader and the clock,
-// servers.go the view of the records, request.go a request from its start to each next
-// decision, call.go the calls to servers, stream.go the answer's pieces, timeout.go what
-// is given up, finish.go the answers, pick.go the choice of a server, plan.go admission.
+// Files: dispatcher.go has the state machine and its inputs from the leader and the clock,
+// servers.go the servable servers, request.go the start and the next step of a request,
+// call.go the calls to servers, stream.go the pieces of an answer, timeout.go timeouts and
+// canceled requests, finish.go the answers, pick.go the choice of a server, plan.go admission.
 package scheduler
 
 import (
@@ -19,101 +19,101 @@
 	"mulleinmast/wire/message"
 )
 
-// Config holds the bounds a dispatcher works by.
+// Config holds a dispatcher's limits and timeouts.
 type Config struct {
 	Queue            slots.Config
-	RetryRatio       float64       // retries over first sends in every RetryWindow
+	RetryRatio       float64       // maximum ratio of retries to first sends within RetryWindow
 	RetryWindow      time.Duration // see attempt.Bucket
-	MaxAttempts      int           // of each phase of a request
-	MaxWait          time.Duration // that a request waits for leases, a share and servers
-	FailureBackoff   time.Duration // a server that failed is passed over for so long
-	RejectionBackoff time.Duration // and one that rejected a request
-	StallTimeout     time.Duration // a client that takes no piece for so long is cut off
-	MaxPiecesAhead   int           // pieces sent on that the client has not taken
-	RetryAfter       time.Duration // when to come back, where nothing better is known
-	MaxPrefixes      int           // prefixes remembered
+	MaxAttempts      int           // maximum per phase of a request
+	MaxWait          time.Duration // longest wait of a request for leases, a share and servers
+	FailureBackoff   time.Duration // how long a server that failed is not picked
+	RejectionBackoff time.Duration // how long a server that rejected a request is not picked
+	StallTimeout     time.Duration // a client that takes no piece for this long is disconnected
+	MaxPiecesAhead   int           // maximum of forwarded pieces that the client has not taken
+	RetryAfter       time.Duration // default for Answer.RetryAfter
+	MaxPrefixes      int           // maximum number of prefixes in the prefix index
 }
 
-// Source reads a record under valid leases.
+// Source reads a record. It reports false without valid leases.
 type Source func(partition int, key string) (message.Record, bool)
 
-// Request is one request as the plan admits it.
+// Request is a request admitted by the plan.
 type Request struct {
 	ID            string
 	Tenant        string
 	Model         string
-	Priority      int           // 0 is first, 9 last
-	QueueFraction float64       // of the queue that its tenant may fill
+	Priority      int           // 0 is the most urgent, 9 the least
+	QueueFraction float64       // fraction of the queue that the tenant may fill
 	Deadline      time.Duration // on the daemon's clock
-	Tokens        int           // of the answer, at most
-	OnceKey       string        // the request runs at most once under this key; "": it may run again
+	Tokens        int           // maximum tokens of the answer
+	OnceKey       string        // the request runs at most once under this key; "" allows reruns
 	Parts         []serverpool.Part
 }
 
-// Action says what a decision asks for.
+// Action is the kind of a decision.
 type Action uint8
 
-// The actions.
+// Actions.
 const (
 	Claim       Action = iota + 1 // claim the once key
-	SettleClaim                   // record what became of the claimed request
+	SettleClaim                   // record the result of the claimed request
 	Prefill                       // call a prefill server
 	Decode                        // call a decode server and read its stream
-	CancelCall                    // end the call of this attempt
+	CancelCall                    // cancel the call of this attempt
 	SendPiece                     // send a piece to the client
-	Respond                       // final: answer the client
+	Respond                       // answer the client; the request's last decision
 )
 
-// String names an action, as histories have it.
+// String returns the action's name in histories.
 //
 // Example: scheduler.Prefill.String() == "prefill"
-func (k Action) String() string {
-	return [...]string{"none", "claim", "settle", "prefill", "decode", "cut", "pass", "reply"}[k]
+func (a Action) String() string {
+	return [...]string{"none", "claim", "settle", "prefill", "decode", "cut", "pass", "reply"}[a]
 }
 
-// The states of a claim, as they are stored under its once key.
+// States of a claim, as stored under its once key.
 const (
 	claimTaken    = "claimed"
 	claimReleased = "shed" // the request has not run; the key may be used again
 	claimDone     = "done"
 )
 
-// Decision is something to carry out for a request.
+// Decision is an instruction to execute for a request.
 type Decision struct {
 	RequestID   string
 	Action      Action
-	Attempt     int                       // the attempt's number, to come back with its outcome
-	Addr        string                    // of a Prefill and a Decode: the server's address
-	PrefillCall serverpool.PrefillRequest // of a Prefill
-	DecodeCall  serverpool.DecodeRequest  // of a Decode
-	Timeout     time.Duration             // of a call
-	Piece       serverpool.Piece          // of a SendPiece
-	OnceKey     string                    // of a claim, with its tenant
-	ClaimState  string
-	Answer      Answer // of a Respond
+	Attempt     int                       // attempt number, to be returned with the outcome
+	Addr        string                    // server address of a Prefill or Decode
+	PrefillCall serverpool.PrefillRequest // for Prefill
+	DecodeCall  serverpool.DecodeRequest  // for Decode
+	Timeout     time.Duration             // for Prefill and Decode
+	Piece       serverpool.Piece          // for SendPiece
+	OnceKey     string                    // for Claim and SettleClaim, qualified by the tenant
+	ClaimState  string                    // for Claim and SettleClaim
+	Answer      Answer                    // for Respond
 }
 
-// The results of requests, as clients and histories see them; attempt.Move has the others.
+// Results of requests, as clients and histories see them; attempt.Move defines the others.
 const (
 	ResultFinish    = "finish"
 	ResultUncertain = "uncertain"
 	ResultBreak     = "break"
 	ResultDuplicate = "duplicate"
-	ResultGone      = "gone" // the client went away
+	ResultGone      = "gone" // the client disconnected
 )
 
-// Answer is the end of a request.
+// Answer is the final result of a request.
 type Answer struct {
-	Result        string // one of the results
-	Status        int    // the HTTP status; 0 where none is sent any more
+	Result        string // a Result constant or the name of a final attempt.Move
+	Status        int    // HTTP status; 0 if no status is sent
 	Reason        string
 	RetryAfter    time.Duration
-	Body          []byte // of a duplicate: what the partition's leader answered
-	ClientStalled bool   // the client takes nothing: its connection is to be cut
+	Body          []byte // for a duplicate: the leader's answer to its claim
+	ClientStalled bool   // the client takes no pieces: its connection must be closed
 	Trace         Trace
 }
 
-// Trace is a request as the query shell explains it.
+// Trace records how a request was handled, for the query shell.
 type Trace struct {
 	Request    string            `json:"request"`
 	Tenant     string            `json:"tenant"`
@@ -121,24 +121,24 @@
 	Result     string            `json:"result"`
 	Reason     string            `json:"why,omitempty"`
 	Attempts   []attempt.Attempt `json:"ledger"`
-	Picks      []string          `json:"choice,omitempty"` // the servers it was sent to, and why
+	Picks      []string          `json:"choice,omitempty"` // the servers that were picked, and why
 	TookMillis int64             `json:"took_ms"`
 }
 
-// Out is what a step asks for.
+// Out is the output of one input to the state machine.
 type Out struct {
 	Decisions  []Decision
-	NeedsSlots bool // the leader is to hear at once of what waits here
+	NeedsSlots bool // the leader must be notified of the demand at once
 }
 
-func (o *Out) add(m Decision) { o.Decisions = append(o.Decisions, m) }
+func (o *Out) add(decision Decision) { o.Decisions = append(o.Decisions, decision) }
 
-// Counts are a dispatcher's numbers.
+// Counts are a dispatcher's counters.
 type Counts struct {
-	FirstSends, Retries              int64
-	Served, Refused, Unknown, Broken int64
-	Duplicates, Abandoned            int64
-	WastedPrefills                   int64 // of refused requests
-	CachedParts, PromptParts         int64 // parts that prefill servers had cached, and all parts that they read
-	RefusedByReason                  map[string]int64
+	FirstSends, Retries                int64
+	Served, Refused, Uncertain, Broken int64
+	Duplicates, Abandoned              int64
+	WastedPrefills                     int64 // prefills of requests that were refused later
+	CachedParts, PromptParts           int64 // prompt parts found in prefill servers' caches, and all prompt parts
+	RefusedByReason                    map[string]int64
 }
