--- a/traffic/nativeapi/dispatcher.go
+++ b/traffic/nativeapi/dispatcher.go
@@ -11,18 +11,18 @@
 	"mulleinmast/traffic/scheduler"
 )
 
-// dispatcher is one service's shard: the state machine under its lock.
+// dispatcher is the state machine of one service with the lock that guards it.
 type dispatcher struct {
 	partition int
-	wake      chan struct{} // there are requests that need slots
+	wake      chan struct{} // signals that requests need slots
 
 	mu sync.Mutex // guards all below
 	*scheduler.Dispatcher
-	streams map[string]*stream // by request id
+	streams map[string]*stream // by request ID
 }
 
-// dispatcherOf is the dispatcher of a service; it begins with the first request.
-func (a *API) dispatcherOf(service string) *dispatcher {
+// dispatcherFor returns the dispatcher of a service, which is created for the service's first request.
+func (a *API) dispatcherFor(service string) *dispatcher {
 	if d, ok := a.dispatchers.Load(service); ok {
 		return d.(*dispatcher)
 	}
@@ -35,25 +35,24 @@
 	stored, loaded := a.dispatchers.LoadOrStore(service, d)
 	if !loaded {
 		a.daemon.Pin(partition, fleetconfig.ListKey(service))
-		go a.keepShare(d)
+		go a.renewShare(d)
 	}
 	return stored.(*dispatcher)
 }
 
-// allDispatchers iterates over the dispatchers.
 func (a *API) allDispatchers() iter.Seq[*dispatcher] {
 	return func(yield func(*dispatcher) bool) {
 		a.dispatchers.Range(func(_, v any) bool { return yield(v.(*dispatcher)) })
 	}
 }
 
-// step runs one input through a dispatcher and hands its decisions to the streams.
+// step applies one input to a dispatcher and passes the resulting decisions to the streams.
 func (a *API) step(d *dispatcher, input func(now time.Duration) scheduler.Out) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := input(a.daemon.Now())
-	for _, m := range out.Decisions {
-		a.route(d, m)
+	for _, decision := range out.Decisions {
+		a.routeDecision(d, decision)
 	}
 	if out.NeedsSlots {
 		select {
@@ -63,32 +62,33 @@
 	}
 }
 
-// route hands a decision to its request's stream; the dispatcher is locked.
-func (a *API) route(d *dispatcher, m scheduler.Decision) {
-	if m.Action == scheduler.SettleClaim {
-		go a.settleClaim(d, m) // goes on when its request has been answered
+// routeDecision passes a decision to its request's stream. The caller holds the dispatcher's lock.
+func (a *API) routeDecision(d *dispatcher, decision scheduler.Decision) {
+	if decision.Action == scheduler.SettleClaim {
+		go a.settleClaim(d, decision) // continues after the request has been answered
 		return
 	}
-	s := d.streams[m.RequestID]
+	s := d.streams[decision.RequestID]
 	if s == nil {
 		return
 	}
-	switch m.Action {
+	switch decision.Action {
 	case scheduler.CancelCall:
-		s.cancelCall(m.Attempt)
+		s.cancelCall(decision.Attempt)
 		return
 	case scheduler.Respond:
-		a.traces.add(m.Answer.Trace)
-		delete(d.streams, m.RequestID)
-		if m.Answer.ClientStalled {
-			s.unblock()
+		a.traces.add(decision.Answer.Trace)
+		delete(d.streams, decision.RequestID)
+		if decision.Answer.ClientStalled {
+			s.abortWrite()
 		}
 	}
-	s.put(m)
+	s.enqueue(decision)
 }
 
-// keepShare keeps a dispatcher's share of slots fresh and its queue moving.
-func (a *API) keepShare(d *dispatcher) {
+// renewShare renews a dispatcher's share of slots, ticks the dispatcher and pins the records that it reads,
+// until the daemon stops.
+func (a *API) renewShare(d *dispatcher) {
 	interval := a.daemon.Cfg.PlacementConfig().ShareLength / 8
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -117,28 +117,28 @@
 	}
 }
 
-// addStream has decisions on a request go to its stream.
+// addStream registers a stream for its request's decisions.
 func (d *dispatcher) addStream(s *stream) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.streams[s.request.ID] = s
 }
 
-// piecesTaken tells how many pieces a client has taken.
+// piecesTaken records how many pieces a client has taken.
 func (d *dispatcher) piecesTaken(now time.Duration, id string, pieces int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.PiecesTaken(now, id, pieces)
 }
 
-// claimCall is the body of the call to the leader that a decision on a once key asks for.
-func (a *API) claimCall(m scheduler.Decision) []byte {
-	claim := leadercall.Claim{Request: m.RequestID, Daemon: a.daemon.Cfg.HTTPAddr, State: m.ClaimState}
-	return leadercall.Pack(leader.ClaimCall{Key: m.OnceKey, Claim: claim})
+// claimBody returns the body of the call to the leader for a Claim or SettleClaim decision.
+func (a *API) claimBody(decision scheduler.Decision) []byte {
+	claim := leadercall.Claim{Request: decision.RequestID, Daemon: a.daemon.Cfg.HTTPAddr, State: decision.ClaimState}
+	return leadercall.Pack(leader.ClaimCall{Key: decision.OnceKey, Claim: claim})
 }
 
-// settleClaim records what became of a claimed request. It is tried for long,
-// since a key that was refused and stays claimed can't be used again.
-func (a *API) settleClaim(d *dispatcher, m scheduler.Decision) {
-	a.daemon.Call(a.ctx, d.partition, "unclaim", a.claimCall(m), a.daemon.Cfg.Bounds.Recover)
+// settleClaim records the result of a claimed request at the leader. It keeps trying for the long recovery
+// timeout, because the key of a refused request can't be used again while it stays claimed.
+func (a *API) settleClaim(d *dispatcher, decision scheduler.Decision) {
+	a.daemon.Call(a.ctx, d.partition, "unclaim", a.claimBody(decision), a.daemon.Cfg.Bounds.Recover)
 }
--- a/traffic/nativeapi/nativeapi.go
+++ b/traffic/nativeapi/nativeapi.go
@@ -1,9 +1,9 @@
-// Package nativeapi is the clients' side of the daemon over HTTP. It carries out
-// what traffic/scheduler decides: claims, calls to servers, pieces and answers.
+// Package nativeapi is the daemon's native HTTP API for clients. It executes the
+// decisions of traffic/scheduler: claims, calls to servers, pieces and answers.
 //
-// The files: nativeapi.go is the API and its settings, dispatcher.go the state machine of
-// a service under its lock, request.go the reading of a request, stream.go the client's
-// side of one request, calls.go its calls, status.go what operators are shown.
+// Files: nativeapi.go has the API and its settings, dispatcher.go the locked state machine
+// of a service, request.go the parsing and validation of requests, stream.go the client
+// side of one request, calls.go its calls to servers, status.go traces, state and metrics.
 package nativeapi
 
 import (
@@ -21,28 +21,28 @@
 const (
 	maxBodyBytes = 4 << 20
 	maxParts     = 256
-	maxTraces    = 256 // requests that are kept for the query shell
+	maxTraces    = 256 // requests whose traces are kept for the query shell
 
-	dialTimeoutRatio = 0.25 // of the plan bound: connecting to a model server
+	dialTimeoutRatio = 0.25 // timeout for connecting to a model server, as a fraction of the plan bound
 )
 
-// API serves clients by the product's own calls.
+// API serves clients over the native HTTP protocol.
 type API struct {
 	daemon      *daemon.Daemon
 	client      *serverpool.Client
-	dispatchers sync.Map // service -> *dispatcher
+	dispatchers sync.Map // *dispatcher by service
 	plan        atomic.Pointer[scheduler.PlanIndex]
-	ctx         context.Context // ends with the daemon
+	ctx         context.Context // canceled when the daemon stops
 
 	badRequests  atomic.Int64
-	refusedEarly atomic.Int64 // before they came to a dispatcher
+	refusedEarly atomic.Int64 // requests refused before they reached a dispatcher
 	inFlight     atomic.Int64
 
 	traces traceRing
 }
 
-// New lays out the clients' calls on the daemon's mux, and makes the daemon's
-// own calls to model servers unless the caller sets others.
+// New registers the API's handlers on the daemon's mux. It also sets the client for the daemon's own calls to
+// model servers, which the caller may replace.
 //
 // Example: api := nativeapi.New(ctx, d)
 func New(ctx context.Context, d *daemon.Daemon) *API {
@@ -56,12 +56,12 @@
 	return a
 }
 
-// Open is the number of requests under way.
+// Open returns the number of unfinished requests.
 //
 // Example: for api.Open() > 0 { wait() }
 func (a *API) Open() int64 { return a.inFlight.Load() }
 
-// Config is a dispatcher's bounds, as ratios to those in the config.
+// Config derives a dispatcher's limits and timeouts from the daemon's config.
 //
 // Example: d := scheduler.New(nativeapi.Config(cfg), service, partition, read, term)
 func Config(c daemon.Config) scheduler.Config {
--- a/traffic/nativeapi/nativeapi_test.go
+++ b/traffic/nativeapi/nativeapi_test.go
@@ -11,44 +11,44 @@
 	"mulleinmast/traffic/serverpool"
 )
 
-// A good request is changed in one place at a time; each change is named.
-func TestEveryFaultOfARequestIsNamed(t *testing.T) {
-	good := func() scheduler.ClientRequest {
+// Each invalid field must be reported under its own name, and corrupt bodies must be rejected.
+func TestEveryInvalidFieldIsReported(t *testing.T) {
+	validRequest := func() scheduler.ClientRequest {
 		return scheduler.ClientRequest{Model: "m", Tenant: "t", Parts: []serverpool.Part{{Text: "x"}}, Tokens: 3}
 	}
-	if f := check(good()); f.Any() {
+	if f := validate(validRequest()); f.Any() {
 		t.Fatal(f)
 	}
-	spent := int64(0)
-	for where, change := range map[string]func(*scheduler.ClientRequest){
+	zero := int64(0)
+	for prefix, change := range map[string]func(*scheduler.ClientRequest){
 		"model":           func(q *scheduler.ClientRequest) { q.Model = "" },
 		"tenant":          func(q *scheduler.ClientRequest) { q.Tenant = "" },
 		"parts: missing":  func(q *scheduler.ClientRequest) { q.Parts = nil },
 		"parts: the":      func(q *scheduler.ClientRequest) { q.Parts[0].Text = "" },
 		"parts: 300":      func(q *scheduler.ClientRequest) { q.Parts = make([]serverpool.Part, 300) },
 		"tokens: -1":      func(q *scheduler.ClientRequest) { q.Tokens = -1 },
-		"budget_ms: 0":    func(q *scheduler.ClientRequest) { q.TimeoutMillis = &spent },
+		"budget_ms: 0":    func(q *scheduler.ClientRequest) { q.TimeoutMillis = &zero },
 		"once: expected ": func(q *scheduler.ClientRequest) { q.OnceKey = "a/b" },
 	} {
-		q := good()
+		q := validRequest()
 		change(&q)
-		if f := check(q); len(f.List) != 1 || !strings.HasPrefix(f.List[0], where) {
-			t.Errorf("%s: got %v", where, f.List)
+		if f := validate(q); len(f.List) != 1 || !strings.HasPrefix(f.List[0], prefix) {
+			t.Errorf("expected one error with prefix %q, got %v", prefix, f.List)
 		}
 	}
-	body := leadercall.Pack(good())
-	broken := 0
+	body := leadercall.Pack(validRequest())
+	rejected := 0
 	for i := range body {
 		b := append([]byte(nil), body...)
 		b[i] = 'x'
 		var q scheduler.ClientRequest
-		if f := fleetconfig.Decode(b, &q); f.Any() || check(q).Any() {
-			broken++
+		if f := fleetconfig.Decode(b, &q); f.Any() || validate(q).Any() {
+			rejected++
 		} else if !json.Valid(b) {
-			t.Errorf("%s passes", b)
+			t.Errorf("invalid JSON was accepted: %s", b)
 		}
 	}
-	if broken < len(body)/2 {
-		t.Errorf("%d of %d mutations were named", broken, len(body))
+	if rejected < len(body)/2 {
+		t.Errorf("%d of %d corrupt bodies were rejected, expected at least half", rejected, len(body))
 	}
 }
--- a/traffic/nativeapi/stream.go
+++ b/traffic/nativeapi/stream.go
@@ -12,29 +12,29 @@
 	"mulleinmast/traffic/serverpool"
 )
 
-// stream is the HTTP side of one request: decisions come in, calls go out. What is not
-// guarded belongs to the handler's goroutine, or doesn't change.
+// stream is the HTTP side of one request: it executes the dispatcher's decisions. Fields that mu doesn't guard
+// are used only by the handler's goroutine or don't change.
 type stream struct {
 	api        *API
 	dispatcher *dispatcher
 	request    scheduler.Request
-	ctx        context.Context // ends with the client, or with its answer
+	ctx        context.Context // canceled when the client disconnects or has been answered
 	writer     http.ResponseWriter
-	control    *http.ResponseController
+	controller *http.ResponseController
 
 	piecesWritten int
-	wake          chan struct{} // there are decisions
-	ahead         chan struct{} // holds one element a piece that came and was not written
+	wake          chan struct{} // signals that there are decisions
+	unwritten     chan struct{} // holds one element per piece that was received and not yet written
 
 	mu        sync.Mutex // guards all below
 	decisions []scheduler.Decision
 	calls     map[int]context.CancelFunc // by attempt
 }
 
-// put adds a decision; it never waits.
-func (s *stream) put(m scheduler.Decision) {
+// enqueue adds a decision. It never blocks.
+func (s *stream) enqueue(decision scheduler.Decision) {
 	s.mu.Lock()
-	s.decisions = append(s.decisions, m)
+	s.decisions = append(s.decisions, decision)
 	s.mu.Unlock()
 	select {
 	case s.wake <- struct{}{}:
@@ -42,7 +42,7 @@
 	}
 }
 
-// takeDecisions fetches the decisions that were put since the last time.
+// takeDecisions removes and returns the queued decisions.
 func (s *stream) takeDecisions() []scheduler.Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,33 +51,33 @@
 	return decisions
 }
 
-// unblock ends a write that the client doesn't take.
-func (s *stream) unblock() { _ = s.control.SetWriteDeadline(time.Unix(1, 0)) }
+// abortWrite aborts a write that blocks because the client takes no data.
+func (s *stream) abortWrite() { _ = s.controller.SetWriteDeadline(time.Unix(1, 0)) }
 
-// serve sees a request through to its answer.
+// serve handles an admitted request until it is answered.
 func (a *API) serve(w http.ResponseWriter, httpRequest *http.Request, d *dispatcher, request scheduler.Request) {
 	ctx, cancel := context.WithCancel(httpRequest.Context())
 	defer cancel()
 	s := &stream{
-		api: a, dispatcher: d, request: request, ctx: ctx, writer: w, control: http.NewResponseController(w),
-		wake: make(chan struct{}, 1), ahead: make(chan struct{}, Config(a.daemon.Cfg).MaxPiecesAhead),
+		api: a, dispatcher: d, request: request, ctx: ctx, writer: w, controller: http.NewResponseController(w),
+		wake: make(chan struct{}, 1), unwritten: make(chan struct{}, Config(a.daemon.Cfg).MaxPiecesAhead),
 		calls: map[int]context.CancelFunc{},
 	}
 	w.Header().Set("X-Request", request.ID)
-	// Whatever is decided, no write outlives the deadline by much.
-	left := request.Deadline - a.daemon.Now() + a.daemon.Cfg.Bounds.Plan
-	_ = s.control.SetWriteDeadline(time.Now().Add(left))
-	defer func() { _ = s.control.SetWriteDeadline(time.Time{}) }() // the connection may carry another request
+	// Limits all writes to the plan bound after the request's deadline, whatever the dispatcher decides.
+	writeTimeout := request.Deadline - a.daemon.Now() + a.daemon.Cfg.Bounds.Plan
+	_ = s.controller.SetWriteDeadline(time.Now().Add(writeTimeout))
+	defer func() { _ = s.controller.SetWriteDeadline(time.Time{}) }() // the connection may be reused for another request
 	d.addStream(s)
 	s.step(func(now time.Duration) scheduler.Out { return d.Start(now, request) })
-	s.carryOut()
+	s.executeDecisions()
 }
 
-// step runs one input through the dispatcher.
+// step applies one input to the dispatcher.
 func (s *stream) step(input func(now time.Duration) scheduler.Out) { s.api.step(s.dispatcher, input) }
 
-// carryOut carries decisions out until the request is answered.
-func (s *stream) carryOut() {
+// executeDecisions executes decisions until the request is answered.
+func (s *stream) executeDecisions() {
 	clientGone := s.ctx.Done()
 	for {
 		select {
@@ -86,37 +86,37 @@
 			clientGone = nil
 			s.step(func(now time.Duration) scheduler.Out { return s.dispatcher.ClientGone(now, s.request.ID) })
 		}
-		for _, m := range s.takeDecisions() {
-			switch m.Action {
+		for _, decision := range s.takeDecisions() {
+			switch decision.Action {
 			case scheduler.Claim:
-				go s.claim(m)
+				go s.claim(decision)
 			case scheduler.Prefill:
-				go s.prefill(m)
+				go s.prefill(decision)
 			case scheduler.Decode:
-				go s.decode(m)
+				go s.decode(decision)
 			case scheduler.SendPiece:
-				s.sendPiece(m.Piece)
+				s.sendPiece(decision.Piece)
 			case scheduler.Respond:
-				s.respond(m.Answer)
+				s.respond(decision.Answer)
 				return
 			}
 		}
 	}
 }
 
-// sendPiece writes a piece to the client and makes place for another one.
+// sendPiece writes a piece to the client and lets readPieces read another one.
 func (s *stream) sendPiece(p serverpool.Piece) {
 	if s.writePiece(p) {
 		s.piecesWritten++
 		s.dispatcher.piecesTaken(s.api.daemon.Now(), s.request.ID, s.piecesWritten)
 	}
 	select {
-	case <-s.ahead:
+	case <-s.unwritten:
 	default:
 	}
 }
 
-// writePiece writes a piece; false: the client does not take it.
+// writePiece writes a piece and reports whether that succeeded.
 func (s *stream) writePiece(p serverpool.Piece) bool {
 	if s.piecesWritten == 0 {
 		s.writer.Header().Set("Content-Type", "application/x-ndjson")
@@ -125,17 +125,17 @@
 	if _, err := s.writer.Write(append(leadercall.Pack(p), '\n')); err != nil {
 		return false
 	}
-	return s.control.Flush() == nil
+	return s.controller.Flush() == nil
 }
 
-// respond ends the request. A stream that broke off is ended by an error piece
-// and a cut connection, so that it can't look whole.
+// respond answers the request. A stream that broke off ends with an error piece and a closed connection, so
+// that the client can't mistake it for a complete one.
 func (s *stream) respond(a scheduler.Answer) {
-	begun := s.piecesWritten > 0
+	started := s.piecesWritten > 0
 	switch {
 	case a.Result == scheduler.ResultFinish:
-	case a.Result == scheduler.ResultGone || begun || a.Result == scheduler.ResultBreak:
-		s.abort(a, begun)
+	case a.Result == scheduler.ResultGone || started || a.Result == scheduler.ResultBreak:
+		s.abort(a, started)
 	case a.Result == scheduler.ResultDuplicate:
 		daemon.Respond(s.writer, a.Status, a.Body)
 	default:
@@ -145,15 +145,15 @@
 	}
 }
 
-// abort cuts the connection.
-func (s *stream) abort(a scheduler.Answer, begun bool) {
-	if begun && !a.ClientStalled {
+// abort closes the connection, after an error piece if a stream had started and the client still takes data.
+func (s *stream) abort(a scheduler.Answer, started bool) {
+	if started && !a.ClientStalled {
 		last := serverpool.Piece{Request: s.request.ID, Number: -1, Error: a.Reason}
 		_, _ = s.writer.Write(append(leadercall.Pack(last), '\n'))
-		_ = s.control.Flush()
+		_ = s.controller.Flush()
 	}
 	if a.Result == scheduler.ResultBreak {
-		s.api.daemon.Events.Debug("stream", "broke off", "request", s.request.ID, "reason", a.Reason)
+		s.api.daemon.Events.Debug("stream", "stream aborted before its end", "request", s.request.ID, "reason", a.Reason)
 	}
 	panic(http.ErrAbortHandler)
 }
