--- a/traffic/apikey/apikey.go
+++ b/traffic/apikey/apikey.go
@@ -1,5 +1,5 @@
-// Package apikey finds the tenant that a client's key belongs to. Keys are secrets: an
-// index holds keyed hashes of them, and what it returns never has one.
+// Package apikey maps client API keys to tenants. Keys are secrets: an index stores only
+// keyed hashes of them, and no result of a lookup contains a key.
 package apikey
 
 import (
@@ -10,56 +10,56 @@
 	"mulleinmast/control/fleetconfig"
 )
 
-// secretBytes is the length of the secret that keys are hashed with.
+// secretBytes is the length of the HMAC secret.
 const secretBytes = 32
 
-// hash is the keyed hash of a client's key.
+// hash is the HMAC-SHA256 of a client's key.
 type hash [sha256.Size]byte
 
-// Hasher makes the hashes of one process: its secret is drawn at the start and never
-// leaves the process, so that nobody can make keys whose hashes collide, or learn a key by
-// how long a look-up takes.
+// Hasher computes keyed hashes for one process. Its secret is generated at start-up and
+// never leaves the process, so that an attacker can neither construct keys whose hashes
+// collide nor learn a key from the duration of a lookup.
 type Hasher struct{ secret [secretBytes]byte }
 
-// NewHasher draws a secret.
+// NewHasher returns a hasher with a new random secret.
 //
 // Example: h := apikey.NewHasher()
 func NewHasher() *Hasher {
 	h := &Hasher{}
-	_, _ = rand.Read(h.secret[:]) // it never fails
+	_, _ = rand.Read(h.secret[:]) // crypto/rand.Read never returns an error
 	return h
 }
 
-// of is the hash of a key.
-func (h *Hasher) of(key string) (out hash) {
+// sum returns the keyed hash of a key.
+func (h *Hasher) sum(key string) (out hash) {
 	mac := hmac.New(sha256.New, h.secret[:])
-	_, _ = mac.Write([]byte(key)) // a hash takes all
+	_, _ = mac.Write([]byte(key)) // hash.Hash.Write never returns an error
 	mac.Sum(out[:0])
 	return out
 }
 
-// Tenant is what requests are served by of a tenant.
+// Tenant holds the settings of a tenant that apply to its requests.
 type Tenant struct {
 	Name    string
-	Urgency *int // of its requests, before that of their route; nil: the route's
+	Urgency *int // overrides the urgency of the route; nil: the route's urgency applies
 	Rate    float64
 	Burst   float64
 }
 
-// IsLimited tells whether the tenant's requests have a limit.
+// IsLimited reports whether the tenant's requests are rate-limited.
 //
 // Example: if t.IsLimited() { acquire(t) }
 func (t *Tenant) IsLimited() bool { return t.Rate > 0 }
 
-// Index finds the tenants of one plan by their keys. It doesn't change and may be used by
-// many at once.
+// Index finds the tenants of one plan by their keys. It is immutable and safe for
+// concurrent use.
 type Index struct {
 	hasher   *Hasher
 	tenants  map[hash]*Tenant
 	required bool
 }
 
-// NewIndex lays out the tenants of a plan; do it once a version.
+// NewIndex builds the index of a plan's tenants; call it once for each version of the plan.
 //
 // Example: index := apikey.NewIndex(plan, hasher)
 func NewIndex(plan fleetconfig.Plan, hasher *Hasher) *Index {
@@ -67,23 +67,23 @@
 	for _, t := range plan.Tenants {
 		tenant := &Tenant{Name: t.Name, Urgency: t.Urgency, Rate: t.Rate, Burst: t.Burst}
 		for _, key := range t.Keys {
-			index.tenants[hasher.of(key)] = tenant
+			index.tenants[hasher.sum(key)] = tenant
 		}
 	}
 	return index
 }
 
-// Required tells whether clients need keys at all, on routes that aren't public.
+// Required reports whether clients need a key on routes that aren't public.
 //
-// Example: if index.Required() && !route.Public { look() }
+// Example: if index.Required() && !route.Public { authenticate() }
 func (i *Index) Required() bool { return i.required }
 
-// Find is the tenant that has a key; nil: nobody has it.
+// Find returns the tenant that a key belongs to, or nil if there is none.
 //
 // Example: if tenant := index.Find(key); tenant == nil { refuse(401) }
 func (i *Index) Find(key string) *Tenant {
 	if key == "" {
 		return nil
 	}
-	return i.tenants[i.hasher.of(key)]
+	return i.tenants[i.hasher.sum(key)]
 }
--- a/traffic/apikey/apikey_test.go
+++ b/traffic/apikey/apikey_test.go
@@ -6,7 +6,7 @@
 	"mulleinmast/control/fleetconfig"
 )
 
-func TestFindTheTenantOfAKey(t *testing.T) {
+func TestFindTenantByKey(t *testing.T) {
 	urgency := 2
 	plan := fleetconfig.Plan{Tenants: []fleetconfig.Tenant{
 		{Name: "a", ByKey: true, Keys: []string{"a1", "a2"}, Urgency: &urgency, Rate: 5, Burst: 7},
@@ -20,29 +20,30 @@
 			got = tenant.Name
 		}
 		if got != want {
-			t.Errorf("%q is a key of %q, expected %q", key, got, want)
+			t.Errorf("key %q: got tenant %q, expected %q", key, got, want)
 		}
 	}
 	if a := index.Find("a1"); *a.Urgency != 2 || a.Rate != 5 || a.Burst != 7 || !a.IsLimited() || index.Find("b1").IsLimited() {
 		t.Errorf("%+v", a)
 	}
 	if !index.Required() || NewIndex(fleetconfig.Plan{}, NewHasher()).Required() {
-		t.Error("keys are required by plans with tenants that are known by keys, and by no others")
+		t.Error("expected keys to be required if and only if the plan has tenants identified by key")
 	}
 }
 
-// A tenant that lost its last key still makes keys necessary: it must not open the routes.
-func TestWithoutAnyKeyNobodyIsFound(t *testing.T) {
+// Keys stay required when the last key of a tenant is removed; the routes must not become
+// open to everyone.
+func TestTenantWithoutKeysStillRequiresKeys(t *testing.T) {
 	plan := fleetconfig.Plan{Tenants: []fleetconfig.Tenant{{Name: "a", ByKey: true}}}
 	index := NewIndex(plan, NewHasher())
 	if !index.Required() || index.Find("") != nil {
-		t.Error("a plan whose tenants have no keys serves everybody")
+		t.Error("a plan whose tenants have no keys admits requests without a key")
 	}
 }
 
-// Two processes hash a key differently, and neither hash is the key's own.
+// Two hashers, as of two processes, hash the same key differently.
 func TestHashesAreKeyed(t *testing.T) {
-	if first, second := NewHasher().of("k"), NewHasher().of("k"); first == second {
-		t.Error("two processes share a secret")
+	if first, second := NewHasher().sum("k"), NewHasher().sum("k"); first == second {
+		t.Error("two hashers share a secret")
 	}
 }
