--- a/proof/standin/mutants/rules.sh
+++ b/proof/standin/mutants/rules.sh
@@ -59,6 +59,6 @@
 mutant refused-by-what-is-lost control/partition TestMergedJobsFailTogether control/partition/batch.go 'case j.writesNought && outcome == Done:' 'case j.writesNought:'
 mutant format-not-asked control/leader TestAPlanThatNotAllDaemonsRead control/leader/configcalls.go 'format > 0 && needs > format' 'format > 9 && needs > format'
 # what is told of the servers' load
-mutant all-is-told traffic/loadreport TestLoadReportsAreBounded traffic/loadreport/exchange.go 'if !readsChanges(to) {' 'if readsChanges(to) {'
-mutant never-in-turn traffic/loadreport TestMissedReportsAreMadeUpInTurn traffic/loadreport/changes.go 'key%refreshReports == t.turn%refreshReports &&' 'key%refreshReports == t.turn%refreshReports && t.turn == 0 &&'
+mutant all-is-told traffic/loadreport TestLoadReportsAreBounded traffic/loadreport/exchange.go 'if !supportsChanges(to) {' 'if supportsChanges(to) {'
+mutant never-in-turn traffic/loadreport TestMissedReportsAreRecoveredByRefresh traffic/loadreport/changes.go 'key%refreshReports == s.round%refreshReports &&' 'key%refreshReports == s.round%refreshReports && s.round == 0 &&'
 exit $missed
--- a/traffic/loadreport/changes.go
+++ b/traffic/loadreport/changes.go
@@ -8,71 +8,73 @@
 	"mulleinmast/wire/message"
 )
 
-// What is sent of the servers' load is what changed since the last report, the
-// largest changes first and no more than one report holds, and a part of the rest
-// in turn: who joins, or missed a report, has all of it some intervals later. So a
-// report doesn't grow with the servers, and a head's link carries other messages
-// beside the reports of its zone.
+// Heads send incremental reports: the changes since the last report, largest first and at
+// most as many as fit in one report, plus a part of the unchanged loads in rotation. A
+// daemon that joins or missed a report therefore has all loads after some intervals. So the
+// size of a report doesn't grow with the number of servers, and the link of a head retains
+// capacity for other messages.
 
-// The kinds of reports that say what changed.
+// The kinds of incremental reports.
 const (
 	zoneChanges byte = fleetReport + 1 + iota
 	fleetChanges
 )
 
 const (
-	maxChanges     = 128 // servers in one report of what changed
-	refreshReports = 16  // reports in which all servers come up, changed or not
-	maxRefreshed   = 48  // of those in one report
+	maxChanges     = 128 // changed servers in one report
+	refreshReports = 16  // number of reports over which all servers are sent, changed or not
+	maxRefreshed   = 48  // unchanged servers in one report
 )
 
-// reportedState is what an audience was reported to last.
+// reportedState holds the loads as last reported to a group of daemons.
 type reportedState struct {
-	last map[uint64]ServerLoad
-	turn uint64
+	last  map[uint64]ServerLoad
+	round uint64
 }
 
-// lastBuildWithoutChanges is the last build that takes no reports which say what changed.
+// lastBuildWithoutChanges is the last build that doesn't support incremental reports.
 const lastBuildWithoutChanges = "1"
 
-// readsChanges tells whether a daemon takes reports that say what changed.
-func readsChanges(m message.Member) bool { return m.Build != "" && m.Build != lastBuildWithoutChanges }
+// supportsChanges reports whether a daemon supports incremental reports.
+func supportsChanges(m message.Member) bool {
+	return m.Build != "" && m.Build != lastBuildWithoutChanges
+}
 
-// changes is what is reported next of the present loads.
-func (t *reportedState) changes(now map[uint64]ServerLoad) []Change {
-	if t.last == nil {
-		t.last = map[uint64]ServerLoad{}
+// nextChanges returns the changes to report next, given the current loads.
+func (s *reportedState) nextChanges(now map[uint64]ServerLoad) []Change {
+	if s.last == nil {
+		s.last = map[uint64]ServerLoad{}
 	}
 	var changed, rest []ServerLoad
-	t.turn++
+	s.round++
 	for _, key := range slices.Sorted(maps.Keys(now)) {
-		switch u := now[key]; {
-		case changeWeight(t.last[key], u) > 0:
-			changed = append(changed, u)
-		case key%refreshReports == t.turn%refreshReports && len(rest) < maxRefreshed:
-			rest = append(rest, u)
+		switch load := now[key]; {
+		case changeWeight(s.last[key], load) > 0:
+			changed = append(changed, load)
+		case key%refreshReports == s.round%refreshReports && len(rest) < maxRefreshed:
+			rest = append(rest, load)
 		}
 	}
-	for _, key := range slices.Sorted(maps.Keys(t.last)) {
+	for _, key := range slices.Sorted(maps.Keys(s.last)) {
 		if _, ok := now[key]; !ok {
 			changed = append(changed, ServerLoad{Server: key})
 		}
 	}
 	slices.SortStableFunc(changed, func(a, b ServerLoad) int {
-		return cmp.Compare(changeWeight(t.last[b.Server], b), changeWeight(t.last[a.Server], a))
+		return cmp.Compare(changeWeight(s.last[b.Server], b), changeWeight(s.last[a.Server], a))
 	})
 	var out []Change
-	for _, u := range append(changed[:min(len(changed), maxChanges)], rest...) {
-		out = append(out, Change(u))
-		if t.last[u.Server] = u; u == (ServerLoad{Server: u.Server}) {
-			delete(t.last, u.Server)
+	for _, load := range append(changed[:min(len(changed), maxChanges)], rest...) {
+		out = append(out, Change(load))
+		if s.last[load.Server] = load; load == (ServerLoad{Server: load.Server}) {
+			delete(s.last, load.Server)
 		}
 	}
 	return out
 }
 
-// changeWeight is how much it matters that one load became another: 0 if not at all. Who
-// had answers of late says something only beside those that had none.
+// changeWeight returns how significant a change of load is; 0: it need not be reported. The
+// number of daemons with answers matters only if some daemons had no answer.
 func changeWeight(was, is ServerLoad) int {
 	w := abs(is.Tokens-was.Tokens) + 256*abs(is.Decoding-was.Decoding)
 	if was.Unanswered > 0 || is.Unanswered > 0 {
@@ -86,16 +88,16 @@
 
 func abs(n int) int { return max(n, -n) }
 
-// apply takes in what a report says of servers.
-func (h *receivedLoads) apply(list []Change) {
-	if h.loads == nil {
-		h.loads = map[uint64]ServerLoad{}
+// apply updates the loads with the changes from a report.
+func (l *receivedLoads) apply(changes []Change) {
+	if l.loads == nil {
+		l.loads = map[uint64]ServerLoad{}
 	}
-	for _, c := range list {
-		if u := ServerLoad(c); u == (ServerLoad{Server: u.Server}) {
-			delete(h.loads, u.Server)
+	for _, c := range changes {
+		if load := ServerLoad(c); load == (ServerLoad{Server: load.Server}) {
+			delete(l.loads, load.Server)
 		} else {
-			h.loads[u.Server] = u
+			l.loads[load.Server] = load
 		}
 	}
 }
--- a/traffic/loadreport/exchange.go
+++ b/traffic/loadreport/exchange.go
@@ -8,16 +8,16 @@
 	"mulleinmast/wire/message"
 )
 
-// controlHeadFrom is the members of a zone from which on its head is one of its control
-// daemons, if it has any: their machines have the wide links.
-const controlHeadFrom = 12
+// controlHeadMinMembers is the number of members from which on a zone's head is one of its
+// control daemons, if it has any: their machines have links of higher bandwidth.
+const controlHeadMinMembers = 12
 
-// ZoneHead is the daemon of a zone that sums up its reports, the same one for all who
-// see the same members.
+// ZoneHead returns the daemon that aggregates the reports of a zone. All daemons with the
+// same view of the members agree on it.
 //
-// Example: replica := loadreport.ZoneHead(view.Members, "north")
+// Example: head := loadreport.ZoneHead(view.Members, "north")
 func ZoneHead(members []message.Member, zone string) message.Member {
-	var first, wide highestWeight
+	var first, wide maxWeightMember
 	n := 0
 	for _, m := range members {
 		if m.Zone != zone {
@@ -29,25 +29,25 @@
 			wide.offer(m)
 		}
 	}
-	if n >= controlHeadFrom && wide.Ident != "" {
+	if n >= controlHeadMinMembers && wide.Ident != "" {
 		return wide.Member
 	}
 	return first.Member
 }
 
-// highestWeight is the member with the highest weight so far.
-type highestWeight struct {
+// maxWeightMember keeps the member with the highest weight offered so far.
+type maxWeightMember struct {
 	message.Member
 	weight uint64
 }
 
-func (c *highestWeight) offer(m message.Member) {
-	if w := ServerID("head", m.Addr); c.Ident == "" || w > c.weight {
-		c.Member, c.weight = m, w
+func (best *maxWeightMember) offer(m message.Member) {
+	if w := ServerID("head", m.Addr); best.Ident == "" || w > best.weight {
+		best.Member, best.weight = m, w
 	}
 }
 
-// Tick makes the reports that are due.
+// Tick returns the reports that are due.
 //
 // Example: for _, s := range r.Tick(now, view.Self, view.Members) { send(s) }
 func (r *Reporter) Tick(now time.Duration, me message.Member, members []message.Member) (out []message.Envelope) {
@@ -57,85 +57,85 @@
 	r.nextReport = now + r.cfg.Interval
 	head := ZoneHead(members, me.Zone)
 	r.isHead = head.Ident == me.Ident || head.Ident == ""
-	own := r.localLoads(now)
-	r.reported = own
+	local := r.localLoads(now)
+	r.reported = local
 	if !r.isHead {
 		out = append(out, r.envelope(head, Report{
 			From: me.Ident, Zone: me.Zone, Kind: daemonReport,
-			Loads: sortedLoads(own), Prefixes: r.takePrefixes(&r.newPrefixes),
+			Loads: sortedLoads(local), Prefixes: r.takePrefixes(&r.newPrefixes),
 		}))
 		r.prefixesForHeads, r.prefixesForZone = nil, nil
 		return out
 	}
-	for id, h := range r.members {
-		if now-h.at >= r.cfg.MaxAge {
+	for id, received := range r.members {
+		if now-received.at >= r.cfg.MaxAge {
 			delete(r.members, id)
 		}
 	}
-	sum := maps.Clone(own)
-	for _, h := range r.members {
-		addLoads(sum, h.loads)
+	sum := maps.Clone(local)
+	for _, received := range r.members {
+		addLoads(sum, received.loads)
 	}
-	news := r.takePrefixes(&r.newPrefixes)
-	pass := append(r.takePrefixes(&r.prefixesForHeads), news...)
-	for _, k := range news {
-		r.prefixesForZone = append(r.prefixesForZone, reportedPrefix{k, me.Ident})
+	fresh := r.takePrefixes(&r.newPrefixes)
+	forHeads := append(r.takePrefixes(&r.prefixesForHeads), fresh...)
+	for _, p := range fresh {
+		r.prefixesForZone = append(r.prefixesForZone, reportedPrefix{p, me.Ident})
 	}
-	spill := r.prefixesForZone[:min(len(r.prefixesForZone), r.cfg.MaxPrefixes)]
+	forZone := r.prefixesForZone[:min(len(r.prefixesForZone), r.cfg.MaxPrefixes)]
 	r.prefixesForZone = nil
 	all := maps.Clone(sum)
-	for zone, h := range r.zones {
-		if now-h.at >= r.cfg.MaxAge {
+	for zone, received := range r.zones {
+		if now-received.at >= r.cfg.MaxAge {
 			delete(r.zones, zone)
 			continue
 		}
-		addLoads(all, h.loads)
+		addLoads(all, received.loads)
 	}
-	toZone := audience{fleetReport, fleetChanges, all, r.toZone.changes(all)}
-	toHeads := audience{zoneReport, zoneChanges, sum, r.toHeads.changes(sum)}
+	toZone := loadUpdate{fleetReport, fleetChanges, all, r.toZone.nextChanges(all)}
+	toHeads := loadUpdate{zoneReport, zoneChanges, sum, r.toHeads.nextChanges(sum)}
 	zones := map[string]bool{me.Zone: true}
 	for _, m := range members {
 		switch {
 		case m.Ident == me.Ident:
 		case m.Zone == me.Zone:
-			out = append(out, r.envelope(m, toZone.report(me, m, exceptFrom(spill, m.Ident))))
+			out = append(out, r.envelope(m, toZone.reportFor(me, m, withoutReporter(forZone, m.Ident))))
 		case !zones[m.Zone]:
 			zones[m.Zone] = true
 			head := ZoneHead(members, m.Zone)
-			out = append(out, r.envelope(head, toHeads.report(me, head, pass)))
+			out = append(out, r.envelope(head, toHeads.reportFor(me, head, forHeads)))
 		}
 	}
 	return out
 }
 
-// audience is whom one report goes to: daemons that read changes get those, daemons
-// of older builds the whole.
-type audience struct {
+// loadUpdate is an aggregate to send to several daemons: as changes to those that support
+// incremental reports, in full to those of older builds.
+type loadUpdate struct {
 	fullKind, changesKind byte
 	all                   map[uint64]ServerLoad
 	changes               []Change
 }
 
-func (a audience) report(me, to message.Member, kept []CachedPrefix) Report {
-	s := Report{From: me.Ident, Zone: me.Zone, Kind: a.changesKind, Changes: a.changes, Prefixes: kept}
-	if !readsChanges(to) {
-		s.Kind, s.Changes, s.Loads = a.fullKind, nil, sortedLoads(a.all)
+func (u loadUpdate) reportFor(me, to message.Member, prefixes []CachedPrefix) Report {
+	report := Report{From: me.Ident, Zone: me.Zone, Kind: u.changesKind, Changes: u.changes, Prefixes: prefixes}
+	if !supportsChanges(to) {
+		report.Kind, report.Changes, report.Loads = u.fullKind, nil, sortedLoads(u.all)
 	}
-	return s
+	return report
 }
 
-// takePrefixes takes as many prefixes as one report holds and drops the rest: they are
-// hints.
+// takePrefixes empties a list and returns as many of its prefixes as fit in one report. The
+// rest is dropped, as prefixes are only hints.
 func (r *Reporter) takePrefixes(list *[]CachedPrefix) []CachedPrefix {
 	out := *list
 	*list = nil
 	return out[:min(len(out), r.cfg.MaxPrefixes)]
 }
 
-func (r *Reporter) envelope(to message.Member, s Report) message.Envelope {
-	body, err := s.MarshalMsg(nil)
+func (r *Reporter) envelope(to message.Member, report Report) message.Envelope {
+	body, err := report.MarshalMsg(nil)
 	if err != nil {
-		panic(err) // our own types always pack
+		panic(err) // encoding to memory cannot fail for this type
 	}
 	return message.Envelope{Addr: to.Addr, Message: message.LoadReport{Body: body}.Message(to.Ident)}
 }
@@ -149,62 +149,62 @@
 }
 
 func addLoads(to, from map[uint64]ServerLoad) {
-	for k, u := range from {
+	for k, load := range from {
 		t := to[k]
 		to[k] = ServerLoad{
-			Server: k, Tokens: t.Tokens + u.Tokens, Decoding: t.Decoding + u.Decoding,
-			InterTokenSum: t.InterTokenSum + u.InterTokenSum,
-			Answered:      t.Answered + u.Answered, Unanswered: t.Unanswered + u.Unanswered,
+			Server: k, Tokens: t.Tokens + load.Tokens, Decoding: t.Decoding + load.Decoding,
+			InterTokenSum: t.InterTokenSum + load.InterTokenSum,
+			Answered:      t.Answered + load.Answered, Unanswered: t.Unanswered + load.Unanswered,
 		}
 	}
 }
 
-// Step takes another daemon's report; one that can't be read is passed over.
+// Step processes another daemon's report; a malformed one is ignored.
 //
 // Example: r.Step(now, message)
 func (r *Reporter) Step(now time.Duration, m message.Message) {
-	var s Report
-	if rest, err := s.UnmarshalMsg(m.AsLoadReport().Body); err != nil || len(rest) > 0 {
+	var report Report
+	if rest, err := report.UnmarshalMsg(m.AsLoadReport().Body); err != nil || len(rest) > 0 {
 		return
 	}
-	h := receivedLoads{at: now, loads: make(map[uint64]ServerLoad, len(s.Loads))}
-	for _, u := range s.Loads {
-		h.loads[u.Server] = u
+	received := receivedLoads{at: now, loads: make(map[uint64]ServerLoad, len(report.Loads))}
+	for _, load := range report.Loads {
+		received.loads[load.Server] = load
 	}
-	switch s.Kind {
+	switch report.Kind {
 	case zoneChanges:
-		h.loads = r.zones[s.Zone].loads
+		received.loads = r.zones[report.Zone].loads
 	case fleetChanges:
-		h.loads = r.fleet.loads
+		received.loads = r.fleet.loads
 	}
-	h.apply(s.Changes)
-	for _, k := range s.Prefixes {
-		r.addPrefix(k)
+	received.apply(report.Changes)
+	for _, p := range report.Prefixes {
+		r.addPrefix(p)
 	}
-	switch s.Kind {
+	switch report.Kind {
 	case daemonReport:
-		r.members[s.From] = h
-		r.prefixesForHeads = append(r.prefixesForHeads, s.Prefixes...)
-		r.forwardToZone(s)
+		r.members[report.From] = received
+		r.prefixesForHeads = append(r.prefixesForHeads, report.Prefixes...)
+		r.forwardToZone(report)
 	case zoneReport, zoneChanges:
-		r.zones[s.Zone] = h
-		r.forwardToZone(s)
+		r.zones[report.Zone] = received
+		r.forwardToZone(report)
 	case fleetReport, fleetChanges:
-		r.fleet = h
+		r.fleet = received
 	}
 }
 
-// forwardToZone passes the prefixes of a report on to the daemons of this zone.
-func (r *Reporter) forwardToZone(s Report) {
-	for _, k := range s.Prefixes {
-		r.prefixesForZone = append(r.prefixesForZone, reportedPrefix{k, s.From})
+// forwardToZone queues the prefixes of a report for the daemons of this zone.
+func (r *Reporter) forwardToZone(report Report) {
+	for _, p := range report.Prefixes {
+		r.prefixesForZone = append(r.prefixesForZone, reportedPrefix{p, report.From})
 	}
 }
 
-func exceptFrom(list []reportedPrefix, ident string) (out []CachedPrefix) {
-	for _, n := range list {
-		if n.from != ident {
-			out = append(out, n.CachedPrefix)
+func withoutReporter(list []reportedPrefix, ident string) (out []CachedPrefix) {
+	for _, p := range list {
+		if p.from != ident {
+			out = append(out, p.CachedPrefix)
 		}
 	}
 	return out
--- a/traffic/loadreport/exchange_test.go
+++ b/traffic/loadreport/exchange_test.go
@@ -8,59 +8,59 @@
 	"mulleinmast/wire/message"
 )
 
-// zone is daemons of one zone that tell one another, with another zone's head far
-// away, and what each was sent.
-type zone struct {
+// testZone simulates the daemons of one zone that report to each other, and counts the bytes
+// sent to each.
+type testZone struct {
 	t         *testing.T
 	now       time.Duration
 	members   []message.Member
 	reporters map[string]*Reporter
 	bytes     map[string]int // to a daemon
-	lose      func(to string) bool
+	drop      func(to string) bool
 }
 
-var told = Config{Interval: 250 * time.Millisecond, MaxAge: 1250 * time.Millisecond, MaxPrefixes: 128, CachedFraction: 0.7, MaxRemembered: 1 << 14}
+var testConfig = Config{Interval: 250 * time.Millisecond, MaxAge: 1250 * time.Millisecond, MaxPrefixes: 128, CachedFraction: 0.7, MaxRemembered: 1 << 14}
 
-func newZone(t *testing.T, daemons int) *zone {
-	z := &zone{t: t, now: time.Second, reporters: map[string]*Reporter{}, bytes: map[string]int{}}
+func newZone(t *testing.T, daemons int) *testZone {
+	z := &testZone{t: t, now: time.Second, reporters: map[string]*Reporter{}, bytes: map[string]int{}}
 	for i := range daemons {
 		m := message.Member{Ident: fmt.Sprint("d", i), Addr: fmt.Sprintf("10.0.0.%d:1", i), Zone: "north", Build: "2/1"}
 		z.members = append(z.members, m)
-		z.reporters[m.Ident] = New(told)
+		z.reporters[m.Ident] = New(testConfig)
 	}
 	return z
 }
 
-// report has all report once; messages arrive at once.
-func (z *zone) report() {
+// report has each daemon report once; messages are delivered immediately.
+func (z *testZone) report() {
 	for _, m := range z.members {
 		for _, s := range z.reporters[m.Ident].Tick(z.now, m, z.members) {
 			b, err := s.Message.MarshalMsg(nil)
 			if err != nil {
 				z.t.Fatal(err)
 			}
-			if z.bytes[s.Message.To] += len(b); z.lose == nil || !z.lose(s.Message.To) {
+			if z.bytes[s.Message.To] += len(b); z.drop == nil || !z.drop(s.Message.To) {
 				z.reporters[s.Message.To].Step(z.now, s.Message)
 			}
 		}
 	}
-	z.now += told.Interval
+	z.now += testConfig.Interval
 }
 
 func server(i int) uint64 { return ServerID("s", fmt.Sprint("server-", i)) }
 
-// What a daemon is sent of the servers' load is bounded, however many there are: at
-// most 14 KB a second, whatever changes.
+// Load reports to a daemon take at most 14 KB a second, regardless of the number of servers
+// and of how many of them change.
 func TestLoadReportsAreBounded(t *testing.T) {
 	const servers, seconds = 3800, 6
 	z := newZone(t, 20)
-	for n := range seconds * int(time.Second/told.Interval) {
+	for n := range seconds * int(time.Second/testConfig.Interval) {
 		for i, m := range z.members {
-			for k := range 40 { // requests begin everywhere all the time
+			for k := range 40 { // requests start at all daemons all the time
 				z.reporters[m.Ident].AddLoad(server((n*977+i*131+k*17)%servers), 100+n, 1)
 			}
 		}
-		if n == 4 { // the first reports are of much at once
+		if n == 4 { // the first reports are larger
 			clear(z.bytes)
 		}
 		z.report()
@@ -68,13 +68,13 @@
 	head := ZoneHead(z.members, "north").Ident
 	for _, m := range z.members {
 		if each := z.bytes[m.Ident] / (seconds - 1); m.Ident != head && each > 14<<10 {
-			t.Fatalf("%s is told %d bytes a second of %d servers", m.Ident, each, servers)
+			t.Fatalf("%s is sent %d bytes a second for %d servers", m.Ident, each, servers)
 		}
 	}
 }
 
-// equal tells whether a daemon knows of the servers what its zone has under way.
-func (z *zone) equal(ident string, servers int) bool {
+// knowsAllLoads reports whether a daemon knows the load of its zone on each server.
+func (z *testZone) knowsAllLoads(ident string, servers int) bool {
 	for i := range servers {
 		sum := 0
 		for _, m := range z.members {
@@ -87,74 +87,75 @@
 	return true
 }
 
-// until beats until something holds, and tells how often.
-func (z *zone) until(most int, so func() bool) int {
-	for n := range most {
-		if so() {
+// reportUntil runs report intervals until a condition holds and returns how many it took.
+func (z *testZone) reportUntil(maxIntervals int, condition func() bool) int {
+	for n := range maxIntervals {
+		if condition() {
 			return n
 		}
 		z.report()
 	}
-	return most
+	return maxIntervals
 }
 
-// Up to as many servers as one report holds, each daemon knows all after three
-// beats: its own report, its head's, and what both take.
-func TestAChangeReachesAllInThreeIntervals(t *testing.T) {
+// If all changes fit in one report, each daemon knows them after three intervals: one for its
+// own report, one for the report of the head, and one for the time that both take.
+func TestChangeReachesAllDaemonsInThreeIntervals(t *testing.T) {
 	z := newZone(t, 6)
 	for i := range maxChanges {
 		z.reporters[z.members[i%6].Ident].AddLoad(server(i), 100+i, 1)
 	}
 	for _, m := range z.members {
-		if n := z.until(4, func() bool { return z.equal(m.Ident, maxChanges) }); n > 3 {
-			t.Errorf("%s doesn't know all after %d beats", m.Ident, n)
+		if n := z.reportUntil(4, func() bool { return z.knowsAllLoads(m.Ident, maxChanges) }); n > 3 {
+			t.Errorf("%s doesn't know all loads after %d intervals", m.Ident, n)
 		}
 	}
-	for i := range maxChanges { // and that it is over
+	for i := range maxChanges { // the end of the load spreads as well
 		z.reporters[z.members[i%6].Ident].AddLoad(server(i), -100-i, -1)
 	}
 	for range 3 {
 		z.report()
 	}
 	for _, m := range z.members {
-		if !z.equal(m.Ident, maxChanges) {
-			t.Errorf("%s doesn't know what has ended", m.Ident)
+		if !z.knowsAllLoads(m.Ident, maxChanges) {
+			t.Errorf("%s doesn't know that the load has ended", m.Ident)
 		}
 	}
 }
 
-// Who missed reports, or joins, knows all again once all have come up in turn.
-func TestMissedReportsAreMadeUpInTurn(t *testing.T) {
+// A daemon that missed reports or has just joined knows all loads once each server had its
+// turn to be refreshed.
+func TestMissedReportsAreRecoveredByRefresh(t *testing.T) {
 	const servers = 200
 	z := newZone(t, 6)
 	head := ZoneHead(z.members, "north").Ident
-	deaf := z.members[0].Ident
-	if deaf == head {
-		deaf = z.members[1].Ident
+	isolated := z.members[0].Ident
+	if isolated == head {
+		isolated = z.members[1].Ident
 	}
-	z.lose = func(to string) bool { return to == deaf }
+	z.drop = func(to string) bool { return to == isolated }
 	for i := range servers {
 		z.reporters[head].AddLoad(server(i), 100+i, 1)
 	}
 	for range 8 {
 		z.report()
 	}
-	if z.equal(deaf, servers) {
-		t.Fatal("it missed nothing")
+	if z.knowsAllLoads(isolated, servers) {
+		t.Fatal("the isolated daemon knows all loads")
 	}
-	z.lose = nil
-	if n := z.until(3*refreshReports, func() bool { return z.equal(deaf, servers) }); n > refreshReports+2 {
-		t.Errorf("it knows all after %d tellings", n)
+	z.drop = nil
+	if n := z.reportUntil(3*refreshReports, func() bool { return z.knowsAllLoads(isolated, servers) }); n > refreshReports+2 {
+		t.Errorf("the isolated daemon knows all loads only after %d reports", n)
 	}
 	z.members = append(z.members, message.Member{Ident: "new", Addr: "10.0.0.99:1", Zone: "north", Build: "2/1"})
-	z.reporters["new"] = New(told)
-	if n := z.until(3*refreshReports, func() bool { return z.equal("new", servers) }); n > refreshReports+4 {
-		t.Errorf("one that joins knows all after %d tellings", n)
+	z.reporters["new"] = New(testConfig)
+	if n := z.reportUntil(3*refreshReports, func() bool { return z.knowsAllLoads("new", servers) }); n > refreshReports+4 {
+		t.Errorf("a joining daemon knows all loads only after %d reports", n)
 	}
 }
 
-// A daemon of a build that knows nothing of changes is told all each time.
-func TestAnOlderBuildIsSentTheWhole(t *testing.T) {
+// A daemon whose build doesn't support incremental reports is sent all loads each time.
+func TestOlderBuildReceivesFullReports(t *testing.T) {
 	z := newZone(t, 4)
 	old := 0
 	if ZoneHead(z.members, "north").Ident == z.members[old].Ident {
@@ -173,22 +174,22 @@
 			t.Fatal(err)
 		}
 		if isOld := s.Message.To == z.members[old].Ident; isOld && (report.Kind != fleetReport || len(report.Loads) != 300 || len(report.Changes) > 0) || !isOld && (report.Kind != fleetChanges || len(report.Loads) > 0) {
-			t.Errorf("%s is sent report %d of %d loads, %d changes", s.Message.To, report.Kind, len(report.Loads), len(report.Changes))
+			t.Errorf("%s is sent a report of kind %d with %d loads, %d changes", s.Message.To, report.Kind, len(report.Loads), len(report.Changes))
 		}
 	}
 }
 
-// In a crowded zone the head is a control daemon, if there is one: its link is wide.
-func TestTheHeadOfACrowdedZoneIsAControlDaemon(t *testing.T) {
-	for _, n := range []int{controlHeadFrom - 1, controlHeadFrom, 40} {
+// The head of a large zone is a control daemon, if it has one, for the bandwidth of its link.
+func TestHeadOfLargeZoneIsControlDaemon(t *testing.T) {
+	for _, n := range []int{controlHeadMinMembers - 1, controlHeadMinMembers, 40} {
 		z := newZone(t, n)
 		wide := 3
 		if ZoneHead(z.members, "north").Ident == z.members[wide].Ident {
 			wide = 4
 		}
 		z.members[wide].HasDisk = true
-		if got := ZoneHead(z.members, "north").Ident == z.members[wide].Ident; got != (n >= controlHeadFrom) {
-			t.Errorf("%d members: the control daemon is the head: %v", n, got)
+		if got := ZoneHead(z.members, "north").Ident == z.members[wide].Ident; got != (n >= controlHeadMinMembers) {
+			t.Errorf("%d members: the control daemon is head: %v", n, got)
 		}
 	}
 }
--- a/traffic/loadreport/loadreport.go
+++ b/traffic/loadreport/loadreport.go
@@ -1,10 +1,10 @@
-// Package loadreport is what the daemons report to each other of the servers' load
-// and of the prefixes that servers have cached. It is a hint, never a ground for
-// safety: a report that is lost or late makes a choice worse, not wrong. It is an
-// aggregation tree: each daemon reports to the head of its zone, heads report their
-// zone's sum to each other, and each head reports the fleet's sum to its zone. So a
-// daemon receives one report an interval, however large the fleet is. A plain state
-// machine; its user holds a lock.
+// Package loadreport exchanges the servers' load and the prompt prefixes that servers have
+// cached between daemons. Reports are hints on which safety never depends: a lost or late
+// report makes the choice of a server worse, not incorrect. The reports form an
+// aggregation tree: each daemon reports to the head of its zone, heads report the sum of
+// their zone to each other, and each head reports the sum of the fleet to its zone. A
+// daemon therefore receives one report per interval, regardless of the fleet's size. The
+// reporter is a plain state machine; callers must serialize access to it.
 package loadreport
 
 import (
@@ -13,20 +13,20 @@
 	"time"
 )
 
-// Config holds the bounds of the reporter.
+// Config holds the parameters of the reporter.
 type Config struct {
 	Interval       time.Duration // between two reports
-	MaxAge         time.Duration // a report counts for so long
-	MaxPrefixes    int           // messages of kept prompts in one report
-	CachedFraction float64       // part of a server's memory that is taken to be kept
-	MaxRemembered  int           // prompts remembered
+	MaxAge         time.Duration // reports older than this are ignored
+	MaxPrefixes    int           // cached prefixes in one report
+	CachedFraction float64       // fraction of a server's cache that is assumed to be retained
+	MaxRemembered  int           // prefixes remembered
 }
 
 // The kinds of reports.
 const (
-	daemonReport byte = iota + 1 // a daemon's own
-	zoneReport                   // a zone's sum, from its head to another
-	fleetReport                  // the fleet's sum, from a head to its zone
+	daemonReport byte = iota + 1 // the load of one daemon, to the head of its zone
+	zoneReport                   // the sum of a zone, from its head to another head
+	fleetReport                  // the sum of the fleet, from a head to its zone
 )
 
 type receivedLoads struct {
@@ -34,42 +34,43 @@
 	loads map[uint64]ServerLoad
 }
 
-// reportedPrefix is a Kept with the daemon that told it, which need not be told again.
+// reportedPrefix is a CachedPrefix with the daemon that reported it, to which it need not
+// be sent back.
 type reportedPrefix struct {
 	CachedPrefix
 	from string
 }
 
-type cachedAt struct {
-	writtenTokens float64 // of the server when it last had the prompt
+type cacheEntry struct {
+	writtenTokens float64 // Reporter.writtenTokens of the server when it last cached the prefix
 }
 
 // Reporter is the state machine of one daemon.
 type Reporter struct {
 	cfg        Config
-	local      map[uint64]ServerLoad    // under way from here, now
-	reported   map[uint64]ServerLoad    // and when last told
-	members    map[string]receivedLoads // of the daemons of this zone, if this is its head
-	zones      map[string]receivedLoads // of the other zones
-	fleet      receivedLoads            // the fleet's sum, from our head
+	local      map[uint64]ServerLoad    // load from this daemon, now
+	reported   map[uint64]ServerLoad    // load from this daemon as last reported
+	members    map[string]receivedLoads // by daemon of this zone, if this daemon is its head
+	zones      map[string]receivedLoads // by other zone
+	fleet      receivedLoads            // the sum of the fleet, from the head of this zone
 	outcomes   map[uint64]callOutcomes
-	interToken map[uint64]time.Duration // between events of late, as seen here
+	interToken map[uint64]time.Duration // recent inter-token latency, as seen by this daemon
 	isHead     bool
 	nextReport time.Duration
 
-	toZone, toHeads reportedState // as head: what was reported to last
+	toZone, toHeads reportedState // as head: what was last reported to the zone and to other heads
 
-	newPrefixes      []CachedPrefix   // of our own, not yet told to our head
-	prefixesForHeads []CachedPrefix   // for the other heads: of this zone
+	newPrefixes      []CachedPrefix   // from this daemon, not yet reported to the head
+	prefixesForHeads []CachedPrefix   // from this zone, for the other heads
 	prefixesForZone  []reportedPrefix // for the daemons of this zone
 
-	writtenTokens map[uint64]float64              // tokens that each server had to keep, so far
-	cacheSize     map[uint64]float64              // tokens that it can keep
-	prefixes      map[uint64]map[uint64]*cachedAt // prompt -> server
+	writtenTokens map[uint64]float64                // tokens that each server had to cache so far
+	cacheSize     map[uint64]float64                // tokens that each server can cache
+	prefixes      map[uint64]map[uint64]*cacheEntry // by prefix, then by server
 	prefixOrder   []uint64
 }
 
-// New makes an empty reporter.
+// New returns an empty reporter.
 //
 // Example: r := loadreport.New(loadreport.Config{Interval: 250 * time.Millisecond, MaxAge: time.Second})
 func New(cfg Config) *Reporter {
@@ -83,11 +84,11 @@
 		outcomes:      map[uint64]callOutcomes{},
 		writtenTokens: map[uint64]float64{},
 		cacheSize:     map[uint64]float64{},
-		prefixes:      map[uint64]map[uint64]*cachedAt{},
+		prefixes:      map[uint64]map[uint64]*cacheEntry{},
 	}
 }
 
-// ServerID is the short name of a server of a service on the reporter.
+// ServerID returns the ID by which the reporter identifies a server of a service.
 //
 // Example: id := loadreport.ServerID("timetable", "10.0.0.1:9000")
 func ServerID(service, server string) uint64 {
@@ -98,72 +99,72 @@
 	return h.Sum64()
 }
 
-// AddLoad records work sent to a server from here; End takes it off with the signs
-// turned round.
+// AddLoad adds load that this daemon sent to a server; negative numbers remove it again.
 //
 // Example: r.AddLoad(id, 1460, 0)
-func (r *Reporter) AddLoad(server uint64, tokens, writing int) {
-	u := r.local[server]
-	u.Server, u.Tokens, u.Decoding = server, u.Tokens+tokens, u.Decoding+writing
-	if u.Tokens == 0 && u.Decoding == 0 {
+func (r *Reporter) AddLoad(server uint64, tokens, decoding int) {
+	load := r.local[server]
+	load.Server, load.Tokens, load.Decoding = server, load.Tokens+tokens, load.Decoding+decoding
+	if load.Tokens == 0 && load.Decoding == 0 {
 		delete(r.local, server)
 		return
 	}
-	u.InterTokenSum = int(r.interToken[server]/time.Millisecond) * u.Decoding
-	r.local[server] = u
+	load.InterTokenSum = int(r.interToken[server]/time.Millisecond) * load.Decoding
+	r.local[server] = load
 }
 
-// callOutcomes is what became of a daemon's own calls to a server.
+// callOutcomes holds when this daemon's calls to a server last ended with and without an
+// answer.
 type callOutcomes struct{ lastAnswered, lastUnanswered time.Duration }
 
-// CallEnded records the end of a call to a server: with an answer of any kind, or
-// without a word.
+// CallEnded records the end of a call to a server: with an answer of any kind, or without
+// an answer.
 //
 // Example: r.CallEnded(now, id, false)
 func (r *Reporter) CallEnded(now time.Duration, server uint64, answered bool) {
-	m := r.outcomes[server]
-	if m.lastAnswered == 0 && m.lastUnanswered == 0 {
-		m = callOutcomes{-time.Hour, -time.Hour}
+	o := r.outcomes[server]
+	if o.lastAnswered == 0 && o.lastUnanswered == 0 {
+		o = callOutcomes{-time.Hour, -time.Hour}
 	}
 	if answered {
-		m.lastAnswered = now
+		o.lastAnswered = now
 	} else {
-		m.lastUnanswered = now
+		o.lastUnanswered = now
 	}
-	r.outcomes[server] = m
+	r.outcomes[server] = o
 }
 
-// localLoads is the own use of servers with what became of the calls to them.
+// localLoads returns this daemon's load on the servers, with the outcomes of its calls.
 func (r *Reporter) localLoads(now time.Duration) map[uint64]ServerLoad {
 	out := maps.Clone(r.local)
-	for id, m := range r.outcomes {
-		u := out[id]
-		u.Server = id
-		if now-m.lastAnswered < 4*r.cfg.Interval {
-			u.Answered = 1
+	for id, o := range r.outcomes {
+		load := out[id]
+		load.Server = id
+		if now-o.lastAnswered < 4*r.cfg.Interval {
+			load.Answered = 1
 		}
-		if m.lastUnanswered > m.lastAnswered && now-m.lastUnanswered < 8*r.cfg.Interval {
-			u.Unanswered = 1
+		if o.lastUnanswered > o.lastAnswered && now-o.lastUnanswered < 8*r.cfg.Interval {
+			load.Unanswered = 1
 		}
-		if u.Answered+u.Unanswered > 0 {
-			out[id] = u
-		} else if now-max(m.lastAnswered, m.lastUnanswered) > 40*r.cfg.Interval {
+		if load.Answered+load.Unanswered > 0 {
+			out[id] = load
+		} else if now-max(o.lastAnswered, o.lastUnanswered) > 40*r.cfg.Interval {
 			delete(r.outcomes, id)
 		}
 	}
 	return out
 }
 
-// IsDown tells whether a server most likely answers nobody: some daemons had no
-// word from it, and not more of them had one just now.
+// IsDown reports whether a server is probably down: at least as many daemons failed to get
+// an answer from it as recently got one.
 //
 // Example: if r.IsDown(now, id) { avoid(server) }
 func (r *Reporter) IsDown(now time.Duration, server uint64) bool {
-	u := r.Load(now, server)
-	return u.Unanswered > 0 && u.Unanswered >= u.Answered
+	load := r.Load(now, server)
+	return load.Unanswered > 0 && load.Unanswered >= load.Answered
 }
 
-// ObserveInterTokenLatency records the time between two events of an answer.
+// ObserveInterTokenLatency records the time between two events of an answer from a server.
 //
 // Example: r.ObserveInterTokenLatency(id, 42*time.Millisecond)
 func (r *Reporter) ObserveInterTokenLatency(server uint64, d time.Duration) {
@@ -172,29 +173,29 @@
 		old = d
 	}
 	r.interToken[server] = old + (d-old)/8
-	if u, ok := r.local[server]; ok {
-		u.InterTokenSum = int(r.interToken[server]/time.Millisecond) * u.Decoding
-		r.local[server] = u
+	if load, ok := r.local[server]; ok {
+		load.InterTokenSum = int(r.interToken[server]/time.Millisecond) * load.Decoding
+		r.local[server] = load
 	}
 }
 
-// Load is what is under way at a server, from all daemons as far as heard and
-// from here as of now.
+// Load returns the load of a server: from the other daemons as last reported, and from
+// this daemon as of now.
 //
-// Example: u := r.Load(now, id); wait := u.Tokens / pace
+// Example: load := r.Load(now, id); wait := load.Tokens / prefillRate
 func (r *Reporter) Load(now time.Duration, server uint64) (sum ServerLoad) {
 	sum = r.local[server]
-	if m, ok := r.outcomes[server]; ok && r.reported != nil {
+	if o, ok := r.outcomes[server]; ok && r.reported != nil {
 		sum.Answered, sum.Unanswered = r.reported[server].Answered, r.reported[server].Unanswered
-		if m.lastAnswered > m.lastUnanswered {
+		if o.lastAnswered > o.lastUnanswered {
 			sum.Unanswered = 0
 		}
 	}
-	add := func(u ServerLoad) {
-		sum.Tokens += u.Tokens
-		sum.Decoding += u.Decoding
-		sum.InterTokenSum += u.InterTokenSum
-		sum.Answered, sum.Unanswered = sum.Answered+u.Answered, sum.Unanswered+u.Unanswered
+	add := func(load ServerLoad) {
+		sum.Tokens += load.Tokens
+		sum.Decoding += load.Decoding
+		sum.InterTokenSum += load.InterTokenSum
+		sum.Answered, sum.Unanswered = sum.Answered+load.Answered, sum.Unanswered+load.Unanswered
 	}
 	if r.isHead {
 		for _, h := range r.members {
@@ -210,52 +211,52 @@
 		return sum
 	}
 	if now-r.fleet.at < r.cfg.MaxAge && r.fleet.loads != nil {
-		u, old := r.fleet.loads[server], r.reported[server]
+		load, old := r.fleet.loads[server], r.reported[server]
 		add(ServerLoad{
-			Tokens: max(0, u.Tokens-old.Tokens), Decoding: max(0, u.Decoding-old.Decoding),
-			InterTokenSum: max(0, u.InterTokenSum-old.InterTokenSum),
-			Answered:      max(0, u.Answered-old.Answered), Unanswered: max(0, u.Unanswered-old.Unanswered),
+			Tokens: max(0, load.Tokens-old.Tokens), Decoding: max(0, load.Decoding-old.Decoding),
+			InterTokenSum: max(0, load.InterTokenSum-old.InterTokenSum),
+			Answered:      max(0, load.Answered-old.Answered), Unanswered: max(0, load.Unanswered-old.Unanswered),
 		})
 	}
 	return sum
 }
 
-// RecordPrefix messages from here that a server read or took up a prompt; tokens are
-// those that it had to keep anew.
+// RecordPrefix records, for the next report, that a server prefilled a prompt or received
+// its KV cache; tokens counts those that the server newly had to cache.
 //
 // Example: r.RecordPrefix(prefix, id, 1460)
 func (r *Reporter) RecordPrefix(prefix, server uint64, tokens int) {
-	k := CachedPrefix{Prefix: prefix, Server: server, Tokens: tokens}
-	r.addPrefix(k)
-	r.newPrefixes = append(r.newPrefixes, k)
+	cached := CachedPrefix{Prefix: prefix, Server: server, Tokens: tokens}
+	r.addPrefix(cached)
+	r.newPrefixes = append(r.newPrefixes, cached)
 }
 
-func (r *Reporter) addPrefix(k CachedPrefix) {
-	r.writtenTokens[k.Server] += float64(k.Tokens)
-	list := r.prefixes[k.Prefix]
+func (r *Reporter) addPrefix(cached CachedPrefix) {
+	r.writtenTokens[cached.Server] += float64(cached.Tokens)
+	list := r.prefixes[cached.Prefix]
 	if list == nil {
 		if len(r.prefixOrder) >= r.cfg.MaxRemembered {
 			delete(r.prefixes, r.prefixOrder[0])
 			r.prefixOrder = r.prefixOrder[1:]
 		}
-		list = map[uint64]*cachedAt{}
-		r.prefixes[k.Prefix] = list
-		r.prefixOrder = append(r.prefixOrder, k.Prefix)
+		list = map[uint64]*cacheEntry{}
+		r.prefixes[cached.Prefix] = list
+		r.prefixOrder = append(r.prefixOrder, cached.Prefix)
 	}
-	p := list[k.Server]
+	p := list[cached.Server]
 	if p == nil {
-		p = &cachedAt{}
-		list[k.Server] = p
+		p = &cacheEntry{}
+		list[cached.Server] = p
 	}
-	p.writtenTokens = r.writtenTokens[k.Server]
+	p.writtenTokens = r.writtenTokens[cached.Server]
 }
 
-// SetCacheSize tells how many tokens a server can keep.
+// SetCacheSize sets how many tokens a server can cache; 0: unknown.
 //
 // Example: r.SetCacheSize(id, 295740)
 func (r *Reporter) SetCacheSize(server uint64, tokens int) { r.cacheSize[server] = float64(tokens) }
 
-// HasPrefix tells whether a server most likely keeps a prompt's shared parts still.
+// HasPrefix reports whether a server probably still has a prompt's shared prefix cached.
 //
 // Example: if r.HasPrefix(prefix, id) { prefer(server) }
 func (r *Reporter) HasPrefix(prefix, server uint64) bool {
@@ -263,11 +264,11 @@
 	if p == nil {
 		return false
 	}
-	room := r.cacheSize[server]
-	return room == 0 || r.writtenTokens[server]-p.writtenTokens < room*r.cfg.CachedFraction
+	capacity := r.cacheSize[server]
+	return capacity == 0 || r.writtenTokens[server]-p.writtenTokens < capacity*r.cfg.CachedFraction
 }
 
-// Forget drops a server that is gone.
+// Forget removes all data about a server that no longer exists.
 //
 // Example: r.Forget(id)
 func (r *Reporter) Forget(server uint64) {
--- a/traffic/loadreport/report.go
+++ b/traffic/loadreport/report.go
@@ -2,17 +2,17 @@
 
 //go:generate go tool msgp -tests=false
 
-// ServerLoad is what daemons have under way at one server.
+// ServerLoad is the load that daemons have in flight at one server.
 type ServerLoad struct {
 	Server        uint64 `msg:"s"`
-	Tokens        int    `msg:"t"` // of prompts sent to be read and not yet read
-	Decoding      int    `msg:"w"` // answers
-	InterTokenSum int    `msg:"g"` // ms between their events of late, times Writing so that sums can be told
-	Answered      int    `msg:"o"` // daemons that had an answer from it just now
-	Unanswered    int    `msg:"b"` // daemons whose last call to it failed without a word
+	Tokens        int    `msg:"t"` // prompt tokens sent whose prefill isn't complete
+	Decoding      int    `msg:"w"` // answers being decoded
+	InterTokenSum int    `msg:"g"` // recent inter-token latency in ms, times Decoding, so that loads can be added up
+	Answered      int    `msg:"o"` // daemons that recently got an answer from the server
+	Unanswered    int    `msg:"b"` // daemons whose last call to the server failed without an answer
 }
 
-// Change is the Use of a server, as it goes in a report of what changed.
+// Change is the ServerLoad of one server in an incremental report.
 //
 //msgp:tuple Change
 type Change struct {
@@ -20,15 +20,16 @@
 	Tokens, Decoding, InterTokenSum, Answered, Unanswered int
 }
 
-// CachedPrefix says that a server has just read or taken up a prompt.
+// CachedPrefix records that a server has just prefilled a prompt or received its KV cache.
 type CachedPrefix struct {
-	Prefix uint64 `msg:"p"` // of the parts that others may share
+	Prefix uint64 `msg:"p"` // hash of the parts that other prompts may share
 	Server uint64 `msg:"s"`
-	Tokens int    `msg:"t"` // of the whole prompt, as far as the server had to keep it anew
+	Tokens int    `msg:"t"` // tokens of the prompt that the server newly had to cache
 }
 
-// Report is one report: a daemon's to the head of its zone, a head's to the
-// daemons of its zone (the whole fleet's sums) or to another head (its zone's).
+// Report is a load report: from a daemon to the head of its zone, from a head to the
+// daemons of its zone (the sums of the fleet), or from a head to another head (the sums
+// of its zone).
 type Report struct {
 	From     string         `msg:"f"`
 	Zone     string         `msg:"z"`
@@ -36,5 +37,5 @@
 	Loads    []ServerLoad   `msg:"u"`
 	Prefixes []CachedPrefix `msg:"m"`
 
-	Changes []Change `msg:"c,omitempty"` // instead of Uses, in a report of what changed
+	Changes []Change `msg:"c,omitempty"` // instead of Loads, in an incremental report
 }
