--- a/proof/standin/mutants/mutants.sh
+++ b/proof/standin/mutants/mutants.sh
@@ -33,10 +33,10 @@
 mutant stray-answer garble 120 MIXED platform/exchange.go 'return id == "" && len(got) == 0 || len(got) == 1 && got[0] == id' 'return id != "never" || len(got) == 0'
 mutant no-seal garble 80 MIXED $engine 'if why := unfitReason(r); why != "" {' 'if why := unfitReason(r); why == "never" {'
 mutant run-twice garble 120 TWICE $gate 'Repeatable: r.Kind == "safe" ||' 'Repeatable: true ||'
-mutant false-promise garble 80 REFUSED traffic/gateway/execute.go 'w.Fail(http.StatusBadGateway, m.Reason)' 'w.Refuse(503, 1e8, m.Reason)'
+mutant false-promise garble 80 REFUSED traffic/gateway/execute.go 'w.Fail(http.StatusBadGateway, decision.Reason)' 'w.Refuse(503, 1e8, decision.Reason)'
 mutant old-plan config 80 CONFIG traffic/gateway/plan.go 'last.generation == generation && g.daemon.Now() < last.validUntil {' 'g.daemon.Now() < last.validUntil+60e9 {'
 mutant no-bound lapse 200 BUDGET traffic/attempt/bucket.go 'return float64(again+1) <= b.Ratio*float64(first)+float64(b.Slack)' 'return true'
-mutant from-the-start garble 120 ORDER $engine 'if last != "" {' 'if last == "never" {' traffic/gateway/execute.go 'resumed && first && !follows' 'resumed && first && has.clientGone && !follows'
+mutant from-the-start garble 120 ORDER $engine 'if last != "" {' 'if last == "never" {' traffic/gateway/execute.go 'resumed && first && !isLaterEvent' 'resumed && first && delivered.clientGone && !isLaterEvent'
 mutant ends-as-whole garble 120 ORDER platform/front.go 'if c.broken && (r.ProtoAtLeast(1, 1) || !reset(c.controller)) {' 'if c.broken && c.controller == nil {'
 mutant cut-at-sigterm roll 200 LOST platform/start.go 'h.daemon.Leave()
 	select {' 'if h.daemon.Leave(); h.settings.Zone != "" {
@@ -46,7 +46,7 @@
 mutant any-server crash 150 ROUTE $engine 'h.Set(hdrExpectServer, decision.Server.Key)' 'h.Del(hdrExpectServer)'
 mutant no-query calm 40 UNASKED $engine 'target := req.URL.Opaque' 'target, _, _ := strings.Cut(req.URL.Opaque, "?")'
 mutant no-route calm 80 DENIED traffic/gateway/admit.go 'if !ok {
-		a.status, a.reason = http.StatusNotFound, reasonNoRoute' 'if !ok || requestHash(q.ID)%20 == 0 {
+		a.status, a.reason = http.StatusNotFound, reasonNoRoute' 'if !ok || requestHash(req.ID)%20 == 0 {
 		a.status, a.reason = http.StatusNotFound, reasonNoRoute'
 mutant cold-as-warm release 200 FAILBACK traffic/forward/filter.go '|| s.Warming && !d.acceptsWarmup(now, s.Key)' '' traffic/forward/score.go 'if o.Warming {' 'if o.Warming && o.wait < 0 {'
 mutant hasty-holder pressed 60 ONE control/daemon/timing.go 'SwapBound:    b.Swap,' 'SwapBound:    0,'
--- a/traffic/gateway/admit.go
+++ b/traffic/gateway/admit.go
@@ -8,38 +8,38 @@
 	"mulleinmast/traffic/apikey"
 )
 
-// Reasons for which a request isn't admitted.
+// Reasons for not admitting a request.
 const (
-	reasonNoRoute    = "no route"
-	reasonNoKey      = "no key"
-	reasonUnknownKey = "unknown key"
-	reasonKeyRevoked = "its key was taken away"
-	reasonUncertain  = "no such route or key in the last configuration known here"
+	reasonNoRoute       = "no route"
+	reasonNoKey         = "no key"
+	reasonUnknownKey    = "unknown key"
+	reasonKeyRevoked    = "its key was taken away"
+	reasonPlanUncertain = "no such route or key in the last configuration known here"
 )
 
-// admission is what a plan says of a request: one version of the plan decides about its
-// route, its tenant and that tenant's limit.
+// admission is the result of matching a request with a plan. One version of the plan
+// determines its route, its tenant and the tenant's limit.
 type admission struct {
 	plan   *activePlan
 	route  *fleetconfig.Route
-	tenant *apikey.Tenant // that has the client's key; nil: none is needed
-	status int            // 0: admitted; else that of the refusal
+	tenant *apikey.Tenant // that the client's key belongs to; nil: no key is needed
+	status int            // 0: admitted; otherwise the HTTP status of the refusal
 	reason string
-	permit permit // of a tenant that has a limit
+	permit permit // set if the tenant has a limit
 }
 
-// admit finds a request's route and tenant in a plan.
-func (p *activePlan) admit(q *Request) admission {
+// admit finds the route and tenant of a request in the plan.
+func (p *activePlan) admit(req *Request) admission {
 	a := admission{plan: p}
-	route, ok := p.table.Match(q.Host, q.Path)
+	route, ok := p.table.Match(req.Host, req.Path)
 	if !ok {
 		a.status, a.reason = http.StatusNotFound, reasonNoRoute
 		return a
 	}
-	a.route, a.tenant = route, p.tenants.Find(q.Key)
+	a.route, a.tenant = route, p.tenants.Find(req.Key)
 	switch {
 	case a.tenant != nil || route.Public || !p.tenants.Required():
-	case q.Key == "":
+	case req.Key == "":
 		a.status, a.reason = http.StatusUnauthorized, reasonNoKey
 	default:
 		a.status, a.reason = http.StatusUnauthorized, reasonUnknownKey
@@ -47,28 +47,28 @@
 	return a
 }
 
-// admit finds a request's route and tenant. That there is none is certain only by a plan
-// under leases: one that comes back within a short while is waited for.
-func (g *Gateway) admit(ctx context.Context, q *Request, p *activePlan) admission {
-	if a := p.admit(q); a.status == 0 {
+// admit finds the route and tenant of a request. Only a plan under valid leases can prove
+// that there is none, so before a refusal it waits a short while for a leased plan.
+func (g *Gateway) admit(ctx context.Context, req *Request, p *activePlan) admission {
+	if a := p.admit(req); a.status == 0 {
 		return a
 	}
-	leased, ok := g.awaitPlan(ctx, min(g.maxWait(q), g.cfg.RetryAfter), g.leasedPlan)
+	leased, ok := g.awaitPlan(ctx, min(g.maxWait(req), g.cfg.RetryAfter), g.leasedPlan)
 	if !ok {
-		return admission{plan: p, status: http.StatusServiceUnavailable, reason: reasonUncertain}
+		return admission{plan: p, status: http.StatusServiceUnavailable, reason: reasonPlanUncertain}
 	}
-	return leased.admit(q)
+	return leased.admit(req)
 }
 
-// keyStands tells whether the plan in force still gives a request's key to the tenant that
-// it was admitted for: it is asked before each send, as a request may wait.
-func (g *Gateway) keyStands(q *Request, admitted admission) bool {
-	p, ok := g.readPlan()
-	return !ok || admitted.standsIn(p, q.Key) // without a plan no server is chosen either
+// isKeyValid reports whether a request's key still belongs, by the current plan, to the tenant
+// that the request was admitted for. It is checked before each send, as a request may wait.
+func (g *Gateway) isKeyValid(req *Request, admitted admission) bool {
+	p, ok := g.currentPlan()
+	return !ok || admitted.isValidIn(p, req.Key) // without a plan no server is chosen anyway
 }
 
-// standsIn tells whether a plan gives a key to the tenant of an admission.
-func (a admission) standsIn(p *activePlan, key string) bool {
+// isValidIn reports whether a key belongs to the tenant of the admission in another plan.
+func (a admission) isValidIn(p *activePlan, key string) bool {
 	if a.tenant == nil || p.version == a.plan.version {
 		return true
 	}
--- a/traffic/gateway/admit_test.go
+++ b/traffic/gateway/admit_test.go
@@ -9,8 +9,8 @@
 	"mulleinmast/wire/message"
 )
 
-// planOf makes a plan ready for look-ups, as the gateway does.
-func planOf(version uint64, tenants ...fleetconfig.Tenant) *activePlan {
+// newTestPlan returns a plan prepared for lookups, as the gateway does it.
+func newTestPlan(version uint64, tenants ...fleetconfig.Tenant) *activePlan {
 	shares := []fleetconfig.Share{{Service: "one", Weight: 1}}
 	plan := fleetconfig.Plan{Version: version, Tenants: tenants, Routes: []fleetconfig.Route{
 		{Name: "closed", Host: "h", Prefix: "/closed/", Kind: fleetconfig.Safe, GiveUpMillis: 1000, Urgency: 4, Services: shares},
@@ -22,11 +22,11 @@
 	}
 }
 
-// Who is let in follows the table of keys and routes.
-func TestWhoIsAdmitted(t *testing.T) {
+// Requests are admitted or refused according to their route and key.
+func TestAdmission(t *testing.T) {
 	urgency := 1
-	keyed := planOf(7, fleetconfig.Tenant{Name: "a", ByKey: true, Keys: []string{"k"}, Urgency: &urgency})
-	free := planOf(7, fleetconfig.Tenant{Name: "native", TimeoutMillis: 1})
+	keyed := newTestPlan(7, fleetconfig.Tenant{Name: "a", ByKey: true, Keys: []string{"k"}, Urgency: &urgency})
+	free := newTestPlan(7, fleetconfig.Tenant{Name: "native", TimeoutMillis: 1})
 	for _, x := range []struct {
 		plan              *activePlan
 		path, key, tenant string
@@ -49,31 +49,31 @@
 			tenant = a.tenant.Name
 		}
 		if a.status != x.status || tenant != x.tenant || (a.status != 0) != (a.reason != "") {
-			t.Errorf("%s with %q: %d %q, tenant %q; expected %d, %q", x.path, x.key, a.status, a.reason, tenant, x.status, x.tenant)
+			t.Errorf("%s with key %q: got %d %q, tenant %q; expected %d, tenant %q", x.path, x.key, a.status, a.reason, tenant, x.status, x.tenant)
 		}
 	}
 }
 
-// A tenant's urgency goes before its route's.
-func TestTheUrgencyOfATenant(t *testing.T) {
+// The urgency of a tenant overrides that of the route.
+func TestTenantUrgencyOverridesRoute(t *testing.T) {
 	urgency := 1
-	plan := planOf(7, fleetconfig.Tenant{Name: "a", ByKey: true, Keys: []string{"k"}, Urgency: &urgency},
+	plan := newTestPlan(7, fleetconfig.Tenant{Name: "a", ByKey: true, Keys: []string{"k"}, Urgency: &urgency},
 		fleetconfig.Tenant{Name: "b", ByKey: true, Keys: []string{"l"}})
 	for key, want := range map[string]int{"k": 1, "l": 4} {
-		q := &Request{ID: "r", Host: "h", Path: "/closed/x", Key: key}
-		if c := routed(q, plan.admit(q), 0); c.Urgency != want || c.Tenant == "" {
-			t.Errorf("with %q: urgency %d of tenant %q, expected %d", key, c.Urgency, c.Tenant, want)
+		req := &Request{ID: "r", Host: "h", Path: "/closed/x", Key: key}
+		if c := newForwardRequest(req, plan.admit(req), 0); c.Urgency != want || c.Tenant == "" {
+			t.Errorf("with key %q: urgency %d of tenant %q, expected urgency %d", key, c.Urgency, c.Tenant, want)
 		}
 	}
 }
 
-// A request that waits is sent only while its key stands: it may be taken away or go to
-// another tenant meanwhile.
-func TestAKeyThatIsTakenAwayMeanwhile(t *testing.T) {
-	of := func(tenant string, keys ...string) fleetconfig.Tenant {
+// A request that waited is sent only if its key is still valid: in the meantime the key may
+// have been removed or assigned to another tenant.
+func TestKeyRevokedWhileRequestWaits(t *testing.T) {
+	keyedTenant := func(tenant string, keys ...string) fleetconfig.Tenant {
 		return fleetconfig.Tenant{Name: tenant, ByKey: true, Keys: keys}
 	}
-	first := planOf(7, of("a", "k"))
+	first := newTestPlan(7, keyedTenant("a", "k"))
 	admitted := first.admit(&Request{Host: "h", Path: "/closed/x", Key: "k"})
 	for _, x := range []struct {
 		what string
@@ -81,13 +81,13 @@
 		want bool
 	}{
 		{"the same plan", first, true},
-		{"another key was added", planOf(8, of("a", "new", "k")), true},
-		{"it was taken away", planOf(8, of("a", "new")), false},
-		{"its tenant was dropped", planOf(8, of("b", "l")), false},
-		{"another tenant has it", planOf(8, of("a"), of("b", "k")), false},
+		{"another key was added", newTestPlan(8, keyedTenant("a", "new", "k")), true},
+		{"the key was removed", newTestPlan(8, keyedTenant("a", "new")), false},
+		{"its tenant was removed", newTestPlan(8, keyedTenant("b", "l")), false},
+		{"another tenant has it", newTestPlan(8, keyedTenant("a"), keyedTenant("b", "k")), false},
 	} {
-		if got := admitted.standsIn(x.plan, "k"); got != x.want {
-			t.Errorf("%s: it stands: %v", x.what, got)
+		if got := admitted.isValidIn(x.plan, "k"); got != x.want {
+			t.Errorf("%s: valid: %v", x.what, got)
 		}
 	}
 }
--- a/traffic/gateway/audit.go
+++ b/traffic/gateway/audit.go
@@ -5,41 +5,44 @@
 	"mulleinmast/traffic/forward"
 )
 
-// Conditions of requests that must hold at all times.
+// Invariants of requests and of the plan that routes them.
 var (
-	runsOnce = invariant.New("unsafe_run_twice",
+	unsafeRunsOnce = invariant.New("unsafe_run_twice",
 		"a request that may not be repeated is never sent again once it may have run")
-	refusedUnrun = invariant.New("refused_after_run",
+	refusalsNotRun = invariant.New("refused_after_run",
 		"a request that may not be repeated is refused only if it has not run")
-	oneRun = invariant.New("stream_spliced",
+	streamsNotSpliced = invariant.New("stream_spliced",
 		"an answer that has begun goes on at another server only if its route allows that")
-	alwaysAnswers = invariant.New("ended_without_answer",
+	servedIsAnswered = invariant.New("ended_without_answer",
 		"a request that ends as served has begun its answer")
-	planGoesOn = invariant.New("plan_went_back",
+	planNeverGoesBack = invariant.New("plan_went_back",
 		"requests are never routed by an older plan than before")
 )
 
-// audit follows one request by what its calls brought, apart from the ledger
-// by which its moves are decided.
+// audit checks the invariants of one request by the outcomes of its calls, independently of
+// the attempt ledger on which the decisions are based.
 type audit struct {
 	request    forward.Request
-	mayHaveRun bool // a server may have run it
+	mayHaveRun bool // a server may have run the request
 }
 
-// beforeSend checks a call that is about to have the request run.
+// beforeSend checks the invariants before a call that runs the request.
 func (a *audit) beforeSend(begun bool) {
-	runsOnce.Hold(a.request.Repeatable || !a.mayHaveRun, "%s is sent again", a.request.ID)
-	oneRun.Hold(!begun || a.request.Resumable, "%s goes on at another server", a.request.ID)
+	unsafeRunsOnce.Hold(a.request.Repeatable || !a.mayHaveRun,
+		"unsafe request %s is sent again after it may have run", a.request.ID)
+	streamsNotSpliced.Hold(!begun || a.request.Resumable, "answer to %s continues at another server", a.request.ID)
 }
 
-// afterSend takes the outcome of such a call.
+// afterSend records the outcome of a call that runs the request.
 func (a *audit) afterSend(out forward.Outcome) {
 	a.mayHaveRun = a.mayHaveRun || out == forward.OK || out == forward.Lost
 }
 
-// checkEnd checks the last move; it tells whether the request may end by it.
-func (a *audit) checkEnd(m forward.Decision, begun bool) bool {
-	refusedUnrun.Hold(m.Action != forward.Refuse || a.request.Repeatable || !a.mayHaveRun,
-		"%s is refused: %s", a.request.ID, m.Reason)
-	return alwaysAnswers.Hold(m.Action != forward.Done || begun, "%s has no answer", a.request.ID)
+// checkEnd checks the final decision and reports whether a request that ends as served has
+// begun its answer.
+func (a *audit) checkEnd(decision forward.Decision, begun bool) bool {
+	refusalsNotRun.Hold(decision.Action != forward.Refuse || a.request.Repeatable || !a.mayHaveRun,
+		"%s is refused after it may have run: %s", a.request.ID, decision.Reason)
+	return servedIsAnswered.Hold(decision.Action != forward.Done || begun,
+		"%s ends as served without an answer", a.request.ID)
 }
--- a/traffic/gateway/cut_test.go
+++ b/traffic/gateway/cut_test.go
@@ -15,10 +15,11 @@
 	"mulleinmast/traffic/forward"
 )
 
-// joined is a daemon without a disk in the fleet of gate's, cut off from it.
-func joined(t *testing.T, overrun time.Duration) (*Gateway, *fake) {
+// newCutOffGateway returns the gateway of a daemon without a disk, which belongs to the fleet of
+// sharedGateway but is cut off from it.
+func newCutOffGateway(t *testing.T, overrun time.Duration) (*Gateway, *fakeEngines) {
 	t.Helper()
-	g, err := gate()
+	g, err := sharedGateway()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -36,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fake{}
+	f := &fakeEngines{}
 	c.Transport.DropPeers.Store(&map[string]bool{"*": true})
 	out := New(c, f)
 	ctx, stop := context.WithCancel(context.Background())
@@ -46,30 +47,30 @@
 	return out, f
 }
 
-// soon waits for something, with an end.
-func soon(t *testing.T, c *daemon.Daemon, what string, so func() bool) {
+// eventually waits until a condition holds and fails the test if that takes too long.
+func eventually(t *testing.T, c *daemon.Daemon, what string, condition func() bool) {
 	t.Helper()
-	limit, beat := time.After(20*time.Second), time.NewTicker(c.Cfg.VolumeLease()/32)
-	defer beat.Stop()
-	for !so() {
+	limit, ticker := time.After(20*time.Second), time.NewTicker(c.Cfg.VolumeLease()/32)
+	defer ticker.Stop()
+	for !condition() {
 		select {
 		case <-limit:
-			t.Fatal("not in time: " + what)
-		case <-beat.C:
+			t.Fatal("timed out waiting for: " + what)
+		case <-ticker.C:
 		}
 	}
 }
 
-// A daemon that is cut off goes on with the requests that its last records
-// allow, for the overrun. What these don't allow it doesn't refuse for good,
-// since a later configuration may; nor does one that knows no configuration.
-func TestLastRecordsRefuseNothingForGood(t *testing.T) {
-	g, f := joined(t, 3*time.Second)
+// For the overrun, a daemon that is cut off keeps serving requests that its last records
+// allow. It doesn't permanently refuse others, as a later configuration may allow them; nor
+// does a daemon that has no configuration yet.
+func TestStaleRecordsNeverRefusePermanently(t *testing.T) {
+	g, f := newCutOffGateway(t, 3*time.Second)
 	ask := func(path string) string {
-		f.write = func(int, context.Context, forward.Decision, string) (Answer, forward.Outcome) {
-			return &script{status: 200, kind: "text/plain", pieces: []piece{{"", "a"}}}, forward.OK
+		f.decode = func(int, context.Context, forward.Decision, string) (Answer, forward.Outcome) {
+			return &scriptedAnswer{status: 200, kind: "text/plain", pieces: []piece{{"", "a"}}}, forward.OK
 		}
-		e := &ears{}
+		e := &recordingClient{}
 		g.Serve(context.Background(), &Request{ID: path, Method: "POST", Host: "h.example", Path: path, Target: path, Header: http.Header{}}, e)
 		return strings.Join(e.log, " ")
 	}
@@ -81,27 +82,27 @@
 	}
 	_, sure := g.BodyBytes()
 	if got := ask("/none/"); got != "refuse 503" || sure {
-		t.Errorf("before it knew any configuration: %q, limits in force %v", got, sure)
+		t.Errorf("before any configuration is known: %q, sure of the limits: %v", got, sure)
 	}
 	g.daemon.Transport.DropPeers.Store(nil)
-	soon(t, g.daemon, "the first request served", func() bool { return ask("/unsafe/") == "head 200 a" })
-	soon(t, g.daemon, "in touch, no such route", func() bool { return ask("/none/") == "fail 404" })
+	eventually(t, g.daemon, "the first request served", func() bool { return ask("/unsafe/") == "head 200 a" })
+	eventually(t, g.daemon, "connected, no such route", func() bool { return ask("/none/") == "fail 404" })
 	g.daemon.Transport.DropPeers.Store(&map[string]bool{"*": true})
-	soon(t, g.daemon, "last records", func() bool {
+	eventually(t, g.daemon, "expired leases with records still readable", func() bool {
 		_, leased := g.daemon.Read(0, fleetconfig.PlanKey)
 		_, last := g.daemon.ReadAllowingStale(0, fleetconfig.PlanKey)
 		return !leased && last
 	})
 	until := g.daemon.Now() + g.daemon.Cfg.MaxStaleness(0, fleetconfig.PlanKey, true)
-	soon(t, g.daemon, "cut off, served by last records", func() bool { return ask("/unsafe/") == "head 200 a" })
+	eventually(t, g.daemon, "cut off, served by the last records", func() bool { return ask("/unsafe/") == "head 200 a" })
 	expect("cut off", "/none/", "refuse 503")
 	if _, sure := g.BodyBytes(); sure {
-		t.Error("cut off: its limits count as those in force")
+		t.Error("cut off: the limits are reported as current")
 	}
-	soon(t, g.daemon, "the end of the overrun", func() bool { return g.daemon.Now() > until })
-	expect("cut off for long", "/unsafe/", "refuse 503")
-	expect("cut off for long", "/none/", "refuse 503")
+	eventually(t, g.daemon, "the end of the overrun", func() bool { return g.daemon.Now() > until })
+	expect("after the overrun", "/unsafe/", "refuse 503")
+	expect("after the overrun", "/none/", "refuse 503")
 	g.daemon.Transport.DropPeers.Store(nil)
-	soon(t, g.daemon, "back in touch", func() bool { return ask("/unsafe/") == "head 200 a" })
-	soon(t, g.daemon, "back in touch, no such route", func() bool { return ask("/none/") == "fail 404" })
+	eventually(t, g.daemon, "served after reconnecting", func() bool { return ask("/unsafe/") == "head 200 a" })
+	eventually(t, g.daemon, "reconnected, no such route", func() bool { return ask("/none/") == "fail 404" })
 }
--- a/traffic/gateway/dispatcher.go
+++ b/traffic/gateway/dispatcher.go
@@ -12,18 +12,18 @@
 	"mulleinmast/wire/message"
 )
 
-// dispatcher is one service's shard: the state machine under its lock.
+// dispatcher is the forwarding state machine of one service, with its lock.
 type dispatcher struct {
 	partition int
 	pressure  atomic.Pointer[map[string]placement.Pressure] // by server, as last measured
 
 	mu sync.Mutex // guards all below
 	*forward.Dispatcher
-	pinned map[string]bool // records, by key
+	pinned map[string]bool // keys of the records pinned in the daemon's cache
 }
 
-// dispatcherOf is the dispatcher of a service.
-func (g *Gateway) dispatcherOf(service string) *dispatcher {
+// dispatcherFor returns the dispatcher of a service, creating it if necessary.
+func (g *Gateway) dispatcherFor(service string) *dispatcher {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	d := g.dispatchers[service]
@@ -33,14 +33,14 @@
 			partition: partition, pinned: map[string]bool{},
 			Dispatcher: forward.New(g.cfg, service, partition, source{g.daemon}, serviceLoads{g, service}),
 		}
-		g.setDaemons(d)
+		g.updateDaemons(d)
 		g.dispatchers[service] = d
 	}
 	return d
 }
 
-// setDaemons has a dispatcher know which daemons there are.
-func (g *Gateway) setDaemons(d *dispatcher) {
+// updateDaemons passes the current members of the fleet to a dispatcher.
+func (g *Gateway) updateDaemons(d *dispatcher) {
 	v := g.daemon.View()
 	daemons := make([]string, 0, len(v.Members))
 	for _, m := range v.Members {
@@ -49,9 +49,10 @@
 	d.SetDaemons(g.daemon.Now(), v.Self.Addr, daemons)
 }
 
-// pinRecords has the daemon keep the records cached that a dispatcher reads, and no others.
+// pinRecords pins the records that a dispatcher reads in the daemon's cache and unpins those
+// that it no longer reads.
 func (g *Gateway) pinRecords(d *dispatcher) {
-	fresh, stale := d.changePins()
+	fresh, stale := d.updatePins()
 	for _, key := range fresh {
 		g.daemon.Pin(d.partition, key)
 	}
@@ -60,9 +61,9 @@
 	}
 }
 
-// changePins takes the records that the dispatcher reads for those that are pinned; it lists
-// those that weren't before, and those that were and are no longer read.
-func (d *dispatcher) changePins() (fresh, stale []string) {
+// updatePins marks the records that the dispatcher reads as pinned. It returns the keys to
+// pin, which were not pinned before, and those to unpin, which are no longer read.
+func (d *dispatcher) updatePins() (fresh, stale []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	wanted := map[string]bool{}
@@ -87,8 +88,8 @@
 	return len(d.pinned) > 0
 }
 
-// measure takes what changes all the time: the daemons, and the servers' pressure.
-func (g *Gateway) measure(d *dispatcher, service fleetconfig.Service) {
+// updateMeasurements refreshes the daemons, the servers' pressure and their cache sizes.
+func (g *Gateway) updateMeasurements(d *dispatcher, service fleetconfig.Service) {
 	servers := g.measurePressure(d, service)
 	g.loadMu.Lock()
 	defer g.loadMu.Unlock()
@@ -97,11 +98,11 @@
 	}
 }
 
-// measurePressure takes the pressure on a dispatcher's servers and lists them.
+// measurePressure stores the current pressure on a dispatcher's servers and returns the servers.
 func (g *Gateway) measurePressure(d *dispatcher, service fleetconfig.Service) []forward.Server {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	g.setDaemons(d)
+	g.updateDaemons(d)
 	d.Refresh(g.daemon.Now())
 	warmUp := g.daemon.Cfg.WarmUp
 	d.SetWarmupLimit(forward.WarmupLimit{Rate: service.WarmUpRate, Over: warmUp.Over, Slack: warmUp.Slack})
@@ -115,32 +116,32 @@
 	return servers
 }
 
-// pressure reports to the servers' controller how hard one of them is pressed. The
-// controller asks under its partition's lock, and a dispatcher reads that partition under
-// its own: so this is what was last measured, read without the dispatcher's lock.
+// pressure returns the last measured pressure on a server, for the placement controller. It
+// must not take the dispatcher's lock: the controller calls it under its partition's lock,
+// and the dispatcher reads that partition under its own lock.
 func (g *Gateway) pressure(service, key string) placement.Pressure {
-	if all := g.dispatcherOf(service).pressure.Load(); all != nil {
+	if all := g.dispatcherFor(service).pressure.Load(); all != nil {
 		return (*all)[key]
 	}
 	return placement.Pressure{}
 }
 
-// loadReported takes what a server reports of its load with an answer.
-func (g *Gateway) loadReported(service, key string, load forward.Load) {
-	d := g.dispatcherOf(service)
+// onServerLoad processes the load that a server reports with an answer.
+func (g *Gateway) onServerLoad(service, key string, load forward.Load) {
+	d := g.dispatcherFor(service)
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.LoadReported(g.daemon.Now(), key, load)
 }
 
-// receiveLoadReport takes another daemon's load report.
+// receiveLoadReport processes another daemon's load report.
 func (g *Gateway) receiveLoadReport(m message.Message) {
 	g.loadMu.Lock()
 	defer g.loadMu.Unlock()
 	g.loads.Step(g.daemon.Now(), m)
 }
 
-// sendLoadReports sends the load reports whose time has come.
+// sendLoadReports sends the load reports that are due.
 func (g *Gateway) sendLoadReports() {
 	v := g.daemon.View()
 	g.loadMu.Lock()
@@ -149,15 +150,15 @@
 	g.daemon.SendAll(out)
 }
 
-// step runs one input through a dispatcher.
+// step applies one input to a dispatcher under its lock.
 func (g *Gateway) step(d *dispatcher, input func(now time.Duration) forward.Decision) forward.Decision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return input(g.daemon.Now())
 }
 
-// streamStarted records that the first event of an answer goes out; fixed says that the
-// answer can't be resumed at another server.
+// streamStarted records that the first event of an answer is sent to the client; fixed means
+// that the answer can't be resumed at another server.
 func (d *dispatcher) streamStarted(now time.Duration, id string, fixed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -167,7 +168,8 @@
 	}
 }
 
-// eventSent records that one more event goes out, so long after the last.
+// eventSent records that one more event is sent to the client, sinceLast after the previous
+// one.
 func (d *dispatcher) eventSent(id string, sinceLast time.Duration, fixed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/traffic/gateway/execute.go
+++ b/traffic/gateway/execute.go
@@ -18,102 +18,108 @@
 	return h.Sum64()
 }
 
-// delivered is what a client has of its answer.
-type delivered struct {
-	lastEvent  string // the id of its last event
-	headSent   bool   // it has a head
-	clientGone bool   // it takes nothing more
+// deliveryState is the part of its answer that a client has received.
+type deliveryState struct {
+	lastEvent  string // id of the last event sent
+	headSent   bool   // status and header were sent
+	clientGone bool   // the client can't be reached
 }
 
-// execute carries out the decisions on one request.
-func (g *Gateway) execute(ctx context.Context, q *Request, a *admission, c forward.Request, w Client) {
-	d := g.dispatcherOf(c.Service)
-	has, arrivedAt := delivered{lastEvent: q.LastEventID}, g.daemon.Now()
-	w.Within(c.Deadline - arrivedAt)
-	check := audit{request: c}
-	m := g.step(d, func(now time.Duration) forward.Decision { return d.Start(now, c) })
-	for !m.Action.Final() {
-		if last, ended := g.endEarly(ctx, d, q, a, m, ctx.Err() != nil || has.clientGone); ended {
-			m = last
+// execute carries out the decisions for one request until it ends.
+func (g *Gateway) execute(ctx context.Context, req *Request, a *admission, fwd forward.Request, w Client) {
+	d := g.dispatcherFor(fwd.Service)
+	delivered, arrivedAt := deliveryState{lastEvent: req.LastEventID}, g.daemon.Now()
+	w.Within(fwd.Deadline - arrivedAt)
+	check := audit{request: fwd}
+	decision := g.step(d, func(now time.Duration) forward.Decision { return d.Start(now, fwd) })
+	for !decision.Action.Final() {
+		if last, ended := g.endEarly(ctx, d, req, a, decision, ctx.Err() != nil || delivered.clientGone); ended {
+			decision = last
 			break
 		}
-		switch m.Action {
+		switch decision.Action {
 		case forward.Wait:
-			m = g.wait(ctx, d, c, m)
+			decision = g.wait(ctx, d, fwd, decision)
 		case forward.Prefill:
-			m = g.prefill(ctx, d, q, c, m)
+			decision = g.prefill(ctx, d, req, fwd, decision)
 		case forward.Decode:
-			check.beforeSend(has.headSent)
-			outcome, why := g.decode(ctx, d, q, a, c, m, w, &has)
+			check.beforeSend(delivered.headSent)
+			outcome, why := g.decode(ctx, d, req, a, fwd, decision, w, &delivered)
 			check.afterSend(outcome)
 			if check.mayHaveRun {
 				a.permit.use()
 			}
-			if (ctx.Err() != nil || has.clientGone) && outcome != forward.OK {
+			if (ctx.Err() != nil || delivered.clientGone) && outcome != forward.OK {
 				continue
 			}
-			m = g.step(d, func(now time.Duration) forward.Decision { return d.DecodeDone(now, c.ID, outcome, why) })
+			decision = g.step(d, func(now time.Duration) forward.Decision {
+				return d.DecodeDone(now, fwd.ID, outcome, why)
+			})
 		}
 	}
-	for _, h := range m.ReleaseHandles {
+	for _, h := range decision.ReleaseHandles {
 		go g.engines.ReleaseHandle(h)
 	}
-	g.finished(q, a, c, m, g.daemon.Now()-arrivedAt)
-	if !check.checkEnd(m, has.headSent) {
+	g.recordEnd(req, a, fwd, decision, g.daemon.Now()-arrivedAt)
+	if !check.checkEnd(decision, delivered.headSent) {
 		w.Fail(http.StatusBadGateway, "it ended without an answer")
 		return
 	}
-	answer(w, m)
+	finishResponse(w, decision)
 }
 
-// endEarly ends a request whose client went away, or whose next call its key or its
-// tenant's limit doesn't allow any more; false: it goes on.
+// endEarly ends a request whose client disconnected, or whose next call is no longer allowed
+// by its key or its tenant's limit. Otherwise ended is false and the request continues.
 func (g *Gateway) endEarly(
-	ctx context.Context, d *dispatcher, q *Request, a *admission, m forward.Decision, clientGone bool,
+	ctx context.Context, d *dispatcher, req *Request, a *admission, decision forward.Decision, clientGone bool,
 ) (last forward.Decision, ended bool) {
-	calling := m.Action != forward.Wait
+	calling := decision.Action != forward.Wait
 	if clientGone {
-		return g.step(d, func(now time.Duration) forward.Decision { return d.ClientGone(now, q.ID, calling) }), true
+		return g.step(d, func(now time.Duration) forward.Decision { return d.ClientGone(now, req.ID, calling) }), true
 	}
 	why := ""
-	if calling && !g.keyStands(q, *a) {
+	if calling && !g.isKeyValid(req, *a) {
 		why = reasonKeyRevoked
-	} else if m.Action == forward.Decode && !a.mayRun(g.daemon.Now()) {
-		// It waited for longer than its token is valid, or a run before it took that.
+	} else if decision.Action == forward.Decode && !a.mayRun(g.daemon.Now()) {
+		// The token expired while the request waited, or an earlier run used it.
 		_, why, _ = g.takeToken(ctx, a)
 	}
 	if why == "" {
-		return m, false
+		return decision, false
 	}
-	return g.step(d, func(now time.Duration) forward.Decision { return d.Withdraw(now, q.ID, why) }), true
+	return g.step(d, func(now time.Duration) forward.Decision { return d.Withdraw(now, req.ID, why) }), true
 }
 
-// answer tells the client how its request ended, unless it has the whole answer.
-func answer(w Client, m forward.Decision) {
-	switch m.Action {
+// finishResponse reports the end of a request to its client, unless the client has the
+// complete answer.
+func finishResponse(w Client, decision forward.Decision) {
+	switch decision.Action {
 	case forward.Refuse:
-		w.Refuse(http.StatusServiceUnavailable, m.RetryAfter, m.Reason)
+		w.Refuse(http.StatusServiceUnavailable, decision.RetryAfter, decision.Reason)
 	case forward.Unknown:
-		w.Fail(http.StatusBadGateway, m.Reason)
-	case forward.Duplicate: // no promise: the other one may run
-		w.Fail(http.StatusConflict, m.Reason)
+		w.Fail(http.StatusBadGateway, decision.Reason)
+	case forward.Duplicate: // not a refusal: the other request of this id may run
+		w.Fail(http.StatusConflict, decision.Reason)
 	case forward.Break:
 		w.Break()
 	}
 }
 
-// wait carries out a Wait. The decision stays as it is if the client went away meanwhile.
-func (g *Gateway) wait(ctx context.Context, d *dispatcher, c forward.Request, m forward.Decision) forward.Decision {
-	g.pause(ctx, m.Until)
+// wait carries out a Wait. It returns the same decision if the client disconnects in the
+// meantime.
+func (g *Gateway) wait(
+	ctx context.Context, d *dispatcher, fwd forward.Request, decision forward.Decision,
+) forward.Decision {
+	g.waitForChange(ctx, decision.Until)
 	if ctx.Err() != nil {
-		return m
+		return decision
 	}
-	return g.step(d, func(now time.Duration) forward.Decision { return d.Continue(now, c.ID) })
+	return g.step(d, func(now time.Duration) forward.Decision { return d.Continue(now, fwd.ID) })
 }
 
-// pause waits for a change of records, or until a time.
-func (g *Gateway) pause(ctx context.Context, until time.Duration) {
-	longest := g.daemon.Cfg.VolumeLease() / 16 // renewed volume leases are no change
+// waitForChange waits for a change of records, at most until the given time.
+func (g *Gateway) waitForChange(ctx context.Context, until time.Duration) {
+	longest := g.daemon.Cfg.VolumeLease() / 16 // the renewal of a volume lease isn't signaled as a change
 	timer := time.NewTimer(max(min(until-g.daemon.Now(), longest), time.Millisecond))
 	defer timer.Stop()
 	select {
@@ -123,104 +129,107 @@
 	}
 }
 
-// prefill carries out a Prefill. The decision stays as it is if the client went away
-// meanwhile.
+// prefill carries out a Prefill. It returns the same decision if the client disconnects in
+// the meantime.
 func (g *Gateway) prefill(
-	ctx context.Context, d *dispatcher, q *Request, c forward.Request, m forward.Decision,
+	ctx context.Context, d *dispatcher, req *Request, fwd forward.Request, decision forward.Decision,
 ) forward.Decision {
-	callCtx, cancel := context.WithTimeout(ctx, m.Until-g.daemon.Now())
-	h, outcome, why := g.engines.Prefill(callCtx, q, c, m, g.lastCheck(d, nil, c, m))
+	callCtx, cancel := context.WithTimeout(ctx, decision.Until-g.daemon.Now())
+	h, outcome, why := g.engines.Prefill(callCtx, req, fwd, decision, g.sendCheck(d, nil, fwd, decision))
 	cancel()
 	if ctx.Err() != nil && outcome != forward.OK {
-		return m
+		return decision
 	}
-	return g.step(d, func(now time.Duration) forward.Decision { return d.PrefillDone(now, c.ID, outcome, h, why) })
+	return g.step(d, func(now time.Duration) forward.Decision { return d.PrefillDone(now, fwd.ID, outcome, h, why) })
 }
 
-// lastCheck is asked just before the first byte of a call goes out; of one that has the
-// request run, its admission is given.
-func (g *Gateway) lastCheck(d *dispatcher, run *admission, c forward.Request, m forward.Decision) func() bool {
+// sendCheck returns the check to make just before the first byte of a call is sent. admitted
+// is set for a call that runs the request, which needs a valid token.
+func (g *Gateway) sendCheck(
+	d *dispatcher, admitted *admission, fwd forward.Request, decision forward.Decision,
+) func() bool {
 	return func() bool {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		now := g.daemon.Now()
-		if run != nil && !run.mayRun(now) || !d.MaySend(now, c.ID, m) {
+		if admitted != nil && !admitted.mayRun(now) || !d.MaySend(now, fwd.ID, decision) {
 			return false
 		}
-		g.report.sent(g.daemon.LapsedFor(d.partition))
+		g.report.recordSend(g.daemon.LapsedFor(d.partition))
 		return true
 	}
 }
 
-// decode carries out a Decode and passes on what comes.
+// decode carries out a Decode and relays the answer to the client.
 func (g *Gateway) decode(
-	ctx context.Context, d *dispatcher, q *Request, run *admission, c forward.Request, m forward.Decision, w Client,
-	has *delivered,
+	ctx context.Context, d *dispatcher, req *Request, admitted *admission, fwd forward.Request,
+	decision forward.Decision, w Client, delivered *deliveryState,
 ) (forward.Outcome, string) {
-	ctx, cancel := context.WithTimeout(ctx, m.Until-g.daemon.Now())
+	ctx, cancel := context.WithTimeout(ctx, decision.Until-g.daemon.Now())
 	defer cancel()
-	a, outcome, why := g.engines.Decode(ctx, q, c, m, has.lastEvent, g.lastCheck(d, run, c, m))
+	a, outcome, why := g.engines.Decode(
+		ctx, req, fwd, decision, delivered.lastEvent, g.sendCheck(d, admitted, fwd, decision))
 	if outcome != forward.OK {
 		return outcome, why
 	}
 	defer a.Close()
-	if has.headSent && a.Status() != http.StatusOK {
+	if delivered.headSent && a.Status() != http.StatusOK {
 		return forward.Lost, "a stream can't go on with a " + http.StatusText(a.Status())
 	}
-	if !has.headSent && c.Repeatable && a.Status() >= http.StatusInternalServerError {
+	if !delivered.headSent && fwd.Repeatable && a.Status() >= http.StatusInternalServerError {
 		return forward.Lost, http.StatusText(a.Status())
 	}
-	return g.passOn(d, c, a, w, has)
+	return g.relay(d, fwd, a, w, delivered)
 }
 
-// passOn passes a server's answer on to the client.
-func (g *Gateway) passOn(
-	d *dispatcher, c forward.Request, a Answer, w Client, has *delivered,
+// relay copies a server's answer to the client.
+func (g *Gateway) relay(
+	d *dispatcher, fwd forward.Request, a Answer, w Client, delivered *deliveryState,
 ) (forward.Outcome, string) {
-	resumed := has.headSent
+	resumed := delivered.headSent
 	first, lastAt := true, time.Duration(0)
 	for {
 		b, id, err := a.Next()
 		if err == io.EOF {
-			has.sendHead(w, a)
+			delivered.sendHead(w, a)
 			return forward.OK, ""
 		}
 		if err != nil {
 			return forward.Lost, err.Error()
 		}
-		if resumed && first && !follows(has.lastEvent, id) {
-			return forward.Lost, fmt.Sprintf("it goes on with event %q after %q", id, has.lastEvent)
+		if resumed && first && !isLaterEvent(delivered.lastEvent, id) {
+			return forward.Lost, fmt.Sprintf("it goes on with event %q after %q", id, delivered.lastEvent)
 		}
-		has.sendHead(w, a)
+		delivered.sendHead(w, a)
 		now := g.daemon.Now()
 		fixed := id == "" || a.Status() != http.StatusOK
 		if first {
-			d.streamStarted(now, c.ID, fixed)
+			d.streamStarted(now, fwd.ID, fixed)
 		} else {
-			d.eventSent(c.ID, now-lastAt, fixed)
+			d.eventSent(fwd.ID, now-lastAt, fixed)
 		}
 		first, lastAt = false, now
-		if !w.Pass(b) { // no fault of the server's
-			has.clientGone = true
+		if !w.Pass(b) { // not the server's fault
+			delivered.clientGone = true
 			return forward.Lost, "the client takes nothing"
 		}
 		if id != "" {
-			has.lastEvent = id
+			delivered.lastEvent = id
 		}
 	}
 }
 
-// sendHead sends the head of an answer to a client that has none yet.
-func (has *delivered) sendHead(w Client, a Answer) {
-	if !has.headSent {
+// sendHead sends the status and header of an answer unless the client already has them.
+func (s *deliveryState) sendHead(w Client, a Answer) {
+	if !s.headSent {
 		w.Begin(a.Status(), a.Header())
-		has.headSent = true
+		s.headSent = true
 	}
 }
 
-// follows tells whether a stream that broke off after one event may go on with
-// another: their ids rise.
-func follows(last, id string) bool {
+// isLaterEvent reports whether a stream that was interrupted after one event may continue
+// with another: numeric ids must increase, other ids must differ.
+func isLaterEvent(last, id string) bool {
 	a, errA := strconv.ParseInt(last, 10, 64)
 	b, errB := strconv.ParseInt(id, 10, 64)
 	if errA == nil && errB == nil {
--- a/traffic/gateway/fake_test.go
+++ b/traffic/gateway/fake_test.go
@@ -12,16 +12,16 @@
 	"mulleinmast/traffic/forward"
 )
 
-// fake are servers by script: each call takes the next line of it.
-type fake struct {
-	mu    sync.Mutex
-	calls []string
-	freed []string
-	read  func(n int, m forward.Decision) forward.Outcome
-	write func(n int, ctx context.Context, m forward.Decision, last string) (Answer, forward.Outcome)
+// fakeEngines are model servers whose outcomes are scripted; n counts the calls of a kind.
+type fakeEngines struct {
+	mu       sync.Mutex
+	calls    []string
+	released []string
+	prefill  func(n int, decision forward.Decision) forward.Outcome
+	decode   func(n int, ctx context.Context, decision forward.Decision, last string) (Answer, forward.Outcome)
 }
 
-func (f *fake) note(what string) int {
+func (f *fakeEngines) note(what string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.calls = append(f.calls, what)
@@ -34,42 +34,42 @@
 	return n
 }
 
-func (f *fake) Prefill(_ context.Context, q *Request, _ forward.Request, m forward.Decision, may func() bool) (forward.Handle, forward.Outcome, string) {
-	if !may() {
+func (f *fakeEngines) Prefill(_ context.Context, req *Request, _ forward.Request, decision forward.Decision, maySend func() bool) (forward.Handle, forward.Outcome, string) {
+	if !maySend() {
 		return forward.Handle{}, forward.Blocked, "barred"
 	}
-	n := f.note("read")
-	return forward.Handle{ID: fmt.Sprint("h", n), RequestID: q.ID, Attempt: m.Attempt, Server: m.Server, Tokens: q.InputTokens}, f.read(n, m), "by script"
+	n := f.note("prefill")
+	return forward.Handle{ID: fmt.Sprint("h", n), RequestID: req.ID, Attempt: decision.Attempt, Server: decision.Server, Tokens: req.InputTokens}, f.prefill(n, decision), "by script"
 }
 
-func (f *fake) Decode(ctx context.Context, _ *Request, _ forward.Request, m forward.Decision, last string, may func() bool) (Answer, forward.Outcome, string) {
-	if !may() {
+func (f *fakeEngines) Decode(ctx context.Context, _ *Request, _ forward.Request, decision forward.Decision, last string, maySend func() bool) (Answer, forward.Outcome, string) {
+	if !maySend() {
 		return nil, forward.Blocked, "barred"
 	}
-	what := "write"
-	if m.Handle != nil {
-		what += " " + m.Handle.ID
+	what := "decode"
+	if decision.Handle != nil {
+		what += " " + decision.Handle.ID
 	}
 	if last != "" {
 		what += " after " + last
 	}
-	a, out := f.write(f.note(what), ctx, m, last)
+	a, out := f.decode(f.note(what), ctx, decision, last)
 	return a, out, "by script"
 }
 
-func (f *fake) ReleaseHandle(h forward.Handle) {
+func (f *fakeEngines) ReleaseHandle(h forward.Handle) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.freed = append(f.freed, h.ID)
+	f.released = append(f.released, h.ID)
 }
 
-func (f *fake) OnLoad(func(string, string, forward.Load)) {}
+func (f *fakeEngines) OnLoad(func(string, string, forward.Load)) {}
 
-// piece is an event with its id, or bytes without one.
+// piece is an event with its id, or bytes without an id.
 type piece struct{ id, text string }
 
-// script is an answer by script; err is how it ends, none: whole.
-type script struct {
+// scriptedAnswer is an answer with given pieces; err is the error at its end, nil: it is complete.
+type scriptedAnswer struct {
 	status int
 	kind   string
 	pieces []piece
@@ -77,13 +77,15 @@
 	closed bool
 }
 
-func (a *script) Status() int { return a.status }
+func (a *scriptedAnswer) Status() int { return a.status }
 
-func (a *script) Header() http.Header { return http.Header{"Content-Type": {a.kind}, "Seal": {"s"}} }
+func (a *scriptedAnswer) Header() http.Header {
+	return http.Header{"Content-Type": {a.kind}, "Seal": {"s"}}
+}
 
-func (a *script) Close() { a.closed = true }
+func (a *scriptedAnswer) Close() { a.closed = true }
 
-func (a *script) Next() ([]byte, string, error) {
+func (a *scriptedAnswer) Next() ([]byte, string, error) {
 	if len(a.pieces) == 0 {
 		if a.err != nil {
 			return nil, "", a.err
@@ -95,53 +97,55 @@
 	return []byte(p.text), p.id, nil
 }
 
-// events is a stream of the events from one number to another.
-func events(from, to int, err error) *script {
-	a := &script{status: 200, kind: eventStream, err: err}
+// events returns a stream of events numbered from one id to another.
+func events(from, to int, err error) *scriptedAnswer {
+	a := &scriptedAnswer{status: 200, kind: eventStream, err: err}
 	for i := from; i <= to; i++ {
 		a.pieces = append(a.pieces, piece{fmt.Sprint(i), fmt.Sprint(i, ";")})
 	}
 	return a
 }
 
-// ears take what a client gets.
-type ears struct {
-	log  []string
-	deaf int // nothing is taken after so many pieces; 0: all is
-	then func(n int)
-	full bool          // nothing is read: what is passed on waits
-	late chan struct{} // closed when what is passed on may wait no longer
-	left time.Duration // that it was told
+// recordingClient records what a client receives.
+type recordingClient struct {
+	log          []string
+	acceptPieces int // entries in the log after which writes fail; 0: unlimited
+	onPass       func(n int)
+	blocked      bool          // the client reads nothing: Pass blocks
+	timeUp       chan struct{} // closed at the time limit; a blocked Pass then fails
+	timeLimit    time.Duration // as set by Within
 }
 
-func (e *ears) Within(left time.Duration) {
-	if e.left = left; e.full {
-		time.AfterFunc(left, func() { close(e.late) })
+func (e *recordingClient) Within(timeLimit time.Duration) {
+	if e.timeLimit = timeLimit; e.blocked {
+		time.AfterFunc(timeLimit, func() { close(e.timeUp) })
 	}
 }
 
-func (e *ears) add(how string, args ...any) { e.log = append(e.log, fmt.Sprintf(how, args...)) }
+func (e *recordingClient) add(how string, args ...any) {
+	e.log = append(e.log, fmt.Sprintf(how, args...))
+}
 
-func (e *ears) Begin(status int, _ http.Header) { e.add("head %d", status) }
+func (e *recordingClient) Begin(status int, _ http.Header) { e.add("head %d", status) }
 
-func (e *ears) Fail(status int, _ string) { e.add("fail %d", status) }
+func (e *recordingClient) Fail(status int, _ string) { e.add("fail %d", status) }
 
-func (e *ears) Break() { e.add("break") }
+func (e *recordingClient) Break() { e.add("break") }
 
-func (e *ears) Pass(b []byte) bool {
+func (e *recordingClient) Pass(b []byte) bool {
 	e.add("%s", b)
-	if e.then != nil {
-		e.then(len(e.log) - 1)
+	if e.onPass != nil {
+		e.onPass(len(e.log) - 1)
 	}
-	if e.full {
-		<-e.late
+	if e.blocked {
+		<-e.timeUp
 		return false
 	}
-	return e.deaf == 0 || len(e.log) <= e.deaf
+	return e.acceptPieces == 0 || len(e.log) <= e.acceptPieces
 }
 
-func (e *ears) Refuse(status int, back time.Duration, _ string) {
+func (e *recordingClient) Refuse(status int, back time.Duration, _ string) {
 	if e.add("refuse %d", status); back <= 0 || back > 5*time.Second {
-		e.add("to come back after %v", back)
+		e.add("retry after %v", back)
 	}
 }
--- a/traffic/gateway/gateway.go
+++ b/traffic/gateway/gateway.go
@@ -16,7 +16,7 @@
 	"mulleinmast/wire/message"
 )
 
-// Gateway serves clients.
+// Gateway serves the requests of clients on one daemon.
 type Gateway struct {
 	daemon   *daemon.Daemon
 	engines  Engines
@@ -34,7 +34,7 @@
 	loads  *loadreport.Reporter
 }
 
-// New makes a gateway on a daemon.
+// New returns a gateway on a daemon and registers its callbacks with the daemon.
 //
 // Example: g := gateway.New(d, engines)
 func New(d *daemon.Daemon, engines Engines) *Gateway {
@@ -45,12 +45,12 @@
 	}
 	d.Explainers = append(d.Explainers, g.report.explain)
 	d.Metrics.NewGauge("mulleinmast_requests_open", func() float64 { return float64(g.inFlight.Load()) })
-	engines.OnLoad(g.loadReported)
+	engines.OnLoad(g.onServerLoad)
 	d.OnLoadReport, d.Pressure = g.receiveLoadReport, g.pressure
 	return g
 }
 
-// Config is a dispatcher's bounds, as ratios to those in the daemon's config.
+// Config derives a dispatcher's parameters from the daemon's config.
 //
 // Example: d := forward.New(gateway.Config(cfg), service, partition, source, load)
 func Config(c daemon.Config) forward.Config {
@@ -65,7 +65,7 @@
 	}
 }
 
-// LoadReportConfig is the bounds of load reports, as ratios to those in the daemon's config.
+// LoadReportConfig derives the parameters of load reports from the daemon's config.
 //
 // Example: reporter := loadreport.New(gateway.LoadReportConfig(cfg))
 func LoadReportConfig(c daemon.Config) loadreport.Config {
@@ -75,24 +75,25 @@
 	}
 }
 
-// source reads the records that requests are routed by.
+// source reads the records by which requests are routed.
 type source struct{ *daemon.Daemon }
 
-// Read serves a record under valid leases, or for a while after they lapsed.
+// Read returns a record under valid leases, or for a limited time after they expired.
 //
 // Example: rec, ok := source.Read(0, fleetconfig.PlanKey)
 func (s source) Read(partition int, key string) (message.Record, bool) {
 	return s.ReadAllowingStale(partition, key)
 }
 
-// Until is when that ends, of the zones in the configuration and of the servers elsewhere.
+// Until returns when Read stops returning the records of a partition: for partition 0 those
+// of the zones, for other partitions those of the servers.
 //
 // Example: if now < source.Until(partition) { route() }
 func (s source) Until(partition int) time.Duration {
 	return s.StaleUntil(partition, fleetconfig.ZoneKey)
 }
 
-// Open is the number of requests under way.
+// Open returns the number of requests in flight.
 //
 // Example: for g.Open() > 0 { wait() }
 func (g *Gateway) Open() int64 { return g.inFlight.Load() }
@@ -117,7 +118,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-changed: // changes come in crowds: they are looked at together
+		case <-changed: // changes come in bursts, which are processed together
 			delayed.Reset(interval / 16)
 			changed = nil
 		case <-delayed.C:
@@ -133,83 +134,86 @@
 	}
 }
 
-// refreshServices pins what the services of the plan need, and measures them.
+// refreshServices pins the records that the services of the plan need, and updates the
+// measurements of their servers.
 func (g *Gateway) refreshServices(measure bool) {
-	p, ok := g.readPlan()
+	p, ok := g.currentPlan()
 	if !ok {
 		return
 	}
 	for _, service := range p.plan.Services {
-		d := g.dispatcherOf(service.Name)
-		// The record of a server that was listed just now is about to be written: it is asked for
-		// at the next interval, once, rather than now and again when it is there.
+		d := g.dispatcherFor(service.Name)
+		// The record of a server that was just listed is about to be written. Reading it at the
+		// next interval takes one read instead of two: now, and again when it exists.
 		if measure || !d.hasPins() {
 			g.pinRecords(d)
-			g.measure(d, service)
+			g.updateMeasurements(d, service)
 		}
 	}
 }
 
-// logSummary logs how many requests were not served since the last time, and why, and how
-// many sends went by records without a lease.
+// logSummary logs how many requests were not served since the last summary, by reason, and how
+// many sends were based on records with expired leases.
 func (g *Gateway) logSummary() {
-	if text := g.report.summaryOfSends(); text != "" {
+	if text := g.report.staleSendSummary(); text != "" {
 		g.daemon.Events.Info("records", text)
 	}
-	if text := g.report.summary(); text != "" {
-		g.daemon.Events.Info("requests", "not served since the last line: "+text)
+	if text := g.report.failureSummary(); text != "" {
+		g.daemon.Events.Info("requests", "not served since the last summary: "+text)
 	}
 }
 
-// Serve sees a request through to its end.
+// Serve handles a request until it ends.
 //
 // Example: g.Serve(r.Context(), request, client)
-func (g *Gateway) Serve(ctx context.Context, q *Request, w Client) {
+func (g *Gateway) Serve(ctx context.Context, req *Request, w Client) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
 	arrivedAt := g.daemon.Now()
-	p, ok := g.awaitPlan(ctx, g.maxWait(q), g.readPlan)
+	p, ok := g.awaitPlan(ctx, g.maxWait(req), g.currentPlan)
 	if !ok {
-		g.rejectEarly(q, w, http.StatusServiceUnavailable, "no valid lease on the configuration here")
+		g.rejectEarly(req, w, http.StatusServiceUnavailable, "no valid lease on the configuration here")
 		return
 	}
-	a := g.admit(ctx, q, p)
+	a := g.admit(ctx, req, p)
 	if a.status != 0 {
-		g.rejectEarly(q, w, a.status, a.reason)
+		g.rejectEarly(req, w, a.status, a.reason)
 		return
 	}
 	if status, reason, retryAfter := g.takeToken(ctx, &a); status != 0 {
-		g.rejectFor(q, w, status, reason, retryAfter)
+		g.rejectWithRetryAfter(req, w, status, reason, retryAfter)
 		return
 	}
-	g.execute(ctx, q, &a, routed(q, a, arrivedAt), w)
+	g.execute(ctx, req, &a, newForwardRequest(req, a, arrivedAt), w)
 }
 
-// routed is a request by the terms of its route and tenant.
-func routed(q *Request, a admission, arrivedAt time.Duration) forward.Request {
+// newForwardRequest converts an admitted request to the form that the dispatcher handles,
+// with the parameters of its route and tenant.
+func newForwardRequest(req *Request, a admission, arrivedAt time.Duration) forward.Request {
 	r, p := a.route, a.plan
 	resumes := r.Kind == "stream" && r.Resume
-	c := forward.Request{
-		ID: q.ID, Service: route.Pick(r, requestHash(q.ID)),
-		Repeatable: r.Kind == "safe" || resumes, Resumable: resumes, ContinuesStream: q.LastEventID != "",
+	fwd := forward.Request{
+		ID: req.ID, Service: route.Pick(r, requestHash(req.ID)),
+		Repeatable: r.Kind == "safe" || resumes, Resumable: resumes, ContinuesStream: req.LastEventID != "",
 		Urgency: r.Urgency, LeastUrgency: p.leastUrgency, MaxAttempts: r.MaxAttempts,
 		TTFTTarget:       time.Duration(r.TargetMillis) * time.Millisecond,
 		InterTokenTarget: time.Duration(r.GapMillis) * time.Millisecond,
 		Deadline:         arrivedAt + time.Duration(r.GiveUpMillis)*time.Millisecond,
-		Parts:            q.Parts, InputTokens: q.InputTokens, MaxOutputTokens: q.MaxOutputTokens, BodyBytes: len(q.Body),
+		Parts:            req.Parts, InputTokens: req.InputTokens, MaxOutputTokens: req.MaxOutputTokens,
+		BodyBytes: len(req.Body),
 	}
 	if a.tenant != nil {
-		c.Tenant, c.TenantAtLimit = a.tenant.Name, a.permit.isTenantAtLimit
+		fwd.Tenant, fwd.TenantAtLimit = a.tenant.Name, a.permit.isTenantAtLimit
 		if a.tenant.Urgency != nil {
-			c.Urgency = *a.tenant.Urgency
+			fwd.Urgency = *a.tenant.Urgency
 		}
 	}
-	c.Disaggregated = r.Kind == "stream" && p.disaggregated[c.Service]
-	if q.ClientTimeout > 0 {
-		c.Deadline = min(c.Deadline, arrivedAt+q.ClientTimeout)
+	fwd.Disaggregated = r.Kind == "stream" && p.disaggregated[fwd.Service]
+	if req.ClientTimeout > 0 {
+		fwd.Deadline = min(fwd.Deadline, arrivedAt+req.ClientTimeout)
 	}
-	if c.TTFTTarget == 0 {
-		c.TTFTTarget = (c.Deadline - arrivedAt) / 4
+	if fwd.TTFTTarget == 0 {
+		fwd.TTFTTarget = (fwd.Deadline - arrivedAt) / 4
 	}
-	return c
+	return fwd
 }
--- a/traffic/gateway/gateway_test.go
+++ b/traffic/gateway/gateway_test.go
@@ -25,12 +25,12 @@
 
 const eventStream = "text/event-stream"
 
-// gate is a gateway that most tests share.
-var gate = sync.OnceValues(newGate)
+// sharedGateway returns the gateway that most tests share.
+var sharedGateway = sync.OnceValues(newTestGateway)
 
-// newGate makes the gateway of one daemon, alone in its fleet, with five servers
-// of two halves.
-func newGate() (*Gateway, error) {
+// newTestGateway starts the gateway of the only daemon of a fleet, with three decode servers and two
+// prefill servers.
+func newTestGateway() (*Gateway, error) {
 	dir, err := os.MkdirTemp("", "gateway-test-")
 	if err != nil {
 		return nil, err
@@ -50,7 +50,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g := New(c, &fake{})
+	g := New(c, &fakeEngines{})
 	ctx := context.Background()
 	go func() { _ = g.Run(ctx) }()
 	go func() { _ = c.Run(ctx) }()
@@ -71,10 +71,10 @@
 		list.Servers = append(list.Servers, fleetconfig.Server{ID: fmt.Sprint("i-", i), Addr: fmt.Sprint("10.0.0.", i+1, ":1"), Zone: cfg.Zone, Capacity: 8, Role: part})
 	}
 	if code, rep := c.Call(ctx, 0, "plan", body, 20*time.Second); code != 200 {
-		return nil, fmt.Errorf("plan: %d %s", code, rep)
+		return nil, fmt.Errorf("set plan: %d %s", code, rep)
 	}
 	if code, rep := c.Call(ctx, c.Partition("one"), "servers", leadercall.Pack(leader.ServersCall{Service: "one", List: list}), 20*time.Second); code != 200 {
-		return nil, fmt.Errorf("servers: %d %s", code, rep)
+		return nil, fmt.Errorf("set servers: %d %s", code, rep)
 	}
 	limit := time.After(20 * time.Second)
 	for {
@@ -89,7 +89,7 @@
 		}
 		select {
 		case <-limit:
-			return nil, fmt.Errorf("only %d servers in use", n)
+			return nil, fmt.Errorf("timed out: only %d servers have a record", n)
 		case <-c.Changed():
 		case <-time.After(c.Cfg.VolumeLease() / 16):
 		}
@@ -98,45 +98,46 @@
 
 var requests, prompts = 0, uint64(0)
 
-// serve sends one request through; servers are never shy of a test before.
-func serve(t *testing.T, f *fake, path string, e *ears, edit func(q *Request)) []string {
+// serve runs one request to its end, with a new dispatcher so that no back-off from earlier
+// tests applies, and returns what the client received.
+func serve(t *testing.T, f *fakeEngines, path string, e *recordingClient, edit func(req *Request)) []string {
 	t.Helper()
-	g, err := gate()
+	g, err := sharedGateway()
 	if err != nil {
 		t.Fatal(err)
 	}
 	g.engines = f
-	l := g.dispatcherOf("one")
-	l.mu.Lock()
-	l.Dispatcher = forward.New(g.cfg, "one", l.partition, source{g.daemon}, serviceLoads{g, "one"})
-	g.setDaemons(l)
-	l.mu.Unlock()
+	d := g.dispatcherFor("one")
+	d.mu.Lock()
+	d.Dispatcher = forward.New(g.cfg, "one", d.partition, source{g.daemon}, serviceLoads{g, "one"})
+	g.updateDaemons(d)
+	d.mu.Unlock()
 	requests++
-	q := &Request{ID: fmt.Sprint("r", requests), Method: "POST", Host: "h.example", Path: path, Target: path, Header: http.Header{}}
+	req := &Request{ID: fmt.Sprint("r", requests), Method: "POST", Host: "h.example", Path: path, Target: path, Header: http.Header{}}
 	ctx := context.Background()
 	if edit != nil {
-		edit(q)
+		edit(req)
 	}
 	done := make(chan bool)
-	go func() { g.Serve(ctx, q, e); close(done) }()
+	go func() { g.Serve(ctx, req, e); close(done) }()
 	select {
 	case <-done:
 	case <-time.After(20 * time.Second):
-		t.Fatalf("%s: no end; calls %v, the client has %v", path, f.calls, e.log)
+		t.Fatalf("%s: the request does not end; calls %v, client received %v", path, f.calls, e.log)
 	}
 	if n := g.Open(); n != 0 {
 		t.Errorf("%d requests are open", n)
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.Dispatcher.InFlight() != 0 {
-		t.Errorf("%d requests are left in the lane", l.Dispatcher.InFlight())
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.Dispatcher.InFlight() != 0 {
+		t.Errorf("%d requests are left in the dispatcher", d.Dispatcher.InFlight())
 	}
 	return e.log
 }
 
-// outcomes scripts writing calls: each takes the next.
-func outcomes(list ...any) func(int, context.Context, forward.Decision, string) (Answer, forward.Outcome) {
+// scriptedOutcomes returns a decode function whose n-th call takes the n-th entry of a list.
+func scriptedOutcomes(list ...any) func(int, context.Context, forward.Decision, string) (Answer, forward.Outcome) {
 	return func(n int, _ context.Context, _ forward.Decision, _ string) (Answer, forward.Outcome) {
 		if n > len(list) {
 			return nil, forward.Overloaded
@@ -144,19 +145,19 @@
 		switch x := list[n-1].(type) {
 		case forward.Outcome:
 			return nil, x
-		case *script:
+		case *scriptedAnswer:
 			return x, forward.OK
 		}
-		panic("no such line")
+		panic("unexpected type of scripted outcome")
 	}
 }
 
-var errCut = errors.New("reset")
+var errReset = errors.New("reset")
 
-// What a client gets, and what servers got, for each way that calls can go.
-func TestEndsOfARequest(t *testing.T) {
-	text := func(status int, err error, texts ...string) *script {
-		a := &script{status: status, kind: "text/plain", err: err}
+// For each sequence of call outcomes, checks the calls to servers and what the client receives.
+func TestRequestOutcomes(t *testing.T) {
+	text := func(status int, err error, texts ...string) *scriptedAnswer {
+		a := &scriptedAnswer{status: status, kind: "text/plain", err: err}
 		for _, s := range texts {
 			a.pieces = append(a.pieces, piece{"", s})
 		}
@@ -169,200 +170,200 @@
 		gets       string
 	}{
 		{"no route", "/none/", nil, "", "fail 404"},
-		{"whole", "/unsafe/", []any{text(200, nil, "a", "b")}, "write", "head 200 a b"},
-		{"whole and empty", "/unsafe/", []any{text(204, nil)}, "write", "head 204"},
-		{"its own fault", "/unsafe/", []any{text(500, nil, "sorry")}, "write", "head 500 sorry"},
-		{"lost once", "/unsafe/", []any{forward.Lost}, "write", "fail 502"},
-		{"turned away, then lost", "/unsafe/", []any{forward.Overloaded, forward.Lost}, "write write", "fail 502"},
-		{"not sent, then whole", "/unsafe/", []any{forward.NotSent, text(200, nil, "a")}, "write write", "head 200 a"},
-		{"turned away by all", "/unsafe/", []any{forward.Overloaded, forward.WrongServer, forward.Overloaded}, "write write write", "refuse 503"},
-		{"broken off", "/unsafe/", []any{text(200, errCut, "a")}, "write", "head 200 a break"},
-		{"lost before its first byte", "/unsafe/", []any{text(200, errCut)}, "write", "fail 502"},
-		{"safe, lost, then whole", "/safe/", []any{forward.Lost, text(200, nil, "a")}, "write write", "head 200 a"},
-		{"safe, a fault, then whole", "/safe/", []any{text(500, nil, "sorry"), text(200, nil, "a")}, "write write", "head 200 a"},
-		{"safe, lost before its first byte, then whole", "/safe/", []any{text(200, errCut), text(200, nil, "a")}, "write write", "head 200 a"},
-		{"safe, lost by all", "/safe/", []any{forward.Lost, forward.Lost, forward.Lost}, "write write write", "fail 502"},
-		{"safe, broken off", "/safe/", []any{text(200, errCut, "a")}, "write", "head 200 a break"},
-		{"a stream", "/stream/", []any{events(1, 3, nil)}, "write", "head 200 1; 2; 3;"},
-		{"a stream broken off", "/stream/", []any{events(1, 2, errCut)}, "write", "head 200 1; 2; break"},
-		{"a stream lost", "/stream/", []any{forward.Lost}, "write", "fail 502"},
-		{"taken up elsewhere", "/resume/", []any{events(1, 2, errCut), events(3, 4, nil)}, "write|write after 2", "head 200 1; 2; 3; 4;"},
-		{"taken up twice", "/resume/", []any{events(1, 2, errCut), events(3, 3, errCut), events(4, 5, nil)}, "write|write after 2|write after 3", "head 200 1; 2; 3; 4; 5;"},
-		{"taken up, lost before an event", "/resume/", []any{events(1, 2, errCut), events(3, 2, errCut), events(3, 4, nil)}, "write|write after 2|write after 2", "head 200 1; 2; 3; 4;"},
-		{"taken up by a fault", "/resume/", []any{events(1, 1, errCut), text(500, nil, "sorry"), events(2, 2, nil)}, "write|write after 1|write after 1", "head 200 1; 2;"},
-		{"taken up by none", "/resume/", []any{events(1, 1, errCut), forward.Overloaded, forward.Overloaded}, "write|write after 1|write after 1", "head 200 1; break"},
-		{"lost before an event", "/resume/", []any{forward.Lost, events(1, 2, nil)}, "write write", "head 200 1; 2;"},
+		{"complete", "/unsafe/", []any{text(200, nil, "a", "b")}, "decode", "head 200 a b"},
+		{"complete and empty", "/unsafe/", []any{text(204, nil)}, "decode", "head 204"},
+		{"error response", "/unsafe/", []any{text(500, nil, "sorry")}, "decode", "head 500 sorry"},
+		{"lost once", "/unsafe/", []any{forward.Lost}, "decode", "fail 502"},
+		{"overloaded, then lost", "/unsafe/", []any{forward.Overloaded, forward.Lost}, "decode decode", "fail 502"},
+		{"not sent, then complete", "/unsafe/", []any{forward.NotSent, text(200, nil, "a")}, "decode decode", "head 200 a"},
+		{"rejected by all", "/unsafe/", []any{forward.Overloaded, forward.WrongServer, forward.Overloaded}, "decode decode decode", "refuse 503"},
+		{"interrupted", "/unsafe/", []any{text(200, errReset, "a")}, "decode", "head 200 a break"},
+		{"lost before its first byte", "/unsafe/", []any{text(200, errReset)}, "decode", "fail 502"},
+		{"safe, lost, then complete", "/safe/", []any{forward.Lost, text(200, nil, "a")}, "decode decode", "head 200 a"},
+		{"safe, error response, then complete", "/safe/", []any{text(500, nil, "sorry"), text(200, nil, "a")}, "decode decode", "head 200 a"},
+		{"safe, lost before its first byte, then complete", "/safe/", []any{text(200, errReset), text(200, nil, "a")}, "decode decode", "head 200 a"},
+		{"safe, lost by all", "/safe/", []any{forward.Lost, forward.Lost, forward.Lost}, "decode decode decode", "fail 502"},
+		{"safe, interrupted", "/safe/", []any{text(200, errReset, "a")}, "decode", "head 200 a break"},
+		{"a stream", "/stream/", []any{events(1, 3, nil)}, "decode", "head 200 1; 2; 3;"},
+		{"a stream interrupted", "/stream/", []any{events(1, 2, errReset)}, "decode", "head 200 1; 2; break"},
+		{"a stream lost", "/stream/", []any{forward.Lost}, "decode", "fail 502"},
+		{"resumed elsewhere", "/resume/", []any{events(1, 2, errReset), events(3, 4, nil)}, "decode|decode after 2", "head 200 1; 2; 3; 4;"},
+		{"resumed twice", "/resume/", []any{events(1, 2, errReset), events(3, 3, errReset), events(4, 5, nil)}, "decode|decode after 2|decode after 3", "head 200 1; 2; 3; 4; 5;"},
+		{"resumed, lost before an event", "/resume/", []any{events(1, 2, errReset), events(3, 2, errReset), events(3, 4, nil)}, "decode|decode after 2|decode after 2", "head 200 1; 2; 3; 4;"},
+		{"resumed, error response", "/resume/", []any{events(1, 1, errReset), text(500, nil, "sorry"), events(2, 2, nil)}, "decode|decode after 1|decode after 1", "head 200 1; 2;"},
+		{"resumed by no server", "/resume/", []any{events(1, 1, errReset), forward.Overloaded, forward.Overloaded}, "decode|decode after 1|decode after 1", "head 200 1; break"},
+		{"lost before an event", "/resume/", []any{forward.Lost, events(1, 2, nil)}, "decode decode", "head 200 1; 2;"},
 	} {
-		f := &fake{write: outcomes(x.script...)}
-		log := serve(t, f, x.path, &ears{}, nil)
+		f := &fakeEngines{decode: scriptedOutcomes(x.script...)}
+		log := serve(t, f, x.path, &recordingClient{}, nil)
 		sep := " "
 		if strings.Contains(x.calls, "|") {
 			sep = "|"
 		}
 		if got := strings.Join(log, " "); got != x.gets || strings.Join(f.calls, sep) != x.calls {
-			t.Errorf("%s: the client gets %q, servers %q; expected %q and %q", x.what, got, f.calls, x.gets, x.calls)
+			t.Errorf("%s: client received %q, calls %q; expected %q and %q", x.what, got, f.calls, x.gets, x.calls)
 		}
 		for _, s := range x.script {
-			if a, ok := s.(*script); ok && !a.closed {
+			if a, ok := s.(*scriptedAnswer); ok && !a.closed {
 				t.Errorf("%s: an answer was not closed", x.what)
 			}
 		}
 	}
 }
 
-func long(q *Request) {
-	q.InputTokens, q.MaxOutputTokens = 30000, 10
-	prompts++ // one that no server keeps
-	q.Parts = []forward.Part{{Key: prompts, Tokens: 29000}, {Key: 1, Tokens: 1000}}
+func withLongPrompt(req *Request) {
+	req.InputTokens, req.MaxOutputTokens = 30000, 10
+	prompts++ // a prompt that no server has cached
+	req.Parts = []forward.Part{{Key: prompts, Tokens: 29000}, {Key: 1, Tokens: 1000}}
 }
 
-// A long prompt is read apart; its memory goes to one server, and is freed if
-// no server takes it up.
-func TestAPromptReadApart(t *testing.T) {
-	read := func(list ...forward.Outcome) func(int, forward.Decision) forward.Outcome {
+// The prefill of a long prompt runs on a prefill server. Its KV cache is handed over to a decode
+// server, and released if no decode server uses it.
+func TestDisaggregatedPrefill(t *testing.T) {
+	prefill := func(list ...forward.Outcome) func(int, forward.Decision) forward.Outcome {
 		return func(n int, _ forward.Decision) forward.Outcome { return list[min(n, len(list))-1] }
 	}
 	for _, x := range []struct {
-		what  string
-		read  []forward.Outcome
-		write []any
-		calls string
-		gets  string
-		freed string
+		what     string
+		prefill  []forward.Outcome
+		decode   []any
+		calls    string
+		gets     string
+		released string
 	}{
-		{"handed over", []forward.Outcome{forward.OK}, []any{events(1, 2, nil)}, "read|write h1", "head 200 1; 2;", ""},
-		{"turned away by all", []forward.Outcome{forward.OK}, []any{forward.Overloaded, forward.Overloaded, forward.Overloaded}, "read|write h1|write h1|write h1", "refuse 503", "h1"},
-		{"not sent anywhere", []forward.Outcome{forward.OK}, []any{forward.NotSent, forward.NotSent, forward.NotSent}, "read|write h1|write h1|write h1", "refuse 503", "h1"},
-		{"lost with the memory", []forward.Outcome{forward.OK}, []any{forward.Lost}, "read|write h1", "fail 502", ""},
-		{"memory gone, read anew", []forward.Outcome{forward.OK}, []any{forward.HandleLost, events(1, 1, nil)}, "read|write h1|read|write h2", "head 200 1;", "h1"},
-		{"one prefill server is full", []forward.Outcome{forward.Overloaded, forward.OK}, []any{events(1, 1, nil)}, "read|read|write h2", "head 200 1;", ""},
+		{"handed over", []forward.Outcome{forward.OK}, []any{events(1, 2, nil)}, "prefill|decode h1", "head 200 1; 2;", ""},
+		{"rejected by all", []forward.Outcome{forward.OK}, []any{forward.Overloaded, forward.Overloaded, forward.Overloaded}, "prefill|decode h1|decode h1|decode h1", "refuse 503", "h1"},
+		{"not sent anywhere", []forward.Outcome{forward.OK}, []any{forward.NotSent, forward.NotSent, forward.NotSent}, "prefill|decode h1|decode h1|decode h1", "refuse 503", "h1"},
+		{"lost with the KV cache", []forward.Outcome{forward.OK}, []any{forward.Lost}, "prefill|decode h1", "fail 502", ""},
+		{"KV cache lost, prefilled again", []forward.Outcome{forward.OK}, []any{forward.HandleLost, events(1, 1, nil)}, "prefill|decode h1|prefill|decode h2", "head 200 1;", "h1"},
+		{"one prefill server is full", []forward.Outcome{forward.Overloaded, forward.OK}, []any{events(1, 1, nil)}, "prefill|prefill|decode h2", "head 200 1;", ""},
 	} {
-		f := &fake{read: read(x.read...), write: outcomes(x.write...)}
-		log := serve(t, f, "/stream/", &ears{}, long)
-		g, _ := gate()
+		f := &fakeEngines{prefill: prefill(x.prefill...), decode: scriptedOutcomes(x.decode...)}
+		log := serve(t, f, "/stream/", &recordingClient{}, withLongPrompt)
+		g, _ := sharedGateway()
 		limit := time.After(5 * time.Second)
-		for { // what is freed is freed on the side
+		for { // handles are released asynchronously
 			f.mu.Lock()
-			freed := strings.Join(f.freed, " ")
+			released := strings.Join(f.released, " ")
 			f.mu.Unlock()
-			if freed == x.freed {
+			if released == x.released {
 				break
 			}
 			select {
 			case <-limit:
-				t.Fatalf("%s: freed %q, expected %q", x.what, freed, x.freed)
+				t.Fatalf("%s: released %q, expected %q", x.what, released, x.released)
 			case <-time.After(g.daemon.Cfg.VolumeLease() / 64):
 			}
 		}
 		if got := strings.Join(log, " "); got != x.gets || strings.Join(f.calls, "|") != x.calls {
-			t.Errorf("%s: the client gets %q, servers %q; expected %q and %q", x.what, got, f.calls, x.gets, x.calls)
+			t.Errorf("%s: client received %q, calls %q; expected %q and %q", x.what, got, f.calls, x.gets, x.calls)
 		}
 	}
 }
 
-// A client that goes away, or takes nothing more, ends its request: servers are
-// cut off and nothing is sent again.
-func TestAClientThatIsGone(t *testing.T) {
-	f := &fake{write: outcomes(events(1, 9, nil), events(4, 9, nil))}
-	if log := serve(t, f, "/stream/", &ears{deaf: 3}, nil); strings.Join(log, " ") != "head 200 1; 2; 3; break" || len(f.calls) != 1 {
+// A request ends when its client disconnects or stops reading: calls to servers are canceled
+// and nothing is sent again.
+func TestClientDisconnects(t *testing.T) {
+	f := &fakeEngines{decode: scriptedOutcomes(events(1, 9, nil), events(4, 9, nil))}
+	if log := serve(t, f, "/stream/", &recordingClient{acceptPieces: 3}, nil); strings.Join(log, " ") != "head 200 1; 2; 3; break" || len(f.calls) != 1 {
 		t.Errorf("%v %v", log, f.calls)
 	}
-	g, _ := gate()
+	g, _ := sharedGateway()
 	ctx, cut := context.WithCancel(context.Background())
-	f = &fake{write: func(_ int, ctx context.Context, _ forward.Decision, _ string) (Answer, forward.Outcome) {
+	f = &fakeEngines{decode: func(_ int, ctx context.Context, _ forward.Decision, _ string) (Answer, forward.Outcome) {
 		cut()
 		<-ctx.Done()
 		return nil, forward.Lost
 	}}
 	g.engines = f
-	e := &ears{}
+	e := &recordingClient{}
 	g.Serve(ctx, &Request{ID: "gone", Host: "h.example", Path: "/resume/", Header: http.Header{}}, e)
 	if len(f.calls) != 1 || !slices.Equal(e.log, []string{"break"}) || g.Open() != 0 {
 		t.Errorf("%v %v, %d open", f.calls, e.log, g.Open())
 	}
 	ctx, cut = context.WithCancel(context.Background())
-	f = &fake{read: func(int, forward.Decision) forward.Outcome { cut(); return forward.OK }, write: outcomes(events(1, 2, nil))}
+	f = &fakeEngines{prefill: func(int, forward.Decision) forward.Outcome { cut(); return forward.OK }, decode: scriptedOutcomes(events(1, 2, nil))}
 	g.engines = f
-	q := &Request{ID: "gone-2", Host: "h.example", Path: "/stream/", Header: http.Header{}}
-	long(q)
-	g.Serve(ctx, q, &ears{})
+	req := &Request{ID: "gone-2", Host: "h.example", Path: "/stream/", Header: http.Header{}}
+	withLongPrompt(req)
+	g.Serve(ctx, req, &recordingClient{})
 	if len(f.calls) != 1 {
 		t.Errorf("%v", f.calls)
 	}
 	for limit := time.After(5 * time.Second); ; {
 		f.mu.Lock()
-		n := len(f.freed)
+		n := len(f.released)
 		f.mu.Unlock()
 		if n == 1 {
 			break
 		}
 		select {
 		case <-limit:
-			t.Fatal("its memory is not freed")
+			t.Fatal("the KV cache is not released")
 		case <-time.After(g.daemon.Cfg.VolumeLease() / 64):
 		}
 	}
 }
 
-// A request whose time is up ends then, whatever its server does.
-func TestTheTimeOfARequest(t *testing.T) {
-	f := &fake{write: func(_ int, ctx context.Context, _ forward.Decision, _ string) (Answer, forward.Outcome) {
+// A request ends when the client's timeout has passed, even if its server doesn't answer.
+func TestRequestEndsAtClientTimeout(t *testing.T) {
+	f := &fakeEngines{decode: func(_ int, ctx context.Context, _ forward.Decision, _ string) (Answer, forward.Outcome) {
 		<-ctx.Done()
 		return nil, forward.Lost
 	}}
 	from := time.Now()
-	log := serve(t, f, "/resume/", &ears{}, func(q *Request) { q.ClientTimeout = 300 * time.Millisecond })
+	log := serve(t, f, "/resume/", &recordingClient{}, func(req *Request) { req.ClientTimeout = 300 * time.Millisecond })
 	if took := time.Since(from); strings.Join(log, " ") != "fail 502" || took < 250*time.Millisecond || took > 2*time.Second {
 		t.Errorf("%v after %v", log, took)
 	}
 }
 
-// However long its client would wait, a request is given up when its route says so:
-// no server is given more time.
-func TestARequestIsGivenUpWhenItsRouteSaysSo(t *testing.T) {
+// The deadline of the route applies even if the client would wait longer: no server is given
+// more time.
+func TestRouteDeadlineBoundsRequest(t *testing.T) {
 	const giveUp = 5 * time.Second // of the routes here
-	g, _ := gate()
+	g, _ := sharedGateway()
 	for _, left := range []time.Duration{0, time.Hour, time.Second} {
 		var until time.Duration
-		f := &fake{write: func(_ int, _ context.Context, m forward.Decision, _ string) (Answer, forward.Outcome) {
+		f := &fakeEngines{decode: func(_ int, _ context.Context, m forward.Decision, _ string) (Answer, forward.Outcome) {
 			until = m.Until - g.daemon.Now()
 			return nil, forward.Lost
 		}}
-		serve(t, f, "/stream/", &ears{}, func(q *Request) { q.ClientTimeout = left })
+		serve(t, f, "/stream/", &recordingClient{}, func(req *Request) { req.ClientTimeout = left })
 		most := giveUp
 		if left > 0 {
 			most = min(most, left)
 		}
 		if until <= most/2 || until > most {
-			t.Errorf("a client that waits %v: given up after %v", left, until)
+			t.Errorf("client timeout %v: deadline in %v", left, until)
 		}
 	}
 }
 
-// Only a stream whose last event the client can be told of goes on elsewhere;
-// what else has begun can't be joined.
-func TestWhatCanNotBeTakenUpElsewhere(t *testing.T) {
-	body := func(status int, kind string, p ...piece) *script {
-		return &script{status: status, kind: kind, pieces: p, err: errCut}
+// Only a stream whose events have ids can be resumed at another server; any other answer that
+// has begun can't be continued.
+func TestAnswersThatCannotBeResumed(t *testing.T) {
+	body := func(status int, kind string, p ...piece) *scriptedAnswer {
+		return &scriptedAnswer{status: status, kind: kind, pieces: p, err: errReset}
 	}
-	for what, first := range map[string]*script{
-		"a body that is no stream":    body(200, "text/plain", piece{"", "half"}),
-		"a fault's body":              body(404, "text/plain", piece{"", "half"}),
-		"a stream without ids":        body(200, eventStream, piece{"", "1;"}),
-		"a stream whose ids ran out ": body(200, eventStream, piece{"1", "1;"}, piece{"", "2;"}),
+	for what, first := range map[string]*scriptedAnswer{
+		"a body that isn't a stream": body(200, "text/plain", piece{"", "half"}),
+		"the body of an error":       body(404, "text/plain", piece{"", "half"}),
+		"a stream without ids":       body(200, eventStream, piece{"", "1;"}),
+		"a stream whose ids stop":    body(200, eventStream, piece{"1", "1;"}, piece{"", "2;"}),
 	} {
-		f := &fake{write: outcomes(first, events(1, 3, nil), events(1, 3, nil))}
-		log := serve(t, f, "/resume/", &ears{}, nil)
+		f := &fakeEngines{decode: scriptedOutcomes(first, events(1, 3, nil), events(1, 3, nil))}
+		log := serve(t, f, "/resume/", &recordingClient{}, nil)
 		if len(f.calls) != 1 || log[len(log)-1] != "break" {
-			t.Errorf("%s: the client gets %q, servers %q", what, log, f.calls)
+			t.Errorf("%s: client received %q, calls %q", what, log, f.calls)
 		}
 	}
-	f := &fake{write: outcomes(events(1, 2, errCut), events(2, 3, nil))}
-	if log := serve(t, f, "/resume/", &ears{}, nil); strings.Join(log, " ") != "head 200 1; 2; break" {
-		t.Errorf("a server that goes on with an event too early: %q", log)
+	f := &fakeEngines{decode: scriptedOutcomes(events(1, 2, errReset), events(2, 3, nil))}
+	if log := serve(t, f, "/resume/", &recordingClient{}, nil); strings.Join(log, " ") != "head 200 1; 2; break" {
+		t.Errorf("a server resumes with an event that the client already has: %q", log)
 	}
-	f = &fake{write: outcomes(events(1, 2, errCut), &script{status: 200, kind: "text/plain", pieces: []piece{{"", "x"}}})}
-	if log := serve(t, f, "/resume/", &ears{}, nil); strings.Join(log, " ") != "head 200 1; 2; break" {
-		t.Errorf("a server that goes on with no stream: %q", log)
+	f = &fakeEngines{decode: scriptedOutcomes(events(1, 2, errReset), &scriptedAnswer{status: 200, kind: "text/plain", pieces: []piece{{"", "x"}}})}
+	if log := serve(t, f, "/resume/", &recordingClient{}, nil); strings.Join(log, " ") != "head 200 1; 2; break" {
+		t.Errorf("a server resumes with a body that isn't a stream: %q", log)
 	}
 }
--- a/traffic/gateway/limit.go
+++ b/traffic/gateway/limit.go
@@ -13,44 +13,44 @@
 	"mulleinmast/traffic/limiter"
 )
 
-// Reasons for which a request gets no token.
+// Reasons for not granting a token to a request.
 const (
-	reasonBeyondLimit = "its tenant is beyond its limit"
-	reasonNoAllocator = "no leader that gives out its tenant's limit can be reached"
+	reasonLimitExceeded = "its tenant is beyond its limit"
+	reasonNoAllocator   = "no leader that gives out its tenant's limit can be reached"
 )
 
 // permit is a token of a tenant's limit, for one run of a request.
 type permit struct {
-	until           time.Duration // on the daemon's clock; 0: there is none, or it was used
+	until           time.Duration // expiry on the daemon's clock; 0: there is no token, or it was used
 	isTenantAtLimit bool
 }
 
-// isValid tells whether a run may begin by it.
+// isValid reports whether the token allows a run to begin now.
 func (p *permit) isValid(now time.Duration) bool { return now < p.until }
 
-// use takes the token for a run that may have begun.
+// use consumes the token for a run that may have begun.
 func (p *permit) use() { p.until = 0 }
 
-// limits is this daemon's access to the tenants' limits.
+// limits acquires tokens of the tenants' limits for this daemon.
 type limits struct {
 	daemon     *daemon.Daemon
 	askTimeout time.Duration
-	// leaderWait is how long a request waits where no leader is known, as after a start.
+	// leaderWait is how long a request waits if no leader is known, as after start-up.
 	leaderWait time.Duration
 
 	mu      sync.Mutex // guards all below
 	limiter *limiter.Limiter
-	view    *membership.View // that leaders are from
+	view    *membership.View // from which leaders was computed
 	leaders []limiter.Leader // by partition
 }
 
-// LimiterConfig is the limiter's bounds, as ratios to those in the daemon's config.
+// LimiterConfig derives the limiter's parameters from the daemon's config.
 //
 // Example: l := limiter.New(gateway.LimiterConfig(cfg))
 func LimiterConfig(c daemon.Config) limiter.Config {
 	return limiter.Config{
 		Bounds:     ratelimit.Bounds{Window: c.Limit.Window, Overrun: c.Limit.Overrun, Slack: c.Limit.Slack},
-		Partitions: c.Partitions, SilentFor: c.VolumeLease() / 2, RetryAfter: c.VolumeLease() / 4,
+		Partitions: c.Partitions, UnreachableBackoff: c.VolumeLease() / 2, RetryAfter: c.VolumeLease() / 4,
 	}
 }
 
@@ -61,7 +61,7 @@
 	}
 }
 
-// refreshLeaders looks up the partitions' leaders, once a view; the lock is held.
+// refreshLeaders updates the partitions' leaders if the view changed; the caller holds l.mu.
 func (l *limits) refreshLeaders() {
 	view := l.daemon.View()
 	if view == l.view {
@@ -70,8 +70,8 @@
 	l.view, l.leaders = view, leadersOf(view, l.daemon.Cfg.Partitions)
 }
 
-// leadersOf lists the leaders of partition 0 and of so many others, as a view has them: it
-// may know those of some partitions only.
+// leadersOf returns the leaders of partitions 0 to partitions by a view, which may know
+// the leaders of only some of them.
 func leadersOf(view *membership.View, partitions int) []limiter.Leader {
 	leaders := make([]limiter.Leader, partitions+1)
 	for p := range leaders {
@@ -83,53 +83,56 @@
 	return leaders
 }
 
-// next is the next move towards a token.
-func (l *limits) next(a *limiter.Acquisition) limiter.Move {
+// next returns the next step of an acquisition.
+func (l *limits) next(a *limiter.Acquisition) limiter.Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.refreshLeaders()
 	return l.limiter.Next(l.daemon.Now(), a, l.leaders)
 }
 
-// ask asks a leader for a token.
-func (l *limits) ask(ctx context.Context, a *limiter.Acquisition, move limiter.Move) (until time.Duration, granted bool) {
+// requestToken asks a leader for a token.
+func (l *limits) requestToken(
+	ctx context.Context, a *limiter.Acquisition, decision limiter.Decision,
+) (until time.Duration, granted bool) {
 	askedAt := l.daemon.Now()
-	grant, answered := l.daemon.RequestToken(ctx, move.Partition, move.Request, l.askTimeout)
+	grant, answered := l.daemon.RequestToken(ctx, decision.Partition, decision.Request, l.askTimeout)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
 	case grant.Granted:
-		return l.limiter.Granted(askedAt, a), true
+		return l.limiter.TokenExpiry(askedAt, a), true
 	case answered:
-		l.limiter.Refused(l.daemon.Now(), a, move.Partition, grant.RetryAfter)
+		l.limiter.RecordRefusal(l.daemon.Now(), a, decision.Partition, grant.RetryAfter)
 	case ctx.Err() == nil:
-		l.limiter.Unanswered(l.daemon.Now(), move.Partition)
+		l.limiter.RecordUnreachable(l.daemon.Now(), decision.Partition)
 	}
 	return 0, false
 }
 
-// acquire takes a token for a request; the last move says why there is none.
-func (l *limits) acquire(ctx context.Context, t limiter.Tenant) (permit, limiter.Move) {
+// acquire acquires a token for a request. If it fails, the permit is empty and the decision
+// has the cause.
+func (l *limits) acquire(ctx context.Context, t limiter.Tenant) (permit, limiter.Decision) {
 	l.mu.Lock()
 	a := l.limiter.Start(t)
 	l.mu.Unlock()
 	waitUntil := l.daemon.Now() + l.leaderWait
 	for {
-		move := l.next(a)
-		if move.Action == limiter.Unknown && l.daemon.Now() < waitUntil && l.awaitLeader(ctx) {
+		decision := l.next(a)
+		if decision.Action == limiter.NoLeaderKnown && l.daemon.Now() < waitUntil && l.awaitLeader(ctx) {
 			continue
 		}
-		if move.Action != limiter.Ask || ctx.Err() != nil {
-			return permit{}, move
+		if decision.Action != limiter.Ask || ctx.Err() != nil {
+			return permit{}, decision
 		}
-		if until, granted := l.ask(ctx, a, move); granted {
-			return permit{until: until, isTenantAtLimit: a.IsAtLimit()}, move
+		if until, granted := l.requestToken(ctx, a, decision); granted {
+			return permit{until: until, isTenantAtLimit: a.IsAtLimit()}, decision
 		}
 	}
 }
 
-// awaitLeader waits a short while in which a leader may become known; false: its caller went
-// away.
+// awaitLeader waits a short while for a leader to become known. It returns false if the
+// context ended.
 func (l *limits) awaitLeader(ctx context.Context) bool {
 	timer := time.NewTimer(l.leaderWait / 16)
 	defer timer.Stop()
@@ -141,20 +144,20 @@
 	}
 }
 
-// outcomes of acquiring a token, for figures.
+// Outcomes of acquiring a token, for metrics.
 const (
-	tokenGranted     = "granted"
-	tokenBeyond      = "beyond"
-	tokenUnreachable = "unreachable"
+	tokenGranted       = "granted"
+	tokenLimitExceeded = "beyond"
+	tokenUnreachable   = "unreachable"
 )
 
-// takeToken takes a token for a request whose tenant has a limit. Without one the reason is
-// given, and when to come back.
+// takeToken takes a token for a request whose tenant has a limit. If it fails, it returns the
+// HTTP status and reason of the refusal and when the client may retry.
 func (g *Gateway) takeToken(ctx context.Context, a *admission) (status int, reason string, retryAfter time.Duration) {
 	if a.tenant == nil || !a.tenant.IsLimited() {
 		return 0, "", 0
 	}
-	taken, move := g.limits.acquire(ctx, limiter.Tenant{
+	taken, decision := g.limits.acquire(ctx, limiter.Tenant{
 		Name: a.tenant.Name, Version: a.plan.plan.Version,
 		Limit: ratelimit.Limit{Rate: a.tenant.Rate, Burst: a.tenant.Burst},
 	})
@@ -162,16 +165,16 @@
 	outcome := tokenGranted
 	switch {
 	case taken.until > 0:
-	case move.Action == limiter.Beyond:
-		outcome, status, reason = tokenBeyond, http.StatusTooManyRequests, reasonBeyondLimit
+	case decision.Action == limiter.LimitExceeded:
+		outcome, status, reason = tokenLimitExceeded, http.StatusTooManyRequests, reasonLimitExceeded
 	default:
 		outcome, status, reason = tokenUnreachable, http.StatusServiceUnavailable, reasonNoAllocator
 	}
 	g.daemon.Metrics.GetOrCreateCounter(fmt.Sprintf("mulleinmast_limit_tokens_total{outcome=%q}", outcome)).Inc()
-	return status, reason, move.RetryAfter
+	return status, reason, decision.RetryAfter
 }
 
-// mayRun tells whether a request's token allows a run to begin now.
+// mayRun reports whether a run may begin now: the tenant has no limit, or the token is valid.
 func (a *admission) mayRun(now time.Duration) bool {
 	return a.tenant == nil || !a.tenant.IsLimited() || a.permit.isValid(now)
 }
--- a/traffic/gateway/limit_test.go
+++ b/traffic/gateway/limit_test.go
@@ -17,10 +17,11 @@
 	"mulleinmast/wire/message"
 )
 
-// limited is a gateway alone in its fleet, with two tenants of which one has a small limit.
-func limited(t *testing.T) *Gateway {
+// newLimitedGateway returns the gateway of the only daemon of a fleet, with three tenants of
+// different limits and one without a limit.
+func newLimitedGateway(t *testing.T) *Gateway {
 	t.Helper()
-	g, err := newGate()
+	g, err := newTestGateway()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,18 +39,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if code, rep := g.daemon.Call(context.Background(), 0, "changes", body, mostWait); code != 200 {
-		t.Fatalf("%d %s", code, rep)
+	if code, rep := g.daemon.Call(context.Background(), 0, "changes", body, testTimeout); code != 200 {
+		t.Fatalf("set tenants: %d %s", code, rep)
 	}
-	soon(t, g.daemon, "a plan with keys", func() bool {
-		p, ok := g.readPlan()
+	eventually(t, g.daemon, "a plan with keys", func() bool {
+		p, ok := g.currentPlan()
 		return ok && p.tenants.Required()
 	})
 	return g
 }
 
-// tokens is how many attempts to take a token had an outcome.
-func tokens(g *Gateway, outcome string) string {
+// tokenCount returns how many attempts to take a token had an outcome, from the metrics.
+func tokenCount(g *Gateway, outcome string) string {
 	var out bytes.Buffer
 	g.daemon.Metrics.WritePrometheus(&out)
 	for line := range strings.Lines(out.String()) {
@@ -61,9 +62,9 @@
 	return "0"
 }
 
-// After a loss of power a view knows the leaders of some partitions only, and none of
-// others; those that it knows are told apart by their zone.
-func TestAViewThatKnowsSomeLeaders(t *testing.T) {
+// After a power loss a view knows the leaders of only some partitions; the others must appear as
+// unknown and the known ones with their zone.
+func TestLeadersOfPartialView(t *testing.T) {
 	self := message.Member{Ident: "me", Zone: "north", HasDisk: true}
 	view := *membership.New(daemon.Default().MembershipConfig(), self, nil).View()
 	view.Leaderships = map[int]message.Leadership{
@@ -76,85 +77,87 @@
 	}
 }
 
-// askAs sends one request with a key and gives what its client gets.
-func askAs(g *Gateway, f *fake, path, key string) []string {
+// serveWithKey runs one request with a key and returns what its client received.
+func serveWithKey(g *Gateway, f *fakeEngines, path, key string) []string {
 	g.engines = f
-	e := &ears{}
+	e := &recordingClient{}
 	requests++
-	q := &Request{ID: fmt.Sprint("limited", requests), Method: "POST", Host: "h.example", Path: path, Target: path, Key: key}
-	g.Serve(context.Background(), q, e)
+	req := &Request{ID: fmt.Sprint("limited", requests), Method: "POST", Host: "h.example", Path: path, Target: path, Key: key}
+	g.Serve(context.Background(), req, e)
 	return e.log
 }
 
-// A tenant gets what its limit gives and 429 beyond it; one without a limit needs no token;
-// without a key that is known nothing is served.
-func TestATenantIsHeldToItsLimit(t *testing.T) {
-	g := limited(t)
-	served := func() *fake { return &fake{write: outcomes(events(1, 1, nil))} }
-	whole := []string{"head 200", "1;"}
-	soon(t, g.daemon, "a token", func() bool { return slices.Equal(askAs(g, served(), "/safe/", "k-small"), whole) })
-	if got := askAs(g, served(), "/safe/", "k-small"); !slices.Equal(got, []string{"refuse 429"}) {
-		t.Errorf("beyond the limit: %q", got)
+// A tenant is served within its limit and gets 429 beyond it. A tenant without a limit needs
+// no token, and without a known key nothing is served.
+func TestTenantLimitIsEnforced(t *testing.T) {
+	g := newLimitedGateway(t)
+	served := func() *fakeEngines { return &fakeEngines{decode: scriptedOutcomes(events(1, 1, nil))} }
+	fullAnswer := []string{"head 200", "1;"}
+	eventually(t, g.daemon, "a token", func() bool { return slices.Equal(serveWithKey(g, served(), "/safe/", "k-small"), fullAnswer) })
+	if got := serveWithKey(g, served(), "/safe/", "k-small"); !slices.Equal(got, []string{"refuse 429"}) {
+		t.Errorf("over the limit: %q", got)
 	}
 	for key, want := range map[string][]string{
-		"k-free": whole, "k-large": whole, "k-other": {"fail 401"}, "": {"fail 401"},
+		"k-free": fullAnswer, "k-large": fullAnswer, "k-other": {"fail 401"}, "": {"fail 401"},
 	} {
 		f := served()
-		if got := askAs(g, f, "/safe/", key); !slices.Equal(got, want) || want[0] != "head 200" && len(f.calls) > 0 {
-			t.Errorf("%q: %q, servers get %q", key, got, f.calls)
+		if got := serveWithKey(g, f, "/safe/", key); !slices.Equal(got, want) || want[0] != "head 200" && len(f.calls) > 0 {
+			t.Errorf("key %q: client received %q, calls %q", key, got, f.calls)
 		}
 	}
-	if beyond := tokens(g, tokenBeyond); beyond == "0" {
-		t.Error("no refusal is counted")
+	if beyond := tokenCount(g, tokenLimitExceeded); beyond == "0" {
+		t.Error("no refusal is counted in the metrics")
 	}
 }
 
-// A run that may have begun takes its token: the next one of the same request needs
-// another, and has none beyond the limit.
-func TestEachRunTakesAToken(t *testing.T) {
-	g := limited(t)
-	lost := func() *fake { return &fake{write: outcomes(forward.Lost, events(1, 1, nil))} }
-	if got := askAs(g, lost(), "/safe/", "k-large"); !slices.Equal(got, []string{"head 200", "1;"}) || tokens(g, tokenGranted) != "2" {
-		t.Errorf("%q with %s tokens, expected 2", got, tokens(g, tokenGranted))
+// A run that may have begun consumes its token. Another run of the same request needs another
+// token, and is refused if the limit is exceeded.
+func TestEachRunConsumesAToken(t *testing.T) {
+	g := newLimitedGateway(t)
+	lost := func() *fakeEngines { return &fakeEngines{decode: scriptedOutcomes(forward.Lost, events(1, 1, nil))} }
+	if got := serveWithKey(g, lost(), "/safe/", "k-large"); !slices.Equal(got, []string{"head 200", "1;"}) || tokenCount(g, tokenGranted) != "2" {
+		t.Errorf("%q with %s tokens, expected 2", got, tokenCount(g, tokenGranted))
 	}
-	refused := func() *fake { return &fake{write: outcomes(forward.Overloaded, events(1, 1, nil))} }
-	if got := askAs(g, refused(), "/safe/", "k-large"); !slices.Equal(got, []string{"head 200", "1;"}) || tokens(g, tokenGranted) != "3" {
-		t.Errorf("%q with %s tokens: a server that turns a request away doesn't run it", got, tokens(g, tokenGranted))
+	refused := func() *fakeEngines {
+		return &fakeEngines{decode: scriptedOutcomes(forward.Overloaded, events(1, 1, nil))}
 	}
-	soon(t, g.daemon, "one token for two runs", func() bool {
+	if got := serveWithKey(g, refused(), "/safe/", "k-large"); !slices.Equal(got, []string{"head 200", "1;"}) || tokenCount(g, tokenGranted) != "3" {
+		t.Errorf("%q with %s tokens, expected 3: a server that rejects a request doesn't run it", got, tokenCount(g, tokenGranted))
+	}
+	eventually(t, g.daemon, "a request with one token for two runs", func() bool {
 		f := lost()
-		got := askAs(g, f, "/safe/", "k-small")
+		got := serveWithKey(g, f, "/safe/", "k-small")
 		return slices.Equal(got, []string{"fail 502"}) && len(f.calls) == 1
 	})
 }
 
-// A request that waited for longer than its token is valid takes another one before it is
-// run, and isn't run without.
-func TestATokenThatLapsedIsTakenAnew(t *testing.T) {
-	g := limited(t)
-	soon(t, g.daemon, "a token that lapses while the prompt is read", func() bool {
-		before := tokens(g, tokenGranted)
-		f := &fake{
-			read: func(int, forward.Decision) forward.Outcome {
+// A request that waited until its token expired takes a new token before it runs, and doesn't
+// run without one.
+func TestExpiredTokenIsReplaced(t *testing.T) {
+	g := newLimitedGateway(t)
+	eventually(t, g.daemon, "a token that expires during prefill", func() bool {
+		before := tokenCount(g, tokenGranted)
+		f := &fakeEngines{
+			prefill: func(int, forward.Decision) forward.Outcome {
 				<-time.After(300 * time.Millisecond) // a token of the tight tenant is valid for 250 ms
 				return forward.OK
 			},
-			write: outcomes(events(1, 1, nil)),
+			decode: scriptedOutcomes(events(1, 1, nil)),
 		}
 		g.engines = f
-		e := &ears{}
+		e := &recordingClient{}
 		requests++
 		g.Serve(context.Background(), &Request{
 			ID: fmt.Sprint("limited", requests), Method: "POST", Host: "h.example", Path: "/stream/", Target: "/stream/",
 			Key: "k-tight", InputTokens: 9000, Parts: []forward.Part{{Key: 7, Tokens: 9000}},
 		}, e)
-		if tokens(g, tokenGranted) == before || !slices.Equal(e.log, []string{"refuse 503"}) {
+		if tokenCount(g, tokenGranted) == before || !slices.Equal(e.log, []string{"refuse 503"}) {
 			return false
 		}
-		soon(t, g.daemon, "its handle is released", func() bool { // beside the answer
+		eventually(t, g.daemon, "its handle is released", func() bool { // asynchronously
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			return len(f.freed) == 1
+			return len(f.released) == 1
 		})
 		return true
 	})
--- a/traffic/gateway/loads.go
+++ b/traffic/gateway/loads.go
@@ -6,35 +6,35 @@
 	"mulleinmast/traffic/loadreport"
 )
 
-// serviceLoads is the load of all daemons' requests as one service's dispatcher sees it.
+// serviceLoads gives the dispatcher of one service access to the load reports.
 type serviceLoads struct {
 	gateway *Gateway
 	service string
 }
 
-// AddLoad records work sent from here.
+// AddLoad adds load that this daemon sent to a server.
 //
 // Example: s.AddLoad(server, 1460, 0)
-func (s serviceLoads) AddLoad(server string, tokens, writing int) {
+func (s serviceLoads) AddLoad(server string, tokens, decoding int) {
 	s.gateway.loadMu.Lock()
 	defer s.gateway.loadMu.Unlock()
-	s.gateway.loads.AddLoad(loadreport.ServerID(s.service, server), tokens, writing)
+	s.gateway.loads.AddLoad(loadreport.ServerID(s.service, server), tokens, decoding)
 }
 
-// Load is what is under way at a server.
+// Load returns the load in flight at a server and its mean inter-token latency.
 //
-// Example: tokens, writing, pause := s.Load(now, server)
-func (s serviceLoads) Load(now time.Duration, server string) (tokens, writing int, pause time.Duration) {
+// Example: tokens, decoding, interTokenLatency := s.Load(now, server)
+func (s serviceLoads) Load(now time.Duration, server string) (tokens, decoding int, interTokenLatency time.Duration) {
 	s.gateway.loadMu.Lock()
 	defer s.gateway.loadMu.Unlock()
 	u := s.gateway.loads.Load(now, loadreport.ServerID(s.service, server))
 	if u.Decoding > 0 {
-		pause = time.Duration(u.InterTokenSum/u.Decoding) * time.Millisecond
+		interTokenLatency = time.Duration(u.InterTokenSum/u.Decoding) * time.Millisecond
 	}
-	return u.Tokens, u.Decoding, pause
+	return u.Tokens, u.Decoding, interTokenLatency
 }
 
-// ObserveInterTokenLatency records the time between two events.
+// ObserveInterTokenLatency records the time between two events of an answer.
 //
 // Example: s.ObserveInterTokenLatency(server, 42*time.Millisecond)
 func (s serviceLoads) ObserveInterTokenLatency(server string, d time.Duration) {
@@ -43,7 +43,7 @@
 	s.gateway.loads.ObserveInterTokenLatency(loadreport.ServerID(s.service, server), d)
 }
 
-// CallEnded records the end of a call.
+// CallEnded records the end of a call, with or without an answer.
 //
 // Example: s.CallEnded(now, server, true)
 func (s serviceLoads) CallEnded(now time.Duration, server string, answered bool) {
@@ -52,7 +52,7 @@
 	s.gateway.loads.CallEnded(now, loadreport.ServerID(s.service, server), answered)
 }
 
-// IsDown tells whether a server most likely answers nobody.
+// IsDown reports whether a server is probably down.
 //
 // Example: if s.IsDown(now, server) { avoid(server) }
 func (s serviceLoads) IsDown(now time.Duration, server string) bool {
@@ -61,7 +61,7 @@
 	return s.gateway.loads.IsDown(now, loadreport.ServerID(s.service, server))
 }
 
-// RecordPrefix records that a server has a prompt.
+// RecordPrefix records that a server has cached a prompt.
 //
 // Example: s.RecordPrefix(prefix, server, 1460)
 func (s serviceLoads) RecordPrefix(prefix uint64, server string, tokens int) {
@@ -70,7 +70,7 @@
 	s.gateway.loads.RecordPrefix(prefix, loadreport.ServerID(s.service, server), tokens)
 }
 
-// HasPrefix tells whether a server most likely keeps a prompt.
+// HasPrefix reports whether a server probably still has a prompt's prefix cached.
 //
 // Example: if s.HasPrefix(prefix, server) { prefer(server) }
 func (s serviceLoads) HasPrefix(prefix uint64, server string) bool {
--- a/traffic/gateway/plan.go
+++ b/traffic/gateway/plan.go
@@ -10,20 +10,21 @@
 	"mulleinmast/wire/message"
 )
 
-// activePlan is the plan in force, made ready for look-ups; it doesn't change.
+// activePlan is a version of the plan prepared for lookups; it is immutable.
 type activePlan struct {
-	generation    uint64        // of what partition 0 serves; an older one is read again
+	generation    uint64        // of the records of partition 0; the plan is read again when it changes
 	validUntil    time.Duration // on the daemon's clock
 	version       message.Version
 	table         *route.Table
 	tenants       *apikey.Index
 	plan          fleetconfig.Plan
-	leastUrgency  int             // the urgency of the least urgent route or tenant
-	disaggregated map[string]bool // services whose servers have two roles
+	leastUrgency  int             // of the least urgent route or tenant
+	disaggregated map[string]bool // services with separate prefill and decode servers
 }
 
-// readPlan is the plan that requests are routed by now.
-func (g *Gateway) readPlan() (*activePlan, bool) {
+// currentPlan returns the plan by which requests are routed now, if there is one. It may be
+// stale for a limited time after its leases expired.
+func (g *Gateway) currentPlan() (*activePlan, bool) {
 	last, generation := g.plan.Load(), g.daemon.Generation(0)
 	if last != nil && last.generation == generation && g.daemon.Now() < last.validUntil {
 		return last, true
@@ -35,21 +36,22 @@
 	}
 	var p *activePlan
 	if last != nil && last.version == rec.Version {
-		same := *last
-		p = &same
+		renewed := *last
+		p = &renewed
 	} else {
-		p = g.openPlan(rec, last)
+		p = g.preparePlan(rec, last)
 	}
 	p.generation, p.validUntil = generation, until
 	g.plan.Store(p)
 	return p, true
 }
 
-// openPlan makes a record ready for look-ups.
-func (g *Gateway) openPlan(rec message.Record, last *activePlan) *activePlan {
+// preparePlan decodes a record and prepares it for lookups.
+func (g *Gateway) preparePlan(rec message.Record, last *activePlan) *activePlan {
 	plan := g.daemon.OpenPlan(rec)
 	if last != nil {
-		planGoesOn.Hold(plan.Version >= last.plan.Version, "version %d after version %d", plan.Version, last.plan.Version)
+		planNeverGoesBack.Hold(plan.Version >= last.plan.Version,
+			"version %d after version %d", plan.Version, last.plan.Version)
 	}
 	p := &activePlan{
 		version: rec.Version, plan: plan, table: route.New(plan), tenants: apikey.NewIndex(plan, g.hasher),
@@ -69,9 +71,9 @@
 	return p
 }
 
-// BodyBytes is the longest body that a client may send by the plan last seen
-// here, 0 if none says. Only under leases is it the plan in force: a longer body
-// may be refused for good then, and not else.
+// BodyBytes returns the maximum size of a request body by the plan last seen here, 0 if
+// none has been seen. It is known to be current (sure) only under valid leases, and only
+// then may a larger body be refused permanently.
 //
 // Example: most, sure := g.BodyBytes()
 func (g *Gateway) BodyBytes() (most int64, sure bool) {
@@ -84,26 +86,26 @@
 	return 0, false
 }
 
-// leasedPlan is the plan if it stands under valid leases now. Requests are routed by
-// the last plan too, for a while; what ends one for good needs this.
+// leasedPlan returns the plan if it is covered by valid leases now. Requests are also routed
+// by a stale plan, for a while, but a permanent refusal needs a leased one.
 func (g *Gateway) leasedPlan() (*activePlan, bool) {
 	rec, ok := g.daemon.Read(0, fleetconfig.PlanKey)
 	if !ok || rec.Deleted {
 		return nil, false
 	}
-	p, ok := g.readPlan()
+	p, ok := g.currentPlan()
 	return p, ok && p.version == rec.Version
 }
 
-// maxWait is how long a request waits for a plan.
-func (g *Gateway) maxWait(q *Request) time.Duration {
-	if q.ClientTimeout > 0 {
-		return min(g.cfg.MaxWait, q.ClientTimeout/2)
+// maxWait returns how long a request waits for a plan.
+func (g *Gateway) maxWait(req *Request) time.Duration {
+	if req.ClientTimeout > 0 {
+		return min(g.cfg.MaxWait, req.ClientTimeout/2)
 	}
 	return g.cfg.MaxWait
 }
 
-// awaitPlan waits a short while until read has a plan.
+// awaitPlan waits until read returns a plan, for a limited time.
 func (g *Gateway) awaitPlan(
 	ctx context.Context, most time.Duration, read func() (*activePlan, bool),
 ) (*activePlan, bool) {
--- a/traffic/gateway/port.go
+++ b/traffic/gateway/port.go
@@ -1,7 +1,6 @@
-// Package gateway serves clients by the routes of the plan in force. It is the
-// product's side of the drivers: one driver brings requests in, another one
-// speaks to the model servers; what becomes of a request is decided by
-// traffic/forward.
+// Package gateway serves client requests according to the routes of the current plan. It
+// defines the interfaces of two drivers: one receives requests from clients, the other
+// calls the model servers. traffic/forward decides how each request is handled.
 package gateway
 
 import (
@@ -12,65 +11,66 @@
 	"mulleinmast/traffic/forward"
 )
 
-// Request is one try of a client as its driver read it, whole.
+// Request is one attempt of a client, as read completely by its driver.
 type Request struct {
-	ID              string // the client's own, echoed by servers
-	Key             string // of the client's tenant, a secret; no server is shown it
+	ID              string // chosen by the client, echoed by servers
+	Key             string // API key of the client's tenant, a secret; never sent to a server
 	Method          string
 	Host            string
 	Path            string // decides the route
-	Target          string // path and query as they came, passed on unchanged
+	Target          string // path and query as received, forwarded unchanged
 	Header          http.Header
 	Body            []byte
-	ClientTimeout   time.Duration // that the client will wait; 0: it doesn't say
+	ClientTimeout   time.Duration // how long the client will wait; 0: not specified
 	Parts           []forward.Part
 	InputTokens     int    // tokens of the prompt
-	MaxOutputTokens int    // most tokens out
-	LastEventID     string // the client goes on with a stream after this event
+	MaxOutputTokens int    // maximum number of output tokens
+	LastEventID     string // the client resumes a stream after this event
 }
 
-// Answer is a server's answer under way.
+// Answer is a server's answer while it is being received.
 type Answer interface {
 	Status() int
 	Header() http.Header
-	// Next gives the next event of a stream, or bytes of another body, with the
-	// id of the event if it has one. It ends with io.EOF if, and only if, the
-	// whole body came.
+	// Next returns the next event of a stream, or bytes of another body, with the
+	// id of the event if it has one. It returns io.EOF if and only if the complete
+	// body was received.
 	Next() (b []byte, id string, err error)
-	// Close ends the call; what was not read is dropped with its connection.
+	// Close ends the call; if the body wasn't read completely, its connection is closed.
 	Close()
 }
 
-// Engines speaks to the model servers. A context that ends cancels the call. may
-// is asked just before the first byte goes out; if it says no, the outcome is
+// Engines calls the model servers. The end of a call's context cancels it. maySend is
+// called just before the first byte is sent; if it returns false, the outcome is
 // forward.Blocked.
 type Engines interface {
-	// Prefill has a server read the prompt and keep its KV cache.
+	// Prefill has a server prefill the prompt and keep its KV cache.
 	Prefill(
-		ctx context.Context, q *Request, c forward.Request, m forward.Decision, may func() bool,
+		ctx context.Context, req *Request, fwd forward.Request, decision forward.Decision, maySend func() bool,
 	) (h forward.Handle, outcome forward.Outcome, why string)
-	// Decode has a server write the answer, from after the event with the id last.
+	// Decode has a server generate the answer, starting after the event with the id lastEvent.
 	Decode(
-		ctx context.Context, q *Request, c forward.Request, m forward.Decision, last string, may func() bool,
+		ctx context.Context, req *Request, fwd forward.Request, decision forward.Decision, lastEvent string,
+		maySend func() bool,
 	) (a Answer, outcome forward.Outcome, why string)
-	// ReleaseHandle frees a KV cache that won't be taken up.
+	// ReleaseHandle frees a KV cache that no decode server will use.
 	ReleaseHandle(h forward.Handle)
-	// OnLoad has f called with what servers report of their load.
+	// OnLoad registers f, which is called with each load reported by a server.
 	OnLoad(f func(service, server string, load forward.Load))
 }
 
-// Client takes the answer of one request.
+// Client receives the answer to one request.
 type Client interface {
-	// Within bounds how long the answer may take, from now on.
-	Within(left time.Duration)
-	// Begin sends a server's head.
+	// Within limits the time for the answer, from now on.
+	Within(timeout time.Duration)
+	// Begin sends the status and header of the answer.
 	Begin(status int, h http.Header)
-	// Pass sends bytes on at once; false: the client can't be reached.
+	// Pass sends bytes of the body immediately; it returns false if the client can't be reached.
 	Pass(b []byte) bool
 	// Refuse ends a request that has not run and never will.
-	Refuse(status int, back time.Duration, why string)
-	// Fail ends one of which nothing may be promised.
+	Refuse(status int, retryAfter time.Duration, why string)
+	// Fail ends a request without any guarantee whether it ran.
 	Fail(status int, why string)
-	// Break ends an answer that has begun so that it can't look whole.
+	// Break aborts an answer that has begun, so that the client can't take it for complete.
 	Break()
 }
--- a/traffic/gateway/report.go
+++ b/traffic/gateway/report.go
@@ -15,49 +15,49 @@
 )
 
 const (
-	maxTraces        = 512 // of requests that were not served
-	maxReasons       = 48  // told apart; others are counted together
-	summaryIntervals = 40  // of load reports, between two lines on what was not served
+	maxTraces        = 512 // traces kept of requests that were not served
+	maxReasons       = 48  // distinct reasons counted; the rest are counted as otherReason
+	summaryIntervals = 40  // load report intervals between two summaries in the log
 	otherReason      = "other"
 )
 
-// RequestTrace is what became of one request that was not served, for those who ask
-// afterwards.
+// RequestTrace records how a request that was not served ended, for diagnosis.
 type RequestTrace struct {
 	Request    string    `json:"request"`
-	Wall       time.Time `json:"wall"` // of its end; for people
+	Wall       time.Time `json:"wall"` // wall-clock time of its end, informational
 	Host       string    `json:"host"`
 	Path       string    `json:"path"`
 	Service    string    `json:"service,omitempty"`
 	Tenant     string    `json:"tenant,omitempty"`
-	Plan       uint64    `json:"plan,omitempty"` // version of the plan that it was admitted by
+	Plan       uint64    `json:"plan,omitempty"` // version of the plan by which it was admitted
 	Result     string    `json:"result"`
 	Reason     string    `json:"why"`
 	TookMillis int64     `json:"took_ms"`
 	Steps      []string  `json:"choice,omitempty"` // the sends, each with its outcome
 }
 
-// report counts how requests end, and keeps the traces of those that were not
-// served.
+// report counts the ends of requests and keeps the traces of those that were not served.
 type report struct {
 	set *metrics.Set
 
-	mu      sync.Mutex // guards all below
-	traces  [maxTraces]RequestTrace
-	next    int
-	reasons map[string]bool
-	since   map[string]int // ends and reasons since the last summary
+	mu           sync.Mutex // guards all below
+	traces       [maxTraces]RequestTrace
+	next         int
+	reasons      map[string]bool
+	sinceSummary map[string]int // by end and reason
 
-	withoutLease  int           // sends by records whose leases had lapsed, since the last summary
-	longestLapsed time.Duration // and the longest time that they had
+	withoutLease  int           // sends based on records with expired leases, since the last summary
+	longestLapsed time.Duration // the longest time that those leases had been expired
 }
 
 func newReport(set *metrics.Set) *report {
-	return &report{set: set, reasons: map[string]bool{}, since: map[string]int{}}
+	return &report{set: set, reasons: map[string]bool{}, sinceSummary: map[string]int{}}
 }
 
-// reason is a message up to its particulars; only so many are told apart.
-func (r *report) reason(why string) string {
+// reasonLabel returns a reason without the details after its first colon, for use as a metric
+// label. After maxReasons distinct ones it returns otherReason for new ones; the caller holds
+// r.mu.
+func (r *report) reasonLabel(why string) string {
 	short, _, _ := strings.Cut(why, ":")
 	if !r.reasons[short] {
 		if len(r.reasons) >= maxReasons {
@@ -72,23 +72,24 @@
 	r.set.GetOrCreateCounter(fmt.Sprintf("mulleinmast_requests_total{end=%q,why=%q}", end, why)).Inc()
 }
 
-// served counts a request that was served.
-func (r *report) served() { r.count(forward.Done.String(), "") }
+// recordServed counts a request that was served.
+func (r *report) recordServed() { r.count(forward.Done.String(), "") }
 
-// failed counts a request that was not served and keeps its trace.
-func (r *report) failed(t RequestTrace) {
+// recordFailure counts a request that was not served and keeps its trace.
+func (r *report) recordFailure(t RequestTrace) {
 	t.Wall = time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	why := r.reason(t.Reason)
-	r.since[t.Result+", "+why]++
+	why := r.reasonLabel(t.Reason)
+	r.sinceSummary[t.Result+", "+why]++
 	r.count(t.Result, why)
 	r.traces[r.next%maxTraces] = t
 	r.next++
 }
 
-// sent notes a send to a server by records whose leases had lapsed for so long; 0: they stand.
-func (r *report) sent(lapsedFor time.Duration) {
+// recordSend records a send to a server that was based on records whose leases had been
+// expired for lapsedFor; 0: they are valid.
+func (r *report) recordSend(lapsedFor time.Duration) {
 	if lapsedFor == 0 {
 		return
 	}
@@ -99,21 +100,21 @@
 	r.longestLapsed = max(r.longestLapsed, lapsedFor)
 }
 
-// summaryOfSends is how many sends went by records without a lease since the last one; ""
-// if none did.
-func (r *report) summaryOfSends() string {
+// staleSendSummary describes the sends based on records with expired leases since the last
+// summary; "" if there were none.
+func (r *report) staleSendSummary() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.withoutLease == 0 {
 		return ""
 	}
-	text := fmt.Sprintf("%d sends by records whose leases had lapsed, for %v at most",
+	text := fmt.Sprintf("%d sends based on records with expired leases, expired for at most %v",
 		r.withoutLease, r.longestLapsed.Round(time.Millisecond))
 	r.withoutLease, r.longestLapsed = 0, 0
 	return text
 }
 
-// explain lists the traces of a request, or all of them.
+// explain returns the traces of a request, or all traces if id is "all".
 func (r *report) explain(id string) (out []any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -125,37 +126,38 @@
 	return out
 }
 
-// summary is how many requests ended how since the last one; "" if there were
-// none.
-func (r *report) summary() string {
+// failureSummary describes the requests that were not served since the last summary, by end
+// and reason; "" if there were none.
+func (r *report) failureSummary() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var parts []string
-	for _, what := range slices.Sorted(maps.Keys(r.since)) {
-		parts = append(parts, fmt.Sprintf("%d %s", r.since[what], what))
+	for _, what := range slices.Sorted(maps.Keys(r.sinceSummary)) {
+		parts = append(parts, fmt.Sprintf("%d %s", r.sinceSummary[what], what))
 	}
-	clear(r.since)
+	clear(r.sinceSummary)
 	return strings.Join(parts, "; ")
 }
 
-// rejectEarly ends a request that comes to no dispatcher.
-func (g *Gateway) rejectEarly(q *Request, w Client, status int, why string) {
+// rejectEarly ends a request before it reaches a dispatcher.
+func (g *Gateway) rejectEarly(req *Request, w Client, status int, why string) {
 	if status == http.StatusServiceUnavailable {
-		g.rejectFor(q, w, status, why, g.cfg.RetryAfter)
+		g.rejectWithRetryAfter(req, w, status, why, g.cfg.RetryAfter)
 		return
 	}
 	w.Fail(status, why)
-	g.Unread(q.ID, status, why)
+	g.Unread(req.ID, status, why)
 }
 
-// rejectFor refuses a request that comes to no dispatcher, for a while.
-func (g *Gateway) rejectFor(q *Request, w Client, status int, why string, retryAfter time.Duration) {
+// rejectWithRetryAfter refuses a request before it reaches a dispatcher and lets the client
+// retry later.
+func (g *Gateway) rejectWithRetryAfter(req *Request, w Client, status int, why string, retryAfter time.Duration) {
 	w.Refuse(status, retryAfter, why)
-	g.Unread(q.ID, status, why)
+	g.Unread(req.ID, status, why)
 }
 
-// Unread notes a request that ended before anything was decided about it; status
-// 0: its client broke off.
+// Unread records a request that ended before it reached a dispatcher; status 0: its client
+// disconnected.
 //
 // Example: g.Unread(id, 413, "the body is too large")
 func (g *Gateway) Unread(id string, status int, why string) {
@@ -166,19 +168,21 @@
 	case http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusTooManyRequests:
 		end = forward.Refuse.String()
 	}
-	g.report.failed(RequestTrace{Request: id, Result: end, Reason: why})
+	g.report.recordFailure(RequestTrace{Request: id, Result: end, Reason: why})
 }
 
-// finished notes the end of a request that was taken in at a time.
-func (g *Gateway) finished(q *Request, a *admission, c forward.Request, m forward.Decision, took time.Duration) {
-	if m.Action == forward.Done {
-		g.report.served()
+// recordEnd records the end of a request that took the given time in a dispatcher.
+func (g *Gateway) recordEnd(
+	req *Request, a *admission, fwd forward.Request, decision forward.Decision, took time.Duration,
+) {
+	if decision.Action == forward.Done {
+		g.report.recordServed()
 		return
 	}
-	g.daemon.Events.Debug("request", m.Reason, "request", c.ID, "result", m.Action)
-	g.report.failed(RequestTrace{
-		Request: q.ID, Host: q.Host, Path: q.Path, Service: c.Service, Tenant: c.Tenant, Plan: a.plan.plan.Version,
-		Result: m.Action.String(),
-		Reason: m.Reason, TookMillis: took.Milliseconds(), Steps: m.Trace,
+	g.daemon.Events.Debug("request", decision.Reason, "request", fwd.ID, "result", decision.Action)
+	g.report.recordFailure(RequestTrace{
+		Request: req.ID, Host: req.Host, Path: req.Path, Service: fwd.Service, Tenant: fwd.Tenant,
+		Plan: a.plan.plan.Version, Result: decision.Action.String(),
+		Reason: decision.Reason, TookMillis: took.Milliseconds(), Steps: decision.Trace,
 	})
 }
--- a/traffic/gateway/sameid_test.go
+++ b/traffic/gateway/sameid_test.go
@@ -10,12 +10,12 @@
 	"mulleinmast/traffic/forward"
 )
 
-// mostWait is how long a test waits for an end that should come at once.
-const mostWait = 5 * time.Second
+// testTimeout is how long a test waits for an event that is expected immediately.
+const testTimeout = 5 * time.Second
 
-// start serves a request beside the test; what its client got comes once it has
-// ended, with a word if that is a panic.
-func start(g *Gateway, id, path string, e *ears) <-chan []string {
+// startRequest serves a request in a goroutine. When it has ended, what its client received is sent on
+// the channel, including a panic, if there was one.
+func startRequest(g *Gateway, id, path string, e *recordingClient) <-chan []string {
 	ended := make(chan []string, 1)
 	go func() {
 		defer func() {
@@ -24,73 +24,73 @@
 			}
 			ended <- e.log
 		}()
-		g.Serve(context.Background(), &Request{ID: id, Method: "POST", Host: "h.example", Path: path, Target: path, Header: http.Header{}, ClientTimeout: mostWait}, e)
+		g.Serve(context.Background(), &Request{ID: id, Method: "POST", Host: "h.example", Path: path, Target: path, Header: http.Header{}, ClientTimeout: testTimeout}, e)
 	}()
 	return ended
 }
 
-// gets waits for the end of a request.
-func gets(ended <-chan []string) []string {
+// awaitResult waits for the end of a request and returns what its client received.
+func awaitResult(ended <-chan []string) []string {
 	select {
 	case log := <-ended:
 		return log
-	case <-time.After(mostWait):
+	case <-time.After(testTimeout):
 		return []string{"no end"}
 	}
 }
 
-// A client, or what stands between it and us, may send one id twice at once. The
-// first request is served as if it were alone; the second is told that its id is
-// in use, and no server gets it: it would be a second run of the same try.
-func TestTwoRequestsOfOneID(t *testing.T) {
+// A client or a proxy may send two requests with the same id concurrently. The first is served
+// as usual. The second must fail with 409 and reach no server, as that would run the
+// same attempt twice.
+func TestConcurrentRequestsWithSameID(t *testing.T) {
 	for _, path := range []string{"/stream/", "/resume/", "/safe/", "/unsafe/"} {
-		g, err := newGate() // a fault here must not reach other tests
+		g, err := newTestGateway() // not the shared one, so that a failure doesn't affect other tests
 		if err != nil {
 			t.Fatal(err)
 		}
 		taken, goOn := make(chan struct{}, 2), make(chan struct{})
-		f := &fake{write: func(int, context.Context, forward.Decision, string) (Answer, forward.Outcome) {
+		f := &fakeEngines{decode: func(int, context.Context, forward.Decision, string) (Answer, forward.Outcome) {
 			taken <- struct{}{}
 			<-goOn
 			return events(1, 2, nil), forward.OK
 		}}
 		g.engines = f
-		first := start(g, "same", path, &ears{})
+		first := startRequest(g, "same", path, &recordingClient{})
 		<-taken
-		second := start(g, "same", path, &ears{})
+		second := startRequest(g, "same", path, &recordingClient{})
 		select {
-		case <-taken: // it should not come to a server
+		case <-taken: // must not happen: the second request reached a server
 		case got := <-second:
 			if !slices.Equal(got, []string{"fail 409"}) {
-				t.Errorf("%s: the second gets %q", path, got)
+				t.Errorf("%s: the second client received %q", path, got)
 			}
-		case <-time.After(mostWait):
-			t.Errorf("%s: the second has no end", path)
+		case <-time.After(testTimeout):
+			t.Errorf("%s: the second request does not end", path)
 		}
 		close(goOn)
-		if got := gets(first); !slices.Equal(got, []string{"head 200", "1;", "2;"}) {
-			t.Errorf("%s: the first gets %q", path, got)
+		if got := awaitResult(first); !slices.Equal(got, []string{"head 200", "1;", "2;"}) {
+			t.Errorf("%s: the first client received %q", path, got)
 		}
 		if f.mu.Lock(); len(f.calls) != 1 {
-			t.Errorf("%s: servers get %q", path, f.calls)
+			t.Errorf("%s: expected 1 call, got %q", path, f.calls)
 		}
 		f.mu.Unlock()
-		if got := gets(start(g, "next", path, &ears{})); !slices.Equal(got, []string{"head 200", "1;", "2;"}) {
-			t.Errorf("%s: the next request gets %q", path, got)
+		if got := awaitResult(startRequest(g, "next", path, &recordingClient{})); !slices.Equal(got, []string{"head 200", "1;", "2;"}) {
+			t.Errorf("%s: the next client received %q", path, got)
 		}
 	}
 }
 
-// An id may come again once its request has ended.
-func TestAnIDMayComeAgain(t *testing.T) {
-	g, err := newGate()
+// An id may be used again once its request has ended.
+func TestIDMayBeReusedAfterRequestEnds(t *testing.T) {
+	g, err := newTestGateway()
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.engines = &fake{write: outcomes(events(1, 1, nil), events(1, 1, nil))}
+	g.engines = &fakeEngines{decode: scriptedOutcomes(events(1, 1, nil), events(1, 1, nil))}
 	for range 2 {
-		if got := gets(start(g, "again", "/resume/", &ears{})); !slices.Equal(got, []string{"head 200", "1;"}) {
-			t.Errorf("it gets %q", got)
+		if got := awaitResult(startRequest(g, "again", "/resume/", &recordingClient{})); !slices.Equal(got, []string{"head 200", "1;"}) {
+			t.Errorf("client received %q", got)
 		}
 	}
 }
--- a/traffic/gateway/unread_test.go
+++ b/traffic/gateway/unread_test.go
@@ -8,18 +8,17 @@
 	"time"
 )
 
-// A client that reads nothing holds its request no longer than its time, and no
-// server is blamed for it: nothing is sent again, and the next request finds the
-// server as it was.
-func TestAClientThatReadsNothing(t *testing.T) {
+// A request whose client stops reading ends at the client's timeout. The server isn't
+// considered faulty, and nothing is sent again.
+func TestClientThatStopsReading(t *testing.T) {
 	for _, path := range []string{"/stream/", "/resume/"} {
-		g, err := newGate()
+		g, err := newTestGateway()
 		if err != nil {
 			t.Fatal(err)
 		}
-		f := &fake{write: outcomes(events(1, 9, nil), events(2, 9, nil), events(3, 9, nil))}
+		f := &fakeEngines{decode: scriptedOutcomes(events(1, 9, nil), events(2, 9, nil), events(3, 9, nil))}
 		g.engines = f
-		e := &ears{full: true, late: make(chan struct{})}
+		e := &recordingClient{blocked: true, timeUp: make(chan struct{})}
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
@@ -27,29 +26,29 @@
 		}()
 		select {
 		case <-ended:
-		case <-time.After(mostWait):
-			t.Fatalf("%s: no end", path)
+		case <-time.After(testTimeout):
+			t.Fatalf("%s: the request does not end", path)
 		}
-		if e.left <= 0 || e.left > time.Second || !slices.Equal(e.log, []string{"head 200", "1;", "break"}) {
-			t.Errorf("%s: it may wait %v and gets %q", path, e.left, e.log)
+		if e.timeLimit <= 0 || e.timeLimit > time.Second || !slices.Equal(e.log, []string{"head 200", "1;", "break"}) {
+			t.Errorf("%s: time limit %v, client received %q", path, e.timeLimit, e.log)
 		}
-		if len(f.calls) != 1 || g.dispatcherOf("one").Counts().Abandoned != 1 {
-			t.Errorf("%s: servers get %q, %d clients left", path, f.calls, g.dispatcherOf("one").Counts().Abandoned)
+		if len(f.calls) != 1 || g.dispatcherFor("one").Counts().Abandoned != 1 {
+			t.Errorf("%s: calls %q, %d requests counted as abandoned", path, f.calls, g.dispatcherFor("one").Counts().Abandoned)
 		}
 	}
 }
 
-// A client that can't be reached is no fault of the server's.
-func TestAClientThatCanNotBeReached(t *testing.T) {
-	f := &fake{write: outcomes(events(1, 9, nil), events(4, 9, nil))}
-	if log := serve(t, f, "/resume/", &ears{deaf: 3}, nil); !slices.Equal(log, []string{"head 200", "1;", "2;", "3;", "break"}) || len(f.calls) != 1 {
-		t.Errorf("the client gets %q, servers %q", log, f.calls)
+// A server isn't considered down because a client can't be reached.
+func TestUnreachableClientIsNotServerFault(t *testing.T) {
+	f := &fakeEngines{decode: scriptedOutcomes(events(1, 9, nil), events(4, 9, nil))}
+	if log := serve(t, f, "/resume/", &recordingClient{acceptPieces: 3}, nil); !slices.Equal(log, []string{"head 200", "1;", "2;", "3;", "break"}) || len(f.calls) != 1 {
+		t.Errorf("client received %q, calls %q", log, f.calls)
 	}
-	g, _ := gate()
+	g, _ := sharedGateway()
 	down := serviceLoads{g, "one"}
-	for _, s := range g.dispatcherOf("one").Servers() {
+	for _, s := range g.dispatcherFor("one").Servers() {
 		if down.IsDown(g.daemon.Now(), s.Key) {
-			t.Errorf("%s is thought to answer nobody", s.Key)
+			t.Errorf("server %s is considered down", s.Key)
 		}
 	}
 }
--- a/traffic/limiter/bound_test.go
+++ b/traffic/limiter/bound_test.go
@@ -11,19 +11,19 @@
 	"mulleinmast/control/ratelimit"
 )
 
-// fleet is some daemons and leaders under losses, cuts, freezes and changes of leaders and
-// of the limit, with the runs of one tenant that came of it.
+// fleet simulates daemons and leaders with lost answers, frozen daemons, leader changes and
+// changes of the limit, and records the runs of one tenant's requests.
 type fleet struct {
-	t           *rapid.T
-	chance      *rand.Rand // of what happens often
-	now         time.Duration
-	leaders     []*ratelimit.Allocator // by partition; nil: none leads now
-	daemons     []*Limiter
-	tenants     []Tenant        // as each daemon's plan has it
-	frozenUntil []time.Duration // by daemon
-	newest      Tenant
-	highest     ratelimit.Limit
-	runs        []time.Duration
+	t            *rapid.T
+	rng          *rand.Rand // for frequent random choices
+	now          time.Duration
+	leaders      []*ratelimit.Allocator // by partition; nil: it has no leader now
+	daemons      []*Limiter
+	tenants      []Tenant        // by daemon, as in its plan
+	frozenUntil  []time.Duration // by daemon
+	latest       Tenant
+	highestLimit ratelimit.Limit
+	runs         []time.Duration
 }
 
 func newFleet(t *rapid.T) *fleet {
@@ -32,22 +32,22 @@
 		Burst: rapid.SampledFrom([]float64{0, 6, 40, 164}).Draw(t, "burst"),
 	}
 	f := &fleet{
-		t: t, chance: rand.New(rand.NewSource(rapid.Int64().Draw(t, "chance"))), now: time.Minute,
-		newest: Tenant{Name: "a", Version: 1, Limit: limit}, highest: limit,
+		t: t, rng: rand.New(rand.NewSource(rapid.Int64().Draw(t, "chance"))), now: time.Minute,
+		latest: Tenant{Name: "a", Version: 1, Limit: limit}, highestLimit: limit,
 	}
 	for range cfg.Partitions + 1 {
 		f.leaders = append(f.leaders, ratelimit.NewAllocator(f.now))
 	}
 	for range rapid.IntRange(1, 12).Draw(t, "daemons") {
 		f.daemons = append(f.daemons, New(cfg))
-		f.tenants = append(f.tenants, f.newest)
+		f.tenants = append(f.tenants, f.latest)
 		f.frozenUntil = append(f.frozenUntil, 0)
 	}
 	return f
 }
 
-// known are the leaders that a daemon knows of.
-func (f *fleet) known() []Leader {
+// leadersSeen returns the leaders as the daemons see them.
+func (f *fleet) leadersSeen() []Leader {
 	leaders := make([]Leader, len(f.leaders))
 	for p := range leaders {
 		leaders[p] = Leader{Known: f.leaders[p] != nil, Near: p%2 == 0}
@@ -55,136 +55,137 @@
 	return leaders
 }
 
-// request has one request come to a daemon, which runs it once or, after a loss, again with
-// a token of its own.
-func (f *fleet) request(daemon int) {
-	for range 1 + f.chance.Intn(4)/3 {
+// sendRequest sends one request to a daemon, which runs it once or, simulating a lost run,
+// a second time with another token.
+func (f *fleet) sendRequest(daemon int) {
+	for range 1 + f.rng.Intn(4)/3 {
 		until, ok := f.acquire(daemon)
 		if !ok {
 			return
 		}
-		// It waits in a queue, or its daemon stands still; then the token is looked at again.
-		at := max(f.now+time.Duration(f.chance.Intn(100))*ms, f.frozenUntil[daemon])
+		// The request waits in a queue, or its daemon is frozen; then the token's expiry is checked again.
+		at := max(f.now+time.Duration(f.rng.Intn(100))*ms, f.frozenUntil[daemon])
 		if at < until {
 			f.runs = append(f.runs, at)
 		}
 	}
 }
 
-// acquire takes a token as the gateway does; answers may be lost after they were given.
+// acquire takes a token as the gateway does; an answer may be lost after the leader has
+// deducted the token.
 func (f *fleet) acquire(daemon int) (until time.Duration, ok bool) {
 	l := f.daemons[daemon]
 	a := l.Start(f.tenants[daemon])
 	for {
-		move := l.Next(f.now, a, f.known())
-		if move.Action != Ask {
+		decision := l.Next(f.now, a, f.leadersSeen())
+		if decision.Action != Ask {
 			return 0, false
 		}
-		grant := f.leaders[move.Partition].Take(f.now, "d", move.Request)
+		grant := f.leaders[decision.Partition].Take(f.now, "d", decision.Request)
 		switch {
-		case f.chance.Intn(20) == 0:
-			l.Unanswered(f.now, move.Partition)
+		case f.rng.Intn(20) == 0:
+			l.RecordUnreachable(f.now, decision.Partition)
 		case grant.Granted:
-			return l.Granted(f.now, a), true
+			return l.TokenExpiry(f.now, a), true
 		default:
-			l.Refused(f.now, a, move.Partition, grant.RetryAfter)
+			l.RecordRefusal(f.now, a, decision.Partition, grant.RetryAfter)
 		}
 	}
 }
 
-// trouble changes leaders, daemons or the limit.
-func (f *fleet) trouble() {
+// injectFault changes leaders, daemons or the limit.
+func (f *fleet) injectFault() {
 	p := rapid.IntRange(1, len(f.leaders)-1).Draw(f.t, "partition")
 	d := rapid.IntRange(0, len(f.daemons)-1).Draw(f.t, "daemon")
 	switch rapid.IntRange(0, 6).Draw(f.t, "trouble") {
 	case 0: // a leader is lost
 		f.leaders[p] = nil
-	case 1, 2: // another one takes its place
+	case 1, 2: // a new leader takes over
 		f.leaders[p] = ratelimit.NewAllocator(f.now)
-	case 3: // a daemon starts anew
-		f.daemons[d], f.tenants[d], f.frozenUntil[d] = New(cfg), f.newest, 0
-	case 4: // the limit changes; some daemons learn of it later
-		f.newest.Version++
-		f.newest.Limit.Rate *= rapid.SampledFrom([]float64{0.25, 0.5, 2}).Draw(f.t, "factor")
-		f.highest.Rate = max(f.highest.Rate, f.newest.Limit.Rate)
+	case 3: // a daemon restarts
+		f.daemons[d], f.tenants[d], f.frozenUntil[d] = New(cfg), f.latest, 0
+	case 4: // the limit changes; only some daemons learn of it now
+		f.latest.Version++
+		f.latest.Limit.Rate *= rapid.SampledFrom([]float64{0.25, 0.5, 2}).Draw(f.t, "factor")
+		f.highestLimit.Rate = max(f.highestLimit.Rate, f.latest.Limit.Rate)
 		for d := range f.tenants {
 			if rapid.Bool().Draw(f.t, "learns") {
-				f.tenants[d] = f.newest
+				f.tenants[d] = f.latest
 			}
 		}
-	case 5: // all know it now
+	case 5: // all daemons learn of the latest limit
 		for d := range f.tenants {
-			f.tenants[d] = f.newest
+			f.tenants[d] = f.latest
 		}
-	case 6: // daemons stand still while requests come, and go on at one moment
+	case 6: // daemons freeze while requests arrive, and resume at the same moment
 		for d := range f.frozenUntil {
-			f.frozenUntil[d] = f.now + crowdFor
+			f.frozenUntil[d] = f.now + overloadDuration
 		}
-		f.crowd()
+		f.overload()
 	}
 }
 
-// A crowd asks for more than any limit here gives.
+// An overload exceeds every limit used in this test.
 const (
-	crowdFor   = 12 * time.Second
-	crowdEvery = 500 * ms
-	crowdSize  = 200 // each time
+	overloadDuration = 12 * time.Second
+	overloadInterval = 500 * ms
+	overloadBurst    = 200 // each time
 )
 
-// crowd has many requests come for a while.
-func (f *fleet) crowd() {
-	for end := f.now + crowdFor; f.now < end; f.now += crowdEvery {
-		f.burst(crowdSize)
+// overload sends far more requests than the limit allows, for a while.
+func (f *fleet) overload() {
+	for end := f.now + overloadDuration; f.now < end; f.now += overloadInterval {
+		f.sendBurst(overloadBurst)
 	}
 }
 
-// burst has some requests come at once.
-func (f *fleet) burst(size int) {
+// sendBurst sends several requests at once, each to a random daemon.
+func (f *fleet) sendBurst(size int) {
 	for range size {
-		f.request(f.chance.Intn(len(f.daemons)))
+		f.sendRequest(f.rng.Intn(len(f.daemons)))
 	}
 }
 
-// check looks at every window.
-func (f *fleet) check() {
+// checkWindows checks the number of runs in every window that begins at a run.
+func (f *fleet) checkWindows() {
 	slices.Sort(f.runs)
 	b := cfg.Bounds
-	allowed := (f.highest.Rate*b.Window.Seconds()+f.highest.Burst)*(1+b.Overrun) + b.Slack
+	allowed := (f.highestLimit.Rate*b.Window.Seconds()+f.highestLimit.Burst)*(1+b.Overrun) + b.Slack
 	end := 0
 	for i, from := range f.runs {
 		for end < len(f.runs) && f.runs[end] < from+b.Window {
 			end++
 		}
 		if got := float64(end - i); got > allowed {
-			f.t.Fatalf("%v runs in %v from %v on, %.1f are allowed", got, b.Window, from, allowed)
+			f.t.Fatalf("%v runs in the %v from %v on, allowed are %.1f", got, b.Window, from, allowed)
 		}
 	}
 }
 
-// Whatever befalls leaders and daemons, and however much a tenant asks for, no window has
-// more of its runs than its highest limit allows.
-func TestNoWindowHasMoreThanTheLimit(t *testing.T) {
+// Whatever faults occur and however many requests a tenant sends, no window has more runs
+// than the tenant's highest limit allows.
+func TestNoWindowExceedsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(t)
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0:
-				f.crowd()
+				f.overload()
 			case 1:
-				f.burst(rapid.IntRange(1, 300).Draw(t, "requests"))
+				f.sendBurst(rapid.IntRange(1, 300).Draw(t, "requests"))
 			case 2:
 				f.now += rapid.SampledFrom([]time.Duration{10 * ms, time.Second, 20 * time.Second}).Draw(t, "passes")
 			default:
-				f.trouble()
+				f.injectFault()
 			}
 		}
-		f.check()
+		f.checkWindows()
 	})
 }
 
-// A tenant that asks for far more than its limit gets what the limit gives, and hardly less:
-// refusals of what it may have cost it dearly.
-func TestACrowdGetsWhatTheLimitGives(t *testing.T) {
+// A tenant that sends far more requests than its limit allows still gets at least 95% of that
+// limit: the daemons' record of empty buckets must not hide tokens that are available.
+func TestOverloadedTenantGetsItsFullRate(t *testing.T) {
 	for _, limit := range []ratelimit.Limit{{Rate: 6, Burst: 6}, {Rate: 40, Burst: 40}, {Rate: 164, Burst: 164}} {
 		allocators := make([]*ratelimit.Allocator, cfg.Partitions+1)
 		for p := range allocators {
@@ -203,17 +204,17 @@
 			n++
 			a := l.Start(Tenant{Name: "a", Version: 1, Limit: limit})
 			for {
-				move := l.Next(now, a, known())
-				if move.Action != Ask {
+				decision := l.Next(now, a, knownLeaders())
+				if decision.Action != Ask {
 					break
 				}
 				asks++
-				grant := allocators[move.Partition].Take(now, string(rune('a'+n*7%daemons)), move.Request)
+				grant := allocators[decision.Partition].Take(now, string(rune('a'+n*7%daemons)), decision.Request)
 				if grant.Granted {
 					granted++
 					break
 				}
-				l.Refused(now, a, move.Partition, grant.RetryAfter)
+				l.RecordRefusal(now, a, decision.Partition, grant.RetryAfter)
 			}
 		}
 		want := limit.Rate * seconds
--- a/traffic/limiter/limiter.go
+++ b/traffic/limiter/limiter.go
@@ -1,8 +1,8 @@
-// Package limiter decides, on one daemon, which leader is asked for a token of a tenant's
-// limit (control/ratelimit): the nearest first, and others where its bucket is empty or
-// itself silent. What is known to be empty isn't asked, so that a tenant which asks for
-// many times its limit is refused without a message. It is a plain state machine;
-// traffic/gateway carries its moves out.
+// Package limiter decides, on one daemon, which partition leader to ask for a rate-limit
+// token of a tenant (control/ratelimit): a leader in the same zone first, then others if its
+// bucket is empty or it does not answer. A bucket known to be empty isn't asked, so that a
+// tenant far beyond its limit is refused without any message being sent. The limiter is a
+// plain state machine; traffic/gateway carries out its decisions.
 package limiter
 
 import (
@@ -12,28 +12,28 @@
 	"mulleinmast/control/ratelimit"
 )
 
-// Config holds the bounds of a limiter.
+// Config holds the parameters of a limiter.
 type Config struct {
-	Bounds     ratelimit.Bounds
-	Partitions int           // among whose leaders limits are divided; they count from 1
-	SilentFor  time.Duration // for so long a leader that didn't answer is passed over
-	RetryAfter time.Duration // at least, that a refused client is told to wait
+	Bounds             ratelimit.Bounds
+	Partitions         int           // limits are divided among the leaders of partitions 1 to Partitions
+	UnreachableBackoff time.Duration // how long a leader that didn't answer is skipped
+	RetryAfter         time.Duration // least time that a refused client is told to wait
 }
 
-// Leader is a partition's leader as far as known.
+// Leader describes a partition's leader as far as this daemon knows it.
 type Leader struct {
 	Known bool
-	Near  bool // it is in this daemon's zone
+	Near  bool // the leader is in this daemon's zone
 }
 
-// Tenant is a tenant with its limit, by one version of the plan.
+// Tenant is a tenant with its limit, as defined by one version of the plan.
 type Tenant struct {
 	Name    string
 	Version uint64 // of the plan
 	Limit   ratelimit.Limit
 }
 
-// bucketID names a tenant's bucket at a partition's leader.
+// bucketID identifies a tenant's bucket at a partition's leader.
 type bucketID struct {
 	tenant    string
 	partition int
@@ -41,77 +41,79 @@
 
 // Limiter is the state of one daemon. It is not safe for concurrent use.
 type Limiter struct {
-	cfg         Config
-	emptyUntil  map[bucketID]time.Duration
-	silentUntil map[int]time.Duration // by partition
-	turn        int
-	sweptAt     time.Duration
+	cfg              Config
+	emptyUntil       map[bucketID]time.Duration
+	unreachableUntil map[int]time.Duration // by partition
+	rotation         int
+	sweptAt          time.Duration
 }
 
-// New makes a limiter.
+// New returns a limiter without any knowledge of buckets or leaders.
 //
 // Example: l := limiter.New(cfg)
 func New(cfg Config) *Limiter {
-	return &Limiter{cfg: cfg, emptyUntil: map[bucketID]time.Duration{}, silentUntil: map[int]time.Duration{}}
+	return &Limiter{cfg: cfg, emptyUntil: map[bucketID]time.Duration{}, unreachableUntil: map[int]time.Duration{}}
 }
 
-// Acquisition is one request's way to a token.
+// Acquisition is the state of one request's attempt to acquire a token.
 type Acquisition struct {
-	tenant    Tenant
-	division  ratelimit.Division
-	first     int // the partition of the tenant's first bucket, from 0
-	asked     map[int]bool
-	isAtLimit bool
+	tenant         Tenant
+	division       ratelimit.Division
+	firstPartition int // of the tenant's first bucket, counted from 0
+	asked          map[int]bool
+	isAtLimit      bool
 }
 
-// IsAtLimit tells whether half of the tenant's buckets or more were known to be empty at the
-// last move: it asks for all that its limit gives.
+// IsAtLimit reports whether at least half of the tenant's buckets were known to be empty at
+// the last decision, which means that the tenant uses its whole limit.
 //
 // Example: request.TenantAtLimit = a.IsAtLimit()
 func (a *Acquisition) IsAtLimit() bool { return a.isAtLimit }
 
-// Start begins a request's way to a token.
+// Start begins the acquisition of a token for a request.
 //
 // Example: a := l.Start(tenant)
 func (l *Limiter) Start(t Tenant) *Acquisition {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(t.Name)) // a hash takes all
+	_, _ = h.Write([]byte(t.Name)) // hash.Hash.Write never returns an error
 	return &Acquisition{
 		tenant: t, division: ratelimit.Divide(l.cfg.Bounds, t.Limit, l.cfg.Partitions),
-		first: int(h.Sum32() % uint32(l.cfg.Partitions)), asked: map[int]bool{},
+		firstPartition: int(h.Sum32() % uint32(l.cfg.Partitions)), asked: map[int]bool{},
 	}
 }
 
-// partition is that of a bucket of the tenant's.
-func (a *Acquisition) partition(bucket, partitions int) int { return 1 + (a.first+bucket)%partitions }
+// partition returns the partition that holds one of the tenant's buckets.
+func (a *Acquisition) partition(bucket, partitions int) int {
+	return 1 + (a.firstPartition+bucket)%partitions
+}
 
-// Action says what a move is.
+// Action is the kind of a Decision.
 type Action uint8
 
 // The actions.
 const (
-	Ask         Action = iota + 1 // a partition's leader for a token
-	Beyond                        // final: the tenant is beyond its limit
-	Unreachable                   // final: no leader can be reached
-	Unknown                       // no leader is known: one may be soon, as after a start
+	Ask           Action = iota + 1 // ask a partition's leader for a token
+	LimitExceeded                   // final: the tenant exceeded its limit
+	Unreachable                     // final: no leader can be reached
+	NoLeaderKnown                   // no leader is known yet, as after start-up; the caller may wait for one
 )
 
-// Move is what to do next for a token.
-type Move struct {
+// Decision is the next step of an acquisition.
+type Decision struct {
 	Action     Action
-	Partition  int               // of an Ask
-	Request    ratelimit.Request // of an Ask
-	RetryAfter time.Duration     // of the others
+	Partition  int               // set for Ask
+	Request    ratelimit.Request // set for Ask
+	RetryAfter time.Duration     // set for the other actions
 }
 
-// Next says what to do next; leaders are by partition, from 0.
+// Next returns the next step of an acquisition; leaders is indexed by partition, from 0.
 //
-// Example: move := l.Next(now, a, leaders)
-func (l *Limiter) Next(now time.Duration, a *Acquisition, leaders []Leader) Move {
-	l.turn++
-	best, near, retryAt, empty, isAnyKnown := 0, false, time.Duration(-1), 0, false
+// Example: decision := l.Next(now, a, leaders)
+func (l *Limiter) Next(now time.Duration, a *Acquisition, leaders []Leader) Decision {
+	l.rotation++
+	best, near, retryAt, empty, anyKnown := 0, false, time.Duration(-1), 0, false
 	for i := range a.division.Buckets {
-		p := a.partition((i+l.turn)%a.division.Buckets, l.cfg.Partitions)
+		p := a.partition((i+l.rotation)%a.division.Buckets, l.cfg.Partitions)
 		if until := l.emptyUntil[bucketID{a.tenant.Name, p}]; now < until {
 			empty++
 			if retryAt < 0 || until < retryAt {
@@ -122,8 +124,8 @@
 		if p >= len(leaders) || !leaders[p].Known {
 			continue
 		}
-		isAnyKnown = true
-		if a.asked[p] || now < l.silentUntil[p] {
+		anyKnown = true
+		if a.asked[p] || now < l.unreachableUntil[p] {
 			continue
 		}
 		if best == 0 || leaders[p].Near && !near {
@@ -135,39 +137,39 @@
 	case best > 0:
 		a.asked[best] = true
 		request := ratelimit.Request{Tenant: a.tenant.Name, Version: a.tenant.Version, Limit: a.division.Bucket}
-		return Move{Action: Ask, Partition: best, Request: request}
+		return Decision{Action: Ask, Partition: best, Request: request}
 	case retryAt >= 0:
-		return Move{Action: Beyond, RetryAfter: max(retryAt-now, l.cfg.RetryAfter)}
+		return Decision{Action: LimitExceeded, RetryAfter: max(retryAt-now, l.cfg.RetryAfter)}
 	}
-	if !isAnyKnown {
-		return Move{Action: Unknown, RetryAfter: l.cfg.RetryAfter}
+	if !anyKnown {
+		return Decision{Action: NoLeaderKnown, RetryAfter: l.cfg.RetryAfter}
 	}
-	return Move{Action: Unreachable, RetryAfter: l.cfg.RetryAfter}
+	return Decision{Action: Unreachable, RetryAfter: l.cfg.RetryAfter}
 }
 
-// Granted is until when a token may be used that was asked for at a time.
+// TokenExpiry returns when a granted token expires, given the time at which it was requested.
 //
-// Example: until := l.Granted(askedAt, a)
-func (l *Limiter) Granted(askedAt time.Duration, a *Acquisition) (until time.Duration) {
+// Example: until := l.TokenExpiry(askedAt, a)
+func (l *Limiter) TokenExpiry(askedAt time.Duration, a *Acquisition) (until time.Duration) {
 	return askedAt + a.division.Validity
 }
 
-// Refused takes a leader's answer that its bucket is empty.
+// RecordRefusal records a leader's answer that its bucket is empty.
 //
-// Example: l.Refused(now, a, move.Partition, grant.RetryAfter)
-func (l *Limiter) Refused(now time.Duration, a *Acquisition, partition int, retryAfter time.Duration) {
+// Example: l.RecordRefusal(now, a, decision.Partition, grant.RetryAfter)
+func (l *Limiter) RecordRefusal(now time.Duration, a *Acquisition, partition int, retryAfter time.Duration) {
 	l.sweep(now)
 	l.emptyUntil[bucketID{a.tenant.Name, partition}] = now + retryAfter
 }
 
-// Unanswered takes it that a leader didn't answer.
+// RecordUnreachable records that a leader didn't answer.
 //
-// Example: l.Unanswered(now, move.Partition)
-func (l *Limiter) Unanswered(now time.Duration, partition int) {
-	l.silentUntil[partition] = now + l.cfg.SilentFor
+// Example: l.RecordUnreachable(now, decision.Partition)
+func (l *Limiter) RecordUnreachable(now time.Duration, partition int) {
+	l.unreachableUntil[partition] = now + l.cfg.UnreachableBackoff
 }
 
-// sweepInterval is the time between two looks for what was known of buckets and holds no more.
+// sweepInterval is the least time between two removals of expired entries for empty buckets.
 const sweepInterval = 10 * time.Second
 
 func (l *Limiter) sweep(now time.Duration) {
