--- a/proof/standin/mutants/rules.sh
+++ b/proof/standin/mutants/rules.sh
@@ -10,8 +10,8 @@
 # rules of the users that no other script breaks
 mutant tries-unbounded traffic/forward TestSendsStayWithinMaxAttempts traffic/forward/request.go 'r.countedSends >= r.maxAttempts() ||' 'r.countedSends >= 9+r.maxAttempts() ||'
 mutant whole-time platform TestAServerIsHandedTheTimeThatIsLeft platform/exchange.go 'max(1, (call.deadline-e.now()).Milliseconds())' '3600000'
-mutant goes-on-for-nobody traffic/gateway TestAClientThatIsGone traffic/gateway/execute.go 'm, ctx.Err() != nil || has.clientGone)' 'm, has.clientGone)'
-mutant past-give-up traffic/gateway TestARequestIsGivenUpWhenItsRouteSaysSo traffic/gateway/gateway.go 'arrivedAt + time.Duration(r.GiveUpMillis)*time.Millisecond' 'arrivedAt + time.Hour'
+mutant goes-on-for-nobody traffic/gateway TestClientDisconnects traffic/gateway/execute.go 'decision, ctx.Err() != nil || delivered.clientGone)' 'decision, delivered.clientGone)'
+mutant past-give-up traffic/gateway TestRouteDeadlineBoundsRequest traffic/gateway/gateway.go 'arrivedAt + time.Duration(r.GiveUpMillis)*time.Millisecond' 'arrivedAt + time.Hour'
 mutant weights-passed-over traffic/route TestPickFollowsTheWeights traffic/route/route.go 'if at < s.Weight {' 'if at < 50*s.Weight {'
 mutant unready-at-changes control/daemon TestConfigurationChangesKeepDaemonReady control/daemon/readiness.go ' || d.readiness.wasReadyWithin(d.Now(), d.Cfg.VolumeLease())' ''
 mutant ends-while-it-changes control/membership TestMustHandOverDuringGroupChange control/membership/view.go 'len(g.Next) > 0 || v.hasReplacement(g)' 'v.hasReplacement(g)'
@@ -19,21 +19,21 @@
 # keys and limits of tenants
 limits=control/ratelimit/ratelimit.go
 mutant bucket-starts-full control/ratelimit TestNewBucketIsEmpty $limits 'b = &bucket{version: r.Version, limit: r.Limit, filledAt: a.since}' 'b = &bucket{version: r.Version, limit: r.Limit, filledAt: a.since, tokens: r.Limit.Burst}'
-mutant full-at-each-change traffic/limiter TestNoWindowHasMoreThanTheLimit $limits 'b = &bucket{version: r.Version, limit: r.Limit, filledAt: a.since}' 'b = &bucket{version: r.Version, limit: r.Limit, filledAt: a.since, tokens: 40 * r.Limit.Burst}'
-mutant bucket-without-burst traffic/limiter TestNoWindowHasMoreThanTheLimit $limits 'b.tokens = min(b.limit.Burst, b.tokens+b.limit.Rate*(now-b.filledAt).Seconds())' 'b.tokens += b.limit.Rate * (now - b.filledAt).Seconds()'
-mutant token-without-end traffic/limiter TestNoWindowHasMoreThanTheLimit traffic/limiter/limiter.go 'return askedAt + a.division.Validity' 'return askedAt + time.Hour'
-mutant each-has-the-whole traffic/limiter TestNoWindowHasMoreThanTheLimit $limits 'Rate: l.Rate / float64(buckets)' 'Rate: l.Rate'
+mutant full-at-each-change traffic/limiter TestNoWindowExceedsLimit $limits 'b = &bucket{version: r.Version, limit: r.Limit, filledAt: a.since}' 'b = &bucket{version: r.Version, limit: r.Limit, filledAt: a.since, tokens: 40 * r.Limit.Burst}'
+mutant bucket-without-burst traffic/limiter TestNoWindowExceedsLimit $limits 'b.tokens = min(b.limit.Burst, b.tokens+b.limit.Rate*(now-b.filledAt).Seconds())' 'b.tokens += b.limit.Rate * (now - b.filledAt).Seconds()'
+mutant token-without-end traffic/limiter TestNoWindowExceedsLimit traffic/limiter/limiter.go 'return askedAt + a.division.Validity' 'return askedAt + time.Hour'
+mutant each-has-the-whole traffic/limiter TestNoWindowExceedsLimit $limits 'Rate: l.Rate / float64(buckets)' 'Rate: l.Rate'
 mutant first-version-counts control/ratelimit TestLaterVersionSetsLimit $limits 'if r.Version > b.version {' 'if r.Version < b.version {'
-mutant empty-is-asked-again traffic/limiter TestTheNearestLeaderIsAskedFirst traffic/limiter/limiter.go '= now + retryAfter' '= now'
+mutant empty-is-asked-again traffic/limiter TestLeaderInSameZoneIsAskedFirst traffic/limiter/limiter.go '= now + retryAfter' '= now'
 mutant limits-outlive-leaders control/leader TestNewLeadershipStartsWithEmptyBuckets control/leader/leader.go '	c.limits = nil
 	c.orders.leaderSince' '	c.orders.leaderSince'
-mutant token-for-many-runs traffic/gateway TestEachRunTakesAToken traffic/gateway/limit.go 'func (p *permit) use() { p.until = 0 }' 'func (p *permit) use() {}'
-mutant lapsed-token-runs traffic/gateway TestATokenThatLapsedIsTakenAnew traffic/gateway/limit.go 'return now < p.until' 'return p.until > 0'
+mutant token-for-many-runs traffic/gateway TestEachRunConsumesAToken traffic/gateway/limit.go 'func (p *permit) use() { p.until = 0 }' 'func (p *permit) use() {}'
+mutant lapsed-token-runs traffic/gateway TestExpiredTokenIsReplaced traffic/gateway/limit.go 'return now < p.until' 'return p.until > 0'
 mutant key-is-shown platform TestEveryCallNamesTheTenant platform/names.go 'hdrTenant, hdrKey,' 'hdrTenant,'
 mutant tenant-is-believed platform TestARequestReachesTheServerAsItWasSent platform/names.go 'hdrTenant, hdrKey,' 'hdrKey,'
 mutant prompt-without-tenant platform TestEveryCallNamesTheTenant platform/engine.go 'if c.Tenant != "" {' 'if c.Tenant != "" && decision.Handle != nil {'
-mutant unknown-key-is-served traffic/gateway TestWhoIsAdmitted traffic/gateway/admit.go 'case a.tenant != nil || route.Public || !p.tenants.Required():' 'case a.tenant != nil || route.Public || q.Key != "":'
-mutant key-outlives-its-tenant traffic/gateway TestAKeyThatIsTakenAwayMeanwhile traffic/gateway/admit.go 'return tenant != nil && tenant.Name == a.tenant.Name' 'return tenant != nil'
+mutant unknown-key-is-served traffic/gateway TestAdmission traffic/gateway/admit.go 'case a.tenant != nil || route.Public || !p.tenants.Required():' 'case a.tenant != nil || route.Public || req.Key != "":'
+mutant key-outlives-its-tenant traffic/gateway TestKeyRevokedWhileRequestWaits traffic/gateway/admit.go 'return tenant != nil && tenant.Name == a.tenant.Name' 'return tenant != nil'
 mutant key-of-two-tenants control/fleetconfig TestFaultsDoNotRevealKeys control/fleetconfig/keys.go 'ok && first != i {' 'ok && first == i {'
 mutant older-builds-serve-all control/fleetconfig TestPlanWithKeysRequiresKeysFormat control/fleetconfig/judge.go 'plan.Needs = plan.RequiredFormat()' ''
 # incarnations
@@ -59,6 +59,6 @@
 mutant refused-by-what-is-lost control/partition TestMergedJobsFailTogether control/partition/batch.go 'case j.isNoOp && outcome == Done:' 'case j.isNoOp:'
 mutant format-not-asked control/leader TestPlanUnreadableBySomeDaemonIsRefused control/leader/configcalls.go 'format > 0 && needs > format' 'format > 9 && needs > format'
 # what is told of the servers' load
-mutant all-is-told traffic/loadreport TestLoadReportsAreBounded traffic/loadreport/exchange.go 'if !readsChanges(to) {' 'if readsChanges(to) {'
-mutant never-in-turn traffic/loadreport TestMissedReportsAreMadeUpInTurn traffic/loadreport/changes.go 'key%refreshReports == t.turn%refreshReports &&' 'key%refreshReports == t.turn%refreshReports && t.turn == 0 &&'
+mutant all-is-told traffic/loadreport TestLoadReportsAreBounded traffic/loadreport/exchange.go 'if !supportsChanges(to) {' 'if supportsChanges(to) {'
+mutant never-in-turn traffic/loadreport TestMissedReportsAreRecoveredByRefresh traffic/loadreport/changes.go 'key%refreshReports == s.round%refreshReports &&' 'key%refreshReports == s.round%refreshReports && s.round == 0 &&'
 exit $missed
