--- a/proof/knownred/gotest.sh
+++ b/proof/knownred/gotest.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs go test with the arguments given, in the module it is called from. Where
-# KNOWN-RED.txt stands at its root, the tests listed there may fail, and no others.
+# Runs go test with the given arguments in the root folder of a module. If the folder
+# has a KNOWN-RED.txt, the tests listed there may fail, and no others.
 set -euo pipefail
 if [ ! -e KNOWN-RED.txt ]; then
   exec go test "$@"
--- a/proof/knownred/knownred_test.go
+++ b/proof/knownred/knownred_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-func TestListIsReadOrTurnedAway(t *testing.T) {
+func TestParseList(t *testing.T) {
 	entries, err := ParseList("a/b.TestOne, slow, and unfair, issue 3\nroot.TestTwo/part, late, issue 4\n")
 	if err != nil || len(entries) != 2 || entries[0] != (Entry{"a/b.TestOne", "slow, and unfair", "issue 3"}) {
-		t.Errorf("read as %+v: %v", entries, err)
+		t.Errorf("ParseList returned %+v, %v", entries, err)
 	}
 	for name, text := range map[string]string{
 		"no issue":        "a.TestOne, slow\n",
@@ -25,13 +25,13 @@
 			"a.TestD, x, issue 1\n",
 	} {
 		if entries, err := ParseList(text); err == nil {
-			t.Errorf("%s: taken as %v", name, entries)
+			t.Errorf("%s: accepted as %v", name, entries)
 		}
 	}
 }
 
-// fixture is a module of its own with one test that fails, one with a part that
-// fails and one that does what the line says.
+// fixture is the test file of a separate module. TestRed always fails, TestParts has
+// a subtest that fails, and a test case replaces OWN and OTHER by statements.
 const fixture = `package inner
 
 import "testing"
@@ -49,8 +49,8 @@
 
 const listed = "inner.TestRed, counts twice, issue 7\ninner.TestParts/red, late, issue 8\n"
 
-// runFixture runs gotest.sh over the fixture and tells what it printed and
-// whether it passed.
+// runFixture runs gotest.sh on the fixture and returns its output and whether it
+// passed.
 func runFixture(t *testing.T, list, own, other string) (string, bool) {
 	t.Helper()
 	script, err := filepath.Abs("gotest.sh")
@@ -80,22 +80,22 @@
 	return string(out), err == nil
 }
 
-func TestOnlyListedTestsArePassedOver(t *testing.T) {
+func TestOnlyListedFailuresAreTolerated(t *testing.T) {
 	for _, c := range []struct {
 		name, list, own, other string
 		pass                   bool
-		says                   []string
+		wantLines              []string
 	}{
 		{
 			"all listed", listed, "", "", true,
 			[]string{"KNOWN RED: inner.TestRed: counts twice (issue 7)", "KNOWN RED: inner.TestParts/red: late (issue 8)", "--- PASS: TestLast"},
 		},
 		{"no list", "", "", "", false, []string{"--- FAIL: TestRed"}},
-		{"one not listed", strings.SplitAfter(listed, "\n")[0], "", "", false, []string{"NOT PASSED OVER: inner.TestParts/red"}},
-		{"another fails", listed, "", `t.Error("new")`, false, []string{"NOT PASSED OVER: inner.TestOther"}},
-		{"a listed part's whole fails by itself", listed, `t.Error("of its own")`, "", false, []string{"NOT PASSED OVER: inner.TestParts"}},
+		{"one failure not listed", strings.SplitAfter(listed, "\n")[0], "", "", false, []string{"NOT PASSED OVER: inner.TestParts/red"}},
+		{"another test fails", listed, "", `t.Error("new")`, false, []string{"NOT PASSED OVER: inner.TestOther"}},
+		{"the parent of a listed subtest fails by itself", listed, `t.Error("of its own")`, "", false, []string{"NOT PASSED OVER: inner.TestParts"}},
 		{
-			"a listed test ends the others, too", listed + "inner.TestOther, panics, issue 9\n", "", `panic("new")`, false,
+			"a listed test panics and ends the other tests", listed + "inner.TestOther, panics, issue 9\n", "", `panic("new")`, false,
 			[]string{"NOT PASSED OVER: fixture/inner stopped in the middle of its tests"},
 		},
 		{"the tests don't build", listed, "", `nothing()`, false, []string{"doesn't build", "inner.TestRed is listed and wasn't run"}},
@@ -104,7 +104,7 @@
 			[]string{"LISTED BUT PASSES: inner.TestGood: take it off the list (issue 9)"},
 		},
 		{
-			"a listed test is gone", listed + "inner.TestGone, was slow, issue 9\n", "", "", false,
+			"a listed test no longer exists", listed + "inner.TestGone, was slow, issue 9\n", "", "", false,
 			[]string{"inner.TestGone is listed and wasn't run"},
 		},
 		{"too many", listed + "inner.TestA, x, issue 1\ninner.TestB, x, issue 1\n", "", "", false, []string{"4 tests are listed, 3 at most"}},
@@ -113,18 +113,18 @@
 			t.Parallel()
 			out, pass := runFixture(t, c.list, c.own, c.other)
 			if pass != c.pass {
-				t.Errorf("passed: %v", pass)
+				t.Errorf("run passed: %v, want %v", pass, c.pass)
 			}
-			for _, line := range c.says {
+			for _, line := range c.wantLines {
 				if !strings.Contains(out, line) {
-					t.Errorf("doesn't say %q:\n%s", line, out)
+					t.Errorf("output lacks %q:\n%s", line, out)
 				}
 			}
 		})
 	}
 }
 
-func TestARunThatIsCutShortDoesNotPass(t *testing.T) {
+func TestIncompleteRunFails(t *testing.T) {
 	for name, run := range map[string]string{
 		"nothing":     "",
 		"no end":      `{"Action":"start","Package":"m/inner"}`,
@@ -133,11 +133,11 @@
 	} {
 		var out strings.Builder
 		judge := NewJudge(nil, "m", &out)
-		if err := judge.Follow(strings.NewReader(run)); err != nil {
+		if err := judge.ReadAll(strings.NewReader(run)); err != nil {
 			t.Fatal(err)
 		}
 		if judge.Verdict(1) || judge.Verdict(0) {
-			t.Errorf("%s: passed:\n%s", name, &out)
+			t.Errorf("%s: the run passed:\n%s", name, &out)
 		}
 	}
 }
--- a/proof/knownred/main.go
+++ b/proof/knownred/main.go
@@ -1,6 +1,6 @@
-// Command knownred lets a run of `go test -json`, read from its input, pass
-// when nothing failed but the tests that the list names, each by its exact name.
-// It prints each of these with its cause; gotest.sh runs the two together.
+// Command knownred reads the output of `go test -json` from standard input and
+// exits with 0 if only tests failed that a list of known failures names exactly.
+// It prints each of them with its cause. gotest.sh runs go test and this command.
 package main
 
 import (
@@ -10,9 +10,9 @@
 )
 
 func main() {
-	list := flag.String("list", "KNOWN-RED.txt", "the file that lists the tests known to fail")
-	module := flag.String("module", "mulleinmast", "the module's name")
-	status := flag.Int("status", 0, "the exit code of go test")
+	list := flag.String("list", "KNOWN-RED.txt", "`file` that lists the tests known to fail")
+	module := flag.String("module", "mulleinmast", "`path` of the module under test")
+	status := flag.Int("status", 0, "exit `code` of go test")
 	flag.Parse()
 	text, err := os.ReadFile(*list)
 	if err != nil {
@@ -23,7 +23,7 @@
 		fail(fmt.Errorf("%s: %w", *list, err))
 	}
 	judge := NewJudge(entries, *module, os.Stdout)
-	if err := judge.Follow(os.Stdin); err != nil {
+	if err := judge.ReadAll(os.Stdin); err != nil {
 		fail(err)
 	}
 	if !judge.Verdict(*status) {
--- a/test.sh
+++ b/test.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The project's test command: formatter and linters, then every test with fixed seeds. Tests listed in
-# KNOWN-RED.txt, if there is one, may fail; they are printed. The linters' versions stand in go.mod,
-# revive's rules in revive.toml.
+# The project's test command: runs the formatter and linters, then every test with fixed seeds. Tests listed
+# in KNOWN-RED.txt, if the file exists, may fail; they are printed. go.mod pins the linters' versions,
+# revive.toml and revive-limits.toml hold revive's rules.
 set -euo pipefail
 cd "$(dirname "$0")"
 export GOFLAGS="${GOFLAGS:-} -buildvcs=false"
