--- a/boundary_test.go
+++ b/boundary_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// mayImport says, for each layer, which folders of this module its packages and
-// their tests may import. The longest entry that fits a package holds.
+// mayImport lists, for each layer, the folders of this module that its packages and
+// their tests may import. The longest entry that matches a package applies.
 var mayImport = map[string][]string{
 	"wire":     {"wire"},
 	"control":  {"control", "wire"},
@@ -19,12 +19,12 @@
 	"proof":    {"proof", "platform", "traffic", "control", "wire"},
 	"cmd":      {"proof", "platform", "traffic", "control", "wire"},
 
-	// What runs for the users holds nothing of what tests it.
+	// Programs that run in production import no test code.
 	"cmd/mulleinmast": {"platform", "traffic", "control", "wire"},
 	"cmd/mulleinctl":  {"traffic", "control", "wire"},
 
-	// Judges and what stands in for the users know the rules and formats, not the
-	// code that is judged. Only what starts daemons knows how to set them up.
+	// Judges and stand-ins for the users' systems depend on the rules and formats, not
+	// on the code under test. Only packages that start daemons may import their setup.
 	"proof/judge":         {"proof/history"},
 	"proof/history":       {},
 	"proof/standin":       {"proof/standin", "proof/judge", "proof/history"},
@@ -34,12 +34,12 @@
 	"proof/knownred":      {},
 }
 
-// inside tells whether a package stands in a folder or below it.
+// inside reports whether a package is in a folder or below it.
 func inside(pkg, folder string) bool {
 	return pkg == folder || strings.HasPrefix(pkg, folder+"/")
 }
 
-// layer is the longest entry of mayImport that a package stands in.
+// layer returns the longest entry of mayImport that contains a package.
 func layer(pkg string) string {
 	longest := ""
 	for folder := range mayImport {
@@ -50,13 +50,13 @@
 	return longest
 }
 
-// forbidden tells whether a package of one folder imports what its layer may not.
+// forbidden reports whether the layer of a package may not import another package.
 func forbidden(pkg, imported string) bool {
 	may, known := mayImport[layer(pkg)]
 	return known && !slices.ContainsFunc(may, func(folder string) bool { return inside(imported, folder) })
 }
 
-func TestLayersImportOnlyWhatStandsBelow(t *testing.T) {
+func TestLayersImportOnlyAllowedPackages(t *testing.T) {
 	for _, c := range []struct {
 		pkg, imported string
 		want          bool
@@ -72,15 +72,15 @@
 		{"control/leader", "control/lease", false},
 	} {
 		if got := forbidden(c.pkg, c.imported); got != c.want {
-			t.Errorf("%s importing %s is forbidden: %v", c.pkg, c.imported, got)
+			t.Errorf("forbidden(%s, %s) = %v, want %v", c.pkg, c.imported, got, c.want)
 		}
 	}
 	layers := map[string]bool{}
-	each(t, func(path string, _ []byte, file *ast.File) {
+	forEachGoFile(t, func(path string, _ []byte, file *ast.File) {
 		pkg := filepath.ToSlash(filepath.Dir(path))
 		layers[layer(pkg)] = true
 		if pkg != "." && layer(pkg) == "" {
-			t.Errorf("%s stands in no layer", pkg)
+			t.Errorf("%s belongs to no layer", pkg)
 		}
 		for _, spec := range file.Imports {
 			imported, err := strconv.Unquote(spec.Path.Value)
@@ -88,13 +88,13 @@
 				t.Fatal(err)
 			}
 			if inner, ours := strings.CutPrefix(imported, "mulleinmast/"); ours && inner != pkg && forbidden(pkg, inner) {
-				t.Errorf("%s: a package of %s imports %s", path, layer(pkg), inner)
+				t.Errorf("%s: layer %s may not import %s", path, layer(pkg), inner)
 			}
 		}
 	})
 	for folder := range mayImport {
 		if !layers[folder] {
-			t.Errorf("%s holds no package", folder)
+			t.Errorf("mayImport lists %s, which contains no package", folder)
 		}
 	}
 }
--- a/deploy_test.go
+++ b/deploy_test.go
@@ -12,10 +12,10 @@
 	"github.com/BurntSushi/toml"
 )
 
-// debianName is what Debian's policy allows as a package's name.
+// debianName matches the package names that Debian's policy allows.
 var debianName = regexp.MustCompile(`^[a-z0-9][a-z0-9+.-]+$`)
 
-// deployPackages reads the packages that the deploy file lists.
+// deployPackages returns the packages listed in deploy/system.toml.
 func deployPackages(t *testing.T) []string {
 	t.Helper()
 	var file struct {
@@ -27,23 +27,23 @@
 	return file.Packages
 }
 
-func TestDeployListsPackagesByName(t *testing.T) {
+func TestDeployListsValidPackageNames(t *testing.T) {
 	packages := deployPackages(t)
 	if len(packages) == 0 {
 		t.Fatal("deploy/system.toml lists no packages")
 	}
 	if !slices.IsSorted(packages) || len(slices.Compact(slices.Clone(packages))) != len(packages) {
-		t.Errorf("%v: not in order, or one stands twice", packages)
+		t.Errorf("%v: not sorted, or a package is listed twice", packages)
 	}
 	for _, name := range packages {
 		if !debianName.MatchString(name) {
-			t.Errorf("%q is no name of a Debian package", name)
+			t.Errorf("%q is not a valid Debian package name", name)
 		}
 	}
 }
 
-// stubs stand in for what .ci/run calls: nothing counts as installed but what
-// INSTALLED names, and each call of apt-get is noted.
+// stubs replace the programs that .ci/run calls: only the packages named in
+// INSTALLED count as installed, and each call of apt-get is logged.
 var stubs = map[string]string{
 	"bin/dpkg-query": "#!/bin/sh\nfor name; do :; done\ncase \" $INSTALLED \" in *\" $name \"*) echo installed;; *) exit 1;; esac\n",
 	"bin/apt-get":    "#!/bin/sh\necho \"$@\" >> apt.log\n",
@@ -51,9 +51,9 @@
 	"test.sh":        "#!/bin/sh\necho ran >> test.log\n",
 }
 
-// runCI runs the real .ci/run over the real deploy file, among the stubs, and
-// tells what it had apt-get install and whether it went on to the tests.
-func runCI(t *testing.T, installed string) (asked []string, tested bool) {
+// runCI runs the real .ci/run with the real deploy file and the stubs. It returns
+// the packages passed to apt-get install and whether the tests were started.
+func runCI(t *testing.T, installed string) (installs []string, tested bool) {
 	t.Helper()
 	dir := t.TempDir()
 	files := map[string]string{}
@@ -91,27 +91,27 @@
 			continue
 		}
 		if !slices.Contains(words, "--no-install-recommends") {
-			t.Errorf("%q takes in packages that nobody lists", line)
+			t.Errorf("%q also installs recommended packages, which are not listed", line)
 		}
 		for _, word := range words[1:] {
 			if !strings.HasPrefix(word, "-") {
-				asked = append(asked, word)
+				installs = append(installs, word)
 			}
 		}
 	}
 	_, err = os.Stat(filepath.Join(dir, "test.log"))
-	return asked, err == nil
+	return installs, err == nil
 }
 
-func TestCIInstallsExactlyWhatDeployLists(t *testing.T) {
+func TestCIInstallsExactlyListedPackages(t *testing.T) {
 	listed := deployPackages(t)
-	if asked, tested := runCI(t, ""); !slices.Equal(asked, listed) || !tested {
-		t.Errorf("on a bare machine: installed %v of %v, ran the tests: %v", asked, listed, tested)
+	if installs, tested := runCI(t, ""); !slices.Equal(installs, listed) || !tested {
+		t.Errorf("no package present: installed %v, want %v; tests started: %v", installs, listed, tested)
 	}
-	if asked, tested := runCI(t, strings.Join(listed[1:], " ")); !slices.Equal(asked, listed[:1]) || !tested {
-		t.Errorf("with one missing: installed %v instead of %v, ran the tests: %v", asked, listed[:1], tested)
+	if installs, tested := runCI(t, strings.Join(listed[1:], " ")); !slices.Equal(installs, listed[:1]) || !tested {
+		t.Errorf("one package missing: installed %v, want %v; tests started: %v", installs, listed[:1], tested)
 	}
-	if asked, tested := runCI(t, strings.Join(listed, " ")); len(asked) > 0 || !tested {
-		t.Errorf("with all there: installed %v, ran the tests: %v", asked, tested)
+	if installs, tested := runCI(t, strings.Join(listed, " ")); len(installs) > 0 || !tested {
+		t.Errorf("all packages present: installed %v, want none; tests started: %v", installs, tested)
 	}
 }
--- a/doc_test.go
+++ b/doc_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// documented tells whether a comment is there and begins with the name that it
-// stands at, an article before it allowed.
+// documented reports whether a doc comment exists and begins with the name of the
+// declared item, optionally after an article.
 func documented(doc *ast.CommentGroup, name string) bool {
 	words := strings.Fields(doc.Text())
 	if len(words) > 1 && (words[0] == "A" || words[0] == "An" || words[0] == "The") {
@@ -19,17 +19,17 @@
 	return len(words) > 0 && strings.TrimRight(words[0], ",.:;'s") == strings.TrimRight(name, "s")
 }
 
-// misnamed tells whether a comment begins with a name that isn't that of what
-// it stands at, as one does that a rename left behind.
+// misnamed reports whether a doc comment begins with a lower-case word other than the
+// name of the declared item, as it does when a rename missed the comment.
 func misnamed(doc *ast.CommentGroup, name string) bool {
 	words := strings.Fields(doc.Text())
 	return len(words) > 0 && words[0][0] >= 'a' && words[0][0] <= 'z' && !documented(doc, name)
 }
 
-// undocumented are the exported items of a file that no comment explains, and
-// others with the comment of something else. In tests only the latter count.
-// Constants, variables and fields of a group may share the group's comment or
-// have one behind them on their line.
+// undocumented returns the exported items of a file that have no doc comment, and all
+// items whose comment begins with another name. In test files only the latter count.
+// Constants and variables of a group may share the group's comment or have one at
+// the end of their line.
 func undocumented(file *ast.File, test bool) (names []string) {
 	for _, decl := range file.Decls {
 		switch decl := decl.(type) {
@@ -62,10 +62,10 @@
 }
 
 func TestEveryExportedItemIsDocumented(t *testing.T) {
-	packages := map[string]bool{} // folder -> has a comment on the package
-	each(t, func(path string, _ []byte, file *ast.File) {
+	packages := map[string]bool{} // folder -> has a package comment
+	forEachGoFile(t, func(path string, _ []byte, file *ast.File) {
 		for _, name := range undocumented(file, strings.HasSuffix(path, "_test.go")) {
-			t.Errorf("%s: %s has no comment that begins with its name", path, name)
+			t.Errorf("%s: %s has no doc comment that begins with its name", path, name)
 		}
 		if strings.HasSuffix(path, "_test.go") {
 			return
@@ -76,19 +76,19 @@
 	})
 	for folder, ok := range packages {
 		if !ok {
-			t.Errorf("%s: no comment on the package", folder)
+			t.Errorf("%s: package comment is missing", folder)
 		}
 	}
 }
 
-// exampleCall is an item of a package that an example names.
+// exampleCall matches a package-qualified exported name in an example.
 var exampleCall = regexp.MustCompile(`\b([a-z]+)\.([A-Z]\w*)`)
 
-// An example that names what is no longer there misleads. What it says of the
-// packages of this module must be declared in them.
-func TestExamplesNameWhatIsThere(t *testing.T) {
+// Examples in doc comments are not compiled, so a rename can leave an old name behind.
+// Each name that an example uses from a package of this module must be declared there.
+func TestExamplesUseDeclaredNames(t *testing.T) {
 	declared := map[string]map[string]bool{}
-	each(t, func(_ string, _ []byte, file *ast.File) {
+	forEachGoFile(t, func(_ string, _ []byte, file *ast.File) {
 		names := declared[file.Name.Name]
 		if names == nil {
 			names = map[string]bool{}
@@ -113,8 +113,8 @@
 		}
 	})
 	examples := 0
-	each(t, func(path string, _ []byte, file *ast.File) {
-		known := map[string]bool{file.Name.Name: true} // other names are variables
+	forEachGoFile(t, func(path string, _ []byte, file *ast.File) {
+		known := map[string]bool{file.Name.Name: true} // other qualifiers are variables
 		for _, spec := range file.Imports {
 			known[filepath.Base(strings.Trim(spec.Path.Value, `"`))] = true
 		}
@@ -126,25 +126,26 @@
 			examples++
 			for _, call := range exampleCall.FindAllStringSubmatch(example, -1) {
 				if names, ours := declared[call[1]]; ours && known[call[1]] && !names[call[2]] {
-					t.Errorf("%s: the example names %s, which isn't there", path, call[0])
+					t.Errorf("%s: the example uses %s, which is not declared", path, call[0])
 				}
 			}
 		}
 	})
 	if examples == 0 {
-		t.Error("no example was found")
+		t.Error("found no examples")
 	}
 }
 
-// named are the tests and places of the tree that a page names in code marks.
+// Patterns for the tests and the paths of this repository that a page names in
+// backquotes.
 var (
 	namedTest = regexp.MustCompile("`((?:Test|Fuzz|Benchmark)\\w+)`")
 	namedPath = regexp.MustCompile("`((?:cmd|control|deploy|docs|platform|proof|traffic|wire)/[\\w./*-]*)`")
 )
 
-func TestPagesNameWhatIsThere(t *testing.T) {
+func TestPagesNameExistingTestsAndPaths(t *testing.T) {
 	tests := map[string]bool{}
-	each(t, func(path string, _ []byte, file *ast.File) {
+	forEachGoFile(t, func(path string, _ []byte, file *ast.File) {
 		for _, decl := range file.Decls {
 			if f, ok := decl.(*ast.FuncDecl); ok && strings.HasSuffix(path, "_test.go") {
 				tests[f.Name.Name] = true
@@ -153,7 +154,7 @@
 	})
 	pages, err := filepath.Glob("docs/*.md")
 	if err != nil || len(pages) == 0 {
-		t.Fatalf("%d pages: %v", len(pages), err)
+		t.Fatalf("found %d pages in docs: %v", len(pages), err)
 	}
 	for _, page := range append(pages, "README.md") {
 		text, err := os.ReadFile(page)
@@ -162,26 +163,26 @@
 		}
 		for _, found := range namedTest.FindAllStringSubmatch(string(text), -1) {
 			if !tests[found[1]] {
-				t.Errorf("%s names %s, which isn't there", page, found[1])
+				t.Errorf("%s names the test %s, which does not exist", page, found[1])
 			}
 		}
 		for _, found := range namedPath.FindAllStringSubmatch(string(text), -1) {
 			if there, err := filepath.Glob(found[1]); err != nil || len(there) == 0 {
-				t.Errorf("%s names %s, which isn't there", page, found[1])
+				t.Errorf("%s names the path %s, which does not exist", page, found[1])
 			}
 		}
 	}
 }
 
-// namedItem is a name in code marks, with its package or type before it or not.
+// namedItem matches a name in backquotes, optionally qualified by its package or type.
 var namedItem = regexp.MustCompile("`([A-Za-z]\\w*(?:\\.[A-Za-z]\\w*)*)`")
 
-// declaredNames are the names of all packages, functions, types, fields, constants
+// declaredNames returns the names of all packages, functions, types, fields, constants
 // and variables of the module.
 func declaredNames(t *testing.T) map[string]bool {
 	t.Helper()
 	names := map[string]bool{}
-	each(t, func(path string, _ []byte, file *ast.File) {
+	forEachGoFile(t, func(path string, _ []byte, file *ast.File) {
 		names[file.Name.Name] = true
 		names[filepath.Base(filepath.Dir(path))] = true
 		ast.Inspect(file, func(n ast.Node) bool {
@@ -205,8 +206,8 @@
 	return names
 }
 
-// The pages for newcomers lead to the code by its names.
-func TestPagesForNewcomersNameItemsThatAreThere(t *testing.T) {
+// The introductory pages refer to code by name, so each name must be declared.
+func TestPagesForNewcomersNameDeclaredItems(t *testing.T) {
 	declared := declaredNames(t)
 	for _, page := range []string{"docs/architecture.md", "docs/glossary.md"} {
 		text, err := os.ReadFile(page)
@@ -215,7 +216,7 @@
 		}
 		found := namedItem.FindAllStringSubmatch(string(text), -1)
 		if len(found) < 20 {
-			t.Errorf("%s: only %d names were found", page, len(found))
+			t.Errorf("%s: found only %d names, want at least 20", page, len(found))
 		}
 		for _, item := range found {
 			if strings.HasSuffix(item[1], ".go") {
@@ -223,7 +224,7 @@
 			}
 			for name := range strings.SplitSeq(item[1], ".") {
 				if !declared[name] {
-					t.Errorf("%s names %s: %s isn't there", page, item[1], name)
+					t.Errorf("%s names %s: %s is not declared", page, item[1], name)
 				}
 			}
 		}
--- a/names_test.go
+++ b/names_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// The platform's own names: of headers, the variable that names its settings
-// file, fields, words and paths. They stand where the platform is spoken to,
-// in what stands in for it, in tests of these and in the notes.
+// platformNames are names defined by the users' platform: headers, the environment
+// variable that names its settings file, fields, words and paths. Only the code that
+// talks to the platform, its stand-ins, their tests and the documentation use them.
 var platformNames = []string{
 	"x-mulleinmast", "mulleinmast_boot", "mulleinmast/settings",
 	"config-version", "weighted-services", "service-name", "path-start", "host-name", "route-kind", "give-up-ms", "target-ms", "gap-target-ms", "stick-to-server", "can-resume",
@@ -21,11 +21,11 @@
 	"/v1/evacuation", "/v1/config\"", "/v1/ready\"", "/v1/order\"", "/v1/report\"",
 }
 
-// spoken are the folders and files where the platform's names may stand. The
-// hollow fleets' source stands in for the platform's list.
-var spoken = []string{"platform/", "proof/standin/", "proof/hollow/source.go", "docs/", "journal/", "deploy/", "names_test.go"}
+// mayUsePlatformNames lists the folders and files that may contain the platform's
+// names. The source of the hollow fleets replaces the platform's server list.
+var mayUsePlatformNames = []string{"platform/", "proof/standin/", "proof/hollow/source.go", "docs/", "journal/", "deploy/", "names_test.go"}
 
-func TestThePlatformsNamesStayWithThePlatform(t *testing.T) {
+func TestPlatformNamesStayInPlatformCode(t *testing.T) {
 	seen := map[string]bool{}
 	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
 		switch {
@@ -41,7 +41,7 @@
 			return err
 		}
 		text, may := strings.ToLower(string(b)), false
-		for _, s := range spoken {
+		for _, s := range mayUsePlatformNames {
 			may = may || strings.HasPrefix(path, s)
 		}
 		for _, name := range platformNames {
@@ -52,7 +52,7 @@
 				seen[name] = true
 			}
 			if !may {
-				t.Errorf("%s says %q", path, name)
+				t.Errorf("%s uses the platform's name %q", path, name)
 			}
 		}
 		return nil
@@ -61,6 +61,6 @@
 		t.Fatal(err)
 	}
 	if len(seen) < len(platformNames)*3/4 {
-		t.Errorf("of %d names only %d stand in platform/: the list is out of date", len(platformNames), len(seen))
+		t.Errorf("platform/ uses only %d of %d listed names: the list is out of date", len(seen), len(platformNames))
 	}
 }
--- a/style_test.go
+++ b/style_test.go
@@ -12,9 +12,9 @@
 	"testing"
 )
 
-// withdrawn are the words of an earlier vocabulary that hid the field's own
-// terms, with the term that stands in their place. No name, comment or text of
-// the code says them; vocabulary_test.go looks everywhere.
+// withdrawn maps the words of an earlier, private vocabulary to the terms of the
+// field that replaced them. Names, comments and texts of the code must not use these
+// words; vocabulary_test.go checks this.
 var withdrawn = vocabulary(map[string]string{
 	"budget budgets": "deadline or timeout", "wakeup wakeups": "timer", "requester requesters": "client", "partner partners": "peer",
 	"shed sheds shedding": "refuse", "cell cells": "zone", "reply replies": "answer or response",
@@ -27,7 +27,7 @@
 	"maker makers": "decode server", "readers": "prefill servers", "purge purged purges purging": "invalidation", "beaten": "conflict",
 })
 
-// vocabulary gives each of several forms of a word its term.
+// vocabulary maps each form of a word, separated by spaces in the keys, to its term.
 func vocabulary(forms map[string]string) map[string]string {
 	words := map[string]string{}
 	for list, term := range forms {
@@ -38,10 +38,11 @@
 	return words
 }
 
-var humps = regexp.MustCompile(`[A-Z]?[a-z]+|[A-Z]+`)
+// nameParts matches the words of a camel-case name.
+var nameParts = regexp.MustCompile(`[A-Z]?[a-z]+|[A-Z]+`)
 
-// each calls f with every Go file that was written by hand.
-func each(t *testing.T, f func(path string, src []byte, file *ast.File)) {
+// forEachGoFile calls f for every Go file that is not generated.
+func forEachGoFile(t *testing.T, f func(path string, src []byte, file *ast.File)) {
 	t.Helper()
 	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_gen.go") {
@@ -63,14 +64,14 @@
 	}
 }
 
-// Lines of a function at most: of the product, and of tests and proofs, where the
-// limit is the value reached. They may be lowered, not raised.
+// Limits on the lines of a function, for the product and for tests and proofs. The
+// latter is the present maximum. The limits may be lowered but not raised.
 const (
 	maxProductFunction = 60
 	maxFunction        = 113
 )
 
-// maxLines is the limit for the functions of a file.
+// maxLines returns the limit for the functions of a file.
 func maxLines(path string) int {
 	for _, folder := range []string{"control/", "wire/", "traffic/", "platform/", "cmd/mulleinmast/", "cmd/mulleinctl/"} {
 		if strings.HasPrefix(path, folder) && !strings.HasSuffix(path, "_test.go") {
@@ -81,7 +82,7 @@
 }
 
 func TestFunctionsAreShort(t *testing.T) {
-	each(t, func(path string, src []byte, file *ast.File) {
+	forEachGoFile(t, func(path string, src []byte, file *ast.File) {
 		for _, decl := range file.Decls {
 			f, ok := decl.(*ast.FuncDecl)
 			if !ok || f.Body == nil {
@@ -89,21 +90,21 @@
 			}
 			body := src[f.Body.Pos()-file.FileStart : f.Body.End()-file.FileStart]
 			if lines := strings.Count(string(body), "\n") - 1; lines > maxLines(path) {
-				t.Errorf("%s: %s has %d lines, more than %d", path, f.Name.Name, lines, maxLines(path))
+				t.Errorf("%s: %s has %d lines, limit is %d", path, f.Name.Name, lines, maxLines(path))
 			}
 		}
 	})
 }
 
-func TestHouseStyle(t *testing.T) {
+func TestSourceStyle(t *testing.T) {
 	code, tests := 0, 0
-	each(t, func(path string, src []byte, file *ast.File) {
+	forEachGoFile(t, func(path string, src []byte, file *ast.File) {
 		lines := strings.Count(string(src), "\n")
 		test := strings.HasSuffix(path, "_test.go")
 		if test {
 			tests += lines
 			if strings.Contains(string(src), "time."+"Sleep(") {
-				t.Errorf("%s: a test sleeps", path)
+				t.Errorf("%s: tests must not sleep", path)
 			}
 		} else {
 			code += lines
@@ -111,11 +112,11 @@
 		for _, d := range file.Decls {
 			f, ok := d.(*ast.FuncDecl)
 			if ok && !test && f.Name.IsExported() && file.Name.Name != "main" && !strings.Contains(f.Doc.Text(), "Example:") {
-				t.Errorf("%s: %s has no example in its comment", path, f.Name.Name)
+				t.Errorf("%s: the doc comment of %s has no example", path, f.Name.Name)
 			}
 		}
 	})
 	if tests*5 > (tests+code)*2 {
-		t.Errorf("%d lines of tests beside %d of code: more than two fifths", tests, code)
+		t.Errorf("%d lines of tests and %d of other code: tests exceed two fifths", tests, code)
 	}
 }
--- a/vocabulary_test.go
+++ b/vocabulary_test.go
@@ -13,10 +13,10 @@
 	"testing"
 )
 
-// kept are the withdrawn words that stand in data which older builds, users'
-// programs or disks hold: exact literals, each with what it is. Prose never
-// needs one.
-var kept = map[string]string{
+// keptLiterals are exact literals with withdrawn words that must stay because older builds,
+// users' programs or stored data use them, each with its meaning. Prose never needs
+// one.
+var keptLiterals = map[string]string{
 	"shed": "a result that clients and model servers read", "beaten": "a result that operators' programs read",
 	"maker": "a role in servers' lists, orders and records",
 	"reply": "an event in the histories of older runs", "sheds": "a field of the state dump", "seat": "a call between daemons", "berth": "a record's kind", "berth/": "a record's key",
@@ -25,8 +25,7 @@
 	"BUDGET": "a rule of the users",
 }
 
-// keptFields are fields, columns and others' words that stand inside longer
-// texts.
+// keptFields are fields, columns and external terms that occur within longer texts.
 var keptFields = []string{" BUDGET ", "git archive", "budget_ms", "duties = []", `"Seats":[`, "services[0].readers", "seat(part integer", "from seat", "into seat values", "update seat set"}
 
 var (
@@ -34,23 +33,23 @@
 	quoted  = regexp.MustCompile("[\"`]([^\"`]+)[\"`]")
 )
 
-// houseWords are the withdrawn words that a text says, with their terms.
-func houseWords(text string) map[string]string {
-	said := map[string]string{}
+// withdrawnWords returns the withdrawn words in a text, mapped to the current terms.
+func withdrawnWords(text string) map[string]string {
+	found := map[string]string{}
 	for _, word := range letters.FindAllString(text, -1) {
-		for _, hump := range append(humps.FindAllString(word, -1), word) {
-			if term, ok := withdrawn[strings.ToLower(hump)]; ok {
-				said[strings.ToLower(hump)] = term
+		for _, part := range append(nameParts.FindAllString(word, -1), word) {
+			if term, ok := withdrawn[strings.ToLower(part)]; ok {
+				found[strings.ToLower(part)] = term
 			}
 		}
 	}
-	return said
+	return found
 }
 
-// withoutKept takes the kept literals and fields out of a text.
+// withoutKept returns the text without the kept literals and fields.
 func withoutKept(text string) string {
 	text = quoted.ReplaceAllStringFunc(text, func(literal string) string {
-		if _, ok := kept[strings.Trim(literal, "\"`")]; ok {
+		if _, ok := keptLiterals[strings.Trim(literal, "\"`")]; ok {
 			return ""
 		}
 		return literal
@@ -61,30 +60,30 @@
 	return text
 }
 
-func TestNoHouseWordInNamesCommentsAndTexts(t *testing.T) {
+func TestCodeUsesCurrentVocabulary(t *testing.T) {
 	used := map[string]bool{}
-	each(t, func(path string, _ []byte, file *ast.File) {
+	forEachGoFile(t, func(path string, _ []byte, file *ast.File) {
 		if filepath.Base(path) == "vocabulary_test.go" || path == "style_test.go" {
-			return // they list the words
+			return // these files list the words
 		}
-		say := func(what, text string) {
-			for _, word := range slices.Sorted(maps.Keys(houseWords(text))) {
-				t.Errorf("%s: %s says %q, the term here is %q: %.60s", path, what, word, withdrawn[word], text)
+		report := func(what, text string) {
+			for _, word := range slices.Sorted(maps.Keys(withdrawnWords(text))) {
+				t.Errorf("%s: %s uses the withdrawn word %q, use %q: %.60s", path, what, word, withdrawn[word], text)
 			}
 		}
-		say("the path", path)
-		say("the package", file.Name.Name)
+		report("the path", path)
+		report("the package", file.Name.Name)
 		for _, group := range file.Comments {
 			for _, line := range group.List {
-				say("a comment", withoutKept(line.Text))
+				report("a comment", withoutKept(line.Text))
 			}
 		}
-		tags := map[*ast.BasicLit]bool{} // they are data formats
+		tags := map[*ast.BasicLit]bool{} // struct tags are part of data formats
 		ast.Inspect(file, func(n ast.Node) bool {
 			switch n := n.(type) {
 			case *ast.Ident:
-				if len(houseWords(n.Name)) > 0 && !foreign[n.Name] {
-					say("a name", n.Name)
+				if len(withdrawnWords(n.Name)) > 0 && !externalNames[n.Name] {
+					report("a name", n.Name)
 				}
 			case *ast.Field:
 				if n.Tag != nil {
@@ -99,27 +98,27 @@
 				if n.Kind != token.STRING || tags[n] || err != nil {
 					return true
 				}
-				if _, ok := kept[text]; ok {
+				if _, ok := keptLiterals[text]; ok {
 					used[text] = true
 					return true
 				}
-				say("a text", withoutKept(text))
+				report("a text", withoutKept(text))
 			}
 			return true
 		})
 	})
-	for literal, what := range kept {
+	for literal, what := range keptLiterals {
 		if !used[literal] {
-			t.Errorf("%q is kept as %s, but nothing says it", literal, what)
+			t.Errorf("%q is listed in keptLiterals as %s, but no code uses it", literal, what)
 		}
 	}
 }
 
-// foreign are names of others: a field of the users' settings.
-var foreign = map[string]bool{"Duties": true}
+// externalNames are externally defined names: a field of the users' settings.
+var externalNames = map[string]bool{"Duties": true}
 
-// Pages and scripts speak the same words as the code.
-func TestNoHouseWordInPagesAndScripts(t *testing.T) {
+// Pages and scripts follow the same vocabulary as the code.
+func TestPagesAndScriptsUseCurrentVocabulary(t *testing.T) {
 	var files []string
 	for _, pattern := range []string{"*.md", "docs/*.md", "*.sh", ".ci/*", "proof/*/*.sh", "proof/*/*/*.sh"} {
 		found, err := filepath.Glob(pattern)
@@ -129,7 +128,7 @@
 		files = append(files, found...)
 	}
 	if len(files) < 10 {
-		t.Fatalf("only %v were found", files)
+		t.Fatalf("found only %v, want at least 10 files", files)
 	}
 	for _, path := range files {
 		text, err := os.ReadFile(path)
@@ -139,14 +138,14 @@
 		no := 0
 		for line := range strings.Lines(string(text)) {
 			no++
-			for word, term := range houseWords(withoutKept(line)) {
-				t.Errorf("%s:%d says %q, the term here is %q", path, no, word, term)
+			for word, term := range withdrawnWords(withoutKept(line)) {
+				t.Errorf("%s:%d uses the withdrawn word %q, use %q", path, no, word, term)
 			}
 		}
 	}
 }
 
-func TestHouseWordsAreFound(t *testing.T) {
+func TestWithdrawnWordsAreFound(t *testing.T) {
 	for text, want := range map[string]int{
 		"leaderOfPart":                  0,
 		"theOwner":                      1,
@@ -156,19 +155,19 @@
 		`kept: "shed", and "budget_ms"`: 2,
 		"an answer":                     0,
 	} {
-		if got := houseWords(text); len(got) != want {
-			t.Errorf("%q: found %v", text, got)
+		if got := withdrawnWords(text); len(got) != want {
+			t.Errorf("%q: found %v, want %d words", text, got, want)
 		}
 	}
 	for text, want := range map[string]int{`results are "shed" and others`: 0, `results are shed`: 1, `budget_ms: 0`: 0, `the budget`: 1} {
-		if got := houseWords(withoutKept(text)); len(got) != want {
-			t.Errorf("%q: found %v", text, got)
+		if got := withdrawnWords(withoutKept(text)); len(got) != want {
+			t.Errorf("%q without kept texts: found %v, want %d words", text, got, want)
 		}
 	}
 }
 
-// replaced are plain words that the glossary's terms replaced in the packages that
-// were made over, with the terms. No name that these packages declare says them.
+// replaced maps words to the glossary's terms that replaced them in the folders of
+// glossaryFolders. Names declared there must not use these words.
 var replaced = vocabulary(map[string]string{
 	"kid kids": "child", "crown uncrown crowned": "root", "ghost ghosts": "skipped relay", "vain": "unanswered",
 	"steer steered": "redirect", "digs": "digests", "rumour rumours": "gossip", "astray": "isolated",
@@ -178,48 +177,48 @@
 	"promise promised promises": "vote", "unfit": "mismatch", "sight": "view",
 })
 
-// madeOver are the folders whose names follow the glossary.
-var madeOver = []string{"control/", "wire/", "traffic/forward/", "traffic/loadreport/", "cmd/mulleinmast/", "cmd/mulleinctl/"}
+// glossaryFolders are the folders whose names follow the glossary.
+var glossaryFolders = []string{"control/", "wire/", "traffic/forward/", "traffic/loadreport/", "cmd/mulleinmast/", "cmd/mulleinctl/"}
 
 func TestDeclaredNamesFollowTheGlossary(t *testing.T) {
-	looked := 0
-	each(t, func(path string, _ []byte, file *ast.File) {
-		if !slices.ContainsFunc(madeOver, func(folder string) bool { return strings.HasPrefix(path, folder) }) {
+	checked := 0
+	forEachGoFile(t, func(path string, _ []byte, file *ast.File) {
+		if !slices.ContainsFunc(glossaryFolders, func(folder string) bool { return strings.HasPrefix(path, folder) }) {
 			return
 		}
-		looked++
-		say := func(id *ast.Ident) {
-			for _, hump := range humps.FindAllString(id.Name, -1) {
-				if term, ok := replaced[strings.ToLower(hump)]; ok {
-					t.Errorf("%s: %s says %q, the term here is %q", path, id.Name, strings.ToLower(hump), term)
+		checked++
+		report := func(id *ast.Ident) {
+			for _, part := range nameParts.FindAllString(id.Name, -1) {
+				if term, ok := replaced[strings.ToLower(part)]; ok {
+					t.Errorf("%s: %s uses the replaced word %q, use %q", path, id.Name, strings.ToLower(part), term)
 				}
 			}
 		}
 		ast.Inspect(file, func(n ast.Node) bool {
 			switch n := n.(type) {
 			case *ast.FuncDecl:
-				say(n.Name)
+				report(n.Name)
 			case *ast.TypeSpec:
-				say(n.Name)
+				report(n.Name)
 			case *ast.Field:
 				for _, name := range n.Names {
-					say(name)
+					report(name)
 				}
 			case *ast.ValueSpec:
 				for _, name := range n.Names {
-					say(name)
+					report(name)
 				}
 			case *ast.AssignStmt:
 				for _, left := range n.Lhs {
 					if id, ok := left.(*ast.Ident); ok && n.Tok == token.DEFINE {
-						say(id)
+						report(id)
 					}
 				}
 			}
 			return true
 		})
 	})
-	if looked < 100 {
-		t.Errorf("only %d files were looked at", looked)
+	if checked < 100 {
+		t.Errorf("checked only %d files, want at least 100", checked)
 	}
 }
