--- a/cmd/daygen/daygen_test.go
+++ b/cmd/daygen/daygen_test.go
@@ -44,8 +44,8 @@
 closing = [ { kind = "night", down_s = [1, 2], how = ["", "dark"] } ]
 `
 
-// folder holds a site file and a table, and gives their paths.
-func folder(t *testing.T, site, table string) (string, string) {
+// writeFiles writes a site file and a table of kinds and returns their paths.
+func writeFiles(t *testing.T, site, table string) (string, string) {
 	t.Helper()
 	dir := t.TempDir()
 	s, k := filepath.Join(dir, "site.toml"), filepath.Join(dir, "kinds.toml")
@@ -57,107 +57,107 @@
 	return s, k
 }
 
-// drawn is the day that the arguments ask for.
-func drawn(t *testing.T, args ...string) string {
+// drawDay runs daygen with the arguments and returns its output.
+func drawDay(t *testing.T, args ...string) string {
 	t.Helper()
-	var out, bad bytes.Buffer
-	if code := run(args, &out, &bad); code != exitDrawn {
-		t.Fatalf("%v: exit code %d: %s", args, code, bad.String())
+	var out, stderr bytes.Buffer
+	if code := run(args, &out, &stderr); code != exitDrawn {
+		t.Fatalf("%v: exit code %d: %s", args, code, stderr.String())
 	}
 	return out.String()
 }
 
-// readDay reads a day back from its text.
-func readDay(t *testing.T, text string) (plan, faults []Trouble, seconds float64) {
+// readDay parses the output of daygen.
+func readDay(t *testing.T, text string) (plan, faults []Entry, seconds float64) {
 	t.Helper()
 	var file struct {
 		Day []struct {
-			Seconds float64   `toml:"length_s"`
-			Plan    []Trouble `toml:"plan"`
-			Faults  []Trouble `toml:"faults"`
+			Seconds float64 `toml:"length_s"`
+			Plan    []Entry `toml:"plan"`
+			Faults  []Entry `toml:"faults"`
 		} `toml:"day"`
 	}
 	if _, err := toml.Decode(text, &file); err != nil || len(file.Day) != 1 {
-		t.Fatalf("%d days, %v in\n%s", len(file.Day), err, text)
+		t.Fatalf("found %d days, want 1 (%v), in\n%s", len(file.Day), err, text)
 	}
 	return file.Day[0].Plan, file.Day[0].Faults, file.Day[0].Seconds
 }
 
-func TestSameSeedGivesSameBytes(t *testing.T) {
-	site, kinds := folder(t, siteFile, tableFile)
+func TestSameSeedGivesSameOutput(t *testing.T) {
+	site, kinds := writeFiles(t, siteFile, tableFile)
 	draw := func(seed string) string {
-		return drawn(t, "-site", site, "-kinds", kinds, "-twice", "-changes", "150", "-seconds", "120",
+		return drawDay(t, "-site", site, "-kinds", kinds, "-twice", "-changes", "150", "-seconds", "120",
 			"-closing", "any", "-seed", seed)
 	}
 	first, again, other := draw("7"), draw("7"), draw("8")
 	if first != again || first == other {
-		t.Fatalf("same seed alike: %v; another seed alike: %v", first == again, first == other)
+		t.Fatalf("same seed gave equal output: %v; another seed gave equal output: %v", first == again, first == other)
 	}
 }
 
-func TestDayHoldsWhatIsRequested(t *testing.T) {
-	site, kinds := folder(t, siteFile, tableFile)
+func TestDayMatchesRequest(t *testing.T) {
+	site, kinds := writeFiles(t, siteFile, tableFile)
 	for seed := range 40 {
-		plan, faults, seconds := readDay(t, drawn(t, "-site", site, "-kinds", kinds, "-twice", "-changes", "200",
+		plan, faults, seconds := readDay(t, drawDay(t, "-site", site, "-kinds", kinds, "-twice", "-changes", "200",
 			"-entries", "9", "-seconds", "0", "-seed", strconv.Itoa(seed)))
-		seen, changes := map[string]int{}, 0
+		kindCounts, changes := map[string]int{}, 0
 		for _, e := range append(plan, faults...) {
-			seen[e.Kind]++
+			kindCounts[e.Kind]++
 			if e.At < quietStart || e.At > seconds-quietEnd {
-				t.Errorf("%s at %v of a day of %v s", e.Kind, e.At, seconds)
+				t.Errorf("%s at %v s is in the quiet start or end of a day of %v s", e.Kind, e.At, seconds)
 			}
 			if e.Kind == "notice" {
 				changes += int(*e.Count)
 			}
 		}
-		checkLossesFollow(t, faults)
-		if seen["quake"] < 2 || seen["flood"] < 2 || changes < 200 {
-			t.Errorf("kinds %v, %d changes", seen, changes)
+		checkLossesDoNotOverlap(t, faults)
+		if kindCounts["quake"] < 2 || kindCounts["flood"] < 2 || changes < 200 {
+			t.Errorf("entries by kind %v, want 2 of quake and flood; %d changes, want 200", kindCounts, changes)
 		}
 	}
 }
 
-// checkLossesFollow checks that no loss begins before the one before it is over
-// and has caught up.
-func checkLossesFollow(t *testing.T, faults []Trouble) {
+// checkLossesDoNotOverlap checks that each loss begins after the previous one has
+// ended and its machines have caught up.
+func checkLossesDoNotOverlap(t *testing.T, faults []Entry) {
 	t.Helper()
-	free := 0.0 // when the next loss may begin
+	earliest := 0.0 // earliest time of the next loss
 	for _, e := range faults {
 		if e.Kind == "rush" {
 			continue
 		}
-		if e.At < free {
-			t.Errorf("%s at %v, while one is lost or catches up until %v", e.Kind, e.At, free)
+		if e.At < earliest {
+			t.Errorf("%s at %v begins before the previous loss has caught up at %v", e.Kind, e.At, earliest)
 		}
-		free = e.At + *e.ForS + 4
+		earliest = e.At + *e.ForS + 4
 	}
 }
 
-func TestTableOfSitesOwnTroubles(t *testing.T) {
-	site, _ := folder(t, siteFile, tableFile)
-	plan, faults, _ := readDay(t, drawn(t, "-site", site, "-entries", "30", "-seconds", "0", "-changes", "10"))
+func TestTableDerivedFromSite(t *testing.T) {
+	site, _ := writeFiles(t, siteFile, tableFile)
+	plan, faults, _ := readDay(t, drawDay(t, "-site", site, "-entries", "30", "-seconds", "0", "-changes", "10"))
 	for _, e := range plan {
 		if e.Kind != "notice" {
-			t.Errorf("%s stands under plan, but in no day of the site", e.Kind)
+			t.Errorf("%s is listed under plan, but in no plan of the site", e.Kind)
 		}
 	}
 	for _, e := range faults {
 		if e.Kind == "quake" && (e.How != "deep" || *e.Share < 0.13 || *e.Share > 0.27) {
-			t.Errorf("%s isn't like the site's example", e)
+			t.Errorf("%s is outside the range around the site's example", e)
 		}
 	}
 	if len(plan) == 0 || len(faults) == 0 {
-		t.Errorf("%d planned, %d faults", len(plan), len(faults))
+		t.Errorf("%d planned entries, %d faults, want some of each", len(plan), len(faults))
 	}
 }
 
-func TestErrorNamesWhatIsWrong(t *testing.T) {
-	site, kinds := folder(t, siteFile, tableFile)
-	broken := func(table string) string { _, k := folder(t, siteFile, table); return k }
+func TestErrorNamesTheProblem(t *testing.T) {
+	site, kinds := writeFiles(t, siteFile, tableFile)
+	broken := func(table string) string { _, k := writeFiles(t, siteFile, table); return k }
 	for _, c := range []struct {
-		args []string
-		code int
-		says string
+		args    []string
+		code    int
+		message string
 	}{
 		{nil, exitUsage, "-site is needed"},
 		{[]string{"-site", site, "more"}, exitUsage, "no arguments"},
@@ -191,9 +191,9 @@
 			exitFailed, "need -seconds",
 		},
 	} {
-		var out, bad bytes.Buffer
-		if code := run(c.args, &out, &bad); code != c.code || !strings.Contains(bad.String(), c.says) || out.Len() > 0 {
-			t.Errorf("%v: code %d (%d), %q lacks %q, or a day was written", c.args, code, c.code, bad.String(), c.says)
+		var out, stderr bytes.Buffer
+		if code := run(c.args, &out, &stderr); code != c.code || !strings.Contains(stderr.String(), c.message) || out.Len() > 0 {
+			t.Errorf("%v: exit code %d, want %d; %q lacks %q, or a day was written", c.args, code, c.code, stderr.String(), c.message)
 		}
 	}
 }
@@ -203,9 +203,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	site, _ := folder(t, siteFile, tableFile)
+	site, _ := writeFiles(t, siteFile, tableFile)
 	for _, closing := range []string{"none", "any", table.Closings[0].Kind} {
-		text := drawn(t, "-site", site, "-kinds", "kinds.toml", "-twice", "-changes", "300", "-seconds", "0",
+		text := drawDay(t, "-site", site, "-kinds", "kinds.toml", "-twice", "-changes", "300", "-seconds", "0",
 			"-closing", closing)
 		_, _, seconds := readDay(t, text)
 		if seconds < 60 || strings.Contains(text, "closing =") == (closing == "none") {
--- a/cmd/daygen/draw.go
+++ b/cmd/daygen/draw.go
@@ -7,7 +7,7 @@
 	"sort"
 )
 
-// Bounds of what may be asked for.
+// Limits of a Request.
 const (
 	minDaySeconds = 10.0
 	maxDaySeconds = 3600.0
@@ -15,45 +15,45 @@
 	maxEntries    = 500
 )
 
-// How a day is laid out, in seconds and parts.
+// Layout of a day, in seconds unless noted.
 const (
-	quietStart    = 1.0   // before the first entry
-	quietEnd      = 6.0   // after the last one's beginning
-	lossGap       = 1.0   // beyond catching up, between a loss's end and the next
-	catchUpSpread = 0.5   // and up to this part of catching up more, at random
-	maxStormSize  = 60.0  // changes that one storm brings at most
-	placesFactor  = 100.0 // a day is written with two decimal places
+	quietStart    = 1.0   // no entry begins earlier
+	quietEnd      = 6.0   // no entry begins in the last seconds of the day
+	lossGap       = 1.0   // between the end of catching up from a loss and the next loss
+	catchUpSpread = 0.5   // the time to catch up is extended at random by up to this fraction
+	maxStormSize  = 60.0  // maximum number of changes in a storm
+	placesFactor  = 100.0 // numbers of a day are rounded to two decimal places
 )
 
-// Request is what a day shall hold.
+// Request describes the day to draw.
 type Request struct {
 	Seed    uint64
-	Seconds float64   // 0: as long as the entries need
-	Changes int       // of the configuration, in storms
-	Entries int       // drawn by weight, besides those of Twice and Changes
-	Twice   bool      // each control kind comes twice at least
-	Closing []Closing // what the day may end with; none: nothing
+	Seconds float64   // length of the day; 0: as long as the entries need
+	Changes int       // number of configuration changes in storms
+	Entries int       // number drawn by weight, in addition to those of Twice and Changes
+	Twice   bool      // include each control kind at least twice
+	Closing []Closing // candidates for the fault that ends the day; empty: none
 }
 
-// Day is a day of trouble.
+// Day is a drawn fault schedule.
 type Day struct {
-	Site         string // its name
+	Site         string // name of the site
 	Request      Request
-	Seconds      float64   // length of the traffic
-	One, Zero    float64   // marks of the site's hardest day
-	Floor        float64   // of the day's goal
-	Wall         float64   // as in the site's days, for the length of this one
-	Plan         []Trouble // by time
-	Faults       []Trouble // by time
-	Closing      string    // kind of the closing fault; "": none
+	Seconds      float64 // length of the traffic
+	One, Zero    float64 // `one` and `zero` of the site's hardest day
+	Floor        float64 // `floor` of the day's goal
+	Wall         float64 // `wall`, scaled from the site's days to the length of this one
+	Plan         []Entry // sorted by time
+	Faults       []Entry // sorted by time
+	Closing      string  // kind of the fault that ends the day; "": none
 	ClosingHow   string
 	ClosingDownS float64
-	StormChanges int // changes that the storms bring
-	Losses       int // entries that lose counted machines or zones
+	StormChanges int // number of changes in storms
+	Losses       int // number of entries that lose counted machines or zones
 }
 
-// drawer holds what one drawing of a day needs.
-type drawer struct {
+// dayBuilder holds the state while a day is drawn.
+type dayBuilder struct {
 	site     Site
 	request  Request
 	random   *rand.Rand
@@ -61,13 +61,13 @@
 	nextLoss float64 // when the next loss may begin
 }
 
-// Draw lays out a day of kinds from the table. Entries that lose counted
-// machines or zones follow each other: the next begins when the machines of the
-// one before are back and had the time that the site gives them to catch up.
-// Everything else may come at any moment.
+// Draw draws a day with kinds from the table. Entries that lose counted machines or
+// zones do not overlap: the next one begins after the machines of the previous one
+// are back and have had the site's time to catch up. All other entries are placed at
+// random.
 func Draw(site Site, table Table, request Request) (Day, error) {
 	marks := site.hardestDay()
-	d := &drawer{
+	d := &dayBuilder{
 		site:     site,
 		request:  request,
 		random:   rand.New(rand.NewPCG(request.Seed, uint64(len(table.Kinds)))),
@@ -86,16 +86,16 @@
 	}
 	d.drawClosing()
 	d.day.Wall = rounded(max(marks.wall, 1) * math.Ceil(d.day.Seconds/site.LengthS))
-	for _, list := range [][]Trouble{d.day.Plan, d.day.Faults} {
+	for _, list := range [][]Entry{d.day.Plan, d.day.Faults} {
 		sort.SliceStable(list, func(i, j int) bool { return list[i].At < list[j].At })
 	}
 	return *d.day, nil
 }
 
-// drawKinds draws the kinds of the day, in the order in which losses follow.
-func (d *drawer) drawKinds(table Table) ([]Kind, error) {
+// drawKinds draws the kinds of the day. Losses are scheduled in the returned order.
+func (d *dayBuilder) drawKinds(table Table) ([]Kind, error) {
 	var drawn []Kind
-	var pool []Kind // each kind as often as its weight
+	var pool []Kind // each kind, repeated according to its weight
 	for _, k := range table.Kinds {
 		if d.request.Twice && k.Control {
 			drawn = append(drawn, k, k)
@@ -117,9 +117,9 @@
 	return drawn, nil
 }
 
-// schedule gives each entry its moment: first the losses, one after the other, then
-// the rest between the day's start and end.
-func (d *drawer) schedule(drawn []Kind) error {
+// schedule draws the entries and their times: first the losses, one after another,
+// then the others at random times between the quiet start and end.
+func (d *dayBuilder) schedule(drawn []Kind) error {
 	var rest []Kind
 	for _, k := range drawn {
 		if k.Loses == losesNothing {
@@ -139,7 +139,7 @@
 		d.day.Seconds = max(need, minDaySeconds)
 	}
 	if d.day.Losses > 0 && need > d.day.Seconds {
-		return fmt.Errorf("%d losses, one after the other with %v s to catch up, need -seconds %v, not %v "+
+		return fmt.Errorf("%d losses, one after another with %v s to catch up, need -seconds %v, not %v "+
 			"(or fewer kinds: -without, -entries)",
 			d.day.Losses, d.site.Timing.CatchUpS, need, d.day.Seconds)
 	}
@@ -151,22 +151,22 @@
 	return nil
 }
 
-// addStorms spreads the changes asked for over storms of the kinds that bring them.
-func (d *drawer) addStorms(table Table) error {
+// addStorms distributes the requested changes over storms.
+func (d *dayBuilder) addStorms(table Table) error {
 	if d.request.Changes == 0 {
 		return nil
 	}
-	var kinds []Kind
+	var stormKinds []Kind
 	for _, k := range table.Kinds {
 		if k.Storm {
-			kinds = append(kinds, k)
+			stormKinds = append(stormKinds, k)
 		}
 	}
-	if len(kinds) == 0 {
+	if len(stormKinds) == 0 {
 		return fmt.Errorf("-changes %d: no kind of the table is marked storm", d.request.Changes)
 	}
 	for left := d.request.Changes; left > 0; {
-		k := kinds[d.random.IntN(len(kinds))]
+		k := stormKinds[d.random.IntN(len(stormKinds))]
 		t := d.drawEntry(k)
 		size := min(left, 1+d.random.IntN(int(maxStormSize)))
 		gap, _ := k.GapS.draw(d.random)
@@ -182,14 +182,14 @@
 	return nil
 }
 
-// randomTime is any time of the day from which length seconds still fit.
-func (d *drawer) randomTime(length float64) float64 {
+// randomTime returns a random start time for an entry that lasts length seconds.
+func (d *dayBuilder) randomTime(length float64) float64 {
 	return rounded(quietStart + d.random.Float64()*max(0, d.day.Seconds-quietStart-quietEnd-length))
 }
 
-// drawEntry draws the fields of an entry of a kind, in the order written here: in
-// another order the same seed would give another day.
-func (d *drawer) drawEntry(k Kind) Trouble {
+// drawEntry draws the fields of an entry of a kind. The order of the fields must not
+// change, or the same seed would give a different day.
+func (d *dayBuilder) drawEntry(k Kind) Entry {
 	draw := func(r Range, whole bool) *float64 {
 		v, ok := r.draw(d.random)
 		switch {
@@ -200,7 +200,7 @@
 		}
 		return pointerTo(rounded(v))
 	}
-	return Trouble{
+	return Entry{
 		Kind:    k.Name,
 		On:      d.oneOf(k.On),
 		Service: d.oneOf(k.Service),
@@ -214,16 +214,16 @@
 	}
 }
 
-// oneOf draws one of the words; "" where there is none.
-func (d *drawer) oneOf(words []string) string {
+// oneOf returns a random word of the list, or "" if the list is empty.
+func (d *dayBuilder) oneOf(words []string) string {
 	if len(words) == 0 {
 		return ""
 	}
 	return words[d.random.IntN(len(words))]
 }
 
-// lossSeconds is how long a loss of this kind keeps its machines away.
-func (d *drawer) lossSeconds(k Kind, t Trouble) float64 {
+// lossSeconds returns how long the machines of a loss are unavailable.
+func (d *dayBuilder) lossSeconds(k Kind, t Entry) float64 {
 	seconds := k.LastsS
 	if t.ForS != nil {
 		seconds = max(seconds, *t.ForS)
@@ -234,8 +234,8 @@
 	return seconds
 }
 
-// add puts an entry on the list of the day that its kind stands under.
-func (d *drawer) add(k Kind, t Trouble) {
+// add appends an entry to the day's plan or faults, depending on its kind.
+func (d *dayBuilder) add(k Kind, t Entry) {
 	if k.Planned {
 		d.day.Plan = append(d.day.Plan, t)
 	} else {
@@ -243,8 +243,8 @@
 	}
 }
 
-// drawClosing draws what ends the day, if anything may.
-func (d *drawer) drawClosing() {
+// drawClosing draws the fault that ends the day, if one is requested.
+func (d *dayBuilder) drawClosing() {
 	if len(d.request.Closing) == 0 {
 		return
 	}
@@ -255,8 +255,8 @@
 	d.day.ClosingDownS = rounded(down)
 }
 
-// rounded rounds to the places that a day is written with.
+// rounded rounds to the decimal places of a written day.
 func rounded(v float64) float64 { return math.Round(v*placesFactor) / placesFactor }
 
-// pointerTo is the field of a value that isn't left out.
+// pointerTo returns a pointer to v, for fields that may be absent.
 func pointerTo(v float64) *float64 { return &v }
--- a/cmd/daygen/kinds.go
+++ b/cmd/daygen/kinds.go
@@ -10,29 +10,30 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Range is what a number is drawn from: one value, or the lowest and highest.
+// Range is the range that a number is drawn from: a single value, or the lowest and
+// the highest.
 type Range []float64
 
-// What a kind may take with it (Kind.Loses).
+// Values of Kind.Loses: what is lost while an entry of the kind lasts.
 const (
 	losesNothing = ""
 	losesMachine = "machine"
 	losesZone    = "zone"
-	losesAll     = "all" // every counted machine, whatever may be lost at once
+	losesAll     = "all" // every counted machine, regardless of how many may be lost at once
 )
 
-// defaultLossSeconds is how long a loss lasts whose entry and table don't say.
+// defaultLossSeconds is the length of a loss if neither its entry nor the table sets it.
 const defaultLossSeconds = 5.0
 
-// Kind is one kind of trouble: where it stands, what it may take with it, and
-// what its fields are drawn from. A field without a range is left out.
+// Kind is a kind of entry: the list it belongs to, what it loses, and the ranges and
+// words that its fields are drawn from. A field without a range is omitted.
 type Kind struct {
 	Name    string `toml:"name"`
-	Planned bool   `toml:"planned"` // stands under plan, else under faults
-	Control bool   `toml:"control"` // comes twice where that is asked for
-	Storm   bool   `toml:"storm"`   // brings `count` changes, gap_s apart
+	Planned bool   `toml:"planned"` // belongs to plan, otherwise to faults
+	Control bool   `toml:"control"` // affects the control plane; drawn at least twice with -twice
+	Storm   bool   `toml:"storm"`   // makes `count` changes, gap_s apart
 	Loses   string `toml:"loses"`   // machine, zone, all, or nothing
-	// LastsS is how long the loss lasts where for_s doesn't say.
+	// LastsS is the minimum length of the loss, which for_s may exceed.
 	LastsS  float64  `toml:"lasts_s"`
 	Weight  *int     `toml:"weight"` // 1 if left out; 0: only by -twice or -changes
 	How     []string `toml:"how"`
@@ -53,7 +54,7 @@
 	DownS Range    `toml:"down_s"`
 }
 
-// Table is the kinds that a day is drawn from.
+// Table lists the kinds that a day is drawn from.
 type Table struct {
 	Kinds    []Kind    `toml:"kind"`
 	Closings []Closing `toml:"closing"`
@@ -79,7 +80,7 @@
 	return t, nil
 }
 
-// check names the first entry of the table that can't be drawn from.
+// check returns an error for the first invalid entry of the table.
 func (t Table) check() error {
 	if len(t.Kinds) == 0 {
 		return fmt.Errorf("no [[kind]] is listed")
@@ -103,7 +104,7 @@
 	return nil
 }
 
-// check names what is wrong with a kind, or nothing.
+// check returns an error if the kind is invalid.
 func (k Kind) check() error {
 	switch {
 	case !slices.Contains([]string{losesNothing, losesMachine, losesZone, losesAll}, k.Loses):
@@ -128,7 +129,7 @@
 	return nil
 }
 
-// check names what is wrong with a range, whose values are least or more.
+// check returns an error if the range is malformed or has values below least.
 func (r Range) check(name string, least float64) error {
 	switch {
 	case len(r) > 2:
@@ -141,7 +142,7 @@
 	return nil
 }
 
-// draw gives a value of the range; false where there is none.
+// draw returns a random value of the range, or false if the range is empty.
 func (r Range) draw(random *rand.Rand) (float64, bool) {
 	switch len(r) {
 	case 0:
@@ -152,7 +153,7 @@
 	return r[0] + random.Float64()*(r[1]-r[0]), true
 }
 
-// weight is how often the kind is drawn beside others.
+// weight returns the relative frequency of the kind.
 func (k Kind) weight() int {
 	if k.Weight == nil {
 		return 1
@@ -160,8 +161,8 @@
 	return *k.Weight
 }
 
-// Pick keeps the kinds named by only (all where it is empty) but not those of
-// without. A name that the table doesn't have is an error.
+// Pick returns the table with only the kinds in only (all if empty) that are not in
+// without. An unknown name is an error.
 func (t Table) Pick(only, without []string) (Table, error) {
 	known := func(name string) bool {
 		return slices.ContainsFunc(t.Kinds, func(k Kind) bool { return k.Name == name })
@@ -183,7 +184,7 @@
 	return kept, nil
 }
 
-// closing gives the closings that a day may end with: none, all, or one kind's.
+// closing returns the faults that may end a day: none, any, or the one named.
 func (t Table) closing(name string) ([]Closing, error) {
 	switch name {
 	case "", "none":
--- a/cmd/daygen/main.go
+++ b/cmd/daygen/main.go
@@ -1,7 +1,6 @@
-// Command daygen draws a day of trouble for a site file: entries of all kinds
-// that a table lists, spread over the day, as a TOML file with one [[day]].
-// It knows no kind, site or bound of its own, and the same seed gives the same
-// bytes.
+// Command daygen generates a random fault schedule, called a day, for a site file:
+// entries of all kinds that a table lists, spread over the day, as a TOML file with
+// one [[day]]. No kinds or sites are built in, and the same seed gives the same bytes.
 package main
 
 import (
@@ -15,7 +14,7 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// Exit codes: the day stands, the day can't be drawn or written, bad flags.
+// Exit codes: the day was written, the day can't be drawn or written, invalid flags.
 const (
 	exitDrawn = iota
 	exitFailed
@@ -25,11 +24,11 @@
 // options are what the command line asks for.
 type options struct {
 	site    string // path of the site file
-	kinds   string // path of the table of kinds; "": the site's own troubles
+	kinds   string // path of the table of kinds; "": derive it from the site's troubles
 	out     string // path of the file to write; "": standard output
-	without string // kinds to leave out, by commas
-	only    string // kinds to draw from, by commas; "": all
-	closing string // a kind of the table's closings, any or none; "": none
+	without string // kinds to leave out, separated by commas
+	only    string // kinds to draw from, separated by commas; "": all
+	closing string // a kind of the table's closings, "any" or "none"; "": none
 	request Request
 }
 
@@ -56,24 +55,25 @@
 	return exitDrawn
 }
 
-// parse reads and checks the flags; done says that there is nothing to draw.
+// parse reads and checks the flags. If done is true, the program exits with code
+// without drawing a day.
 func parse(args []string, stderr io.Writer) (o options, code int, done bool) {
 	f := flag.NewFlagSet("daygen", flag.ContinueOnError)
 	f.SetOutput(stderr)
-	f.StringVar(&o.site, "site", "", "site `file` that the day is for (needed)")
-	f.StringVar(&o.kinds, "kinds", "", "table `file` of kinds (default: the site's own list of troubles)")
+	f.StringVar(&o.site, "site", "", "site `file` that the day is for (required)")
+	f.StringVar(&o.kinds, "kinds", "", "table `file` of kinds (default: derived from the site's list of troubles)")
 	f.StringVar(&o.out, "out", "", "`file` to write (default: standard output)")
-	f.StringVar(&o.without, "without", "", "`kinds` to leave out, by commas")
-	f.StringVar(&o.only, "only", "", "the only `kinds` to draw from, by commas")
+	f.StringVar(&o.without, "without", "", "`kinds` to leave out, separated by commas")
+	f.StringVar(&o.only, "only", "", "the only `kinds` to draw from, separated by commas")
 	f.StringVar(&o.closing, "closing", "",
 		"closing fault: a kind of the table's closings, any or none (default none)")
-	f.Uint64Var(&o.request.Seed, "seed", 1, "seed: the same one gives the same day")
+	f.Uint64Var(&o.request.Seed, "seed", 1, "random seed; the same seed gives the same day")
 	f.Float64Var(&o.request.Seconds, "seconds", 60,
 		"length of the day's traffic, 10 to 3600; 0: as long as the entries need")
-	f.IntVar(&o.request.Changes, "changes", 0, "changes of the configuration that storms bring together, 0 to 5000")
+	f.IntVar(&o.request.Changes, "changes", 0, "total number of configuration changes in storms, 0 to 5000")
 	f.IntVar(&o.request.Entries, "entries", 12,
-		"entries drawn by weight, 0 to 500, besides those of -twice and -changes")
-	f.BoolVar(&o.request.Twice, "twice", false, "each kind that the table marks as control comes twice at least")
+		"entries drawn by weight, 0 to 500, in addition to those of -twice and -changes")
+	f.BoolVar(&o.request.Twice, "twice", false, "include each kind that the table marks as control at least twice")
 	if err := f.Parse(args); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
 			return o, exitDrawn, true
@@ -87,7 +87,7 @@
 	return o, exitDrawn, false
 }
 
-// invalid names what is wrong with the command line, or nothing.
+// invalid returns the first problem with the command line, or "".
 func (o options) invalid(rest []string) string {
 	r := o.request
 	switch {
@@ -105,7 +105,7 @@
 	return ""
 }
 
-// draw reads the files and gives the day's text.
+// draw reads the files, draws a day and returns it as TOML.
 func (o options) draw() (string, error) {
 	site, err := ReadSite(o.site)
 	if err != nil {
@@ -132,7 +132,7 @@
 	return day.String(), nil
 }
 
-// splitNames reads a list by commas or spaces.
+// splitNames splits a list of names at commas and spaces.
 func splitNames(list string) []string {
 	return strings.FieldsFunc(list, func(r rune) bool { return r == ',' || r == ' ' })
 }
--- a/cmd/daygen/site.go
+++ b/cmd/daygen/site.go
@@ -8,12 +8,12 @@
 	"github.com/BurntSushi/toml"
 )
 
-// exampleSpread is how far a value drawn after a site's example may lie from it, as a
-// part of it.
+// exampleSpread is the maximum deviation of a drawn value from the site's example, as
+// a fraction of the example.
 const exampleSpread = 0.3
 
-// Trouble is an entry of a site's list, or of a day.
-type Trouble struct {
+// Entry is an entry of a site's list of troubles or of a day's plan or faults.
+type Entry struct {
 	At      float64  `toml:"at"`
 	Kind    string   `toml:"kind"`
 	On      string   `toml:"on"`
@@ -27,11 +27,11 @@
 	How     string   `toml:"how"`
 }
 
-// Site is what a day takes from its site file.
+// Site is the part of a site file that daygen uses.
 type Site struct {
-	Name     string    `toml:"name"`
-	LengthS  float64   `toml:"length_s"`
-	Troubles []Trouble `toml:"troubles"`
+	Name     string  `toml:"name"`
+	LengthS  float64 `toml:"length_s"`
+	Troubles []Entry `toml:"troubles"`
 	Timing   struct {
 		CatchUpS float64 `toml:"catch_up_s"`
 	} `toml:"timing"`
@@ -44,11 +44,11 @@
 		Zero float64        `toml:"zero"`
 		Goal map[string]any `toml:"goal"`
 		Wall float64        `toml:"wall"`
-		Plan []Trouble      `toml:"plan"`
+		Plan []Entry        `toml:"plan"`
 	} `toml:"day"`
 }
 
-// ReadSite reads and checks what is needed of a site file.
+// ReadSite reads a site file and checks the fields that daygen uses.
 func ReadSite(path string) (Site, error) {
 	var s Site
 	text, err := os.ReadFile(path)
@@ -69,10 +69,10 @@
 	return s, nil
 }
 
-// Table makes kinds of the site's own list of troubles: each entry is a kind,
-// its numbers are drawn around the example's. What stands under plan in one of
-// the site's days counts as planned; what a kind takes with it isn't said there,
-// so each that is on machines is taken to lose one.
+// Table derives a table of kinds from the site's list of troubles: each entry becomes
+// a kind, with ranges around the entry's numbers. A kind is planned if one of the
+// site's days lists it under plan. The site file does not say what a kind loses, so
+// every unplanned kind without a service or class is assumed to lose a machine.
 func (s Site) Table() Table {
 	planned := map[string]bool{}
 	for _, d := range s.Days {
@@ -104,13 +104,12 @@
 	return t
 }
 
-// isStorm reports whether an entry brings changes at a distance for a while, and
-// nothing else.
-func (t Trouble) isStorm() bool {
+// isStorm reports whether an entry only makes changes at intervals of gap_s for for_s.
+func (t Entry) isStorm() bool {
 	return t.GapS != nil && t.ForS != nil && t.Share == nil && t.X == nil
 }
 
-// listOf is a list of one word, or none of "".
+// listOf returns a list of one word, or nil for "".
 func listOf(word string) []string {
 	if word == "" {
 		return nil
@@ -118,7 +117,7 @@
 	return []string{word}
 }
 
-// rangeOf is the range of exactly one value; nil: none.
+// rangeOf returns the range that consists of one value, or nil for nil.
 func rangeOf(v *float64) Range {
 	if v == nil {
 		return nil
@@ -126,7 +125,8 @@
 	return Range{*v}
 }
 
-// rangeAround is the range around an example's value, up to highest; nil: none.
+// rangeAround returns the range around an example's value, limited to highest, or nil
+// for nil.
 func rangeAround(v *float64, highest float64) Range {
 	if v == nil {
 		return nil
@@ -134,13 +134,13 @@
 	return Range{*v * (1 - exampleSpread), min(*v*(1+exampleSpread), highest)}
 }
 
-// dayMarks are what a day is judged by, as the site's days name them.
+// dayMarks are the values that a day is judged by, named as in the site file.
 type dayMarks struct {
 	one, zero, floor, wall float64
 }
 
-// hardestDay gives the marks of the site's hardest day, the one with the lowest
-// floor, and the longest wall of all days: what a day of its own is judged by.
+// hardestDay returns the marks for a drawn day: those of the site's hardest day, which
+// is the one with the lowest floor, and the longest wall of all days.
 func (s Site) hardestDay() (marks dayMarks) {
 	for i, day := range s.Days {
 		floor, _ := day.Goal["floor"].(float64)
--- a/cmd/daygen/write.go
+++ b/cmd/daygen/write.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// String writes the day as TOML, as a site file holds its own days.
+// String returns the day as TOML, in the format of the days in a site file.
 func (d Day) String() string {
 	var b strings.Builder
 	line := func(format string, args ...any) { _, _ = fmt.Fprintf(&b, format+"\n", args...) }
@@ -32,7 +32,7 @@
 	line("light = true")
 	for _, list := range []struct {
 		name    string
-		entries []Trouble
+		entries []Entry
 	}{{"plan", d.Plan}, {"faults", d.Faults}} {
 		line("%s = [", list.name)
 		for _, t := range list.entries {
@@ -43,8 +43,8 @@
 	return b.String()
 }
 
-// String writes an entry as an inline table.
-func (t Trouble) String() string {
+// String returns the entry as a TOML inline table.
+func (t Entry) String() string {
 	var b strings.Builder
 	_, _ = fmt.Fprintf(&b, "{ at = %s, kind = %s", formatNumber(t.At), quote(t.Kind))
 	for _, f := range []struct {
@@ -67,5 +67,6 @@
 
 func formatNumber(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
 
-// quote writes a basic string; names and variants hold plain words.
+// quote returns a TOML basic string. Go's quoting is sufficient because names and
+// variants are plain words.
 func quote(s string) string { return strconv.Quote(s) }
--- a/cmd/fakeserver/main.go
+++ b/cmd/fakeserver/main.go
@@ -1,4 +1,4 @@
-// Command fakeserver runs a stand-in model server.
+// Command fakeserver runs a fake model server for tests and trials.
 package main
 
 import (
@@ -15,16 +15,16 @@
 
 func main() {
 	c := fakeserver.Config{}
-	flag.StringVar(&c.Addr, "addr", "127.0.0.1:9000", "`ip:port` to serve on")
-	flag.StringVar(&c.Zone, "zone", "zone-1", "`name` of its zone")
-	flag.IntVar(&c.Capacity, "capacity", 8, "slots")
+	flag.StringVar(&c.Addr, "addr", "127.0.0.1:9000", "`ip:port` to listen on")
+	flag.StringVar(&c.Zone, "zone", "zone-1", "`name` of the server's zone")
+	flag.IntVar(&c.Capacity, "capacity", 8, "number of slots")
 	flag.DurationVar(&c.Char, "char", 20*time.Microsecond, "prefill `time` per character")
-	flag.DurationVar(&c.Token, "token", 5*time.Millisecond, "decode `time` per piece")
-	flag.DurationVar(&c.Keep, "keep", 20*time.Second, "`life` of a KV handle")
-	flag.DurationVar(&c.Link, "link", 2*time.Millisecond, "`time` of a hand-over")
-	flag.IntVar(&c.Prefixes, "prefixes", 512, "prefixes held")
-	flag.DurationVar(&c.Warm, "warm", 2*time.Second, "its own warm-up `time`")
-	flag.BoolVar(&c.Naive, "naive", false, "as a decode server, take up whatever cache a handle leads to")
+	flag.DurationVar(&c.Token, "token", 5*time.Millisecond, "decode `time` per piece of output")
+	flag.DurationVar(&c.Keep, "keep", 20*time.Second, "`time` that a KV handle is valid")
+	flag.DurationVar(&c.Link, "link", 2*time.Millisecond, "`time` to transfer a KV cache from another server")
+	flag.IntVar(&c.Prefixes, "prefixes", 512, "number of prompt prefixes kept in the cache")
+	flag.DurationVar(&c.Warm, "warm", 2*time.Second, "warm-up `time` of the server")
+	flag.BoolVar(&c.Naive, "naive", false, "as a decode server, accept any KV cache that a handle refers to")
 	path := flag.String("journal", "", "journal `file`")
 	flag.Parse()
 	if _, err := netip.ParseAddrPort(c.Addr); err != nil || c.Capacity < 1 {
--- a/cmd/fleetlab/fleet.go
+++ b/cmd/fleetlab/fleet.go
@@ -14,24 +14,24 @@
 	"mulleinmast/proof/track"
 )
 
-// Bounds of the flags of a run.
+// Limits of the flags.
 const (
 	lowestPort  = 1024
 	highestPort = 65000
 	shortestRun = time.Second
 )
 
-// Of the load on a fleet: see load.Config.
+// Settings of the load on a fleet, see load.Config.
 const (
-	loadOnce  = 0.3
-	loadSwing = -1
+	loadOnce  = 0.3 // fraction of requests with an idempotency key
+	loadSwing = -1  // fraction of long prompts; -1: as the mix sets it
 )
 
-// fleetFlags are the flags of a fleet of real processes under a scenario.
+// fleetFlags are the flags for running a scenario on a fleet of real processes.
 type fleetFlags struct {
 	layout   *string
 	dir      *string
-	port     *int     // the first one
+	port     *int     // first port
 	rate     *float64 // requests a second
 	length   *time.Duration
 	scenario *string
@@ -43,23 +43,23 @@
 func newFleetFlags() fleetFlags {
 	return fleetFlags{
 		layout:   flag.String("layout", "rangsit", "rangsit or pat"),
-		dir:      flag.String("dir", "", "folder for data, logs and journals (default: a new one)"),
-		port:     flag.Int("port", 20000, "first port; wire, web and servers take 300"),
+		dir:      flag.String("dir", "", "`folder` for data, logs and journals (default: a new temporary folder)"),
+		port:     flag.Int("port", 20000, "first port; the wire, web and server ports use the 300 from there"),
 		rate:     flag.Float64("rate", 40, "requests a second"),
 		length:   flag.Duration("for", 15*time.Second, "length of the load"),
-		scenario: flag.String("scenario", "calm", "what happens meanwhile; 'list' names them"),
-		hold:     flag.Bool("hold", false, "start the fleet, send plan and servers, and keep it until interrupted"),
-		seed:     flag.Int64("seed", 1, "seed of the load"),
-		oldBuild: flag.String("old", "", "`folder` with another build's mulleinmast, for the scenario versions"),
+		scenario: flag.String("scenario", "calm", "scenario to run under load; 'list' lists them"),
+		hold:     flag.Bool("hold", false, "start the fleet, send the plan and servers, and keep it running until interrupted"),
+		seed:     flag.Int64("seed", 1, "random seed of the load"),
+		oldBuild: flag.String("old", "", "`folder` with the mulleinmast binary of another build, for the scenario 'versions'"),
 	}
 }
 
-// valid reports whether the flags are within their bounds.
+// valid reports whether the flags are within their limits.
 func (f fleetFlags) valid() bool {
 	return *f.port >= lowestPort && *f.port <= highestPort && !(*f.rate <= 0) && *f.length >= shortestRun
 }
 
-// run starts the fleet, plays the scenario on it and prints the report.
+// run starts the fleet, runs the scenario and prints the report.
 func (f fleetFlags) run() int {
 	if *f.scenario == "list" {
 		printLines(track.Names())
@@ -116,8 +116,8 @@
 	}
 }
 
-// printReport prints the load's outcome, the notes, the counts by name and the
-// broken rules.
+// printReport prints the results of the load, the notes, the counters and the broken
+// rules.
 func printReport(report *track.Report) {
 	fmt.Print(report.Load.String())
 	for _, note := range report.Notes {
--- a/cmd/fleetlab/hollow.go
+++ b/cmd/fleetlab/hollow.go
@@ -11,38 +11,38 @@
 	"mulleinmast/proof/hollow"
 )
 
-// Of the measurement of a request's decisions (step request): see
+// Parameters of step request, which measures the routing decisions of a request: see
 // hollow.Requests.
 const (
-	requestReading  = 0.3
-	requestCount    = 400
-	requestsAbreast = 8
+	requestPrefillFraction = 0.3 // fraction of the servers that prefill
+	requestCount           = 400 // number of measured requests
+	requestConcurrency     = 8   // concurrent requests
 )
 
-// Bounds of the waits for a hollow fleet, and its ports.
+// Timeouts and ports of a hollow fleet.
 const (
-	formingWait  = 2 * time.Minute // until all are ready, have every record and are calm
-	everywhereIn = time.Minute     // until a version is in force everywhere
-	firstPorts   = 20000
-	portSpread   = 10000 // the first port is drawn from so many, by the process's id
+	formingTimeout    = 2 * time.Minute // for each of: all daemons ready, all records known, steady state
+	activationTimeout = time.Minute     // until a version is active at all daemons
+	firstPorts        = 20000
+	portSpread        = 10000 // the first port is offset by the process ID modulo this
 )
 
-// hollowFlags are the flags of hollow fleets.
+// hollowFlags are the flags for hollow fleets, which run many daemons per process.
 type hollowFlags struct {
 	run, worker *bool
 
-	// Sizes of the fleets: lists of whole numbers.
+	// Sizes of the fleets, as lists of integers.
 	daemons, servers, tenants, routes *string
-	ramp                              *int // servers that come at once; 0: all
+	ramp                              *int // servers added at a time; 0: all
 
 	window, apply, far *time.Duration
 	steps              *string
-	changes            *int    // of step many
-	rates              *string // of step change, changes a second
+	changes            *int    // number of changes in step many
+	rates              *string // changes per second in step change
 
-	out, profile, stock *string // files and folder to write; "": none
+	out, profile, stock *string // output files and folder; "": none
 
-	fit  *string // CSV file to lay lines through, in place of a measurement
+	fit  *string // CSV file to fit lines to, instead of measuring
 	over *string
 	at   *float64
 }
@@ -50,38 +50,38 @@
 func newHollowFlags() hollowFlags {
 	return hollowFlags{
 		run: flag.Bool("hollow", false,
-			"instead: measure hollow fleets, many daemons in a process, and write tables and plots"),
-		worker:  flag.Bool("hollow-worker", false, "be a process of a hollow fleet (started by -hollow)"),
-		daemons: flag.String("daemons", "10,40,88,130", "with -hollow: fleets of these `sizes`"),
-		servers: flag.String("servers", "12", "with -hollow: model servers, each `number` with each fleet"),
-		tenants: flag.String("tenants", "60", "with -hollow: tenants in the plan, each `number`"),
-		routes:  flag.String("routes", "60", "with -hollow: routes in the plan, a `number` for each of tenants"),
+			"instead: measure hollow fleets, with many daemons per process, and write tables and plots"),
+		worker:  flag.Bool("hollow-worker", false, "run as a process of a hollow fleet (started by -hollow)"),
+		daemons: flag.String("daemons", "10,40,88,130", "with -hollow: numbers of daemons, each `number` a fleet"),
+		servers: flag.String("servers", "12", "with -hollow: numbers of model servers, each `number` with each fleet"),
+		tenants: flag.String("tenants", "60", "with -hollow: numbers of tenants in the plan, each `number` with each fleet"),
+		routes:  flag.String("routes", "60", "with -hollow: numbers of routes in the plan, one `number` for each of -tenants"),
 		window:  flag.Duration("window", 10*time.Second, "with -hollow: length of each measurement"),
-		apply:   flag.Duration("apply", 2*time.Second, "with -hollow: a change is in force everywhere within this"),
-		far:     flag.Duration("far", 0, "with -hollow: delay between regions, one way"),
-		out:     flag.String("out", "", "with -hollow: write CSV to this `file`"),
+		apply:   flag.Duration("apply", 2*time.Second, "with -hollow: time limit for a change to become active at all daemons"),
+		far:     flag.Duration("far", 0, "with -hollow: one-way delay between regions"),
+		out:     flag.String("out", "", "with -hollow: write the results to this CSV `file`"),
 		profile: flag.String("profile", "",
 			"with -hollow: write profiles of a front, a leader and the shared process to this `folder`"),
-		steps: flag.String("steps", "idle", "with -hollow: `idle,change,many,restart,zone,link`"),
+		steps: flag.String("steps", "idle", "with -hollow: `steps` to measure: forming, idle, change, many, restart, zone, link; or request alone"),
 		fit: flag.String("fit", "",
-			"with -hollow: measure nothing, lay lines through this CSV `file` and draw them beside it"),
+			"with -hollow: instead of measuring, fit lines to this CSV `file` and write plots beside it"),
 		over: flag.String("over", "daemons",
-			"with -fit: the `size` that grows: daemons, servers, tenants or routes"),
-		at:      flag.Float64("at", 520, "with -fit: the size that the line is read off at"),
-		ramp:    flag.Int("ramp", 0, "with -hollow: model servers come so many at a time; 0: all at once"),
-		changes: flag.Int("changes", 2000, "with -hollow and step many: changes, one after another"),
+			"with -fit: the `size` on the x axis: daemons, servers, tenants or routes"),
+		at:      flag.Float64("at", 520, "with -fit: the size to extrapolate to"),
+		ramp:    flag.Int("ramp", 0, "with -hollow: number of model servers added at a time; 0: all at once"),
+		changes: flag.Int("changes", 2000, "with -hollow and step many: number of changes, made one after another"),
 		stock: flag.String("stock", "",
-			"with -hollow and step many: write what is held to this CSV `file`, and a plot beside it"),
-		rates: flag.String("rates", "1", "with -hollow: configuration changes a second, each `number`"),
+			"with -hollow and step many: write the held resources to this CSV `file`, and a plot beside it"),
+		rates: flag.String("rates", "1", "with -hollow and step change: configuration changes per second, each `number`"),
 	}
 }
 
-// wholeNumbers reads a list of whole numbers, such as 10,40.
-func wholeNumbers(list string) (numbers []int, err error) {
+// parseInts parses a list of non-negative integers, such as 10,40.
+func parseInts(list string) (numbers []int, err error) {
 	for _, word := range strings.Split(list, ",") {
 		number, err := strconv.Atoi(strings.TrimSpace(word))
 		if err != nil || number < 0 {
-			return nil, fmt.Errorf("%q: expected whole numbers, such as 10,40", word)
+			return nil, fmt.Errorf("%q: expected non-negative integers, such as 10,40", word)
 		}
 		numbers = append(numbers, number)
 	}
@@ -93,7 +93,7 @@
 	daemons, servers, tenants, routes []int
 }
 
-// sizes reads the lists of sizes.
+// sizes parses the lists of sizes.
 func (h hollowFlags) sizes() (sizes hollowSizes, err error) {
 	for _, list := range []struct {
 		flag *string
@@ -104,15 +104,16 @@
 		{h.tenants, &sizes.tenants},
 		{h.routes, &sizes.routes},
 	} {
-		if *list.to, err = wholeNumbers(*list.flag); err != nil {
+		if *list.to, err = parseInts(*list.flag); err != nil {
 			return sizes, err
 		}
 	}
 	return sizes, nil
 }
 
-// fleets lists the fleets of all sizes. The number of routes goes with that of
-// tenants; the last one stands for those that are missing.
+// fleets returns the options of the fleets of all sizes. Each number of tenants is
+// paired with the number of routes at the same position, or with the last one if
+// there are fewer.
 func (s hollowSizes) fleets() (fleets []hollow.Options) {
 	for _, daemons := range s.daemons {
 		for _, servers := range s.servers {
@@ -126,7 +127,7 @@
 	return fleets
 }
 
-// main does what the flags of hollow fleets ask for.
+// main runs the mode that the flags select and returns the exit code.
 func (h hollowFlags) main() int {
 	if *h.worker {
 		if err := hollow.Serve(os.Stdin, os.Stdout); err != nil {
@@ -156,21 +157,22 @@
 	return exitPassed
 }
 
-// measureRequests prints what a request's decisions cost with so many servers.
+// measureRequests prints the CPU time of a request's routing decisions for each number
+// of servers.
 func measureRequests(serverCounts []int) error {
 	for _, servers := range serverCounts {
-		took, err := hollow.Requests(servers, requestReading, requestCount, requestsAbreast)
+		took, err := hollow.Requests(servers, requestPrefillFraction, requestCount, requestConcurrency)
 		if err != nil {
 			return err
 		}
-		fmt.Printf("%d servers of a model: a request's decisions take %v of a core\n",
+		fmt.Printf("%d servers of a model: the decisions for a request take %v of CPU time\n",
 			servers, took.Round(time.Microsecond))
 	}
 	return nil
 }
 
-// measureFleets measures one fleet after the other; the rows of those measured
-// so far are written after each.
+// measureFleets measures one fleet after another and writes all rows so far after
+// each of them.
 func (h hollowFlags) measureFleets(fleets []hollow.Options, executable string) error {
 	var all []hollow.Row
 	for _, o := range fleets {
@@ -190,7 +192,7 @@
 	return nil
 }
 
-// measureFleet forms one fleet and takes it through the steps.
+// measureFleet starts one fleet and runs the steps on it.
 func (h hollowFlags) measureFleet(o hollow.Options) (rows []hollow.Row, err error) {
 	dir, err := os.MkdirTemp("", "hollow-")
 	if err != nil {
@@ -220,9 +222,9 @@
 }
 
 // form waits until the fleet is ready, has its configuration and every server's
-// record, and is calm; it prints how long each of them took.
+// record, and is in a steady state. It prints how long each of these took.
 func (h hollowFlags) form(fleet *hollow.Fleet, o hollow.Options, started time.Duration) error {
-	ready, took := fleet.Await(hollow.Command{Wait: formingWait})
+	ready, took := fleet.Await(hollow.Command{Wait: formingTimeout})
 	fmt.Printf("%d daemons, %d servers, %d tenants, %d routes: started in %v, %d ready %v later",
 		o.Daemons, o.Servers, o.Tenants, o.Routes, milliseconds(started), ready, milliseconds(took))
 	if ready < o.Daemons {
@@ -240,17 +242,17 @@
 		}
 		fmt.Print(hollow.Table(rows))
 	}
-	inForce, took := fleet.Await(hollow.Command{Version: fleet.Version(), Wait: everywhereIn})
-	fmt.Printf("; configuration acknowledged after %v, in force at %d daemons %v later",
-		milliseconds(acked), inForce, milliseconds(took))
-	filled, took := fleet.Fill(formingWait)
+	active, took := fleet.Await(hollow.Command{Version: fleet.Version(), Wait: activationTimeout})
+	fmt.Printf("; configuration acknowledged after %v, active at %d daemons %v later",
+		milliseconds(acked), active, milliseconds(took))
+	filled, took := fleet.Fill(formingTimeout)
 	fmt.Printf("; every server's record at %d daemons %v later", filled, milliseconds(took))
-	took, ok := fleet.Steady(formingWait)
-	fmt.Printf("; calm after %v (%v)\n", milliseconds(took), ok)
+	took, ok := fleet.Steady(formingTimeout)
+	fmt.Printf("; steady after %v (%v)\n", milliseconds(took), ok)
 	return nil
 }
 
-// drawFits lays lines through rows that were measured before.
+// drawFits fits lines to the rows of an earlier measurement and plots them.
 func (h hollowFlags) drawFits(path string) int {
 	rows, err := hollow.ReadCSV(path)
 	if err == nil && hollow.Sizes[*h.over] == nil {
--- a/cmd/fleetlab/hollowsteps.go
+++ b/cmd/fleetlab/hollowsteps.go
@@ -9,14 +9,14 @@
 	"mulleinmast/proof/hollow"
 )
 
-// Of the steps of a hollow fleet.
+// Parameters of the steps of a hollow fleet.
 const (
-	cutOffIn      = 10 * time.Second // until a version is in force, while a link is lost
-	singleChanges = 5                // measured one by one before the rates
-	stockSamples  = 20               // of a run of many changes
+	linkLossTimeout = 10 * time.Second // until a version is active, while a link is lost
+	singleChanges   = 5                // measured one by one before the configured rates
+	stockSamples    = 20               // number of samples in step many
 )
 
-// step measures one step of those that -steps names.
+// step runs one of the steps that -steps lists.
 func (h hollowFlags) step(fleet *hollow.Fleet, step string) ([]hollow.Row, error) {
 	switch step {
 	case "idle", "forming":
@@ -24,7 +24,7 @@
 	case "change":
 		return h.measureChanges(fleet)
 	case "many":
-		return nil, h.measureStock(fleet)
+		return nil, h.measureResources(fleet)
 	case "restart":
 		return fleet.Measure(step, *h.window, func(stop <-chan time.Time) { replaceServers(fleet, stop) }), nil
 	case "zone":
@@ -32,11 +32,11 @@
 	case "link":
 		return nil, loseLink(fleet)
 	}
-	return nil, fmt.Errorf("no step %q", step)
+	return nil, fmt.Errorf("-steps: unknown step %q", step)
 }
 
-// measureIdle measures a fleet to which nothing happens, and profiles it if a
-// folder is named.
+// measureIdle measures an idle fleet, and first writes profiles of it if -profile is
+// set.
 func (h hollowFlags) measureIdle(fleet *hollow.Fleet, step string) ([]hollow.Row, error) {
 	if *h.profile != "" {
 		if err := os.MkdirAll(*h.profile, 0o755); err != nil {
@@ -50,8 +50,9 @@
 	return fleet.Measure(step, *h.window, nil), nil
 }
 
-// measureStock prints what the fleet holds while many changes follow each other.
-func (h hollowFlags) measureStock(fleet *hollow.Fleet) error {
+// measureResources makes many changes one after another and prints samples of the
+// resources that the fleet holds.
+func (h hollowFlags) measureResources(fleet *hollow.Fleet) error {
 	samples, err := fleet.Many(*h.changes, max(1, *h.changes/stockSamples))
 	if err == nil && *h.stock != "" {
 		err = hollow.WriteStock(*h.stock, samples)
@@ -62,13 +63,13 @@
 	return err
 }
 
-// replaceServers replaces one server after another until stop.
+// replaceServers replaces one server after another until stop fires.
 func replaceServers(fleet *hollow.Fleet, stop <-chan time.Time) {
 	longest := time.Duration(0)
 	for replaced := 0; ; replaced++ {
 		select {
 		case <-stop:
-			fmt.Printf("%d servers replaced one after another; longest until every daemon had it %v\n",
+			fmt.Printf("%d servers replaced one after another; longest time until all daemons had the record %v\n",
 				replaced, milliseconds(longest))
 			return
 		default:
@@ -78,35 +79,34 @@
 	}
 }
 
-// measureChanges measures single changes, then changes at each rate.
+// measureChanges measures single changes, then changes at each configured rate.
 func (h hollowFlags) measureChanges(fleet *hollow.Fleet) (rows []hollow.Row, err error) {
-	rates, err := wholeNumbers(*h.rates)
+	rates, err := parseInts(*h.rates)
 	if err != nil {
 		return nil, err
 	}
-	var acked, everywhere time.Duration // the slowest
+	var acked, everywhere time.Duration // slowest times
 	for range singleChanges {
-		ackedAfter, everywhereAfter, inForce, err := fleet.Put()
-		if err != nil || inForce < fleet.Daemons {
-			return nil, fmt.Errorf("change: %v, in force at %d of %d daemons", err, inForce, fleet.Daemons)
+		ackedAfter, everywhereAfter, active, err := fleet.Put()
+		if err != nil || active < fleet.Daemons {
+			return nil, fmt.Errorf("change: %v, active at %d of %d daemons", err, active, fleet.Daemons)
 		}
 		acked, everywhere = max(acked, ackedAfter), max(everywhere, everywhereAfter)
 	}
-	fmt.Printf("%v: of %d changes the slowest had its yes after %v, was in force everywhere after %v\n",
+	fmt.Printf("%v: slowest of %d changes acknowledged after %v, active at all daemons after %v\n",
 		fleet, singleChanges, milliseconds(acked), milliseconds(everywhere))
 	for _, rate := range rates {
 		name := fmt.Sprintf("change-%d", rate)
 		rows = append(rows, fleet.Measure(name, *h.window, func(stop <-chan time.Time) {
 			taken, longest := fleet.Changes(float64(rate), stop)
-			fmt.Printf("%d changes a second asked for: %d taken in %v, the slowest after %v\n",
+			fmt.Printf("%d changes per second requested: %d acknowledged in %v, the slowest after %v\n",
 				rate, taken, *h.window, milliseconds(longest))
 		})...)
 	}
 	return rows, nil
 }
 
-// loseZone takes the zone of the configuration's leader away, then gives it
-// back.
+// loseZone disconnects the zone of the configuration's leader, then restores it.
 func loseZone(fleet *hollow.Fleet) error {
 	leaders := fleet.Leaders()
 	zone := fleet.ZoneOf(leaders[0])
@@ -118,22 +118,22 @@
 	}
 	begin := time.Now()
 	left := fleet.LoseZone(zone)
-	ready, _ := fleet.AwaitOutside(zone, hollow.Command{Fresh: true, Zone: zone, Wait: everywhereIn})
-	fmt.Printf("zone %d lost, with the leaders of %d of %d parts: "+
-		"%d of %d daemons left are ready and know leaders for all parts after %v",
+	ready, _ := fleet.AwaitOutside(zone, hollow.Command{Fresh: true, Zone: zone, Wait: activationTimeout})
+	fmt.Printf("zone %d lost, with the leaders of %d of %d partitions: "+
+		"%d of %d remaining daemons are ready and know leaders for all partitions after %v",
 		zone, lost, len(leaders), ready, left, milliseconds(time.Since(begin)))
 	took, err := fleet.Change()
 	if err != nil {
 		return err
 	}
-	inForce, _ := fleet.AwaitOutside(zone, hollow.Command{Version: fleet.Version(), Wait: everywhereIn})
-	fmt.Printf("; a change had its yes %v later, in force at %d; %v since the loss",
-		milliseconds(took), inForce, milliseconds(time.Since(begin)))
+	active, _ := fleet.AwaitOutside(zone, hollow.Command{Version: fleet.Version(), Wait: activationTimeout})
+	fmt.Printf("; a change was acknowledged %v later, active at %d daemons; %v since the loss",
+		milliseconds(took), active, milliseconds(time.Since(begin)))
 	restoreFleet(fleet)
 	return nil
 }
 
-// loseLink cuts two regions off from each other, then connects them again.
+// loseLink cuts the link between two regions, then restores it.
 func loseLink(fleet *hollow.Fleet) error {
 	region := fleet.RegionOf(fleet.Leaders()[0])
 	next := (region + 1) % fleet.Regions
@@ -142,17 +142,18 @@
 	if err != nil {
 		return err
 	}
-	inForce, _ := fleet.Await(hollow.Command{Version: fleet.Version(), Wait: cutOffIn})
-	fmt.Printf("link of regions %d and %d lost: a change had its yes after %v, in force at %d of %d daemons",
-		region, next, milliseconds(took), inForce, fleet.Daemons)
+	active, _ := fleet.Await(hollow.Command{Version: fleet.Version(), Wait: linkLossTimeout})
+	fmt.Printf("link between regions %d and %d lost: a change was acknowledged after %v, active at %d of %d daemons",
+		region, next, milliseconds(took), active, fleet.Daemons)
 	restoreFleet(fleet)
 	return nil
 }
 
-// restoreFleet undoes a loss and prints when all daemons have the configuration.
+// restoreFleet undoes a loss and prints how long it takes until all daemons have the
+// configuration.
 func restoreFleet(fleet *hollow.Fleet) {
 	begin := time.Now()
 	fleet.Mend()
-	inForce, _ := fleet.Await(hollow.Command{Version: fleet.Version(), Wait: everywhereIn})
-	fmt.Printf("; mended: all %d have it after %v\n", inForce, milliseconds(time.Since(begin)))
+	active, _ := fleet.Await(hollow.Command{Version: fleet.Version(), Wait: activationTimeout})
+	fmt.Printf("; restored: %d daemons have it after %v\n", active, milliseconds(time.Since(begin)))
 }
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -1,5 +1,6 @@
-// Command fleetlab starts a layout as real processes on this machine, runs a
-// scenario under load and judges the journals.
+// Command fleetlab starts a fleet as real processes on this machine, runs a scenario
+// under load and checks the recorded journals against the rules. Other flags select
+// simulations, the model checker and measurements of hollow fleets.
 package main
 
 import (
@@ -9,7 +10,7 @@
 	"time"
 )
 
-// Exit codes: all is in order, a rule is broken or the run failed, bad flags.
+// Exit codes: the run passed, a rule is broken or the run failed, invalid flags.
 const (
 	exitPassed = iota
 	exitFailed
@@ -18,7 +19,7 @@
 
 func main() { os.Exit(run()) }
 
-// options are the flags of fleetlab without a verb.
+// options are the flags of fleetlab without a subcommand.
 type options struct {
 	fleet          fleetFlags
 	sweepScenarios *string
@@ -37,26 +38,26 @@
 		fleet: newFleetFlags(),
 		sweepScenarios: flag.String("sweep", "",
 			"instead: run simulated `scenarios` (a,b or all) over many seeds"),
-		firstSeed: flag.Int64("from", 1, "first seed of a sweep"),
-		seedCount: flag.Int64("seeds", 1000, "seeds of a sweep, for each scenario"),
+		firstSeed: flag.Int64("from", 1, "first seed of -sweep and -modelcheck walk"),
+		seedCount: flag.Int64("seeds", 1000, "number of seeds of -sweep, for each scenario, and of -modelcheck walk"),
 		scale:     flag.Bool("scale", false, "instead: simulate healthy fleets of growing size, flat and with relays"),
 		platform: flag.Bool("platform", false,
-			"instead: daemons booted as on the users' platform, between stand-ins of it; -scenario all plays all"),
-		pace: flag.Float64("pace", 1, "with -platform: what the rules' bounds are multiplied by"),
+			"instead: run daemons booted as on the users' platform against stand-ins for it; -scenario all runs all"),
+		pace: flag.Float64("pace", 1, "with -platform: factor for the time limits of the rules"),
 		modelCheck: flag.String("modelcheck", "",
 			"instead: explore the model of voting and membership change, `small` or wide, "+
 				"or walk over it at random (walk; -from and -seeds)"),
-		modelStates: flag.Int("states", 1000000, "with -modelcheck wide: states of each scope at which it ends"),
+		modelStates: flag.Int("states", 1000000, "with -modelcheck wide: maximum number of states to explore in each scope"),
 		hollow:      newHollowFlags(),
 	}
 }
 
-// valid reports whether the flags are within their bounds.
+// valid reports whether the flags are within their limits.
 func (o options) valid() bool {
 	return o.fleet.valid() && *o.seedCount >= 1
 }
 
-// run reads the command line, does what it asks for and returns the exit code.
+// run executes the command line and returns the exit code.
 func run() int {
 	if len(os.Args) > 1 && os.Args[1] == "soak" {
 		return runSoak(os.Args[2:])
@@ -94,14 +95,13 @@
 	return exitFailed
 }
 
-// usageError prints what is wrong with the command line and returns its exit
-// code.
+// usageError prints an error of the command line and returns its exit code.
 func usageError(format string, args ...any) int {
 	_, _ = fmt.Fprintf(os.Stderr, "fleetlab: "+format+"\n", args...)
 	return exitUsage
 }
 
-// exitCode is that of a run in which so many parts broke a rule or failed.
+// exitCode returns the exit code for a number of failures.
 func exitCode(failures int) int {
 	if failures > 0 {
 		return exitFailed
@@ -109,7 +109,7 @@
 	return exitPassed
 }
 
-// orTempDir is dir, or a new folder if dir isn't named.
+// orTempDir returns dir, or a new temporary folder if dir is empty.
 func orTempDir(dir, pattern string) (string, error) {
 	if dir != "" {
 		return dir, nil
@@ -117,5 +117,5 @@
 	return os.MkdirTemp("", pattern)
 }
 
-// milliseconds is d as it is printed.
+// milliseconds rounds d for printing.
 func milliseconds(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
--- a/cmd/fleetlab/modelcheck.go
+++ b/cmd/fleetlab/modelcheck.go
@@ -6,11 +6,11 @@
 	"mulleinmast/proof/modelcheck"
 )
 
-// walkEvents is how long a random walk over the model is.
+// walkEvents is the number of events in a random walk over the model.
 const walkEvents = 5000
 
-// checkModel explores the model within the bounds named, or walks over it at
-// random; it prints the outcome of each run.
+// checkModel explores the model within the small or wide scopes, or by random walks,
+// prints the outcome of each run and returns the exit code.
 func checkModel(which string, firstSeed, seedCount int64, states int) int {
 	switch which {
 	case "small":
@@ -23,7 +23,7 @@
 	return usageError("-modelcheck %q: expected small, wide or walk", which)
 }
 
-// exploreScopes returns how many scopes broke an invariant.
+// exploreScopes returns the number of scopes that broke an invariant.
 func exploreScopes(scopes []modelcheck.Scope) (broken int) {
 	for _, scope := range scopes {
 		report := modelcheck.Explore(scope)
@@ -35,7 +35,7 @@
 	return broken
 }
 
-// walkModel returns how many random walks broke an invariant.
+// walkModel returns the number of random walks that broke an invariant.
 func walkModel(firstSeed, seedCount int64) (broken int) {
 	events, acked, terms := 0, 0, 0
 	for seed := firstSeed; seed < firstSeed+seedCount; seed++ {
--- a/cmd/fleetlab/platform.go
+++ b/cmd/fleetlab/platform.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	lowestPace     = 0.3 // the least that the rules' bounds are multiplied by
-	daemonsPerZone = 2   // of a fleet on the stand-ins of the platform
+	lowestPace     = 0.3 // minimum factor for the time limits of the rules
+	daemonsPerZone = 2   // in a fleet on the platform's stand-ins
 )
 
-// platformRun is what the command line asks of the platform's stand-ins.
+// platformRun configures a run on the platform's stand-ins.
 type platformRun struct {
-	scenario string // a scene, all or list
-	dir      string // "": a new folder
-	rate     float64
-	pace     float64
+	scenario string  // name of a scene, "all" or "list"
+	dir      string  // folder for data and logs; "": a new temporary folder
+	rate     float64 // requests per second
+	pace     float64 // factor for the time limits of the rules
 	seed     int64
 }
 
-// playOnPlatform plays scenes on daemons that are booted as the users' platform
-// boots them, between stand-ins of all that it is.
+// playOnPlatform runs scenes on daemons that are booted as on the users' platform,
+// with stand-ins for the platform's services.
 func playOnPlatform(r platformRun) int {
 	names := []string{r.scenario}
 	switch _, ok := scene.Scenes[r.scenario]; {
--- a/cmd/fleetlab/soak.go
+++ b/cmd/fleetlab/soak.go
@@ -16,35 +16,35 @@
 	"mulleinmast/proof/standin/soak"
 )
 
-// soakOrder is what the command line asks for.
-type soakOrder struct {
+// soakOptions are the options of the subcommand soak.
+type soakOptions struct {
 	firstSeed int64
 	seedCount int64
-	parallel  int  // runs beside one another
-	all       bool // print reports and keep folders of runs in order too
+	parallel  int  // concurrent runs
+	all       bool // also print the reports and keep the folders of runs that passed
 	config    soak.Config
 }
 
-// errSoakUsage says what bounds the flags of soak have.
+// errSoakUsage describes the limits of the flags of soak.
 var errSoakUsage = errors.New("expected -seeds and -beside of at least 1, -for of at least 1s, " +
-	"-between and -rate above 0, -pace of at least 0.3, and nothing else")
+	"-between and -rate above 0, -pace of at least 0.3, and no arguments")
 
-// parseSoak reads and checks the flags of soak. An error of the flags' syntax
-// is printed already and isn't errSoakUsage.
-func parseSoak(args []string) (o soakOrder, err error) {
+// parseSoak reads and checks the flags of soak. Only errSoakUsage is left to print; the
+// flag package has printed other errors.
+func parseSoak(args []string) (o soakOptions, err error) {
 	f := flag.NewFlagSet("fleetlab soak", flag.ContinueOnError)
-	f.BoolVar(&o.all, "all", false, "tell everything of runs that are in order too, and keep their folders")
+	f.BoolVar(&o.all, "all", false, "also print the reports of runs that passed, and keep their folders")
 	f.Int64Var(&o.firstSeed, "from", 1, "first seed")
 	f.Int64Var(&o.seedCount, "seeds", 10, "number of seeds")
-	f.IntVar(&o.parallel, "beside", 1, "runs beside one another")
-	f.StringVar(&o.config.Dir, "dir", "", "folder for data and logs (default: a new one)")
-	f.DurationVar(&o.config.For, "for", 30*time.Second, "troubles come for so long")
-	f.DurationVar(&o.config.Between, "between", 900*time.Millisecond, "time between two troubles, on average")
-	only := f.String("only", "", "troubles whose names begin with one of these, by commas")
-	f.StringVar(&o.config.Old, "old", "", "another build's mulleinmast, which every other life of a machine runs")
+	f.IntVar(&o.parallel, "beside", 1, "number of concurrent runs")
+	f.StringVar(&o.config.Dir, "dir", "", "`folder` for data and logs (default: a new temporary folder)")
+	f.DurationVar(&o.config.For, "for", 30*time.Second, "how long faults are injected")
+	f.DurationVar(&o.config.Between, "between", 900*time.Millisecond, "average time between two faults")
+	only := f.String("only", "", "inject only faults whose names begin with one of these `prefixes`, separated by commas")
+	f.StringVar(&o.config.Old, "old", "", "`path` of another build's mulleinmast, used for every other start of a machine")
 	f.Float64Var(&o.config.Rate, "rate", 40, "requests a second")
-	customers := f.Bool("customers", false, "clients come with keys of tenants that have limits")
-	f.Float64Var(&o.config.Pace, "pace", 1, "what the rules' bounds are multiplied by")
+	customers := f.Bool("customers", false, "clients use API keys of tenants that have limits")
+	f.Float64Var(&o.config.Pace, "pace", 1, "factor for the time limits of the rules")
 	if err := f.Parse(args); err != nil {
 		return o, err
 	}
@@ -60,15 +60,16 @@
 	return o, nil
 }
 
-// valid reports whether the flags are within their bounds.
-func (o soakOrder) valid() bool {
+// valid reports whether the flags are within their limits.
+func (o soakOptions) valid() bool {
 	c := o.config
 	return o.seedCount >= 1 && o.parallel >= 1 && c.For >= shortestRun && c.Between > 0 &&
 		!(c.Rate <= 0) && !(c.Pace < lowestPace)
 }
 
-// runSoak is the verb soak: real daemons under troubles that overlap, for many
-// seeds. A run that breaks a rule keeps its folder with all logs.
+// runSoak implements the subcommand soak, which runs real daemons under overlapping
+// faults for many seeds. The folder of a run that fails or breaks a rule is kept with
+// all its logs.
 func runSoak(args []string) int {
 	o, err := parseSoak(args)
 	if err != nil {
@@ -88,7 +89,7 @@
 	}
 	for seed := o.firstSeed; seed < o.firstSeed+o.seedCount; seed++ {
 		if _, err := os.Stat(o.folder(seed)); err == nil {
-			_, _ = fmt.Fprintf(os.Stderr, "fleetlab soak: %s is there already, from another run: name another -dir\n",
+			_, _ = fmt.Fprintf(os.Stderr, "fleetlab soak: %s already exists from another run; choose another -dir\n",
 				o.folder(seed))
 			return exitUsage
 		}
@@ -100,14 +101,14 @@
 	return exitCode(failures)
 }
 
-// folder is where a seed's data and logs are.
-func (o soakOrder) folder(seed int64) string {
+// folder returns the folder for the data and logs of a seed.
+func (o soakOptions) folder(seed int64) string {
 	return filepath.Join(o.config.Dir, fmt.Sprint("seed-", seed))
 }
 
-// play runs all seeds and counts those that broke a rule or failed.
-func (o soakOrder) play(ctx context.Context) (failures int) {
-	var mu sync.Mutex // guards failures and the order of what is printed
+// play runs all seeds and returns the number of those that broke a rule or failed.
+func (o soakOptions) play(ctx context.Context) (failures int) {
+	var mu sync.Mutex // protects failures and keeps the printed reports apart
 	var running sync.WaitGroup
 	slots := make(chan struct{}, o.parallel)
 	for seed := o.firstSeed; seed < o.firstSeed+o.seedCount && ctx.Err() == nil; seed++ {
@@ -121,7 +122,7 @@
 			defer mu.Unlock()
 			o.printOutcome(seed, report, err)
 			switch {
-			case !inOrder(report, err):
+			case !passed(report, err):
 				failures++
 			case !o.all:
 				_ = os.RemoveAll(config.Dir)
@@ -132,17 +133,18 @@
 	return failures
 }
 
-// inOrder reports whether a run was carried through and broke no rule.
-func inOrder(report scene.Report, err error) bool {
+// passed reports whether a run completed and broke no rule.
+func passed(report scene.Report, err error) bool {
 	return err == nil && !report.Failed && len(report.Broken) == 0
 }
 
-// printOutcome prints the outcome of a seed's run: in full if it isn't in order.
-func (o soakOrder) printOutcome(seed int64, report scene.Report, err error) {
+// printOutcome prints the outcome of a seed's run, with the full report unless it
+// passed.
+func (o soakOptions) printOutcome(seed int64, report scene.Report, err error) {
 	switch {
 	case err != nil:
 		fmt.Printf("seed %d: FAILED %v\n", seed, err)
-	case !inOrder(report, err) || o.all:
+	case !passed(report, err) || o.all:
 		fmt.Printf("seed %d:\n%s", seed, report)
 	default:
 		fmt.Printf("seed %d: in order, %d of %d tries served\n", seed, report.Served, report.All)
--- a/cmd/fleetlab/sweep.go
+++ b/cmd/fleetlab/sweep.go
@@ -11,14 +11,14 @@
 	"mulleinmast/proof/sim"
 )
 
-// sweep runs many seeds of the simulated scenarios and names every seed that
-// broke a rule.
+// sweep runs many seeds of the simulated scenarios and prints every seed that broke a
+// rule.
 func sweep(scenarios string, firstSeed, seedCount int64) int {
 	failures := 0
 	for _, name := range scenarioNames(scenarios) {
 		options, ok := sim.Scenarios[name]
 		if !ok {
-			return usageError("-sweep %q: no such simulated scenario", name)
+			return usageError("-sweep %q: unknown simulated scenario", name)
 		}
 		totals := sweepScenario(name, options, firstSeed, seedCount)
 		totals.print(name, seedCount)
@@ -27,7 +27,7 @@
 	return exitCode(failures)
 }
 
-// scenarioNames is the list of scenarios, sorted; all stands for every one.
+// scenarioNames splits and sorts a list of scenarios; "all" selects every one.
 func scenarioNames(list string) []string {
 	names := strings.Split(list, ",")
 	if list == "all" {
@@ -40,8 +40,7 @@
 	return names
 }
 
-// sweepScenario runs the seeds of one scenario, as many at once as there are
-// cores.
+// sweepScenario runs the seeds of one scenario on all cores.
 func sweepScenario(name string, options func(seed int64) sim.Options, firstSeed, seedCount int64) *sweepTotals {
 	totals := newSweepTotals()
 	seeds := seedsFrom(firstSeed, seedCount)
@@ -68,16 +67,16 @@
 	return seeds
 }
 
-// sweepTotals adds up the results of a scenario's seeds.
+// sweepTotals accumulates the results of a scenario's seeds.
 type sweepTotals struct {
-	mu sync.Mutex // guards everything below while the seeds run
+	mu sync.Mutex // protects the fields below while the seeds run
 
-	broken                       int // seeds that broke a rule
-	committed, refused, unclear  int // writes
-	reads                        int
-	faults                       map[string]int
-	requests, refusals, plans    map[string]int
-	withoutLeader, writeDuration []time.Duration
+	broken                        int // number of seeds that broke a rule
+	committed, refused, uncertain int // number of writes by outcome
+	reads                         int
+	faults                        map[string]int
+	requests, refusals, plans     map[string]int
+	withoutLeader, writeDuration  []time.Duration
 }
 
 func newSweepTotals() *sweepTotals {
@@ -89,7 +88,7 @@
 	}
 }
 
-// add counts the result of one seed, and names the seed if it broke a rule.
+// add adds the result of one seed, and prints the seed if it broke a rule.
 func (t *sweepTotals) add(scenario string, seed int64, r sim.Result) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -99,7 +98,7 @@
 	}
 	t.committed += r.Yes
 	t.refused += r.Never
-	t.unclear += r.Maybe
+	t.uncertain += r.Maybe
 	t.reads += r.Reads
 	addCounts(t.faults, r.Faults)
 	addCounts(t.requests, r.Results)
@@ -110,9 +109,9 @@
 }
 
 func (t *sweepTotals) print(scenario string, seedCount int64) {
-	fmt.Printf("%-8s %d seeds, %d broken; writes: %d in force, %d refused, %d uncertain; %d reads; "+
+	fmt.Printf("%-8s %d seeds, %d broken; writes: %d committed, %d refused, %d uncertain; %d reads; "+
 		"simulated: write median %v 99th %v, longest without a leader median %v 99th %v; faults %v\n",
-		scenario, seedCount, t.broken, t.committed, t.refused, t.unclear, t.reads,
+		scenario, seedCount, t.broken, t.committed, t.refused, t.uncertain, t.reads,
 		quantile(t.writeDuration, 0.5), quantile(t.writeDuration, 0.99),
 		quantile(t.withoutLeader, 0.5), quantile(t.withoutLeader, 0.99), t.faults)
 	if len(t.requests) > 0 {
@@ -120,15 +119,15 @@
 	}
 }
 
-// addCounts adds the counts of from to those of total.
+// addCounts adds the counts in from to those in total.
 func addCounts(total, from map[string]int) {
 	for name, count := range from {
 		total[name] += count
 	}
 }
 
-// quantile is the value below which the fraction q of the durations lies. It
-// sorts them.
+// quantile returns the value below which the fraction q of the durations lies. It sorts
+// the slice.
 func quantile(durations []time.Duration, q float64) time.Duration {
 	if len(durations) == 0 {
 		return 0
--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -1,4 +1,5 @@
-// Command loadgen is the stand-in client: load, and the check of journals.
+// Command loadgen generates client load and records a journal of it. With -check it
+// checks recorded journals against the rules instead.
 package main
 
 import (
@@ -17,21 +18,21 @@
 
 func main() {
 	c := load.Config{}
-	to := flag.String("targets", "127.0.0.1:8000", "daemons' web addresses, `a,b,c`")
-	flag.StringVar(&c.Mix, "mix", "rangsit", "rangsit or pat")
-	flag.Float64Var(&c.Rate, "rate", 20, "requests a second")
-	flag.DurationVar(&c.For, "for", 10*time.Second, "how long")
-	flag.IntVar(&c.Most, "most", 100000, "requests in all, at most")
-	flag.Int64Var(&c.Seed, "seed", 1, "seed")
+	to := flag.String("targets", "127.0.0.1:8000", "HTTP `addresses` of daemons, such as a,b,c")
+	flag.StringVar(&c.Mix, "mix", "rangsit", "request mix: rangsit or pat")
+	flag.Float64Var(&c.Rate, "rate", 20, "requests per second")
+	flag.DurationVar(&c.For, "for", 10*time.Second, "duration of the load")
+	flag.IntVar(&c.Most, "most", 100000, "maximum number of requests")
+	flag.Int64Var(&c.Seed, "seed", 1, "random seed")
 	flag.DurationVar(&c.Timeout, "timeout", 10*time.Second, "timeout of a request")
-	flag.Float64Var(&c.Once, "once", 0.3, "part of the requests with a once key")
-	flag.BoolVar(&c.Again, "again", false, "send each once key to a second daemon too")
-	flag.Float64Var(&c.Swing, "swing", -1, "part of long prompts (below 0: the mix's own)")
+	flag.Float64Var(&c.Once, "once", 0.3, "fraction of the requests with an idempotency (once) key")
+	flag.BoolVar(&c.Again, "again", false, "send each request with a once key to a second daemon as well")
+	flag.Float64Var(&c.Swing, "swing", -1, "fraction of long prompts (below 0: as the mix sets it)")
 	path := flag.String("journal", "loadgen.jsonl", "journal `file`")
-	check := flag.Bool("check", false, "judge the journals named as arguments instead of sending")
+	check := flag.Bool("check", false, "check the journals given as arguments instead of sending load")
 	flag.Parse()
 	if *check {
-		os.Exit(verdict(flag.Args()))
+		os.Exit(checkJournals(flag.Args()))
 	}
 	if _, ok := load.Mixes[c.Mix]; !ok {
 		_, _ = fmt.Fprintf(os.Stderr, "loadgen: -mix %q: expected rangsit or pat\n", c.Mix)
@@ -39,9 +40,9 @@
 	}
 	c.Targets = strings.Split(*to, ",")
 	var faults []string
-	for _, a := range c.Targets {
-		if _, err := netip.ParseAddrPort(a); err != nil {
-			faults = append(faults, fmt.Sprintf("-targets: %q: expected an IP address and port", a))
+	for _, addr := range c.Targets {
+		if _, err := netip.ParseAddrPort(addr); err != nil {
+			faults = append(faults, fmt.Sprintf("-targets: %q: expected an IP address and port", addr))
 		}
 	}
 	if c.Rate <= 0 {
@@ -63,30 +64,31 @@
 		os.Exit(2)
 	}
 	load.Run(context.Background(), c, recorder)
-	ev, err := history.Read(*path)
+	events, err := history.Read(*path)
 	if err != nil {
 		_, _ = fmt.Fprintln(os.Stderr, "loadgen:", err)
 		os.Exit(1)
 	}
-	fmt.Print(load.Sum(ev))
+	fmt.Print(load.Sum(events))
 }
 
-func verdict(paths []string) int {
+// checkJournals prints the rules that the journals break and returns the exit code.
+func checkJournals(paths []string) int {
 	var all []history.Event
-	for _, p := range paths {
-		ev, err := history.Read(p)
+	for _, path := range paths {
+		events, err := history.Read(path)
 		if err != nil {
 			_, _ = fmt.Fprintln(os.Stderr, "loadgen:", err)
 			return 2
 		}
-		all = append(all, ev...)
+		all = append(all, events...)
 	}
-	rows := judge.All(all, judge.Default())
-	for _, b := range rows {
-		fmt.Println(b)
+	violations := judge.All(all, judge.Default())
+	for _, violation := range violations {
+		fmt.Println(violation)
 	}
-	fmt.Printf("%d events, %d rules broken\n", len(all), len(rows))
-	if len(rows) > 0 {
+	fmt.Printf("%d events, %d rules broken\n", len(all), len(violations))
+	if len(violations) > 0 {
 		return 1
 	}
 	return 0
--- a/cmd/mulleinctl/main.go
+++ b/cmd/mulleinctl/main.go
@@ -1,5 +1,5 @@
-// Command mulleinctl is a shell for queries on the fleet's state, interactive or
-// one-shot, as text or JSON.
+// Command mulleinctl queries the fleet's state, interactively or with a single query,
+// and prints text or JSON.
 package main
 
 import (
@@ -35,19 +35,19 @@
 	exitBadQuery = 2
 )
 
-// requestTimeout bounds the answer of one daemon.
+// requestTimeout limits the time that one daemon has to answer.
 const requestTimeout = 5 * time.Second
 
 func main() { os.Exit(run()) }
 
 func run() int {
 	s := &shell{http: &http.Client{Timeout: requestTimeout}, out: os.Stdout}
-	to := flag.String("to", "127.0.0.1:8000", "web `address` of one daemon or of several, a,b,c")
-	flag.BoolVar(&s.asJSON, "json", false, "JSON instead of text")
+	to := flag.String("to", "127.0.0.1:8000", "HTTP `address` of a daemon, or a list such as a,b,c")
+	flag.BoolVar(&s.asJSON, "json", false, "print JSON instead of text")
 	flag.Usage = func() {
 		_, _ = fmt.Fprintf(os.Stderr, "usage: mulleinctl [-to ip:port,...] [-json] [QUERY]\n\n"+
-			"Without a query it reads them from standard input. Exit codes: 0 answered, 1 no daemon answered, "+
-			"2 bad query or flags.\n\n%s\n", usage)
+			"Without a query it reads queries from standard input. Exit codes: 0 answered, 1 no daemon answered, "+
+			"2 invalid query or flags.\n\n%s\n", usage)
 		flag.PrintDefaults()
 	}
 	flag.Parse()
@@ -64,7 +64,7 @@
 	return exitAnswered
 }
 
-// interact answers queries from standard input until it ends.
+// interact answers queries from standard input until its end, or until quit or exit.
 func (s *shell) interact() {
 	lines := bufio.NewScanner(os.Stdin)
 	for prompt(); lines.Scan(); prompt() {
@@ -81,13 +81,13 @@
 
 func prompt() { _, _ = fmt.Fprint(os.Stderr, "mulleinctl> ") }
 
-// fail reports that the fleet didn't answer a query.
+// fail prints an error of a query that the fleet did not answer, and returns its exit code.
 func fail(err error) int {
 	_, _ = fmt.Fprintln(os.Stderr, "mulleinctl:", err)
 	return exitNoAnswer
 }
 
-// failQuery reports that a query is wrong in itself.
+// failQuery prints why a query is invalid, and returns its exit code.
 func failQuery(reason string) int {
 	_, _ = fmt.Fprintln(os.Stderr, "mulleinctl:", reason)
 	return exitBadQuery
--- a/cmd/mulleinctl/queries.go
+++ b/cmd/mulleinctl/queries.go
@@ -14,7 +14,8 @@
 	"mulleinmast/traffic/scheduler"
 )
 
-// query answers one query, a name and at most one argument.
+// query answers one query, which consists of a name and at most one argument, and
+// returns the exit code.
 func (s *shell) query(words []string) int {
 	name, arg := words[0], ""
 	if len(words) > 1 {
@@ -38,7 +39,7 @@
 	if addRows, ok := stateQueries[name]; ok {
 		return s.showStates(addRows, arg)
 	}
-	return failQuery(fmt.Sprintf("no query %q; see help", name))
+	return failQuery(fmt.Sprintf("unknown query %q; see help", name))
 }
 
 func (s *shell) showMembers() int {
@@ -65,8 +66,8 @@
 	return s.show(plan, out)
 }
 
-// stateQueries are those on the states of all daemons. Each sets the table's head
-// and adds the rows of the daemon at an address; arg is the query's argument.
+// stateQueries maps the queries on the states of all daemons to functions that set the
+// table's head and add the rows of one daemon; arg is the query's argument.
 var stateQueries = map[string]func(t *table, addr string, state daemon.State, arg string){
 	"versions":   addVersion,
 	"counts":     addCounts,
@@ -86,7 +87,7 @@
 		addRows(&t, addr, states.byAddr[addr], arg)
 	}
 	slices.SortStableFunc(t.rows, func(a, b []any) int { return strings.Compare(fmt.Sprint(a[0]), fmt.Sprint(b[0])) })
-	states.reportSilent()
+	states.reportErrors()
 	return s.show(states.byAddr, t)
 }
 
@@ -108,7 +109,7 @@
 	}
 }
 
-// addPartitions adds those that the daemon leads.
+// addPartitions adds the partitions that the daemon leads.
 func addPartitions(t *table, addr string, state daemon.State, _ string) {
 	for _, p := range state.Partitions {
 		if p.LedHere {
@@ -150,7 +151,7 @@
 	}
 }
 
-// nonZero shows a JSON object's fields that are not 0.
+// nonZero formats the fields of a JSON object that are not 0.
 func nonZero(v any) string {
 	object, ok := v.(map[string]any)
 	if !ok {
@@ -166,10 +167,10 @@
 	return strings.Join(fields, " ")
 }
 
-// explain shows why a request went where it did, or all that are remembered.
+// explain shows how a request was routed and why, or does so for all recorded requests.
 func (s *shell) explain(id string) int {
 	if id == "" {
-		return failQuery("why needs a request's id, or all")
+		return failQuery("why: expected a request ID or \"all\"")
 	}
 	traces, err := getAll[[]scheduler.Trace](s, "/v1/why/"+id)
 	if err != nil {
@@ -192,7 +193,8 @@
 	return s.show(traces.byAddr, t)
 }
 
-// importFile prints an OpenAPI file as named changes on the plan in force.
+// importFile converts an OpenAPI file into named changes to the current plan and prints
+// them.
 func (s *shell) importFile(path string) int {
 	document, err := os.ReadFile(path)
 	if err != nil {
@@ -210,8 +212,8 @@
 	return s.showJSON(changes)
 }
 
-// showEvents prints the event logs of all daemons in the order of their wall times;
-// kind, if given, stands in the kinds of those that are shown.
+// showEvents prints the event logs of all daemons, ordered by wall time. If kind is
+// not empty, only events whose kind contains it are shown.
 func (s *shell) showEvents(kind string) int {
 	logs, err := getAll[daemon.EventsResponse](s, "/v1/ring")
 	if err != nil {
@@ -234,6 +236,6 @@
 	for _, e := range events {
 		t.add(e.Wall.Format("15:04:05.000"), e.Daemon, e.Kind, e.Text)
 	}
-	logs.reportSilent()
+	logs.reportErrors()
 	return s.show(events, t)
 }
--- a/cmd/mulleinctl/queries_test.go
+++ b/cmd/mulleinctl/queries_test.go
@@ -12,7 +12,8 @@
 	"testing"
 )
 
-// fakeDaemon answers the calls that queries make, all members at its own address.
+// fakeDaemon serves the daemon's query API from testdata and returns its address. It
+// lists itself as the address of every member.
 func fakeDaemon(t *testing.T) string {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -40,9 +41,9 @@
 	return addr
 }
 
-// Each query, as text and as JSON, and its exit code. With GOLDEN=write the file is
-// written anew.
-func TestQueriesKeepTheirOutput(t *testing.T) {
+// The output and exit code of each query, as text and as JSON, are stable.
+// GOLDEN=write rewrites the expected output.
+func TestQueryOutput(t *testing.T) {
 	addr := fakeDaemon(t)
 	var all strings.Builder
 	for _, query := range []string{
@@ -56,7 +57,7 @@
 			code := s.query(strings.Fields(query))
 			fmt.Fprintf(&all, "%s, JSON %v: %d\n%s\n", query, asJSON, code, strings.ReplaceAll(out.String(), addr, "ADDR"))
 			if asJSON && query != "help" && out.Len() > 0 && !json.Valid(out.Bytes()) {
-				t.Errorf("%s: not JSON: %s", query, out.String())
+				t.Errorf("%s: invalid JSON: %s", query, out.String())
 			}
 		}
 	}
@@ -68,6 +69,6 @@
 	}
 	want, err := os.ReadFile(path)
 	if err != nil || all.String() != string(want) {
-		t.Errorf("%v: the queries' output is\n%s", err, all.String())
+		t.Errorf("output differs from %s (%v), got\n%s", path, err, all.String())
 	}
 }
--- a/cmd/mulleinctl/shell.go
+++ b/cmd/mulleinctl/shell.go
@@ -15,23 +15,23 @@
 	"mulleinmast/control/daemon"
 )
 
-// shell asks daemons and shows their answers.
+// shell sends queries to daemons and prints their answers.
 type shell struct {
-	daemons []string // HTTP addresses to begin with
+	daemons []string // HTTP addresses given on the command line
 	asJSON  bool
 	http    *http.Client
 	out     io.Writer
 }
 
-// table is an answer as text.
+// table is an answer in text form.
 type table struct {
-	head string // the columns' names, by spaces
+	head string // column names, separated by spaces
 	rows [][]any
 }
 
 func (t *table) add(values ...any) { t.rows = append(t.rows, values) }
 
-// get reads the JSON at a daemon's path.
+// get decodes the JSON that a daemon returns for a path.
 func (s *shell) get(addr, path string, to any) error {
 	response, err := s.http.Get("http://" + addr + path)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return json.Unmarshal(body, to)
 }
 
-// getFirst asks the given daemons one after another until one answers.
+// getFirst queries the shell's daemons in order and returns the first answer.
 func getFirst[T any](s *shell, path string) (answer T, err error) {
 	for _, addr := range s.daemons {
 		var got T
@@ -59,21 +59,21 @@
 	return answer, err
 }
 
-// answers are those of all members, by their HTTP addresses, and the errors of those
-// that gave none.
+// answers holds the members' answers and, for those that did not answer, the errors,
+// by HTTP address.
 type answers[T any] struct {
 	byAddr map[string]T
-	silent map[string]error
+	errors map[string]error
 }
 
-// getAll asks every member at once.
+// getAll queries all members in parallel.
 func getAll[T any](s *shell, path string) (answers[T], error) {
 	state, err := getFirst[daemon.State](s, "/v1/state")
 	if err != nil {
 		return answers[T]{}, err
 	}
-	var mu sync.Mutex // guards all
-	all := answers[T]{byAddr: map[string]T{}, silent: map[string]error{}}
+	var mu sync.Mutex // protects all
+	all := answers[T]{byAddr: map[string]T{}, errors: map[string]error{}}
 	var calls sync.WaitGroup
 	for _, m := range state.Members {
 		calls.Go(func() {
@@ -82,7 +82,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				all.silent[m.HTTPAddr] = err
+				all.errors[m.HTTPAddr] = err
 			} else {
 				all.byAddr[m.HTTPAddr] = got
 			}
@@ -92,16 +92,16 @@
 	return all, nil
 }
 
-// reportSilent names the members that gave no answer.
-func (a answers[T]) reportSilent() {
-	for _, addr := range sortedKeys(a.silent) {
-		_, _ = fmt.Fprintf(os.Stderr, "silent: %s: %v\n", addr, a.silent[addr])
+// reportErrors prints the errors of the members that did not answer.
+func (a answers[T]) reportErrors() {
+	for _, addr := range sortedKeys(a.errors) {
+		_, _ = fmt.Fprintf(os.Stderr, "no answer from %s: %v\n", addr, a.errors[addr])
 	}
 }
 
 func sortedKeys[T any](m map[string]T) []string { return slices.Sorted(maps.Keys(m)) }
 
-// show prints an answer as JSON as it is, or as a table.
+// show prints an answer, either as unmodified JSON or as a table.
 func (s *shell) show(answer any, t table) int {
 	if s.asJSON {
 		return s.showJSON(answer)
--- a/cmd/mulleinmast/main.go
+++ b/cmd/mulleinmast/main.go
@@ -18,14 +18,14 @@
 	"mulleinmast/traffic/nativeapi"
 )
 
-// Exit codes, as the usage text names them.
+// Exit codes, as listed in the usage text.
 const (
 	exitStopped    = 0
 	exitFailed     = 1
 	exitBadConfig  = 2
 	exitBadFolder  = 3
 	exitBadAddress = 4
-	exitSuperseded = 5 // started again the daemon begins empty
+	exitSuperseded = 5 // a restarted daemon begins with empty state
 )
 
 func main() { os.Exit(run()) }
@@ -64,15 +64,16 @@
 	return exitStopped
 }
 
-// settings are the daemon's configuration and where it came from.
+// settings are the daemon's configuration and its source.
 type settings struct {
 	daemon.Config
 	platform   platform.Settings
-	onPlatform bool // the platform's settings file is named
-	verbose    bool // every entry of the event log is written out
+	onPlatform bool // the environment names the platform's settings file
+	verbose    bool // print every entry of the event log
 }
 
-// readSettings reads the platform's settings where it names them, else the flags.
+// readSettings reads the platform's settings file if the environment names one, and
+// the flags otherwise.
 func readSettings(args []string) (s settings, err error) {
 	s.platform, s.onPlatform, err = platform.Boot(os.Getenv)
 	if !s.onPlatform {
@@ -83,19 +84,20 @@
 		return s, err
 	}
 	s.Config = s.platform.Config()
-	s.TestSwitches = slices.Contains(args, "-test-switches") // never so on the platform
+	s.TestSwitches = slices.Contains(args, "-test-switches") // for tests only, never given by the real platform
 	s.verbose = slices.Contains(args, "-say")
 	return s, nil
 }
 
-// process is the daemon with what serves clients.
+// process is the daemon with its client-facing API and platform integration.
 type process struct {
 	daemon *daemon.Daemon
 	api    *nativeapi.API
 	host   *platform.Host // nil outside the platform
 }
 
-// start opens the daemon and hooks the drivers in. Nothing runs yet.
+// start opens the daemon and attaches the native API and, on the platform, the host
+// integration. The daemon itself does not run yet.
 func start(ctx context.Context, s settings) (*process, error) {
 	limitResources(s.Config)
 	events := eventlog.New(s.EventLogSize, os.Stderr)
@@ -116,7 +118,7 @@
 	return p, nil
 }
 
-// limitResources keeps the process within its share of the machine.
+// limitResources applies the configured limits on cores and memory.
 func limitResources(cfg daemon.Config) {
 	if cfg.Cores > 0 {
 		runtime.GOMAXPROCS(cfg.Cores)
@@ -126,15 +128,15 @@
 	}
 }
 
-// stopWhenAsked waits until the process is to end and finishes what is under way; a
-// second interrupt cuts that short.
+// stopWhenAsked waits for a reason to stop, then shuts down gracefully. A second
+// interrupt ends the shutdown early.
 func (p *process) stopWhenAsked(ctx context.Context, signals *signals) {
 	p.awaitStop(signals)
-	ctx, cut := context.WithCancel(ctx)
-	defer cut()
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
 	go func() {
-		<-signals.hurry
-		cut()
+		<-signals.abort
+		cancel()
 	}()
 	if p.host != nil {
 		p.host.Stop(ctx)
@@ -143,8 +145,8 @@
 	}
 }
 
-// awaitStop returns when the process is to end; until then it has the settings read
-// anew when they have changed.
+// awaitStop returns when a signal arrives or the daemon is superseded. Until then it
+// reloads the platform's settings on request.
 func (p *process) awaitStop(signals *signals) {
 	for {
 		select {
@@ -160,8 +162,9 @@
 	}
 }
 
-// finishRequests takes requests until those who check have seen that the daemon is
-// not ready, and waits for the streams that have begun.
+// finishRequests keeps accepting requests until the readiness checks have seen that
+// the daemon is not ready, then waits for the open streams and hands over its
+// replicas. It gives up after the recovery bound.
 func (p *process) finishRequests(ctx context.Context) {
 	d := p.daemon
 	d.Leave()
@@ -183,7 +186,7 @@
 	}
 }
 
-// exitCode is that of a daemon that couldn't start.
+// exitCode returns the exit code for an error of the daemon's start.
 func exitCode(err error) int {
 	switch {
 	case storage.Error.Has(err):
--- a/cmd/mulleinmast/metrics_test.go
+++ b/cmd/mulleinmast/metrics_test.go
@@ -16,31 +16,31 @@
 )
 
 var (
-	measured = regexp.MustCompile(` \S+$`)
-	address  = regexp.MustCompile(`\d+\.\d+\.\d+\.\d+:\d+`)
+	metricValue = regexp.MustCompile(` \S+$`)
+	address     = regexp.MustCompile(`\d+\.\d+\.\d+\.\d+:\d+`)
 )
 
-// The whole daemon's metrics keep their names and labels, and the names of the
-// invariants that stand among the labels.
+// The names and labels of all metrics of the daemon are stable, including the names
+// of invariants that occur as label values. GOLDEN=write rewrites the expected list.
 func TestMetricsKeepTheirNames(t *testing.T) {
 	cfg := daemon.Default()
 	cfg.WireAddr, cfg.HTTPAddr = "127.0.0.1:0", "127.0.0.1:0"
-	c, err := daemon.Open(cfg, eventlog.New(64, io.Discard))
+	d, err := daemon.Open(cfg, eventlog.New(64, io.Discard))
 	if err != nil {
 		t.Fatal(err)
 	}
-	nativeapi.New(t.Context(), c)
+	nativeapi.New(t.Context(), d)
 	local := "127.0.0.1:0"
 	settings := platform.Settings{Listen: platform.Listen{Public: local, Readiness: local, Control: local}}
-	if _, err := platform.Start(settings, c, nil); err != nil {
+	if _, err := platform.Start(settings, d, nil); err != nil {
 		t.Fatal(err)
 	}
 	written := httptest.NewRecorder()
-	c.Mux.ServeHTTP(written, httptest.NewRequestWithContext(t.Context(), "GET", "/metrics", nil))
-	names := c.Metrics.ListMetricNames() // with those that have no value yet
+	d.Mux.ServeHTTP(written, httptest.NewRequestWithContext(t.Context(), "GET", "/metrics", nil))
+	names := d.Metrics.ListMetricNames() // includes metrics without a value
 	for line := range strings.Lines(written.Body.String()) {
 		if strings.HasPrefix(line, "mulleinmast_") {
-			names = append(names, measured.ReplaceAllString(strings.TrimSpace(line), ""))
+			names = append(names, metricValue.ReplaceAllString(strings.TrimSpace(line), ""))
 		}
 	}
 	for i, name := range names {
@@ -56,6 +56,6 @@
 	}
 	want, err := os.ReadFile(path)
 	if err != nil || got != string(want) {
-		t.Errorf("%v: the daemon's metrics are\n%s", err, got)
+		t.Errorf("metrics differ from %s (%v), got\n%s", path, err, got)
 	}
 }
--- a/cmd/mulleinmast/signals.go
+++ b/cmd/mulleinmast/signals.go
@@ -6,51 +6,52 @@
 	"syscall"
 )
 
-// signals are what the process was asked to do, from its first step to its last.
+// signals turns the signals that the process receives into channel events, from start
+// to exit.
 type signals struct {
-	reload chan struct{} // the settings have changed
-	stop   chan struct{} // closed by the first signal to end; the same signal again changes nothing
-	hurry  chan struct{} // closed when somebody at a terminal interrupts once more
+	reload chan struct{} // receives a value when the settings have changed
+	stop   chan struct{} // closed by the first SIGTERM or SIGINT; a repeated SIGTERM has no effect
+	abort  chan struct{} // closed by a SIGINT after stop, such as a second Ctrl-C
 }
 
-// catchSignals takes all signals that mean something from now on. It comes before
-// anything that may take time: without it SIGHUP ends a process.
+// catchSignals starts to handle SIGTERM, SIGINT and SIGHUP. It must run before anything
+// that takes time, because an unhandled SIGHUP ends the process.
 func catchSignals() *signals {
-	s := &signals{reload: make(chan struct{}, 1), stop: make(chan struct{}), hurry: make(chan struct{})}
+	s := &signals{reload: make(chan struct{}, 1), stop: make(chan struct{}), abort: make(chan struct{})}
 	received := make(chan os.Signal, 8)
 	signal.Notify(received, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
-	go s.run(received)
+	go s.dispatch(received)
 	return s
 }
 
-// run passes the signals on.
-func (s *signals) run(received <-chan os.Signal) {
-	stopping, hurrying := false, false
+// dispatch maps the received signals to the channels.
+func (s *signals) dispatch(received <-chan os.Signal) {
+	stopping, aborting := false, false
 	for sig := range received {
 		switch {
 		case sig == syscall.SIGHUP:
 			select {
 			case s.reload <- struct{}{}:
-			default: // one reload does for several
+			default: // a pending reload covers this one
 			}
 		case !stopping:
 			stopping = true
 			close(s.stop)
-		case sig == syscall.SIGINT && !hurrying:
-			hurrying = true
-			close(s.hurry)
+		case sig == syscall.SIGINT && !aborting:
+			aborting = true
+			close(s.abort)
 		}
 	}
 }
 
-// exitDuringStart ends the process if it is asked to before it has started:
-// nothing is under way, and what is on disk is as after a kill.
+// exitDuringStart exits at once if a stop is requested before the daemon has started:
+// no requests are in progress, and the data on disk is as consistent as after a kill.
 func (s *signals) exitDuringStart(started <-chan struct{}) {
 	select {
 	case <-started:
 	case <-s.stop:
 		select {
-		case <-started: // both: it stops in order
+		case <-started: // both happened: shut down gracefully
 		default:
 			os.Exit(exitStopped)
 		}
--- a/names_test.go
+++ b/names_test.go
@@ -22,7 +22,7 @@
 }
 
 // mayUsePlatformNames lists the folders and files that may contain the platform's
-// names. The source of the hollow fleets replaces the platform's server list.
+// names. The source of the hollow fleets serves a server list in the platform's format.
 var mayUsePlatformNames = []string{"platform/", "proof/standin/", "proof/hollow/source.go", "docs/", "journal/", "deploy/", "names_test.go"}
 
 func TestPlatformNamesStayInPlatformCode(t *testing.T) {
