--- a/boundary_test.go
+++ b/boundary_test.go
@@ -72,7 +72,7 @@
 		{"control/leader", "control/lease", false},
 	} {
 		if got := forbidden(c.pkg, c.imported); got != c.want {
-			t.Errorf("forbidden(%s, %s) = %v, want %v", c.pkg, c.imported, got, c.want)
+			t.Errorf("%s importing %s: forbidden returned %v", c.pkg, c.imported, got)
 		}
 	}
 	layers := map[string]bool{}
--- a/cmd/daygen/draw.go
+++ b/cmd/daygen/draw.go
@@ -58,7 +58,7 @@
 	request  Request
 	random   *rand.Rand
 	day      *Day
-	nextLoss float64 // when the next loss may begin
+	nextLoss float64 // earliest time of the next loss
 }
 
 // Draw draws a day with kinds from the table. Entries that lose counted machines or
--- a/cmd/fakeserver/main.go
+++ b/cmd/fakeserver/main.go
@@ -17,7 +17,7 @@
 	c := fakeserver.Config{}
 	flag.StringVar(&c.Addr, "addr", "127.0.0.1:9000", "`ip:port` to listen on")
 	flag.StringVar(&c.Zone, "zone", "zone-1", "`name` of the server's zone")
-	flag.IntVar(&c.Capacity, "capacity", 8, "number of slots")
+	flag.IntVar(&c.Capacity, "capacity", 8, "slots")
 	flag.DurationVar(&c.Char, "char", 20*time.Microsecond, "prefill `time` per character")
 	flag.DurationVar(&c.Token, "token", 5*time.Millisecond, "decode `time` per piece of output")
 	flag.DurationVar(&c.Keep, "keep", 20*time.Second, "`time` that a KV handle is valid")
--- a/cmd/fleetlab/fleet.go
+++ b/cmd/fleetlab/fleet.go
@@ -32,7 +32,7 @@
 	layout   *string
 	dir      *string
 	port     *int     // first port
-	rate     *float64 // requests a second
+	rate     *float64 // requests per second
 	length   *time.Duration
 	scenario *string
 	hold     *bool
@@ -45,7 +45,7 @@
 		layout:   flag.String("layout", "rangsit", "rangsit or pat"),
 		dir:      flag.String("dir", "", "`folder` for data, logs and journals (default: a new temporary folder)"),
 		port:     flag.Int("port", 20000, "first port; the wire, web and server ports use the 300 from there"),
-		rate:     flag.Float64("rate", 40, "requests a second"),
+		rate:     flag.Float64("rate", 40, "requests per second"),
 		length:   flag.Duration("for", 15*time.Second, "length of the load"),
 		scenario: flag.String("scenario", "calm", "scenario to run under load; 'list' lists them"),
 		hold:     flag.Bool("hold", false, "start the fleet, send the plan and servers, and keep it running until interrupted"),
--- a/cmd/fleetlab/soak.go
+++ b/cmd/fleetlab/soak.go
@@ -42,7 +42,7 @@
 	f.DurationVar(&o.config.Between, "between", 900*time.Millisecond, "average time between two faults")
 	only := f.String("only", "", "inject only faults whose names begin with one of these `prefixes`, separated by commas")
 	f.StringVar(&o.config.Old, "old", "", "`path` of another build's mulleinmast, used for every other start of a machine")
-	f.Float64Var(&o.config.Rate, "rate", 40, "requests a second")
+	f.Float64Var(&o.config.Rate, "rate", 40, "requests per second")
 	customers := f.Bool("customers", false, "clients use API keys of tenants that have limits")
 	f.Float64Var(&o.config.Pace, "pace", 1, "factor for the time limits of the rules")
 	if err := f.Parse(args); err != nil {
--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -23,7 +23,7 @@
 	flag.Float64Var(&c.Rate, "rate", 20, "requests per second")
 	flag.DurationVar(&c.For, "for", 10*time.Second, "duration of the load")
 	flag.IntVar(&c.Most, "most", 100000, "maximum number of requests")
-	flag.Int64Var(&c.Seed, "seed", 1, "random seed")
+	flag.Int64Var(&c.Seed, "seed", 1, "seed")
 	flag.DurationVar(&c.Timeout, "timeout", 10*time.Second, "timeout of a request")
 	flag.Float64Var(&c.Once, "once", 0.3, "fraction of the requests with an idempotency (once) key")
 	flag.BoolVar(&c.Again, "again", false, "send each request with a once key to a second daemon as well")
--- a/cmd/mulleinctl/queries_test.go
+++ b/cmd/mulleinctl/queries_test.go
@@ -69,6 +69,6 @@
 	}
 	want, err := os.ReadFile(path)
 	if err != nil || all.String() != string(want) {
-		t.Errorf("output differs from %s (%v), got\n%s", path, err, all.String())
+		t.Errorf("output differs from the golden file (read error: %v), got\n%s", err, all.String())
 	}
 }
--- a/cmd/mulleinmast/metrics_test.go
+++ b/cmd/mulleinmast/metrics_test.go
@@ -56,6 +56,6 @@
 	}
 	want, err := os.ReadFile(path)
 	if err != nil || got != string(want) {
-		t.Errorf("metrics differ from %s (%v), got\n%s", path, err, got)
+		t.Errorf("metrics differ from the golden file (read error: %v), got\n%s", err, got)
 	}
 }
--- a/deploy_test.go
+++ b/deploy_test.go
@@ -53,7 +53,7 @@
 
 // runCI runs the real .ci/run with the real deploy file and the stubs. It returns
 // the packages passed to apt-get install and whether the tests were started.
-func runCI(t *testing.T, installed string) (installs []string, tested bool) {
+func runCI(t *testing.T, installed string) (requested []string, tested bool) {
 	t.Helper()
 	dir := t.TempDir()
 	files := map[string]string{}
@@ -95,23 +95,23 @@
 		}
 		for _, word := range words[1:] {
 			if !strings.HasPrefix(word, "-") {
-				installs = append(installs, word)
+				requested = append(requested, word)
 			}
 		}
 	}
 	_, err = os.Stat(filepath.Join(dir, "test.log"))
-	return installs, err == nil
+	return requested, err == nil
 }
 
 func TestCIInstallsExactlyListedPackages(t *testing.T) {
 	listed := deployPackages(t)
-	if installs, tested := runCI(t, ""); !slices.Equal(installs, listed) || !tested {
-		t.Errorf("no package present: installed %v, want %v; tests started: %v", installs, listed, tested)
+	if requested, tested := runCI(t, ""); !slices.Equal(requested, listed) || !tested {
+		t.Errorf("no package present: installed %v, want %v; tests started: %v", requested, listed, tested)
 	}
-	if installs, tested := runCI(t, strings.Join(listed[1:], " ")); !slices.Equal(installs, listed[:1]) || !tested {
-		t.Errorf("one package missing: installed %v, want %v; tests started: %v", installs, listed[:1], tested)
+	if requested, tested := runCI(t, strings.Join(listed[1:], " ")); !slices.Equal(requested, listed[:1]) || !tested {
+		t.Errorf("one package missing: installed %v, want %v; tests started: %v", requested, listed[:1], tested)
 	}
-	if installs, tested := runCI(t, strings.Join(listed, " ")); len(installs) > 0 || !tested {
-		t.Errorf("all packages present: installed %v, want none; tests started: %v", installs, tested)
+	if requested, tested := runCI(t, strings.Join(listed, " ")); len(requested) > 0 || !tested {
+		t.Errorf("all packages present: installed %v, want none; tests started: %v", requested, tested)
 	}
 }
--- a/proof/knownred/knownred_test.go
+++ b/proof/knownred/knownred_test.go
@@ -113,7 +113,7 @@
 			t.Parallel()
 			out, pass := runFixture(t, c.list, c.own, c.other)
 			if pass != c.pass {
-				t.Errorf("run passed: %v, want %v", pass, c.pass)
+				t.Errorf("unexpected outcome: passed = %v", pass)
 			}
 			for _, line := range c.wantLines {
 				if !strings.Contains(out, line) {
--- a/vocabulary_test.go
+++ b/vocabulary_test.go
@@ -156,12 +156,12 @@
 		"an answer":                     0,
 	} {
 		if got := withdrawnWords(text); len(got) != want {
-			t.Errorf("%q: found %v, want %d words", text, got, want)
+			t.Errorf("%q: found the wrong number of words: %v", text, got)
 		}
 	}
 	for text, want := range map[string]int{`results are "shed" and others`: 0, `results are shed`: 1, `budget_ms: 0`: 0, `the budget`: 1} {
 		if got := withdrawnWords(withoutKept(text)); len(got) != want {
-			t.Errorf("%q without kept texts: found %v, want %d words", text, got, want)
+			t.Errorf("%q without kept texts: found the wrong number of words: %v", text, got)
 		}
 	}
 }
