--- a/cmd/daygen/draw.go
+++ b/cmd/daygen/draw.go
@@ -126,12 +126,12 @@
 			rest = append(rest, k)
 			continue
 		}
-		t := d.drawEntry(k)
-		t.At = rounded(d.nextLoss)
+		e := d.drawEntry(k)
+		e.At = rounded(d.nextLoss)
 		catchUp := d.site.Timing.CatchUpS * (1 + catchUpSpread*d.random.Float64())
-		d.nextLoss += d.lossSeconds(k, t) + catchUp + lossGap
+		d.nextLoss += d.lossSeconds(k, e) + catchUp + lossGap
 		d.day.Losses++
-		d.add(k, t)
+		d.add(k, e)
 	}
 	d.day.Seconds = d.request.Seconds
 	need := math.Ceil(d.nextLoss + quietEnd)
@@ -144,9 +144,9 @@
 			d.day.Losses, d.site.Timing.CatchUpS, need, d.day.Seconds)
 	}
 	for _, k := range rest {
-		t := d.drawEntry(k)
-		t.At = d.randomTime(0)
-		d.add(k, t)
+		e := d.drawEntry(k)
+		e.At = d.randomTime(0)
+		d.add(k, e)
 	}
 	return nil
 }
@@ -167,17 +167,17 @@
 	}
 	for left := d.request.Changes; left > 0; {
 		k := stormKinds[d.random.IntN(len(stormKinds))]
-		t := d.drawEntry(k)
+		e := d.drawEntry(k)
 		size := min(left, 1+d.random.IntN(int(maxStormSize)))
 		gap, _ := k.GapS.draw(d.random)
 		gap = min(gap, (d.day.Seconds-quietStart-quietEnd)/maxStormSize)
-		t.GapS = pointerTo(math.Max(rounded(gap), 1/placesFactor))
-		t.Count = pointerTo(float64(size))
-		t.ForS = nil
-		t.At = d.randomTime(float64(size) * *t.GapS)
+		e.GapS = pointerTo(math.Max(rounded(gap), 1/placesFactor))
+		e.Count = pointerTo(float64(size))
+		e.ForS = nil
+		e.At = d.randomTime(float64(size) * *e.GapS)
 		left -= size
 		d.day.StormChanges += size
-		d.add(k, t)
+		d.add(k, e)
 	}
 	return nil
 }
@@ -223,10 +223,10 @@
 }
 
 // lossSeconds returns how long the machines of a loss are unavailable.
-func (d *dayBuilder) lossSeconds(k Kind, t Entry) float64 {
+func (d *dayBuilder) lossSeconds(k Kind, e Entry) float64 {
 	seconds := k.LastsS
-	if t.ForS != nil {
-		seconds = max(seconds, *t.ForS)
+	if e.ForS != nil {
+		seconds = max(seconds, *e.ForS)
 	}
 	if seconds == 0 {
 		return defaultLossSeconds
@@ -235,11 +235,11 @@
 }
 
 // add appends an entry to the day's plan or faults, depending on its kind.
-func (d *dayBuilder) add(k Kind, t Entry) {
+func (d *dayBuilder) add(k Kind, e Entry) {
 	if k.Planned {
-		d.day.Plan = append(d.day.Plan, t)
+		d.day.Plan = append(d.day.Plan, e)
 	} else {
-		d.day.Faults = append(d.day.Faults, t)
+		d.day.Faults = append(d.day.Faults, e)
 	}
 }
 
--- a/cmd/daygen/site.go
+++ b/cmd/daygen/site.go
@@ -76,8 +76,8 @@
 func (s Site) Table() Table {
 	planned := map[string]bool{}
 	for _, d := range s.Days {
-		for _, t := range d.Plan {
-			planned[t.Kind] = true
+		for _, e := range d.Plan {
+			planned[e.Kind] = true
 		}
 	}
 	var t Table
@@ -105,8 +105,8 @@
 }
 
 // isStorm reports whether an entry only makes changes at intervals of gap_s for for_s.
-func (t Entry) isStorm() bool {
-	return t.GapS != nil && t.ForS != nil && t.Share == nil && t.X == nil
+func (e Entry) isStorm() bool {
+	return e.GapS != nil && e.ForS != nil && e.Share == nil && e.X == nil
 }
 
 // listOf returns a list of one word, or nil for "".
--- a/cmd/daygen/write.go
+++ b/cmd/daygen/write.go
@@ -35,8 +35,8 @@
 		entries []Entry
 	}{{"plan", d.Plan}, {"faults", d.Faults}} {
 		line("%s = [", list.name)
-		for _, t := range list.entries {
-			line("  %s,", t)
+		for _, e := range list.entries {
+			line("  %s,", e)
 		}
 		line("]")
 	}
@@ -44,19 +44,19 @@
 }
 
 // String returns the entry as a TOML inline table.
-func (t Entry) String() string {
+func (e Entry) String() string {
 	var b strings.Builder
-	_, _ = fmt.Fprintf(&b, "{ at = %s, kind = %s", formatNumber(t.At), quote(t.Kind))
+	_, _ = fmt.Fprintf(&b, "{ at = %s, kind = %s", formatNumber(e.At), quote(e.Kind))
 	for _, f := range []struct {
 		name  string
 		value *float64
-	}{{"share", t.Share}, {"count", t.Count}, {"x", t.X}, {"for_s", t.ForS}, {"gap_s", t.GapS}} {
+	}{{"share", e.Share}, {"count", e.Count}, {"x", e.X}, {"for_s", e.ForS}, {"gap_s", e.GapS}} {
 		if f.value != nil {
 			_, _ = fmt.Fprintf(&b, ", %s = %s", f.name, formatNumber(*f.value))
 		}
 	}
 	for _, f := range []struct{ name, value string }{
-		{"on", t.On}, {"service", t.Service}, {"class", t.Class}, {"how", t.How},
+		{"on", e.On}, {"service", e.Service}, {"class", e.Class}, {"how", e.How},
 	} {
 		if f.value != "" {
 			_, _ = fmt.Fprintf(&b, ", %s = %s", f.name, quote(f.value))
