--- a/proof/standin/mutants/answers.sh
+++ b/proof/standin/mutants/answers.sh
@@ -6,7 +6,7 @@
 cd "$(dirname "$0")/../../.."
 source proof/standin/mutants/unit.sh
 
-exchange=platform/exchange.go spoilt=TestOneMessageOfAnAnswerSpoilt
+exchange=platform/exchange.go spoilt=TestCorruptedServerAnswers
 mutant doubt-reused platform $spoilt $exchange 'reusable: clean && s.isComplete()' 'reusable: (clean || !clean) && s.isComplete()'
 mutant bytes-behind platform $spoilt platform/conn.go 'c.reader.Buffered() > 0' 'c.reader.Buffered() < 0'
 mutant any-id platform $spoilt $exchange 'len(got) == 1 && got[0] == id' 'len(got) >= 1'
@@ -17,14 +17,14 @@
 mutant whole-when-reset platform $spoilt platform/answer.go 'a.complete = err == io.EOF
 	return nil, "", err' 'a.complete = err == io.EOF
 	return nil, "", io.EOF'
-mutant id-twice platform TestAnAnswerToAnEarlierSendOfTheSameRequest platform/conn.go ' && !c.hasCarried(n.notCarried)' ''
-mutant shared-order platform TestAnOrderTakesNoOtherAnswer platform/order.go 'connRequirements{dedicated: true}' 'connRequirements{}'
-mutant forgets-again platform TestAServerThatForgetsIdleConnections $exchange 'if c.used && ctx.Err() == nil' 'if c.used && ctx.Err() != nil'
-mutant held-by-its-body platform TestAnAnswerBeforeTheBodyIsRead $exchange 'if len(b) <= maxInlineRequest {
+mutant id-twice platform TestDuplicateAnswerToAnEarlierCallIsNotUsed platform/conn.go ' && !c.hasCarried(n.notCarried)' ''
+mutant shared-order platform TestOrderUsesADedicatedConnection platform/order.go 'connRequirements{dedicated: true}' 'connRequirements{}'
+mutant forgets-again platform TestConnectionsToEarlyClosersAreReusedOnlyBriefly $exchange 'if c.used && ctx.Err() == nil' 'if c.used && ctx.Err() != nil'
+mutant held-by-its-body platform TestAnswerBeforeTheRequestIsRead $exchange 'if len(b) <= maxInlineRequest {
 		write()' 'if len(b) > 0 {
 		write()'
-mutant clients-stage platform TestHeadersThatClientsMayNotSet platform/names.go '[]string{hdrStage, hdrPromptMemory,' '[]string{hdrPromptMemory,'
-mutant hop-by-hop platform TestHeadersThatClientsMayNotSet platform/engine.go '!strings.HasPrefix(k, headerPrefix)' 'k != headerPrefix'
+mutant clients-stage platform TestSystemHeadersOfClientsAreNotForwarded platform/names.go '[]string{hdrStage, hdrPromptMemory,' '[]string{hdrPromptMemory,'
+mutant hop-by-hop platform TestSystemHeadersOfClientsAreNotForwarded platform/engine.go '!strings.HasPrefix(k, headerPrefix)' 'k != headerPrefix'
 mutant same-numbers control/leadercall TestAnswersToAnEarlierIncarnationEndNothing control/leadercall/leadercall.go 'lastID: epoch << epochBits' 'lastID: 0 * epoch'
 mutant anybodys-response control/leadercall TestAnswersToAnEarlierIncarnationEndNothing control/leadercall/leadercall.go ' || from != answered.to' ''
 mutant earlier-promise control/quorum TestVotesForAnEarlierIncarnationDoNotCount control/quorum/candidate.go 'grant.CandidateEpoch != 0 && grant.CandidateEpoch != r.epochs[r.self.Ident]' 'false'
--- a/proof/standin/mutants/rules.sh
+++ b/proof/standin/mutants/rules.sh
@@ -9,7 +9,7 @@
 guard=control/quorum/incarnation.go patches=control/lease/patches.go
 # rules of the users that no other script breaks
 mutant tries-unbounded traffic/forward TestNoMoreServersThanTries traffic/forward/request.go 'r.countedSends >= r.maxAttempts() ||' 'r.countedSends >= 9+r.maxAttempts() ||'
-mutant whole-time platform TestAServerIsHandedTheTimeThatIsLeft platform/exchange.go 'max(1, (call.deadline-e.now()).Milliseconds())' '3600000'
+mutant whole-time platform TestServerGetsTheRemainingTime platform/exchange.go 'max(1, (call.deadline-sc.now()).Milliseconds())' '3600000'
 mutant goes-on-for-nobody traffic/gateway TestAClientThatIsGone traffic/gateway/execute.go 'm, ctx.Err() != nil || has.clientGone)' 'm, has.clientGone)'
 mutant past-give-up traffic/gateway TestARequestIsGivenUpWhenItsRouteSaysSo traffic/gateway/gateway.go 'arrivedAt + time.Duration(r.GiveUpMillis)*time.Millisecond' 'arrivedAt + time.Hour'
 mutant weights-passed-over traffic/route TestPickFollowsTheWeights traffic/route/route.go 'if at < s.Weight {' 'if at < 50*s.Weight {'
@@ -29,9 +29,9 @@
 	c.orders.since' '	c.orders.since'
 mutant token-for-many-runs traffic/gateway TestEachRunTakesAToken traffic/gateway/limit.go 'func (p *permit) use() { p.until = 0 }' 'func (p *permit) use() {}'
 mutant lapsed-token-runs traffic/gateway TestATokenThatLapsedIsTakenAnew traffic/gateway/limit.go 'return now < p.until' 'return p.until > 0'
-mutant key-is-shown platform TestEveryCallNamesTheTenant platform/names.go 'hdrTenant, hdrKey,' 'hdrTenant,'
-mutant tenant-is-believed platform TestARequestReachesTheServerAsItWasSent platform/names.go 'hdrTenant, hdrKey,' 'hdrKey,'
-mutant prompt-without-tenant platform TestEveryCallNamesTheTenant platform/engine.go 'if c.Tenant != "" {' 'if c.Tenant != "" && decision.Handle != nil {'
+mutant key-is-shown platform TestServerCallsNameTheTenant platform/names.go 'hdrTenant, hdrKey,' 'hdrTenant,'
+mutant tenant-is-believed platform TestRequestsAreForwardedUnchanged platform/names.go 'hdrTenant, hdrKey,' 'hdrKey,'
+mutant prompt-without-tenant platform TestServerCallsNameTheTenant platform/engine.go 'if c.Tenant != "" {' 'if c.Tenant != "" && decision.Handle != nil {'
 mutant unknown-key-is-served traffic/gateway TestWhoIsAdmitted traffic/gateway/admit.go 'case a.tenant != nil || route.Public || !p.tenants.Required():' 'case a.tenant != nil || route.Public || q.Key != "":'
 mutant key-outlives-its-tenant traffic/gateway TestAKeyThatIsTakenAwayMeanwhile traffic/gateway/admit.go 'return tenant != nil && tenant.Name == a.tenant.Name' 'return tenant != nil'
 mutant key-of-two-tenants control/fleetconfig TestFaultsNameNoKey control/fleetconfig/keys.go 'ok && first != i {' 'ok && first == i {'
