--- a/proof/standin/rules/answers.go
+++ b/proof/standin/rules/answers.go
@@ -6,7 +6,7 @@
 	"mulleinmast/proof/standin/record"
 )
 
-// checkAnswers: a success is the server's whole success to that request, sealed.
+// checkAnswers checks that each successful answer is the complete, sealed answer of a server to that very request.
 func checkAnswers(v *view, report reporter) {
 	for _, t := range v.Tries {
 		a := v.seals[t.Seal]
@@ -14,37 +14,38 @@
 		case t.Fault != "":
 			report("%s got %s", t.ID, t.Fault)
 		case t.Seal != "" && a == nil:
-			report("%s got the seal %q, which no server gave", t.ID, t.Seal)
+			report("%s got the seal %q, which no server issued", t.ID, t.Seal)
 		case t.Seal != "" && a.Attempt != t.ID:
 			report("%s got the answer to %s", t.ID, a.Attempt)
 		case t.Echo != "" && t.Echo != t.ID:
-			report("%s got an answer that names %s", t.ID, t.Echo)
+			report("%s got an answer that carries the id of %s", t.ID, t.Echo)
 		case t.Status/100 != 2:
 		case t.Coded:
-			report("%s got a body in an encoding that it didn't ask for", t.ID)
+			report("%s got a body with a Content-Encoding that it did not request", t.ID)
 		case !t.Complete:
 		case t.Seal == "":
 			report("%s got a success without a seal", t.ID)
 		case a.Status/100 != 2:
-			report("%s got a success where its server said %d", t.ID, a.Status)
+			report("%s got a success, but its server answered %d", t.ID, a.Status)
 		case t.Pieces == nil && (!a.Whole || t.Length != a.Length || t.Digest != a.Digest):
-			report("%s got %d bytes that are not its server's whole body (%d bytes, whole %v)",
+			report("%s got %d bytes that differ from its server's body (%d bytes, complete: %v)",
 				t.ID, t.Length, a.Length, a.Whole)
 		}
 	}
 }
 
-// checkHandles: no request is carried on from another's handle.
+// checkHandles checks that no request is decoded from the prompt handle of another request.
 func checkHandles(v *view, report reporter) {
 	for _, a := range v.Arrivals {
 		if a.Out == record.Ran && a.HandleOf != "" && a.HandleOf != a.Attempt {
-			report("%s was carried on at %s from the handle of %s", a.Attempt, a.Server, a.HandleOf)
+			report("%s was decoded at %s from the handle of %s", a.Attempt, a.Server, a.HandleOf)
 		}
 	}
 }
 
-// checkStreams: a stream has every piece once, of one run or of one that goes on where
-// the last ended, and looks complete only with its last piece.
+// checkStreams checks that a stream has every event exactly once, from one run or from
+// runs that each resume after the last event of the one before, and that it ends as a
+// complete response only after its last event.
 func checkStreams(v *view, report reporter) {
 	for _, t := range v.Tries {
 		if len(t.Pieces) == 0 {
@@ -56,26 +57,26 @@
 			case p.ID != last.ID+1:
 				report("%s got event %d after %d", t.ID, p.ID, last.ID)
 			case i == 0 && v.seals[t.Seal] != nil && v.seals[t.Seal].Run != p.Run:
-				report("%s begins with run %s under the seal of %s", t.ID, p.Run, v.seals[t.Seal].Run)
-			case i > 0 && p.Run != last.Run && !v.continues(t, last, p.Run):
-				report("%s goes on with run %s after event %d of %s", t.ID, p.Run, last.ID, last.Run)
+				report("%s begins with an event of run %s, but has the seal of run %s", t.ID, p.Run, v.seals[t.Seal].Run)
+			case i > 0 && p.Run != last.Run && !v.isResumedAfter(t, last, p.Run):
+				report("%s continues with run %s after event %d of run %s, not resumed there", t.ID, p.Run, last.ID, last.Run)
 			}
 			last = p
 		}
 		if t.Complete && !t.Last {
-			report("%s looks complete after event %d, which is not the last", t.ID, last.ID)
+			report("%s ended as a complete response after event %d, which is not the last", t.ID, last.ID)
 		}
 	}
 }
 
-// continues reports whether a run was asked to go on after a piece.
-func (v *view) continues(t *record.Try, after record.Piece, run string) bool {
+// isResumedAfter reports whether a run of a try was asked to resume after an event.
+func (v *view) isResumedAfter(t *record.Try, after record.Piece, run string) bool {
 	return v.routes[t.Route].Resume && slices.ContainsFunc(v.arrivals[t.ID], func(a *record.Arrival) bool {
 		return a.Run == run && a.After == after.ID
 	})
 }
 
-// checkAsSent: servers work at what clients sent, as they sent it.
+// checkAsSent checks that servers process only requests that clients sent, unmodified.
 func checkAsSent(v *view, report reporter) {
 	for _, a := range v.Arrivals {
 		if a.Out != record.Ran && a.Out != record.Read {
@@ -93,7 +94,7 @@
 	}
 }
 
-// runs lists where a try was run.
+// runs returns the arrivals at which a try was run.
 func (v *view) runs(id string) (out []*record.Arrival) {
 	for _, a := range v.arrivals[id] {
 		if a.Out == record.Ran {
@@ -103,7 +104,7 @@
 	return out
 }
 
-// checkRunOnce: what may not be repeated runs once at most.
+// checkRunOnce checks that a request that may not be repeated runs at most once.
 func checkRunOnce(v *view, report reporter) {
 	for _, t := range v.Tries {
 		if runs := v.runs(t.ID); len(runs) > 1 && !v.repeatable(t) {
@@ -112,22 +113,22 @@
 	}
 }
 
-// checkRefusals: a promise is kept.
+// checkRefusals checks that a request whose answer promised that it did not run has not run.
 func checkRefusals(v *view, report reporter) {
 	for _, t := range v.Tries {
 		if runs := v.runs(t.ID); t.Promised() && len(runs) > 0 && !v.repeatable(t) {
-			report("%s was told %d, and ran at %s", t.ID, t.Status, runs[0].Server)
+			report("%s was answered %d, which promises that it did not run, but it ran at %s", t.ID, t.Status, runs[0].Server)
 		}
 	}
 }
 
-// Denials that are allowed: a few, and one in so many requests.
+// Denials that are allowed: deniedSlack, plus one for every deniedPart requests.
 const (
 	deniedSlack = 5
 	deniedPart  = 500
 )
 
-// checkDenials: proper requests are not denied by an answer of the daemons' own.
+// checkDenials checks that the daemons themselves do not answer valid requests with 3xx or 4xx.
 func checkDenials(v *view, report reporter) {
 	all, denied := 0, 0
 	for _, t := range v.Tries {
@@ -136,18 +137,18 @@
 		}
 		all++
 		byDaemon := t.Seal == "" && t.Status/100 >= 3 && t.Status/100 <= 4
-		if byDaemon && !t.Promised() && v.inTouchThroughout(t.Daemon, t.Sent, t.End) && v.isProper(t) {
+		if byDaemon && !t.Promised() && v.inTouchThroughout(t.Daemon, t.Sent, t.End) && v.isRouted(t) {
 			denied++
 		}
 	}
 	if most := deniedSlack + all/deniedPart; denied > most {
-		report("%d of %d proper requests were turned away with a 3xx or 4xx, at most %d may be", denied, all, most)
+		report("%d of %d valid requests were answered with a 3xx or 4xx; the limit is %d", denied, all, most)
 	}
 }
 
-// isProper reports whether every version that may have been in force has a route
+// isRouted reports whether every version that may have been current has a route
 // for a request.
-func (v *view) isProper(t *record.Try) bool {
+func (v *view) isRouted(t *record.Try) bool {
 	known := false
 	for _, x := range v.versions {
 		if !x.mayApply() || x.Sent > t.End {
--- a/proof/standin/rules/config.go
+++ b/proof/standin/rules/config.go
@@ -10,24 +10,24 @@
 	"mulleinmast/proof/standin/wire"
 )
 
-// handled is how a request was handled: run by a service, or told that there is
-// no such route.
+// handled is how a request was handled: run by a service, or answered 404 because no
+// route matched.
 type handled struct {
 	service string // none: 404
 	at      time.Duration
 }
 
-// String says it for a message.
+// String describes it for a message.
 //
 // Example: report("%s was %s", t.ID, h)
 func (h handled) String() string {
 	if h.service == "" {
-		return "told 404"
+		return "answered 404"
 	}
 	return "run by " + h.service
 }
 
-// handling lists what a try shows of the configuration in force.
+// handling returns how a try was handled, which shows the configuration that was applied.
 func (v *view) handling(t *record.Try) (out []handled) {
 	for _, a := range v.arrivals[t.ID] {
 		if a.Out == record.Ran || a.Out == record.Read {
@@ -40,8 +40,8 @@
 	return out
 }
 
-// fits reports whether a version handles a try so.
-func (x version) fits(t *record.Try, h handled) bool {
+// explains reports whether a version would handle a try that way.
+func (x version) explains(t *record.Try, h handled) bool {
 	r, ok := x.config.Match(t.Host, pathOf(t.Target))
 	if h.service == "" {
 		return !ok
@@ -49,8 +49,9 @@
 	return ok && slices.Contains(r.Services(), h.service)
 }
 
-// checkConfigApplied: soon after a version was acknowledged, no machine in touch
-// goes by an older one; what was refused is never in force.
+// checkConfigApplied checks that once the Apply bound has passed after a version was
+// acknowledged, no connected machine uses an older one, and that a refused version is
+// never used.
 func checkConfigApplied(v *view, report reporter) {
 	for _, t := range v.Tries {
 		oldest := v.oldestAllowed(t.Sent)
@@ -62,18 +63,18 @@
 			switch {
 			case allowed:
 			case older > 0 && v.inTouchThroughout(t.Daemon, t.Sent, h.at):
-				report("%s (%s%s) was %s by %s as in version %d, %.2fs after version %d was acknowledged",
+				report("%s (%s%s) was %s by %s according to version %d, %.2fs after version %d was acknowledged",
 					t.ID, t.Host, t.Target, h, t.Daemon, older, seconds(t.Sent-v.ackedAt(oldest)), oldest)
 			case older == 0 && refused > 0:
-				report("%s (%s%s) was %s by %s as in version %d, which was refused",
+				report("%s (%s%s) was %s by %s according to version %d, which was refused",
 					t.ID, t.Host, t.Target, h, t.Daemon, refused)
 			}
 		}
 	}
 }
 
-// oldestAllowed is the newest version that was acknowledged long enough before a
-// moment to be in force everywhere then; -1: none.
+// oldestAllowed returns the newest version that was acknowledged long enough before a
+// moment to be applied everywhere by then, or -1 if there is none.
 func (v *view) oldestAllowed(at time.Duration) int {
 	oldest := -1
 	for _, x := range v.versions {
@@ -84,12 +85,13 @@
 	return oldest
 }
 
-// versionsShown sorts the versions that handle a try so: whether one of them is
-// allowed, and the newest that is older than that or was refused (0: none).
+// versionsShown classifies the versions that would handle a try that way: it reports
+// whether one of them is allowed, and returns the newest one that is too old and the
+// newest one that was refused (0: none).
 func (v *view) versionsShown(t *record.Try, h handled, oldest int) (allowed bool, older, refused int) {
 	for _, x := range v.versions {
-		switch fits := x.fits(t, h); {
-		case !fits || x.Sent > h.at:
+		switch explains := x.explains(t, h); {
+		case !explains || x.Sent > h.at:
 		case !x.mayApply():
 			refused = x.Version
 		case x.Version >= oldest:
@@ -101,7 +103,7 @@
 	return allowed, older, refused
 }
 
-// ackedAt is when a version was acknowledged.
+// ackedAt returns when a version was acknowledged.
 func (v *view) ackedAt(version int) time.Duration {
 	for _, x := range v.versions {
 		if x.Version == version && x.isAcked() {
@@ -117,20 +119,20 @@
 	number int
 }
 
-// sighting is a try that shows which versions were in force at a daemon.
+// sighting is a try that shows which versions a daemon may have been using.
 type sighting struct {
 	handled
 	try            *record.Try
-	oldest, newest int // versions that handle it so
+	oldest, newest int // range of versions that would handle it that way
 }
 
-// checkConfigOrder: within one incarnation no daemon returns to an older version.
+// checkConfigOrder checks that within one incarnation no daemon returns to an older version.
 func checkConfigOrder(v *view, report reporter) {
 	for in, list := range v.sightings() {
 		for _, s := range list {
 			for _, earlier := range list {
 				if earlier.service != "" && s.try.Sent > earlier.at+v.GoBack && s.newest < earlier.oldest {
-					report("%s handled %s as in version %d (%s) after %s had shown version %d",
+					report("%s handled %s according to version %d (%s) after %s had shown version %d",
 						in.daemon, s.try.ID, s.newest, s.handled, earlier.try.ID, earlier.oldest)
 					break
 				}
@@ -139,7 +141,7 @@
 	}
 }
 
-// sightings lists what tries show of the versions in force, in their order.
+// sightings returns what the tries, in order, show of the versions in use, by incarnation.
 func (v *view) sightings() map[incarnation][]sighting {
 	all := map[incarnation][]sighting{}
 	for _, t := range v.Tries {
@@ -147,7 +149,7 @@
 		for _, h := range v.handling(t) {
 			s := sighting{handled: h, try: t, oldest: -1}
 			for _, x := range v.versions {
-				if !x.mayApply() || !x.fits(t, h) {
+				if !x.mayApply() || !x.explains(t, h) {
 					continue
 				}
 				s.newest = x.Version
@@ -163,8 +165,8 @@
 	return all
 }
 
-// checkConfigAccepted: no invalid configuration is acknowledged, and of two on top of the
-// same version one.
+// checkConfigAccepted checks that no invalid configuration is acknowledged, and that only one
+// of several changes based on the same version is.
 func checkConfigAccepted(v *view, report reporter) {
 	accepted := map[int]*record.Change{} // by base
 	for _, c := range v.Changes {
@@ -175,14 +177,14 @@
 			report("version %d is invalid and was acknowledged", c.Version)
 		}
 		if other := accepted[c.Base]; other != nil && string(other.Config) != string(c.Config) {
-			report("versions %d and %d, both on top of %d, were acknowledged", other.Version, c.Version, c.Base)
+			report("versions %d and %d, both based on %d, were acknowledged", other.Version, c.Version, c.Base)
 		}
 		accepted[c.Base] = c
 	}
 }
 
-// checkReadback: at the end the configuration is the newest that was acknowledged,
-// or a later one without a clear answer, as it was sent.
+// checkReadback checks that the final configuration is the newest that was acknowledged,
+// or a later one whose outcome is unknown, exactly as it was sent.
 func checkReadback(v *view, report reporter) {
 	if len(v.Readbacks) == 0 {
 		return
@@ -198,12 +200,12 @@
 		return
 	}
 	if r.Status != 200 {
-		report("the configuration can't be read back: %d", r.Status)
+		report("reading the configuration back was answered %d", r.Status)
 		return
 	}
 	var got any
 	if err := json.Unmarshal(r.Body, &got); err != nil {
-		report("the configuration reads back as no JSON: %v", err)
+		report("the configuration that was read back is not valid JSON: %v", err)
 		return
 	}
 	for _, x := range v.versions {
@@ -215,13 +217,13 @@
 			return
 		}
 	}
-	report("reads back as %.200s, which is neither version %d nor a later one as sent", r.Body, newest)
+	report("read back %.200s, which is neither version %d nor a later one as sent", r.Body, newest)
 }
 
-const minLaterRequests = 20 // requests on later routes, for their share to say something
+const minLaterRequests = 20 // requests on later routes, below which their share is not significant
 
-// checkLaterRoutes: in calm times the routes that were added later are served as the
-// first ones are.
+// checkLaterRoutes checks that on connected machines routes that were added later are
+// served about as well as the initial ones.
 func checkLaterRoutes(v *view, report reporter) {
 	if len(v.versions) == 0 {
 		return
@@ -246,7 +248,7 @@
 		return
 	}
 	if float64(later.ok)/float64(later.all) < float64(first.ok)/float64(first.all)/4 {
-		report("%d of %d requests on later routes were served, %d of %d on the first ones",
+		report("%d of %d requests on later routes were served, but %d of %d on the initial ones",
 			later.ok, later.all, first.ok, first.all)
 	}
 }
--- a/proof/standin/rules/leaving.go
+++ b/proof/standin/rules/leaving.go
@@ -6,17 +6,17 @@
 	"mulleinmast/proof/standin/record"
 )
 
-// What the rules on clients that leave and on closed connections allow.
+// Limits of the rules on disconnected clients and on closed connections.
 const (
-	leftAfter       = 500 * time.Millisecond // a request may still reach a server so long after its client left
+	leftAfter       = 500 * time.Millisecond // how long after its client disconnected a request may still reach a server
 	maxLateArrivals = 3
-	workedPart      = 4 // one in so many repeatable requests may still be worked on
-	minRepeatable   = 8 // for their share to say something
+	workedPart      = 4 // one in this many repeatable requests may still be in progress
+	minRepeatable   = 8 // below which their share is not significant
 	maxClosed       = 3
 )
 
-// checkClientsLeft: after a client has left, hardly anything is sent for it, and
-// servers end their work.
+// checkClientsLeft checks that after a client has disconnected, almost nothing more is
+// sent for it and servers stop working on its requests.
 func checkClientsLeft(v *view, report reporter) {
 	late, repeatable, worked := 0, 0, 0
 	for _, t := range v.Tries {
@@ -39,21 +39,21 @@
 		}
 	}
 	if late > maxLateArrivals {
-		report("%d requests reached servers over %v after their clients had left", late, leftAfter)
+		report("%d requests reached servers more than %v after their clients had disconnected", late, leftAfter)
 	}
 	if repeatable >= minRepeatable && worked*workedPart > repeatable {
-		report("servers worked on %d of %d repeatable requests over %v after their clients had left",
+		report("servers were working on %d of %d repeatable requests more than %v after their clients had disconnected",
 			worked, repeatable, leftAfter)
 	}
 }
 
-// isWorkingAt reports whether a server was working at an arrival at a moment.
+// isWorkingAt reports whether a server was processing an arrival at a moment.
 func isWorkingAt(a *record.Arrival, at time.Duration) bool {
 	return (a.Out == record.Ran || a.Out == record.Open) && a.At <= at && (a.End == 0 || a.End > at)
 }
 
-// checkClosed: no machine in touch passes requests on to sound servers and closes
-// their connections without an answer.
+// checkClosed checks that no connected machine forwards requests to healthy servers and
+// then closes the clients' connections without an answer.
 func checkClosed(v *view, report reporter) {
 	closed := map[string][]string{} // tries, by daemon
 	for _, t := range v.Tries {
@@ -62,13 +62,14 @@
 		}
 		closed[t.Daemon] = append(closed[t.Daemon], t.ID)
 		if len(closed[t.Daemon]) == maxClosed+1 {
-			report("%s passed on and closed the connections of %v, which had no answer", t.Daemon, closed[t.Daemon])
+			report("%s forwarded %v and closed their connections without an answer", t.Daemon, closed[t.Daemon])
 		}
 	}
 }
 
-// wasClosed reports whether a daemon passed a whole request on and closed its
-// connection without an answer, though client, deadline and servers gave no cause.
+// wasClosed reports whether a daemon forwarded a complete request and closed its
+// connection without an answer, though neither the client, the deadline nor a server
+// was the cause.
 func (v *view) wasClosed(t *record.Try) bool {
 	if t.Whole == 0 || t.Status != 0 || t.Fault != "" {
 		return false
@@ -80,8 +81,8 @@
 	return len(arrivals) > 0 && !v.brokenByServer(arrivals, t.End)
 }
 
-// checkStaleReads: no machine, in touch or not, reads back an older configuration than one
-// that was acknowledged long enough before it was asked.
+// checkStaleReads checks that no machine, connected or not, returns a configuration older
+// than one that was acknowledged at least the Apply bound before the read.
 func checkStaleReads(v *view, report reporter) {
 	for _, r := range v.Reads {
 		if r.Status != 200 {
@@ -89,7 +90,7 @@
 		}
 		for _, x := range v.versions {
 			if x.isAcked() && x.Valid && x.Done+v.Apply < r.Sent && x.Version > r.Version {
-				report("%s reads back version %d, %.2fs after version %d was acknowledged",
+				report("%s returned version %d, %.2fs after version %d was acknowledged",
 					r.Daemon, r.Version, seconds(r.Sent-x.Done), x.Version)
 				break
 			}
--- a/proof/standin/rules/repeats.go
+++ b/proof/standin/rules/repeats.go
@@ -8,17 +8,16 @@
 	"mulleinmast/proof/judge"
 )
 
-// resultOf is what an answer to a call of the operator says of its configuration.
+// resultOf maps the status of a configuration call to its result in a history.
 var resultOf = map[int]string{
 	http.StatusOK:                 "taken",
 	http.StatusPreconditionFailed: "beaten",
 	http.StatusBadRequest:         "broken",
 }
 
-// checkLinear: the calls that change the configuration, each of their tries, were
-// answered as one machine would that does one after the other: a call comes into
-// force at most once, on the version that it names, and is acknowledged again
-// however late it comes again.
+// checkLinear checks that the configuration calls, including their retries, are
+// linearizable: a call takes effect at most once, on the version that it names, and a
+// retry is acknowledged again however late it arrives.
 func checkLinear(v *view, report reporter) {
 	var events []history.Event
 	for _, c := range v.PlanCalls {
--- a/proof/standin/rules/rules.go
+++ b/proof/standin/rules/rules.go
@@ -1,5 +1,5 @@
-// Package rules is the judge: it names every rule that was broken, from what
-// the stand-ins saw on their sockets alone.
+// Package rules judges a run: it reports every broken rule, using only what the
+// stand-ins observed on their sockets.
 package rules
 
 import (
@@ -13,42 +13,42 @@
 	"mulleinmast/proof/standin/wire"
 )
 
-// Bounds are the rules' figures.
+// Bounds are the limits that the rules check against.
 type Bounds struct {
-	InTouch     time.Duration // bounds hold for a machine so long after a trouble of it or of the core
-	Drain       time.Duration // from a server's leaving in the list until nothing reaches it
+	InTouch     time.Duration // how long after a trouble of a machine or of the core the machine is exempt from bounds
+	Drain       time.Duration // from the list showing a server as leaving until no request reaches it
 	Grace       time.Duration // from a SIGTERM until requests may be cut
-	LostSlack   time.Duration // a request that was cut so soon after its last byte may not have been read
-	Apply       time.Duration // from a version's acknowledgement until it is in force
-	GoBack      time.Duration // between two requests that show in which order versions were in force
-	Evacuate    time.Duration // from an evacuation's acknowledgement until nothing reaches the zone
+	LostSlack   time.Duration // a request cut off within this time after its last byte may not have been read
+	Apply       time.Duration // from a version's acknowledgement until it is applied
+	GoBack      time.Duration // between two requests that show the order in which versions were applied
+	Evacuate    time.Duration // from an evacuation's acknowledgement until no request reaches the zone
 	Recovery    time.Duration // from the machines' return until requests are served
 	Lease       time.Duration // between the orders of two holders of a server
-	RetryRatio  float64       // retries, as a part of the requests
+	RetryRatio  float64       // retries as a fraction of the requests
 	RetryWindow time.Duration // retries are bounded in every window of this length
 	RetrySlack  int           // retries that are allowed beyond the ratio
-	ColdOverrun float64       // what a cold server's rate is multiplied by
+	ColdOverrun float64       // factor on a cold server's rate
 	ColdSlack   float64       // requests that are allowed beyond that
-	ChecksFence bool          // servers check fences themselves: a lower one is no fault
+	ChecksFence bool          // servers check fences themselves, so a lower one is not a fault
 
-	QuotaWindow  time.Duration // the limit of a tenant holds in every window of this length; 0: no limits are checked
-	QuotaOverrun float64       // a part of the limit that is allowed beyond it
+	QuotaWindow  time.Duration // a tenant's limit holds in every window of this length; 0: limits are not checked
+	QuotaOverrun float64       // allowed excess as a fraction of the limit
 	QuotaSlack   float64       // requests that are allowed beyond that
-	Core         int           // machines that make up the core; 0: as many as keep it settled
+	Core         int           // machines in the core; 0: trouble of many at once does not suspend bounds
 }
 
-// Broken is one rule broken once.
+// Broken is one violation of a rule.
 type Broken struct{ Rule, What string }
 
-// String prints it.
+// String returns the rule and the description of the violation.
 //
 // Example: fmt.Println(b)
 func (b Broken) String() string { return b.Rule + ": " + b.What }
 
-// reporter takes what breaks a rule, in the form of fmt.Printf.
+// reporter reports a violation; its arguments are those of fmt.Printf.
 type reporter func(format string, args ...any)
 
-// Rules are the checks by name; a name may stand for several.
+// Rules lists the checks with the name of their rule; a rule may have several checks.
 var Rules = []struct {
 	Name  string
 	check func(*view, reporter)
@@ -85,7 +85,7 @@
 	{"QUOTA", checkQuotas},
 }
 
-const maxReported = 20 // of one check
+const maxReported = 20 // violations per check
 
 // Check applies every rule.
 //
@@ -103,7 +103,7 @@
 	return broken
 }
 
-// version is a configuration that was sent.
+// version is a configuration that the operator sent.
 type version struct {
 	*record.Change
 	config wire.Config
@@ -111,22 +111,22 @@
 
 func (v version) isAcked() bool { return v.Status/100 == 2 }
 
-// mayApply reports whether it may be in force at all: it is valid and was not refused.
+// mayApply reports whether the version may ever be applied: it is valid and was not refused.
 func (v version) mayApply() bool { return v.Valid && (v.Status == 0 || v.isAcked()) }
 
-// view is what was seen, laid out for the checks.
+// view indexes a record for the checks.
 type view struct {
 	record.All
 	Bounds
 	tries    map[string]*record.Try       // by id
 	arrivals map[string][]*record.Arrival // by attempt, in order
-	seals    map[string]*record.Arrival   // by the seal that was given
+	seals    map[string]*record.Arrival   // by the issued seal
 	lives    map[string]*record.Life      // of servers, by id
-	versions []version                    // by number; what has no configuration is left out
+	versions []version                    // by number, without changes whose configuration does not parse
 	routes   map[string]wire.Route        // by name, as in the last change that has it
 }
 
-// newView lays out what was seen.
+// newView indexes a record.
 func newView(all record.All, bounds Bounds) *view {
 	v := &view{
 		All:      all,
@@ -166,28 +166,28 @@
 	return v
 }
 
-// repeatable reports whether a try's request may run more than once; one on no
-// route at all may.
+// repeatable reports whether a try's request may run more than once. A request without
+// a known route may.
 func (v *view) repeatable(t *record.Try) bool {
 	r, ok := v.routes[t.Route]
 	return !ok || r.Repeatable()
 }
 
-// inTouch reports whether bounds hold for a daemon's machine at a moment.
+// inTouch reports whether bounds apply to a daemon's machine at a moment.
 func (v *view) inTouch(daemon string, at time.Duration) bool {
-	coreAway := map[string]bool{} // core machines that were in trouble of late
+	coreAway := map[string]bool{} // core machines with a recent trouble
 	for _, t := range v.Troubles {
 		if t.Hup {
 			continue
 		}
-		lasts := at >= t.From && (t.To == 0 || at <= t.To+v.InTouch)
-		if lasts && t.Core {
+		active := at >= t.From && (t.To == 0 || at <= t.To+v.InTouch)
+		if active && t.Core {
 			coreAway[t.Daemon] = true
 			if v.Core > 0 && 2*len(coreAway) >= v.Core {
 				return false
 			}
 		}
-		if lasts && t.Daemon == daemon {
+		if active && t.Daemon == daemon {
 			return false
 		}
 		if t.Core && (v.isSoonAfter(t.From, at) || v.isSoonAfter(t.To, at)) {
@@ -197,13 +197,14 @@
 	return true
 }
 
-// isSoonAfter reports whether a moment lies within the bound after an event; an
-// event at 0 never was.
+// isSoonAfter reports whether a moment is within the InTouch bound after an event; 0 means
+// that there was no event.
 func (v *view) isSoonAfter(event, at time.Duration) bool {
 	return event > 0 && at >= event && at <= event+v.InTouch
 }
 
-// inTouchThroughout reports whether a machine is in touch from one moment to another.
+// inTouchThroughout reports whether bounds apply to a daemon's machine from one moment to
+// another.
 func (v *view) inTouchThroughout(daemon string, from, to time.Duration) bool {
 	for at := from; at < to; at += v.InTouch / 4 {
 		if !v.inTouch(daemon, at) {
@@ -213,11 +214,11 @@
 	return v.inTouch(daemon, to)
 }
 
-// pathOf is a target without its query.
+// pathOf returns a request target without its query.
 func pathOf(target string) string {
 	path, _, _ := strings.Cut(target, "?")
 	return path
 }
 
-// seconds is a time as it is printed.
+// seconds converts a duration for printing.
 func seconds(d time.Duration) float64 { return d.Seconds() }
--- a/proof/standin/rules/rules_test.go
+++ b/proof/standin/rules/rules_test.go
@@ -41,7 +41,7 @@
 	{Name: "resume", Host: "h", Start: "/resume/", Kind: wire.Streaming, Resume: true, GiveUpMs: 3000, Service: "two"},
 }
 
-func packed(c wire.Config) []byte {
+func marshal(c wire.Config) []byte {
 	b, err := json.Marshal(c)
 	if err != nil {
 		panic(err)
@@ -49,9 +49,9 @@
 	return b
 }
 
-// day is a healthy day of a minute: two versions of the configuration, two
-// daemons, four servers, a request of each route every second.
-func day() *record.All {
+// healthyRecord returns a record of one minute that breaks no rule: two versions of the
+// configuration, two daemons, four servers and one request per route and second.
+func healthyRecord() *record.All {
 	a := &record.All{End: 60 * s}
 	first := wire.Config{Version: 5, Routes: routes, Customers: []wire.Customer{
 		{Name: "ten", Keys: []string{"k", "old"}, Rate: 10, Burst: 2}, {Name: "free", Keys: []string{"f"}},
@@ -61,10 +61,10 @@
 		{Name: "ten", Keys: []string{"k"}, Rate: 10, Burst: 2}, {Name: "free", Keys: []string{"f"}},
 	}}
 	a.Changes = []*record.Change{
-		{Version: 5, Sent: 1, Done: s / 2, Status: 200, Valid: true, Config: packed(first)},
-		{Version: 9, Base: 5, Sent: 30 * s, Done: 30*s + s/2, Status: 200, Valid: true, Config: packed(next)},
+		{Version: 5, Sent: 1, Done: s / 2, Status: 200, Valid: true, Config: marshal(first)},
+		{Version: 9, Base: 5, Sent: 30 * s, Done: 30*s + s/2, Status: 200, Valid: true, Config: marshal(next)},
 	}
-	a.Readbacks = []*record.Readback{{At: 59 * s, Status: 200, Body: packed(next)}}
+	a.Readbacks = []*record.Readback{{At: 59 * s, Status: 200, Body: marshal(next)}}
 	for i, svc := range []string{"one", "one", "two", "two"} {
 		a.Lives = append(a.Lives, &record.Life{
 			ID: fmt.Sprint("i-", i), Service: svc, Zone: []string{"north", "south"}[i%2], Born: 1,
@@ -77,7 +77,7 @@
 				continue
 			}
 			n++
-			add(a, r, n, time.Duration(sec)*s+time.Duration(i)*100*time.Millisecond)
+			addServed(a, r, n, time.Duration(sec)*s+time.Duration(i)*100*time.Millisecond)
 		}
 	}
 	for i := range 4 {
@@ -88,8 +88,8 @@
 	return a
 }
 
-// add has one request served.
-func add(a *record.All, r wire.Route, n int, at time.Duration) (*record.Try, *record.Arrival) {
+// addServed adds a request that was served.
+func addServed(a *record.All, r wire.Route, n int, at time.Duration) (*record.Try, *record.Arrival) {
 	id := fmt.Sprint("t", n)
 	t := &record.Try{
 		ID:       id,
@@ -141,93 +141,93 @@
 	return t, arr
 }
 
-// of finds a request of a route, its first one or one from a moment on.
-func of(a *record.All, route string, from time.Duration) (*record.Try, *record.Arrival) {
+// find returns the first request of a route that was sent at a moment or later.
+func find(a *record.All, route string, from time.Duration) (*record.Try, *record.Arrival) {
 	for i, t := range a.Tries {
 		if t.Route == route && t.Sent >= from {
 			return t, a.Arrivals[i]
 		}
 	}
-	panic("no such request")
+	panic("no request of that route")
 }
 
-func again(a *record.All, arr *record.Arrival, edit func(x *record.Arrival)) {
+func addArrival(a *record.All, arr *record.Arrival, edit func(x *record.Arrival)) {
 	x := *arr
 	x.At += time.Millisecond
 	edit(&x)
 	a.Arrivals = append(a.Arrivals, &x)
 }
 
-// mutants are days on which one thing is wrong, and the rule that says so.
+// mutants each put one fault into a healthy record and name the rule that reports it.
 var mutants = []struct {
 	rule, what string
 	edit       func(a *record.All)
 }{
-	{"MIXED", "a garbled answer", func(a *record.All) { t, _ := of(a, "safe", 0); t.Fault = "no answer" }},
-	{"MIXED", "no seal", func(a *record.All) { t, _ := of(a, "safe", 0); t.Seal = "" }},
-	{"MIXED", "a seal nobody gave", func(a *record.All) { t, _ := of(a, "safe", 0); t.Seal = "extra" }},
-	{"MIXED", "another's answer", func(a *record.All) {
-		t, _ := of(a, "safe", 0)
-		o, _ := of(a, "safe", 9*s)
+	{"MIXED", "a garbled answer", func(a *record.All) { t, _ := find(a, "safe", 0); t.Fault = "no answer" }},
+	{"MIXED", "no seal", func(a *record.All) { t, _ := find(a, "safe", 0); t.Seal = "" }},
+	{"MIXED", "a seal that no server issued", func(a *record.All) { t, _ := find(a, "safe", 0); t.Seal = "extra" }},
+	{"MIXED", "the answer to another request", func(a *record.All) {
+		t, _ := find(a, "safe", 0)
+		o, _ := find(a, "safe", 9*s)
 		t.Seal, t.Echo = o.Seal, ""
 	}},
-	{"MIXED", "another's name", func(a *record.All) { t, _ := of(a, "unsafe", 0); t.Echo = "t99" }},
-	{"MIXED", "another body", func(a *record.All) { t, _ := of(a, "unsafe", 0); t.Digest++ }},
-	{"MIXED", "half a body that looks whole", func(a *record.All) { _, x := of(a, "unsafe", 0); x.Whole = false }},
-	{"MIXED", "an encoded body", func(a *record.All) { t, _ := of(a, "unsafe", 0); t.Coded = true }},
-	{"MIXED", "a fault made a success", func(a *record.All) { _, x := of(a, "unsafe", 0); x.Status = 500 }},
+	{"MIXED", "the id of another request", func(a *record.All) { t, _ := find(a, "unsafe", 0); t.Echo = "t99" }},
+	{"MIXED", "another body", func(a *record.All) { t, _ := find(a, "unsafe", 0); t.Digest++ }},
+	{"MIXED", "a truncated body, seen as complete", func(a *record.All) { _, x := find(a, "unsafe", 0); x.Whole = false }},
+	{"MIXED", "an encoded body", func(a *record.All) { t, _ := find(a, "unsafe", 0); t.Coded = true }},
+	{"MIXED", "an error turned into a success", func(a *record.All) { _, x := find(a, "unsafe", 0); x.Status = 500 }},
 	{"MIXED", "bytes on an idle connection", func(a *record.All) {
 		a.Tries = append(a.Tries, &record.Try{Daemon: "d0", Fault: "bytes on an idle connection"})
 	}},
-	{"MIXED", "another's handle", func(a *record.All) { _, x := of(a, "stream", 0); x.HandleOf = "t99" }},
-	{"ORDER", "a gap", func(a *record.All) { t, _ := of(a, "stream", 0); t.Pieces = t.Pieces[1:] }},
-	{"ORDER", "a piece twice", func(a *record.All) {
-		t, _ := of(a, "stream", 0)
+	{"MIXED", "the handle of another request", func(a *record.All) { _, x := find(a, "stream", 0); x.HandleOf = "t99" }},
+	{"ORDER", "a gap", func(a *record.All) { t, _ := find(a, "stream", 0); t.Pieces = t.Pieces[1:] }},
+	{"ORDER", "an event twice", func(a *record.All) {
+		t, _ := find(a, "stream", 0)
 		t.Pieces = append(t.Pieces, t.Pieces[2])
 	}},
-	{"ORDER", "an end before the last piece", func(a *record.All) {
-		t, _ := of(a, "stream", 0)
+	{"ORDER", "an end before the last event", func(a *record.All) {
+		t, _ := find(a, "stream", 0)
 		t.Pieces, t.Last = t.Pieces[:2], false
 	}},
 	{"ORDER", "another run", func(a *record.All) {
-		t, _ := of(a, "stream", 0)
+		t, _ := find(a, "stream", 0)
 		t.Pieces = append(append([]record.Piece{}, t.Pieces[:2]...), record.Piece{ID: 3, Run: "r2"})
 	}},
-	{"ORDER", "another run that wasn't asked to go on there", func(a *record.All) {
-		t, x := of(a, "resume", 0)
+	{"ORDER", "another run that was not resumed there", func(a *record.All) {
+		t, x := find(a, "resume", 0)
 		t.Pieces = append(append([]record.Piece{}, t.Pieces[:2]...), record.Piece{ID: 3, Run: "r2"})
-		again(a, x, func(x *record.Arrival) { x.Run, x.Seal, x.After = "r2", "s2", 1 })
-	}},
-	{"UNASKED", "an id nobody sent", func(a *record.All) {
-		_, x := of(a, "safe", 0)
-		again(a, x, func(x *record.Arrival) { x.Attempt = "t0" })
-	}},
-	{"UNASKED", "another path", func(a *record.All) { _, x := of(a, "safe", 0); x.Target = "/safe/y?q=1" }},
-	{"UNASKED", "another body", func(a *record.All) { _, x := of(a, "safe", 0); x.Body++ }},
-	{"UNASKED", "another method", func(a *record.All) { _, x := of(a, "safe", 0); x.Method = "GET" }},
-	{"UNASKED", "another tenant", func(a *record.All) { _, x := of(a, "safe", 0); x.Tenant = "free" }},
-	{"UNASKED", "no tenant, and its prompt was only read", func(a *record.All) {
-		_, x := of(a, "stream", 0)
-		again(a, x, func(x *record.Arrival) { x.Out, x.Run, x.Seal, x.Tenant = record.Read, "", "", "" })
-	}},
-	{"UNASKED", "the key shown to a server", func(a *record.All) { _, x := of(a, "safe", 0); x.Key = "k" }},
-	{"ROUTE", "a key that nobody ever had", func(a *record.All) {
-		t, x := of(a, "safe", 0)
+		addArrival(a, x, func(x *record.Arrival) { x.Run, x.Seal, x.After = "r2", "s2", 1 })
+	}},
+	{"UNASKED", "an id that no client sent", func(a *record.All) {
+		_, x := find(a, "safe", 0)
+		addArrival(a, x, func(x *record.Arrival) { x.Attempt = "t0" })
+	}},
+	{"UNASKED", "another path", func(a *record.All) { _, x := find(a, "safe", 0); x.Target = "/safe/y?q=1" }},
+	{"UNASKED", "another body", func(a *record.All) { _, x := find(a, "safe", 0); x.Body++ }},
+	{"UNASKED", "another method", func(a *record.All) { _, x := find(a, "safe", 0); x.Method = "GET" }},
+	{"UNASKED", "another tenant", func(a *record.All) { _, x := find(a, "safe", 0); x.Tenant = "free" }},
+	{"UNASKED", "no tenant for a prefill", func(a *record.All) {
+		_, x := find(a, "stream", 0)
+		addArrival(a, x, func(x *record.Arrival) { x.Out, x.Run, x.Seal, x.Tenant = record.Read, "", "", "" })
+	}},
+	{"UNASKED", "the key shown to a server", func(a *record.All) { _, x := find(a, "safe", 0); x.Key = "k" }},
+	{"ROUTE", "a key that was never configured", func(a *record.All) {
+		t, x := find(a, "safe", 0)
 		t.Key, x.Tenant = "guessed", "ten"
 	}},
-	{"ROUTE", "no key", func(a *record.All) { t, _ := of(a, "safe", 0); t.Key = "" }},
-	{"CONFIG", "a key that was taken away", func(a *record.All) { t, _ := of(a, "safe", 40*s); t.Key = "old" }},
-	{"DENIED", "401 for a key that stands", func(a *record.All) {
-		t, x := of(a, "safe", 0)
+	{"ROUTE", "no key", func(a *record.All) { t, _ := find(a, "safe", 0); t.Key = "" }},
+	{"CONFIG", "a removed key", func(a *record.All) { t, _ := find(a, "safe", 40*s); t.Key = "old" }},
+	{"DENIED", "401 for a valid key", func(a *record.All) {
+		t, x := find(a, "safe", 0)
 		t.Status, t.Seal, x.Out = 401, "", record.Away
 	}},
 	{"QUOTA", "more than a tenant's limit in a window", func(a *record.All) {
-		_, x := of(a, "safe", 20*s)
+		_, x := find(a, "safe", 20*s)
 		for i := range 60 {
-			again(a, x, func(x *record.Arrival) { x.At += time.Duration(i) * s / 20 })
+			addArrival(a, x, func(x *record.Arrival) { x.At += time.Duration(i) * s / 20 })
 		}
 	}},
-	{"UNASKED", "another prompt", func(a *record.All) { _, x := of(a, "stream", 0); x.Prompt = "other 1,2 a:1" }},
+	{"UNASKED", "another prompt", func(a *record.All) { _, x := find(a, "stream", 0); x.Prompt = "other 1,2 a:1" }},
 	{"GONE", "requests that reach servers late", func(a *record.All) {
 		for _, t := range a.Tries[:8] {
 			t.Left = t.Sent + 1
@@ -236,7 +236,7 @@
 			x.At, x.End = x.At+s, x.End+2*s
 		}
 	}},
-	{"GONE", "servers that work on", func(a *record.All) {
+	{"GONE", "servers that continue to work", func(a *record.All) {
 		n := 0
 		for i, t := range a.Tries {
 			if t.Route != "safe" {
@@ -249,137 +249,137 @@
 			n++
 		}
 	}},
-	{"LOST", "connections closed under requests that were passed on", func(a *record.All) {
+	{"LOST", "closed connections of forwarded requests", func(a *record.All) {
 		for i := range 16 {
 			t := a.Tries[i]
 			t.Status, t.Seal, t.Echo, t.Complete, t.Pieces, t.Last = 0, "", "", false, nil, false
 		}
 	}},
-	{"CONFIG", "a machine out of touch that reads back what is old", func(a *record.All) {
+	{"CONFIG", "a disconnected machine that returns an old version", func(a *record.All) {
 		a.Troubles = append(a.Troubles, &record.Trouble{Daemon: "d0", What: "cut off", From: 25 * s, To: 50 * s})
 		a.Reads = []*record.ConfigRead{{Daemon: "d0", Sent: 33 * s, Status: 200, Version: 5}}
 	}},
 	{"TWICE", "run again", func(a *record.All) {
-		_, x := of(a, "unsafe", 0)
-		again(a, x, func(x *record.Arrival) { x.Seal = "s2" })
+		_, x := find(a, "unsafe", 0)
+		addArrival(a, x, func(x *record.Arrival) { x.Seal = "s2" })
 	}},
 	{"TWICE", "a stream run again", func(a *record.All) {
-		_, x := of(a, "stream", 0)
-		again(a, x, func(x *record.Arrival) { x.Seal = "s2" })
+		_, x := find(a, "stream", 0)
+		addArrival(a, x, func(x *record.Arrival) { x.Seal = "s2" })
 	}},
-	{"REFUSED", "a promise broken", func(a *record.All) { t, _ := of(a, "unsafe", 0); t.Status, t.Seal = 503, "" }},
-	{"DENIED", "proper requests told 403", func(a *record.All) {
+	{"REFUSED", "a promise broken", func(a *record.All) { t, _ := find(a, "unsafe", 0); t.Status, t.Seal = 503, "" }},
+	{"DENIED", "valid requests answered 403", func(a *record.All) {
 		for _, t := range a.Tries[:20] {
 			t.Status, t.Seal, t.Pieces = 403, "", nil
 		}
 	}},
-	{"ROUTE", "a service that never was allowed", func(a *record.All) {
-		_, x := of(a, "safe", 0)
-		again(a, x, func(x *record.Arrival) { x.Service = "two" })
+	{"ROUTE", "a service that no configuration routes to", func(a *record.All) {
+		_, x := find(a, "safe", 0)
+		addArrival(a, x, func(x *record.Arrival) { x.Service = "two" })
 	}},
-	{"DRAIN", "a server that leaves", func(a *record.All) { a.Lives[0].DrainShown = 20 * s }},
+	{"DRAIN", "a draining server", func(a *record.All) { a.Lives[0].DrainShown = 20 * s }},
 	{"DRAIN", "a server that is gone", func(a *record.All) { a.Lives[2].GoneShown = 20 * s }},
-	{"EVAC", "a zone that was evacuated", func(a *record.All) {
+	{"EVAC", "an evacuated zone", func(a *record.All) {
 		a.Evacuations = []*record.Evacuation{{Zone: "north", Sent: 20 * s, Acked: 21 * s}}
 	}},
-	{"LOST", "cut under a SIGTERM", func(a *record.All) {
-		t, _ := of(a, "safe", 20*s)
+	{"LOST", "cut off by a SIGTERM", func(a *record.All) {
+		t, _ := find(a, "safe", 20*s)
 		t.Status, t.Seal, t.Complete, t.Length = 0, "", false, 0
 		a.Troubles = []*record.Trouble{
 			{Daemon: t.Daemon, What: "SIGTERM", From: t.Sent - s, To: t.Sent + 5*s, Planned: true},
 		}
 	}},
-	{"LOST", "cut under a SIGHUP", func(a *record.All) {
-		t, _ := of(a, "safe", 20*s)
+	{"LOST", "cut off by a SIGHUP", func(a *record.All) {
+		t, _ := find(a, "safe", 20*s)
 		t.Status, t.Seal, t.Complete, t.Length = 0, "", false, 0
 		a.Troubles = []*record.Trouble{{Daemon: t.Daemon, From: t.Sent - s, Hup: true}}
 	}},
 	{"LOST", "an evacuation after the closing fault", func(a *record.All) {
 		a.Fault, a.Back = 20*s, 21*s
 		a.Evacuations = []*record.Evacuation{{Zone: "north", Sent: 18 * s, Acked: 19 * s}}
-		// EVAC itself binds no more
+		// the troubles exempt the machines from EVAC itself
 		a.Troubles = []*record.Trouble{
 			{Daemon: "d0", From: 20 * s},
 			{Daemon: "d1", From: 20 * s},
 		}
 	}},
-	{"CONFIG", "an older version", func(a *record.All) { t, _ := of(a, "new", 40*s); t.Status, t.Seal = 404, "" }},
-	{"CONFIG", "a daemon that goes back", func(a *record.All) {
-		a.Changes[1].Done, a.Changes[1].Status = 0, 0 // nobody knows whether it is in force: no bound but this one
+	{"CONFIG", "an older version", func(a *record.All) { t, _ := find(a, "new", 40*s); t.Status, t.Seal = 404, "" }},
+	{"CONFIG", "a daemon that returns to an older version", func(a *record.All) {
+		a.Changes[1].Done, a.Changes[1].Status = 0, 0 // its outcome is unknown, so no other bound applies
 		a.Readbacks = nil
-		t, x := of(a, "new", 34*s)
+		t, x := find(a, "new", 34*s)
 		x.At = t.Sent
-		t, _ = of(a, "new", 36*s)
+		t, _ = find(a, "new", 36*s)
 		t.Status, t.Seal = 404, ""
-		a.Arrivals = without(a.Arrivals, t.ID)
+		a.Arrivals = withoutAttempt(a.Arrivals, t.ID)
 	}},
-	{"CONFIG", "a refused version in force", func(a *record.All) {
+	{"CONFIG", "a refused version that is applied", func(a *record.All) {
 		route := wire.Route{Name: "safe", Host: "h", Start: "/safe/x", Kind: wire.Safe, GiveUpMs: 3000, Service: "two"}
 		c := wire.Config{Version: 7, Routes: append([]wire.Route{route}, routes...)}
 		a.Changes = append(a.Changes, &record.Change{
-			Version: 7, Base: 4, Sent: 10 * s, Done: 11 * s, Status: 412, Valid: true, Config: packed(c),
+			Version: 7, Base: 4, Sent: 10 * s, Done: 11 * s, Status: 412, Valid: true, Config: marshal(c),
 		})
-		_, x := of(a, "safe", 20*s)
+		_, x := find(a, "safe", 20*s)
 		x.Service = "two"
 	}},
-	{"CONFIG", "an invalid one acknowledged", func(a *record.All) {
+	{"CONFIG", "an acknowledged invalid version", func(a *record.All) {
 		a.Changes[1].Valid = false
 		a.Readbacks = nil
 		a.Tries = a.Tries[:40]
 	}},
-	{"CONFIG", "two on the same version", func(a *record.All) {
+	{"CONFIG", "two acknowledged changes of one version", func(a *record.All) {
 		c := *a.Changes[1]
-		c.Version, c.Config = 8, packed(wire.Config{Version: 8, Routes: routes})
+		c.Version, c.Config = 8, marshal(wire.Config{Version: 8, Routes: routes})
 		a.Changes = append(a.Changes, &c)
 	}},
-	{"CONFIG", "a repeat that is refused", func(a *record.All) {
+	{"CONFIG", "a refused retry of an acknowledged call", func(a *record.All) {
 		a.PlanCalls = []*record.PlanCall{
 			{ID: "a", Number: 5, Sent: 1, Done: 2, Status: 200},
 			{ID: "b", Base: 5, Number: 9, Sent: 3, Done: 4, Status: 200},
 			{ID: "a", Number: 5, Sent: 5, Done: 6, Status: 412},
 		}
 	}},
-	{"CONFIG", "two calls on the same version", func(a *record.All) {
+	{"CONFIG", "two acknowledged calls on the same version", func(a *record.All) {
 		a.PlanCalls = []*record.PlanCall{
 			{ID: "a", Number: 5, Sent: 1, Done: 2, Status: 200},
 			{ID: "b", Base: 5, Number: 9, Sent: 3, Done: 8, Status: 200},
 			{ID: "c", Base: 5, Number: 9, Sent: 4, Done: 7, Status: 200},
 		}
 	}},
-	{"CONFIG", "a call that conflicts with none", func(a *record.All) {
+	{"CONFIG", "a conflict without a conflicting call", func(a *record.All) {
 		a.PlanCalls = []*record.PlanCall{
 			{ID: "a", Number: 5, Sent: 1, Done: 2, Status: 200},
 			{ID: "b", Base: 5, Number: 9, Sent: 3, Done: 4, Status: 412},
 		}
 	}},
-	{"CONFIG", "an older one read back", func(a *record.All) { a.Readbacks[0].Body = a.Changes[0].Config }},
-	{"CONFIG", "nothing read back", func(a *record.All) { a.Readbacks[0].Status = 503 }},
-	{"CONFIG", "later routes that aren't served", func(a *record.All) {
+	{"CONFIG", "an older version read back", func(a *record.All) { a.Readbacks[0].Body = a.Changes[0].Config }},
+	{"CONFIG", "a failed final read", func(a *record.All) { a.Readbacks[0].Status = 503 }},
+	{"CONFIG", "unserved later routes", func(a *record.All) {
 		for _, t := range a.Tries {
 			if t.Route == "new" {
 				t.Status, t.Seal = 502, ""
 			}
 		}
 	}},
-	{"BUDGET", "three further arrivals in a window", func(a *record.All) {
+	{"BUDGET", "too many retries in a window", func(a *record.All) {
 		for i := range 11 {
-			_, x := of(a, "safe", time.Duration(20+i/4)*s)
-			again(a, x, func(x *record.Arrival) { x.Out, x.Seal, x.At = record.Away, "", x.At+time.Duration(i) })
+			_, x := find(a, "safe", time.Duration(20+i/4)*s)
+			addArrival(a, x, func(x *record.Arrival) { x.Out, x.Seal, x.At = record.Away, "", x.At+time.Duration(i) })
 		}
 	}},
-	{"BUDGET", "readings beyond the first", func(a *record.All) {
+	{"BUDGET", "prefills after the first", func(a *record.All) {
 		for i := range 11 {
-			_, x := of(a, "resume", time.Duration(20+i/4)*s)
-			again(a, x, func(x *record.Arrival) { x.Out, x.Seal, x.Reading = record.Read, "", true })
-			again(a, x, func(x *record.Arrival) { x.Out, x.Seal, x.Reading = record.Read, "", true })
+			_, x := find(a, "resume", time.Duration(20+i/4)*s)
+			addArrival(a, x, func(x *record.Arrival) { x.Out, x.Seal, x.Reading = record.Read, "", true })
+			addArrival(a, x, func(x *record.Arrival) { x.Out, x.Seal, x.Reading = record.Read, "", true })
 		}
 	}},
-	{"FAILBACK", "a cold server pressed", func(a *record.All) {
+	{"FAILBACK", "an overloaded cold server", func(a *record.All) {
 		a.Lives[0].ColdUntil, a.Lives[0].ColdRate = 60*s, 0.5
 	}},
 	{"ONE", "two holders with one fence", func(a *record.All) { a.Orders[3].Holder = "b"; a.Orders[3].At = 40 * s }},
 	{"ONE", "a lower fence", func(a *record.All) { a.Orders[3].Fence = 6 }},
-	{"ONE", "holders that take turns", func(a *record.All) {
+	{"ONE", "holders that alternate too fast", func(a *record.All) {
 		a.Orders[3].Holder, a.Orders[3].Fence, a.Orders[3].At = "b", 8, a.Orders[2].At+2*s
 	}},
 	{"RECOVER", "no service after the closing fault", func(a *record.All) {
@@ -392,7 +392,7 @@
 	}},
 }
 
-func without(list []*record.Arrival, id string) (out []*record.Arrival) {
+func withoutAttempt(list []*record.Arrival, id string) (out []*record.Arrival) {
 	for _, x := range list {
 		if x.Attempt != id {
 			out = append(out, x)
@@ -401,29 +401,28 @@
 	return out
 }
 
-func TestHealthyDayBreaksNoRule(t *testing.T) {
-	for _, b := range Check(*day(), bounds) {
+func TestHealthyRecordBreaksNoRule(t *testing.T) {
+	for _, b := range Check(*healthyRecord(), bounds) {
 		t.Error(b)
 	}
 }
 
-// A planted fault breaks its rule, and on the same day no other one that has
-// nothing to do with it.
+// Each planted fault must break its rule, and at most one other.
 func TestEachPlantedFaultBreaksItsRule(t *testing.T) {
 	covered := map[string]bool{}
 	for _, m := range mutants {
-		a := day()
+		a := healthyRecord()
 		m.edit(a)
 		found := map[string]string{}
 		for _, b := range Check(*a, bounds) {
 			found[b.Rule] = b.What
 		}
 		if found[m.rule] == "" {
-			t.Errorf("%s, %s: not told, only %v", m.rule, m.what, found)
+			t.Errorf("%s, %s: not reported, only %v", m.rule, m.what, found)
 		}
 		covered[m.rule] = true
 		if len(found) > 2 {
-			t.Errorf("%s, %s: told as %v", m.rule, m.what, found)
+			t.Errorf("%s, %s: reported as %v", m.rule, m.what, found)
 		}
 	}
 	for _, r := range Rules {
@@ -433,71 +432,71 @@
 	}
 }
 
-// allowed are days on which something happens that the rules allow.
+// allowed each put an event that breaks no rule into a healthy record.
 var allowed = map[string]func(a *record.All){
 	"a safe request run twice": func(a *record.All) {
-		_, x := of(a, "safe", 0)
-		again(a, x, func(x *record.Arrival) { x.Seal = "s2" })
+		_, x := find(a, "safe", 0)
+		addArrival(a, x, func(x *record.Arrival) { x.Seal = "s2" })
 	},
-	"a stream that goes on elsewhere": func(a *record.All) {
-		t, x := of(a, "resume", 0)
+	"a stream that is resumed on another server": func(a *record.All) {
+		t, x := find(a, "resume", 0)
 		t.Pieces = append(append([]record.Piece{}, t.Pieces[:2]...), record.Piece{ID: 3, Run: "r2"})
-		again(a, x, func(x *record.Arrival) { x.Run, x.Seal, x.After = "r2", "s2", 2 })
+		addArrival(a, x, func(x *record.Arrival) { x.Run, x.Seal, x.After = "r2", "s2", 2 })
 	},
-	"the first reading": func(a *record.All) {
+	"the first prefill": func(a *record.All) {
 		for i := range 11 {
-			_, x := of(a, "resume", time.Duration(20+i)*s)
-			again(a, x, func(x *record.Arrival) {
+			_, x := find(a, "resume", time.Duration(20+i)*s)
+			addArrival(a, x, func(x *record.Arrival) {
 				x.Out, x.Seal, x.Reading, x.At = record.Read, "", true, x.At-2*time.Millisecond
 			})
 		}
 	},
-	"an arrival by an older version within the bound": func(a *record.All) {
-		t, _ := of(a, "new", 34*s)
+	"an older version within the bound": func(a *record.All) {
+		t, _ := find(a, "new", 34*s)
 		t.Sent, t.Status, t.Seal = 31*s, 404, ""
 	},
-	"an older version on a machine out of touch": func(a *record.All) {
-		t, _ := of(a, "new", 40*s)
+	"an older version on a disconnected machine": func(a *record.All) {
+		t, _ := find(a, "new", 40*s)
 		t.Status, t.Seal = 404, ""
-		a.Arrivals = without(a.Arrivals, t.ID)
+		a.Arrivals = withoutAttempt(a.Arrivals, t.ID)
 		a.Troubles = []*record.Trouble{{Daemon: t.Daemon, From: 32 * s, To: 39 * s}}
-		for _, x := range a.Tries { // or it would have gone back
+		for _, x := range a.Tries { // a new incarnation, since the old one would have returned to an older version
 			if x.Daemon == t.Daemon && x.Sent > 39*s {
 				x.Life = 1
 			}
 		}
 	},
 	"a draining server within the bound": func(a *record.All) { a.Lives[0].DrainShown = 53 * s },
-	"a draining server and a machine that was cut off": func(a *record.All) {
+	"a draining server and a disconnected machine": func(a *record.All) {
 		a.Lives[1].DrainShown = 20 * s
-		t, x := of(a, "safe", 30*s)
+		t, x := find(a, "safe", 30*s)
 		x.Server = "i-1"
 		a.Troubles = []*record.Trouble{{Daemon: t.Daemon, From: 10 * s, To: 29 * s}}
 	},
 	"a redirect to another server": func(a *record.All) {
 		a.Lives[1].DrainShown = 20 * s
-		_, x := of(a, "safe", 30*s)
-		again(a, x, func(x *record.Arrival) { x.Server, x.Out, x.Seal = "i-1", record.Other, "" })
+		_, x := find(a, "safe", 30*s)
+		addArrival(a, x, func(x *record.Arrival) { x.Server, x.Out, x.Seal = "i-1", record.Other, "" })
 	},
 	"a change without an answer": func(a *record.All) { a.Changes[1].Status, a.Changes[1].Done = 0, 0 },
-	"a cut where the server broke off": func(a *record.All) {
-		t, x := of(a, "safe", 20*s)
+	"an answer that the server aborted": func(a *record.All) {
+		t, x := find(a, "safe", 20*s)
 		t.Status, t.Seal, t.Complete, x.Broke = 0, "", false, true
 		a.Troubles = []*record.Trouble{{Daemon: t.Daemon, From: t.Sent - s, To: t.Sent + 5*s, Planned: true}}
 	},
-	"a new holder in time": func(a *record.All) {
+	"a new holder after the lease": func(a *record.All) {
 		o := a.Orders[3]
 		o.Holder, o.Fence, o.At = "b", 8, a.Orders[2].At+4*s
 	},
 	"a refusal": func(a *record.All) {
-		t, x := of(a, "unsafe", 0)
+		t, x := find(a, "unsafe", 0)
 		t.Status, t.Seal, x.Out, x.Seal = 503, "", record.Away, ""
 	},
 }
 
 func TestAllowedEventsBreakNoRule(t *testing.T) {
 	for what, edit := range allowed {
-		a := day()
+		a := healthyRecord()
 		edit(a)
 		for _, b := range Check(*a, bounds) {
 			if !strings.HasPrefix(b.What, "nothing") {
--- a/proof/standin/rules/servers.go
+++ b/proof/standin/rules/servers.go
@@ -7,7 +7,7 @@
 	"mulleinmast/proof/standin/record"
 )
 
-// checkRoutes: a service runs only what some configuration ever let come to it.
+// checkRoutes checks that a service runs only requests that some configuration routed to it.
 func checkRoutes(v *view, report reporter) {
 	for _, a := range v.Arrivals {
 		if a.Out != record.Ran && a.Out != record.Read {
@@ -17,19 +17,20 @@
 			r, ok := x.config.Match(a.Host, pathOf(a.Target))
 			return ok && x.Sent <= a.At && slices.Contains(r.Services(), a.Service)
 		}) {
-			report("%s of %s ran %s %s%s, which no configuration lets come there",
+			report("%s of %s ran %s %s%s, which no configuration routes there",
 				a.Server, a.Service, a.Attempt, a.Host, a.Target)
 		}
 	}
 }
 
-// cameInTouch reports whether a request came through a machine that is in touch.
+// cameInTouch reports whether bounds applied to the machine that forwarded an arrival.
 func (v *view) cameInTouch(a *record.Arrival) bool {
 	t := v.tries[a.Attempt]
 	return t != nil && v.inTouchThroughout(t.Daemon, t.Sent, a.At)
 }
 
-// checkDrained: nothing reaches a server long after the list shows that it leaves.
+// checkDrained checks that no request reaches a server after the Drain bound from the
+// moment that the list shows it as leaving or gone.
 func checkDrained(v *view, report reporter) {
 	for _, a := range v.Arrivals {
 		l := v.lives[a.Server]
@@ -38,22 +39,23 @@
 		}
 		for what, since := range map[string]time.Duration{"draining": l.DrainShown, "gone": l.GoneShown} {
 			if since > 0 && a.At > since+v.Drain {
-				report("%s reached %s %.2fs after the list showed it %s",
+				report("%s reached %s %.2fs after the list showed the server as %s",
 					a.Attempt, a.Server, seconds(a.At-since), what)
 			}
 		}
 	}
 }
 
-// checkEvacuated: nothing reaches a zone long after its evacuation was acknowledged.
+// checkEvacuated checks that no request reaches a zone after the Evacuate bound from the
+// acknowledgement of its evacuation.
 func checkEvacuated(v *view, report reporter) {
 	for _, e := range v.Evacuations {
 		if e.Acked == 0 {
 			continue
 		}
 		for _, a := range v.Arrivals {
-			inForce := a.At > e.Acked+v.Evacuate && (e.Back == 0 || a.At < e.Back)
-			if a.Zone == e.Zone && a.Out != record.Other && inForce && v.cameInTouch(a) {
+			applies := a.At > e.Acked+v.Evacuate && (e.Back == 0 || a.At < e.Back)
+			if a.Zone == e.Zone && a.Out != record.Other && applies && v.cameInTouch(a) {
 				report("%s reached %s in %s %.2fs after its evacuation was acknowledged",
 					a.Attempt, a.Server, a.Zone, seconds(a.At-e.Acked))
 			}
@@ -61,7 +63,7 @@
 	}
 }
 
-// checkEvacuationKept: an evacuation that was acknowledged outlasts the closing fault.
+// checkEvacuationKept checks that an acknowledged evacuation survives the closing fault.
 func checkEvacuationKept(v *view, report reporter) {
 	for _, e := range v.Evacuations {
 		if v.Back == 0 || e.Acked == 0 || e.Acked > v.Fault || e.Back > 0 {
@@ -75,8 +77,8 @@
 	}
 }
 
-// checkRetries: arrivals after the first of each request stay within the fleet's
-// bound in every window.
+// checkRetries checks that the arrivals after the first one of each request stay within
+// the fleet's retry bound in every window.
 func checkRetries(v *view, report reporter) {
 	requests := v.requestTimes()
 	for service, retries := range v.retryTimes() {
@@ -91,15 +93,15 @@
 				countWithin(sent, to-window*3/2, to-window/2),
 			)
 			if allowed := v.RetryRatio*float64(most) + float64(v.RetrySlack); float64(count) > allowed {
-				report("%s got %d further arrivals in the %.0fs up to %.2fs, at most %.1f may come",
+				report("%s got %d retries in the %.0fs up to %.2fs; the limit is %.1f",
 					service, count, seconds(window), seconds(to), allowed)
 			}
 		}
 	}
 }
 
-// retryTimes lists, by service, when arrivals came after the first of their
-// request; the first reading that is taken up doesn't count.
+// retryTimes returns, by service, the times of arrivals after the first one of their
+// request. The first prefill that a server accepts does not count.
 func (v *view) retryTimes() map[string][]time.Duration {
 	retries := map[string][]time.Duration{}
 	for _, arrivals := range v.arrivals {
@@ -118,7 +120,7 @@
 	return retries
 }
 
-// requestTimes lists, by service, when requests were sent on its routes.
+// requestTimes returns, by service, when requests were sent on its routes.
 func (v *view) requestTimes() map[string][]time.Duration {
 	requests := map[string][]time.Duration{}
 	for _, t := range v.Tries {
@@ -139,7 +141,8 @@
 	return count
 }
 
-// checkColdServers: a cold server gets no more in a second than it bears.
+// checkColdServers checks that a cold server gets no more requests per second than it can
+// handle.
 func checkColdServers(v *view, report reporter) {
 	cold := map[string][]*record.Arrival{} // by server
 	for _, a := range v.Arrivals {
@@ -155,14 +158,14 @@
 				n++
 			}
 			if float64(n) > most {
-				report("%s got %d requests in the second up to %.2fs while cold, at most %.1f may come",
+				report("%s got %d requests in the second up to %.2fs while cold; the limit is %.1f",
 					id, n, seconds(a.At), most)
 			}
 		}
 	}
 }
 
-// checkHolders: each server has one holder at a time.
+// checkHolders checks that each server has one holder at a time.
 func checkHolders(v *view, report reporter) {
 	orders := map[string][]*record.Order{} // by server
 	for _, o := range v.Orders {
@@ -189,7 +192,8 @@
 	}
 }
 
-// checkPlannedWork: around planned work no request that was read is lost.
+// checkPlannedWork checks that no request that was read is lost because of a SIGTERM or a
+// SIGHUP.
 func checkPlannedWork(v *view, report reporter) {
 	for _, t := range v.Tries {
 		if !v.wasLost(t) {
@@ -210,8 +214,8 @@
 	}
 }
 
-// wasLost reports whether a request that was read got no complete answer, though
-// client, deadline, servers and troubles that weren't planned gave no cause.
+// wasLost reports whether a request that was read got no complete answer, though neither
+// the client, the deadline, a server nor an unplanned trouble was the cause.
 func (v *view) wasLost(t *record.Try) bool {
 	if t.Whole == 0 || t.Complete || t.GaveUp || t.Probe || t.Status/100 > 2 || t.End >= t.Deadline {
 		return false
@@ -227,7 +231,7 @@
 	return !v.brokenByServer(arrivals, t.End) && !v.hadUnplannedTrouble(t)
 }
 
-// brokenByServer reports whether a server ended its answer or itself.
+// brokenByServer reports whether a server aborted its answer or died.
 func (v *view) brokenByServer(list []*record.Arrival, end time.Duration) bool {
 	return slices.ContainsFunc(list, func(a *record.Arrival) bool {
 		l := v.lives[a.Server]
@@ -235,16 +239,16 @@
 	})
 }
 
-// hadUnplannedTrouble reports whether trouble that was not planned befell a try's daemon or
-// the core around it.
+// hadUnplannedTrouble reports whether an unplanned trouble affected a try's daemon or the
+// core around the time of the try.
 func (v *view) hadUnplannedTrouble(t *record.Try) bool {
 	return slices.ContainsFunc(v.Troubles, func(x *record.Trouble) bool {
-		concerns := !x.Planned && !x.Hup && (x.Daemon == t.Daemon || x.Core)
-		return concerns && t.End >= x.From && (x.To == 0 || t.Sent <= x.To+v.InTouch)
+		affects := !x.Planned && !x.Hup && (x.Daemon == t.Daemon || x.Core)
+		return affects && t.End >= x.From && (x.To == 0 || t.Sent <= x.To+v.InTouch)
 	})
 }
 
-// checkRecovery: after the closing fault requests are served again.
+// checkRecovery checks that requests are served again after the closing fault.
 func checkRecovery(v *view, report reporter) {
 	if v.Back == 0 {
 		return
@@ -265,7 +269,7 @@
 		return
 	}
 	if after, ok := count(v.Back+v.Recovery, v.End); after > 0 && ok*4 < after {
-		report("%d of %d requests were served that were sent more than %.0fs after the machines were back, "+
-			"%d of %d before", ok, after, seconds(v.Recovery), ok, before)
+		report("%d of %d requests sent more than %.0fs after the machines were back were served, "+
+			"compared with %d of %d before the fault", ok, after, seconds(v.Recovery), ok, before)
 	}
 }
--- a/proof/standin/rules/tenants.go
+++ b/proof/standin/rules/tenants.go
@@ -10,10 +10,10 @@
 	"mulleinmast/proof/standin/wire"
 )
 
-// tookPlace reports whether a server worked at an arrival, be it only to read its prompt.
-func tookPlace(a *record.Arrival) bool { return a.Out == record.Ran || a.Out == record.Read }
+// wasProcessed reports whether a server ran an arrival or prefilled its prompt.
+func wasProcessed(a *record.Arrival) bool { return a.Out == record.Ran || a.Out == record.Read }
 
-// needsKey reports whether every version that may have been in force asks a try for a key.
+// needsKey reports whether every version that may have been current requires a key of a try.
 func (v *view) needsKey(t *record.Try) bool {
 	known := false
 	for _, x := range v.versions {
@@ -29,23 +29,25 @@
 	return known
 }
 
-// checkTenants: a server is told the tenant that has the client's key, and never the key.
+// checkTenants checks that a server receives the name of the tenant that has the client's
+// key, and never the key itself.
 func checkTenants(v *view, report reporter) {
 	for _, a := range v.Arrivals {
 		t := v.tries[a.Attempt]
-		if t == nil || !tookPlace(a) {
+		if t == nil || !wasProcessed(a) {
 			continue
 		}
 		if a.Key != "" {
-			report("%s was shown the key of %s", a.Server, a.Attempt)
+			report("%s received the key of %s", a.Server, a.Attempt)
 		}
 		if v.needsKey(t) && v.wasHeld(t) && !v.mayHold(t, a.Tenant) {
-			report("%s ran %s for the tenant %q, who doesn't have its key", a.Server, a.Attempt, a.Tenant)
+			report("%s ran %s for the tenant %q, which does not have its key", a.Server, a.Attempt, a.Tenant)
 		}
 	}
 }
 
-// mayHold reports whether a version that may have been in force gives a tenant the key of a try.
+// mayHold reports whether a version that may have been current assigns the key of a try to a
+// tenant.
 func (v *view) mayHold(t *record.Try, tenant string) bool {
 	return slices.ContainsFunc(v.versions, func(x version) bool {
 		name, ok := x.config.Holder(t.Key)
@@ -53,30 +55,31 @@
 	})
 }
 
-// wasHeld reports whether any configuration ever held the key of a try.
+// wasHeld reports whether any configuration ever had the key of a try.
 func (v *view) wasHeld(t *record.Try) bool {
 	return slices.ContainsFunc(v.versions, func(x version) bool { _, ok := x.config.Holder(t.Key); return ok })
 }
 
-// checkKeys: nothing runs with a key that no configuration ever held, or without one.
+// checkKeys checks that no request runs with a key that no configuration ever had, or
+// without a key.
 func checkKeys(v *view, report reporter) {
 	for _, a := range v.Arrivals {
 		t := v.tries[a.Attempt]
-		if t == nil || !tookPlace(a) || !v.needsKey(t) {
+		if t == nil || !wasProcessed(a) || !v.needsKey(t) {
 			continue
 		}
 		if !v.wasHeld(t) {
-			report("%s ran %s, whose key no configuration has held", a.Server, a.Attempt)
+			report("%s ran %s, whose key was never in a configuration", a.Server, a.Attempt)
 		}
 	}
 }
 
-// checkKeysApplied: soon after an acknowledgement, machines in touch serve nobody whose key
-// was taken away.
+// checkKeysApplied checks that once the Apply bound has passed after the acknowledgement,
+// connected machines serve no request with a removed key.
 func checkKeysApplied(v *view, report reporter) {
 	for _, a := range v.Arrivals {
 		t := v.tries[a.Attempt]
-		if t == nil || !tookPlace(a) || !v.needsKey(t) || !v.wasHeld(t) {
+		if t == nil || !wasProcessed(a) || !v.needsKey(t) || !v.wasHeld(t) {
 			continue
 		}
 		oldest := v.oldestAllowed(t.Sent)
@@ -85,13 +88,14 @@
 			return ok && x.mayApply() && x.Version >= oldest && x.Sent <= a.At
 		})
 		if !allowed && v.inTouchThroughout(t.Daemon, t.Sent, a.At) {
-			report("%s ran %s by %s with a key that version %d doesn't have, %.2fs after its acknowledgement",
+			report("%s ran %s, forwarded by %s, with a key that version %d does not have, %.2fs after its acknowledgement",
 				a.Server, a.Attempt, t.Daemon, oldest, seconds(t.Sent-v.ackedAt(oldest)))
 		}
 	}
 }
 
-// checkKeysKnown: nobody is told 401 whose key every version has that may be in force.
+// checkKeysKnown checks that no request is answered 401 if every version that may be
+// current has its key.
 func checkKeysKnown(v *view, report reporter) {
 	for _, t := range v.Tries {
 		if t.Status != http.StatusUnauthorized || t.Seal != "" {
@@ -109,18 +113,18 @@
 			}
 		}
 		if all > 0 && known == all {
-			report("%s was told 401, and every configuration has its key", t.ID)
+			report("%s was answered 401, but every configuration has its key", t.ID)
 		}
 	}
 }
 
-// checkQuotas: summed over all machines, the requests of a tenant that ran in any window keep
-// its limit.
+// checkQuotas checks that the requests of a tenant that ran in any window, summed over all
+// machines, are within its limit.
 func checkQuotas(v *view, report reporter) {
 	if v.QuotaWindow <= 0 {
 		return
 	}
-	ran := map[string][]time.Duration{} // when servers got what they ran, by tenant
+	ran := map[string][]time.Duration{} // arrival times of requests that ran, by tenant
 	for _, a := range v.Arrivals {
 		t := v.tries[a.Attempt]
 		if t == nil || a.Out != record.Ran {
@@ -139,7 +143,7 @@
 	}
 }
 
-// checkQuota looks for the first window in which a tenant had more than its limit.
+// checkQuota reports the first window in which a tenant exceeded its limit.
 func (v *view) checkQuota(tenant string, times []time.Duration, report reporter) {
 	end := 0
 	for i, from := range times {
@@ -148,15 +152,16 @@
 		}
 		limit, limited := v.quota(tenant, from)
 		if limited && float64(end-i) > limit {
-			report("the tenant %s had %d requests run in %v from %.2fs on, at most %.0f may be",
+			report("the tenant %s had %d requests run in the %v from %.2fs on; the limit is %.0f",
 				tenant, end-i, v.QuotaWindow, seconds(from), limit)
 			return
 		}
 	}
 }
 
-// quota is the largest number of requests that any version allows a tenant in a window from a
-// moment on: those that may have been in force until one window after a later one applied.
+// quota returns the largest number of requests that any applicable version allows a tenant
+// in a window that starts at a moment. A version remains applicable until one window after
+// a later one is applied.
 func (v *view) quota(tenant string, from time.Duration) (most float64, limited bool) {
 	oldest := v.oldestAllowed(from - v.QuotaWindow)
 	for _, x := range v.versions {
