--- a/proof/standin/fleet/fault.go
+++ b/proof/standin/fleet/fault.go
@@ -13,11 +13,11 @@
 	"mulleinmast/proof/standin/record"
 )
 
-// Kill kills a daemon at once.
+// Kill sends SIGKILL to a daemon and waits for its end.
 //
-// Example: f.Kill(m); f.Up(m)
+// Example: f.Kill(m); err := f.Restart(m)
 func (f *Fleet) Kill(m *Machine) {
-	f.begin(m, "killed", false)
+	f.beginTrouble(m, "killed", false)
 	m.Kill()
 }
 
@@ -26,7 +26,7 @@
 // Example: f.KillAll(f.Machines())
 func (f *Fleet) KillAll(list []*Machine) {
 	for _, m := range list {
-		f.begin(m, "killed", false)
+		f.beginTrouble(m, "killed", false)
 	}
 	for _, m := range list {
 		m.Signal(syscall.SIGKILL)
@@ -36,167 +36,167 @@
 	}
 }
 
-// Term asks a daemon to end.
+// Term sends SIGTERM to a daemon.
 //
 // Example: f.Term(m); track.Until(ctx, grace, func() bool { return !m.Up() })
 func (f *Fleet) Term(m *Machine) {
-	f.begin(m, "SIGTERM", true)
+	f.beginTrouble(m, "SIGTERM", true)
 	m.Signal(syscall.SIGTERM)
 }
 
-// Freeze stops a daemon where it stands; Thaw lets it go on.
+// Freeze suspends a daemon with SIGSTOP until Thaw.
 //
 // Example: f.Freeze(m); wait(); f.Thaw(m)
 func (f *Fleet) Freeze(m *Machine) {
-	f.begin(m, "frozen", false)
+	f.beginTrouble(m, "frozen", false)
 	m.Signal(syscall.SIGSTOP)
 }
 
-// Thaw lets a frozen daemon go on.
+// Thaw resumes a frozen daemon with SIGCONT.
 //
 // Example: f.Thaw(m)
 func (f *Fleet) Thaw(m *Machine) {
 	m.Signal(syscall.SIGCONT)
-	f.end(m)
+	f.endTroubles(m)
 }
 
-// Cut cuts a core machine off from the rest of the core, both ways; the other
-// machines, clients and the operator still reach it.
+// DisconnectCore disconnects a core machine from the rest of the core in both
+// directions. Other machines, clients and the operator still reach it.
 //
-// Example: err := f.Cut(m); err = f.Join(m)
-func (f *Fleet) Cut(m *Machine) error {
+// Example: err := f.DisconnectCore(m); err = f.Reconnect(m)
+func (f *Fleet) DisconnectCore(m *Machine) error {
 	var others []string
 	for _, o := range f.Core() {
 		if o != m {
 			others = append(others, fmt.Sprintf("%s:%d", o.IP, firstPort))
 		}
 	}
-	f.begin(m, "cut off", false)
-	return f.sever(m, others)
+	f.beginTrouble(m, "cut off", false)
+	return f.block(m, others)
 }
 
-// Isolate cuts a machine off from all other machines; clients and the operator
+// Isolate disconnects a machine from all other machines. Clients and the operator
 // still reach it.
 //
-// Example: err := f.Isolate(m); err = f.Join(m)
+// Example: err := f.Isolate(m); err = f.Reconnect(m)
 func (f *Fleet) Isolate(m *Machine) error {
-	f.begin(m, "cut off from all", false)
-	return f.sever(m, []string{"*"})
+	f.beginTrouble(m, "cut off from all", false)
+	return f.block(m, []string{"*"})
 }
 
-// Deafen has a machine hear nothing of the other machines, which hear it still;
-// Hear ends it.
+// BlockInbound drops everything that a machine receives from other machines, until
+// UnblockInbound. The other machines still receive its messages.
 //
-// Example: err := f.Deafen(m); err = f.Hear(m)
-func (f *Fleet) Deafen(m *Machine) error {
-	f.begin(m, "hears no other", false)
-	return f.Test(m, "/test/deaf", []byte(`["*"]`))
+// Example: err := f.BlockInbound(m); err = f.UnblockInbound(m)
+func (f *Fleet) BlockInbound(m *Machine) error {
+	f.beginTrouble(m, "hears no other", false)
+	return f.Post(m, "/test/deaf", []byte(`["*"]`))
 }
 
-// Hear ends a Deafen.
+// UnblockInbound ends a BlockInbound.
 //
-// Example: err := f.Hear(m)
-func (f *Fleet) Hear(m *Machine) error {
-	err := f.Test(m, "/test/deaf", []byte("[]"))
-	f.end(m)
+// Example: err := f.UnblockInbound(m)
+func (f *Fleet) UnblockInbound(m *Machine) error {
+	err := f.Post(m, "/test/deaf", []byte("[]"))
+	f.endTroubles(m)
 	return err
 }
 
-// Slow has what a machine sends to others be up to so long on its way, in any
-// order, Quicken no more.
+// DelayMessages delays each message that a machine sends to others by up to a
+// duration, so that messages may also be reordered, until StopDelays.
 //
-// Example: err := f.Slow(m, 300*time.Millisecond); err = f.Quicken(m)
-func (f *Fleet) Slow(m *Machine, most time.Duration) error {
-	f.begin(m, "links slow", false)
-	return f.Test(m, "/test/slow?for="+most.String(), nil)
+// Example: err := f.DelayMessages(m, 300*time.Millisecond); err = f.StopDelays(m)
+func (f *Fleet) DelayMessages(m *Machine, most time.Duration) error {
+	f.beginTrouble(m, "links slow", false)
+	return f.Post(m, "/test/slow?for="+most.String(), nil)
 }
 
-// Quicken ends a Slow.
+// StopDelays ends a DelayMessages.
 //
-// Example: err := f.Quicken(m)
-func (f *Fleet) Quicken(m *Machine) error {
-	err := f.Test(m, "/test/slow?for=0s", nil)
-	f.end(m)
+// Example: err := f.StopDelays(m)
+func (f *Fleet) StopDelays(m *Machine) error {
+	err := f.Post(m, "/test/slow?for=0s", nil)
+	f.endTroubles(m)
 	return err
 }
 
-// Stall has every write to a machine's disk take so much longer, Unstall no more.
+// StallDisk delays every write to a machine's disk by a duration, until UnstallDisk.
 //
-// Example: err := f.Stall(m, 2*time.Second); err = f.Unstall(m)
-func (f *Fleet) Stall(m *Machine, by time.Duration) error {
-	f.begin(m, "disk stalls", false)
-	return f.Test(m, "/test/stall?for="+by.String(), nil)
+// Example: err := f.StallDisk(m, 2*time.Second); err = f.UnstallDisk(m)
+func (f *Fleet) StallDisk(m *Machine, by time.Duration) error {
+	f.beginTrouble(m, "disk stalls", false)
+	return f.Post(m, "/test/stall?for="+by.String(), nil)
 }
 
-// Unstall ends a Stall.
+// UnstallDisk ends a StallDisk.
 //
-// Example: err := f.Unstall(m)
-func (f *Fleet) Unstall(m *Machine) error {
-	err := f.Test(m, "/test/stall?for=0s", nil)
-	f.end(m)
+// Example: err := f.UnstallDisk(m)
+func (f *Fleet) UnstallDisk(m *Machine) error {
+	err := f.Post(m, "/test/stall?for=0s", nil)
+	f.endTroubles(m)
 	return err
 }
 
-// Full has a machine's disk take no more bytes, or again.
+// SetDiskFull sets whether writes to a machine's disk fail because it is full.
 //
-// Example: err := f.Full(m, true); err = f.Full(m, false)
-func (f *Fleet) Full(m *Machine, full bool) error {
+// Example: err := f.SetDiskFull(m, true); err = f.SetDiskFull(m, false)
+func (f *Fleet) SetDiskFull(m *Machine, full bool) error {
 	if !full {
-		err := f.Test(m, "/test/full?on=0", nil)
-		f.end(m)
+		err := f.Post(m, "/test/full?on=0", nil)
+		f.endTroubles(m)
 		return err
 	}
-	f.begin(m, "disk full", false)
-	return f.Test(m, "/test/full?on=1", nil)
+	f.beginTrouble(m, "disk full", false)
+	return f.Post(m, "/test/full?on=1", nil)
 }
 
-// Hup tells a machine that its settings have changed.
+// Reload sends SIGHUP to a machine's daemon, which reloads its settings.
 //
-// Example: f.Hup(m)
-func (f *Fleet) Hup(m *Machine) {
+// Example: f.Reload(m)
+func (f *Fleet) Reload(m *Machine) {
 	t := &record.Trouble{Daemon: m.Name, What: "SIGHUP", From: f.log.Now(), Hup: true}
 	f.log.Do(func(a *record.All) { a.Troubles = append(a.Troubles, t) })
 	m.Signal(syscall.SIGHUP)
 }
 
-// Join ends a cut.
+// Reconnect ends a DisconnectCore or an Isolate.
 //
-// Example: err := f.Join(m)
-func (f *Fleet) Join(m *Machine) error {
-	err := f.sever(m, []string{})
-	f.end(m)
+// Example: err := f.Reconnect(m)
+func (f *Fleet) Reconnect(m *Machine) error {
+	err := f.block(m, []string{})
+	f.endTroubles(m)
 	return err
 }
 
-// sever has a daemon neither send to nor hear other daemons at some addresses.
-func (f *Fleet) sever(m *Machine, from []string) error {
+// block drops all traffic between a daemon and the daemons at some addresses.
+func (f *Fleet) block(m *Machine, from []string) error {
 	b, err := json.Marshal(from)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	return f.Test(m, "/test/cut", b)
+	return f.Post(m, "/test/cut", b)
 }
 
-// Test throws one of a daemon's switches for tests.
+// Post posts to a path of a daemon's own interface, such as one of its test switches.
 //
-// Example: err := f.Test(m, "/test/full?on=1", nil)
-func (f *Fleet) Test(m *Machine, path string, body []byte) error {
-	res, err := f.web.Post(m.Own(path), "application/json", bytes.NewReader(body))
+// Example: err := f.Post(m, "/test/full?on=1", nil)
+func (f *Fleet) Post(m *Machine, path string, body []byte) error {
+	res, err := f.web.Post(m.URL(path), "application/json", bytes.NewReader(body))
 	if err != nil {
 		return Error.Wrap(err)
 	}
 	defer func() { _ = res.Body.Close() }()
 	if res.StatusCode != http.StatusOK {
-		return Error.New("%s does not take %s: %d", m.Name, path, res.StatusCode)
+		return Error.New("%s answered POST %s with status %d", m.Name, path, res.StatusCode)
 	}
 	return nil
 }
 
-// DiskUse is what a machine's disk holds, in bytes.
+// DiskUse returns the size of the files on a machine's disk, in bytes.
 //
 // Example: if f.DiskUse(m) > 64<<20 { fail() }
 func (f *Fleet) DiskUse(m *Machine) (size int64) {
-	files, _ := os.ReadDir(f.folder(m)) // a folder that is being removed holds less
+	files, _ := os.ReadDir(f.dataFolder(m)) // an error means that the folder is being removed; count what is left
 	for _, file := range files {
 		if info, err := file.Info(); err == nil {
 			size += info.Size()
@@ -205,61 +205,61 @@
 	return size
 }
 
-// Wipe removes a daemon's disk.
+// Wipe removes a daemon's data folder.
 //
-// Example: f.Kill(m); err := f.Wipe(m); err = f.Up(m)
-func (f *Fleet) Wipe(m *Machine) error { return Error.Wrap(os.RemoveAll(f.folder(m))) }
+// Example: f.Kill(m); err := f.Wipe(m); err = f.Restart(m)
+func (f *Fleet) Wipe(m *Machine) error { return Error.Wrap(os.RemoveAll(f.dataFolder(m))) }
 
-// PutBack puts a back-up in the place of a daemon's state, as operators do.
+// RestoreBackup replaces a daemon's state with a backup, as operators do.
 //
-// Example: f.Kill(m); err := f.PutBack(m, "/safe/state-1.db"); err = f.Up(m)
-func (f *Fleet) PutBack(m *Machine, file string) error {
+// Example: f.Kill(m); err := f.RestoreBackup(m, "/safe/state-1.db"); err = f.Restart(m)
+func (f *Fleet) RestoreBackup(m *Machine, file string) error {
 	if err := f.Wipe(m); err != nil {
 		return err
 	}
-	if err := os.MkdirAll(f.folder(m), 0o700); err != nil {
+	if err := os.MkdirAll(f.dataFolder(m), 0o700); err != nil {
 		return Error.Wrap(err)
 	}
 	state, err := os.ReadFile(file)
 	if err != nil {
 		return Error.Wrap(err)
 	}
-	return Error.Wrap(os.WriteFile(filepath.Join(f.folder(m), "state.db"), state, 0o600))
+	return Error.Wrap(os.WriteFile(filepath.Join(f.dataFolder(m), "state.db"), state, 0o600))
 }
 
-// majorityLost is the file that the operators' page names.
+// majorityLost is the marker file that the operators' documentation names.
 const majorityLost = "majority-lost"
 
-// SayMajorityLost says beside a back-up that it is the state that is left.
+// MarkMajorityLost marks a machine's state as authoritative after the loss of a majority.
 //
-// Example: err := f.PutBack(m, file); err = f.SayMajorityLost(m)
-func (f *Fleet) SayMajorityLost(m *Machine) error {
-	return Error.Wrap(os.WriteFile(filepath.Join(f.folder(m), majorityLost), nil, 0o600))
+// Example: err := f.RestoreBackup(m, file); err = f.MarkMajorityLost(m)
+func (f *Fleet) MarkMajorityLost(m *Machine) error {
+	return Error.Wrap(os.WriteFile(filepath.Join(f.dataFolder(m), majorityLost), nil, 0o600))
 }
 
-// CopyFolder copies a daemon's data folder as it stands, by other means than the
-// daemon's own back-up.
+// CopyFolder copies a daemon's data folder file by file, bypassing the daemon's own
+// backup.
 //
 // Example: err := f.CopyFolder(m, dir)
 func (f *Fleet) CopyFolder(m *Machine, to string) error {
-	return Error.Wrap(os.CopyFS(to, os.DirFS(f.folder(m))))
+	return Error.Wrap(os.CopyFS(to, os.DirFS(f.dataFolder(m))))
 }
 
-// PutFolder puts a copy of a data folder in the place of what a daemon has.
+// RestoreFolder replaces a daemon's data folder with a copy of one.
 //
-// Example: f.Kill(m); err := f.PutFolder(m, dir); err = f.Up(m)
-func (f *Fleet) PutFolder(m *Machine, from string) error {
+// Example: f.Kill(m); err := f.RestoreFolder(m, dir); err = f.Restart(m)
+func (f *Fleet) RestoreFolder(m *Machine, from string) error {
 	if err := f.Wipe(m); err != nil {
 		return err
 	}
-	return Error.Wrap(os.CopyFS(f.folder(m), os.DirFS(from)))
+	return Error.Wrap(os.CopyFS(f.dataFolder(m), os.DirFS(from)))
 }
 
-// Remove takes a machine away for good.
+// Remove kills a machine's daemon and removes the machine permanently.
 //
 // Example: f.Remove(m)
 func (f *Fleet) Remove(m *Machine) {
-	f.begin(m, "removed", false)
+	f.beginTrouble(m, "removed", false)
 	m.Kill()
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/proof/standin/fleet/fleet.go
+++ b/proof/standin/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet runs daemons as real processes that are booted as the platform
-// boots them: a settings file each, an address of its own in loopback and ports
-// that are alike on all.
+// Package fleet runs daemons as real processes, started as the platform starts
+// them: each has its own settings file and loopback address, and all use the same
+// ports.
 package fleet
 
 import (
@@ -26,10 +26,10 @@
 	"mulleinmast/proof/track"
 )
 
-// Error is the class of faults in running a fleet.
+// Error is the class of errors in running a fleet.
 var Error = errs.Class("stand-in fleet")
 
-// The ports, alike on all machines.
+// Ports, the same on all machines.
 const (
 	controlPort   = 8262
 	publicPort    = 8263
@@ -38,31 +38,31 @@
 	lastPort      = 7315
 )
 
-// Config is a fleet.
+// Config describes a fleet.
 type Config struct {
 	Dir     string
 	Program string
-	Old     string // another build, which every other life of a machine runs; none: one build runs
-	Net     string // the first three numbers of its addresses
+	Old     string // another build that alternates with Program at each start of a machine; empty: none
+	Net     string // the first three octets of its addresses
 	Zones   []string
 	PerZone int // machines in each zone; the first of each has a disk
 	Bounds  rules.Bounds
 	Ack     time.Duration
-	Cloud   string // address of the list
+	Cloud   string // address of the server list
 	Lag     time.Duration
 	Rate    float64
-	Files   int // descriptors of a process; 0: as the users' sheets say
+	Files   int // open-file limit of a process; 0: the usual limit of the platform
 }
 
-// Machine is one machine with its daemon.
+// Machine is a machine and its daemon.
 type Machine struct {
 	track.Proc
 	IP, Zone string
 	Core     bool
 	life     int
-	troubles []*record.Trouble // that go on
+	troubles []*record.Trouble // in progress
 	seeds    []string
-	gone     bool // removed for good
+	gone     bool // removed permanently
 }
 
 // Fleet is a running fleet.
@@ -75,10 +75,10 @@
 	list []*Machine
 }
 
-// Net finds three numbers of addresses in loopback that nobody uses.
+// FreeNet returns the first three octets of an unused loopback network.
 //
-// Example: cfg.Net, err = fleet.Net()
-func Net() (string, error) {
+// Example: cfg.Net, err = fleet.FreeNet()
+func FreeNet() (string, error) {
 	for range 200 {
 		n := fmt.Sprintf("127.%d.%d", 16+rand.Intn(100), 1+rand.Intn(250))
 		free := true
@@ -92,23 +92,23 @@
 			return n, nil
 		}
 	}
-	return "", Error.New("no free addresses in loopback")
+	return "", Error.New("no free loopback network found in 200 attempts")
 }
 
-// New lays a fleet out; nothing runs yet.
+// New creates a fleet without starting its processes.
 //
 // Example: f := fleet.New(cfg, log); err := f.Start()
 func New(c Config, log *record.Log) *Fleet {
 	f := &Fleet{Config: c, log: log, web: &http.Client{Timeout: 2 * time.Second}}
 	for range c.PerZone {
 		for _, z := range c.Zones {
-			f.add(z, len(f.list) < len(c.Zones))
+			f.addMachine(z, len(f.list) < len(c.Zones))
 		}
 	}
 	return f
 }
 
-func (f *Fleet) add(zone string, core bool) *Machine {
+func (f *Fleet) addMachine(zone string, core bool) *Machine {
 	n := len(f.list) + 1
 	m := &Machine{IP: fmt.Sprintf("%s.%d", f.Net, n), Zone: zone, Core: core}
 	m.Name = fmt.Sprint("front-", n)
@@ -127,10 +127,10 @@
 		}
 	}
 	for _, m := range f.list {
-		if err := f.write(m, true, seeds); err != nil {
+		if err := f.writeSettings(m, true, seeds); err != nil {
 			return err
 		}
-		if err := f.run(m); err != nil {
+		if err := f.startDaemon(m); err != nil {
 			return err
 		}
 	}
@@ -163,7 +163,7 @@
 	return out
 }
 
-// All lists the machines, those that were taken away for good too.
+// All lists the machines, including removed ones.
 //
 // Example: for _, m := range f.All() { search(f.LogOf(m)) }
 func (f *Fleet) All() []*Machine {
@@ -172,7 +172,7 @@
 	return slices.Clone(f.list)
 }
 
-// Core lists those with a disk.
+// Core lists the machines of the core, which have a disk.
 //
 // Example: m := f.Core()[0]
 func (f *Fleet) Core() (out []*Machine) {
@@ -184,9 +184,9 @@
 	return out
 }
 
-// Daemons lists the daemons as the platform knows them.
+// Daemons lists the daemons as the platform sees them.
 //
-// Example: door := entry.New(f.Daemons)
+// Example: e := entry.New(f.Daemons)
 func (f *Fleet) Daemons() (out []entry.Daemon) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -201,29 +201,30 @@
 	return out
 }
 
-func (f *Fleet) settings(m *Machine) string { return filepath.Join(f.Dir, m.Name+".toml") }
-func (f *Fleet) folder(m *Machine) string   { return filepath.Join(f.Dir, m.Name+"-data") }
+func (f *Fleet) settingsPath(m *Machine) string { return filepath.Join(f.Dir, m.Name+".toml") }
+func (f *Fleet) dataFolder(m *Machine) string   { return filepath.Join(f.Dir, m.Name+"-data") }
 
-// write writes a machine's settings file.
-func (f *Fleet) write(m *Machine, first bool, seeds []string) error {
+// writeSettings writes a machine's settings file.
+func (f *Fleet) writeSettings(m *Machine, first bool, seeds []string) error {
 	m.seeds = seeds
-	return Error.Wrap(os.WriteFile(f.settings(m), []byte(f.text(m, first)), 0o600))
+	return Error.Wrap(os.WriteFile(f.settingsPath(m), []byte(f.settingsText(m, first)), 0o600))
 }
 
-func (f *Fleet) run(m *Machine) error {
+func (f *Fleet) startDaemon(m *Machine) error {
 	f.mu.Lock()
 	m.life++
 	f.mu.Unlock()
-	err := m.Run(f.build(m), []string{"-say", "-test-switches"}, []string{variable + "=" + f.settings(m)}, f.LogOf(m))
+	err := m.Run(f.programOf(m), []string{"-say", "-test-switches"},
+		[]string{bootVariable + "=" + f.settingsPath(m)}, f.LogOf(m))
 	if err == nil && f.Files > 0 {
 		err = m.Limit(f.Files)
 	}
 	return Error.Wrap(err)
 }
 
-// build is the program of a machine's present life. With two builds each machine
-// changes from one to the other at every start, and half of them run each.
-func (f *Fleet) build(m *Machine) string {
+// programOf returns the program for a machine's current start. With two builds each machine
+// alternates between them, and at any time about half of the machines run each.
+func (f *Fleet) programOf(m *Machine) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.Old != "" && (m.life+slices.Index(f.list, m))%2 == 0 {
@@ -232,8 +233,8 @@
 	return f.Program
 }
 
-// begin records that trouble begins.
-func (f *Fleet) begin(m *Machine, what string, planned bool) {
+// beginTrouble records the start of a trouble.
+func (f *Fleet) beginTrouble(m *Machine, what string, planned bool) {
 	t := &record.Trouble{Daemon: m.Name, Core: m.Core, What: what, From: f.log.Now(), Planned: planned}
 	f.log.Do(func(a *record.All) { a.Troubles = append(a.Troubles, t) })
 	f.mu.Lock()
@@ -241,7 +242,8 @@
 	m.troubles = append(m.troubles, t)
 }
 
-func (f *Fleet) end(m *Machine) {
+// endTroubles records the end of all troubles of a machine.
+func (f *Fleet) endTroubles(m *Machine) {
 	f.mu.Lock()
 	list := m.troubles
 	m.troubles = nil
@@ -253,88 +255,90 @@
 	})
 }
 
-// LogOf is the file that a machine's process writes its lines to.
+// LogOf returns the path of a machine's log file.
 //
 // Example: text, err := os.ReadFile(f.LogOf(m))
 func (f *Fleet) LogOf(m *Machine) string { return filepath.Join(f.Dir, m.Name+".log") }
 
-// Own is the address of a path of the product's own interface.
+// URL returns the URL of a path of the daemon's own interface.
 //
-// Example: res, err := http.Get(m.Own("/metrics"))
-func (m *Machine) Own(path string) string {
+// Example: res, err := http.Get(m.URL("/metrics"))
+func (m *Machine) URL(path string) string {
 	return fmt.Sprintf("http://%s:%d%s", m.IP, firstPort+1, path)
 }
 
-// ControlAddr is where a machine's daemon serves control.
+// ControlAddr returns the address of a daemon's control interface.
 //
 // Example: http.Get("http://" + m.ControlAddr() + "/v1/config")
 func (m *Machine) ControlAddr() string { return fmt.Sprintf("%s:%d", m.IP, controlPort) }
 
-// Up starts a daemon again, which is no first start.
+// Restart starts a daemon again, with settings that say that it is not a first start.
 //
-// Example: err := f.Up(m)
-func (f *Fleet) Up(m *Machine) error {
-	if err := f.write(m, false, m.seeds); err != nil {
+// Example: err := f.Restart(m)
+func (f *Fleet) Restart(m *Machine) error {
+	if err := f.writeSettings(m, false, m.seeds); err != nil {
 		return err
 	}
-	err := f.run(m)
-	f.end(m)
+	err := f.startDaemon(m)
+	f.endTroubles(m)
 	return err
 }
 
-// Add adds a machine that starts empty.
+// Add adds a machine and starts it with an empty disk.
 //
 // Example: m, err := f.Add("north", true)
-func (f *Fleet) Add(zone string, core bool) (*Machine, error) { return f.join(zone, core, "") }
+func (f *Fleet) Add(zone string, core bool) (*Machine, error) { return f.addAndStart(zone, core, "") }
 
-// AddFrom adds a machine that starts with a copy of a data folder.
+// AddFrom adds a core machine and starts it with a copy of a data folder.
 //
 // Example: m, err := f.AddFrom("north", dir)
-func (f *Fleet) AddFrom(zone, folder string) (*Machine, error) { return f.join(zone, true, folder) }
+func (f *Fleet) AddFrom(zone, folder string) (*Machine, error) {
+	return f.addAndStart(zone, true, folder)
+}
 
-func (f *Fleet) join(zone string, core bool, folder string) (*Machine, error) {
+func (f *Fleet) addAndStart(zone string, core bool, folder string) (*Machine, error) {
 	f.mu.Lock()
-	m := f.add(zone, core)
+	m := f.addMachine(zone, core)
 	for _, seed := range f.list {
 		if !seed.gone && seed != m && len(m.seeds) < 3 {
 			m.seeds = append(m.seeds, seed.ControlAddr())
 		}
 	}
 	f.mu.Unlock()
-	f.begin(m, "added", false)
+	f.beginTrouble(m, "added", false)
 	if folder != "" {
-		if err := f.PutFolder(m, folder); err != nil {
+		if err := f.RestoreFolder(m, folder); err != nil {
 			return m, err
 		}
 	}
-	if err := f.write(m, false, m.seeds); err != nil {
+	if err := f.writeSettings(m, false, m.seeds); err != nil {
 		return m, err
 	}
-	err := f.run(m)
-	f.end(m)
+	err := f.startDaemon(m)
+	f.endTroubles(m)
 	return m, err
 }
 
-// Seed tells all daemons of other seeds, by SIGHUP.
+// SetSeeds changes the seeds in the settings of all machines and reloads their daemons.
 //
-// Example: err := f.Seed(f.Machines()[3:6])
-func (f *Fleet) Seed(by []*Machine) error {
+// Example: err := f.SetSeeds(f.Machines()[3:6])
+func (f *Fleet) SetSeeds(to []*Machine) error {
 	var seeds []string
-	for _, m := range by {
+	for _, m := range to {
 		seeds = append(seeds, fmt.Sprintf("%s:%d", m.IP, controlPort))
 	}
 	for _, m := range f.Machines() {
-		if err := f.write(m, false, seeds); err != nil {
+		if err := f.writeSettings(m, false, seeds); err != nil {
 			return err
 		}
 		if m.Up() {
-			f.Hup(m)
+			f.Reload(m)
 		}
 	}
 	return nil
 }
 
-// State asks a daemon by the product's own interface.
+// State reads a daemon's state from its own interface.
 //
 // Example: st, ok := f.State(m)
 func (f *Fleet) State(m *Machine) (st daemon.State, ok bool) {
@@ -347,17 +351,17 @@
 	return st, err == nil && res.StatusCode == http.StatusOK && json.Unmarshal(b, &st) == nil
 }
 
-// Leader finds the daemon that holds a part.
+// Leader returns the machine that leads a partition, or nil.
 //
 // Example: m := f.Leader(0)
-func (f *Fleet) Leader(partition int) *Machine { return f.LeaderBut(partition, nil) }
+func (f *Fleet) Leader(partition int) *Machine { return f.LeaderExcept(partition, nil) }
 
-// LeaderBut finds the daemon that holds a part, passing one machine over.
+// LeaderExcept returns the machine that leads a partition, ignoring one machine, or nil.
 //
-// Example: next := f.LeaderBut(0, cutOff)
-func (f *Fleet) LeaderBut(partition int, but *Machine) *Machine {
+// Example: next := f.LeaderExcept(0, disconnected)
+func (f *Fleet) LeaderExcept(partition int, ignored *Machine) *Machine {
 	for _, m := range f.Core() {
-		if m == but {
+		if m == ignored {
 			continue
 		}
 		if st, ok := f.State(m); ok && partition < len(st.Partitions) && st.Partitions[partition].LedHere {
--- a/proof/standin/fleet/signal_test.go
+++ b/proof/standin/fleet/signal_test.go
@@ -15,17 +15,17 @@
 	"mulleinmast/proof/track"
 )
 
-// mostWait is how long a process may take for what should come soon.
-const mostWait = 10 * time.Second
+// waitLimit bounds each wait for a change of a process.
+const waitLimit = 10 * time.Second
 
-// alone is a fleet of one machine, whose process does not run yet.
-func alone(t *testing.T) (*Fleet, *Machine) {
+// newOne creates a fleet of one machine, whose process does not run yet.
+func newOne(t *testing.T) (*Fleet, *Machine) {
 	t.Helper()
 	dir := t.TempDir()
 	if out, err := exec.Command("go", "build", "-o", dir+"/", "mulleinmast/cmd/mulleinmast").CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	at, err := Net()
+	at, err := FreeNet()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,9 +38,9 @@
 	return f, f.Machines()[0]
 }
 
-// listens tells whether a daemon answers on its own interface.
+// listens reports whether a daemon answers on its own interface.
 func listens(m *Machine) bool {
-	res, err := http.Get(m.Own("/livez"))
+	res, err := http.Get(m.URL("/livez"))
 	if err != nil {
 		return false
 	}
@@ -48,81 +48,80 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// begin has a process start whose settings file holds it up at its first step:
-// the test writes the file once something else has happened.
-func begin(t *testing.T, f *Fleet, m *Machine) (settings *os.File) {
+// startBlocked starts a process whose settings file is a FIFO: it blocks at its first step
+// until the test writes the file.
+func startBlocked(t *testing.T, f *Fleet, m *Machine) (settings *os.File) {
 	t.Helper()
-	if err := syscall.Mkfifo(f.settings(m), 0o600); err != nil {
+	if err := syscall.Mkfifo(f.settingsPath(m), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.run(m); err != nil {
+	if err := f.startDaemon(m); err != nil {
 		t.Fatal(err)
 	}
 	opened := make(chan *os.File, 1)
 	go func() {
-		if file, err := os.OpenFile(f.settings(m), os.O_WRONLY, 0); err == nil {
+		if file, err := os.OpenFile(f.settingsPath(m), os.O_WRONLY, 0); err == nil {
 			opened <- file // the process has opened it to read
 		}
 	}()
 	select {
 	case file := <-opened:
 		return file
-	case <-time.After(mostWait):
-		t.Fatal("the settings are not read")
+	case <-time.After(waitLimit):
+		t.Fatal("the process did not open its settings")
 		return nil
 	}
 }
 
-// A reload that comes while a daemon starts is no order to end: settings change
-// whenever the platform likes, and a start takes as long as its disk does.
-func TestAReloadDuringTheStart(t *testing.T) {
-	f, m := alone(t)
+// A SIGHUP during a daemon's start must not end it: the platform may change settings at any
+// time, and a slow disk makes a start slow.
+func TestSIGHUPDuringStart(t *testing.T) {
+	f, m := newOne(t)
 	m.seeds = []string{m.ControlAddr()}
-	file := begin(t, f, m)
+	file := startBlocked(t, f, m)
 	m.Signal(syscall.SIGHUP)
 	if track.Until(context.Background(), 300*time.Millisecond, func() bool { return !m.Up() }) {
-		t.Fatal("the process has ended")
+		t.Fatal("the process ended on SIGHUP")
 	}
-	if _, err := file.WriteString(f.text(m, true)); err != nil {
+	if _, err := file.WriteString(f.settingsText(m, true)); err != nil {
 		t.Fatal(err)
 	}
 	_ = file.Close()
-	if !track.Until(context.Background(), mostWait, func() bool { return listens(m) }) {
+	if !track.Until(context.Background(), waitLimit, func() bool { return listens(m) }) {
 		text, _ := os.ReadFile(f.LogOf(m))
-		t.Errorf("it runs: %v, and does not listen\n%s", m.Up(), text)
+		t.Errorf("the daemon does not listen (process runs: %v)\n%s", m.Up(), text)
 	}
 }
 
-// An order to end that comes while a daemon starts, wherever the start is held
-// up, ends it.
-func TestAStopDuringTheStart(t *testing.T) {
-	f, m := alone(t)
-	file := begin(t, f, m)
+// A SIGTERM during a daemon's start ends it, even while the start is blocked.
+func TestSIGTERMDuringStart(t *testing.T) {
+	f, m := newOne(t)
+	file := startBlocked(t, f, m)
 	defer func() { _ = file.Close() }()
 	m.Signal(syscall.SIGTERM)
-	if !track.Until(context.Background(), mostWait, func() bool { return !m.Up() }) {
-		t.Error("the process still runs")
+	if !track.Until(context.Background(), waitLimit, func() bool { return !m.Up() }) {
+		t.Error("the process still runs after SIGTERM")
 	}
 }
 
-// A second SIGTERM is the same order once more: what is under way still ends in
-// its time, and the platform still sees that the daemon is not ready.
-func TestASecondStopCutsNothingOff(t *testing.T) {
-	m := started(t, 0)
+// A second SIGTERM must not shorten the shutdown: requests in progress still get their time,
+// and the platform still sees that the daemon is not ready.
+func TestSecondSIGTERMDoesNotShortenShutdown(t *testing.T) {
+	m := startOne(t, 0)
 	from := time.Now()
 	m.Signal(syscall.SIGTERM)
-	if !track.Until(context.Background(), mostWait, func() bool {
-		res, err := http.Get(m.Own("/readyz"))
+	if !track.Until(context.Background(), waitLimit, func() bool {
+		res, err := http.Get(m.URL("/readyz"))
 		return err == nil && res.Body.Close() == nil && res.StatusCode == 503
 	}) {
-		t.Error("it is still ready")
+		t.Error("the daemon is still ready after SIGTERM")
 	}
 	m.Signal(syscall.SIGTERM)
-	if !track.Until(context.Background(), mostWait, func() bool { return !m.Up() }) {
-		t.Fatal("it still runs")
+	if !track.Until(context.Background(), waitLimit, func() bool { return !m.Up() }) {
+		t.Fatal("the daemon still runs after the second SIGTERM")
 	}
-	// The platform asks each second, and two misses take a machine out.
+	// The platform probes readiness once a second and removes a machine after two failures.
 	if took := time.Since(from); took < 2*time.Second {
-		t.Errorf("it ended after %v, before the platform could see that it is not ready", took)
+		t.Errorf("the daemon ended after %v, before the platform could see that it is not ready", took)
 	}
 }
--- a/proof/standin/scene/answers.go
+++ b/proof/standin/scene/answers.go
@@ -6,48 +6,47 @@
 	"mulleinmast/proof/standin/server"
 )
 
-// answers: servers spoil, double, hold back and break off their answers, forget
-// connections and turn requests away before they are in; addresses go to other
-// services; and the leader of the configuration restarts again and again with
-// changes sent through it, so that responses meet a later life.
+// answers makes servers corrupt, duplicate, delay and truncate their answers, drop idle
+// connections and refuse requests before reading them, and gives an address to another
+// service. It also restarts the configuration leader repeatedly while changes are sent
+// through it, so that responses arrive at a later incarnation.
 func answers(ctx context.Context, w *World) {
-	w.spoil(ctx, server.Doubled, server.Extra, server.Late, server.Reset, server.HeadOnly, server.Break, server.Denied, server.Interim, server.Unframed, server.UnframedReset,
+	w.misbehaveAll(ctx, server.Doubled, server.Extra, server.Late, server.Reset, server.HeadOnly, server.Break, server.Denied, server.Interim, server.Unframed, server.UnframedReset,
 		server.NoSeal, server.Early, server.Forget, server.Unwarned)
-	w.again(ctx)
+	w.restartLeaders(ctx)
 	old := w.Servers("plain")[0]
-	w.forget(old)
+	w.removeServer(old)
 	old.Crash()
 	if _, err := w.ServeAt(old.Address, "other", old.Zone, "", 0); err != nil {
 		w.Fail("%v", err)
 	}
-	w.Served(ctx, int(w.Rate/2))
+	w.WaitServed(ctx, int(w.Rate/2))
 	w.Cloud.Drop(old.ID)
 }
 
-// spoil has all servers misbehave in several ways at once, one group of ways
-// after another.
-func (w *World) spoil(ctx context.Context, faults ...server.Fault) {
-	const together = 3
-	for i := 0; i < len(faults); i += together {
+// misbehaveAll makes all servers misbehave with groups of faults, one group after another.
+func (w *World) misbehaveAll(ctx context.Context, faults ...server.Fault) {
+	const groupSize = 3
+	for i := 0; i < len(faults); i += groupSize {
 		for j, s := range w.Servers("") {
-			for k, f := range faults[i:min(i+together, len(faults))] {
+			for k, f := range faults[i:min(i+groupSize, len(faults))] {
 				if (j+k)%2 == 0 {
 					s.Misbehave(f, 2)
 				}
 			}
 		}
-		w.Served(ctx, int(w.Rate/2))
+		w.WaitServed(ctx, int(w.Rate/2))
 	}
-	for _, s := range w.Servers("") { // what was not played is let go
+	for _, s := range w.Servers("") { // clear faults that were not triggered
 		for _, f := range faults {
 			s.Misbehave(f, 0)
 		}
 	}
 }
 
-// again restarts the leader of the configuration at once, some times in a row,
-// while changes are sent.
-func (w *World) again(ctx context.Context) {
+// restartLeaders kills and restarts the configuration leader several times in a row, each
+// time while a change is sent.
+func (w *World) restartLeaders(ctx context.Context) {
 	times := 3
 	if w.Short {
 		times = 2
@@ -59,15 +58,15 @@
 			return
 		}
 		done := make(chan int, 1)
-		go func() { done <- w.another(ctx, "again").Status }()
+		go func() { done <- w.addRoute(ctx, "again").Status }()
 		w.Fleet.Kill(m)
-		if err := w.Fleet.Up(m); err != nil {
+		if err := w.Fleet.Restart(m); err != nil {
 			w.Fail("%v", err)
 			return
 		}
 		if status := <-done; status != 200 {
-			w.Fail("a change was not taken: %d", status)
+			w.Fail("a change was not acknowledged: status %d", status)
 		}
-		w.ready(ctx, m.Name+" is back")
+		w.waitReady(ctx, m.Name+" is back")
 	}
 }
--- a/proof/standin/scene/copies.go
+++ b/proof/standin/scene/copies.go
@@ -10,91 +10,92 @@
 	"mulleinmast/proof/standin/fleet"
 )
 
-// catchUp is catch-up-s of the settings: after it a machine counts again.
+// catchUp is catch-up-s of the settings, after which a restarted machine must have its
+// votes again.
 const catchUp = 4 * time.Second
 
-// backUp: one machine gets a back-up of its disk put back that is older than what
-// was acknowledged since, while the only other copy of that is away and the third
-// missed it. Nothing older is shown by anybody, and nothing is lost.
+// backUp restores one machine from a backup that lacks a later acknowledged change,
+// while the only other machine with that change is down and the third never received it.
+// No machine may return an older version, and the change must not be lost.
 func backUp(ctx context.Context, w *World) {
 	core := w.Fleet.Core()
-	restored, away, behind := core[0], core[1], core[2]
+	restored, down, behind := core[0], core[1], core[2]
 	file := filepath.Join(w.Dir, "back-up.db")
-	if err := w.Fleet.Test(restored, "/v1/backup?to="+file, nil); err != nil {
+	if err := w.Fleet.Post(restored, "/v1/backup?to="+file, nil); err != nil {
 		w.Fail("%v", err)
 		return
 	}
-	if err := w.Fleet.Cut(behind); err != nil {
+	if err := w.Fleet.DisconnectCore(behind); err != nil {
 		w.Fail("%v", err)
 		return
 	}
-	w.Until(ctx, w.Bounds.Recovery, "a leader among the other two", func() bool { return w.Fleet.LeaderBut(0, behind) != nil })
-	if c := w.another(ctx, "since-the-copy"); c.Status != 200 {
-		w.Fail("a change was not taken: %d", c.Status)
+	w.Until(ctx, w.Bounds.Recovery, "a leader among the other two", func() bool { return w.Fleet.LeaderExcept(0, behind) != nil })
+	if c := w.addRoute(ctx, "since-the-copy"); c.Status != 200 {
+		w.Fail("a change was not acknowledged: status %d", c.Status)
 		return
 	}
 	w.Fleet.Kill(restored)
-	w.Fleet.Kill(away)
-	if err := w.Fleet.PutBack(restored, file); err != nil {
+	w.Fleet.Kill(down)
+	if err := w.Fleet.RestoreBackup(restored, file); err != nil {
 		w.Fail("%v", err)
 		return
 	}
-	w.watched(ctx, []*fleet.Machine{restored, behind}, func() {
-		if err := w.Fleet.Join(behind); err != nil {
+	w.checkReadsDuring(ctx, []*fleet.Machine{restored, behind}, func() {
+		if err := w.Fleet.Reconnect(behind); err != nil {
 			w.Fail("%v", err)
 		}
-		w.up(restored)
-		w.Pass(ctx, 6*time.Second) // time enough to elect a leader, if two make a majority
+		w.restart(restored)
+		w.Sleep(ctx, 6*time.Second) // long enough to elect a leader if the two formed a majority
 	})
-	w.up(away)
-	w.ready(ctx, "all are back")
+	w.restart(down)
+	w.waitReady(ctx, "all are back")
 	w.probe(ctx, "/since-the-copy/", true)
 }
 
-// restored: all disks are lost; each machine gets its back-up put back, with the
-// operator's word that the majority is lost, and the fleet goes on from there.
+// restored loses all disks and restores each core machine from its backup, marked by the
+// operator as the state left after the loss of a majority. The fleet continues from it.
 func restored(ctx context.Context, w *World) {
-	if c := w.another(ctx, "before-the-copies"); c.Status != 200 {
-		w.Fail("a change was not taken: %d", c.Status)
+	if c := w.addRoute(ctx, "before-the-copies"); c.Status != 200 {
+		w.Fail("a change was not acknowledged: status %d", c.Status)
 		return
 	}
 	file := func(m *fleet.Machine) string { return filepath.Join(w.Dir, m.Name+"-back-up.db") }
 	for _, m := range w.Fleet.Core() {
-		if err := w.Fleet.Test(m, "/v1/backup?to="+file(m), nil); err != nil {
+		if err := w.Fleet.Post(m, "/v1/backup?to="+file(m), nil); err != nil {
 			w.Fail("%v", err)
 			return
 		}
 	}
 	w.Fleet.KillAll(w.Fleet.Machines())
 	for _, m := range w.Fleet.Core() {
-		if err := w.Fleet.PutBack(m, file(m)); err != nil {
+		if err := w.Fleet.RestoreBackup(m, file(m)); err != nil {
 			w.Fail("%v", err)
 		}
-		if err := w.Fleet.SayMajorityLost(m); err != nil {
+		if err := w.Fleet.MarkMajorityLost(m); err != nil {
 			w.Fail("%v", err)
 		}
 	}
 	for _, m := range w.Fleet.Machines() {
-		w.up(m)
+		w.restart(m)
 	}
-	w.ready(ctx, "all are back")
+	w.waitReady(ctx, "all are back")
 	w.probe(ctx, "/before-the-copies/", true)
-	if c := w.another(ctx, "after-all"); c.Status != 200 {
-		w.Fail("a change was not taken: %d", c.Status)
+	if c := w.addRoute(ctx, "after-all"); c.Status != 200 {
+		w.Fail("a change was not acknowledged: status %d", c.Status)
 	}
 }
 
-// stopBesideLoss: a core machine is gone for good and another one has come for it,
-// just as a second one is told to end; the third loses its disk while that one is
-// down. One disk is lost at a time: once all are back the fleet serves and counts.
+// stopBesideLoss replaces a core machine permanently and at that moment stops a second one
+// with SIGTERM. The third loses its disk while the second is down. Only one disk is lost at
+// a time, so once all machines are back the fleet serves and all have their votes.
 func stopBesideLoss(ctx context.Context, w *World) {
 	successor, err := w.Fleet.Add(Zones[0], true)
 	if err != nil {
 		w.Fail("%v", err)
 		return
 	}
-	w.ready(ctx, "the successor is in")
-	stopped := w.Fleet.Leader(0) // what it leads goes to another one, that knows nothing yet of who answers
+	w.waitReady(ctx, "the replacement is ready")
+	stopped := w.Fleet.Leader(0) // its leaderships move to a machine that does not know yet which peers respond
 	if stopped == nil {
 		w.Fail("the configuration has no leader")
 		return
@@ -104,27 +105,27 @@
 	w.Fleet.Remove(gone)
 	w.Fleet.Term(stopped)
 	w.Until(ctx, w.Bounds.Grace+time.Second, stopped.Name+" has ended", func() bool { return !stopped.Up() })
-	w.untilCount(ctx, successor)
-	w.Pass(ctx, catchUp)
+	w.waitForVotes(ctx, successor)
+	w.Sleep(ctx, catchUp)
 	w.Fleet.Kill(wiped)
 	if err := w.Fleet.Wipe(wiped); err != nil {
 		w.Fail("%v", err)
 	}
-	w.up(wiped)
-	w.up(stopped)
-	w.ready(ctx, "all are back")
-	w.untilCount(ctx, w.Fleet.Core()...)
-	if c := w.another(ctx, "after-all"); c.Status != 200 {
-		w.Fail("a change was not taken: %d", c.Status)
+	w.restart(wiped)
+	w.restart(stopped)
+	w.waitReady(ctx, "all are back")
+	w.waitForVotes(ctx, w.Fleet.Core()...)
+	if c := w.addRoute(ctx, "after-all"); c.Status != 200 {
+		w.Fail("a change was not acknowledged: status %d", c.Status)
 	}
-	w.Served(ctx, int(w.Rate))
+	w.WaitServed(ctx, int(w.Rate))
 }
 
-// Counts tells whether a machine with a disk has a vote in every partition, and no
-// group is half changed.
+// HasVotes reports whether a core machine has a vote in every partition and no membership
+// change is in progress.
 //
-// Example: w.Until(ctx, w.Bounds.Recovery, m.Name+" counts", func() bool { return w.Counts(m) })
-func (w *World) Counts(m *fleet.Machine) bool {
+// Example: w.Until(ctx, w.Bounds.Recovery, m.Name+" votes", func() bool { return w.HasVotes(m) })
+func (w *World) HasVotes(m *fleet.Machine) bool {
 	st, ok := w.Fleet.State(m)
 	if !ok {
 		return false
@@ -137,29 +138,28 @@
 	return true
 }
 
-// untilCount waits until machines with a disk have a vote in every partition.
-func (w *World) untilCount(ctx context.Context, list ...*fleet.Machine) {
+// waitForVotes waits until core machines have a vote in every partition.
+func (w *World) waitForVotes(ctx context.Context, list ...*fleet.Machine) {
 	for _, m := range list {
-		w.Until(ctx, w.Bounds.Recovery, m.Name+" counts", func() bool { return w.Counts(m) })
+		w.Until(ctx, w.Bounds.Recovery, m.Name+" has a vote in every partition", func() bool { return w.HasVotes(m) })
 	}
 }
 
-// watched has machines asked for the configuration all the time while something
-// goes on.
-func (w *World) watched(ctx context.Context, list []*fleet.Machine, meanwhile func()) {
+// checkReadsDuring reads the configuration from machines repeatedly while a function runs.
+func (w *World) checkReadsDuring(ctx context.Context, list []*fleet.Machine, during func()) {
 	ctx, end := context.WithCancel(ctx)
 	var wait sync.WaitGroup
 	for _, m := range list {
-		wait.Go(func() { w.readsBack(ctx, m) })
+		wait.Go(func() { w.checkReads(ctx, m) })
 	}
-	meanwhile()
+	during()
 	end()
 	wait.Wait()
 }
 
-// up starts a machine's daemon again.
-func (w *World) up(m *fleet.Machine) {
-	if err := w.Fleet.Up(m); err != nil {
+// restart starts a machine's daemon again.
+func (w *World) restart(m *fleet.Machine) {
+	if err := w.Fleet.Restart(m); err != nil {
 		w.Fail("%v", err)
 	}
 }
--- a/proof/standin/scene/orders.go
+++ b/proof/standin/scene/orders.go
@@ -10,30 +10,31 @@
 	"mulleinmast/proof/standin/wire"
 )
 
-// Pass lets time pass on the log's clock.
+// Sleep waits for a duration on the record's clock.
 //
-// Example: w.Pass(ctx, w.Bounds.InTouch)
-func (w *World) Pass(ctx context.Context, d time.Duration) {
+// Example: w.Sleep(ctx, w.Bounds.InTouch)
+func (w *World) Sleep(ctx context.Context, d time.Duration) {
 	end := w.Log.Now() + d
 	w.Until(ctx, d+5*time.Second, "time passes", func() bool { return w.Log.Now() > end })
 }
 
-// probe asks every daemon for a place that should be there, or should not.
-func (w *World) probe(ctx context.Context, start string, there bool) {
-	w.Pass(ctx, w.Bounds.Apply)
+// probe requests a path from every daemon, which must serve it, or answer 404 if it should
+// not be routed.
+func (w *World) probe(ctx context.Context, path string, routed bool) {
+	w.Sleep(ctx, w.Bounds.Apply)
 	for _, d := range w.Fleet.Daemons() {
-		t := w.Load.Probe(ctx, d, w.Routes[0].Host, start, w.Routes[0])
+		t := w.Load.Probe(ctx, d, w.Routes[0].Host, path, w.Routes[0])
 		if t == nil {
-			w.Fail("%s takes no connection", d.Name)
+			w.Fail("%s accepts no connection", d.Name)
 			continue
 		}
-		if t.Served() != there || !there && t.Status != 404 {
-			w.Fail("%s answers %d for %s, which is there: %v", d.Name, t.Status, start, there)
+		if t.Served() != routed || !routed && t.Status != 404 {
+			w.Fail("%s answers %d for %s (routed: %v)", d.Name, t.Status, path, routed)
 		}
 	}
 }
 
-// evacuate: a zone is taken out of service and back.
+// evacuate takes a zone out of service and returns it.
 func evacuate(ctx context.Context, w *World) {
 	zone := Zones[1]
 	e := w.Op.Evacuate(ctx, zone)
@@ -41,19 +42,19 @@
 		w.Fail("the evacuation was not acknowledged")
 		return
 	}
-	w.Say("%s was evacuated, acknowledged after %.2fs", zone, (e.Acked - e.Sent).Seconds())
-	w.Pass(ctx, w.Bounds.Evacuate)
-	w.Served(ctx, int(2*w.Rate))
+	w.Note("%s was evacuated, acknowledged after %.2fs", zone, (e.Acked - e.Sent).Seconds())
+	w.Sleep(ctx, w.Bounds.Evacuate)
+	w.WaitServed(ctx, int(2*w.Rate))
 	if !w.Op.Return(ctx, e) {
-		w.Fail("the return was not acknowledged")
+		w.Fail("the return of the zone was not acknowledged")
 		return
 	}
 	back := w.Log.Now()
-	w.usedAgain(ctx, zone, back)
+	w.waitZoneUsed(ctx, zone, back)
 }
 
-// config: routes move to other services, are added and removed, time-outs
-// change, while clients come; whole configurations and changes take turns.
+// config moves, adds and removes routes and changes timeouts under load, with both complete
+// configurations and changes.
 func config(ctx context.Context, w *World) {
 	now := func() wire.Config { return w.Op.Now() }
 	steps := []func() *record.Change{
@@ -64,8 +65,8 @@
 			ch.Replace.Routes = []wire.Route{r}
 			return w.Op.Patch(ctx, ch, now())
 		},
-		func() *record.Change { return w.another(ctx, "later") },
-		func() *record.Change { // whole: a route is split, another one has a shorter time
+		func() *record.Change { return w.addRoute(ctx, "later") },
+		func() *record.Change { // a complete configuration: a route is split, another has a shorter timeout
 			c := now()
 			c.Routes = append([]wire.Route(nil), c.Routes...)
 			c.Version += 7
@@ -73,7 +74,7 @@
 			c.Routes[2].GiveUpMs = 4000
 			return w.Op.Put(ctx, c, now().Version)
 		},
-		func() *record.Change { // and back
+		func() *record.Change { // the initial routes again
 			ch := wire.Change{Version: now().Version + 1}
 			ch.Replace.Routes = []wire.Route{w.Routes[0], w.Routes[1]}
 			ch.Remove.Routes = []string{"r-later"}
@@ -83,19 +84,19 @@
 	for i, step := range steps {
 		c := step()
 		if c.Status != 200 {
-			w.Fail("change %d: %d", i, c.Status)
+			w.Fail("change %d was answered %d", i, c.Status)
 			return
 		}
-		w.Say("version %d acknowledged after %.2fs", c.Version, (c.Done - c.Sent).Seconds())
+		w.Note("version %d acknowledged after %.2fs", c.Version, (c.Done - c.Sent).Seconds())
 		w.Load.Menu(w.Menu(now().Routes))
-		w.Served(ctx, int(w.Rate/2))
+		w.WaitServed(ctx, int(w.Rate/2))
 		w.probe(ctx, "/later/", i == 1 || i == 2)
 	}
 	w.probe(ctx, "/never/", false)
 }
 
-// race: two operators send on top of the same version, and invalid ones come
-// between.
+// race sends two changes of the same version at once, several times, with invalid
+// configurations between them.
 func race(ctx context.Context, w *World) {
 	won, conflict := 0, 0
 	for i := range 6 {
@@ -114,7 +115,7 @@
 		wait.Wait()
 		for k, c := range got {
 			if again := w.Op.Patch(ctx, sent[k], on); again.Status != c.Status {
-				w.Fail("a change was answered %d, and %d when it was sent again", c.Status, again.Status)
+				w.Fail("a change was answered %d, and its retry %d", c.Status, again.Status)
 			}
 			switch c.Status {
 			case 200:
@@ -122,22 +123,22 @@
 			case 412:
 				conflict++
 			default:
-				w.Fail("a change in a race: %d", c.Status)
+				w.Fail("a change in a race was answered %d", c.Status)
 			}
 		}
 		if c := w.Op.Bad(ctx, i%operator.Kinds); c.Status/100 != 4 {
-			w.Fail("an invalid configuration (kind %d): %d", i%operator.Kinds, c.Status)
+			w.Fail("an invalid configuration (kind %d) was answered %d", i%operator.Kinds, c.Status)
 		}
 	}
-	w.Say("%d changes won, %d were in conflict", won, conflict)
+	w.Note("%d changes won, %d were in conflict", won, conflict)
 	if won != 6 || conflict != 6 {
-		w.Fail("of two racing changes one wins: %d won, %d in conflict", won, conflict)
+		w.Fail("one of two racing changes must win each time, but %d won and %d were in conflict", won, conflict)
 	}
-	w.Served(ctx, int(w.Rate))
+	w.WaitServed(ctx, int(w.Rate))
 }
 
-// usedAgain waits until a server of a zone that was brought back has run a request.
-func (w *World) usedAgain(ctx context.Context, zone string, back time.Duration) {
+// waitZoneUsed waits until a server of a returned zone has run a request.
+func (w *World) waitZoneUsed(ctx context.Context, zone string, back time.Duration) {
 	w.Until(ctx, w.Bounds.Evacuate+10*time.Second, "the zone is used again", func() bool {
 		return w.Log.Count(func(a *record.All) int {
 			n := 0
--- a/proof/standin/scene/play.go
+++ b/proof/standin/scene/play.go
@@ -11,9 +11,9 @@
 	"mulleinmast/proof/standin/rules"
 )
 
-// tally counts tries of clients: all, those that were served, and the rest by
-// their ends.
-func (w *World) tally() (all, served int, ends map[string]int) {
+// countTries counts the finished tries of clients: all, those that were served, and all by
+// outcome.
+func (w *World) countTries() (all, served int, ends map[string]int) {
 	ends = map[string]int{}
 	w.Log.Count(func(a *record.All) int {
 		for _, t := range a.Tries {
@@ -38,8 +38,8 @@
 	return all, served, ends
 }
 
-// seen counts what servers saw.
-func (w *World) seen() map[string]int {
+// countArrivals counts what became of arrivals at servers, and orders.
+func (w *World) countArrivals() map[string]int {
 	out := map[string]int{}
 	w.Log.Count(func(a *record.All) int {
 		for _, x := range a.Arrivals {
@@ -62,20 +62,20 @@
 	return out
 }
 
-// Report is what a scene came to.
+// Report is the result of a scene.
 type Report struct {
 	Notes  []string
 	Broken []rules.Broken
 	All    int
 	Served int
 	Ends   map[string]int
-	Calls  int            // to the list
-	Denied int            // of these
-	Seen   map[string]int // at servers: what became of arrivals, and orders
+	Calls  int            // to the server list
+	Denied int            // calls to the server list over its rate
+	Seen   map[string]int // arrivals at servers by outcome, and orders
 	Failed bool
 }
 
-// String tells it in lines.
+// String formats the report as lines of text.
 //
 // Example: fmt.Print(rep)
 func (r Report) String() string {
@@ -86,10 +86,10 @@
 	return out
 }
 
-// wrongLines are parts of lines that no daemon should ever write.
-var wrongLines = []string{"panic", "fatal error", "trouble invariant"}
+// faultTexts are texts that must not occur in a daemon's log.
+var faultTexts = []string{"panic", "fatal error", "trouble invariant"}
 
-// searchLogs fails the scene if a daemon wrote of a fault of its own.
+// searchLogs fails the scene if a daemon logged a panic or a violated invariant.
 func (w *World) searchLogs() {
 	for _, m := range w.Fleet.All() {
 		text, err := os.ReadFile(w.Fleet.LogOf(m))
@@ -98,36 +98,36 @@
 			continue
 		}
 		for line := range strings.SplitSeq(string(text), "\n") {
-			if slices.ContainsFunc(wrongLines, func(part string) bool { return strings.Contains(line, part) }) {
-				w.Fail("%s says: %.300s", m.Name, line)
+			if slices.ContainsFunc(faultTexts, func(part string) bool { return strings.Contains(line, part) }) {
+				w.Fail("%s logged: %.300s", m.Name, line)
 				break
 			}
 		}
 	}
 }
 
-// Play runs a scene from its beginning to the judge's word.
+// Play starts a deployment, plays a scene on it and checks the rules.
 //
 // Example: rep, err := scene.Play(ctx, cfg, scene.Scenes["calm"])
 func Play(ctx context.Context, c Config, s Scene) (Report, error) {
 	w, err := New(c)
-	defer w.End()
+	defer w.Stop()
 	if err == nil {
-		err = w.Begin(ctx)
+		err = w.Start(ctx)
 	}
 	if err != nil {
 		return Report{}, err
 	}
-	w.Served(ctx, int(c.Rate))
+	w.WaitServed(ctx, int(c.Rate))
 	s(ctx, w)
-	w.Served(ctx, int(c.Rate))
+	w.WaitServed(ctx, int(c.Rate))
 	w.Op.ReadBack(ctx)
 	calls, denied := w.Cloud.Calls()
-	w.End()
+	w.Stop()
 	w.searchLogs()
 	rep := Report{Calls: calls, Denied: denied, Notes: w.notes, Failed: w.failed}
-	rep.All, rep.Served, rep.Ends = w.tally()
-	rep.Seen = w.seen()
+	rep.All, rep.Served, rep.Ends = w.countTries()
+	rep.Seen = w.countArrivals()
 	rep.Broken = rules.Check(w.Log.Copy(), w.Bounds)
 	return rep, nil
 }
--- a/proof/standin/scene/repeats.go
+++ b/proof/standin/scene/repeats.go
@@ -11,82 +11,81 @@
 )
 
 const (
-	lostAnswers = 0.4 // of those to the operator
-	abreast     = 8   // calls under way at once
-	rounds      = 12  // of racing changes before and after each loss of a leader
-	fewRounds   = 5
-	needed      = 80 // changes between an order and its repetition: more than were once remembered
+	lostAnswers   = 0.4 // fraction of the answers to the operator that is lost
+	parallelCalls = 8   // concurrent calls
+	rounds        = 12  // of racing changes before each loss of a leader
+	shortRounds   = 5
+	minChanges    = 80 // changes between a call and its last retry: more than daemons once remembered
 )
 
-// sent is a call as it was sent, to be sent again.
-type sent struct {
+// sentCall is a call as it was sent, for retries.
+type sentCall struct {
 	on     wire.Config
 	change wire.Change
 	status int
 }
 
-// repeats: operators race, eight calls at once and on the same versions with the
-// same numbers, their answers are lost, leaders are killed, wiped and replaced;
-// then every call of the day comes once more, through all daemons.
+// repeats sends racing changes, eight at once with the same base version and number, while
+// answers are lost and leaders are killed, wiped and replaced. Then it sends every call
+// once more, through all daemons.
 func repeats(ctx context.Context, w *World) {
 	var mu sync.Mutex
 	rng := rand.New(rand.NewSource(w.Seed))
-	var losing atomic.Bool
+	var loseAnswers atomic.Bool
 	w.Op.Lost = func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return losing.Load() && rng.Float64() < lostAnswers
+		return loseAnswers.Load() && rng.Float64() < lostAnswers
 	}
-	losing.Store(true)
-	var calls []*sent
+	loseAnswers.Store(true)
+	var calls []*sentCall
 	n := rounds
 	if w.Short {
-		n = fewRounds
+		n = shortRounds
 	}
 	first := w.Op.Now().Version
 	for _, loss := range []func(){func() { w.loseLeader(ctx, false) }, func() { w.loseLeader(ctx, true) }, func() { w.replaceLeader(ctx) }} {
 		for range n {
-			calls = append(calls, w.burst(ctx, len(calls))...)
+			calls = append(calls, w.sendRacing(ctx, len(calls))...)
 		}
 		loss()
 	}
-	losing.Store(false)
-	for ctx.Err() == nil && w.Op.Now().Version < first+needed { // each change is one version
+	loseAnswers.Store(false)
+	for ctx.Err() == nil && w.Op.Now().Version < first+minChanges { // each accepted change creates one version
 		before := w.Op.Now().Version
-		if calls = append(calls, w.burst(ctx, len(calls))...); w.Op.Now().Version == before {
-			w.Fail("of %d changes on version %d none was taken", abreast, before)
+		if calls = append(calls, w.sendRacing(ctx, len(calls))...); w.Op.Now().Version == before {
+			w.Fail("none of %d changes of version %d was accepted", parallelCalls, before)
 			break
 		}
 	}
-	taken := 0
+	accepted := 0
 	for _, c := range calls {
 		if c.status == 200 {
-			taken++
+			accepted++
 		}
 		if again := w.Op.Patch(ctx, c.change, c.on); again.Status != c.status && c.status != 0 {
-			w.Fail("a change on %d was answered %d, and %d when it was sent again", c.on.Version, c.status, again.Status)
+			w.Fail("a change of version %d was answered %d, and its retry %d", c.on.Version, c.status, again.Status)
 		}
 	}
-	w.Say("%d changes, %d of them taken, sent again after version %d", len(calls), taken, w.Op.Now().Version)
+	w.Note("%d changes, %d of them accepted, sent again after version %d", len(calls), accepted, w.Op.Now().Version)
 	lateOrder(ctx, w)
-	w.Served(ctx, int(w.Rate))
+	w.WaitServed(ctx, int(w.Rate))
 }
 
-// burst sends eight changes on the version in force at once, all with its next
-// number.
-func (w *World) burst(ctx context.Context, no int) []*sent {
+// sendRacing sends eight changes of the current version at once, all with the next number.
+func (w *World) sendRacing(ctx context.Context, no int) []*sentCall {
 	on := w.Op.Now()
-	out := make([]*sent, abreast)
+	out := make([]*sentCall, parallelCalls)
 	var wait sync.WaitGroup
 	for i := range out {
 		r := w.Routes[0]
 		r.GiveUpMs = 4000 + no + i
-		out[i] = &sent{on: on, change: wire.Change{Version: on.Version + 1}}
+		out[i] = &sentCall{on: on, change: wire.Change{Version: on.Version + 1}}
 		out[i].change.Replace.Routes = []wire.Route{r}
 		wait.Go(func() { out[i].status = w.Op.Patch(ctx, out[i].change, on).Status })
 	}
 	wait.Wait()
-	for _, c := range out { // one without a clear end may be the one that was taken
+	for _, c := range out { // a change without an answer may be the accepted one
 		if c.status == 0 {
 			c.status = w.Op.Patch(ctx, c.change, on).Status
 		}
@@ -94,15 +93,14 @@
 	return out
 }
 
-// configLeader waits until a machine leads the configuration.
-func (w *World) configLeader(ctx context.Context) bool {
+// waitConfigLeader waits until a machine leads the configuration.
+func (w *World) waitConfigLeader(ctx context.Context) bool {
 	return w.Until(ctx, w.Bounds.Recovery, "a leader of the configuration", func() bool { return w.Fleet.Leader(0) != nil })
 }
 
-// loseLeader kills the leader of the configuration, at times with its disk, and
-// has it come back.
+// loseLeader kills the configuration leader, optionally loses its disk, and restarts it.
 func (w *World) loseLeader(ctx context.Context, wipe bool) {
-	if !w.configLeader(ctx) {
+	if !w.waitConfigLeader(ctx) {
 		return
 	}
 	m := w.Fleet.Leader(0)
@@ -112,17 +110,17 @@
 			w.Fail("%v", err)
 		}
 	}
-	w.burst(ctx, 0)
-	if err := w.Fleet.Up(m); err != nil {
+	w.sendRacing(ctx, 0)
+	if err := w.Fleet.Restart(m); err != nil {
 		w.Fail("%v", err)
 	}
-	w.ready(ctx, m.Name+" is back")
+	w.waitReady(ctx, m.Name+" is back")
 }
 
-// replaceLeader has another machine come with an empty disk and the leader go
-// for good.
+// replaceLeader adds a machine with an empty disk and permanently removes the configuration
+// leader.
 func (w *World) replaceLeader(ctx context.Context) {
-	if !w.configLeader(ctx) {
+	if !w.waitConfigLeader(ctx) {
 		return
 	}
 	m := w.Fleet.Leader(0)
@@ -130,14 +128,14 @@
 		w.Fail("%v", err)
 		return
 	}
-	w.ready(ctx, "a new machine is in")
+	w.waitReady(ctx, "a new machine is ready")
 	w.Fleet.Remove(m)
-	w.burst(ctx, 0)
+	w.sendRacing(ctx, 0)
 }
 
-// lateOrder: an evacuation is taken and withdrawn, and its call comes again,
-// through every daemon: it has no clear answer and nothing comes of it, until it
-// can't be a late repeat any more.
+// lateOrder repeats the call of an evacuation that was accepted and withdrawn, through
+// every daemon. As long as it may be a late retry, it must be answered 503 and have no
+// effect.
 func lateOrder(ctx context.Context, w *World) {
 	zone := Zones[1]
 	e := w.Op.Evacuate(ctx, zone)
@@ -148,8 +146,8 @@
 	back := w.Log.Now()
 	for _, code := range w.Op.Repeat(ctx, http.MethodPost, wire.EvacPath+zone, "", nil) {
 		if code != http.StatusServiceUnavailable {
-			w.Fail("an evacuation that was withdrawn came again %.2fs later, and was answered %d", (w.Log.Now() - back).Seconds(), code)
+			w.Fail("the retry of a withdrawn evacuation, %.2fs after the return, was answered %d", (w.Log.Now() - back).Seconds(), code)
 		}
 	}
-	w.usedAgain(ctx, zone, back)
+	w.waitZoneUsed(ctx, zone, back)
 }
--- a/proof/standin/scene/scene_test.go
+++ b/proof/standin/scene/scene_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// build makes the daemon once for all scenes.
+// build compiles the daemon.
 func build(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -17,21 +17,21 @@
 	return filepath.Join(dir, "mulleinmast")
 }
 
-// four is how many scenes run at once: more would make each other slow.
-var four = make(chan bool, 4)
+// slots limits the scenes that run at once: more than four would slow each other down.
+var slots = make(chan bool, 4)
 
-// alone plays a scene that is a test of its own, beside others.
-func alone(t *testing.T, name string, part float64) {
+// playAlone plays a scene that has its own test.
+func playAlone(t *testing.T, name string, part float64) {
 	t.Helper()
 	t.Parallel()
 	program := build(t)
-	four <- true
-	defer func() { <-four }()
+	slots <- true
+	defer func() { <-slots }()
 	play(t, program, name, 40, part)
 }
 
-// play has a scene end without a broken rule; at least a part of the tries is
-// served.
+// play runs a scene, which must break no rule and serve at least a given fraction of the
+// tries.
 func play(t *testing.T, program, name string, rate, part float64) {
 	t.Helper()
 	rep, err := Play(context.Background(), Config{Dir: t.TempDir(), Program: program, Pace: 1, PerZone: 2, Short: true, Rate: rate, Seed: 11}, Scenes[name])
@@ -42,16 +42,16 @@
 		t.Error(b)
 	}
 	if rep.Failed || rep.All == 0 || float64(rep.Served) < part*float64(rep.All) {
-		t.Errorf("failed, or too few were served:\n%s", rep)
+		t.Errorf("the scene failed or served too few requests:\n%s", rep)
 	}
 	if rep.Seen["handed over"] == 0 {
-		t.Errorf("no prompt was handed over: %v", rep.Seen)
+		t.Errorf("no request was decoded from a prefilled prompt: %v", rep.Seen)
 	}
 	t.Log(rep)
 }
 
-// Real daemons, booted as on the platform, between stand-ins of all that it is:
-// what befalls them breaks no rule.
+// Real daemons, started as on the platform and surrounded by stand-ins, break no rule in any
+// scene.
 func TestScenesOnThePlatform(t *testing.T) {
 	program := build(t)
 	t.Run("scenes", func(t *testing.T) {
@@ -61,49 +61,50 @@
 		} {
 			t.Run(name, func(t *testing.T) {
 				t.Parallel()
-				four <- true
-				defer func() { <-four }()
+				slots <- true
+				defer func() { <-slots }()
 				play(t, program, name, 40, part)
 			})
 		}
 	})
 }
 
-// A back-up that is put back on one machine brings nothing older into force, and
-// takes nothing away that was acknowledged since.
-func TestABackUpOnOneMachineLosesNothing(t *testing.T) {
-	alone(t, "back-up", 0.6)
+// A backup restored on one machine must not bring back an older version or lose later
+// acknowledged changes.
+func TestBackupRestoredOnOneMachineLosesNothing(t *testing.T) {
+	playAlone(t, "back-up", 0.6)
 }
 
-// Where all disks are lost the back-ups are the state, if an operator says so.
-func TestBackUpsOfAllMachinesAreTheState(t *testing.T) {
-	alone(t, "restored", 0.5)
+// After the loss of all disks the fleet continues from the backups, if an operator marks
+// them as the remaining state.
+func TestBackupsReplaceStateOfAllMachines(t *testing.T) {
+	playAlone(t, "restored", 0.5)
 }
 
-// A folder that was copied by other means than a back-up, and put back after many
-// changes, takes nothing away and brings nothing older into force.
-func TestAnOlderCopyOfAFolderLosesNothing(t *testing.T) {
-	alone(t, "old-copy", 0.5)
+// A data folder that was copied file by file and restored after many changes must not bring
+// back an older version or lose changes.
+func TestOldFolderCopyLosesNothing(t *testing.T) {
+	playAlone(t, "old-copy", 0.5)
 }
 
-// A copy of a folder that is started beside the one it was copied from has no vote
-// and leaves; the other goes on.
-func TestACopyBesideItsOriginalHasNoVote(t *testing.T) {
-	alone(t, "copy-beside", 0.6)
+// A copy of a data folder that is started while the original runs must not vote and ends;
+// the original continues.
+func TestFolderCopyNextToOriginalHasNoVote(t *testing.T) {
+	playAlone(t, "copy-beside", 0.6)
 }
 
-// Of three machines two get older copies put back: the third one sees through it.
-func TestAMajorityOfOlderCopiesIsSeenByTheThird(t *testing.T) {
-	alone(t, "old-majority", 0.3)
+// If two of three machines are restored from older copies, the third must detect it.
+func TestMajorityOfOldCopiesIsDetected(t *testing.T) {
+	playAlone(t, "old-majority", 0.3)
 }
 
-// A disk that goes on in another machine at another address is the same replica.
-func TestAMovedDiskIsTheSameReplica(t *testing.T) {
-	alone(t, "moved", 0.6)
+// A disk that moves to another machine at another address stays the same replica.
+func TestMovedDiskIsTheSameReplica(t *testing.T) {
+	playAlone(t, "moved", 0.6)
 }
 
-// A machine that is told to end beside one that is gone for good takes no standby
-// from it: the next disk that is lost leaves a majority.
-func TestAStopBesideALossLeavesAMajority(t *testing.T) {
-	alone(t, "stop-beside-loss", 0.6)
+// A machine that is stopped while another one is permanently lost must not take that
+// machine's replacement from the group, or the next loss of a disk would cost the majority.
+func TestStopDuringLossKeepsMajority(t *testing.T) {
+	playAlone(t, "stop-beside-loss", 0.6)
 }
--- a/proof/standin/scene/scenes.go
+++ b/proof/standin/scene/scenes.go
@@ -15,33 +15,33 @@
 	"mulleinmast/proof/track"
 )
 
-// Scene makes things happen while clients come.
+// Scene applies faults and changes to a deployment under load.
 type Scene func(ctx context.Context, w *World)
 
-// Scenes are what can be brought about.
+// Scenes are the scenes by name.
 var Scenes = map[string]Scene{
 	"calm": calm, "roll": roll, "kill-leader": killLeader, "freeze-leader": freezeLeader, "lost-disk": lostDisk, "seeds": seeds, "end": closing,
 	"release": release, "crash": crash, "dark": dark, "garble": garble, "lapse": lapse, "stale-list": staleList, "pressed": pressed, "cold": cold,
 	"evacuate": evacuate, "config": config, "race": race, "repeats": repeats, "storm": storm, "cut-off": cutOff, "answers": answers, "back-up": backUp, "restored": restored, "old-copy": oldCopy, "copy-beside": copyBeside, "old-majority": oldMajority, "moved": moved, "stop-beside-loss": stopBesideLoss, "tenants": tenants,
 }
 
-// Names lists the scenes.
+// Names returns the sorted names of the scenes.
 //
 // Example: for _, n := range scene.Names() { fmt.Println(n) }
 func Names() []string { return slices.Sorted(maps.Keys(Scenes)) }
 
-// calm: nothing happens; nearly all are served, no memory is left behind, and
-// the list is asked within its rate.
+// calm applies no faults. Nearly all requests are served, no prompt handles are left on
+// servers, and calls to the server list stay within its rate.
 func calm(ctx context.Context, w *World) {
-	w.Served(ctx, int(4*w.Rate))
-	all, served, ends := w.tally()
+	w.WaitServed(ctx, int(4*w.Rate))
+	all, served, ends := w.countTries()
 	if served*100 < all*98 {
-		w.Fail("%d of %d served on a calm day: %v", served, all, ends)
+		w.Fail("only %d of %d requests were served without faults: %v", served, all, ends)
 	}
 	if calls, denied := w.Cloud.Calls(); denied > 0 {
 		w.Fail("%d of %d calls to the list were over its rate", denied, calls)
 	}
-	w.Until(ctx, 10*time.Second, "no handle kept for nobody", func() bool {
+	w.Until(ctx, 10*time.Second, "unused handles are released", func() bool {
 		for _, s := range w.Servers("gen") {
 			if s.Handles() > s.Busy()+2 {
 				return false
@@ -51,12 +51,12 @@
 	})
 }
 
-// ready waits until all machines that run are in.
-func (w *World) ready(ctx context.Context, what string) bool {
-	return w.Until(ctx, w.Bounds.Recovery+10*time.Second, what, func() bool { return w.Door.In() == len(w.Fleet.Machines()) })
+// waitReady waits until all machines are ready.
+func (w *World) waitReady(ctx context.Context, what string) bool {
+	return w.Until(ctx, w.Bounds.Recovery+10*time.Second, what, func() bool { return w.Entry.In() == len(w.Fleet.Machines()) })
 }
 
-// roll: daemons are stopped by SIGTERM and started again, one after another.
+// roll restarts daemons with SIGTERM, one after another.
 func roll(ctx context.Context, w *World) {
 	list := w.Fleet.Machines()
 	if w.Short { // the leader of the configuration and two others
@@ -73,16 +73,16 @@
 			w.Fail("%s still runs %v after the SIGTERM", m.Name, w.Bounds.Grace)
 			m.Kill()
 		}
-		w.Say("%s ended %.1fs after the SIGTERM", m.Name, time.Since(from).Seconds())
-		if err := w.Fleet.Up(m); err != nil {
+		w.Note("%s ended %.1fs after the SIGTERM", m.Name, time.Since(from).Seconds())
+		if err := w.Fleet.Restart(m); err != nil {
 			w.Fail("%v", err)
 			return
 		}
-		w.ready(ctx, m.Name+" is back")
+		w.waitReady(ctx, m.Name+" is back")
 	}
 }
 
-// killLeader: the leaders of the configuration and of a service are killed.
+// killLeader kills the leader of each of three partitions, the configuration's first.
 func killLeader(ctx context.Context, w *World) {
 	for partition := range 3 {
 		m := w.Fleet.Leader(partition)
@@ -93,20 +93,20 @@
 		from := time.Now()
 		w.Fleet.Kill(m)
 		w.Until(ctx, w.Bounds.Recovery, "another leader", func() bool { return w.Fleet.Leader(partition) != nil })
-		w.Say("partition %d: another leader %.1fs after the kill of %s", partition, time.Since(from).Seconds(), m.Name)
-		w.Served(ctx, int(w.Rate/2))
-		if err := w.Fleet.Up(m); err != nil {
+		w.Note("partition %d: another leader %.1fs after the kill of %s", partition, time.Since(from).Seconds(), m.Name)
+		w.WaitServed(ctx, int(w.Rate/2))
+		if err := w.Fleet.Restart(m); err != nil {
 			w.Fail("%v", err)
 			return
 		}
-		w.ready(ctx, m.Name+" is back")
+		w.waitReady(ctx, m.Name+" is back")
 		if w.Short {
 			return
 		}
 	}
 }
 
-// freezeLeader: the leader of the configuration stands still for a while.
+// freezeLeader freezes the configuration leader until another machine leads.
 func freezeLeader(ctx context.Context, w *World) {
 	m := w.Fleet.Leader(0)
 	if m == nil {
@@ -125,13 +125,13 @@
 		}
 		return false
 	})
-	w.Served(ctx, int(w.Rate))
+	w.WaitServed(ctx, int(w.Rate))
 	w.Fleet.Thaw(m)
-	w.ready(ctx, m.Name+" is back")
+	w.waitReady(ctx, m.Name+" is back")
 }
 
-// another adds a route, which is in force everywhere in time.
-func (w *World) another(ctx context.Context, name string) *record.Change {
+// addRoute adds a route.
+func (w *World) addRoute(ctx context.Context, name string) *record.Change {
 	ch := wire.Change{Version: w.Op.Now().Version + 3}
 	r := w.Routes[0]
 	r.Name, r.Start = "r-"+name, "/"+name+"/"
@@ -139,82 +139,82 @@
 	return w.Op.Patch(ctx, ch, w.Op.Now())
 }
 
-// lostDisk: the leader is killed right after an acknowledgement, and its disk is
-// lost.
+// lostDisk kills the configuration leader right after an acknowledgement and loses its disk.
 func lostDisk(ctx context.Context, w *World) {
 	m := w.Fleet.Leader(0)
 	if m == nil {
 		w.Fail("the configuration has no leader")
 		return
 	}
-	c := w.another(ctx, "before-loss")
+	c := w.addRoute(ctx, "before-loss")
 	w.Fleet.Kill(m)
 	if c.Status != 200 {
-		w.Fail("a change was not taken: %d", c.Status)
+		w.Fail("a change was not acknowledged: status %d", c.Status)
 	}
 	if err := w.Fleet.Wipe(m); err != nil {
 		w.Fail("%v", err)
 	}
-	w.Served(ctx, int(w.Rate))
-	if err := w.Fleet.Up(m); err != nil {
+	w.WaitServed(ctx, int(w.Rate))
+	if err := w.Fleet.Restart(m); err != nil {
 		w.Fail("%v", err)
 		return
 	}
-	w.ready(ctx, m.Name+" is back with an empty disk")
+	w.waitReady(ctx, m.Name+" is back with an empty disk")
 	w.probe(ctx, "/before-loss/", true)
 }
 
-// seeds: other machines that serve control become the seeds, the settings
-// change under the daemons, and the first seeds go for good.
+// seeds makes other machines the seeds in the settings of the running daemons and
+// permanently removes one of the first seeds. A daemon that restarts finds the fleet by
+// the new seeds.
 func seeds(ctx context.Context, w *World) {
 	m, err := w.Fleet.Add(Zones[0], true)
 	if err != nil {
 		w.Fail("%v", err)
 		return
 	}
-	w.ready(ctx, "a new machine is in")
+	w.waitReady(ctx, "a new machine is ready")
 	all := w.Fleet.Machines()
-	if err := w.Fleet.Seed([]*fleet.Machine{all[len(all)-1], all[len(all)-2], all[len(all)-3]}); err != nil {
+	if err := w.Fleet.SetSeeds([]*fleet.Machine{all[len(all)-1], all[len(all)-2], all[len(all)-3]}); err != nil {
 		w.Fail("%v", err)
 	}
-	w.Served(ctx, int(w.Rate))
+	w.WaitServed(ctx, int(w.Rate))
 	last := all[3]
-	w.Fleet.Kill(last) // it finds the fleet by the new seeds
+	w.Fleet.Kill(last) // it must find the fleet by the new seeds
 	w.Fleet.Remove(w.Fleet.Core()[0])
-	if err := w.Fleet.Up(last); err != nil {
+	if err := w.Fleet.Restart(last); err != nil {
 		w.Fail("%v", err)
 		return
 	}
-	w.ready(ctx, "all are back by other seeds")
-	w.Say("%s joined, %s came back by other seeds", m.Name, last.Name)
-	w.another(ctx, "after-seeds")
+	w.waitReady(ctx, "all are back by other seeds")
+	w.Note("%s joined, %s came back by other seeds", m.Name, last.Name)
+	w.addRoute(ctx, "after-seeds")
 }
 
-// closing: all processes are killed right after an acknowledgement.
+// closing kills all daemons right after an acknowledgement and restarts them.
 func closing(ctx context.Context, w *World) {
 	e := w.Op.Evacuate(ctx, Zones[2])
-	c := w.another(ctx, "before-end")
+	c := w.addRoute(ctx, "before-end")
 	if e.Acked == 0 || c.Status != 200 {
-		w.Fail("an order was not taken: evacuation %v, change %d", e.Acked, c.Status)
+		w.Fail("a call was not acknowledged: evacuation %v, change %d", e.Acked, c.Status)
 	}
 	w.Log.Do(func(a *record.All) { a.Fault = w.Log.Now() })
 	w.Fleet.KillAll(w.Fleet.Machines())
 	for _, m := range w.Fleet.Machines() {
-		if err := w.Fleet.Up(m); err != nil {
+		if err := w.Fleet.Restart(m); err != nil {
 			w.Fail("%v", err)
 		}
 	}
 	w.Log.Do(func(a *record.All) { a.Back = w.Log.Now() })
 	from := time.Now()
-	w.ready(ctx, "all are back")
-	w.Served(ctx, int(w.Rate/2))
-	w.Say("served again %.1fs after all were killed", time.Since(from).Seconds())
+	w.waitReady(ctx, "all are back")
+	w.WaitServed(ctx, int(w.Rate/2))
+	w.Note("served again %.1fs after all were killed", time.Since(from).Seconds())
 	end := w.Log.Now() + w.Bounds.Recovery + w.Bounds.Evacuate
 	w.Until(ctx, w.Bounds.Recovery+w.Bounds.Evacuate+5*time.Second, "time passes", func() bool { return w.Log.Now() > end })
 	w.probe(ctx, "/before-end/", true)
 }
 
-// release: servers are replaced one after the other.
+// release replaces servers one after another.
 func release(ctx context.Context, w *World) {
 	list := w.Servers("gen")
 	if w.Short {
@@ -227,47 +227,47 @@
 			w.Fail("%v", err)
 		}
 		wait.Go(func() { w.Release(ctx, s) })
-		w.Served(ctx, int(w.Rate/4))
+		w.WaitServed(ctx, int(w.Rate/4))
 	}
 	wait.Wait()
 }
 
-// crash: servers crash; while the list still shows them, others of another
-// service come at their addresses.
+// crash crashes servers and starts servers of another service at their addresses while the
+// list still shows the crashed ones.
 func crash(ctx context.Context, w *World) {
 	for i, svc := range []string{"gen", "plain", "gen", "plain"} {
 		s := w.Servers(svc)[i%3]
-		w.forget(s)
+		w.removeServer(s)
 		s.Crash()
 		if _, err := w.ServeAt(s.Address, map[string]string{"gen": "plain", "plain": "other"}[svc], s.Zone, "", 0); err != nil {
 			w.Fail("%v", err)
 		}
-		w.Served(ctx, int(w.Rate/2))
+		w.WaitServed(ctx, int(w.Rate/2))
 		w.Cloud.Drop(s.ID)
 		if _, err := w.Serve(svc, s.Zone, s.Phase, time.Second); err != nil {
 			w.Fail("%v", err)
 		}
-		w.Served(ctx, int(w.Rate/2))
+		w.WaitServed(ctx, int(w.Rate/2))
 	}
 }
 
-// dark: servers go silent and stay on the list for a while.
+// dark makes servers stop answering while they stay on the list.
 func dark(ctx context.Context, w *World) {
 	a, b, c := w.Servers("gen")[0], w.Servers("gen")[4], w.Servers("plain")[1]
 	for _, s := range []*server.Server{a, b, c} {
 		s.Dark()
 	}
-	w.Served(ctx, int(3*w.Rate))
+	w.WaitServed(ctx, int(3*w.Rate))
 	for _, s := range []*server.Server{a, b, c} {
 		w.Crash(ctx, s)
 		if _, err := w.Serve(s.Service, s.Zone, s.Phase, time.Second); err != nil {
 			w.Fail("%v", err)
 		}
 	}
-	w.Served(ctx, int(w.Rate))
+	w.WaitServed(ctx, int(w.Rate))
 }
 
-// garble: servers misbehave in all ways, one after another.
+// garble makes servers misbehave with one kind of fault after another.
 func garble(ctx context.Context, w *World) {
 	for _, f := range []server.Fault{server.Break, server.Garble, server.Extra, server.Late, server.NoSeal, server.Encoded, server.Close, server.Forget, server.Unwarned, server.Full} {
 		for i, s := range w.Servers("") {
@@ -275,48 +275,48 @@
 				s.Misbehave(f, 2)
 			}
 		}
-		w.Served(ctx, int(w.Rate/2))
+		w.WaitServed(ctx, int(w.Rate/2))
 	}
 	w.Servers("gen")[3].Misbehave(server.Slow, 2)
 	w.Servers("plain")[0].Misbehave(server.Silent, 1)
-	w.Served(ctx, int(w.Rate))
+	w.WaitServed(ctx, int(w.Rate))
 }
 
-// lapse: handles lapse at once.
+// lapse makes prompt handles expire at once.
 func lapse(ctx context.Context, w *World) {
 	for _, s := range w.Servers("gen") {
 		s.Misbehave(server.Lapse, -1)
 	}
-	w.Served(ctx, int(2*w.Rate))
+	w.WaitServed(ctx, int(2*w.Rate))
 	for _, s := range w.Servers("gen") {
 		s.Misbehave(server.Lapse, 0)
 	}
-	w.Served(ctx, int(w.Rate))
+	w.WaitServed(ctx, int(w.Rate))
 }
 
-// pressed: prompts grow long, so that servers are ordered to the reading side,
-// and the leader that orders them is killed.
+// pressed sends long prompts, so that servers are ordered to switch to prefill, and kills the
+// leader that orders them.
 func pressed(ctx context.Context, w *World) {
 	long := w.Menu(w.Routes[2:3])
 	long[0].In, long[0].Out, long[0].Shared = 9000, 2, nil
 	w.Load.Menu(long)
 	orders := func() int { return w.Log.Count(func(a *record.All) int { return len(a.Orders) }) }
-	w.Until(ctx, 20*time.Second, "a server is ordered to read", func() bool { return orders() > 0 })
+	w.Until(ctx, 20*time.Second, "a server is ordered to switch to prefill", func() bool { return orders() > 0 })
 	before := orders()
 	if m := w.Fleet.Leader(fleetconfig.PartitionOf("gen", 8)); m != nil {
 		w.Fleet.Kill(m)
-		w.Served(ctx, int(w.Rate/2))
-		if err := w.Fleet.Up(m); err != nil {
+		w.WaitServed(ctx, int(w.Rate/2))
+		if err := w.Fleet.Restart(m); err != nil {
 			w.Fail("%v", err)
 		}
-		w.ready(ctx, m.Name+" is back")
+		w.waitReady(ctx, m.Name+" is back")
 	}
 	w.Load.Menu(w.Menu(w.Routes))
-	w.Served(ctx, int(2*w.Rate))
-	w.Say("%d orders, %d before the kill", orders(), before)
+	w.WaitServed(ctx, int(2*w.Rate))
+	w.Note("%d orders, %d before the kill", orders(), before)
 }
 
-// cold: all servers of a service crash, and those that come for them are cold.
+// cold crashes all servers of a service, whose replacements are cold.
 func cold(ctx context.Context, w *World) {
 	var wait sync.WaitGroup
 	for _, s := range w.Servers("plain") {
@@ -326,15 +326,15 @@
 		wait.Go(func() { w.Crash(ctx, s) })
 	}
 	wait.Wait()
-	w.Served(ctx, int(2*w.Rate))
-	w.Pass(ctx, 2*time.Second)
-	w.Served(ctx, int(w.Rate))
+	w.WaitServed(ctx, int(2*w.Rate))
+	w.Sleep(ctx, 2*time.Second)
+	w.WaitServed(ctx, int(w.Rate))
 }
 
-// staleList: the list can't be asked for a while.
+// staleList makes the server list unavailable for a while.
 func staleList(ctx context.Context, w *World) {
 	w.Cloud.Down(true)
-	w.Served(ctx, int(2*w.Rate))
+	w.WaitServed(ctx, int(2*w.Rate))
 	w.Cloud.Down(false)
-	w.Served(ctx, int(w.Rate))
+	w.WaitServed(ctx, int(w.Rate))
 }
--- a/proof/standin/scene/storm.go
+++ b/proof/standin/scene/storm.go
@@ -13,9 +13,9 @@
 	"mulleinmast/proof/standin/wire"
 )
 
-// storm: many things befall the deployment at once, by chance.
+// storm applies random faults and changes that overlap.
 func storm(ctx context.Context, w *World) {
-	s := &weather{w: w, rng: rand.New(rand.NewSource(w.Seed))}
+	s := &stormRun{w: w, rng: rand.New(rand.NewSource(w.Seed))}
 	acts := []struct {
 		name string
 		do   func(context.Context)
@@ -23,14 +23,14 @@
 		{"a daemon is killed", s.kill},
 		{"a daemon is stopped", s.term},
 		{"a daemon freezes", s.freeze},
-		{"the seeds are told anew", s.hup},
+		{"the seeds change", s.changeSeeds},
 		{"a server is replaced", s.replace},
 		{"a server crashes", s.crash},
 		{"servers misbehave", s.misbehave},
 		{"the configuration changes", s.change},
-		{"an invalid configuration", s.bad},
+		{"an invalid configuration", s.invalidConfig},
 		{"a zone is evacuated", s.evacuate},
-		{"the list is down", s.list},
+		{"the list is down", s.listDown},
 	}
 	steps := 30
 	if w.Short {
@@ -39,17 +39,17 @@
 	var wait sync.WaitGroup
 	for range steps {
 		a := acts[s.rng.Intn(len(acts))]
-		w.Say("%s", a.name)
+		w.Note("%s", a.name)
 		wait.Go(func() { a.do(ctx) })
-		w.Pass(ctx, time.Duration(200+s.rng.Intn(1500))*time.Millisecond)
+		w.Sleep(ctx, time.Duration(200+s.rng.Intn(1500))*time.Millisecond)
 	}
 	wait.Wait()
-	w.ready(ctx, "all are back")
-	w.Served(ctx, int(2*w.Rate))
+	w.waitReady(ctx, "all are back")
+	w.WaitServed(ctx, int(2*w.Rate))
 }
 
-// weather keeps what goes on apart: one thing of a kind at a time.
-type weather struct {
+// stormRun serializes the faults of each kind.
+type stormRun struct {
 	w       *World
 	mu      sync.Mutex // over rng
 	rng     *rand.Rand
@@ -60,147 +60,147 @@
 	n       int
 }
 
-func (s *weather) dice(n int) int {
+func (s *stormRun) intn(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rng.Intn(n)
 }
 
-// down has one daemon go by some means and come back; one at a time is what the
-// fleet bears.
-func (s *weather) down(ctx context.Context, by func(n int)) {
+// disrupt disrupts one daemon and waits until all are ready again. The fleet tolerates one
+// unavailable daemon at a time.
+func (s *stormRun) disrupt(ctx context.Context, by func(n int)) {
 	s.daemons.Lock()
 	defer s.daemons.Unlock()
-	by(s.dice(len(s.w.Fleet.Machines())))
-	s.w.ready(ctx, "a daemon is back")
+	by(s.intn(len(s.w.Fleet.Machines())))
+	s.w.waitReady(ctx, "a daemon is back")
 }
 
-func (s *weather) kill(ctx context.Context) {
-	s.down(ctx, func(n int) {
+func (s *stormRun) kill(ctx context.Context) {
+	s.disrupt(ctx, func(n int) {
 		m := s.w.Fleet.Machines()[n]
 		s.w.Fleet.Kill(m)
-		s.w.Pass(ctx, time.Duration(s.dice(1500))*time.Millisecond)
-		if err := s.w.Fleet.Up(m); err != nil {
+		s.w.Sleep(ctx, time.Duration(s.intn(1500))*time.Millisecond)
+		if err := s.w.Fleet.Restart(m); err != nil {
 			s.w.Fail("%v", err)
 		}
 	})
 }
 
-func (s *weather) term(ctx context.Context) {
-	s.down(ctx, func(n int) {
+func (s *stormRun) term(ctx context.Context) {
+	s.disrupt(ctx, func(n int) {
 		m := s.w.Fleet.Machines()[n]
 		s.w.Fleet.Term(m)
-		s.w.Until(ctx, s.w.Bounds.Grace, m.Name+" ends", func() bool { return !m.Up() })
-		if err := s.w.Fleet.Up(m); err != nil {
+		s.w.Until(ctx, s.w.Bounds.Grace, m.Name+" has ended", func() bool { return !m.Up() })
+		if err := s.w.Fleet.Restart(m); err != nil {
 			s.w.Fail("%v", err)
 		}
 	})
 }
 
-func (s *weather) freeze(ctx context.Context) {
-	s.down(ctx, func(n int) {
+func (s *stormRun) freeze(ctx context.Context) {
+	s.disrupt(ctx, func(n int) {
 		m := s.w.Fleet.Machines()[n]
 		s.w.Fleet.Freeze(m)
-		s.w.Pass(ctx, time.Duration(300+s.dice(4000))*time.Millisecond)
+		s.w.Sleep(ctx, time.Duration(300+s.intn(4000))*time.Millisecond)
 		s.w.Fleet.Thaw(m)
 	})
 }
 
-func (s *weather) hup(context.Context) {
+func (s *stormRun) changeSeeds(context.Context) {
 	all := s.w.Fleet.Machines()
-	n := s.dice(len(all))
-	if err := s.w.Fleet.Seed(append(all[n:], all[:n]...)[:3]); err != nil {
+	n := s.intn(len(all))
+	if err := s.w.Fleet.SetSeeds(append(all[n:], all[:n]...)[:3]); err != nil {
 		s.w.Fail("%v", err)
 	}
 }
 
-// some picks a server.
-func (s *weather) some() *server.Server {
+// pickServer returns a random server.
+func (s *stormRun) pickServer() *server.Server {
 	all := s.w.Servers("")
-	return all[s.dice(len(all))]
+	return all[s.intn(len(all))]
 }
 
-func (s *weather) replace(ctx context.Context) {
+func (s *stormRun) replace(ctx context.Context) {
 	s.servers.Lock()
 	defer s.servers.Unlock()
-	old := s.some()
+	old := s.pickServer()
 	if _, err := s.w.Serve(old.Service, old.Zone, old.Phase, 2*time.Second); err != nil {
 		s.w.Fail("%v", err)
 	}
 	s.w.Release(ctx, old)
 }
 
-func (s *weather) crash(ctx context.Context) {
+func (s *stormRun) crash(ctx context.Context) {
 	s.servers.Lock()
 	defer s.servers.Unlock()
-	old := s.some()
+	old := s.pickServer()
 	s.w.Crash(ctx, old)
 	if _, err := s.w.Serve(old.Service, old.Zone, old.Phase, time.Second); err != nil {
 		s.w.Fail("%v", err)
 	}
-	s.w.Pass(ctx, s.w.Bounds.InTouch)
-	if other := []string{"plain", "other"}[s.dice(2)]; other != old.Service {
+	s.w.Sleep(ctx, s.w.Bounds.InTouch)
+	if other := []string{"plain", "other"}[s.intn(2)]; other != old.Service {
 		if _, err := s.w.ServeAt(old.Address, other, old.Zone, "", 0); err != nil {
 			s.w.Fail("%v", err)
 		}
 	}
 }
 
-func (s *weather) misbehave(context.Context) {
+func (s *stormRun) misbehave(context.Context) {
 	for range 4 {
-		s.some().Misbehave(server.Fault(1+s.dice(int(server.Unwarned))), 1+s.dice(3))
+		s.pickServer().Misbehave(server.Fault(1+s.intn(int(server.Unwarned))), 1+s.intn(3))
 	}
 }
 
-func (s *weather) change(ctx context.Context) {
+func (s *stormRun) change(ctx context.Context) {
 	s.orders.Lock()
 	defer s.orders.Unlock()
 	s.n++
 	on := s.w.Op.Now()
-	ch := wire.Change{Version: on.Version + 1 + s.dice(4)}
-	r := s.w.Routes[s.dice(2)]
-	r.Service = []string{"plain", "other"}[s.dice(2)]
+	ch := wire.Change{Version: on.Version + 1 + s.intn(4)}
+	r := s.w.Routes[s.intn(2)]
+	r.Service = []string{"plain", "other"}[s.intn(2)]
 	extra := s.w.Routes[0]
 	extra.Name, extra.Start = fmt.Sprintf("r-storm-%d", s.n%3), fmt.Sprintf("/storm%d/", s.n%3)
 	ch.Replace.Routes = []wire.Route{r, extra}
 	ch.Remove.Routes = []string{fmt.Sprintf("r-storm-%d", (s.n+1)%3)}
 	c := s.w.Op.Patch(ctx, ch, on)
 	if c.Status != 200 && c.Status != 0 {
-		s.w.Fail("a change was not taken: %d", c.Status)
+		s.w.Fail("a change was not acknowledged: status %d", c.Status)
 	}
-	for _, d := range s.w.Fleet.Daemons() { // they show what is in force
+	for _, d := range s.w.Fleet.Daemons() { // probes show which version each daemon uses
 		s.w.Load.Probe(ctx, d, extra.Host, extra.Start, extra)
 		s.w.Load.Probe(ctx, d, extra.Host, fmt.Sprintf("/storm%d/", (s.n+1)%3), wire.Route{})
 	}
 	s.w.Load.Menu(s.w.Menu(s.w.Op.Now().Routes))
 }
 
-func (s *weather) bad(ctx context.Context) {
+func (s *stormRun) invalidConfig(ctx context.Context) {
 	s.orders.Lock()
 	defer s.orders.Unlock()
-	if c := s.w.Op.Bad(ctx, s.dice(operator.Kinds)); c.Status/100 == 2 {
-		s.w.Fail("an invalid configuration was taken")
+	if c := s.w.Op.Bad(ctx, s.intn(operator.Kinds)); c.Status/100 == 2 {
+		s.w.Fail("an invalid configuration was acknowledged")
 	}
 }
 
-func (s *weather) evacuate(ctx context.Context) {
+func (s *stormRun) evacuate(ctx context.Context) {
 	s.zone.Lock()
 	defer s.zone.Unlock()
-	e := s.w.Op.Evacuate(ctx, Zones[s.dice(len(Zones))])
+	e := s.w.Op.Evacuate(ctx, Zones[s.intn(len(Zones))])
 	acked := s.w.Log.Count(func(*record.All) int { return int(e.Acked) }) > 0
 	if !acked {
 		s.w.Fail("an evacuation was not acknowledged")
 	}
-	s.w.Pass(ctx, s.w.Bounds.Evacuate+time.Second)
+	s.w.Sleep(ctx, s.w.Bounds.Evacuate+time.Second)
 	if !s.w.Op.Return(ctx, e) {
-		s.w.Fail("a return was not acknowledged")
+		s.w.Fail("a return of a zone was not acknowledged")
 	}
 }
 
-func (s *weather) list(ctx context.Context) {
-	s.servers.Lock() // a server that ends unseen would be none of the fleet's faults
+func (s *stormRun) listDown(ctx context.Context) {
+	s.servers.Lock() // the fleet can't see that a server ends while the list is down, so no server may end then
 	defer s.servers.Unlock()
 	s.w.Cloud.Down(true)
-	s.w.Pass(ctx, time.Duration(500+s.dice(2000))*time.Millisecond)
+	s.w.Sleep(ctx, time.Duration(500+s.intn(2000))*time.Millisecond)
 	s.w.Cloud.Down(false)
 }
--- a/proof/standin/scene/tenants.go
+++ b/proof/standin/scene/tenants.go
@@ -13,8 +13,8 @@
 	"mulleinmast/proof/standin/wire"
 )
 
-// Customers are tenants with keys: one with a limit that its usual requests keep well,
-// one with a small limit, and one without.
+// Customers returns tenants with keys: one whose usual requests are well within its limit,
+// one with a tight limit, and one without a limit.
 //
 // Example: cfg.Customers = scene.Customers()
 func Customers() []wire.Customer {
@@ -26,23 +26,23 @@
 	}
 }
 
-// Bounds of the scene tenants.
+// Parameters of the overload in the scene tenants.
 const (
-	hotFor      = 7 * time.Second       // a tenant asks for many times its limit
-	hotEvery    = 10 * time.Millisecond // at a daemon, in turn
-	hotRequests = 64                    // of these that may be under way
+	overloadFor      = 7 * time.Second       // how long a tenant exceeds its limit many times
+	overloadInterval = 10 * time.Millisecond // interval between requests, to the daemons in turn
+	overloadRequests = 64                    // concurrent requests at most
 )
 
-// tenants: clients come with keys, with unknown ones, with none and with a claim to be
-// another tenant; one tenant asks for many times its limit; a key is taken away.
+// tenants sends requests with valid keys, unknown keys, no key and a forged tenant name,
+// exceeds a tenant's limit many times, and removes a key.
 func tenants(ctx context.Context, w *World) {
 	w.probeIdentities(ctx)
-	w.askForTooMuch(ctx, "k-large-2")
+	w.exceedLimit(ctx, "k-large-2")
 	w.revoke(ctx, "other", "k-other-2")
 }
 
-// probeIdentities asks each daemon as clients of all kinds, and fails the scene where the
-// answer isn't the one that they should get.
+// probeIdentities sends requests with each kind of identity to each daemon and checks the
+// status of the answers.
 func (w *World) probeIdentities(ctx context.Context) {
 	r := w.Routes[0]
 	for _, d := range w.Fleet.Daemons() {
@@ -55,13 +55,13 @@
 		} {
 			t := w.Load.ProbeAs(ctx, d, r.Host, r.Start, r, who)
 			if t == nil || t.Status != want {
-				w.Fail("%s answers %+v with %v, expected %d", d.Name, who, statusOf(t), want)
+				w.Fail("%s answered a client with identity %+v with %v, expected %d", d.Name, who, statusOf(t), want)
 			}
 		}
 	}
 }
 
-// statusOf is the status that a try got, for a message.
+// statusOf formats the status of a try for a message.
 func statusOf(t *record.Try) string {
 	if t == nil {
 		return "no connection"
@@ -69,26 +69,26 @@
 	return fmt.Sprint(t.Status)
 }
 
-// askForTooMuch sends many times what a tenant may have, at all daemons in turn.
-func (w *World) askForTooMuch(ctx context.Context, key string) {
+// exceedLimit sends many times a tenant's limit, to all daemons in turn.
+func (w *World) exceedLimit(ctx context.Context, key string) {
 	r := w.Routes[0]
-	places := make(chan bool, hotRequests)
+	slots := make(chan bool, overloadRequests)
 	var wait sync.WaitGroup
-	ticker := time.NewTicker(hotEvery)
+	ticker := time.NewTicker(overloadInterval)
 	defer ticker.Stop()
 	daemons := w.Fleet.Daemons()
 	var mu sync.Mutex
 	ends := map[string]int{}
-	for n := range int(hotFor / hotEvery) {
+	for n := range int(overloadFor / overloadInterval) {
 		<-ticker.C
 		select {
-		case places <- true:
+		case slots <- true:
 		default:
 			continue
 		}
 		d := daemons[n%len(daemons)]
 		wait.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			t := w.Load.ProbeAs(ctx, d, r.Host, r.Start, r, client.Identity{Key: key})
 			mu.Lock()
 			defer mu.Unlock()
@@ -96,17 +96,19 @@
 		})
 	}
 	wait.Wait()
-	w.Say("a tenant that asks for too much: %v", ends)
+	w.Note("answers to a tenant over its limit: %v", ends)
 	if ends["429"] == 0 {
-		w.Fail("nothing of a tenant that asks for too much is refused: %v", ends)
+		w.Fail("no request of a tenant over its limit was refused: %v", ends)
 	}
-	// The limit is 20 a second and 20 more; its clients of the crowd use some of it.
-	if least := int(hotFor.Seconds()) * 10; ends["200"] < least {
-		w.Fail("a tenant that asks for too much gets %v, at least %d are its own", ends, least)
+	// The limit is 20 requests a second with a burst of 20; the load generator's clients of the
+	// same tenant use part of it.
+	if least := int(overloadFor.Seconds()) * 10; ends["200"] < least {
+		w.Fail("a tenant over its limit got %v, its limit allows at least %d", ends, least)
 	}
 }
 
-// revoke takes a key away: soon nobody is served with it, and others of its tenant are.
+// revoke removes a key. Once the change is applied, requests with that key are refused, and
+// those with the tenant's other key are still served.
 func (w *World) revoke(ctx context.Context, tenant, key string) {
 	r := w.Routes[0]
 	now := w.Op.Now()
@@ -125,19 +127,19 @@
 		ch.Replace.Customers = append(ch.Replace.Customers, c)
 	}
 	if c := w.Op.Patch(ctx, ch, now); c.Status != http.StatusOK {
-		w.Fail("a key can't be taken away: %d", c.Status)
+		w.Fail("the change that removes a key was answered %d", c.Status)
 		return
 	}
-	is := func(d entry.Daemon, key string, want int) bool {
+	answers := func(d entry.Daemon, key string, want int) bool {
 		t := w.Load.ProbeAs(ctx, d, r.Host, r.Start, r, client.Identity{Key: key})
 		return t != nil && t.Status == want
 	}
 	for _, d := range w.Fleet.Daemons() {
-		w.Until(ctx, w.Bounds.Apply, d.Name+" serves nobody with the key", func() bool {
-			return is(d, key, http.StatusUnauthorized)
+		w.Until(ctx, w.Bounds.Apply, d.Name+" refuses the removed key", func() bool {
+			return answers(d, key, http.StatusUnauthorized)
 		})
 		w.Until(ctx, w.Bounds.Apply, d.Name+" serves the tenant's other key", func() bool {
-			return is(d, "k-other-1", http.StatusOK)
+			return answers(d, "k-other-1", http.StatusOK)
 		})
 	}
 }
--- a/proof/standin/scene/tenants_test.go
+++ b/proof/standin/scene/tenants_test.go
@@ -5,19 +5,16 @@
 	"testing"
 )
 
-// Customers of the shared deployments were served with keys that no configuration holds,
-// servers were shown the clients' keys and no tenant, and one customer got more than its
-// limit: 1,357 requests in 5 s where 1,201 are allowed. A whole configuration with
-// customers was acknowledged, and none of its fields about them meant anything: daemons
-// logged "fields without effect here", and each change of a customer was refused with
-// "replace.customers: not known here". Here the same is brought about on six daemons: keys
-// that are known, unknown, absent and taken away, and a tenant that asks all daemons in
-// turn for five times its limit.
-func TestKeysAndLimitsOfTenantsHoldOverAllDaemons(t *testing.T) {
+// Guards against daemons that ignore the customers of a configuration. Then requests with
+// unknown keys were served, servers received keys instead of tenants, and a customer had
+// 1,357 requests in 5 s served where 1,201 were allowed; each change of a customer was
+// refused. The scene uses valid, unknown, missing and removed keys on six daemons, and a
+// tenant that sends five times its limit to all daemons in turn.
+func TestTenantKeysAndLimitsHoldAcrossDaemons(t *testing.T) {
 	t.Parallel()
 	program := build(t)
-	four <- true
-	defer func() { <-four }()
+	slots <- true
+	defer func() { <-slots }()
 	report, err := Play(context.Background(), Config{
 		Dir: t.TempDir(), Program: program, Pace: 1, PerZone: 2, Short: true, Rate: 30, Seed: 11, Customers: Customers(),
 	}, Scenes["tenants"])
--- a/proof/standin/scene/world.go
+++ b/proof/standin/scene/world.go
@@ -1,6 +1,6 @@
-// Package scene plays what befalls a deployment on the platform: a fleet of
-// real daemons between stand-in servers, clients and an operator. The judge
-// has the last word.
+// Package scene runs scenarios of faults and changes on a deployment: a fleet of real
+// daemons with stand-in servers, clients and an operator. Package rules checks the
+// outcome.
 package scene
 
 import (
@@ -24,28 +24,28 @@
 	"mulleinmast/proof/track"
 )
 
-// Error is the class of faults in bringing a deployment up.
+// Error is the class of errors in starting a deployment.
 var Error = errs.Class("scene")
 
-// Config is a deployment.
+// Config describes a deployment.
 type Config struct {
 	Dir     string
 	Program string  // the daemon
-	Old     string  // another build of it, that runs beside; none: one build runs
-	Pace    float64 // of the bounds: 1 as the platform's pages show them, less is quicker
+	Old     string  // another build of the daemon, for a mixed fleet; empty: none
+	Pace    float64 // factor on the bounds: 1 is the platform's values, less is faster
 	PerZone int     // machines in each of the three zones
-	Short   bool    // scenes that go on for long do less
-	Rate    float64 // requests a second
+	Short   bool    // shortens long scenes
+	Rate    float64 // requests per second
 	Seed    int64
-	// Customers are those of the first configuration; clients come with their first keys in turn. None: clients
-	// need no key.
+	// Customers of the initial configuration. Clients use the first key of each in turn. Without customers,
+	// clients need no key.
 	Customers []wire.Customer
 }
 
-// Zones are the places of every deployment here.
+// Zones are the zones of every deployment.
 var Zones = []string{"north", "south", "west"}
 
-// Bounds are the rules' figures at a pace.
+// Bounds returns the bounds of the rules at a pace.
 //
 // Example: b := scene.Bounds(1); b.Drain == 3*time.Second
 func Bounds(pace float64) rules.Bounds {
@@ -57,17 +57,17 @@
 	}
 }
 
-// World is a deployment that runs.
+// World is a running deployment with all that surrounds it.
 type World struct {
 	Config
 	Bounds rules.Bounds
 	Log    *record.Log
 	Fleet  *fleet.Fleet
 	Cloud  *cloud.Cloud
-	Door   *entry.Entry
+	Entry  *entry.Entry
 	Op     *operator.Operator
 	Load   *client.Load
-	Routes []wire.Route // those of the first configuration
+	Routes []wire.Route // of the initial configuration
 	notes  []string
 	failed bool
 
@@ -79,45 +79,45 @@
 	stop    []func()
 }
 
-// Say messages something seen.
+// Note adds a note to the report.
 //
-// Example: w.Say("a new leader after %v", took)
-func (w *World) Say(how string, args ...any) {
+// Example: w.Note("a new leader after %v", took)
+func (w *World) Note(how string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.notes = append(w.notes, fmt.Sprintf("%6.2fs ", w.Log.Now().Seconds())+fmt.Sprintf(how, args...))
 }
 
-// Fail messages something that should not have been.
+// Fail fails the scene and adds the reason to the report.
 //
 // Example: w.Fail("no leader after %v", limit)
 func (w *World) Fail(how string, args ...any) {
-	w.Say("FAILED "+how, args...)
+	w.Note("FAILED "+how, args...)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.failed = true
 }
 
-// Until waits for a condition; one that doesn't come is a failure.
+// Until waits for a condition and fails the scene if it is not met within a limit.
 //
-// Example: w.Until(ctx, 12*time.Second, "ready", func() bool { return w.Door.In() == 6 })
-func (w *World) Until(ctx context.Context, limit time.Duration, what string, so func() bool) bool {
-	ok := track.Until(ctx, limit, so)
+// Example: w.Until(ctx, 12*time.Second, "ready", func() bool { return w.Entry.In() == 6 })
+func (w *World) Until(ctx context.Context, limit time.Duration, what string, cond func() bool) bool {
+	ok := track.Until(ctx, limit, cond)
 	if !ok {
 		w.Fail("%s: not within %v", what, limit)
 	}
 	return ok
 }
 
-// New lays a deployment out and starts its servers and its list.
+// New creates a deployment and starts its servers and server list, but no daemons.
 //
-// Example: w, err := scene.New(cfg); defer w.End()
+// Example: w, err := scene.New(cfg); defer w.Stop()
 func New(c Config) (*World, error) {
 	w := &World{Config: c, Bounds: Bounds(c.Pace), Log: record.New(), ports: 8080}
 	if err := os.MkdirAll(c.Dir, 0o755); err != nil {
 		return w, Error.Wrap(err)
 	}
-	at, err := fleet.Net()
+	at, err := fleet.FreeNet()
 	if err != nil {
 		return w, err
 	}
@@ -131,7 +131,7 @@
 		Dir: c.Dir, Program: c.Program, Old: c.Old, Net: at, Zones: Zones, PerZone: c.PerZone, Bounds: w.Bounds, Ack: time.Duration(4000 * max(c.Pace, 0.7) * float64(time.Millisecond)),
 		Cloud: cc.Address, Lag: lag, Rate: cc.Rate,
 	}, w.Log)
-	w.Door = entry.New(w.Fleet.Daemons)
+	w.Entry = entry.New(w.Fleet.Daemons)
 	w.Op = operator.New(w.Log, w.Fleet.Daemons, 20*time.Second)
 	crowd := client.Config{
 		Rate: c.Rate, Further: 2, Actors: 12, Zones: Zones, Seed: c.Seed, Name: fmt.Sprintf("%04x", c.Seed&0xffff),
@@ -139,7 +139,7 @@
 	for _, customer := range c.Customers {
 		crowd.Keys = append(crowd.Keys, customer.Keys[0])
 	}
-	w.Load = client.New(crowd, w.Log, w.Door)
+	w.Load = client.New(crowd, w.Log, w.Entry)
 	for i := range 6 {
 		if _, err := w.Serve("gen", Zones[i%3], []string{wire.Reading, wire.Writing}[i/3], 0); err != nil {
 			return w, err
@@ -155,7 +155,7 @@
 	return w, nil
 }
 
-// Serve starts one more server and puts it on the list.
+// Serve starts another server and adds it to the list.
 //
 // Example: s, err := w.Serve("gen", "north", wire.Writing, 2*time.Second)
 func (w *World) Serve(svc, zone, phase string, cold time.Duration) (*server.Server, error) {
@@ -166,7 +166,7 @@
 	return w.ServeAt(fmt.Sprintf("%s.%d:8080", w.Fleet.Net, 100+n), svc, zone, phase, cold)
 }
 
-// ServeAt starts one more server at an address, which another one may have had.
+// ServeAt starts another server at an address, which may be reused.
 //
 // Example: s, err := w.ServeAt(old.Address, "plain", "north", "", 0)
 func (w *World) ServeAt(addr, svc, zone, phase string, cold time.Duration) (*server.Server, error) {
@@ -189,7 +189,7 @@
 	return s, nil
 }
 
-// Servers lists the servers of a service that live.
+// Servers returns the running servers of a service, or all if the service is empty.
 //
 // Example: for _, s := range w.Servers("gen") { s.Misbehave(server.Break, 2) }
 func (w *World) Servers(svc string) (out []*server.Server) {
@@ -203,7 +203,7 @@
 	return out
 }
 
-func (w *World) forget(s *server.Server) {
+func (w *World) removeServer(s *server.Server) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for i, x := range w.servers {
@@ -214,28 +214,28 @@
 	}
 }
 
-// Release has a server drain and end, as the platform does.
+// Release drains and stops a server as the platform does.
 //
 // Example: w.Release(ctx, s)
 func (w *World) Release(ctx context.Context, s *server.Server) {
 	s.Drain()
 	w.Cloud.Put(s.ID, s)
-	t := time.NewTimer(w.Cloud.Lag + w.Bounds.Drain + time.Second) // and a little longer
+	t := time.NewTimer(w.Cloud.Lag + w.Bounds.Drain + time.Second) // a margin of a second
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
 	case <-t.C:
 	}
-	w.forget(s)
+	w.removeServer(s)
 	s.End()
 	w.Cloud.Drop(s.ID)
 }
 
-// Crash ends a server at once; it stays on the list for a while.
+// Crash ends a server abruptly; it stays on the list for a second.
 //
 // Example: w.Crash(ctx, s)
 func (w *World) Crash(ctx context.Context, s *server.Server) {
-	w.forget(s)
+	w.removeServer(s)
 	s.Crash()
 	t := time.NewTimer(time.Second)
 	defer t.Stop()
@@ -246,10 +246,10 @@
 	w.Cloud.Drop(s.ID)
 }
 
-// End ends everything.
+// Stop stops all daemons, servers and clients.
 //
-// Example: defer w.End()
-func (w *World) End() {
+// Example: defer w.Stop()
+func (w *World) Stop() {
 	for _, f := range w.stop {
 		f()
 	}
@@ -259,12 +259,12 @@
 	}
 	for _, s := range w.Servers("") {
 		s.End()
-		w.forget(s)
+		w.removeServer(s)
 	}
 }
 
-// first is the configuration that a day begins with.
-func (w *World) first() wire.Config {
+// firstConfig returns the initial configuration.
+func (w *World) firstConfig() wire.Config {
 	run := &wire.Runtime{Slots: 16, Memory: 60000, TokenBytes: 18432, Mbps: 550000, Interval: 1, HoldS: 2, SwitchS: 0.3, Models: []wire.Weights{{Name: "m", Version: 1, Adapters: []string{}}}}
 	c := wire.Config{Version: 5, Limits: wire.Limits{HeaderBytes: 16384, BodyBytes: 1 << 20, HeaderWaitMs: 3000, IdleMs: 15000}}
 	for _, svc := range []string{"gen", "plain", "other"} {
@@ -287,7 +287,7 @@
 	return c
 }
 
-// Menu is what clients ask for by a configuration's routes.
+// Menu returns the requests that clients send for routes.
 //
 // Example: w.Load.Menu(w.Menu(routes))
 func (w *World) Menu(routes []wire.Route) (out []client.Ask) {
@@ -304,47 +304,47 @@
 	return out
 }
 
-// Served waits until so many more tries were served.
+// WaitServed waits until n more tries were served.
 //
-// Example: w.Served(ctx, 100)
-func (w *World) Served(ctx context.Context, n int) bool {
-	_, before, _ := w.tally()
+// Example: w.WaitServed(ctx, 100)
+func (w *World) WaitServed(ctx context.Context, n int) bool {
+	_, before, _ := w.countTries()
 	return w.Until(ctx, 30*time.Second+time.Duration(float64(n)/w.Rate*4)*time.Second, fmt.Sprint(n, " more served"), func() bool {
-		_, now, _ := w.tally()
+		_, now, _ := w.countTries()
 		return now >= before+n
 	})
 }
 
-// Begin starts the daemons, sends the first configuration and lets clients in.
+// Start starts the daemons, sends the initial configuration and starts the clients.
 //
-// Example: err := w.Begin(ctx)
-func (w *World) Begin(ctx context.Context) error {
+// Example: err := w.Start(ctx)
+func (w *World) Start(ctx context.Context) error {
 	if err := w.Fleet.Start(); err != nil {
 		return err
 	}
 	with, cut := context.WithCancel(ctx)
 	var wait sync.WaitGroup
-	wait.Go(func() { w.Door.Serve(with) })
+	wait.Go(func() { w.Entry.Serve(with) })
 	w.stop = append([]func(){func() { cut(); wait.Wait() }}, w.stop...)
 	n := len(w.Fleet.Machines())
-	if !track.Until(ctx, 30*time.Second, func() bool { return w.Door.In() == n }) {
-		return Error.New("only %d of %d daemons are ready; logs in %s", w.Door.In(), n, w.Dir)
+	if !track.Until(ctx, 30*time.Second, func() bool { return w.Entry.In() == n }) {
+		return Error.New("only %d of %d daemons are ready; logs in %s", w.Entry.In(), n, w.Dir)
 	}
-	w.Say("%d daemons are ready", n)
-	if c := w.Op.Put(ctx, w.first(), 0); c.Status != 200 {
-		return Error.New("the first configuration: %d", c.Status)
+	w.Note("%d daemons are ready", n)
+	if c := w.Op.Put(ctx, w.firstConfig(), 0); c.Status != 200 {
+		return Error.New("the initial configuration was answered %d", c.Status)
 	}
-	if !track.Until(ctx, 20*time.Second, func() bool { return w.everywhere(ctx) }) {
-		return Error.New("not served by all daemons; logs in %s", w.Dir)
+	if !track.Until(ctx, 20*time.Second, func() bool { return w.servedByAll(ctx) }) {
+		return Error.New("some daemons do not serve the initial configuration; logs in %s", w.Dir)
 	}
-	w.Say("the first configuration is in force")
+	w.Note("the initial configuration is applied")
 	w.Load.Menu(w.Menu(w.Routes))
 	wait.Go(func() { w.Load.Run(with) })
 	return nil
 }
 
-// everywhere tells whether each daemon serves a plain route.
-func (w *World) everywhere(ctx context.Context) bool {
+// servedByAll reports whether each daemon serves the first route.
+func (w *World) servedByAll(ctx context.Context) bool {
 	for _, d := range w.Fleet.Daemons() {
 		if t := w.Load.Probe(ctx, d, w.Routes[0].Host, w.Routes[0].Start, w.Routes[0]); t == nil || !t.Served() {
 			return false
--- a/proof/standin/soak/others.go
+++ b/proof/standin/soak/others.go
@@ -16,7 +16,7 @@
 	"mulleinmast/proof/standin/wire"
 )
 
-// serverTroubles befall the model servers and their list.
+// serverTroubles affect the model servers and their list.
 func serverTroubles() []trouble {
 	return []trouble{
 		{"server replaced", 4, (*run).replace}, {"server crashes", 4, (*run).crash}, {"server dark", 2, (*run).dark}, {"servers misbehave", 6, (*run).misbehave}, {"list down", 2, (*run).listDown},
@@ -30,7 +30,7 @@
 	}
 }
 
-// server draws one of the servers; there is always one.
+// server returns a random server; there is always at least one.
 func (r *run) server(rng *rand.Rand) *server.Server {
 	all := r.Servers("")
 	return all[rng.Intn(len(all))]
@@ -46,20 +46,20 @@
 	r.servers.Lock()
 	defer r.servers.Unlock()
 	old := r.server(rng)
-	r.Say("%s is replaced", old.ID)
+	r.Note("%s is replaced", old.ID)
 	r.serve(old.Service, old.Zone, old.Phase, 2*time.Second)
 	r.Release(ctx, old)
 }
 
-// crash ends a server; its address may be another service's soon.
+// crash crashes a server; a server of another service may then start at its address.
 func (r *run) crash(ctx context.Context, rng *rand.Rand) {
 	r.servers.Lock()
 	defer r.servers.Unlock()
 	old := r.server(rng)
-	r.Say("%s crashes", old.ID)
+	r.Note("%s crashes", old.ID)
 	r.Crash(ctx, old)
 	r.serve(old.Service, old.Zone, old.Phase, time.Second)
-	r.Pass(ctx, between(rng, time.Second, r.Bounds.InTouch))
+	r.Sleep(ctx, between(rng, time.Second, r.Bounds.InTouch))
 	if other := []string{"plain", "other"}[rng.Intn(2)]; other != old.Service {
 		if _, err := r.ServeAt(old.Address, other, old.Zone, "", 0); err != nil {
 			r.Fail("%v", err)
@@ -71,9 +71,9 @@
 	r.servers.Lock()
 	defer r.servers.Unlock()
 	old := r.server(rng)
-	r.Say("%s falls silent", old.ID)
+	r.Note("%s stops answering", old.ID)
 	old.Dark()
-	r.Pass(ctx, between(rng, time.Second, 4*time.Second))
+	r.Sleep(ctx, between(rng, time.Second, 4*time.Second))
 	r.Crash(ctx, old)
 	r.serve(old.Service, old.Zone, old.Phase, time.Second)
 }
@@ -85,40 +85,40 @@
 }
 
 func (r *run) listDown(ctx context.Context, rng *rand.Rand) {
-	r.servers.Lock() // a server that ends unseen would be none of the fleet's faults
+	r.servers.Lock() // the fleet can't see that a server ends while the list is down, so no server may end then
 	defer r.servers.Unlock()
-	r.Say("the list is down")
+	r.Note("the list is down")
 	r.Cloud.Down(true)
-	r.Pass(ctx, between(rng, 300*time.Millisecond, 4*time.Second))
+	r.Sleep(ctx, between(rng, 300*time.Millisecond, 4*time.Second))
 	r.Cloud.Down(false)
 }
 
-// change has the configuration changed once.
+// change sends one configuration change.
 func (r *run) change(ctx context.Context, rng *rand.Rand) {
 	r.orders.Lock()
 	defer r.orders.Unlock()
-	ch, added, gone := r.next(rng)
+	ch, added, gone := r.nextChange(rng)
 	r.send(ctx, ch, 1+rng.Intn(4))
-	r.show(ctx, added, gone)
+	r.probeChange(ctx, added, gone)
 }
 
-// changesInARow has it changed many times, one after another.
+// changesInARow sends many configuration changes, one after another.
 func (r *run) changesInARow(ctx context.Context, rng *rand.Rand) {
 	r.orders.Lock()
 	defer r.orders.Unlock()
 	many := 5 + rng.Intn(20)
-	r.Say("%d changes in a row", many)
+	r.Note("%d changes in a row", many)
 	for range many {
-		ch, _, _ := r.next(rng)
+		ch, _, _ := r.nextChange(rng)
 		if r.send(ctx, ch, 1+rng.Intn(4)); r.unclear {
-			break // the core is in trouble
+			break // the outcome is unknown: the core may be unavailable
 		}
 	}
 	r.Load.Menu(r.Menu(r.Op.Now().Routes))
 }
 
-// race has two operators change the same version at once: one may win, or nobody
-// knows who did.
+// race sends two changes of the same version at once. At most one may win; without answers
+// the winner may be unknown.
 func (r *run) race(ctx context.Context, rng *rand.Rand) {
 	r.orders.Lock()
 	defer r.orders.Unlock()
@@ -126,12 +126,12 @@
 	var sent [2]*record.Change
 	var wait sync.WaitGroup
 	for i := range sent {
-		ch, _, _ := r.next(rng)
+		ch, _, _ := r.nextChange(rng)
 		ch.Version = on.Version + 1 + i + 2*rng.Intn(3)
 		wait.Go(func() { sent[i] = r.Op.Patch(ctx, ch, on) })
 	}
 	wait.Wait()
-	r.Say("two changes of version %d at once: %d and %d", on.Version, sent[0].Status, sent[1].Status)
+	r.Note("two changes of version %d at once: %d and %d", on.Version, sent[0].Status, sent[1].Status)
 	one, other := min(sent[0].Status, sent[1].Status), max(sent[0].Status, sent[1].Status)
 	switch {
 	case one == http.StatusOK && other == http.StatusPreconditionFailed:
@@ -145,9 +145,9 @@
 	r.Load.Menu(r.Menu(r.Op.Now().Routes))
 }
 
-// next makes a change that adds a route, takes another away and moves a third to
+// nextChange returns a change that adds a route, removes another and moves a third one to
 // another service.
-func (r *run) next(rng *rand.Rand) (ch wire.Change, added wire.Route, gone string) {
+func (r *run) nextChange(rng *rand.Rand) (ch wire.Change, added wire.Route, gone string) {
 	r.changes++
 	moved := r.Routes[rng.Intn(2)]
 	moved.Service = []string{"plain", "other"}[rng.Intn(2)]
@@ -159,8 +159,8 @@
 	return ch, added, gone
 }
 
-// show has requests show what is in force.
-func (r *run) show(ctx context.Context, added wire.Route, gone string) {
+// probeChange sends requests that show which version each daemon uses.
+func (r *run) probeChange(ctx context.Context, added wire.Route, gone string) {
 	for _, d := range r.Fleet.Daemons() {
 		r.Load.Probe(ctx, d, added.Host, added.Start, added)
 		r.Load.Probe(ctx, d, added.Host, "/soak"+gone+"/", wire.Route{})
@@ -168,9 +168,9 @@
 	r.Load.Menu(r.Menu(r.Op.Now().Routes))
 }
 
-// send brings a change on top of what is in force. One without a clear answer may
-// be in force, or come to be while the next one is on its way: then the operator
-// reads what is in force and builds on that. No other refusal is in order.
+// send sends a change of the current version. A change without a clear answer may have been
+// applied, or be applied while the next one is in progress: then the operator reads the
+// current version and bases the change on that. Any other refusal is a failure.
 func (r *run) send(ctx context.Context, ch wire.Change, step int) {
 	for {
 		on := r.Op.Now()
@@ -181,15 +181,15 @@
 			r.unclear = false
 			return
 		case c.Status == 0:
-			r.Say("version %d got no clear answer", ch.Version)
+			r.Note("version %d got no clear answer", ch.Version)
 			r.unclear = true
 			r.Op.Learn(ctx)
 			return
 		case c.Status == http.StatusPreconditionFailed && r.unclear:
-			r.Say("version %d is in conflict with one without a clear answer", ch.Version)
+			r.Note("version %d conflicts with one that got no clear answer", ch.Version)
 			r.unclear = !r.Op.Learn(ctx)
 		default:
-			r.Fail("a change was not taken: %d", c.Status)
+			r.Fail("a change was not acknowledged: status %d", c.Status)
 			return
 		}
 		if ctx.Err() != nil {
@@ -202,40 +202,40 @@
 	r.orders.Lock()
 	defer r.orders.Unlock()
 	if c := r.Op.Bad(ctx, rng.Intn(operator.Kinds)); c.Status/100 == 2 {
-		r.Fail("an invalid configuration was taken")
+		r.Fail("an invalid configuration was acknowledged")
 	}
 }
 
-// evacuate takes a zone out of service and back; while the core is in trouble
-// neither need be acknowledged.
+// evacuate takes a zone out of service and returns it. While the core is unavailable neither
+// has to be acknowledged.
 func (r *run) evacuate(ctx context.Context, rng *rand.Rand) {
 	r.zone.Lock()
 	defer r.zone.Unlock()
 	zone := scene.Zones[rng.Intn(len(scene.Zones))]
-	r.Say("%s is evacuated", zone)
+	r.Note("%s is evacuated", zone)
 	e := r.Op.Evacuate(ctx, zone)
 	if r.Log.Count(func(*record.All) int { return int(e.Acked) }) > 0 {
-		r.Pass(ctx, r.Bounds.Evacuate+between(rng, 0, 2*time.Second))
+		r.Sleep(ctx, r.Bounds.Evacuate+between(rng, 0, 2*time.Second))
 	}
 	for !r.Op.Return(ctx, e) && ctx.Err() == nil {
-		r.Say("the return of %s was not acknowledged", zone)
+		r.Note("the return of %s was not acknowledged", zone)
 	}
 }
 
-// lostAnswers has some of the answers to the operator lost for a while.
+// lostAnswers drops a fraction of the answers to the operator for a while.
 func (r *run) lostAnswers(ctx context.Context, rng *rand.Rand) {
 	r.list.Lock()
 	defer r.list.Unlock()
-	part := 0.3 + 0.6*rng.Float64()
-	r.Say("%.0f%% of the answers to the operator are lost", 100*part)
-	r.Op.Lose(part, rng.Int63())
-	r.Pass(ctx, between(rng, time.Second, 5*time.Second))
+	fraction := 0.3 + 0.6*rng.Float64()
+	r.Note("%.0f%% of the answers to the operator are lost", 100*fraction)
+	r.Op.Lose(fraction, rng.Int63())
+	r.Sleep(ctx, between(rng, time.Second, 5*time.Second))
 	r.Op.Lose(0, 0)
 }
 
 func (r *run) clients(ctx context.Context, rng *rand.Rand) {
 	manner := client.Manner(rng.Intn(int(client.ManyManners)))
 	m := r.machine(rng, rng.Intn(2) == 0)
-	r.Say("clients at %s: %s", m.Name, manner)
-	r.Load.Misbehave(ctx, manner, r.door(m), rng, between(rng, 500*time.Millisecond, 4*time.Second))
+	r.Note("clients at %s: %s", m.Name, manner)
+	r.Load.Misbehave(ctx, manner, r.daemonOf(m), rng, between(rng, 500*time.Millisecond, 4*time.Second))
 }
--- a/proof/standin/soak/soak.go
+++ b/proof/standin/soak/soak.go
@@ -1,7 +1,7 @@
-// Package soak runs a deployment of real daemons under troubles that are drawn by
-// chance and overlap: machines, servers, clients and the operator, each at its
-// own times. Everything that a run does follows from its seed. The judge, the
-// invariants in the daemons and the processes' own ends have the last word.
+// Package soak runs a deployment of real daemons under random, overlapping troubles of
+// machines, servers, clients and the operator. The seed determines everything that a run
+// does. A run fails on a broken rule, on a violated invariant in a daemon or if a process
+// ends unexpectedly.
 package soak
 
 import (
@@ -20,28 +20,28 @@
 	"mulleinmast/proof/track"
 )
 
-// Config is a run.
+// Config configures a run.
 type Config struct {
 	scene.Config
-	For     time.Duration // troubles come for so long
-	Between time.Duration // two of them, on average
-	Only    []string      // troubles whose names begin with one of these; none: all
+	For     time.Duration // how long new troubles begin
+	Between time.Duration // mean time between the beginnings of two troubles
+	Only    []string      // prefixes of the names of troubles to apply; empty: all
 }
 
-// What a run asks for once all troubles are over.
+// Requirements once all troubles are over.
 const (
-	servedAfter = 0.9 // of the requests that come then
-	askedAfter  = 40  // requests, for their share to say something
+	minServedAfter   = 0.9 // minimum fraction of the requests that must be served
+	minRequestsAfter = 40  // requests, below which the fraction is not significant
 )
 
-// trouble is one kind of thing that befalls a deployment.
+// trouble is a kind of fault, or another event that a deployment must tolerate.
 type trouble struct {
 	name   string
 	weight int
-	befall func(r *run, ctx context.Context, rng *rand.Rand)
+	apply  func(r *run, ctx context.Context, rng *rand.Rand)
 }
 
-// troubles lists all kinds.
+// troubles returns all kinds, except those of tenants.
 func troubles() []trouble {
 	return append(append(machineTroubles(), serverTroubles()...), callerTroubles()...)
 }
@@ -49,58 +49,58 @@
 // run is a deployment under troubles.
 type run struct {
 	*scene.World
-	machines sync.Map   // of *fleet.Machine to *sync.Mutex: one thing at a time ends or starts a process
-	begun    sync.Map   // of *fleet.Machine: its process was started
-	disk     sync.Mutex // one disk is lost at a time; over owed, too
-	owed     bool       // a machine has not caught up since it lost its disk
+	machines sync.Map   // *fleet.Machine to *sync.Mutex, held while a trouble affects the machine's process
+	started  sync.Map   // keys are the *fleet.Machine whose processes were started
+	disk     sync.Mutex // held while a machine recovers from a lost disk; guards behind
+	behind   bool       // a machine has not caught up in time after it lost its disk
 	servers  sync.Mutex
 	orders   sync.Mutex
 	zone     sync.Mutex
 	list     sync.Mutex
 	changes  int
-	unclear  bool            // a change without a clear answer may still come to be in force
-	told     map[string]bool // figures that were reported
-	ended    atomic.Int64    // processes that ended by themselves
+	unclear  bool            // a change without a clear answer may still be applied
+	reported map[string]bool // metrics that were reported
+	exits    atomic.Int64    // processes that ended unexpectedly
 }
 
-// Play runs the deployment from its beginning to the judge's word.
+// Play starts a deployment, applies troubles to it and checks the rules.
 //
 // Example: report, err := soak.Play(ctx, cfg)
 func Play(ctx context.Context, c Config) (scene.Report, error) {
 	return scene.Play(ctx, c.Config, func(ctx context.Context, w *scene.World) { c.soak(ctx, w) })
 }
 
-// newRun makes a run of a deployment.
+// newRun creates a run on a deployment.
 func newRun(w *scene.World) *run {
 	w.Bounds.Core = len(w.Fleet.Core())
-	r := &run{World: w, told: map[string]bool{}}
+	r := &run{World: w, reported: map[string]bool{}}
 	for _, m := range w.Fleet.Machines() {
-		r.begun.Store(m, true)
+		r.started.Store(m, true)
 	}
 	return r
 }
 
-// lockOf is the lock of a machine.
+// lockOf returns the lock of a machine.
 func (r *run) lockOf(m *fleet.Machine) *sync.Mutex {
 	lock, _ := r.machines.LoadOrStore(m, &sync.Mutex{})
 	return lock.(*sync.Mutex)
 }
 
-// soak has troubles befall a deployment that runs, and waits until all are over.
+// soak applies troubles to a running deployment and checks that it recovers from them.
 func (c Config) soak(ctx context.Context, w *scene.World) {
 	r := newRun(w)
 	watching, stop := context.WithCancel(ctx)
 	var watchers sync.WaitGroup
 	watchers.Go(func() { r.watch(watching) })
-	watchers.Go(func() { r.readBack(watching) })
-	r.befall(ctx, c)
-	r.after(ctx)
+	watchers.Go(func() { r.readConfigs(watching) })
+	r.applyTroubles(ctx, c)
+	r.checkAfter(ctx)
 	stop()
 	watchers.Wait()
 }
 
-// befall draws troubles and plays each beside the others.
-func (r *run) befall(ctx context.Context, c Config) {
+// applyTroubles draws random troubles and applies them concurrently.
+func (r *run) applyTroubles(ctx context.Context, c Config) {
 	rng := rand.New(rand.NewSource(c.Seed))
 	var list []trouble
 	sum := 0
@@ -109,7 +109,7 @@
 		all = append(all, tenantTroubles()...)
 	}
 	for _, t := range all {
-		if len(c.Only) == 0 || slices.ContainsFunc(c.Only, func(begin string) bool { return strings.HasPrefix(t.name, begin) }) {
+		if len(c.Only) == 0 || slices.ContainsFunc(c.Only, func(prefix string) bool { return strings.HasPrefix(t.name, prefix) }) {
 			list = append(list, t)
 			sum += t.weight
 		}
@@ -124,40 +124,40 @@
 			}
 		}
 		own := rand.New(rand.NewSource(rng.Int63()))
-		wait.Go(func() { next.befall(r, ctx, own) })
+		wait.Go(func() { next.apply(r, ctx, own) })
 		pause := time.Duration(rng.ExpFloat64() * float64(c.Between))
-		r.Pass(ctx, pause)
+		r.Sleep(ctx, pause)
 		at += pause
 	}
 	wait.Wait()
 }
 
-// after waits until the deployment is whole, and asks that it serves as before:
-// what a trouble set off must not keep itself going.
-func (r *run) after(ctx context.Context) {
-	r.Say("all troubles are over")
+// checkAfter waits until the deployment has recovered and checks that it serves requests
+// again: the effects of a trouble must not sustain themselves.
+func (r *run) checkAfter(ctx context.Context) {
+	r.Note("all troubles are over")
 	bound := r.Bounds.Recovery + r.Bounds.InTouch
-	if !track.Until(ctx, bound, func() bool { return r.Door.In() == len(r.Fleet.Machines()) }) {
-		r.Fail("only %d of %d machines are ready %v after the last trouble", r.Door.In(), len(r.Fleet.Machines()), bound)
+	if !track.Until(ctx, bound, func() bool { return r.Entry.In() == len(r.Fleet.Machines()) }) {
+		r.Fail("only %d of %d machines are ready %v after the last trouble", r.Entry.In(), len(r.Fleet.Machines()), bound)
 		return
 	}
-	r.Say("all machines are ready")
+	r.Note("all machines are ready")
 	for _, m := range r.Fleet.Core() {
-		r.Until(ctx, r.Bounds.Recovery, m.Name+" counts in every partition", func() bool { return r.Counts(m) })
+		r.Until(ctx, r.Bounds.Recovery, m.Name+" has a vote in every partition", func() bool { return r.HasVotes(m) })
 	}
 	from := r.Log.Now() + r.Bounds.InTouch
-	r.Pass(ctx, r.Bounds.InTouch)
+	r.Sleep(ctx, r.Bounds.InTouch)
 	all, served := 0, 0
 	r.Until(ctx, 30*time.Second, "requests after all troubles", func() bool {
 		all, served = r.servedSince(from)
-		return all >= askedAfter
+		return all >= minRequestsAfter
 	})
-	if float64(served) < servedAfter*float64(all) {
-		r.Fail("%d of %d requests are served after all troubles", served, all)
+	if float64(served) < minServedAfter*float64(all) {
+		r.Fail("only %d of %d requests were served after all troubles", served, all)
 	}
 }
 
-// servedSince counts the ordinary requests that came since a moment and have ended.
+// servedSince counts the finished requests that are no probes and were sent since a moment.
 func (r *run) servedSince(from time.Duration) (all, served int) {
 	r.Log.Count(func(a *record.All) int {
 		for _, t := range a.Tries {
@@ -174,7 +174,7 @@
 	return all, served
 }
 
-// machine draws a machine; core: one with a disk.
+// machine returns a random machine, or a random core machine.
 func (r *run) machine(rng *rand.Rand, core bool) *fleet.Machine {
 	list := r.Fleet.Machines()
 	if core {
@@ -183,8 +183,8 @@
 	return list[rng.Intn(len(list))]
 }
 
-// door is a machine as clients see it.
-func (r *run) door(m *fleet.Machine) entry.Daemon {
+// daemonOf returns a machine's daemon as clients see it.
+func (r *run) daemonOf(m *fleet.Machine) entry.Daemon {
 	for _, d := range r.Fleet.Daemons() {
 		if d.Name == m.Name {
 			return d
@@ -193,7 +193,7 @@
 	return entry.Daemon{}
 }
 
-// between draws a time between two others.
+// between returns a random duration from a range.
 func between(rng *rand.Rand, least, most time.Duration) time.Duration {
 	return least + time.Duration(rng.Int63n(int64(most-least)))
 }
--- a/proof/standin/soak/soak_test.go
+++ b/proof/standin/soak/soak_test.go
@@ -14,7 +14,7 @@
 	"mulleinmast/proof/standin/scene"
 )
 
-// program makes the daemon once for all tests.
+// program builds the daemon once for all tests.
 var program = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "soak-test-")
 	if err != nil {
@@ -27,7 +27,7 @@
 	return filepath.Join(dir, "mulleinmast"), nil
 })
 
-// deployment is one of the tests'.
+// deployment returns the configuration of a short run.
 func deployment(t *testing.T, seed int64) Config {
 	t.Helper()
 	path, err := program()
@@ -37,10 +37,10 @@
 	return Config{Config: scene.Config{Dir: t.TempDir(), Program: path, Pace: 1, PerZone: 2, Rate: 40, Seed: seed}, For: 10 * time.Second, Between: 700 * time.Millisecond}
 }
 
-// The short form of the soak: some seconds of overlapping troubles break no rule
-// and violate no invariant, no process ends by itself, and all is served again.
+// A short soak: ten seconds of overlapping troubles break no rule and violate no invariant,
+// no process ends unexpectedly, and requests are served again afterwards.
 func TestOverlappingTroubles(t *testing.T) {
-	for _, seed := range []int64{5, 8, 24} { // those that found something first
+	for _, seed := range []int64{5, 8, 24} { // seeds that have found faults before
 		t.Run("", func(t *testing.T) {
 			t.Parallel()
 			report, err := Play(context.Background(), deployment(t, seed))
@@ -51,14 +51,14 @@
 				t.Errorf("seed %d:\n%s", seed, report)
 			}
 			if len(report.Notes) < 8 {
-				t.Errorf("seed %d: hardly anything happened: %v", seed, report.Notes)
+				t.Errorf("seed %d: too few troubles: %v", seed, report.Notes)
 			}
 		})
 	}
 }
 
-// The same with tenants, whose keys are taken away, whose limits change and who ask for
-// too much meanwhile.
+// The same with tenants whose keys are removed, whose limits change and that exceed their
+// limits.
 func TestOverlappingTroublesOfTenants(t *testing.T) {
 	for _, seed := range []int64{3, 12} {
 		t.Run("", func(t *testing.T) {
@@ -76,8 +76,8 @@
 	}
 }
 
-// A process that ends by itself is seen, told and started again.
-func TestAProcessThatEndsIsSeen(t *testing.T) {
+// A process that ends unexpectedly is reported and restarted.
+func TestUnexpectedExitIsReported(t *testing.T) {
 	report, err := scene.Play(context.Background(), deployment(t, 1).Config, func(ctx context.Context, w *scene.World) {
 		r := newRun(w)
 		watching, stop := context.WithCancel(ctx)
@@ -85,9 +85,9 @@
 		wait.Go(func() { r.watch(watching) })
 		m := w.Fleet.Machines()[4]
 		m.Signal(syscall.SIGKILL)
-		w.Until(ctx, 10*time.Second, "it is seen to end and started again", func() bool {
+		w.Until(ctx, 10*time.Second, "the process is seen to end and restarted", func() bool {
 			_, ok := w.Fleet.State(m)
-			return ok && r.ended.Load() > 0
+			return ok && r.exits.Load() > 0
 		})
 		stop()
 		wait.Wait()
@@ -95,17 +95,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !report.Failed || !strings.Contains(report.String(), "front-5 has ended by itself") {
-		t.Errorf("not told:\n%s", report)
+	if !report.Failed || !strings.Contains(report.String(), "front-5 ended unexpectedly") {
+		t.Errorf("not reported:\n%s", report)
 	}
 }
 
-// Each trouble has a name of its own and may be drawn.
-func TestTroublesHaveNames(t *testing.T) {
+// Each trouble has a unique name, a positive weight and a function.
+func TestTroublesAreComplete(t *testing.T) {
 	seen := map[string]bool{}
 	for _, x := range troubles() {
-		if seen[x.name] || x.name == "" || x.weight <= 0 || x.befall == nil {
-			t.Errorf("%q: twice, without a weight, or nothing befalls", x.name)
+		if seen[x.name] || x.name == "" || x.weight <= 0 || x.apply == nil {
+			t.Errorf("%q: duplicate or empty name, no weight, or no function", x.name)
 		}
 		seen[x.name] = true
 	}
--- a/proof/standin/soak/tenants.go
+++ b/proof/standin/soak/tenants.go
@@ -11,13 +11,13 @@
 	"mulleinmast/proof/standin/wire"
 )
 
-// Bounds of a tenant that asks for too much.
+// Parameters of a tenant that exceeds its limit.
 const (
-	hotEvery    = 8 * time.Millisecond // at all daemons in turn
-	hotRequests = 48                   // under way
+	overloadInterval = 8 * time.Millisecond // interval between requests, to the daemons in turn
+	overloadRequests = 48                   // concurrent requests at most
 )
 
-// tenantTroubles are those of deployments with tenants.
+// tenantTroubles affect deployments with tenants.
 func tenantTroubles() []trouble {
 	return []trouble{
 		{"a tenant asks for too much", 8, (*run).hotTenant},
@@ -26,7 +26,7 @@
 	}
 }
 
-// customer draws one of the customers in force.
+// customer returns a random customer of the current configuration, if it has any.
 func (r *run) customer(rng *rand.Rand) (wire.Customer, bool) {
 	all := r.Op.Now().Customers
 	if len(all) == 0 {
@@ -35,20 +35,20 @@
 	return all[rng.Intn(len(all))], true
 }
 
-// hotTenant sends many times a tenant's limit for some seconds, at all daemons in turn.
+// hotTenant sends many times a tenant's limit for some seconds, to all daemons in turn.
 func (r *run) hotTenant(ctx context.Context, rng *rand.Rand) {
 	c, ok := r.customer(rng)
 	if !ok || len(c.Keys) == 0 {
 		return
 	}
 	key, length := c.Keys[rng.Intn(len(c.Keys))], between(rng, time.Second, 6*time.Second)
-	r.Say("%s asks for too much for %v", c.Name, length.Round(100*time.Millisecond))
-	places := make(chan bool, hotRequests)
-	ticker := time.NewTicker(hotEvery)
+	r.Note("%s exceeds its limit for %v", c.Name, length.Round(100*time.Millisecond))
+	slots := make(chan bool, overloadRequests)
+	ticker := time.NewTicker(overloadInterval)
 	defer ticker.Stop()
 	var wait sync.WaitGroup
 	defer wait.Wait()
-	for n := range int(length / hotEvery) {
+	for n := range int(length / overloadInterval) {
 		<-ticker.C
 		all := r.Fleet.Daemons()
 		if ctx.Err() != nil || len(all) == 0 {
@@ -56,18 +56,18 @@
 		}
 		route := r.Routes[n%len(r.Routes)]
 		select {
-		case places <- true:
+		case slots <- true:
 		default:
 			continue
 		}
 		wait.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			r.Load.ProbeAs(ctx, all[n%len(all)], route.Host, route.Start, route, client.Identity{Key: key})
 		})
 	}
 }
 
-// revoke takes a key away that clients use, and gives it back after a while.
+// revoke removes a key and restores it after a while.
 func (r *run) revoke(ctx context.Context, rng *rand.Rand) {
 	r.orders.Lock()
 	defer r.orders.Unlock()
@@ -75,8 +75,8 @@
 	if !ok || len(c.Keys) < 2 {
 		return
 	}
-	key := c.Keys[len(c.Keys)-1] // clients come with the first ones
-	r.Say("a key of %s is taken away", c.Name)
+	key := c.Keys[len(c.Keys)-1] // ordinary clients use the first keys
+	r.Note("a key of %s is removed", c.Name)
 	without := c
 	without.Keys = slices.DeleteFunc(slices.Clone(c.Keys), func(k string) bool { return k == key })
 	r.sendCustomer(ctx, without)
@@ -85,22 +85,22 @@
 		for _, d := range r.Fleet.Daemons() {
 			r.Load.ProbeAs(ctx, d, route.Host, route.Start, route, client.Identity{Key: key})
 		}
-		r.Pass(ctx, r.Bounds.Apply/2)
+		r.Sleep(ctx, r.Bounds.Apply/2)
 	}
 	for ctx.Err() == nil && !r.hasKeysOf(c) {
 		r.sendCustomer(ctx, c)
 	}
 }
 
-// hasKeysOf tells whether a customer's keys in force are those of another state of it.
+// hasKeysOf reports whether a customer has the same keys in the current configuration.
 func (r *run) hasKeysOf(c wire.Customer) bool {
 	return slices.ContainsFunc(r.Op.Now().Customers, func(now wire.Customer) bool {
 		return now.Name == c.Name && slices.Equal(now.Keys, c.Keys)
 	})
 }
 
-// changeLimit sets a tenant's limit far below what it sends, or above, and sets it back
-// after a while.
+// changeLimit sets a tenant's limit far below or above its rate and restores it after a
+// while.
 func (r *run) changeLimit(ctx context.Context, rng *rand.Rand) {
 	r.orders.Lock()
 	defer r.orders.Unlock()
@@ -111,15 +111,15 @@
 	changed := c
 	changed.Rate = 2 + 40*rng.Float64()
 	changed.Burst = changed.Rate * rng.Float64()
-	r.Say("%s may have %.1f a second and %.1f more", c.Name, changed.Rate, changed.Burst)
+	r.Note("the limit of %s is %.1f requests a second with a burst of %.1f", c.Name, changed.Rate, changed.Burst)
 	r.sendCustomer(ctx, changed)
-	r.Pass(ctx, between(rng, time.Second, 2*r.Bounds.QuotaWindow))
+	r.Sleep(ctx, between(rng, time.Second, 2*r.Bounds.QuotaWindow))
 	for ctx.Err() == nil && !r.hasLimitOf(c) { // a change without a clear answer may have been lost
 		r.sendCustomer(ctx, c)
 	}
 }
 
-// hasLimitOf tells whether a customer's limit in force is that of another state of it.
+// hasLimitOf reports whether a customer has the same limit in the current configuration.
 func (r *run) hasLimitOf(c wire.Customer) bool {
 	return slices.ContainsFunc(r.Op.Now().Customers, func(now wire.Customer) bool {
 		return now.Name == c.Name && now.Rate == c.Rate && now.Burst == c.Burst
--- a/proof/standin/soak/watch.go
+++ b/proof/standin/soak/watch.go
@@ -15,26 +15,26 @@
 	"mulleinmast/proof/standin/wire"
 )
 
-// What a process may use: the limits that its settings name.
+// Limits of a process, as in its settings, and intervals of the checks.
 const (
-	mostMemory      = 284e6
-	mostDescriptors = 4100 - 200
-	mostDisk        = 64 << 20
-	lookEvery       = 250 * time.Millisecond
-	readEvery       = 20 * time.Millisecond
+	maxMemory      = 284e6
+	maxDescriptors = 4100 - 200
+	maxDisk        = 64 << 20
+	watchInterval  = 250 * time.Millisecond
+	readInterval   = 20 * time.Millisecond
 )
 
-// names of figures that a daemon tells.
+// Names of a daemon's metrics.
 const (
 	violations  = "mulleinmast_invariant_violations_total"
 	memory      = "process_resident_memory_peak_bytes"
 	descriptors = "process_open_fds"
 )
 
-// watch looks at every process until the context ends: none ends by itself, none
-// violates an invariant or uses more than it has.
+// watch checks every process until the context ends: none may end unexpectedly, violate an
+// invariant or exceed its limits.
 func (r *run) watch(ctx context.Context) {
-	beat := time.NewTicker(lookEvery)
+	beat := time.NewTicker(watchInterval)
 	defer beat.Stop()
 	for {
 		select {
@@ -44,27 +44,27 @@
 		}
 		for _, m := range r.Fleet.Machines() {
 			if !r.lockOf(m).TryLock() {
-				r.figures(m) // its process may be starting, ending or cut off
+				r.checkMetrics(m) // another trouble may be starting, ending or disconnecting its process
 				continue
 			}
-			if _, begun := r.begun.Load(m); begun && r.there(m) && !m.Up() {
-				r.Fail("%s has ended by itself: %s", m.Name, m.End())
-				r.up(ctx, m)
-				r.ended.Add(1)
+			if _, started := r.started.Load(m); started && r.exists(m) && !m.Up() {
+				r.Fail("%s ended unexpectedly: %s", m.Name, m.End())
+				r.restart(ctx, m)
+				r.exits.Add(1)
 			}
 			r.lockOf(m).Unlock()
-			if size := r.Fleet.DiskUse(m); size > mostDisk {
-				r.failOnce(m.Name, "disk", "holds %d bytes, more than it has", size)
+			if size := r.Fleet.DiskUse(m); size > maxDisk {
+				r.failOnce(m.Name, "disk", "holds %d bytes, more than its limit", size)
 			}
-			r.figures(m)
+			r.checkMetrics(m)
 		}
 	}
 }
 
-// figures reads what a daemon tells of itself, if it answers.
-func (r *run) figures(m *fleet.Machine) {
-	web := &http.Client{Timeout: lookEvery}
-	res, err := web.Get(m.Own("/metrics"))
+// checkMetrics reads a daemon's metrics, if it answers, and checks them against the limits.
+func (r *run) checkMetrics(m *fleet.Machine) {
+	web := &http.Client{Timeout: watchInterval}
+	res, err := web.Get(m.URL("/metrics"))
 	if err != nil {
 		return
 	}
@@ -79,26 +79,25 @@
 		switch {
 		case bare == violations && value > 0:
 			r.failOnce(m.Name, name, "is %g", value)
-		case bare == memory && value > mostMemory, bare == descriptors && value > mostDescriptors:
-			r.failOnce(m.Name, name, "is %g, more than it has", value)
+		case bare == memory && value > maxMemory, bare == descriptors && value > maxDescriptors:
+			r.failOnce(m.Name, name, "is %g, more than its limit", value)
 		}
 	}
 }
 
-// failOnce reports a figure of a machine that should not be, once; only the
-// watch calls it.
-func (r *run) failOnce(machine, figure, how string, args ...any) {
-	what := machine + ": " + figure
-	if !r.told[what] {
-		r.told[what] = true
-		r.Fail("%s "+how, append([]any{what}, args...)...)
+// failOnce reports each wrong metric of a machine once. Only watch calls it.
+func (r *run) failOnce(machine, metric, format string, args ...any) {
+	what := machine + ": " + metric
+	if !r.reported[what] {
+		r.reported[what] = true
+		r.Fail("%s "+format, append([]any{what}, args...)...)
 	}
 }
 
-// readBack asks machines for the configuration, in touch or not, until the
+// readConfigs reads the configuration from all machines in turn, connected or not, until the
 // context ends.
-func (r *run) readBack(ctx context.Context) {
-	beat := time.NewTicker(readEvery)
+func (r *run) readConfigs(ctx context.Context) {
+	beat := time.NewTicker(readInterval)
 	defer beat.Stop()
 	web := &http.Client{Timeout: time.Second, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
 	for n := 0; ; n++ {
