--- a/proof/standin/mutants/answers.sh
+++ b/proof/standin/mutants/answers.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Plants a fault of point 5 (answers and unrepeatable calls) at a time in a copy
-# of the committed sources, and asks whether the named test fails.
+# Plants one fault at a time in the handling of answers and of calls that must not be
+# repeated, in a copy of the committed sources, and checks that the named test fails.
 # Usage: proof/standin/mutants/answers.sh [NAME...]
 set -uo pipefail
 cd "$(dirname "$0")/../../.."
--- a/proof/standin/mutants/invariants.sh
+++ b/proof/standin/mutants/invariants.sh
@@ -1,15 +1,15 @@
 #!/usr/bin/env bash
-# Breaks the product on purpose, one thing at a time, and asks whether the soak
-# sees the invariant violated that says so. Usage:
+# Plants one fault at a time in a copy of the committed sources and checks that the soak
+# sees the violated invariant. Usage:
 # proof/standin/mutants/invariants.sh [-places] [NAME...]
-# With -places it only looks whether the place that each one changes is still
-# there, and once.
+# With -places it only checks that the text that each fault replaces occurs exactly once.
 set -uo pipefail
 cd "$(dirname "$0")/../../.."
 # shellcheck source=proof/standin/mutants/plant.sh
 . proof/standin/mutants/plant.sh
 
-# seen NAME CHECK TROUBLES FILE OLD NEW [FILE OLD NEW ...]
+# seen NAME CHECK TROUBLES FILE OLD NEW [FILE OLD NEW ...]: soaks a build with the fault
+# under the named troubles and expects the invariant CHECK to be violated.
 seen() {
 	local name=$1 check=$2 troubles=$3
 	shift 3
--- a/proof/standin/mutants/mutants.sh
+++ b/proof/standin/mutants/mutants.sh
@@ -1,14 +1,14 @@
 #!/usr/bin/env bash
-# Breaks the product on purpose, one thing at a time, and asks whether a scene's
-# judge names the rule. Usage: proof/standin/mutants/mutants.sh [-places] [NAME...]
-# Each mutant is built from a copy of the committed sources. With -places it only
-# looks whether the place that each one changes is still there, and once.
+# Plants one fault at a time in a copy of the committed sources and checks that a scene
+# reports the broken rule. Usage: proof/standin/mutants/mutants.sh [-places] [NAME...]
+# With -places it only checks that the text that each fault replaces occurs exactly once.
 set -uo pipefail
 cd "$(dirname "$0")/../../.."
 # shellcheck source=proof/standin/mutants/plant.sh
 . proof/standin/mutants/plant.sh
 
-# mutant NAME SCENE RATE RULE FILE OLD NEW [FILE OLD NEW ...]
+# mutant NAME SCENE RATE RULE FILE OLD NEW [FILE OLD NEW ...]: plays the scene with a build
+# with the fault and expects it to report RULE.
 mutant() {
 	local name=$1 scene=$2 rate=$3 rule=$4 out="${work:-}/$1/out.txt"
 	shift 4
@@ -22,7 +22,7 @@
 	if grep -q "^BROKEN $rule" "$out"; then
 		echo "$name: $(grep -m1 "^BROKEN $rule" "$out" | cut -c8-160)"
 	else
-		echo "$name: NOT NAMED as $rule: $(grep -m2 'BROKEN\|tries\|fleetlab' "$out" | tr '\n' ' ' | cut -c1-300)"
+		echo "$name: $rule NOT REPORTED: $(grep -m2 'BROKEN\|tries\|fleetlab' "$out" | tr '\n' ' ' | cut -c1-300)"
 		missed=1
 	fi
 }
--- a/proof/standin/mutants/mutants_test.go
+++ b/proof/standin/mutants/mutants_test.go
@@ -1,6 +1,6 @@
-// Package mutants holds the faults put into the product on purpose. The
-// scripts build each and have a scene's judge, an invariant or a test name it; here
-// they are only kept in step with the code.
+// Package mutants holds scripts that plant faults in the product and check that a rule, an
+// invariant or a test detects each one. The test here only checks that the scripts still
+// match the code.
 package mutants
 
 import (
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestEachMutantStillHasItsPlace(t *testing.T) {
+func TestEachMutantMatchesTheSources(t *testing.T) {
 	for _, script := range []string{"mutants.sh", "invariants.sh", "answers.sh", "rules.sh"} {
 		out, err := exec.Command("bash", script, "-places").CombinedOutput()
 		if err != nil || len(out) > 0 {
--- a/proof/standin/mutants/plant.sh
+++ b/proof/standin/mutants/plant.sh
@@ -1,6 +1,6 @@
-# Sourced by the scripts beside it: builds copies of the committed sources with a
-# fault put in on purpose. It sets work, a folder that goes with the script,
-# places if only the faults' places are looked for, and missed.
+# Sourced by scripts in this folder: builds copies of the committed sources with a planted
+# fault. Sets work, a folder that is removed when the script ends; places, if the script
+# only checks the texts that the faults replace; and missed, the exit status.
 places=""
 if [ "${1:-}" = -places ]; then
 	places=yes
@@ -12,21 +12,21 @@
 fi
 names=" $* " missed=0
 
-# wanted NAME: whether the fault is asked for.
+# wanted NAME: reports whether the fault is selected.
 wanted() { [ "$names" = "  " ] || [[ "$names" == *" $1 "* ]]; }
 
-# places NAME FILE OLD NEW [FILE OLD NEW ...]: each place is there, and once.
+# places NAME FILE OLD NEW [FILE OLD NEW ...]: checks that each OLD occurs exactly once.
 places() {
 	local name=$1 times
 	shift
 	while [ $# -gt 0 ]; do
 		times=$(OLD=$2 perl -0ne '$n = () = /\Q$ENV{OLD}\E/g; print $n' "$1")
-		[ "$times" = 1 ] || { echo "$name: ${times:-0} places in $1 say: $2"; missed=1; }
+		[ "$times" = 1 ] || { echo "$name: $1 contains this text ${times:-0} times instead of once: $2"; missed=1; }
 		shift 3
 	done
 }
 
-# plant NAME FILE OLD NEW [FILE OLD NEW ...]: builds the daemon with the fault in.
+# plant NAME FILE OLD NEW [FILE OLD NEW ...]: builds the daemon with the fault.
 plant() {
 	local name=$1 src="$work/$1/src" out="$work/$1/out.txt"
 	shift
--- a/proof/standin/mutants/rules.sh
+++ b/proof/standin/mutants/rules.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# Plants a fault at a time of those that keep a rule, an incarnation, a patch or a
-# telling in order, in a copy of the committed sources, and asks whether the named test
-# fails. Usage: proof/standin/mutants/rules.sh [NAME...]
+# Plants one fault at a time in the code that enforces rules, incarnations, patches and
+# load reports, in a copy of the committed sources, and checks that the named test fails.
+# Usage: proof/standin/mutants/rules.sh [NAME...]
 set -uo pipefail
 cd "$(dirname "$0")/../../.."
 source proof/standin/mutants/unit.sh
 
 guard=control/quorum/incarnation.go patches=control/lease/patches.go
-# rules of the users that no other script breaks
+# users' rules that no other script breaks
 mutant tries-unbounded traffic/forward TestNoMoreServersThanTries traffic/forward/request.go 'r.countedSends >= r.maxAttempts() ||' 'r.countedSends >= 9+r.maxAttempts() ||'
 mutant whole-time platform TestAServerIsHandedTheTimeThatIsLeft platform/exchange.go 'max(1, (call.deadline-e.now()).Milliseconds())' '3600000'
 mutant goes-on-for-nobody traffic/gateway TestAClientThatIsGone traffic/gateway/execute.go 'm, ctx.Err() != nil || has.clientGone)' 'm, has.clientGone)'
@@ -51,14 +51,14 @@
 mutant superseded-goes-on control/storage TestSupersededStateIsQuarantined control/storage/quarantine.go 'return errSuperseded' 'return s.openState(fleet)'
 mutant left-state-claims control/storage TestRestoredStateDisownsIncarnations control/storage/head.go 'starts += restoredStarts' 'starts += 0'
 mutant spoilt-past-counts control/storage TestCorruptIncarnationsAreDisowned control/storage/load.go 'if r.Past != r.PastSum() {' 'if r.Past == 0 && r.PastSum() != 0 {'
-# what goes down the tree, joined changes, formats
+# records sent to child daemons, merged changes, formats
 mutant patch-on-any-base control/lease TestACorruptPatchIsNotServed $patches 'err != nil || patch.From != record.Version' 'err != nil && patch.From != record.Version'
 mutant patches-end-at-relays control/lease TestAChangeIsSentAsAPatch $patches '	p.setChain(granted.Key, chain)
 ' ''
 mutant patch-without-sum control/fleetconfig TestAPatchFitsOnlyItsBase control/fleetconfig/codec.go 'zstd.WithEncoderLevel(zstd.SpeedFastest),' 'zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderCRC(false),'
 mutant refused-by-what-is-lost control/partition TestMergedJobsFailTogether control/partition/batch.go 'case j.writesNought && outcome == Done:' 'case j.writesNought:'
 mutant format-not-asked control/leader TestAPlanThatNotAllDaemonsRead control/leader/configcalls.go 'format > 0 && needs > format' 'format > 9 && needs > format'
-# what is told of the servers' load
+# load reports
 mutant all-is-told traffic/loadreport TestLoadReportsAreBounded traffic/loadreport/exchange.go 'if !readsChanges(to) {' 'if readsChanges(to) {'
 mutant never-in-turn traffic/loadreport TestMissedReportsAreMadeUpInTurn traffic/loadreport/changes.go 'key%refreshReports == t.turn%refreshReports &&' 'key%refreshReports == t.turn%refreshReports && t.turn == 0 &&'
 exit $missed
--- a/proof/standin/mutants/unit.sh
+++ b/proof/standin/mutants/unit.sh
@@ -1,6 +1,7 @@
-# Sourced by the scripts beside it that have one test of a package name a fault: it
-# sets work, a folder that goes with the script, places if only the faults' places
-# and tests are looked for, wanted and missed.
+# Sourced by scripts in this folder that check that a test of a package detects a fault.
+# Sets work, a folder that is removed when the script ends; places, if the script only
+# checks the texts that the faults replace and the names of the tests; wanted, the selected
+# faults; and missed, the exit status.
 places=""
 if [ "${1:-}" = -places ]; then
 	places=yes
@@ -11,13 +12,13 @@
 fi
 wanted=" $* " missed=0
 
-# present NAME PACKAGE TEST FILE OLD: the place is there, and so is the test.
+# present NAME PACKAGE TEST FILE OLD: checks that FILE contains OLD and PACKAGE has TEST.
 present() {
-	OLD=$5 perl -0ne '$n = () = /\Q$ENV{OLD}\E/g; exit($n ? 0 : 1)' "$4" || { echo "$1: no place in $4 says: $5"; missed=1; }
+	OLD=$5 perl -0ne '$n = () = /\Q$ENV{OLD}\E/g; exit($n ? 0 : 1)' "$4" || { echo "$1: $4 does not contain: $5"; missed=1; }
 	grep -qE "^func ($3)" "$2"/*_test.go || { echo "$1: no test $3 in $2"; missed=1; }
 }
 
-# mutant NAME PACKAGE TEST FILE OLD NEW
+# mutant NAME PACKAGE TEST FILE OLD NEW: expects TEST to fail with the fault.
 mutant() {
 	local name=$1 package=$2 test=$3 file=$4 src="${work:-}/$1" out="${work:-}/$1.txt"
 	[ "$wanted" = "  " ] || [[ "$wanted" == *" $name "* ]] || return 0
