--- a/proof/standin/scene/tenants.go
+++ b/proof/standin/scene/tenants.go
@@ -14,7 +14,7 @@
 )
 
 // Customers returns tenants with keys: one whose usual requests are well within its limit,
-// one with a tight limit, and one without a limit.
+// one with a small limit, and one without a limit.
 //
 // Example: cfg.Customers = scene.Customers()
 func Customers() []wire.Customer {
--- a/proof/standin/scene/tenants_test.go
+++ b/proof/standin/scene/tenants_test.go
@@ -5,10 +5,11 @@
 	"testing"
 )
 
-// Guards against daemons that ignore the customers of a configuration. Then requests with
-// unknown keys were served, servers received keys instead of tenants, and a customer had
-// 1,357 requests in 5 s served where 1,201 were allowed; each change of a customer was
-// refused. The scene uses valid, unknown, missing and removed keys on six daemons, and a
+// Guards against daemons that acknowledge a complete configuration with customers but ignore
+// these ("fields without effect here"), and refuse changes of a customer
+// ("replace.customers: not known here"). Then requests with unknown keys were served,
+// servers received clients' keys and no tenant, and a customer had 1,357 requests in 5 s
+// served where 1,201 are allowed. The scene uses valid, unknown, missing and removed keys on six daemons, and a
 // tenant that sends five times its limit to all daemons in turn.
 func TestTenantKeysAndLimitsHoldAcrossDaemons(t *testing.T) {
 	t.Parallel()
