--- a/proof/standin/soak/machines.go
+++ b/proof/standin/soak/machines.go
@@ -21,7 +21,7 @@
 		{"freeze", 5, (*run).freeze},
 		{"cut from the core", 4, (*run).cut},
 		{"cut from all", 3, (*run).isolate},
-		{"cut one way", 3, (*run).deafen},
+		{"cut one way", 3, (*run).blockInbound},
 		{"messages late", 4, (*run).slow},
 		{"reload", 4, (*run).reload},
 		{"disk lost", 2, (*run).wipe},
@@ -182,9 +182,9 @@
 	})
 }
 
-// deafen blocks the messages that a machine receives for a while, but not those that it
+// blockInbound blocks the messages that a machine receives for a while, but not those that it
 // sends.
-func (r *run) deafen(ctx context.Context, rng *rand.Rand) {
+func (r *run) blockInbound(ctx context.Context, rng *rand.Rand) {
 	m := r.machine(rng, rng.Intn(3) > 0)
 	r.withRunning(ctx, m, func() {
 		length := between(rng, 300*time.Millisecond, 6*time.Second)
