--- a/proof/standin/client/load.go
+++ b/proof/standin/client/load.go
@@ -15,57 +15,57 @@
 	"mulleinmast/proof/standin/wire"
 )
 
-// Config is how clients behave.
+// Config configures the clients of a Load.
 type Config struct {
 	Rate    float64 // requests a second
-	Further int     // tries after the first
-	Actors  int     // clients that keep their connections
+	Further int     // retries after the first try
+	Actors  int     // clients that reuse their connections
 	Zones   []string
 	Seed    int64
-	Name    string   // begins the ids of its tries
-	Keys    []string // of tenants, one for each client in turn; none: clients send no key
+	Name    string   // prefix of the attempt ids
+	Keys    []string // tenants' API keys, assigned to the clients round-robin; empty: clients send no key
 }
 
-// Load is a crowd of clients.
+// Load generates requests from many clients.
 type Load struct {
 	Config
-	log  *record.Log
-	door *entry.Entry
-	asks atomic.Pointer[[]Ask]
-	ids  atomic.Int64
-	wait sync.WaitGroup
+	log          *record.Log
+	balancer     *entry.Entry
+	requestKinds atomic.Pointer[[]Ask]
+	lastID       atomic.Int64
+	wg           sync.WaitGroup
 }
 
-// New makes a crowd that comes through an address.
+// New returns a load generator whose clients connect through the given load balancer.
 //
 // Example: l := client.New(cfg, log, door); l.Menu(asks); l.Run(ctx)
-func New(c Config, log *record.Log, door *entry.Entry) *Load {
-	return &Load{Config: c, log: log, door: door}
+func New(c Config, log *record.Log, balancer *entry.Entry) *Load {
+	return &Load{Config: c, log: log, balancer: balancer}
 }
 
-// Menu says what is asked for from now on.
+// Menu sets the kinds of requests that clients send from now on.
 //
 // Example: l.Menu([]client.Ask{{Route: r, Weight: 1}})
-func (l *Load) Menu(asks []Ask) { l.asks.Store(&asks) }
+func (l *Load) Menu(kinds []Ask) { l.requestKinds.Store(&kinds) }
 
-// client is one of the crowd.
+// client is one simulated client.
 type client struct {
-	name string
-	zone string
-	keep bool
-	line *line
-	rng  *rand.Rand
-	key  string // of its tenant
+	name      string
+	zone      string
+	keepAlive bool
+	conn      *conn
+	rng       *rand.Rand
+	key       string // API key of its tenant
 }
 
-// Run sends requests until the context ends, and waits for their ends.
+// Run sends requests until the context is canceled, then waits for those in flight.
 //
 // Example: go l.Run(ctx)
 func (l *Load) Run(ctx context.Context) {
 	rng := rand.New(rand.NewSource(l.Seed))
 	idle := make(chan *client, l.Actors)
 	for i := range l.Actors {
-		idle <- &client{name: fmt.Sprintf("%s-keeps-%d", l.Name, i), zone: l.Zones[i%len(l.Zones)], keep: true, rng: rand.New(rand.NewSource(l.Seed + int64(i) + 1))}
+		idle <- &client{name: fmt.Sprintf("%s-keeps-%d", l.Name, i), zone: l.Zones[i%len(l.Zones)], keepAlive: true, rng: rand.New(rand.NewSource(l.Seed + int64(i) + 1))}
 	}
 	next := time.Now()
 	for n := 0; ; n++ {
@@ -74,11 +74,11 @@
 		select {
 		case <-ctx.Done():
 			t.Stop()
-			l.wait.Wait()
+			l.wg.Wait()
 			for range l.Actors {
-				if c := <-idle; c.line != nil {
-					l.check(c)
-					_ = c.line.Close()
+				if c := <-idle; c.conn != nil {
+					l.checkIdle(c)
+					_ = c.conn.Close()
 				}
 			}
 			return
@@ -93,32 +93,32 @@
 		if c.key == "" && len(l.Keys) > 0 {
 			c.key = l.Keys[n%len(l.Keys)]
 		}
-		a := pick(*l.asks.Load(), c.rng)
-		l.wait.Go(func() {
-			l.request(context.WithoutCancel(ctx), c, a)
-			if c.keep {
+		a := pickWeighted(*l.requestKinds.Load(), c.rng)
+		l.wg.Go(func() {
+			l.sendWithRetries(context.WithoutCancel(ctx), c, a)
+			if c.keepAlive {
 				idle <- c
 			}
 		})
 	}
 }
 
-func pick(asks []Ask, rng *rand.Rand) Ask {
+func pickWeighted(kinds []Ask, rng *rand.Rand) Ask {
 	sum := 0
-	for _, a := range asks {
+	for _, a := range kinds {
 		sum += a.Weight
 	}
 	n := rng.Intn(max(1, sum))
-	for _, a := range asks {
+	for _, a := range kinds {
 		if n -= a.Weight; n < 0 {
 			return a
 		}
 	}
-	return asks[0]
+	return kinds[0]
 }
 
-// message makes a request of a kind; all its tries have the same body.
-func (l *Load) message(c *client, a Ask) message {
+// newMessage builds a request of the given kind; all its tries send the same body.
+func (l *Load) newMessage(c *client, a Ask) message {
 	m := message{
 		Ask: a, host: a.Route.Host, method: "POST", target: fmt.Sprintf("%s%s?n=%d", a.Route.Start, a.Path, c.rng.Intn(1000)), chunked: c.rng.Intn(4) == 0,
 		body: strings.Repeat("prompt ", 1+c.rng.Intn(60)), key: c.key,
@@ -135,46 +135,48 @@
 	return m
 }
 
-// check messages bytes that came on an idle connection.
-func (l *Load) check(c *client) bool {
-	b, open := c.line.unasked()
+// checkIdle records bytes that arrived on an idle connection and reports whether
+// the connection is still open.
+func (l *Load) checkIdle(c *client) bool {
+	b, open := c.conn.unsolicited()
 	if b != "" {
-		t := &record.Try{ID: "", Client: c.name, Daemon: c.line.daemon.Name, Sent: l.log.Now(), End: l.log.Now(), Fault: fmt.Sprintf("bytes on an idle connection: %q", b)}
+		t := &record.Try{ID: "", Client: c.name, Daemon: c.conn.daemon.Name, Sent: l.log.Now(), End: l.log.Now(), Fault: fmt.Sprintf("bytes on an idle connection: %q", b)}
 		l.log.Do(func(a *record.All) { a.Tries = append(a.Tries, t) })
 	}
 	return open
 }
 
-// request sees one request through all its tries.
-func (l *Load) request(ctx context.Context, c *client, a Ask) {
-	m := l.message(c, a)
-	total := time.Duration(a.Route.GiveUpMs) * time.Millisecond
-	until := time.Now().Add(total)
-	aim, gap := time.Duration(a.Route.TargetMs)*time.Millisecond, time.Duration(a.Route.GapMs)*time.Millisecond
-	silence := total
+// sendWithRetries sends one request and retries it until it succeeds, must not be
+// retried or runs out of time.
+func (l *Load) sendWithRetries(ctx context.Context, c *client, a Ask) {
+	m := l.newMessage(c, a)
+	timeout := time.Duration(a.Route.GiveUpMs) * time.Millisecond
+	deadline := time.Now().Add(timeout)
+	targetLatency, targetGap := time.Duration(a.Route.TargetMs)*time.Millisecond, time.Duration(a.Route.GapMs)*time.Millisecond
+	readTimeout := timeout
 	if a.Route.Kind == wire.Streaming {
-		silence = max(2*time.Second, 4*aim, 8*gap)
+		readTimeout = max(2*time.Second, 4*targetLatency, 8*targetGap)
 	}
 	for try := 0; try <= l.Further; try++ {
-		if m.left = time.Until(until); m.left <= 0 {
+		if m.timeLeft = time.Until(deadline); m.timeLeft <= 0 {
 			return
 		}
-		t := l.try(ctx, c, &m, try, silence, until)
+		t := l.sendOnce(ctx, c, &m, try, readTimeout, deadline)
 		if t == nil {
-			continue // nobody could be reached
+			continue // no daemon accepted the connection
 		}
 		var done, sent bool
-		var back float64
+		var retryAfter float64
 		l.log.Do(func(*record.All) {
-			done, sent, back = t.Served(), t.Whole > 0, t.RetryIn
+			done, sent, retryAfter = t.Served(), t.Whole > 0, t.RetryIn
 			switch {
 			case done || t.Status/100 == 2 && t.Complete:
 				done = true
 			case t.Status == 400 || t.Status == 401 || t.Status == 404 || t.Status == 413 || t.Status == 431:
 				done = true
-			case len(t.Pieces) > 0: // a stream that was cut
+			case len(t.Pieces) > 0: // an interrupted stream
 				done = !a.Route.Resume
-				m.after = t.Pieces[len(t.Pieces)-1].ID
+				m.lastEvent = t.Pieces[len(t.Pieces)-1].ID
 			case !a.Route.Repeatable():
 				done = sent && !t.Promised()
 			}
@@ -182,22 +184,22 @@
 		if done {
 			return
 		}
-		if wait := min(time.Duration(back*float64(time.Second)), time.Until(until)/3); wait > 0 {
+		if wait := min(time.Duration(retryAfter*float64(time.Second)), time.Until(deadline)/3); wait > 0 {
 			timer := time.NewTimer(wait)
 			<-timer.C
 		}
 	}
 }
 
-// try sends a request once; nil: no daemon took the connection.
-func (l *Load) try(ctx context.Context, c *client, m *message, try int, silence time.Duration, until time.Time) *record.Try {
-	if c.line != nil && (try > 0 || !l.check(c)) {
-		_ = c.line.Close()
-		c.line = nil
+// sendOnce sends one try of a request. It returns nil if no daemon accepted the connection.
+func (l *Load) sendOnce(ctx context.Context, c *client, m *message, try int, readTimeout time.Duration, deadline time.Time) *record.Try {
+	if c.conn != nil && (try > 0 || !l.checkIdle(c)) {
+		_ = c.conn.Close()
+		c.conn = nil
 	}
-	used := c.line
+	used := c.conn
 	if used == nil {
-		d, ok := l.door.Pick(c.name, c.zone, try)
+		d, ok := l.balancer.Pick(c.name, c.zone, try)
 		if !ok {
 			return nil
 		}
@@ -206,32 +208,32 @@
 			return nil
 		}
 	}
-	m.id = fmt.Sprintf("%s%08x", l.Name, l.ids.Add(1))
-	t := l.open(used.daemon, m, until)
+	m.id = fmt.Sprintf("%s%08x", l.Name, l.lastID.Add(1))
+	t := l.recordTry(used.daemon, m, deadline)
 	t.Client = c.name
-	keep := used.exchange(l.log, *m, t, silence, until)
+	keep := used.exchange(l.log, *m, t, readTimeout, deadline)
 	l.log.Do(func(*record.All) { t.End = l.log.Now() })
-	if c.line = used; !keep || !c.keep {
+	if c.conn = used; !keep || !c.keepAlive {
 		if keep {
-			l.check(c)
+			l.checkIdle(c)
 		}
 		_ = used.Close()
-		c.line = nil
+		c.conn = nil
 	}
 	return t
 }
 
-func (l *Load) open(d entry.Daemon, m *message, until time.Time) *record.Try {
+func (l *Load) recordTry(d entry.Daemon, m *message, deadline time.Time) *record.Try {
 	now := l.log.Now()
 	t := &record.Try{
 		ID: m.id, Daemon: d.Name, Life: d.Life, Host: m.host, Target: m.target, Method: m.method, Body: server.Digest([]byte(m.body)), Route: m.Route.Name,
-		Resume: m.after, Prompt: m.prompt(), Key: m.key, Sent: now, Deadline: now + time.Until(until),
+		Resume: m.lastEvent, Prompt: m.prompt(), Key: m.key, Sent: now, Deadline: now + time.Until(deadline),
 	}
 	l.log.Do(func(a *record.All) { a.Tries = append(a.Tries, t) })
 	return t
 }
 
-// Probe sends one request straight to a daemon and gives what came of it.
+// Probe sends one request directly to a daemon and returns its record.
 //
 // Example: t := l.Probe(ctx, daemon, "new.example", "/a/", route)
 func (l *Load) Probe(ctx context.Context, d entry.Daemon, host, path string, r wire.Route) *record.Try {
@@ -242,28 +244,28 @@
 	return l.ProbeAs(ctx, d, host, path, r, Identity{Key: key})
 }
 
-// Identity is what a client says of itself.
+// Identity holds the credentials that a client sends.
 type Identity struct {
-	Key    string // none: it sends none
-	Tenant string // that it claims to be, which no client may; none: it claims nothing
+	Key    string // empty: none is sent
+	Tenant string // value of the tenant header, which clients must not set; empty: not set
 }
 
-// ProbeAs is Probe with a key.
+// ProbeAs is like Probe but sends the given identity.
 //
 // Example: t := l.ProbeAs(ctx, daemon, "new.example", "/a/", route, client.Identity{Key: "unknown"})
 func (l *Load) ProbeAs(
 	ctx context.Context, d entry.Daemon, host, path string, r wire.Route, who Identity,
 ) *record.Try {
-	until := time.Now().Add(2 * time.Second)
-	m := &message{Ask: Ask{Route: r}, id: fmt.Sprintf("%sprobe%06x", l.Name, l.ids.Add(1)), host: host, method: "POST", target: path + "probe", body: "probe", left: 2 * time.Second, key: who.Key, tenant: who.Tenant}
-	to, err := dial(ctx, d)
+	deadline := time.Now().Add(2 * time.Second)
+	m := &message{Ask: Ask{Route: r}, id: fmt.Sprintf("%sprobe%06x", l.Name, l.lastID.Add(1)), host: host, method: "POST", target: path + "probe", body: "probe", timeLeft: 2 * time.Second, key: who.Key, tenant: who.Tenant}
+	nc, err := dial(ctx, d)
 	if err != nil {
 		return nil
 	}
-	defer func() { _ = to.Close() }()
-	t := l.open(d, m, until)
+	defer func() { _ = nc.Close() }()
+	t := l.recordTry(d, m, deadline)
 	l.log.Do(func(*record.All) { t.Client, t.Probe = "probe", true })
-	_ = to.exchange(l.log, *m, t, 2*time.Second, until)
+	_ = nc.exchange(l.log, *m, t, 2*time.Second, deadline)
 	l.log.Do(func(*record.All) { t.End = l.log.Now() })
 	return t
 }
--- a/proof/standin/client/try.go
+++ b/proof/standin/client/try.go
@@ -1,5 +1,5 @@
-// Package client is a stand-in for the platform's clients: they try again as
-// the pages say, go on with streams, and check what they get.
+// Package client simulates the platform's clients: they retry as the platform's
+// documentation allows, resume streams, and check the answers.
 package client
 
 import (
@@ -21,66 +21,66 @@
 )
 
 const (
-	comeUp    = time.Second // for a new connection
-	mostBytes = 16 << 20    // of an answer
+	dialTimeout    = time.Second // for connecting to a daemon
+	maxAnswerBytes = 16 << 20    // maximum size of an answer's body
 )
 
-// Ask is one kind of request.
+// Ask describes one kind of request.
 type Ask struct {
 	Route   wire.Route
 	Weight  int
-	In, Out int    // tokens; no tokens: it is no generation
-	Shared  []int  // tokens of the parts that others share
-	Path    string // behind the route's start
+	In, Out int    // prompt and output tokens; In 0: not a generation request
+	Shared  []int  // token counts of the prompt parts shared with other requests
+	Path    string // appended to the route's path prefix
 }
 
-// line is a connection to a daemon.
-type line struct {
+// conn is a connection to a daemon.
+type conn struct {
 	net.Conn
 	r      *bufio.Reader
 	daemon entry.Daemon
 }
 
-func dial(ctx context.Context, d entry.Daemon) (*line, error) {
-	c, err := (&net.Dialer{Timeout: comeUp}).DialContext(ctx, "tcp4", d.Public)
+func dial(ctx context.Context, d entry.Daemon) (*conn, error) {
+	c, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp4", d.Public)
 	if err != nil {
 		return nil, err
 	}
-	return &line{Conn: c, r: bufio.NewReader(c), daemon: d}, nil
+	return &conn{Conn: c, r: bufio.NewReader(c), daemon: d}, nil
 }
 
-// unasked tells of bytes on a connection on which no request waits; open tells
-// whether it can be used again.
-func (l *line) unasked() (bytes string, open bool) {
-	_ = l.SetReadDeadline(time.Now().Add(time.Millisecond))
-	_, err := l.r.Peek(1)
-	if n := l.r.Buffered(); n > 0 {
-		b, _ := l.r.Peek(min(n, 64))
+// unsolicited returns bytes received on a connection with no pending request; open
+// reports whether the connection can be reused.
+func (c *conn) unsolicited() (bytes string, open bool) {
+	_ = c.SetReadDeadline(time.Now().Add(time.Millisecond))
+	_, err := c.r.Peek(1)
+	if n := c.r.Buffered(); n > 0 {
+		b, _ := c.r.Peek(min(n, 64))
 		return string(b), false
 	}
 	var timeout net.Error
 	return "", errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// message is a request on its way.
+// message is a request to be sent.
 type message struct {
 	Ask
-	id         string
-	host       string
-	method     string
-	target     string
-	body       string
-	chunked    bool
-	parts      string
-	after      int
-	left       time.Duration
-	extra      string // more lines of the head
-	key        string // of its tenant; none: it sends none
-	tenant     string // that it claims to be; none: it claims nothing
-	halfCloses bool   // the client closes its side once the request is out
+	id           string
+	host         string
+	method       string
+	target       string
+	body         string
+	chunked      bool
+	parts        string
+	lastEvent    int
+	timeLeft     time.Duration
+	extraHeaders string // additional header lines
+	key          string // API key of its tenant; empty: none is sent
+	tenant       string // value of the tenant header; empty: not set
+	halfCloses   bool   // the client closes its sending side after the request
 }
 
-// prompt names the model, the tokens and the parts as the headers do.
+// prompt returns the model, token counts and prompt parts in the format of the headers.
 func (m message) prompt() string {
 	if m.In == 0 {
 		return "  "
@@ -90,12 +90,12 @@
 
 func (m message) bytes() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\n", m.method, m.target, m.host, wire.Attempt, m.id, wire.TimeLeft, max(1, m.left.Milliseconds()))
+	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n%s: %d\r\n", m.method, m.target, m.host, wire.Attempt, m.id, wire.TimeLeft, max(1, m.timeLeft.Milliseconds()))
 	if m.In > 0 {
 		fmt.Fprintf(&b, "%s: m\r\n%s: %d,%d\r\n%s: %s\r\n", wire.Model, wire.Tokens, m.In, m.Out, wire.Prefix, m.parts)
 	}
-	if m.after > 0 {
-		fmt.Fprintf(&b, "%s: %d\r\n", wire.LastEvent, m.after)
+	if m.lastEvent > 0 {
+		fmt.Fprintf(&b, "%s: %d\r\n", wire.LastEvent, m.lastEvent)
 	}
 	if m.key != "" {
 		fmt.Fprintf(&b, "%s: %s\r\n", wire.Key, m.key)
@@ -103,7 +103,7 @@
 	if m.tenant != "" {
 		fmt.Fprintf(&b, "%s: %s\r\n", wire.Tenant, m.tenant)
 	}
-	b.WriteString(m.extra)
+	b.WriteString(m.extraHeaders)
 	b.WriteString("X-Note: kept\r\nCookie: a=1\r\n")
 	if m.chunked {
 		half := len(m.body) / 2
@@ -120,25 +120,25 @@
 	return b.String()
 }
 
-// exchange sends a request over a connection and reads its answer into the
-// record; keep tells whether the connection may be used again.
-func (l *line) exchange(log *record.Log, m message, t *record.Try, silence time.Duration, until time.Time) (keep bool) {
-	patience := func() { _ = l.SetReadDeadline(earlier(until, time.Now().Add(silence))) }
-	_ = l.SetWriteDeadline(until)
-	if _, err := io.WriteString(l, m.bytes()); err != nil {
+// exchange sends a request over a connection and records the answer in t; keep
+// reports whether the connection may be reused.
+func (c *conn) exchange(log *record.Log, m message, t *record.Try, readTimeout time.Duration, deadline time.Time) (keep bool) {
+	extendReadDeadline := func() { _ = c.SetReadDeadline(earlier(deadline, time.Now().Add(readTimeout))) }
+	_ = c.SetWriteDeadline(deadline)
+	if _, err := io.WriteString(c, m.bytes()); err != nil {
 		return false
 	}
 	log.Do(func(*record.All) { t.Whole = log.Now() })
 	if m.halfCloses {
-		l.closeWrite()
+		c.closeWrite()
 	}
-	patience()
-	res, err := http.ReadResponse(l.r, &http.Request{Method: m.method})
+	extendReadDeadline()
+	res, err := http.ReadResponse(c.r, &http.Request{Method: m.method})
 	if err != nil {
-		if b, _ := l.r.Peek(l.r.Buffered()); len(b) > 0 || strings.Contains(err.Error(), "malformed") {
+		if b, _ := c.r.Peek(c.r.Buffered()); len(b) > 0 || strings.Contains(err.Error(), "malformed") {
 			log.Do(func(*record.All) { t.Fault = "no answer in the protocol: " + err.Error() })
 		}
-		log.Do(func(*record.All) { t.GaveUp = timedOut(err) })
+		log.Do(func(*record.All) { t.GaveUp = isTimeout(err) })
 		return false
 	}
 	log.Do(func(*record.All) {
@@ -147,13 +147,13 @@
 		t.RetryIn, _ = strconv.ParseFloat(res.Header.Get(wire.RetryIn), 64)
 	})
 	if strings.HasPrefix(res.Header.Get("Content-Type"), wire.Events) {
-		err = l.events(log, res.Body, t, patience)
+		err = c.readEvents(log, res.Body, t, extendReadDeadline)
 	} else {
 		var b []byte
-		b, err = io.ReadAll(io.LimitReader(res.Body, mostBytes))
+		b, err = io.ReadAll(io.LimitReader(res.Body, maxAnswerBytes))
 		log.Do(func(*record.All) { t.Length, t.Digest = len(b), server.Digest(b) })
 	}
-	log.Do(func(*record.All) { t.Complete, t.GaveUp = err == nil, timedOut(err) })
+	log.Do(func(*record.All) { t.Complete, t.GaveUp = err == nil, isTimeout(err) })
 	return err == nil && !res.Close
 }
 
@@ -164,18 +164,18 @@
 	return b
 }
 
-func timedOut(err error) bool {
+func isTimeout(err error) bool {
 	var timeout net.Error
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-// events reads a stream and writes down each of its events.
-func (l *line) events(log *record.Log, body io.Reader, t *record.Try, patience func()) error {
+// readEvents reads an event stream and records each event.
+func (c *conn) readEvents(log *record.Log, body io.Reader, t *record.Try, extendReadDeadline func()) error {
 	r := bufio.NewReader(body)
-	id, data, some := 0, "", false
+	id, data, pending := 0, "", false
 	for {
-		text, err := r.ReadString('\n')
-		if err == io.EOF && text == "" && !some {
+		line, err := r.ReadString('\n')
+		if err == io.EOF && line == "" && !pending {
 			return nil
 		}
 		if err != nil {
@@ -184,31 +184,31 @@
 			}
 			return err
 		}
-		patience()
-		switch text = strings.TrimRight(text, "\r\n"); {
-		case strings.HasPrefix(text, "id:"):
-			id, _ = strconv.Atoi(strings.TrimSpace(text[3:]))
-			some = true
-		case strings.HasPrefix(text, "data:"):
-			data = strings.TrimSpace(text[5:])
-			some = true
-		case text == "" && some:
-			l.event(log, t, id, data)
-			id, data, some = 0, "", false
+		extendReadDeadline()
+		switch line = strings.TrimRight(line, "\r\n"); {
+		case strings.HasPrefix(line, "id:"):
+			id, _ = strconv.Atoi(strings.TrimSpace(line[3:]))
+			pending = true
+		case strings.HasPrefix(line, "data:"):
+			data = strings.TrimSpace(line[5:])
+			pending = true
+		case line == "" && pending:
+			c.checkEvent(log, t, id, data)
+			id, data, pending = 0, "", false
 		}
 	}
 }
 
-// event checks one event by its text.
-func (l *line) event(log *record.Log, t *record.Try, id int, data string) {
+// checkEvent checks an event's text and records it.
+func (c *conn) checkEvent(log *record.Log, t *record.Try, id int, data string) {
 	f := strings.Fields(data) // run, k/n, text
 	fault, last := "", false
 	if len(f) != 3 {
 		fault = fmt.Sprintf("event %d says %q", id, data)
 	} else {
-		at, of, _ := strings.Cut(f[1], "/")
-		last = at == of
-		if at != strconv.Itoa(id) || f[2] != server.Text(t.ID, f[0], id) {
+		index, total, _ := strings.Cut(f[1], "/")
+		last = index == total
+		if index != strconv.Itoa(id) || f[2] != server.Text(t.ID, f[0], id) {
 			fault = fmt.Sprintf("event %d says %q, which no server says to %s", id, data, t.ID)
 		}
 	}
