--- a/proof/standin/cloud/cloud.go
+++ b/proof/standin/cloud/cloud.go
@@ -1,5 +1,5 @@
-// Package cloud is a stand-in for the platform's list of servers: it comes in
-// pages, lags behind what is, and takes so many calls a second.
+// Package cloud simulates the platform's server list: it is paginated, lags behind
+// the servers' actual state, and limits the rate of calls.
 package cloud
 
 import (
@@ -19,44 +19,44 @@
 	"mulleinmast/proof/standin/wire"
 )
 
-// Error is the class of faults in starting the list.
+// Error is the class of errors returned by Start.
 var Error = errs.Class("stand-in list")
 
-// Config is the list's manner.
+// Config configures the list.
 type Config struct {
 	Address  string
 	Lag      time.Duration
-	Rate     float64 // calls a second, from all daemons together
+	Rate     float64 // calls per second from all daemons together; 0: no limit
 	PageSize int
 }
 
-// Source gives a server's entry as it is now.
+// Source returns a server's current entry.
 type Source interface {
 	Entry() wire.Entry
 }
 
-// state is the list as it was from a moment on.
-type state struct {
-	from time.Duration
-	list []wire.Entry
+// snapshot is the state of the list from a point in time on.
+type snapshot struct {
+	since   time.Duration
+	entries []wire.Entry
 }
 
-// Cloud is the list.
+// Cloud serves the list over HTTP.
 type Cloud struct {
 	Config
-	log *record.Log
-	srv *http.Server
-	ln  net.Listener
-
-	mu     sync.Mutex
-	live   map[string]Source
-	past   []state
-	calls  []time.Duration
-	denied int
-	down   bool
+	log    *record.Log
+	server *http.Server
+	ln     net.Listener
+
+	mu        sync.Mutex
+	sources   map[string]Source
+	snapshots []snapshot
+	calls     []time.Duration
+	denied    int
+	down      bool
 }
 
-// Start begins to serve the list.
+// Start starts serving the list.
 //
 // Example: c, err := cloud.Start(cloud.Config{Address: addr, Rate: 42, PageSize: 3}, log)
 func Start(cfg Config, log *record.Log) (*Cloud, error) {
@@ -64,38 +64,38 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	c := &Cloud{Config: cfg, log: log, ln: ln, live: map[string]Source{}}
-	c.srv = &http.Server{Handler: http.HandlerFunc(c.serve), ReadHeaderTimeout: 5 * time.Second}
-	go func() { _ = c.srv.Serve(ln) }()
+	c := &Cloud{Config: cfg, log: log, ln: ln, sources: map[string]Source{}}
+	c.server = &http.Server{Handler: http.HandlerFunc(c.serve), ReadHeaderTimeout: 5 * time.Second}
+	go func() { _ = c.server.Serve(ln) }()
 	return c, nil
 }
 
-// End closes the list.
+// End stops serving the list.
 //
 // Example: defer c.End()
-func (c *Cloud) End() { _ = c.srv.Close() }
+func (c *Cloud) End() { _ = c.server.Close() }
 
-// Put has a server stand on the list, or its entry looked at anew.
+// Put adds a server to the list or refreshes its entry.
 //
 // Example: c.Put(s.ID, s)
 func (c *Cloud) Put(id string, s Source) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.live[id] = s
-	c.turn()
+	c.sources[id] = s
+	c.takeSnapshot()
 }
 
-// Drop takes a server off the list.
+// Drop removes a server from the list.
 //
 // Example: c.Drop(s.ID)
 func (c *Cloud) Drop(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.live, id)
-	c.turn()
+	delete(c.sources, id)
+	c.takeSnapshot()
 }
 
-// Down has the list answer 500 until told otherwise.
+// Down makes the list answer every call with 500 while down is true.
 //
 // Example: c.Down(true)
 func (c *Cloud) Down(down bool) {
@@ -104,33 +104,34 @@
 	c.down = down
 }
 
-// turn records how the list is from now on; what it shows lags behind.
-func (c *Cloud) turn() {
+// takeSnapshot stores the current state of the list, which becomes visible after Lag,
+// and records when each server's drain or removal becomes visible.
+func (c *Cloud) takeSnapshot() {
 	now := c.log.Now()
-	s := state{from: now}
-	for _, src := range c.live {
-		s.list = append(s.list, src.Entry())
+	s := snapshot{since: now}
+	for _, src := range c.sources {
+		s.entries = append(s.entries, src.Entry())
 	}
-	slices.SortFunc(s.list, func(a, b wire.Entry) int { return strings.Compare(a.ID, b.ID) })
-	c.past = append(c.past, s)
+	slices.SortFunc(s.entries, func(a, b wire.Entry) int { return strings.Compare(a.ID, b.ID) })
+	c.snapshots = append(c.snapshots, s)
 	shown := map[string]string{}
-	for _, e := range s.list {
+	for _, e := range s.entries {
 		shown[e.ID] = e.State
 	}
 	c.log.Do(func(a *record.All) {
 		for _, l := range a.Lives {
-			state, on := shown[l.ID]
-			if on && state == wire.Draining && l.DrainShown == 0 {
+			state, listed := shown[l.ID]
+			if listed && state == wire.Draining && l.DrainShown == 0 {
 				l.DrainShown = now + c.Lag
 			}
-			if !on && l.GoneShown == 0 {
+			if !listed && l.GoneShown == 0 {
 				l.GoneShown = now + c.Lag
 			}
 		}
 	})
 }
 
-// Calls counts the calls so far, and those that were over the rate.
+// Calls returns the number of calls so far and of those denied by the rate limit.
 //
 // Example: calls, denied := c.Calls()
 func (c *Cloud) Calls() (calls, denied int) {
@@ -139,8 +140,8 @@
 	return len(c.calls), c.denied
 }
 
-// take counts a call and tells whether it is within the rate.
-func (c *Cloud) take(now time.Duration) bool {
+// allowCall counts a call and reports whether it is within the rate limit.
+func (c *Cloud) allowCall(now time.Duration) bool {
 	c.calls = append(c.calls, now)
 	n := 0
 	for i := len(c.calls) - 1; i >= 0 && c.calls[i] > now-time.Second; i-- {
@@ -161,7 +162,7 @@
 	case r.Method != http.MethodGet || r.URL.Path != wire.ListPath:
 		w.WriteHeader(http.StatusNotFound)
 		return
-	case !c.take(now):
+	case !c.allowCall(now):
 		w.WriteHeader(http.StatusTooManyRequests)
 		return
 	case c.down:
@@ -169,42 +170,42 @@
 		return
 	}
 	q := r.URL.Query()
-	// A token names the state that its first page showed, and where to go on.
-	at, from := -1, 0
+	// A page token holds the index of the snapshot shown by the first page and the next entry's offset.
+	index, offset := -1, 0
 	if token := q.Get("page-token"); token != "" {
-		if n, err := fmt.Sscanf(token, "p-%d-%d", &at, &from); err != nil || n != 2 || at < 0 || at >= len(c.past) {
+		if n, err := fmt.Sscanf(token, "p-%d-%d", &index, &offset); err != nil || n != 2 || index < 0 || index >= len(c.snapshots) {
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
 	} else {
-		for i, s := range c.past {
-			if s.from+c.Lag <= now {
-				at = i
+		for i, s := range c.snapshots {
+			if s.since+c.Lag <= now {
+				index = i
 			}
 		}
 	}
 	var all []wire.Entry
-	if at >= 0 {
-		for _, e := range c.past[at].list {
+	if index >= 0 {
+		for _, e := range c.snapshots[index].entries {
 			if z := q.Get("zone"); z == "" || z == e.Zone {
-				if e.ColdMs > 0 { // what is left of it now
-					e.ColdMs = max(0, e.ColdMs-(now-c.past[at].from).Milliseconds())
+				if e.ColdMs > 0 { // subtract the time since the snapshot
+					e.ColdMs = max(0, e.ColdMs-(now-c.snapshots[index].since).Milliseconds())
 				}
 				all = append(all, e)
 			}
 		}
 	}
-	p := wire.Page{Servers: all[min(from, len(all)):min(from+c.PageSize, len(all))]}
+	p := wire.Page{Servers: all[min(offset, len(all)):min(offset+c.PageSize, len(all))]}
 	if p.Servers == nil {
 		p.Servers = []wire.Entry{}
 	}
-	if from+c.PageSize < len(all) {
-		next := fmt.Sprintf("p-%d-%d", at, from+c.PageSize)
+	if offset+c.PageSize < len(all) {
+		next := fmt.Sprintf("p-%d-%d", index, offset+c.PageSize)
 		p.Next = &next
 	}
 	b, err := json.Marshal(p)
 	if err != nil {
-		panic(err) // our own shape always packs
+		panic(err) // wire.Page always marshals
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
--- a/proof/standin/cloud/cloud_test.go
+++ b/proof/standin/cloud/cloud_test.go
@@ -45,7 +45,7 @@
 	return s, log
 }
 
-// Pages go on with the list as their first one showed it.
+// All pages of a listing show the snapshot of its first page.
 func TestPages(t *testing.T) {
 	c, _ := start(t, Config{PageSize: 2})
 	for _, id := range []string{"a", "b", "c", "d", "e"} {
@@ -61,7 +61,7 @@
 			break
 		}
 		query = "?page-token=" + *p.Next
-		c.Drop("a") // the pages that follow know nothing of it
+		c.Drop("a") // must not affect the pages that follow
 	}
 	if got != "abcde" {
 		t.Error(got)
@@ -74,21 +74,21 @@
 	}
 }
 
-// The list lags, and says since when it shows that a server leaves.
+// The list lags, and the record holds the time from which it shows a server as draining.
 func TestLag(t *testing.T) {
 	c, log := start(t, Config{PageSize: 9, Lag: 200 * time.Millisecond})
 	l := &record.Life{ID: "a"}
 	log.Do(func(a *record.All) { a.Lives = append(a.Lives, l) })
 	c.Put("a", entry{ID: "a", State: wire.Ready})
 	if _, p := get(t, c, ""); len(p.Servers) != 0 {
-		t.Error("shown at once")
+		t.Error("new server shown without lag")
 	}
 	for from := time.Now(); ; {
 		if _, p := get(t, c, ""); len(p.Servers) == 1 {
 			break
 		}
 		if time.Since(from) > 10*time.Second {
-			t.Fatal("never shown")
+			t.Fatal("server not listed within 10 s")
 		}
 	}
 	now := log.Now()
@@ -97,7 +97,7 @@
 		t.Error(l.DrainShown, now)
 	}
 	if _, p := get(t, c, ""); p.Servers[0].State != wire.Ready {
-		t.Error("shown at once")
+		t.Error("draining shown without lag")
 	}
 }
 
--- a/proof/standin/entry/entry.go
+++ b/proof/standin/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry is a stand-in for the platform's address: it asks every daemon
-// each second whether it is ready, and passes each new connection to one of the
-// client's zone, chosen by a hash of the client.
+// Package entry simulates the platform's load balancer: it checks the readiness of
+// every daemon each second and assigns each new connection to a daemon in the
+// client's zone, chosen by a hash of the client's name.
 package entry
 
 import (
@@ -13,44 +13,44 @@
 	"mulleinmast/proof/standin/wire"
 )
 
-// Daemon is one daemon as the platform knows it.
+// Daemon describes a daemon to the load balancer and the operator.
 type Daemon struct {
 	Name, Zone               string
-	Public, Readiness, Steer string // addresses; Steer takes the operator's calls
-	Life                     int    // counts the starts of its process
+	Public, Readiness, Steer string // addresses; Steer serves the operator's calls
+	Life                     int    // number of times its process was started
 }
 
-const misses = 2
+const maxMisses = 2 // failed checks in a row that take a daemon out of rotation
 
-// Entry is the address.
+// Entry is the load balancer.
 type Entry struct {
-	list func() []Daemon
-	web  *http.Client
+	daemons func() []Daemon
+	client  *http.Client
 
-	mu     sync.Mutex
-	missed map[string]int // by daemon; absent: it has not answered yet
-	in     map[string]bool
-	looks  int
+	mu           sync.Mutex
+	failedChecks map[string]int // failed readiness checks since the last success, by daemon
+	inRotation   map[string]bool
+	rounds       int
 }
 
-// New makes an address over the daemons that list names.
+// New returns a load balancer for the daemons that list returns.
 //
 // Example: e := entry.New(fleet.Daemons)
-func New(list func() []Daemon) *Entry {
+func New(daemons func() []Daemon) *Entry {
 	return &Entry{
-		list: list, missed: map[string]int{}, in: map[string]bool{},
-		web: &http.Client{Timeout: 900 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}},
+		daemons: daemons, failedChecks: map[string]int{}, inRotation: map[string]bool{},
+		client: &http.Client{Timeout: 900 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}},
 	}
 }
 
-// Serve asks all daemons each second until the context ends.
+// Serve checks all daemons each second until the context is canceled.
 //
 // Example: go e.Serve(ctx)
 func (e *Entry) Serve(ctx context.Context) {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
 	for {
-		e.look(ctx)
+		e.checkAll(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -59,34 +59,34 @@
 	}
 }
 
-func (e *Entry) look(ctx context.Context) {
+func (e *Entry) checkAll(ctx context.Context) {
 	var wait sync.WaitGroup
-	for _, d := range e.list() {
+	for _, d := range e.daemons() {
 		wait.Go(func() {
-			ok := e.ask(ctx, d)
+			ok := e.checkReady(ctx, d)
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			if ok {
-				e.missed[d.Name], e.in[d.Name] = 0, true
+				e.failedChecks[d.Name], e.inRotation[d.Name] = 0, true
 				return
 			}
-			if e.missed[d.Name]++; e.missed[d.Name] >= misses {
-				e.in[d.Name] = false
+			if e.failedChecks[d.Name]++; e.failedChecks[d.Name] >= maxMisses {
+				e.inRotation[d.Name] = false
 			}
 		})
 	}
 	wait.Wait()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.looks++
+	e.rounds++
 }
 
-func (e *Entry) ask(ctx context.Context, d Daemon) bool {
+func (e *Entry) checkReady(ctx context.Context, d Daemon) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.Readiness+wire.ReadyPath, nil)
 	if err != nil {
 		return false
 	}
-	res, err := e.web.Do(req)
+	res, err := e.client.Do(req)
 	if err != nil {
 		return false
 	}
@@ -94,53 +94,54 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// In counts the daemons that get new connections.
+// In returns the number of daemons that receive new connections.
 //
 // Example: for e.In() < 6 { wait() }
 func (e *Entry) In() int {
-	all := e.list()
+	all := e.daemons()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n := 0
 	for _, d := range all {
-		if e.in[d.Name] {
+		if e.inRotation[d.Name] {
 			n++
 		}
 	}
 	return n
 }
 
-// Pick passes a client's connection on; a further try reaches another daemon.
+// Pick returns the daemon for a client's connection; each further try selects the next
+// daemon. It reports false if there are no daemons.
 //
 // Example: d, ok := e.Pick("c-17", "north", 0)
 func (e *Entry) Pick(client, zone string, try int) (Daemon, bool) {
-	all := e.list()
+	all := e.daemons()
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var near, in, ready []Daemon
+	var zoneDaemons, candidates, ready []Daemon
 	for _, d := range all {
-		if e.in[d.Name] {
+		if e.inRotation[d.Name] {
 			ready = append(ready, d)
 		}
 		if d.Zone == zone {
-			near = append(near, d)
-			if e.in[d.Name] {
-				in = append(in, d)
+			zoneDaemons = append(zoneDaemons, d)
+			if e.inRotation[d.Name] {
+				candidates = append(candidates, d)
 			}
 		}
 	}
-	switch { // fewer than half of a zone's are in: all of them; none: another zone's
-	case len(in) == 0 && len(ready) > 0:
-		in = ready
-	case len(in)*2 < len(near):
-		in = near
-	case len(in) == 0:
-		in = all
+	switch { // none of the zone in rotation: other zones; fewer than half: all of the zone
+	case len(candidates) == 0 && len(ready) > 0:
+		candidates = ready
+	case len(candidates)*2 < len(zoneDaemons):
+		candidates = zoneDaemons
+	case len(candidates) == 0:
+		candidates = all
 	}
-	if len(in) == 0 {
+	if len(candidates) == 0 {
 		return Daemon{}, false
 	}
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(client)) // a hash takes all
-	return in[(uint64(h.Sum32())+uint64(try))%uint64(len(in))], true
+	_, _ = h.Write([]byte(client)) // hash.Hash never returns an error
+	return candidates[(uint64(h.Sum32())+uint64(try))%uint64(len(candidates))], true
 }
--- a/proof/standin/entry/entry_test.go
+++ b/proof/standin/entry/entry_test.go
@@ -11,9 +11,9 @@
 	"mulleinmast/proof/standin/wire"
 )
 
-// Two misses take a daemon out, one answer takes it in again; with few in, all
-// of a zone are used, with none, another zone's.
-func TestWhoGetsConnections(t *testing.T) {
+// Two failed checks take a daemon out of rotation and one success puts it back. With
+// fewer than half of a zone in rotation all its daemons are used, with none another zone's.
+func TestDaemonsThatReceiveConnections(t *testing.T) {
 	var list []Daemon
 	var up [4]atomic.Bool
 	for i := range up {
@@ -27,9 +27,9 @@
 		list = append(list, Daemon{Name: string(rune('a' + i)), Zone: []string{"north", "south"}[i/3], Readiness: strings.TrimPrefix(srv.URL, "http://")})
 	}
 	e := New(func() []Daemon { return list })
-	look := func(n int) {
+	checkAll := func(n int) {
 		for range n {
-			e.look(context.Background())
+			e.checkAll(context.Background())
 		}
 	}
 	picks := func(zone string) string {
@@ -46,33 +46,33 @@
 		}
 		return out
 	}
-	look(1)
+	checkAll(1)
 	if e.In() != 4 || picks("north") != "abc" || picks("south") != "d" {
 		t.Error(e.In(), picks("north"), picks("south"))
 	}
 	up[0].Store(false)
-	look(1)
+	checkAll(1)
 	if picks("north") != "abc" {
-		t.Error("one miss:", picks("north"))
+		t.Error("after one failed check:", picks("north"))
 	}
-	look(1)
+	checkAll(1)
 	if picks("north") != "bc" {
-		t.Error("two misses:", picks("north"))
+		t.Error("after two failed checks:", picks("north"))
 	}
 	up[1].Store(false)
-	look(2)
+	checkAll(2)
 	if picks("north") != "abc" {
-		t.Error("fewer than half:", picks("north"))
+		t.Error("fewer than half of the zone ready:", picks("north"))
 	}
 	up[2].Store(false)
-	look(2)
+	checkAll(2)
 	if picks("north") != "d" {
-		t.Error("none in the zone:", picks("north"))
+		t.Error("none of the zone ready:", picks("north"))
 	}
 	up[1].Store(true)
 	up[2].Store(true)
-	look(1)
+	checkAll(1)
 	if picks("north") != "bc" {
-		t.Error("back:", picks("north"))
+		t.Error("after recovery:", picks("north"))
 	}
 }
--- a/proof/standin/operator/operator.go
+++ b/proof/standin/operator/operator.go
@@ -1,6 +1,6 @@
-// Package operator is a stand-in for the platform's operator: it sends
-// configurations, changes and evacuations to daemons, moves on after a failure
-// and sends a call again until its end is clear.
+// Package operator simulates the platform's operator: it sends configurations,
+// changes and evacuations to the daemons, and retries a call on the next daemon
+// until it gets a definite answer.
 package operator
 
 import (
@@ -22,51 +22,51 @@
 	"mulleinmast/proof/standin/wire"
 )
 
-// Operator sends calls.
+// Operator sends administrative calls to the daemons.
 type Operator struct {
-	log  *record.Log
-	list func() []entry.Daemon
-	web  *http.Client
-	most time.Duration // a call is sent again for so long
-	// Lost tells whether an answer is lost on its way; none: no answer is.
+	log      *record.Log
+	daemons  func() []entry.Daemon
+	client   *http.Client
+	retryFor time.Duration // maximum time for retrying a call
+	// Lost reports whether to drop an answer as lost in transit; nil: none is dropped.
 	Lost func() bool
 
-	mu   sync.Mutex
-	lose float64 // part of the answers that are lost on their way
-	dice *rand.Rand
-	next int
-	now  wire.Config // the newest that was acknowledged
+	mu           sync.Mutex
+	lossRate     float64 // fraction of answers to drop as lost in transit
+	rng          *rand.Rand
+	next         int
+	acknowledged wire.Config // newest acknowledged configuration
 }
 
-// New makes an operator of the daemons that list names; a call without a clear
-// answer is sent again for at most some time.
+// New returns an operator of the daemons that list returns. A call without a definite
+// answer is retried for up to retryFor.
 //
 // Example: o := operator.New(log, fleet.Daemons, 8*time.Second)
-func New(log *record.Log, list func() []entry.Daemon, most time.Duration) *Operator {
-	return &Operator{log: log, list: list, most: most, web: &http.Client{
+func New(log *record.Log, daemons func() []entry.Daemon, retryFor time.Duration) *Operator {
+	return &Operator{log: log, daemons: daemons, retryFor: retryFor, client: &http.Client{
 		Timeout:       time.Second,
-		CheckRedirect: func(_ *http.Request, via []*http.Request) error { return tooFar(len(via)) },
+		CheckRedirect: func(_ *http.Request, via []*http.Request) error { return limitRedirects(len(via)) },
 	}}
 }
 
-func tooFar(n int) error {
+func limitRedirects(n int) error {
 	if n > 2 {
 		return http.ErrUseLastResponse
 	}
 	return nil
 }
 
-// Now is the newest configuration that was acknowledged.
+// Now returns the newest acknowledged configuration.
 //
 // Example: next := o.Now(); next.Version += 3; o.Put(ctx, next)
 func (o *Operator) Now() wire.Config {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.now
+	return o.acknowledged
 }
 
-func (o *Operator) daemon() (entry.Daemon, bool) {
-	all := o.list()
+func (o *Operator) nextDaemon() (entry.Daemon, bool) {
+	all := o.daemons()
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(all) == 0 {
@@ -76,8 +76,8 @@
 	return all[o.next%len(all)], true
 }
 
-// once sends a call to one daemon; status 0 is no answer.
-func (o *Operator) once(ctx context.Context, method, addr, path, match string, body []byte) (int, []byte) {
+// sendOnce sends a call to one daemon; status 0 means no answer.
+func (o *Operator) sendOnce(ctx context.Context, method, addr, path, match string, body []byte) (int, []byte) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
@@ -88,7 +88,7 @@
 	if len(body) > 0 {
 		req.Header.Set("Content-Type", "application/json")
 	}
-	res, err := o.web.Do(req)
+	res, err := o.client.Do(req)
 	if err != nil {
 		return 0, nil
 	}
@@ -100,47 +100,47 @@
 	return res.StatusCode, b
 }
 
-// try sends one try to a daemon, and writes down what it answered where the call
-// changes the configuration; 0 also where the answer was lost.
+// try sends a call to one daemon and records the answer if the call changes the
+// configuration. It returns 0 if there was no answer or the answer was dropped.
 func (o *Operator) try(ctx context.Context, method string, d entry.Daemon, path, match string, body []byte) int {
-	from := o.log.Now()
-	code, _ := o.once(ctx, method, d.Steer, path, match, body)
+	sent := o.log.Now()
+	code, _ := o.sendOnce(ctx, method, d.Steer, path, match, body)
 	if path == wire.ConfigPath {
 		base, _ := strconv.Atoi(match)
 		var c wire.Config
-		_ = json.Unmarshal(body, &c) // one that is cut short has no number
+		_ = json.Unmarshal(body, &c) // a truncated body leaves the version 0
 		sum := sha256.Sum256(fmt.Appendf(nil, "%s %s %s", method, match, body))
-		call := &record.PlanCall{ID: hex.EncodeToString(sum[:8]), Base: base, Number: c.Version, Sent: from, Done: o.log.Now(), Status: code}
+		call := &record.PlanCall{ID: hex.EncodeToString(sum[:8]), Base: base, Number: c.Version, Sent: sent, Done: o.log.Now(), Status: code}
 		o.log.Do(func(a *record.All) { a.PlanCalls = append(a.PlanCalls, call) })
 	}
-	if o.Lost != nil && o.Lost() || o.loses() {
+	if o.Lost != nil && o.Lost() || o.dropsAnswer() {
 		return 0
 	}
 	return code
 }
 
-// Lose has a part of the answers lost on their way from now on, by chance.
+// Lose drops a random fraction of the answers from now on.
 //
 // Example: o.Lose(0.5, seed); o.Lose(0, 0)
-func (o *Operator) Lose(part float64, seed int64) {
+func (o *Operator) Lose(fraction float64, seed int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.lose, o.dice = part, rand.New(rand.NewSource(seed))
+	o.lossRate, o.rng = fraction, rand.New(rand.NewSource(seed))
 }
 
-func (o *Operator) loses() bool {
+func (o *Operator) dropsAnswer() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.lose > 0 && o.dice.Float64() < o.lose
+	return o.lossRate > 0 && o.rng.Float64() < o.lossRate
 }
 
-// settle sends a call to one daemon after another until its end is clear; 0:
-// it never was.
-func (o *Operator) settle(ctx context.Context, method, path, match string, body []byte) int {
-	end := time.Now().Add(o.most)
-	pause, odd := 50*time.Millisecond, 0
-	for time.Now().Before(end) && ctx.Err() == nil {
-		d, ok := o.daemon()
+// sendUntilDefinite sends a call to one daemon after another until it gets a definite
+// answer. It returns 0 if there was none in time.
+func (o *Operator) sendUntilDefinite(ctx context.Context, method, path, match string, body []byte) int {
+	deadline := time.Now().Add(o.retryFor)
+	pause, rejected := 50*time.Millisecond, 0
+	for time.Now().Before(deadline) && ctx.Err() == nil {
+		d, ok := o.nextDaemon()
 		if !ok {
 			return 0
 		}
@@ -149,7 +149,7 @@
 		case code/100 == 2, code == 400, code == 409, code == 412, code == 413, code == 422:
 			return code
 		case code/100 == 4 && code != 408 && code != 429:
-			if odd++; odd == 3 {
+			if rejected++; rejected == 3 {
 				return code
 			}
 		}
@@ -160,19 +160,19 @@
 	return 0
 }
 
-func pack(v any) []byte {
+func mustMarshal(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // our own shapes always pack
+		panic(err) // the wire types always marshal
 	}
 	return b
 }
 
-// send sends a configuration or a change, and writes down its fate.
-func (o *Operator) send(ctx context.Context, method string, body []byte, whole wire.Config, base int, valid bool) *record.Change {
-	c := &record.Change{Version: whole.Version, Base: base, Sent: o.log.Now(), Valid: valid, Config: pack(whole), Patch: method == http.MethodPatch}
+// send sends a configuration or a change and records its outcome.
+func (o *Operator) send(ctx context.Context, method string, body []byte, full wire.Config, base int, valid bool) *record.Change {
+	c := &record.Change{Version: full.Version, Base: base, Sent: o.log.Now(), Valid: valid, Config: mustMarshal(full), Patch: method == http.MethodPatch}
 	o.log.Do(func(a *record.All) { a.Changes = append(a.Changes, c) })
-	status := o.settle(ctx, method, wire.ConfigPath, strconv.Itoa(base), body)
+	status := o.sendUntilDefinite(ctx, method, wire.ConfigPath, strconv.Itoa(base), body)
 	o.log.Do(func(*record.All) {
 		if c.Status = status; status != 0 {
 			c.Done = o.log.Now()
@@ -180,30 +180,30 @@
 	})
 	if status/100 == 2 {
 		o.mu.Lock()
-		if whole.Version > o.now.Version {
-			o.now = whole
+		if full.Version > o.acknowledged.Version {
+			o.acknowledged = full
 		}
 		o.mu.Unlock()
 	}
 	return c
 }
 
-// Put sends a whole configuration on top of a version.
+// Put sends a complete configuration based on the given version.
 //
 // Example: c := o.Put(ctx, config, 5)
 func (o *Operator) Put(ctx context.Context, c wire.Config, base int) *record.Change {
-	return o.send(ctx, http.MethodPut, pack(c), c, base, true)
+	return o.send(ctx, http.MethodPut, mustMarshal(c), c, base, true)
 }
 
-// Patch sends a change on top of a configuration.
+// Patch sends a change to the given configuration.
 //
 // Example: c := o.Patch(ctx, change, o.Now())
 func (o *Operator) Patch(ctx context.Context, ch wire.Change, on wire.Config) *record.Change {
-	return o.send(ctx, http.MethodPatch, pack(ch), on.With(ch), on.Version, true)
+	return o.send(ctx, http.MethodPatch, mustMarshal(ch), on.With(ch), on.Version, true)
 }
 
-// Bad sends a configuration that is invalid in some way, whose routes would
-// lead elsewhere; kind is counted up.
+// Bad sends an invalid configuration with an extra route, so that applying it would be
+// visible. The fault is selected by kind, from 0 to Kinds-1.
 //
 // Example: for kind := range operator.Kinds { o.Bad(ctx, kind) }
 func (o *Operator) Bad(ctx context.Context, kind int) *record.Change {
@@ -216,8 +216,8 @@
 	c.Routes = append(c.Routes, extra)
 	last := &c.Routes[len(c.Routes)-1]
 	switch kind {
-	case 0: // cut short
-		b := pack(c)
+	case 0: // truncated body
+		b := mustMarshal(c)
 		return o.send(ctx, http.MethodPut, b[:len(b)-7], c, base, false)
 	case 1:
 		last.Service, last.Weighted = "nobody-knows", nil
@@ -232,30 +232,30 @@
 	case 5:
 		c.Version = base
 	}
-	return o.send(ctx, http.MethodPut, pack(c), c, base, false)
+	return o.send(ctx, http.MethodPut, mustMarshal(c), c, base, false)
 }
 
-// Kinds is the number of ways to be invalid.
+// Kinds is the number of invalid configurations that Bad can send.
 const Kinds = 6
 
-// Repeat sends a call of an earlier time once more, as it was, to each daemon in
-// turn, and gives their answers.
+// Repeat sends an earlier call unchanged to each daemon in turn and returns the
+// status codes.
 //
 // Example: codes := o.Repeat(ctx, http.MethodPost, wire.EvacPath+"north", "", nil)
 func (o *Operator) Repeat(ctx context.Context, method, path, match string, body []byte) (codes []int) {
-	for _, d := range o.list() {
+	for _, d := range o.daemons() {
 		codes = append(codes, o.try(ctx, method, d, path, match, body))
 	}
 	return codes
 }
 
-// Evacuate takes a zone out of service.
+// Evacuate requests that a zone be taken out of service.
 //
 // Example: e := o.Evacuate(ctx, "north")
 func (o *Operator) Evacuate(ctx context.Context, zone string) *record.Evacuation {
 	e := &record.Evacuation{Zone: zone, Sent: o.log.Now()}
 	o.log.Do(func(a *record.All) { a.Evacuations = append(a.Evacuations, e) })
-	if o.settle(ctx, http.MethodPost, wire.EvacPath+zone, "", nil)/100 == 2 {
+	if o.sendUntilDefinite(ctx, http.MethodPost, wire.EvacPath+zone, "", nil)/100 == 2 {
 		o.log.Do(func(*record.All) { e.Acked = o.log.Now() })
 	}
 	return e
@@ -266,15 +266,16 @@
 // Example: o.Return(ctx, e)
 func (o *Operator) Return(ctx context.Context, e *record.Evacuation) bool {
 	o.log.Do(func(*record.All) { e.Back = o.log.Now() })
-	ok := o.settle(ctx, http.MethodDelete, wire.EvacPath+e.Zone, "", nil)/100 == 2
+	ok := o.sendUntilDefinite(ctx, http.MethodDelete, wire.EvacPath+e.Zone, "", nil)/100 == 2
 	if ok {
 		o.log.Do(func(*record.All) { e.BackAcked = o.log.Now() })
 	}
 	return ok
 }
 
-// Learn reads the newest configuration and builds on it from now on: a change
-// without a clear answer may be in force. It tells whether one came.
+// Learn reads the current configuration and uses it as the base of later changes,
+// because a change without a definite answer may have been applied. It reports whether
+// a configuration could be read.
 //
 // Example: if c.Status == 0 && !o.Learn(ctx) { report("no configuration came") }
 func (o *Operator) Learn(ctx context.Context) bool {
@@ -285,14 +286,14 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if c.Version > o.now.Version {
-		o.now = c
+	if c.Version > o.acknowledged.Version {
+		o.acknowledged = c
 	}
 	return true
 }
 
-// ReadBack asks for the newest configuration until it comes, or for some time,
-// and writes down what came.
+// ReadBack reads the current configuration, retrying for a limited time, and records
+// the result.
 //
 // Example: o.ReadBack(ctx)
 func (o *Operator) ReadBack(ctx context.Context) {
@@ -301,14 +302,14 @@
 }
 
 func (o *Operator) readBack(ctx context.Context) *record.Readback {
-	end := time.Now().Add(o.most)
+	deadline := time.Now().Add(o.retryFor)
 	r := &record.Readback{}
-	for time.Now().Before(end) && ctx.Err() == nil && r.Status != http.StatusOK {
-		d, ok := o.daemon()
+	for time.Now().Before(deadline) && ctx.Err() == nil && r.Status != http.StatusOK {
+		d, ok := o.nextDaemon()
 		if !ok {
 			break
 		}
-		if r.Status, r.Body = o.once(ctx, http.MethodGet, d.Steer, wire.ConfigPath, "", nil); r.Status != http.StatusOK {
+		if r.Status, r.Body = o.sendOnce(ctx, http.MethodGet, d.Steer, wire.ConfigPath, "", nil); r.Status != http.StatusOK {
 			t := time.NewTimer(100 * time.Millisecond)
 			<-t.C
 		}
--- a/proof/standin/operator/operator_test.go
+++ b/proof/standin/operator/operator_test.go
@@ -15,10 +15,10 @@
 	"mulleinmast/proof/standin/wire"
 )
 
-// taker is a daemon that takes each change and says so.
-type taker struct{ now wire.Config }
+// fakeDaemon applies each change and returns the current configuration.
+type fakeDaemon struct{ now wire.Config }
 
-func (k *taker) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (d *fakeDaemon) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	if req.Method == http.MethodPatch {
 		var ch wire.Change
 		body, err := io.ReadAll(req.Body)
@@ -26,16 +26,16 @@
 			w.WriteHeader(http.StatusBadRequest)
 			return
 		}
-		k.now = k.now.With(ch)
+		d.now = d.now.With(ch)
 		return
 	}
-	_ = json.NewEncoder(w).Encode(k.now)
+	_ = json.NewEncoder(w).Encode(d.now)
 }
 
-// A change whose answers are all lost is in force: the operator builds on it once
-// it has read what is.
-func TestAChangeWithoutAClearAnswerIsLearned(t *testing.T) {
-	daemon := httptest.NewServer(&taker{})
+// A change may be applied although all answers to it are lost. After reading the current
+// configuration, the operator must base later changes on it.
+func TestLearnAfterChangeWithoutAnswer(t *testing.T) {
+	daemon := httptest.NewServer(&fakeDaemon{})
 	defer daemon.Close()
 	at := strings.TrimPrefix(daemon.URL, "http://")
 	list := func() []entry.Daemon { return []entry.Daemon{{Name: "front-1", Steer: at}} }
@@ -43,16 +43,16 @@
 	o.Lose(1, 1)
 	c := o.Patch(t.Context(), wire.Change{Version: 8}, o.Now())
 	if c.Status != 0 || o.Now().Version != 0 {
-		t.Fatalf("answers are lost: %d, builds on version %d", c.Status, o.Now().Version)
+		t.Fatalf("all answers lost: got status %d and base version %d", c.Status, o.Now().Version)
 	}
 	o.Lose(0, 0)
 	if !o.Learn(t.Context()) || o.Now().Version != 8 {
-		t.Errorf("after reading, the operator builds on version %d", o.Now().Version)
+		t.Errorf("after Learn: got base version %d, want 8", o.Now().Version)
 	}
 	daemon.Close()
 	ctx, stop := context.WithTimeout(t.Context(), time.Second)
 	defer stop()
 	if o.Learn(ctx) || o.Now().Version != 8 {
-		t.Errorf("nothing came, and the operator builds on version %d", o.Now().Version)
+		t.Errorf("daemon unreachable: Learn succeeded or changed the base version to %d", o.Now().Version)
 	}
 }
