--- a/proof/standin/record/record.go
+++ b/proof/standin/record/record.go
@@ -1,5 +1,5 @@
-// Package record holds what the stand-ins saw on their sockets, for the judge.
-// All stand-ins of a run share one process, one clock and one log.
+// Package record holds the observations that the simulated parties made on their
+// sockets, as input for the rules. All of them share one process, one clock and one log.
 package record
 
 import (
@@ -7,72 +7,72 @@
 	"time"
 )
 
-// Piece is one event of a stream as a client got it or a server wrote it.
+// Piece is one event of a stream, as received by a client or written by a server.
 type Piece struct {
 	ID  int
 	Run string
 }
 
-// Try is one try of a client: one request to a daemon.
+// Try is one attempt by a client: one request to a daemon.
 type Try struct {
 	ID       string
 	Client   string
-	Daemon   string // its name
-	Life     int    // of the daemon's process
+	Daemon   string // name of the daemon
+	Life     int    // start count of the daemon's process
 	Host     string
 	Target   string // path and query
 	Method   string
-	Body     uint64 // its digest
-	Route    string // that the client means; none: there should be none
-	Probe    bool   // sent to a daemon directly
-	Resume   int    // the event it goes on after
+	Body     uint64 // digest of the body
+	Route    string // name of the route that should match; empty: no route should
+	Probe    bool   // sent directly to a daemon, not through the load balancer
+	Resume   int    // id of the event after which to resume
 	Sent     time.Duration
-	Whole    time.Duration // its last byte went out; 0: not all of it did
+	Whole    time.Duration // when the last byte was sent; 0: not sent completely
 	End      time.Duration
 	Deadline time.Duration
 	Status   int    // 0: no answer
-	Seal     string // of the answer
+	Seal     string // seal header of the answer
 	Coded    bool   // the answer has a Content-Encoding
-	Echo     string // the id that the answer names
+	Echo     string // attempt id in the answer
 	RetryIn  float64
-	Complete bool          // the answer looks complete
-	Length   int           // of its body
-	Digest   uint64        // of its body
-	Pieces   []Piece       // where it is a stream
-	Last     bool          // the last event came
-	Fault    string        // what was wrong with the bytes
-	GaveUp   bool          // the client itself ended it
-	Left     time.Duration // the client closed its connection then, before the end; 0: it didn't
-	Prompt   string        // model, tokens and parts, as the client sent them
-	Key      string        // that the client sent; none: it sent none
-}
-
-// Promised tells whether the answer promises that the request has not run.
+	Complete bool          // the answer was received to its end
+	Length   int           // of the answer's body
+	Digest   uint64        // of the answer's body
+	Pieces   []Piece       // events of a streaming answer
+	Last     bool          // the final event was received
+	Fault    string        // protocol error in the received bytes
+	GaveUp   bool          // the client gave up or closed the connection
+	Left     time.Duration // when the client closed its connection early; 0: it did not
+	Prompt   string        // model, token counts and prompt parts as sent
+	Key      string        // API key sent by the client; empty: none
+}
+
+// Promised reports whether the answer guarantees that the request has not run.
 //
 // Example: if t.Promised() { sendAgain() }
 func (t Try) Promised() bool {
 	return t.Status == 429 || t.Status == 503 || t.Status == 408 || t.Status == 421
 }
 
-// Served tells whether the try ended in success.
+// Served reports whether the try got a complete successful answer.
 //
 // Example: if t.Served() { n++ }
 func (t Try) Served() bool { return t.Complete && t.Status/100 == 2 }
 
-// What became of an arrival.
+// Outcomes of an arrival.
 const (
-	Open   = ""       // nothing yet
-	Ran    = "ran"    // it was run
-	Read   = "read"   // its prompt was read
-	Away   = "away"   // it was turned away
-	Other  = "421"    // it was for another server or part
-	Probed = "probed" // not a request: health or a report
+	Open   = ""       // no outcome yet
+	Ran    = "ran"    // the request was run
+	Read   = "read"   // the prompt was prefilled
+	Away   = "away"   // the request was refused
+	Other  = "421"    // misdirected: addressed to another server or phase
+	Probed = "probed" // a health check or report call, not a request
 )
 
-// Arrival is one request as a server got it.
+// Arrival is one request as received by a server.
 type Arrival struct {
 	At       time.Duration
-	Server   string // its id
+	Server   string // id of the server
 	Service  string
 	Zone     string
 	Attempt  string
@@ -81,38 +81,38 @@
 	Method   string
 	Body     uint64
 	Reading  bool
-	After    int    // the event it goes on after
-	Memory   string // the handle it came with
-	HandleOf string // the attempt that the handle was read for
+	After    int    // id of the event after which to resume
+	Memory   string // KV handle in the request, as ADDRESS/ID
+	HandleOf string // attempt id for which the handle was created
 	Out      string
 	Why      string
 	Run      string
 	Seal     string
 	Status   int
 	End      time.Duration
-	Whole    bool // the server wrote its whole answer
-	Broke    bool // the server broke it off
+	Whole    bool // the server wrote the complete answer
+	Broke    bool // the server deliberately broke the answer
 	Length   int
 	Digest   uint64
 	Pieces   []Piece
 	Last     bool
-	ClientID string // kept for messages
-	Prompt   string // model, tokens and parts, as the server got them
-	Tenant   string // that the server was told
-	Key      string // of the client, which no server should get
+	ClientID string // used in messages
+	Prompt   string // model, token counts and prompt parts as received
+	Tenant   string // tenant header received by the server
+	Key      string // API key of the client; servers should never receive one
 }
 
-// Life is one life of a server.
+// Life is the lifetime of one server process.
 type Life struct {
 	ID, Service, Zone, Address string
-	Born, Died                 time.Duration // 0: it lives
-	DrainShown                 time.Duration // since when the list shows it as draining; 0: never
-	GoneShown                  time.Duration // since when the list doesn't show it any more
+	Born, Died                 time.Duration // Died 0: still running
+	DrainShown                 time.Duration // when the list starts to show it as draining; 0: never
+	GoneShown                  time.Duration // when the list stops showing it; 0: still listed
 	ColdUntil                  time.Duration
 	ColdRate                   float64
 }
 
-// Order is one order that a server got.
+// Order is an order received by a server.
 type Order struct {
 	At     time.Duration
 	Server string
@@ -122,53 +122,53 @@
 	Status int
 }
 
-// Change is a configuration that an operator sent.
+// Change is a configuration sent by an operator.
 type Change struct {
 	Version, Base int
 	Sent          time.Duration
-	Done          time.Duration // it got a clear answer; 0: none
-	Status        int           // of that
+	Done          time.Duration // when a definite answer arrived; 0: none did
+	Status        int           // status of that answer
 	Valid         bool
-	Config        []byte // the whole configuration that it makes, packed as sent
+	Config        []byte // complete resulting configuration as JSON
 	Patch         bool
 }
 
 // PlanCall is one try of a call that changes the configuration.
 type PlanCall struct {
-	ID           string // of all that it says: the same call sent again bears it too
+	ID           string // hash of the method, base version and body; retries of a call share it
 	Base, Number int
 	Sent, Done   time.Duration
-	Status       int // as the daemon answered, also where the operator never heard; 0: no answer
+	Status       int // status the daemon sent, even if the operator dropped the answer; 0: no answer
 }
 
-// Evacuation is a zone taken out of service.
+// Evacuation is a request to take a zone out of service.
 type Evacuation struct {
 	Zone        string
 	Sent, Acked time.Duration // 0: not acknowledged
-	Back        time.Duration // its withdrawal was sent
+	Back        time.Duration // when its withdrawal was sent
 	BackAcked   time.Duration
 }
 
-// Trouble is what was done to a daemon, from a moment to its end.
+// Trouble is a disruption of a daemon over a period of time.
 type Trouble struct {
 	Daemon  string
 	Core    bool
 	What    string
 	From    time.Duration
-	To      time.Duration // 0: it goes on
-	Planned bool          // SIGTERM
-	Hup     bool          // SIGHUP: the settings have changed, no trouble
+	To      time.Duration // 0: ongoing
+	Planned bool          // shutdown by SIGTERM
+	Hup     bool          // SIGHUP after a settings change, not a disruption
 }
 
-// Readback is a configuration as it was read at the end.
+// Readback is the configuration as read at the end of a run.
 type Readback struct {
 	At     time.Duration
 	Status int
 	Body   []byte
 }
 
-// ConfigRead is a configuration as some machine, in touch or not, told it when asked
-// during the day.
+// ConfigRead is the configuration version returned by a daemon during a run, whether or
+// not that daemon was in contact with its peers.
 type ConfigRead struct {
 	Daemon  string
 	Sent    time.Duration
@@ -176,7 +176,7 @@
 	Version int
 }
 
-// All is everything that was seen.
+// All holds every record of a run.
 type All struct {
 	Tries       []*Try
 	Arrivals    []*Arrival
@@ -188,51 +188,51 @@
 	Troubles    []*Trouble
 	Readbacks   []*Readback
 	Reads       []*ConfigRead
-	Back        time.Duration // all machines are back after the closing fault; 0: there was none
-	Fault       time.Duration // the closing fault began
+	Back        time.Duration // when all machines had recovered from the final fault; 0: there was none
+	Fault       time.Duration // when the final fault began
 	End         time.Duration
 }
 
-// Log takes what the stand-ins see. Records are changed under Do only.
+// Log collects the records of a run. Records may only be changed within Do.
 type Log struct {
-	mu   sync.Mutex
-	from time.Time
-	all  All
-	news chan struct{}
+	mu      sync.Mutex
+	start   time.Time
+	all     All
+	changed chan struct{}
 }
 
-// New makes an empty log; its clock begins now.
+// New returns an empty log whose clock starts now.
 //
 // Example: log := record.New()
-func New() *Log { return &Log{from: time.Now(), news: make(chan struct{})} }
+func New() *Log { return &Log{start: time.Now(), changed: make(chan struct{})} }
 
-// Now is the time on the log's clock; it is never 0.
+// Now returns the time on the log's clock, which is never 0.
 //
 // Example: at := log.Now()
-func (l *Log) Now() time.Duration { return time.Since(l.from) + 1 }
+func (l *Log) Now() time.Duration { return time.Since(l.start) + 1 }
 
-// Do changes the log.
+// Do calls f with the log locked and signals the change.
 //
 // Example: log.Do(func(a *record.All) { a.Tries = append(a.Tries, t) })
 func (l *Log) Do(f func(a *All)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f(&l.all)
-	close(l.news)
-	l.news = make(chan struct{})
+	close(l.changed)
+	l.changed = make(chan struct{})
 }
 
-// News is closed at the next change.
+// News returns a channel that is closed at the next change.
 //
 // Example: <-log.News()
 func (l *Log) News() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.news
+	return l.changed
 }
 
-// Copy is everything so far; what it points to goes on changing until all
-// stand-ins have ended.
+// Copy returns a shallow copy of all records so far. The records it points to may change
+// until all simulated parties have stopped.
 //
 // Example: rows := rules.Check(log.Copy(), bounds)
 func (l *Log) Copy() All {
@@ -243,7 +243,7 @@
 	return a
 }
 
-// Count counts records under the log's lock.
+// Count calls f with the log locked and returns its result.
 //
 // Example: n := log.Count(func(a *record.All) int { return len(a.Tries) })
 func (l *Log) Count(f func(a *All) int) int {
--- a/proof/standin/wire/wire.go
+++ b/proof/standin/wire/wire.go
@@ -1,6 +1,7 @@
-// Package wire holds the platform's names and shapes for its stand-in, written
-// from the platform's pages on their own: it shares nothing with platform/, so
-// that a name misread there is not misread here as well.
+// Package wire holds the header names, paths and message types of the platform's
+// protocol for the simulation. It is written independently from the platform's
+// documentation and shares no code with platform/, so that a misread name there is
+// not repeated here.
 package wire
 
 import "slices"
@@ -30,7 +31,7 @@
 	Events = "text/event-stream"
 )
 
-// Paths of calls to servers, the list and daemons.
+// Paths of calls to the servers, the server list and the daemons.
 const (
 	OrderPath  = "/v1/order"
 	ReportPath = "/v1/report"
@@ -41,7 +42,7 @@
 	EvacPath   = "/v1/evacuation/"
 )
 
-// The parts that a server plays, and its states on the list.
+// Phases of a server (prefill and decode) and its states on the list.
 const (
 	Reading  = "reading"
 	Writing  = "writing"
@@ -56,14 +57,14 @@
 	Streaming = "streaming"
 )
 
-// Weights are a model that a server has.
+// Weights describes a model loaded on a server.
 type Weights struct {
 	Name     string   `json:"name"`
 	Version  int      `json:"config-version"`
 	Adapters []string `json:"adapter-list"`
 }
 
-// Entry is a server on the list.
+// Entry is a server's entry on the list.
 type Entry struct {
 	Service string    `json:"service-name"`
 	Address string    `json:"address"`
@@ -83,14 +84,14 @@
 	Next    *string `json:"next-token"`
 }
 
-// Handle is what a reading server answers.
+// Handle is a prefill server's answer.
 type Handle struct {
 	ID      string `json:"prompt-handle"`
 	Tokens  int    `json:"token-count"`
 	Version int    `json:"config-version"`
 }
 
-// Order is what a server is told to do.
+// Order is an instruction to a server, such as to change its phase.
 type Order struct {
 	Operation string `json:"operation"`
 	Phase     string `json:"phase"`
@@ -99,7 +100,7 @@
 	Expected  *int   `json:"expected"`
 }
 
-// Report is what a server tells of itself.
+// Report is a server's status report.
 type Report struct {
 	Phase   string    `json:"phase"`
 	Models  []Weights `json:"model-list"`
@@ -112,13 +113,13 @@
 	Handles int       `json:"prompt-handles"`
 }
 
-// Weighted is a part of a route's traffic.
+// Weighted is a service with its share of a route's traffic.
 type Weighted struct {
 	Service string  `json:"service-name"`
 	Share   float64 `json:"share"`
 }
 
-// Route is an item of a configuration.
+// Route is a route in a configuration.
 type Route struct {
 	Name     string     `json:"name"`
 	Host     string     `json:"host-name"`
@@ -136,7 +137,7 @@
 	Public   bool       `json:"public"`
 }
 
-// Services lists where a route may send requests.
+// Services returns the services to which a route may send requests.
 //
 // Example: if slices.Contains(r.Services(), svc) { allowed() }
 func (r Route) Services() (out []string) {
@@ -151,12 +152,12 @@
 	return out
 }
 
-// Repeatable tells whether requests of this route may run more than once.
+// Repeatable reports whether requests of this route may run more than once.
 //
 // Example: if !r.Repeatable() && runs > 1 { broken() }
 func (r Route) Repeatable() bool { return r.Kind == Safe || r.Kind == Streaming && r.Resume }
 
-// Runtime is what a configuration says of model servers.
+// Runtime holds a service's settings for model servers.
 type Runtime struct {
 	Slots      int       `json:"slot-count"`
 	Memory     int       `json:"memory-tokens"`
@@ -168,7 +169,7 @@
 	Models     []Weights `json:"model-list"`
 }
 
-// Service is an item of a configuration.
+// Service is a service in a configuration.
 type Service struct {
 	Name     string   `json:"name"`
 	Health   string   `json:"health-path"`
@@ -180,16 +181,16 @@
 	Runtime  *Runtime `json:"runtime,omitempty"`
 }
 
-// Customer is a tenant: an item of a configuration.
+// Customer is a tenant in a configuration.
 type Customer struct {
 	Name    string   `json:"name"`
 	Keys    []string `json:"api-keys"`
 	Urgency *int     `json:"urgency,omitempty"`
-	Rate    float64  `json:"rate-per-s,omitempty"` // requests a second; 0: no limit
+	Rate    float64  `json:"rate-per-s,omitempty"` // requests per second; 0: no limit
 	Burst   float64  `json:"burst-size,omitempty"`
 }
 
-// Limits bound what clients send.
+// Limits bounds the size and timing of client requests.
 type Limits struct {
 	HeaderBytes  int `json:"max-header-bytes"`
 	BodyBytes    int `json:"max-body-bytes"`
@@ -197,7 +198,7 @@
 	IdleMs       int `json:"idle-limit-ms"`
 }
 
-// Config is a whole configuration.
+// Config is a complete configuration.
 type Config struct {
 	Version  int       `json:"config-version"`
 	Routes   []Route   `json:"routes"`
@@ -207,7 +208,7 @@
 	Customers []Customer `json:"customers,omitempty"`
 }
 
-// Holder names the customer that has a key.
+// Holder returns the name of the customer that has the API key.
 //
 // Example: name, ok := config.Holder("x42q492cqf75rjvz48wu")
 func (c Config) Holder(key string) (name string, ok bool) {
@@ -219,7 +220,7 @@
 	return "", false
 }
 
-// Change is a change of named items.
+// Change replaces, adds and removes named items of a configuration.
 type Change struct {
 	Version int `json:"config-version"`
 	Replace struct {
@@ -236,45 +237,45 @@
 	} `json:"remove"`
 }
 
-// With is a configuration after a change: items keep their places, new ones
-// come last.
+// With returns the configuration after a change: existing items keep their positions
+// and new ones are appended.
 //
 // Example: next := config.With(change)
 func (c Config) With(ch Change) Config {
 	return Config{
 		Version: ch.Version, Limits: c.Limits,
-		Routes:   changed(c.Routes, ch.Replace.Routes, ch.Remove.Routes, func(r Route) string { return r.Name }),
-		Services: changed(c.Services, ch.Replace.Services, ch.Remove.Services, func(s Service) string { return s.Name }),
-		Customers: changed(c.Customers, ch.Replace.Customers, ch.Remove.Customers,
+		Routes:   applyChange(c.Routes, ch.Replace.Routes, ch.Remove.Routes, func(r Route) string { return r.Name }),
+		Services: applyChange(c.Services, ch.Replace.Services, ch.Remove.Services, func(s Service) string { return s.Name }),
+		Customers: applyChange(c.Customers, ch.Replace.Customers, ch.Remove.Customers,
 			func(customer Customer) string { return customer.Name }),
 	}
 }
 
-// changed is a list of named items after some were replaced, added or removed.
-func changed[T any](list, replace []T, remove []string, name func(T) string) (out []T) {
-	fresh := map[string]T{}
+// applyChange returns a list of named items with some replaced, appended or removed.
+func applyChange[T any](list, replace []T, remove []string, name func(T) string) (out []T) {
+	pending := map[string]T{}
 	for _, item := range replace {
-		fresh[name(item)] = item
+		pending[name(item)] = item
 	}
 	for _, item := range list {
-		if next, ok := fresh[name(item)]; ok {
+		if next, ok := pending[name(item)]; ok {
 			item = next
-			delete(fresh, name(item))
+			delete(pending, name(item))
 		}
 		if !slices.Contains(remove, name(item)) {
 			out = append(out, item)
 		}
 	}
 	for _, item := range replace {
-		if _, ok := fresh[name(item)]; ok {
+		if _, ok := pending[name(item)]; ok {
 			out = append(out, item)
 		}
 	}
 	return out
 }
 
-// Match finds the route of a host and path: of those for that host the one with
-// the longest start.
+// Match returns the route for a host and path: the route of that host with the longest
+// matching path prefix.
 //
 // Example: r, ok := config.Match("nony24.example", "/lohu930/2f")
 func (c Config) Match(host, path string) (best Route, ok bool) {
