--- a/proof/standin/server/engine.go
+++ b/proof/standin/server/engine.go
@@ -12,55 +12,57 @@
 	"mulleinmast/proof/standin/wire"
 )
 
-// part is one part of a prompt.
-type part struct {
+// promptPart is one part of a prompt.
+type promptPart struct {
 	id     string
 	tokens int
 }
 
-// parse reads ID:TOKENS,...
-func parse(s string) (out []part) {
+// parseParts parses a list of prompt parts of the form ID:TOKENS,...
+func parseParts(s string) (out []promptPart) {
 	for f := range strings.SplitSeq(s, ",") {
 		id, n, ok := strings.Cut(f, ":")
 		if tokens, err := strconv.Atoi(n); ok && err == nil {
-			out = append(out, part{id, tokens})
+			out = append(out, promptPart{id, tokens})
 		}
 	}
 	return out
 }
 
-// held is a handle: memory that nobody else may use until it is taken.
-type held struct {
-	forTry string // the attempt that it was read for
-	tokens int
-	parts  []part
-	until  time.Time
+// promptHandle is a handle to the KV cache of a prefilled prompt, whose memory is
+// reserved until the handle is taken or expires.
+type promptHandle struct {
+	attemptID string // id of the attempt for which the prompt was prefilled
+	tokens    int
+	parts     []promptPart
+	expires   time.Time
 }
 
-// kept is a part in memory; it stands under the key of all parts up to it.
-type kept struct {
-	tokens int
-	used   int
+// cachedPart is a prompt part in the cache, stored under the hash of all parts up to and
+// including it.
+type cachedPart struct {
+	tokens   int
+	lastUsed int
 }
 
-// engine is a server's slots and memory: a simple model of them.
+// engine is a simple model of a server's slots and memory.
 type engine struct {
-	mu      sync.Mutex
-	slots   chan struct{}
-	reader  chan struct{} // one prompt is read at a time
-	running int
-	queued  int
-	handles map[string]held
-	parts   map[uint64]*kept
-	clock   int // orders uses of parts
-	serial  int
+	mu          sync.Mutex
+	slots       chan struct{}
+	prefillSlot chan struct{} // holds one token: one prompt is prefilled at a time
+	running     int
+	queued      int
+	handles     map[string]promptHandle
+	parts       map[uint64]*cachedPart
+	clock       int // logical clock for the order in which parts were used
+	serial      int
 }
 
 func newEngine(c Config) engine {
-	return engine{slots: make(chan struct{}, max(1, c.Slots)), reader: make(chan struct{}, 1), handles: map[string]held{}, parts: map[uint64]*kept{}}
+	return engine{slots: make(chan struct{}, max(1, c.Slots)), prefillSlot: make(chan struct{}, 1), handles: map[string]promptHandle{}, parts: map[uint64]*cachedPart{}}
 }
 
-func keys(parts []part) (out []uint64) {
+func prefixHashes(parts []promptPart) (out []uint64) {
 	h := fnv.New64a()
 	for _, p := range parts {
 		_, _ = h.Write([]byte(p.id + ":" + strconv.Itoa(p.tokens) + ","))
@@ -69,16 +71,16 @@
 	return out
 }
 
-// unread counts the tokens that are to be read: a part that is kept is not read
-// again when all before it are kept as well.
-func (e *engine) unread(parts []part) (n int) {
+// uncachedTokens returns the number of tokens to prefill. A cached part need not be
+// prefilled again if all parts before it are cached too.
+func (e *engine) uncachedTokens(parts []promptPart) (n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	missing := false
-	for i, k := range keys(parts) {
+	for i, k := range prefixHashes(parts) {
 		if p := e.parts[k]; p != nil && !missing {
 			e.clock++
-			p.used = e.clock
+			p.lastUsed = e.clock
 			continue
 		}
 		missing = true
@@ -87,18 +89,18 @@
 	return n
 }
 
-// keep holds a prompt's parts; the longest unused give way.
-func (e *engine) keep(parts []part, memory int) {
+// cacheParts caches a prompt's parts and evicts the least recently used ones.
+func (e *engine) cacheParts(parts []promptPart, memory int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for i, k := range keys(parts) {
+	for i, k := range prefixHashes(parts) {
 		e.clock++
-		e.parts[k] = &kept{parts[i].tokens, e.clock}
+		e.parts[k] = &cachedPart{parts[i].tokens, e.clock}
 	}
 	for {
 		sum, oldest := 0, uint64(0)
 		for k, p := range e.parts {
-			if sum += p.tokens; oldest == 0 || p.used < e.parts[oldest].used {
+			if sum += p.tokens; oldest == 0 || p.lastUsed < e.parts[oldest].lastUsed {
 				oldest = k
 			}
 		}
@@ -109,8 +111,8 @@
 	}
 }
 
-// pause lets time pass; it says false if the context ended before.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d. It reports false if the context was canceled first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
@@ -124,16 +126,17 @@
 	}
 }
 
-// enter waits for a place; more than a few that wait are turned away.
-func (s *Server) enter(ctx context.Context, place chan struct{}) (leave func(), ok bool) {
+// acquire waits for a free slot and returns a function that releases it. It reports
+// false if the queue is full or the context was canceled first.
+func (s *Server) acquire(ctx context.Context, slot chan struct{}) (release func(), ok bool) {
 	e := &s.engine
 	e.mu.Lock()
 	if e.queued >= s.Queue {
 		select {
-		case place <- struct{}{}:
+		case slot <- struct{}{}:
 			e.running++
 			e.mu.Unlock()
-			return func() { s.leave(place) }, true
+			return func() { s.release(slot) }, true
 		default:
 			e.mu.Unlock()
 			return nil, false
@@ -142,7 +145,7 @@
 	e.queued++
 	e.mu.Unlock()
 	select {
-	case place <- struct{}{}:
+	case slot <- struct{}{}:
 		ok = true
 	case <-ctx.Done():
 	}
@@ -153,47 +156,48 @@
 		return nil, false
 	}
 	e.running++
-	return func() { s.leave(place) }, true
+	return func() { s.release(slot) }, true
 }
 
-func (s *Server) leave(place chan struct{}) {
-	<-place
+func (s *Server) release(slot chan struct{}) {
+	<-slot
 	s.engine.mu.Lock()
 	s.running--
 	s.engine.mu.Unlock()
 }
 
-// hold makes a handle.
-func (s *Server) hold(forTry string, parts []part, tokens int) string {
-	lapse := s.Hold
+// createHandle creates a handle for a prefilled prompt and returns its id.
+func (s *Server) createHandle(attemptID string, parts []promptPart, tokens int) string {
+	ttl := s.Hold
 	if s.faults.take(Lapse) {
-		lapse = 0
+		ttl = 0
 	}
 	s.engine.mu.Lock()
 	defer s.engine.mu.Unlock()
 	s.serial++
 	id := fmt.Sprintf("%s-%d", strings.TrimPrefix(s.ID, "i-"), s.serial)
-	s.handles[id] = held{forTry, tokens, parts, time.Now().Add(lapse)}
+	s.handles[id] = promptHandle{attemptID, tokens, parts, time.Now().Add(ttl)}
 	return id
 }
 
-// grab takes a handle; each can be taken once.
-func (s *Server) grab(id string) (held, bool) {
+// takeHandle removes and returns a handle, so each can be taken only once. It reports
+// false if there is none or it has expired.
+func (s *Server) takeHandle(id string) (promptHandle, bool) {
 	s.engine.mu.Lock()
 	defer s.engine.mu.Unlock()
 	h, ok := s.handles[id]
 	delete(s.handles, id)
-	return h, ok && time.Now().Before(h.until)
+	return h, ok && time.Now().Before(h.expires)
 }
 
-// Handles counts what is held and has not lapsed.
+// Handles returns the number of handles that have not been taken and have not expired.
 //
 // Example: for s.Handles() > 0 { wait() }
 func (s *Server) Handles() (n int) {
 	s.engine.mu.Lock()
 	defer s.engine.mu.Unlock()
 	for id, h := range s.handles {
-		if time.Now().After(h.until) {
+		if time.Now().After(h.expires) {
 			delete(s.handles, id)
 			continue
 		}
@@ -205,7 +209,7 @@
 func (s *Server) report() wire.Report {
 	e, handles := s.Entry(), s.Handles()
 	s.mu.Lock()
-	busy, calls := s.orders.busy, s.orders.calls
+	busy, calls := s.orderState.busy, s.orderState.calls
 	s.mu.Unlock()
 	s.engine.mu.Lock()
 	defer s.engine.mu.Unlock()
--- a/proof/standin/server/fault.go
+++ b/proof/standin/server/fault.go
@@ -2,60 +2,60 @@
 
 import "sync"
 
-// Fault is one way to misbehave.
+// Fault is one kind of server fault.
 type Fault uint8
 
-// The ways.
+// Kinds of server faults.
 const (
 	Break         Fault = iota + 1 // the answer is cut off midway
-	Garble                         // bytes that are no answer
-	Extra                          // a second answer right after a whole one
-	Late                           // an extra answer in the place of the next
-	NoSeal                         // a success without its seal
-	Encoded                        // a body in an encoding that nobody asked for
-	Close                          // Connection: close, and it is closed
-	Slow                           // events far apart
+	Garble                         // bytes that are not an HTTP answer
+	Extra                          // a second answer right after a complete one
+	Late                           // an extra answer just before the next answer
+	NoSeal                         // a success without the seal header
+	Encoded                        // a Content-Encoding that the request did not ask for
+	Close                          // Connection: close, and the connection is closed
+	Slow                           // long pauses between events
 	Silent                         // no answer at all
-	Forget                         // the connection is forgotten once idle
-	Lapse                          // handles lapse at once
-	Full                           // turned away, though there is room
-	Unwarned                       // the connection is closed right after a whole answer, with no word
-	Doubled                        // a whole answer twice
-	Reset                          // it runs, and the connection is reset in place of an answer
-	HeadOnly                       // reset right after the answer's head
-	Denied                         // a success that says that it has not run
-	Interim                        // an answer that is not the last, before it
-	Unframed                       // no length: the answer ends with its connection
-	UnframedReset                  // the same, and it is reset midway
-	Early                          // turned away before its body is read, which is read on later
+	Forget                         // the connection is abandoned once idle
+	Lapse                          // handles expire at once
+	Full                           // refused as full despite free slots
+	Unwarned                       // closed right after a complete answer, without Connection: close
+	Doubled                        // a complete answer sent twice
+	Reset                          // the request runs, then the connection is reset instead of an answer
+	HeadOnly                       // the connection is reset right after the answer's head
+	Denied                         // a success marked as not run
+	Interim                        // an interim (1xx) answer before the final one
+	Unframed                       // no length: the end of the connection ends the answer
+	UnframedReset                  // the same, with the connection reset midway
+	Early                          // refused before the body is read, which is then read and discarded
 )
 
-// faults are those that are due: each is played so many times.
+// faults holds how many more times each fault is to be injected.
 type faults struct {
-	mu  sync.Mutex
-	due map[Fault]int
+	mu      sync.Mutex
+	pending map[Fault]int
 }
 
-// Misbehave has the server misbehave in its next n chances; a negative n means
-// always, until told 0.
+// Misbehave makes the server inject a fault at its next n opportunities. A negative n
+// means at every opportunity, until reset with 0.
 //
 // Example: s.Misbehave(server.Break, 3)
 func (s *Server) Misbehave(f Fault, n int) {
 	s.faults.mu.Lock()
 	defer s.faults.mu.Unlock()
-	if s.faults.due == nil {
-		s.faults.due = map[Fault]int{}
+	if s.faults.pending == nil {
+		s.faults.pending = map[Fault]int{}
 	}
-	s.faults.due[f] = n
+	s.faults.pending[f] = n
 }
 
-// take tells whether a fault is due, and counts it.
+// take reports whether a fault is pending and consumes one occurrence of it.
 func (f *faults) take(k Fault) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	n := f.due[k]
+	n := f.pending[k]
 	if n > 0 {
-		f.due[k]--
+		f.pending[k]--
 	}
 	return n != 0
 }
--- a/proof/standin/server/order.go
+++ b/proof/standin/server/order.go
@@ -8,16 +8,16 @@
 	"mulleinmast/proof/standin/wire"
 )
 
-// orders are what a server was told to be; a restart forgets it.
-type orders struct {
-	busy  bool
-	calls int
-	top   int64            // the highest fence seen
-	seen  map[string]int64 // by holder
+// orderState is the state of phase orders; it does not survive a restart.
+type orderState struct {
+	busy         bool
+	calls        int
+	highestFence int64
+	fences       map[string]int64 // fence number by holder
 }
 
-// order takes an order and tells the status of its answer.
-func (s *Server) order(body []byte) (status int, o wire.Order) {
+// applyOrder executes an order and returns the status for its answer.
+func (s *Server) applyOrder(body []byte) (status int, o wire.Order) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch err := json.Unmarshal(body, &o); {
@@ -25,25 +25,26 @@
 		return http.StatusBadRequest, o
 	case o.Operation != "phase" || o.Phase != wire.Reading && o.Phase != wire.Writing || s.phase == "":
 		return http.StatusBadRequest, o
-	case s.ChecksFence && *o.Fence < s.orders.top:
+	case s.ChecksFence && *o.Fence < s.orderState.highestFence:
 		return http.StatusPreconditionFailed, o
 	}
-	s.orders.top = max(s.orders.top, *o.Fence)
+	s.orderState.highestFence = max(s.orderState.highestFence, *o.Fence)
 	switch {
-	case s.orders.busy || o.Expected != nil && *o.Expected != s.orders.calls:
+	case s.orderState.busy || o.Expected != nil && *o.Expected != s.orderState.calls:
 		return http.StatusConflict, o
 	case o.Phase == s.phase:
 		return http.StatusOK, o
 	}
-	s.orders.busy = true
-	s.orders.calls++
-	s.wait.Go(func() { s.shift(o.Phase) })
+	s.orderState.busy = true
+	s.orderState.calls++
+	s.wg.Go(func() { s.switchPhase(o.Phase) })
 	return http.StatusAccepted, o
 }
 
-// shift lets what runs finish and then changes the part; its handles stay.
-func (s *Server) shift(phase string) {
-	for n := 0; n < cap(s.slots); n++ { // all slots free at once: nothing runs
+// switchPhase waits for running requests to finish and then changes the phase. Existing
+// handles are kept.
+func (s *Server) switchPhase(phase string) {
+	for n := 0; n < cap(s.slots); n++ { // once all slots are acquired, nothing is running
 		select {
 		case s.slots <- struct{}{}:
 		case <-s.ctx.Done():
@@ -51,17 +52,17 @@
 		}
 	}
 	select {
-	case s.reader <- struct{}{}:
+	case s.prefillSlot <- struct{}{}:
 	case <-s.ctx.Done():
 		return
 	}
-	ok := pause(s.ctx, s.Switch)
-	<-s.reader
+	ok := sleep(s.ctx, s.Switch)
+	<-s.prefillSlot
 	s.mu.Lock()
 	if ok {
 		s.phase = phase
 	}
-	s.orders.busy = false
+	s.orderState.busy = false
 	s.mu.Unlock()
 	if ok && s.Changed != nil {
 		s.Changed(s)
@@ -71,17 +72,17 @@
 	}
 }
 
-// ordered answers an order and writes it down.
-func (c *conn) ordered(req got) bool {
+// handleOrder answers an order and records it.
+func (c *conn) handleOrder(req request) bool {
 	s := c.s
 	status := http.StatusMisdirectedRequest
 	var o wire.Order
-	if want := req.Header.Get(wire.Expect); want == "" || want == s.ID {
-		status, o = s.order(req.body)
+	if expected := req.Header.Get(wire.Expect); expected == "" || expected == s.ID {
+		status, o = s.applyOrder(req.body)
 	}
 	if o.Fence != nil && o.Holder != "" {
-		at := &record.Order{At: s.log.Now(), Server: s.ID, Holder: o.Holder, Fence: *o.Fence, Phase: o.Phase, Status: status}
-		s.log.Do(func(a *record.All) { a.Orders = append(a.Orders, at) })
+		order := &record.Order{At: s.log.Now(), Server: s.ID, Holder: o.Holder, Fence: *o.Fence, Phase: o.Phase, Status: status}
+		s.log.Do(func(a *record.All) { a.Orders = append(a.Orders, order) })
 	}
 	return c.send(c.head(status, req), "")
 }
--- a/proof/standin/server/request.go
+++ b/proof/standin/server/request.go
@@ -13,8 +13,8 @@
 	"mulleinmast/proof/standin/wire"
 )
 
-// handle answers one request; it tells whether the connection may go on.
-func (c *conn) handle(ctx context.Context, req got) bool {
+// handle answers one request and reports whether the connection may be reused.
+func (c *conn) handle(ctx context.Context, req request) bool {
 	s := c.s
 	switch path := req.URL.Path; {
 	case path == s.Health && req.Method == http.MethodGet && req.Header.Get(wire.Attempt) == "":
@@ -22,43 +22,43 @@
 	case path == wire.ReportPath:
 		b, err := json.Marshal(s.report())
 		if err != nil {
-			panic(err) // our own shape always packs
+			panic(err) // the wire types always marshal
 		}
 		return c.send(c.head(http.StatusOK, req), string(b))
 	case path == wire.OrderPath && req.Method == http.MethodPost:
-		return c.ordered(req)
+		return c.handleOrder(req)
 	case strings.HasPrefix(path, wire.HandlePath) && req.Method == http.MethodDelete:
 		status := http.StatusNotFound
-		if _, ok := s.grab(strings.TrimPrefix(path, wire.HandlePath)); ok {
+		if _, ok := s.takeHandle(strings.TrimPrefix(path, wire.HandlePath)); ok {
 			status = http.StatusOK
 		}
 		return c.send(c.head(status, req), "")
 	}
-	at := c.arrival(req)
-	on := c.work(ctx, req, at)
+	arrival := c.recordArrival(req)
+	reusable := c.serveRequest(ctx, req, arrival)
 	s.log.Do(func(*record.All) {
-		if at.End == 0 {
-			at.End = s.log.Now()
+		if arrival.End == 0 {
+			arrival.End = s.log.Now()
 		}
 	})
-	return on
+	return reusable
 }
 
-// arrival writes a request down.
-func (c *conn) arrival(req got) *record.Arrival {
+// recordArrival records a request.
+func (c *conn) recordArrival(req request) *record.Arrival {
 	s := c.s
-	at := &record.Arrival{
+	arrival := &record.Arrival{
 		At: s.log.Now(), Server: s.ID, Service: s.Service, Zone: s.Zone, Attempt: req.Header.Get(wire.Attempt), Host: req.Host, Target: req.RequestURI,
 		Method: req.Method, Body: Digest(req.body), Reading: req.Header.Get(wire.Stage) == wire.Reading, Memory: req.Header.Get(wire.Memory),
 		Prompt: req.Header.Get(wire.Model) + " " + req.Header.Get(wire.Tokens) + " " + req.Header.Get(wire.Prefix),
 		Tenant: req.Header.Get(wire.Tenant), Key: req.Header.Get(wire.Key),
 	}
-	at.After, _ = strconv.Atoi(req.Header.Get(wire.LastEvent))
-	s.log.Do(func(a *record.All) { a.Arrivals = append(a.Arrivals, at) })
-	return at
+	arrival.After, _ = strconv.Atoi(req.Header.Get(wire.LastEvent))
+	s.log.Do(func(a *record.All) { a.Arrivals = append(a.Arrivals, arrival) })
+	return arrival
 }
 
-func (c *conn) health(req got) bool {
+func (c *conn) health(req request) bool {
 	s := c.s
 	s.mu.Lock()
 	status := http.StatusOK
@@ -74,144 +74,149 @@
 	return c.send(h, "")
 }
 
-// away turns a request away: it has not run here and never will.
-func (c *conn) away(req got, at *record.Arrival, status int, out, why string) bool {
+// refuse refuses a request with the guarantee that it has not run here and never will.
+func (c *conn) refuse(req request, arrival *record.Arrival, status int, out, why string) bool {
 	h := c.head(status, req)
 	h.add(wire.NotRun, why)
-	c.s.log.Do(func(*record.All) { at.Out, at.Why, at.Status, at.End = out, why, status, c.s.log.Now() })
+	c.s.log.Do(func(*record.All) {
+		arrival.Out, arrival.Why, arrival.Status, arrival.End = out, why, status, c.s.log.Now()
+	})
 	return c.send(h, "")
 }
 
-// work takes a request up, or turns it away.
-func (c *conn) work(ctx context.Context, req got, at *record.Arrival) bool {
+// serveRequest processes a request or refuses it.
+func (c *conn) serveRequest(ctx context.Context, req request, arrival *record.Arrival) bool {
 	s := c.s
 	s.mu.Lock()
-	phase, busy := s.phase, s.orders.busy
+	phase, busy := s.phase, s.orderState.busy
 	s.mu.Unlock()
-	want := req.Header.Get(wire.Expect)
+	expected := req.Header.Get(wire.Expect)
 	switch {
-	case want != "" && want != s.ID:
-		return c.away(req, at, http.StatusMisdirectedRequest, record.Other, "another server")
-	case at.Attempt == "":
-		return c.away(req, at, http.StatusBadRequest, record.Away, "no id")
-	case at.Reading != (phase == wire.Reading):
-		return c.away(req, at, http.StatusMisdirectedRequest, record.Other, "another part")
+	case expected != "" && expected != s.ID:
+		return c.refuse(req, arrival, http.StatusMisdirectedRequest, record.Other, "another server")
+	case arrival.Attempt == "":
+		return c.refuse(req, arrival, http.StatusBadRequest, record.Away, "no id")
+	case arrival.Reading != (phase == wire.Reading):
+		return c.refuse(req, arrival, http.StatusMisdirectedRequest, record.Other, "another part")
 	case busy:
-		return c.away(req, at, http.StatusServiceUnavailable, record.Away, "an order is under way")
+		return c.refuse(req, arrival, http.StatusServiceUnavailable, record.Away, "an order is under way")
 	case s.faults.take(Full):
-		return c.away(req, at, http.StatusServiceUnavailable, record.Away, "full")
+		return c.refuse(req, arrival, http.StatusServiceUnavailable, record.Away, "full")
 	}
-	// It ends work at the value that it is handed.
+	// The request's remaining time limits the work on it.
 	if ms, err := strconv.ParseFloat(req.Header.Get(wire.TimeLeft), 64); err == nil {
 		var done context.CancelFunc
 		ctx, done = context.WithTimeout(ctx, time.Duration(ms*float64(time.Millisecond)))
 		defer done()
 	}
-	place := s.slots
-	if at.Reading {
-		place = s.reader
+	slot := s.slots
+	if arrival.Reading {
+		slot = s.prefillSlot
 	}
-	leave, ok := s.enter(ctx, place)
+	release, ok := s.acquire(ctx, slot)
 	if !ok {
-		return c.away(req, at, http.StatusServiceUnavailable, record.Away, "full")
+		return c.refuse(req, arrival, http.StatusServiceUnavailable, record.Away, "full")
 	}
-	defer leave()
-	if at.Reading {
-		return c.readPrompt(ctx, req, at)
+	defer release()
+	if arrival.Reading {
+		return c.prefill(ctx, req, arrival)
 	}
-	return c.run(ctx, req, at)
+	return c.generate(ctx, req, arrival)
 }
 
-// readPrompt reads a prompt and keeps it under a handle.
-func (c *conn) readPrompt(ctx context.Context, req got, at *record.Arrival) bool {
+// prefill prefills a prompt and answers with a handle to its KV cache.
+func (c *conn) prefill(ctx context.Context, req request, arrival *record.Arrival) bool {
 	s := c.s
-	parts := parse(req.Header.Get(wire.Prefix))
-	s.log.Do(func(*record.All) { at.Out = record.Read })
-	if !pause(ctx, time.Duration(float64(s.unread(parts))/s.Pace*float64(time.Millisecond))) {
+	parts := parseParts(req.Header.Get(wire.Prefix))
+	s.log.Do(func(*record.All) { arrival.Out = record.Read })
+	if !sleep(ctx, time.Duration(float64(s.uncachedTokens(parts))/s.Pace*float64(time.Millisecond))) {
 		return false
 	}
-	s.keep(parts, s.Memory)
+	s.cacheParts(parts, s.Memory)
 	if s.faults.take(Silent) {
-		s.log.Do(func(*record.All) { at.Broke = true })
+		s.log.Do(func(*record.All) { arrival.Broke = true })
 		<-ctx.Done()
 		return false
 	}
 	if s.faults.take(Garble) {
-		s.log.Do(func(*record.All) { at.Broke = true })
+		s.log.Do(func(*record.All) { arrival.Broke = true })
 		_, _ = c.Write([]byte("\x16\x03\x01 no answer\r\n\r\n"))
 		return false
 	}
 	in, _, _ := strings.Cut(req.Header.Get(wire.Tokens), ",")
 	n, _ := strconv.Atoi(in)
-	b, err := json.Marshal(wire.Handle{ID: s.hold(at.Attempt, parts, n), Tokens: n, Version: 1})
+	b, err := json.Marshal(wire.Handle{ID: s.createHandle(arrival.Attempt, parts, n), Tokens: n, Version: 1})
 	if err != nil {
-		panic(err) // our own shape always packs
+		panic(err) // the wire types always marshal
 	}
 	h := c.head(http.StatusOK, req)
 	h.add("Content-Type", "application/json")
 	if s.faults.take(Reset) {
-		s.log.Do(func(*record.All) { at.Broke = true })
+		s.log.Do(func(*record.All) { arrival.Broke = true })
 		c.reset()
 		return false
 	}
-	on := c.send(h, string(b))
-	s.log.Do(func(*record.All) { at.Whole, at.Status = on, http.StatusOK })
-	return c.after(req, at, string(h.bytes())+string(b)) && on
+	reusable := c.send(h, string(b))
+	s.log.Do(func(*record.All) { arrival.Whole, arrival.Status = reusable, http.StatusOK })
+	return c.injectTrailingFault(req, arrival, string(h.bytes())+string(b)) && reusable
 }
 
-// fetch takes up the memory that a request comes with; none is nothing to do.
-func (c *conn) fetch(ctx context.Context, at *record.Arrival, parts []part) bool {
+// fetchPrompt transfers the KV cache that a request refers to. It reports false if that
+// is not available.
+func (c *conn) fetchPrompt(ctx context.Context, arrival *record.Arrival, parts []promptPart) bool {
 	s := c.s
-	addr, id, _ := strings.Cut(at.Memory, "/")
-	from := s.peers.find(addr)
-	if from == nil {
+	addr, id, _ := strings.Cut(arrival.Memory, "/")
+	source := s.peers.find(addr)
+	if source == nil {
 		return false
 	}
-	h, ok := from.grab(id)
+	h, ok := source.takeHandle(id)
 	if !ok {
 		return false
 	}
-	s.log.Do(func(*record.All) { at.HandleOf = h.forTry })
+	s.log.Do(func(*record.All) { arrival.HandleOf = h.attemptID })
 	bits := float64(h.tokens) * float64(s.TokenBytes) * 8
-	took := time.Duration(bits / (max(1, s.Mbps) * 1e6) * float64(time.Second))
-	if from.Zone != s.Zone {
-		took *= 2
+	transferTime := time.Duration(bits / (max(1, s.Mbps) * 1e6) * float64(time.Second))
+	if source.Zone != s.Zone {
+		transferTime *= 2
 	}
-	if !pause(ctx, took) {
+	if !sleep(ctx, transferTime) {
 		return false
 	}
-	s.keep(parts, s.Memory)
+	s.cacheParts(parts, s.Memory)
 	return true
 }
 
-// run has the prompt, or reads it, and writes the answer.
-func (c *conn) run(ctx context.Context, req got, at *record.Arrival) bool {
+// generate fetches or prefills the prompt and writes the answer.
+func (c *conn) generate(ctx context.Context, req request, arrival *record.Arrival) bool {
 	s := c.s
-	parts := parse(req.Header.Get(wire.Prefix))
-	if at.Memory != "" {
-		if !c.fetch(ctx, at, parts) {
-			return c.away(req, at, http.StatusServiceUnavailable, record.Away, "memory can't be had")
+	parts := parseParts(req.Header.Get(wire.Prefix))
+	if arrival.Memory != "" {
+		if !c.fetchPrompt(ctx, arrival, parts) {
+			return c.refuse(req, arrival, http.StatusServiceUnavailable, record.Away, "memory can't be had")
 		}
-	} else if n := s.unread(parts); n > 0 && s.Pace > 0 {
+	} else if n := s.uncachedTokens(parts); n > 0 && s.Pace > 0 {
 		select {
-		case s.reader <- struct{}{}:
+		case s.prefillSlot <- struct{}{}:
 		case <-ctx.Done():
-			return c.away(req, at, http.StatusServiceUnavailable, record.Away, "no time")
+			return c.refuse(req, arrival, http.StatusServiceUnavailable, record.Away, "no time")
 		}
-		ok := pause(ctx, time.Duration(float64(n)/(s.Pace/2)*float64(time.Millisecond)))
-		<-s.reader
+		ok := sleep(ctx, time.Duration(float64(n)/(s.Pace/2)*float64(time.Millisecond)))
+		<-s.prefillSlot
 		if !ok {
-			return c.away(req, at, http.StatusServiceUnavailable, record.Away, "no time")
+			return c.refuse(req, arrival, http.StatusServiceUnavailable, record.Away, "no time")
 		}
-		s.keep(parts, s.Memory)
+		s.cacheParts(parts, s.Memory)
 	}
 	s.mu.Lock()
 	s.runs++
 	run := fmt.Sprintf("%s.%d", s.ID, s.runs)
 	s.mu.Unlock()
-	s.log.Do(func(*record.All) { at.Out, at.Run, at.Seal, at.Status = record.Ran, run, "s."+run, http.StatusOK })
+	s.log.Do(func(*record.All) {
+		arrival.Out, arrival.Run, arrival.Seal, arrival.Status = record.Ran, run, "s."+run, http.StatusOK
+	})
 	if parts != nil {
-		return c.stream(ctx, req, at)
+		return c.stream(ctx, req, arrival)
 	}
-	return c.answer(ctx, req, at)
+	return c.answer(ctx, req, arrival)
 }
--- a/proof/standin/server/server.go
+++ b/proof/standin/server/server.go
@@ -1,6 +1,6 @@
-// Package server is a stand-in for a model server, written from the platform's
-// pages: two halves, handles, prompt memory, orders, draining, and the ways in
-// which real ones misbehave. It writes its answers byte by byte.
+// Package server simulates a model server as the platform's documentation describes it:
+// prefill and decode phases, KV handles, prompt cache, orders, draining, and the faults
+// of real servers. It writes HTTP answers itself, so that it can also send invalid ones.
 package server
 
 import (
@@ -22,76 +22,76 @@
 	"mulleinmast/proof/standin/wire"
 )
 
-// Error is the class of faults in starting a server.
+// Error is the class of errors returned by Start.
 var Error = errs.Class("stand-in server")
 
-// Config is one server.
+// Config configures one server.
 type Config struct {
 	ID, Service, Zone, Address string
-	Phase                      string // none: its service has no halves
+	Phase                      string // empty: the service does not separate prefill and decode
 	Slots, Queue               int
-	Pace                       float64 // prompt tokens read in a ms, in the reading half
+	Pace                       float64 // prompt tokens per millisecond in the prefill phase
 	Step                       time.Duration
-	Work                       time.Duration // of a request that is no stream
+	Work                       time.Duration // time for a request that is not a stream
 	Memory, TokenBytes         int
 	Mbps                       float64
 	Hold, Switch               time.Duration
 	Health                     string
-	KeepAlive                  time.Duration // an idle connection is closed after this; 0: never
+	KeepAlive                  time.Duration // idle connections are closed after this; 0: never
 	TellsLoad, ChecksFence     bool
 	ColdFor                    time.Duration
 	ColdRate                   float64
-	Changed                    func(*Server) // called when it plays another part
+	Changed                    func(*Server) // called after a change of phase
 }
 
-// Peers finds servers by address, for the moves of prompt memory.
+// Peers finds servers by address, for KV cache transfers.
 type Peers struct {
-	mu sync.Mutex
-	at map[string]*Server
+	mu        sync.Mutex
+	byAddress map[string]*Server
 }
 
 func (p *Peers) set(addr string, s *Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.at == nil {
-		p.at = map[string]*Server{}
+	if p.byAddress == nil {
+		p.byAddress = map[string]*Server{}
 	}
 	if s == nil {
-		delete(p.at, addr)
+		delete(p.byAddress, addr)
 		return
 	}
-	p.at[addr] = s
+	p.byAddress[addr] = s
 }
 
 func (p *Peers) find(addr string) *Server {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.at[addr]
+	return p.byAddress[addr]
 }
 
-// Server is one life of a server.
+// Server is one run of a server, from start to end.
 type Server struct {
 	Config
-	Life  *record.Life
-	log   *record.Log
-	peers *Peers
-	ln    net.Listener
-	ctx   context.Context
-	kill  context.CancelFunc
-	wait  sync.WaitGroup
+	Life   *record.Life
+	log    *record.Log
+	peers  *Peers
+	ln     net.Listener
+	ctx    context.Context
+	cancel context.CancelFunc
+	wg     sync.WaitGroup
 
-	mu       sync.Mutex
-	phase    string
-	draining bool
-	dark     chan struct{} // closed once it is dark
-	conns    map[*conn]bool
-	runs     int
-	faults   faults
+	mu           sync.Mutex
+	phase        string
+	draining     bool
+	unresponsive chan struct{} // closed once the server is unresponsive
+	conns        map[*conn]bool
+	runs         int
+	faults       faults
 	engine
-	orders
+	orderState
 }
 
-// Start begins a life.
+// Start starts a server.
 //
 // Example: s, err := server.Start(cfg, log, peers)
 func Start(c Config, log *record.Log, peers *Peers) (*Server, error) {
@@ -99,10 +99,10 @@
 	if err != nil {
 		return nil, Error.Wrap(err)
 	}
-	s := &Server{Config: c, log: log, peers: peers, ln: ln, phase: c.Phase, dark: make(chan struct{}), conns: map[*conn]bool{}}
-	s.ctx, s.kill = context.WithCancel(context.Background())
+	s := &Server{Config: c, log: log, peers: peers, ln: ln, phase: c.Phase, unresponsive: make(chan struct{}), conns: map[*conn]bool{}}
+	s.ctx, s.cancel = context.WithCancel(context.Background())
 	s.engine = newEngine(c)
-	s.orders.seen = map[string]int64{}
+	s.orderState.fences = map[string]int64{}
 	now := log.Now()
 	s.Life = &record.Life{ID: c.ID, Service: c.Service, Zone: c.Zone, Address: c.Address, Born: now, ColdRate: c.ColdRate}
 	if c.ColdFor > 0 {
@@ -110,7 +110,7 @@
 	}
 	log.Do(func(a *record.All) { a.Lives = append(a.Lives, s.Life) })
 	peers.set(c.Address, s)
-	s.wait.Go(s.accept)
+	s.wg.Go(s.accept)
 	return s, nil
 }
 
@@ -121,8 +121,8 @@
 			return
 		}
 		select {
-		case <-s.dark: // the kernel took it; nobody will say anything
-			s.wait.Go(func() { <-s.ctx.Done(); _ = nc.Close() })
+		case <-s.unresponsive: // the kernel accepted it, but nothing will be read or sent
+			s.wg.Go(func() { <-s.ctx.Done(); _ = nc.Close() })
 			continue
 		default:
 		}
@@ -130,16 +130,16 @@
 		s.mu.Lock()
 		s.conns[c] = true
 		s.mu.Unlock()
-		s.wait.Go(c.serve)
+		s.wg.Go(c.serve)
 	}
 }
 
-// Crash ends the life at once: connections are reset.
+// Crash stops the server and resets its connections.
 //
 // Example: s.Crash()
 func (s *Server) Crash() { s.end(true) }
 
-// End ends the life and closes what is left.
+// End stops the server and closes its connections.
 //
 // Example: defer s.End()
 func (s *Server) End() { s.end(false) }
@@ -161,24 +161,24 @@
 		}
 	}
 	s.mu.Unlock()
-	s.kill()
-	s.wait.Wait()
+	s.cancel()
+	s.wg.Wait()
 }
 
-// Dark makes the server silent: it takes nothing up and answers nothing.
+// Dark makes the server unresponsive: it handles no requests and sends nothing.
 //
 // Example: s.Dark()
 func (s *Server) Dark() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
-	case <-s.dark:
+	case <-s.unresponsive:
 	default:
-		close(s.dark)
+		close(s.unresponsive)
 	}
 }
 
-// Drain has the server say that it is leaving; it goes on serving.
+// Drain makes the server report itself as draining while it continues to serve.
 //
 // Example: s.Drain()
 func (s *Server) Drain() {
@@ -187,7 +187,7 @@
 	s.draining = true
 }
 
-// Entry is the server as the platform's list shows it.
+// Entry returns the server's entry for the platform's list.
 //
 // Example: list = append(list, s.Entry())
 func (s *Server) Entry() wire.Entry {
@@ -206,7 +206,7 @@
 	return e
 }
 
-// Busy is the number of requests that it works at or keeps waiting.
+// Busy returns the number of running and queued requests.
 //
 // Example: for s.Busy() > 0 { wait() }
 func (s *Server) Busy() int {
@@ -218,16 +218,16 @@
 // conn is one connection; one request at a time is served on it.
 type conn struct {
 	net.Conn
-	s    *Server
-	late []byte // an extra answer that comes in the next one's place
+	s          *Server
+	lateAnswer []byte // an extra answer to be sent just before the next one
 }
 
-// Write sends bytes; a dark server's never go out.
+// Write sends bytes. An unresponsive server's bytes are never sent.
 //
 // Example: c.Write(h.bytes())
 func (c *conn) Write(b []byte) (int, error) {
 	select {
-	case <-c.s.dark:
+	case <-c.s.unresponsive:
 		<-c.s.ctx.Done()
 		return 0, net.ErrClosed
 	default:
@@ -242,16 +242,17 @@
 	_ = c.Close()
 }
 
-// got is a request as it was read, whole.
-type got struct {
+// request is a request with its complete body.
+type request struct {
 	*http.Request
 	body []byte
 }
 
-// read takes requests off the connection as they come; a context ends with it.
-func (c *conn) read(gone context.CancelFunc, to chan<- got) {
-	defer gone()
-	defer close(to)
+// readRequests reads requests from the connection and sends them to a channel. It calls
+// cancel when the connection ends.
+func (c *conn) readRequests(cancel context.CancelFunc, requests chan<- request) {
+	defer cancel()
+	defer close(requests)
 	r := bufio.NewReader(c)
 	for {
 		req, err := http.ReadRequest(r)
@@ -259,7 +260,7 @@
 			return
 		}
 		early := req.ContentLength > 0 && req.Header.Get(wire.Attempt) != "" && c.s.faults.take(Early)
-		if early && !c.away(got{req, nil}, c.arrival(got{req, nil}), http.StatusServiceUnavailable, record.Away, "too long") {
+		if early && !c.refuse(request{req, nil}, c.recordArrival(request{req, nil}), http.StatusServiceUnavailable, record.Away, "too long") {
 			return
 		}
 		body, err := io.ReadAll(req.Body)
@@ -271,7 +272,7 @@
 			continue
 		}
 		select {
-		case to <- got{req, body}:
+		case requests <- request{req, body}:
 		case <-c.s.ctx.Done():
 			return
 		}
@@ -280,21 +281,21 @@
 
 func (c *conn) serve() {
 	s := c.s
-	ctx, gone := context.WithCancel(s.ctx)
-	in := make(chan got)
-	s.wait.Go(func() { c.read(gone, in) })
+	ctx, cancel := context.WithCancel(s.ctx)
+	requests := make(chan request)
+	s.wg.Go(func() { c.readRequests(cancel, requests) })
 	defer func() {
-		gone()
+		cancel()
 		_ = c.Close()
-		for range in { // its prefill server ends with the connection
+		for range requests { // drain until the reader stops with the connection
 		}
 		s.mu.Lock()
 		delete(s.conns, c)
 		s.mu.Unlock()
 	}()
-	for req := range in {
+	for req := range requests {
 		select {
-		case <-s.dark:
+		case <-s.unresponsive:
 			<-ctx.Done()
 			return
 		default:
@@ -303,8 +304,8 @@
 			return
 		}
 		if s.faults.take(Forget) {
-			s.wait.Go(func() { // what is sent next finds nobody
-				if _, ok := <-in; ok {
+			s.wg.Go(func() { // reset the connection on the next request
+				if _, ok := <-requests; ok {
 					c.reset()
 				}
 			})
@@ -317,7 +318,7 @@
 	}
 }
 
-// head is an answer's head.
+// head is the status line and headers of an answer.
 type head struct {
 	status int
 	lines  []string
@@ -335,17 +336,17 @@
 	return b.Bytes()
 }
 
-// head begins an answer; every answer of a server names the request.
-func (c *conn) head(status int, req got) *head {
+// head returns the head of an answer. Every answer carries the request's attempt id.
+func (c *conn) head(status int, req request) *head {
 	h := &head{status: status}
 	if id := req.Header.Get(wire.Attempt); id != "" {
 		h.add(wire.Attempt, id)
 	}
 	s := c.s
 	s.mu.Lock()
-	leaving := s.draining
+	draining := s.draining
 	s.mu.Unlock()
-	if leaving {
+	if draining {
 		h.add("Connection", "close")
 	} else if s.KeepAlive > 0 {
 		h.add("Keep-Alive", fmt.Sprintf("timeout=%d", int(s.KeepAlive.Seconds())))
@@ -358,13 +359,13 @@
 	return h
 }
 
-// send writes a whole answer with a body of a known length; it tells whether
-// the connection may go on.
+// send writes a complete answer with a body of known length and reports whether the
+// connection may be reused.
 func (c *conn) send(h *head, body string) bool {
 	h.add("Content-Length", len(body))
 	b := append(h.bytes(), body...)
-	if c.late != nil {
-		b, c.late = append(c.late, b...), nil
+	if c.lateAnswer != nil {
+		b, c.lateAnswer = append(c.lateAnswer, b...), nil
 	}
 	if _, err := c.Write(b); err != nil {
 		return false
@@ -372,11 +373,11 @@
 	return !strings.Contains(strings.Join(h.lines, "\n"), "Connection: close")
 }
 
-// Digest is how bodies are compared.
+// Digest returns a hash by which bodies are compared.
 //
 // Example: server.Digest(body) == try.Digest
 func Digest(b []byte) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write(b) // a hash takes all
+	_, _ = h.Write(b) // hash.Hash never returns an error
 	return h.Sum64()
 }
