--- a/proof/standin/client/load.go
+++ b/proof/standin/client/load.go
@@ -22,7 +22,7 @@
 	Actors  int     // clients that reuse their connections
 	Zones   []string
 	Seed    int64
-	Name    string   // prefix of the attempt ids
+	Name    string   // prefix of client names and attempt ids
 	Keys    []string // tenants' API keys, assigned to the clients round-robin; empty: clients send no key
 }
 
--- a/proof/standin/record/record.go
+++ b/proof/standin/record/record.go
@@ -222,10 +222,10 @@
 	l.changed = make(chan struct{})
 }
 
-// News returns a channel that is closed at the next change.
+// Changed returns a channel that is closed at the next change.
 //
-// Example: <-log.News()
-func (l *Log) News() <-chan struct{} {
+// Example: <-log.Changed()
+func (l *Log) Changed() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changed
