--- a/cmd/daygen/main.go
+++ b/cmd/daygen/main.go
@@ -14,11 +14,11 @@
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// Exit codes: the day was written, the day can't be drawn or written, invalid flags.
+// Exit codes.
 const (
-	exitDrawn = iota
-	exitFailed
-	exitUsage
+	exitDrawn  = iota // the day was written
+	exitFailed        // the day can't be drawn or written
+	exitUsage         // invalid flags or arguments
 )
 
 // options are what the command line asks for.
@@ -80,19 +80,20 @@
 		}
 		return o, exitUsage, true
 	}
-	if problem := o.invalid(f.Args()); problem != "" {
+	if problem := o.validate(f.Args()); problem != "" {
 		_, _ = fmt.Fprintln(stderr, "daygen:", problem)
 		return o, exitUsage, true
 	}
 	return o, exitDrawn, false
 }
 
-// invalid returns the first problem with the command line, or "".
-func (o options) invalid(rest []string) string {
+// validate returns the first problem with the command line, or "" if it is valid. rest holds
+// the arguments after the flags.
+func (o options) validate(rest []string) string {
 	r := o.request
 	switch {
 	case len(rest) > 0:
-		return fmt.Sprintf("%q: no arguments are expected beside flags", rest[0])
+		return fmt.Sprintf("%q: no arguments are expected besides flags", rest[0])
 	case o.site == "":
 		return "-site is needed"
 	case r.Seconds != 0 && !(r.Seconds >= minDaySeconds && r.Seconds <= maxDaySeconds): // also NaN
--- a/cmd/fleetlab/hollow.go
+++ b/cmd/fleetlab/hollow.go
@@ -111,9 +111,9 @@
 	return sizes, nil
 }
 
-// fleets returns the options of the fleets of all sizes. Each number of tenants is
-// paired with the number of routes at the same position, or with the last one if
-// there are fewer.
+// fleets returns the options of one fleet for each combination of numbers of daemons,
+// servers and tenants. Each number of tenants is paired with the number of routes at the
+// same position in its list, or with the last one if that list is shorter.
 func (s hollowSizes) fleets() (fleets []hollow.Options) {
 	for _, daemons := range s.daemons {
 		for _, servers := range s.servers {
--- a/cmd/fleetlab/hollowsteps.go
+++ b/cmd/fleetlab/hollowsteps.go
@@ -85,16 +85,16 @@
 	if err != nil {
 		return nil, err
 	}
-	var acked, everywhere time.Duration // slowest times
+	var maxAcked, maxActive time.Duration // until a change was acknowledged, and active at all daemons
 	for range singleChanges {
-		ackedAfter, everywhereAfter, active, err := fleet.Put()
+		ackedAfter, activeAfter, active, err := fleet.Put()
 		if err != nil || active < fleet.Daemons {
 			return nil, fmt.Errorf("change: %v, active at %d of %d daemons", err, active, fleet.Daemons)
 		}
-		acked, everywhere = max(acked, ackedAfter), max(everywhere, everywhereAfter)
+		maxAcked, maxActive = max(maxAcked, ackedAfter), max(maxActive, activeAfter)
 	}
 	fmt.Printf("%v: slowest of %d changes acknowledged after %v, active at all daemons after %v\n",
-		fleet, singleChanges, milliseconds(acked), milliseconds(everywhere))
+		fleet, singleChanges, milliseconds(maxAcked), milliseconds(maxActive))
 	for _, rate := range rates {
 		name := fmt.Sprintf("change-%d", rate)
 		rows = append(rows, fleet.Measure(name, *h.window, func(stop <-chan time.Time) {
--- a/cmd/fleetlab/scale.go
+++ b/cmd/fleetlab/scale.go
@@ -23,18 +23,18 @@
 func scale(seed int64) int {
 	for _, size := range []int{9, 30, 90, 180} {
 		for _, flat := range []bool{true, false} {
-			scaleHealthy(seed, size, flat)
+			simulateHealthyFleet(seed, size, flat)
 		}
 	}
 	for _, static := range []bool{true, false} {
-		scaleSlowRelays(seed, static)
+		simulateSlowRelays(seed, static)
 	}
-	scaleCrowds(seed)
+	simulateCrowds(seed)
 	return exitPassed
 }
 
-// scaleHealthy simulates a fleet without faults.
-func scaleHealthy(seed int64, size int, flat bool) {
+// simulateHealthyFleet simulates a fleet without faults; flat disables relays.
+func simulateHealthyFleet(seed int64, size int, flat bool) {
 	o := sim.Default(seed)
 	o.Zones = []int{size / 3, size / 3, size / 3}
 	o.Faults = nil
@@ -53,8 +53,8 @@
 		float64(r.Invalidations)/float64(max(1, r.Yes)), quantile(r.Waits, 0.5), quantile(r.Waits, 0.99), len(r.Broken))
 }
 
-// scaleSlowRelays simulates distant zones, one of which has slow relays for a while.
-func scaleSlowRelays(seed int64, static bool) {
+// simulateSlowRelays simulates a fleet in distant zones; the relays of one zone are slow for 40 s.
+func simulateSlowRelays(seed int64, static bool) {
 	r := sim.Run(sim.Tree(seed, static))
 	fmt.Printf("18 daemons in 3 far zones, one zone's relays slow for 40 s, static %v: "+
 		"%d join and %d split messages, mean renewal time in that zone %v, "+
@@ -63,9 +63,9 @@
 		float64(r.RootMessages)/treeSeconds/leaders, len(r.Broken))
 }
 
-// scaleCrowds simulates crowds of requests whose clients retry after the delay that
-// they are told.
-func scaleCrowds(seed int64) {
+// simulateCrowds simulates bursts of requests whose clients retry refused requests after
+// the delay that the refusal names.
+func simulateCrowds(seed int64) {
 	o := sim.Scenarios["servers"](seed)
 	o.Faults, o.Back = map[string]float64{"crowd": crowdShare}, true
 	r := sim.Run(o)
--- a/control/daemon/readiness.go
+++ b/control/daemon/readiness.go
@@ -36,7 +36,8 @@
 	return d.isReady() || d.readiness.wasReadyWithin(d.Now(), d.Cfg.VolumeLease())
 }
 
-// isReady reports whether the daemon was ready at the last check and can serve now.
+// isReady reports whether the daemon was ready at the last check and can serve now. Unlike
+// Ready, it doesn't tolerate short interruptions.
 func (d *Daemon) isReady() bool { return d.readiness.ready.Load() && d.canServe() }
 
 // isReadyToMembers reports whether the session table shows this daemon as ready. An interruption
--- a/control/daemon/timing.go
+++ b/control/daemon/timing.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// PlacementConfig returns the configuration of the placement controller of the servers.
+// PlacementConfig returns the configuration of the controller that places servers.
 //
 // Example: p := placement.New(c.PlacementConfig(), term, since)
 func (c Config) PlacementConfig() placement.Config {
--- a/control/leader/leader_test.go
+++ b/control/leader/leader_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// send delivers an attempt of a call to the leader, from a daemon's first incarnation.
+// send delivers one attempt of a call to the leader, from a daemon's first incarnation.
 func (l *testLeader) send(from string, call message.Call) {
 	l.sendAs(message.Sender{Replica: message.Replica{Ident: from, Addr: "10.0.0.9:1"}, Epoch: 1}, call)
 }
@@ -98,8 +98,8 @@
 	l.apply(l.controller.Step(l.now, frame))
 }
 
-// call delivers an attempt of a daemon's call to the leader and returns the status and the
-// result of the answer.
+// call delivers one attempt of a call from a daemon's first incarnation to the leader, and
+// returns the status and the result of the answer.
 func (l *testLeader) call(from string, callID, requestID uint64, op string, body []byte) (status int, result string) {
 	l.t.Helper()
 	l.send(from, message.Call{RequestID: requestID, CallID: callID, Op: op, Body: body})
--- a/control/leader/servicecalls.go
+++ b/control/leader/servicecalls.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// handleClaim claims a once key for a request, or returns the existing claim.
+// handleClaim claims a once key, a client's idempotency key, for a request, or returns the existing claim.
 func (r callRequest) handleClaim(body []byte) (partition.Job, error) {
 	in, err := decodeBody[ClaimCall](body)
 	if err != nil {
@@ -80,7 +80,8 @@
 	return onceKeyJob(in.Key, change), nil
 }
 
-// handleRelease records the end of a once key's request, which either released the key or completed under it.
+// handleRelease records that a request with a once key has ended: it either completed, or released the key so
+// that another request can claim it.
 func (r callRequest) handleRelease(body []byte) (partition.Job, error) {
 	in, err := decodeBody[ClaimCall](body)
 	if err != nil {
--- a/control/leadercall/leadercall_test.go
+++ b/control/leadercall/leadercall_test.go
@@ -141,8 +141,8 @@
 	}
 }
 
-// An answer to an earlier incarnation of this daemon, which had the same identity, or from another
-// daemon than the one asked, doesn't complete any call.
+// An answer to an earlier incarnation of this daemon, which had the same identity, or an answer
+// from a daemon that wasn't called, doesn't complete any call.
 func TestAnswersToEarlierIncarnationAreIgnored(t *testing.T) {
 	_, earlier := New(cfg, 3).Start(0, leader, 0, OpPlan, []byte("one"), 4*time.Second, false)
 	calls := New(cfg, 4)
--- a/control/membership/lost_test.go
+++ b/control/membership/lost_test.go
@@ -73,13 +73,13 @@
 	}
 }
 
-// Lost control daemons are removed after the retention time or beyond maxLost. PartitionedFrom
-// returns only the latest one if they were lost one after another.
+// Lost control daemons are removed from the list after the retention time, or when it holds more
+// than maxLost. PartitionedFrom returns only the latest one if they were lost one after another.
 func TestLostControlDaemonsArePruned(t *testing.T) {
 	f := newSmallFleet(oneLossConfig, func(int) []string { return []string{addrOf(1)} }, controlDaemons(2*maxLost)...)
 	f.advance(5 * time.Second)
 	for i := 2; i <= 2*maxLost; i++ {
-		f.tables[addrOf(i)] = nil // they are lost one after another
+		f.tables[addrOf(i)] = nil // the daemons are lost one after another
 		f.advance(4 * time.Second)
 		v := f.tables[addrOf(1)].View()
 		if lost := v.PartitionedFrom(); len(v.Lost) != min(i-1, maxLost) || len(lost) != 1 || lost[0].Addr != addrOf(i) {
--- a/control/partition/partition.go
+++ b/control/partition/partition.go
@@ -1,7 +1,8 @@
 // Package partition implements one partition of the state on one daemon. It combines the
 // daemon's node in the lease tree with its replica in the quorum group, if the daemon has a
-// disk. A write stops granting its records, invalidates them down the tree, commits them to
-// a majority, grants them again and answers. Messages that a partition sends to itself are
+// disk. A write proceeds in steps: the partition stops granting leases on the records,
+// invalidates cached copies down the tree, commits the new records to a majority, resumes
+// granting leases and answers the caller. Messages that a partition sends to itself are
 // delivered locally.
 package partition
 
--- a/control/quorum/contact.go
+++ b/control/quorum/contact.go
@@ -14,8 +14,8 @@
 }
 
 // newContact returns the contact state for the start of a leadership. Replicas that
-// voted were in contact now, the previous leader when it was last supported, the
-// others when the election started.
+// voted count as in contact now, the previous leader as of its last heartbeat to this
+// replica, and the others as of the start of the election.
 func (r *Replica) newContact(now time.Duration) contact {
 	c := contact{answeredAt: map[string]time.Duration{}, terminatingSince: map[string]time.Duration{}}
 	for _, replica := range r.meta.Group.All() {
@@ -42,7 +42,8 @@
 	}
 }
 
-// noteTerminating records whether a daemon is terminating.
+// noteTerminating records whether a daemon is terminating, as its heartbeat
+// acknowledgement states.
 func (r *Replica) noteTerminating(now time.Duration, from message.Sender, m message.HeartbeatAck) {
 	if r.contact.answeredAt == nil || m.Term != r.term {
 		return
--- a/control/quorum/group_test.go
+++ b/control/quorum/group_test.go
@@ -227,8 +227,8 @@
 	}
 }
 
-// A new leader counts its predecessor's silence from when that was last supported, so
-// that a lost former leader is replaced no later than any other lost replica.
+// A new leader measures its predecessor's silence from the last heartbeat that it received
+// from it, so that a lost former leader is replaced no later than any other lost replica.
 func TestFormerLeaderIsLostAfterSameDelay(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, nil)
 	c.advance(2 * time.Second)
--- a/control/quorum/vote_test.go
+++ b/control/quorum/vote_test.go
@@ -172,18 +172,18 @@
 	}
 }
 
-// elect makes replica a win an election from now on and become leader. b's vote states
-// how long earlier leases may be valid, and b confirms that it holds the records.
-func (v *voter) elect(now, leasesStandFor time.Duration) {
+// elect makes replica a win an election that starts at now, and become leader. The vote of
+// b states how long earlier leases may be valid, and b confirms that it holds the records.
+func (v *voter) elect(now, leasesValidFor time.Duration) {
 	v.t.Helper()
 	for end := now + 3*time.Second; v.replica.role != candidate; now += 10 * time.Millisecond {
 		if now > end {
-			v.t.Fatal("it did not become a candidate")
+			v.t.Fatal("the replica did not become a candidate")
 		}
-		for _, n := range v.tick(now) {
-			if n.Kind == message.KindRequestVote && n.Op == opPreVote && n.To == "b" {
-				if n.Length != int64(fullLeaseWait) {
-					v.t.Errorf("a pre-vote request with a write delay of %v", time.Duration(n.Length))
+		for _, m := range v.tick(now) {
+			if m.Kind == message.KindRequestVote && m.Op == opPreVote && m.To == "b" {
+				if m.Length != int64(fullLeaseWait) {
+					v.t.Errorf("a pre-vote request with a write delay of %v", time.Duration(m.Length))
 				}
 				grant := message.VoteGrant{Term: v.replica.Term(), PreVote: true, Group: message.Group{Number: 1}}
 				v.deliverToSelf(now, v.step(now, "b", 1, grant.Message(1)))
@@ -192,7 +192,7 @@
 	}
 	grant := message.VoteGrant{
 		Term: v.replica.Term(), Group: message.Group{Number: 1},
-		Digests: v.replica.Records().Digests(), LeasesStandFor: leasesStandFor,
+		Digests: v.replica.Records().Digests(), LeasesStandFor: leasesValidFor,
 	}
 	v.deliverToSelf(now, v.step(now, "b", 1, grant.Message(1)))
 	v.deliverToSelf(now, v.step(now, "b", 1, message.StateInstalled{Term: v.replica.Term()}.Message(1)))
@@ -210,36 +210,36 @@
 }
 
 // deliverToSelf delivers the replica's messages to itself, as control/partition does.
-func (v *voter) deliverToSelf(now time.Duration, list []message.Message) {
-	for _, n := range list {
-		if n.To == "a" {
-			n.From, n.Addr, n.Epoch, n.Partition = "a", "a", 1, 1
+func (v *voter) deliverToSelf(now time.Duration, messages []message.Message) {
+	for _, m := range messages {
+		if m.To == "a" {
+			m.From, m.Addr, m.Epoch, m.Partition = "a", "a", 1, 1
 			v.sent = nil
-			v.apply(v.replica.Step(now, n))
+			v.apply(v.replica.Step(now, m))
 			v.deliverToSelf(now, v.sent)
 		}
 	}
 }
 
-// A new leader must not write for as long as any of its voters states that earlier
-// leases may be valid, plus clock drift. Durations out of range are limited.
+// A new leader must not write until the earlier leases that any of its voters stated have
+// expired, plus clock drift. Stated durations out of range are clamped.
 func TestLeaderDelaysWritesWhileEarlierLeasesAreValid(t *testing.T) {
 	const elected = 10 * time.Second
-	for leasesStandFor, want := range map[time.Duration]time.Duration{
+	for leasesValidFor, want := range map[time.Duration]time.Duration{
 		0:                      0,
 		700 * time.Millisecond: cfg.Wait(700 * time.Millisecond),
 		1 << 62:                cfg.Wait(fullLeaseWait),
 		-time.Hour:             0,
 	} {
 		v := restartedVoter(t)
-		v.elect(elected, leasesStandFor)
+		v.elect(elected, leasesValidFor)
 		from := v.replica.WritesFrom()
-		isInTime := from >= elected+want && from <= elected+want+cfg.LeaderLease
-		if want == 0 && from != 0 || want > 0 && !isInTime {
-			t.Errorf("earlier leases valid for %v: writes from %v", leasesStandFor, from)
+		isInRange := from >= elected+want && from <= elected+want+cfg.LeaderLease
+		if want == 0 && from != 0 || want > 0 && !isInRange {
+			t.Errorf("earlier leases valid for %v: writes from %v", leasesValidFor, from)
 		}
 	}
-	// Its own vote counts like any other: it was bound to x until 11.04 s.
+	// The statement in its own vote counts like any other: the vote was bound to x until 11.04 s.
 	v := runningVoter(t)
 	v.step(10*time.Second+100*time.Millisecond, "x", 4, message.Message{Kind: message.KindRejectVote})
 	v.elect(10*time.Second+110*time.Millisecond, 0)
--- a/traffic/gateway/limit.go
+++ b/traffic/gateway/limit.go
@@ -38,7 +38,7 @@
 	// leaderWait is how long a request waits if no leader is known, as after start-up.
 	leaderWait time.Duration
 
-	mu      sync.Mutex // guards all below
+	mu      sync.Mutex // guards the fields below
 	limiter *limiter.Limiter
 	view    *membership.View // from which leaders was computed
 	leaders []limiter.Leader // by partition
@@ -67,12 +67,12 @@
 	if view == l.view {
 		return
 	}
-	l.view, l.leaders = view, leadersOf(view, l.daemon.Cfg.Partitions)
+	l.view, l.leaders = view, limiterLeaders(view, l.daemon.Cfg.Partitions)
 }
 
-// leadersOf returns the leaders of partitions 0 to partitions by a view, which may know
-// the leaders of only some of them.
-func leadersOf(view *membership.View, partitions int) []limiter.Leader {
+// limiterLeaders returns the leaders in a view, indexed by partition, from 0 to partitions
+// inclusive. Leaders that the view doesn't contain are marked as unknown.
+func limiterLeaders(view *membership.View, partitions int) []limiter.Leader {
 	leaders := make([]limiter.Leader, partitions+1)
 	for p := range leaders {
 		leader := view.Leaderships[p].Leader
@@ -111,7 +111,7 @@
 }
 
 // acquire acquires a token for a request. If it fails, the permit is empty and the decision
-// has the cause.
+// contains the cause.
 func (l *limits) acquire(ctx context.Context, t limiter.Tenant) (permit, limiter.Decision) {
 	l.mu.Lock()
 	a := l.limiter.Start(t)
@@ -131,8 +131,8 @@
 	}
 }
 
-// awaitLeader waits a short while for a leader to become known. It returns false if the
-// context ended.
+// awaitLeader waits a fraction of leaderWait, after which the caller checks again for a known
+// leader. It returns false if the context ended.
 func (l *limits) awaitLeader(ctx context.Context) bool {
 	timer := time.NewTimer(l.leaderWait / 16)
 	defer timer.Stop()
--- a/traffic/gateway/limit_test.go
+++ b/traffic/gateway/limit_test.go
@@ -72,7 +72,7 @@
 	}
 	want := make([]limiter.Leader, 9)
 	want[2], want[8] = limiter.Leader{Known: true, Near: true}, limiter.Leader{Known: true}
-	if got := leadersOf(&view, 8); !slices.Equal(got, want) {
+	if got := limiterLeaders(&view, 8); !slices.Equal(got, want) {
 		t.Errorf("%+v", got)
 	}
 }
--- a/traffic/limiter/limiter.go
+++ b/traffic/limiter/limiter.go
@@ -17,7 +17,7 @@
 	Bounds             ratelimit.Bounds
 	Partitions         int           // limits are divided among the leaders of partitions 1 to Partitions
 	UnreachableBackoff time.Duration // how long a leader that didn't answer is skipped
-	RetryAfter         time.Duration // least time that a refused client is told to wait
+	RetryAfter         time.Duration // minimum retry delay of a refused client
 }
 
 // Leader describes a partition's leader as far as this daemon knows it.
@@ -169,7 +169,7 @@
 	l.unreachableUntil[partition] = now + l.cfg.UnreachableBackoff
 }
 
-// sweepInterval is the least time between two removals of expired entries for empty buckets.
+// sweepInterval is the minimum time between two removals of expired entries for empty buckets.
 const sweepInterval = 10 * time.Second
 
 func (l *Limiter) sweep(now time.Duration) {
--- a/traffic/loadreport/exchange_test.go
+++ b/traffic/loadreport/exchange_test.go
@@ -47,7 +47,7 @@
 	z.now += testConfig.Interval
 }
 
-func server(i int) uint64 { return ServerID("s", fmt.Sprint("server-", i)) }
+func serverID(i int) uint64 { return ServerID("s", fmt.Sprint("server-", i)) }
 
 // Load reports to a daemon take at most 14 KB a second, regardless of the number of servers
 // and of how many of them change.
@@ -57,7 +57,7 @@
 	for n := range seconds * int(time.Second/testConfig.Interval) {
 		for i, m := range z.members {
 			for k := range 40 { // requests start at all daemons all the time
-				z.reporters[m.Ident].AddLoad(server((n*977+i*131+k*17)%servers), 100+n, 1)
+				z.reporters[m.Ident].AddLoad(serverID((n*977+i*131+k*17)%servers), 100+n, 1)
 			}
 		}
 		if n == 4 { // the first reports are larger
@@ -73,14 +73,14 @@
 	}
 }
 
-// knowsAllLoads reports whether a daemon knows the load of its zone on each server.
+// knowsAllLoads reports whether a daemon knows the total load of its zone on each server.
 func (z *testZone) knowsAllLoads(ident string, servers int) bool {
 	for i := range servers {
 		sum := 0
 		for _, m := range z.members {
-			sum += z.reporters[m.Ident].local[server(i)].Tokens
+			sum += z.reporters[m.Ident].local[serverID(i)].Tokens
 		}
-		if z.reporters[ident].Load(z.now, server(i)).Tokens != sum {
+		if z.reporters[ident].Load(z.now, serverID(i)).Tokens != sum {
 			return false
 		}
 	}
@@ -103,7 +103,7 @@
 func TestChangeReachesAllDaemonsInThreeIntervals(t *testing.T) {
 	z := newZone(t, 6)
 	for i := range maxChanges {
-		z.reporters[z.members[i%6].Ident].AddLoad(server(i), 100+i, 1)
+		z.reporters[z.members[i%6].Ident].AddLoad(serverID(i), 100+i, 1)
 	}
 	for _, m := range z.members {
 		if n := z.reportUntil(4, func() bool { return z.knowsAllLoads(m.Ident, maxChanges) }); n > 3 {
@@ -111,7 +111,7 @@
 		}
 	}
 	for i := range maxChanges { // the end of the load spreads as well
-		z.reporters[z.members[i%6].Ident].AddLoad(server(i), -100-i, -1)
+		z.reporters[z.members[i%6].Ident].AddLoad(serverID(i), -100-i, -1)
 	}
 	for range 3 {
 		z.report()
@@ -135,7 +135,7 @@
 	}
 	z.drop = func(to string) bool { return to == isolated }
 	for i := range servers {
-		z.reporters[head].AddLoad(server(i), 100+i, 1)
+		z.reporters[head].AddLoad(serverID(i), 100+i, 1)
 	}
 	for range 8 {
 		z.report()
@@ -163,7 +163,7 @@
 	}
 	z.members[old].Build = lastBuildWithoutChanges
 	for i := range 300 {
-		z.reporters[ZoneHead(z.members, "north").Ident].AddLoad(server(i), 100, 1)
+		z.reporters[ZoneHead(z.members, "north").Ident].AddLoad(serverID(i), 100, 1)
 	}
 	for range 2 {
 		z.report()
--- a/traffic/nativeapi/status.go
+++ b/traffic/nativeapi/status.go
@@ -14,7 +14,7 @@
 
 // traceRing keeps the traces of the last requests for the query shell.
 type traceRing struct {
-	mu     sync.Mutex // guards all below
+	mu     sync.Mutex // guards the fields below
 	traces [maxTraces]scheduler.Trace
 	count  int // number of traces ever added
 }
--- a/traffic/nativeapi/stream.go
+++ b/traffic/nativeapi/stream.go
@@ -26,7 +26,7 @@
 	wake          chan struct{} // signals that there are decisions
 	unwritten     chan struct{} // holds one element per piece that was received and not yet written
 
-	mu        sync.Mutex // guards all below
+	mu        sync.Mutex // guards the fields below
 	decisions []scheduler.Decision
 	calls     map[int]context.CancelFunc // by attempt
 }
--- a/wire/message/kind.go
+++ b/wire/message/kind.go
@@ -13,15 +13,15 @@
 	// Leases between a parent and a child of a partition's tree (lease.go).
 
 	KindRenewLease    // child requests a volume lease and records
-	KindGrantLease    // parent grants them
+	KindGrantLease    // parent grants the requested leases
 	KindReconnect     // parent asks for the list of records that the child holds
-	KindLeaseList     // child sends the keys and versions of these records
-	KindReconciled    // parent confirms those that are up to date and grants the volume lease
+	KindLeaseList     // child sends the keys and versions of the records that it holds
+	KindReconciled    // parent confirms the listed records that are up to date and grants the volume lease
 	KindReconnectDone // child has applied the reconciliation
 	KindInvalidate    // parent invalidates a record
-	KindInvalidated   // child and all its descendants have dropped it
+	KindInvalidated   // child and all its descendants have dropped the record
 	KindDenyLease     // parent can't grant leases; the child tries another one
-	KindRedirect      // parent names a better parent (join, split, return)
+	KindRedirect      // parent refers the child to another parent; reasons: RedirectJoin, RedirectSplit, RedirectReturn
 
 	// Votes, writes and leadership in a partition's group (quorum.go).
 
@@ -29,20 +29,20 @@
 	KindGrantVote      // replica votes and sends the records that the candidate lacks
 	KindRejectVote     // replica refuses the vote and gives the reason
 	KindInstallState   // leader makes a replica's records equal to its own
-	KindStateInstalled // replica confirms that they are equal
+	KindStateInstalled // replica confirms that its records equal the leader's
 	KindStateMismatch  // replica lacks the state of this term and sends its digests
 	KindReplicate      // leader writes records
-	KindReplicated     // replica has them on disk
+	KindReplicated     // replica has the written records on disk
 	KindHeartbeat      // leader renews its lease
 	KindAbandonTerm    // candidate abandons a term that it has not won
-	KindHeartbeatAck   // replica supports the leader
+	KindHeartbeatAck   // replica supports the leader's lease
 
 	// The membership table (membership.go).
 
 	KindHello        // daemon opens or renews its session
 	KindWelcome      // control daemon confirms the session
 	KindGossip       // control daemons exchange their sessions
-	KindCensus       // daemon that knows no group asks the seeds for theirs
+	KindCensus       // daemon that knows no group asks a seed for its group
 	KindCensusAnswer // seed's answer to a census
 
 	// Calls to a partition's leader (call.go).
--- a/wire/message/quorum.go
+++ b/wire/message/quorum.go
@@ -124,7 +124,7 @@
 // Heartbeat asks a replica or learner to renew its support for the leader's lease.
 type Heartbeat struct {
 	Term  uint64
-	Round uint64            // number of the heartbeat, counted by the leader
+	Round uint64            // sequence number that the leader assigned to the heartbeat
 	Peers []PeerIncarnation // what the leader knows about the other replicas and the receiver may not
 }
 
@@ -264,7 +264,7 @@
 // Replicate sends a write of the leader to a replica or learner.
 type Replicate struct {
 	Term      uint64
-	RequestID uint64 // number of the write, counted by the leader
+	RequestID uint64 // sequence number that the leader assigned to the write
 	Records   []Record
 	Group     Group // the leader's
 }
@@ -327,7 +327,7 @@
 // its receiver. Every message between the replicas of a group carries them.
 type IncarnationClaims struct {
 	Epoch      uint64            // of the sender
-	StartState SavePoint         // that the sender started from; set until the receiver is known to recognize Epoch
+	StartState SavePoint         // state that the sender started from; set until the receiver is known to recognize Epoch
 	Saves      uint64            // number of saves on the sender's disk in this incarnation
 	KnownEpoch uint64            // incarnation of the receiver that the sender recognizes; 0: none
 	KnownState SavePoint         // latest state of the receiver that the sender knows
