--- a/proof/judge/judge.go
+++ b/proof/judge/judge.go
@@ -1,7 +1,7 @@
-// Package judge joins the journals of stand-in servers, clients, operators
-// and watchers and names every rule that was broken. It knows the users'
-// rules, not the fleet's code; simulated runs and real processes are judged
-// alike.
+// Package judge merges the event histories of fake servers, clients, operators
+// and monitors and reports every violated rule. It implements the users' rules
+// and does not depend on the fleet's code, so that simulated runs and runs of
+// real processes are checked alike.
 package judge
 
 import (
@@ -11,18 +11,18 @@
 	"mulleinmast/proof/history"
 )
 
-// Bounds are the rules' figures. Times are in nanoseconds, as those of events.
+// Bounds are the limits of the rules. Times are in nanoseconds, as in events.
 type Bounds struct {
-	Drain        int64   // a server that is known to leave gets no new work after it
-	Evacuation   int64   // the same, of the servers of an evacuated zone
-	LeaderChange int64   // between the orders of two holders of a server
-	Apply        int64   // from a plan's acknowledgement until it is in force everywhere
-	Recovery     int64   // from the end of a loss until a client of each zone has a whole answer
-	RetryRatio   float64 // retries, as a part of the first attempts
-	RetryWindow  int64   // retries are bounded in every window of this length
+	Drain        int64   // from the notice that a server leaves until it gets no new work
+	Evacuation   int64   // from the evacuation of a zone until its servers get no new work
+	LeaderChange int64   // least time between the orders of two holders of a server
+	Apply        int64   // from the acknowledgement of a plan until every daemon serves by it
+	Recovery     int64   // from the end of a failure until a client of each zone gets a complete answer
+	RetryRatio   float64 // retries per first attempt
+	RetryWindow  int64   // the ratio holds in every window of this length
 }
 
-// Default is the bounds that the users named.
+// Default returns the bounds of the users' requirements.
 //
 // Example: rows := judge.All(events, judge.Default())
 func Default() Bounds {
@@ -37,22 +37,21 @@
 	}
 }
 
-// Break is one rule broken once.
+// Break is one violation of a rule.
 type Break struct {
 	Rule string
 	What string
 }
 
-// String prints a break.
+// String formats a violation as "rule: description".
 //
 // Example: fmt.Println(b)
 func (b Break) String() string { return b.Rule + ": " + b.What }
 
-// reporter takes what breaks a rule, in the form of fmt.Printf.
+// reporter records a violation; its arguments are those of fmt.Printf.
 type reporter = func(format string, args ...any)
 
-// Rules are the checks by name. A check gets the events in the order of their
-// time.
+// Rules are the checks by name. A check receives the events sorted by time.
 var Rules = []struct {
 	Name  string
 	check func(events []history.Event, bounds Bounds, report reporter)
@@ -79,10 +78,10 @@
 	{"linear", checkLinear},
 }
 
-// maxBreaks is how many breaks of one rule are reported.
+// maxBreaks is the number of violations reported per rule.
 const maxBreaks = 20
 
-// All applies every rule to events in any order.
+// All applies every rule to the events, which may be in any order.
 //
 // Example: for _, b := range judge.All(events, judge.Default()) { fmt.Println(b) }
 func All(events []history.Event, bounds Bounds) (breaks []Break) {
@@ -99,5 +98,5 @@
 	return breaks
 }
 
-// seconds is a time of events as it is printed.
+// seconds converts a time of an event for printing.
 func seconds(nanoseconds int64) float64 { return float64(nanoseconds) / 1e9 }
--- a/proof/judge/plans.go
+++ b/proof/judge/plans.go
@@ -7,11 +7,11 @@
 	"mulleinmast/proof/history"
 )
 
-// checkPlanRace: of the plans on one base only one is acknowledged.
+// checkPlanRace: at most one plan is acknowledged per base version.
 func checkPlanRace(events []history.Event, _ Bounds, report reporter) {
 	taken := map[uint64]string{} // plan, by its base
 	for _, e := range events {
-		if !isTaken(e) {
+		if !isAcknowledged(e) {
 			continue
 		}
 		if plan, ok := taken[e.Base]; ok && plan != e.Plan {
@@ -21,8 +21,8 @@
 	}
 }
 
-// checkPlanRefused: a plan that was refused, in conflict or broken is never in
-// force.
+// checkPlanRefused: a plan that was refused, invalid or in conflict never takes
+// effect.
 func checkPlanRefused(events []history.Event, _ Bounds, report reporter) {
 	refused := map[string]string{} // result, by plan
 	for _, e := range events {
@@ -36,12 +36,12 @@
 	}
 	for _, e := range events {
 		if e.Ev == eventServes && refused[e.Plan] != "" {
-			report("%s works by plan %s (version %d), which was %s", e.Who, e.Plan, e.Ver, refused[e.Plan])
+			report("%s serves by plan %s (version %d), which was answered with %q", e.Who, e.Plan, e.Ver, refused[e.Plan])
 		}
 	}
 }
 
-// checkPlanOrder: no daemon returns to an older plan, and a version is one plan.
+// checkPlanOrder: no daemon returns to an older plan, and a version identifies one plan.
 func checkPlanOrder(events []history.Event, _ Bounds, report reporter) {
 	newest := map[string]uint64{} // version, by daemon
 	plans := map[uint64]string{}  // by version
@@ -50,22 +50,22 @@
 			continue
 		}
 		if e.Ver < newest[e.Who] {
-			report("%s works by plan version %d after %d", e.Who, e.Ver, newest[e.Who])
+			report("%s serves by plan version %d after version %d", e.Who, e.Ver, newest[e.Who])
 		}
 		newest[e.Who] = max(newest[e.Who], e.Ver)
 		if plan, ok := plans[e.Ver]; ok && plan != e.Plan {
-			report("version %d is plan %s and plan %s", e.Ver, plan, e.Plan)
+			report("version %d belongs to plan %s and to plan %s", e.Ver, plan, e.Plan)
 		}
 		plans[e.Ver] = e.Plan
 	}
 }
 
-// checkPlanApplied: an acknowledged plan is in force everywhere within the
+// checkPlanApplied: every daemon serves by an acknowledged plan within the
 // bound.
 func checkPlanApplied(events []history.Event, bounds Bounds, report reporter) {
 	var acks []history.Event
 	for _, e := range events {
-		if isTaken(e) {
+		if isAcknowledged(e) {
 			acks = append(acks, e)
 		}
 		if e.Ev != eventServes {
@@ -73,19 +73,19 @@
 		}
 		for _, ack := range acks {
 			if e.Ver < ack.Ver && e.At-ack.At > bounds.Apply {
-				report("%s works by plan version %d, %.2fs after %d was acknowledged",
+				report("%s serves by plan version %d, %.2fs after version %d was acknowledged",
 					e.Who, e.Ver, seconds(e.At-ack.At), ack.Ver)
 			}
 		}
 	}
 }
 
-// checkPlanAnswers: a plan that is read back, or that an order is refused for,
-// is no older than one that was acknowledged before it was asked for.
+// checkPlanAnswers: the version that a read or a conflict returns is no older than
+// any version that was acknowledged before the call was sent.
 func checkPlanAnswers(events []history.Event, _ Bounds, report reporter) {
 	firstAck := map[uint64]int64{} // by version
 	for _, e := range events {
-		if _, ok := firstAck[e.Ver]; isTaken(e) && !ok {
+		if _, ok := firstAck[e.Ver]; isAcknowledged(e) && !ok {
 			firstAck[e.Ver] = e.At
 		}
 	}
@@ -96,7 +96,7 @@
 		}
 		for _, version := range versions {
 			if ackedAt := firstAck[version]; e.Ver < version && ackedAt < sentAt(e) {
-				report("%s: %s %s tells version %d, asked %.2fs after %d was acknowledged",
+				report("%s: %s %s returned version %d, sent %.2fs after version %d was acknowledged",
 					e.Who, e.Ev, e.Plan, e.Ver, seconds(sentAt(e)-ackedAt), version)
 				break
 			}
--- a/proof/judge/requests.go
+++ b/proof/judge/requests.go
@@ -7,7 +7,7 @@
 	"mulleinmast/proof/history"
 )
 
-// checkOnce: a request that may run only once never runs twice.
+// checkOnce: a request with a once key never runs twice.
 func checkOnce(events []history.Event, _ Bounds, report reporter) {
 	runs := map[string]string{} // by key
 	for _, e := range events {
@@ -21,8 +21,8 @@
 	}
 }
 
-// checkRefused: a refusal means that the request was not run and never will be,
-// and a key is not refused that had run before it was sent this time.
+// checkRefused: a refused request never runs, and a request whose once key ran
+// before the request was sent is not refused.
 func checkRefused(events []history.Event, _ Bounds, report reporter) {
 	refused := map[string]bool{} // by request
 	for _, e := range events {
@@ -36,7 +36,7 @@
 			continue
 		}
 		if refused[e.Request] {
-			report("request %s was refused and ran on %s", e.Request, e.Who)
+			report("request %s was refused but ran on %s", e.Request, e.Who)
 		}
 		if _, ok := firstRun[e.Once]; !ok {
 			firstRun[e.Once] = e.At
@@ -47,22 +47,21 @@
 			continue
 		}
 		if at, ok := firstRun[e.Once]; ok && at < sentAt(e) {
-			report("key %s was refused to request %s after it had run", e.Once, e.Request)
+			report("key %s had run before request %s with it was refused", e.Once, e.Request)
 		}
 	}
 }
 
-// checkForeignCache: a decode server never takes up the KV cache of another
-// request.
+// checkForeignCache: a decode server never uses the KV cache of another request.
 func checkForeignCache(events []history.Event, _ Bounds, report reporter) {
 	for _, e := range events {
 		if e.Ev == eventDecode && e.CacheOf != e.Request {
-			report("%s decoded %s with the cache of %s", e.Who, e.Request, e.CacheOf)
+			report("%s decoded request %s with the KV cache of request %s", e.Who, e.Request, e.CacheOf)
 		}
 	}
 }
 
-// checkStreams: no client found a fault in its stream.
+// checkStreams: no client detected an error in its stream.
 func checkStreams(events []history.Event, _ Bounds, report reporter) {
 	for _, e := range events {
 		if e.Ev == eventAnswer && e.Result == answerWrong {
@@ -71,8 +70,8 @@
 	}
 }
 
-// checkComplete: every complete answer is one ended run of that request, with
-// its count of pieces.
+// checkComplete: every complete answer comes from one completed run of that
+// request, with the same number of pieces.
 func checkComplete(events []history.Event, _ Bounds, report reporter) {
 	ended := map[string]history.Event{} // by run
 	for _, e := range events {
@@ -86,15 +85,15 @@
 		}
 		switch run, ok := ended[e.Run]; {
 		case !ok:
-			report("request %s looks whole, but its run %q never ended", e.Request, e.Run)
+			report("request %s got a complete answer, but its run %q never completed", e.Request, e.Run)
 		case run.Request != e.Request || run.Count != e.Count:
-			report("request %s took %d pieces, its run %s had %d for %s",
+			report("request %s got %d pieces, but its run %s sent %d for request %s",
 				e.Request, e.Count, e.Run, run.Count, run.Request)
 		}
 	}
 }
 
-// checkFinal: a request gets one final answer.
+// checkFinal: a request gets exactly one final answer.
 func checkFinal(events []history.Event, _ Bounds, report reporter) {
 	results := map[string]string{} // by request
 	for _, e := range events {
@@ -102,31 +101,31 @@
 			continue
 		}
 		if result, ok := results[e.Request]; ok {
-			report("request %s was told %q and %q", e.Request, result, e.Result)
+			report("request %s was answered with %q and with %q", e.Request, result, e.Result)
 		}
 		results[e.Request] = e.Result
 	}
 }
 
-// checkAnswered: no request is left without a final answer.
+// checkAnswered: every request gets a final answer.
 func checkAnswered(events []history.Event, _ Bounds, report reporter) {
 	for _, e := range events {
 		if e.Ev == eventAnswer && e.Result == answerHung {
-			report("request %s at %s: no final answer %.1fs after it was sent", e.Request, e.Who, seconds(e.Took))
+			report("request %s to %s: no final answer within %.1fs", e.Request, e.Who, seconds(e.Took))
 		}
 	}
 }
 
-// checkRetryAfter: an answer that gives a request up says when to retry.
+// checkRetryAfter: a refused or uncertain answer carries a retry delay.
 func checkRetryAfter(events []history.Event, _ Bounds, report reporter) {
 	for _, e := range events {
 		if e.Ev == eventAnswer && (e.Result == answerRefused || e.Result == answerUncertain) && e.After <= 0 {
-			report("request %s was told %q and not when to come back", e.Request, e.Result)
+			report("request %s was answered with %q without a retry delay", e.Request, e.Result)
 		}
 	}
 }
 
-// checkRecovery: after all machines are back, a client of every zone gets a
+// checkRecovery: once all machines are back, a client of every zone gets a
 // complete answer within the bound.
 func checkRecovery(events []history.Event, bounds Bounds, report reporter) {
 	zones := map[string]bool{}
@@ -143,21 +142,21 @@
 			r := recoveryOf(events, zone, e.At)
 			watched := events[len(events)-1].At - e.At
 			if r.answered && r.took > bounds.Recovery || !r.answered && r.answers > 0 && watched > bounds.Recovery {
-				report("%s: no whole answer within %.0fs after the machines were back (%d asked, first after %.1fs)",
+				report("%s: no complete answer within %.0fs after the machines were back (%d answers, first complete one after %.1fs)",
 					zone, seconds(bounds.Recovery), r.answers, seconds(r.took))
 			}
 		}
 	}
 }
 
-// zoneRecovery is how a zone's clients fared after a loss.
+// zoneRecovery summarizes the answers to a zone's clients after a failure.
 type zoneRecovery struct {
-	answers  int   // up to the first complete answer, or all
-	answered bool  // whether there was a complete answer
-	took     int64 // until then, in nanoseconds
+	answers  int   // number of answers up to the first complete one, or of all
+	answered bool  // a complete answer was received
+	took     int64 // time to the first complete answer, in nanoseconds
 }
 
-// recoveryOf looks for the first complete answer in a zone since a moment.
+// recoveryOf finds the first complete answer in a zone after a time.
 func recoveryOf(events []history.Event, zone string, since int64) (r zoneRecovery) {
 	for _, e := range events {
 		if e.Ev != eventAnswer || e.Zone != zone || e.At < since {
--- a/proof/judge/servers.go
+++ b/proof/judge/servers.go
@@ -6,8 +6,8 @@
 	"mulleinmast/proof/history"
 )
 
-// checkHolders: a server has one holder at a time, and none within the bound
-// after another.
+// checkHolders: a server has one holder at a time, and orders of two holders are
+// at least the bound apart.
 func checkHolders(events []history.Event, bounds Bounds, report reporter) {
 	latest := map[string]history.Event{} // order, by server
 	for _, e := range events {
@@ -17,14 +17,14 @@
 		last, ok := latest[e.Who]
 		changed := ok && (last.Holder != e.Holder || last.Term != e.Term)
 		if changed && e.At-last.At < bounds.LeaderChange {
-			report("%s ordered by %s/%d, %.2fs after %s/%d",
+			report("%s got an order of %s in term %d, %.2fs after one of %s in term %d",
 				e.Who, e.Holder, e.Term, seconds(e.At-last.At), last.Holder, last.Term)
 		}
 		latest[e.Who] = e
 	}
 }
 
-// checkLeaving: nothing starts on a leaving server after the bound.
+// checkLeaving: a leaving server gets no new work after the bound.
 func checkLeaving(events []history.Event, bounds Bounds, report reporter) {
 	leavingSince := map[string]int64{} // by server
 	for _, e := range events {
@@ -35,13 +35,13 @@
 			delete(leavingSince, e.Who)
 		case isWork(e):
 			if since, ok := leavingSince[e.Who]; ok && e.At-since > bounds.Drain {
-				report("%s got a %s %.2fs after it was known to leave", e.Who, e.Ev, seconds(e.At-since))
+				report("%s got a %s %.2fs after it was announced as leaving", e.Who, e.Ev, seconds(e.At-since))
 			}
 		}
 	}
 }
 
-// checkEvacuated: nothing starts in an evacuated zone after the bound.
+// checkEvacuated: the servers of an evacuated zone get no new work after the bound.
 func checkEvacuated(events []history.Event, bounds Bounds, report reporter) {
 	evacuatedSince := map[string]int64{} // by zone
 	zones := map[string]string{}         // by server
@@ -55,31 +55,31 @@
 			delete(evacuatedSince, e.Zone)
 		case isWork(e):
 			if since, ok := evacuatedSince[zones[e.Who]]; ok && e.At-since > bounds.Evacuation {
-				report("%s in %s got a %s %.2fs after its evacuation",
+				report("%s in %s got a %s %.2fs after the evacuation of the zone",
 					e.Who, zones[e.Who], e.Ev, seconds(e.At-since))
 			}
 		}
 	}
 }
 
-// Tolerance of the bound of retries: a few more may fall into a window at its
-// edges, where the daemons' own windows don't begin and end together.
+// Tolerance of the retry bound. The daemons' own windows are not aligned with each
+// other or with the window checked, so a few more retries may fall into it.
 const (
 	retryTolerance = 1.1
 	retrySlack     = 2
 )
 
-// maxRetries is how many retries the bound allows for so many first attempts.
+// maxRetries returns the number of retries allowed for a number of first attempts.
 func (b Bounds) maxRetries(firstAttempts int) float64 {
 	return b.RetryRatio*float64(firstAttempts)*retryTolerance + retrySlack
 }
 
-// checkRetries: attempts beyond the first stay within the bound, over the whole
-// and in every window: a retry follows its first attempt by up to a window, so
-// the first attempts of the window before count too.
+// checkRetries: retries stay within the bound, over the complete run and in every
+// window. A retry follows its first attempt by up to a window, so the first
+// attempts of the preceding window count too.
 func checkRetries(events []history.Event, bounds Bounds, report reporter) {
 	firsts, retries := attemptTimes(events)
-	firstInWindow, retryInWindow := 0, 0 // indexes of the earliest that count
+	firstInWindow, retryInWindow := 0, 0 // indexes of the earliest attempts that count
 	for i, at := range retries {
 		for firstInWindow < len(firsts) && firsts[firstInWindow] <= at-2*bounds.RetryWindow {
 			firstInWindow++
@@ -90,18 +90,18 @@
 		firstsUntilNow, _ := slices.BinarySearch(firsts, at+1)
 		firstCount := firstsUntilNow - firstInWindow
 		if count := i - retryInWindow + 1; float64(count) > bounds.maxRetries(firstCount) {
-			report("%d retries in the %.0fs that end at %.2fs, %d first tries in twice that",
+			report("%d retries in the %.0fs before %.2fs, with %d first attempts in twice that time",
 				count, seconds(bounds.RetryWindow), seconds(at-events[0].At), firstCount)
 		}
 	}
 	if float64(len(retries)) > bounds.maxRetries(len(firsts)) {
-		report("%d retries over %d first tries in all", len(retries), len(firsts))
+		report("%d retries of %d first attempts in the complete run", len(retries), len(firsts))
 	}
 }
 
-// attemptTimes lists when first attempts and retries reached servers. What
-// reached a server counts, taken up or turned away: a prefill beyond a request's
-// first is a retry, and so is a decode beyond the request's prefills.
+// attemptTimes returns when first attempts and retries reached servers. Every call
+// that reached a server counts, accepted or rejected: a prefill after a request's
+// first is a retry, and so is each decode in excess of the request's prefills.
 func attemptTimes(events []history.Event) (firsts, retries []int64) {
 	prefills, decodes := map[string]int{}, map[string]int{} // by request
 	for _, e := range events {
@@ -122,8 +122,7 @@
 	return firsts, retries
 }
 
-// checkWarmUp: over its own warm-up a server never works at more than half of
-// its slots.
+// checkWarmUp: a server uses at most half of its slots during its warm-up.
 func checkWarmUp(events []history.Event, _ Bounds, report reporter) {
 	boots := map[string]history.Event{} // the latest, by server
 	for _, e := range events {
@@ -132,7 +131,7 @@
 		}
 		boot, ok := boots[e.Who]
 		if ok && isWork(e) && e.At-boot.At < boot.Warm && e.N > max(1, boot.N/2) {
-			report("%s had %d of %d slots busy %.2fs after its start, its warm-up takes %.2fs",
+			report("%s had %d of %d slots busy %.2fs after its start, within its warm-up of %.2fs",
 				e.Who, e.N, boot.N, seconds(e.At-boot.At), seconds(boot.Warm))
 		}
 	}
