--- a/proof/hollow/client.go
+++ b/proof/hollow/client.go
@@ -14,13 +14,13 @@
 	"mulleinmast/wire/message"
 )
 
-// records are the records of one model, under leases that last.
-type records map[string]message.Record
+// staticRecords serves the records of one model under leases that never expire.
+type staticRecords map[string]message.Record
 
-// Read serves a record.
+// Read returns a record.
 //
 // Example: rec, ok := r.Read(1, key)
-func (r records) Read(_ int, key string) (message.Record, bool) {
+func (r staticRecords) Read(_ int, key string) (message.Record, bool) {
 	rec, ok := r[key]
 	if !ok {
 		return message.Record{Key: key, Deleted: true}, true
@@ -28,80 +28,80 @@
 	return rec, true
 }
 
-// Generation never changes.
+// Generation returns a constant, since the records never change.
 //
 // Example: r.Generation(1) == 1
-func (records) Generation(int) uint64 { return 1 }
+func (staticRecords) Generation(int) uint64 { return 1 }
 
-// Until is far off.
+// Until returns a time that is never reached.
 //
 // Example: now < r.Until(1)
-func (records) Until(int) time.Duration { return 1 << 60 }
+func (staticRecords) Until(int) time.Duration { return 1 << 60 }
 
-// hints are a board without other daemons.
-type hints struct{ *loadreport.Reporter }
+// loadHints are the load hints of a daemon without peers.
+type loadHints struct{ *loadreport.Reporter }
 
 // AddLoad records work sent to a server.
 //
 // Example: h.AddLoad(server, 1460, 0)
-func (h hints) AddLoad(server string, tokens, writing int) {
+func (h loadHints) AddLoad(server string, tokens, writing int) {
 	h.Reporter.AddLoad(loadreport.ServerID("", server), tokens, writing)
 }
 
-// Load is what is under way at a server.
+// Load returns the load in progress at a server.
 //
 // Example: tokens, writing, pause := h.Load(now, server)
-func (h hints) Load(now time.Duration, server string) (tokens, writing int, pause time.Duration) {
+func (h loadHints) Load(now time.Duration, server string) (tokens, writing int, pause time.Duration) {
 	u := h.Reporter.Load(now, loadreport.ServerID("", server))
 	return u.Tokens, u.Decoding, 0
 }
 
-// ObserveInterTokenLatency messages nothing.
+// ObserveInterTokenLatency ignores the observation.
 //
 // Example: h.ObserveInterTokenLatency(server, time.Millisecond)
-func (hints) ObserveInterTokenLatency(string, time.Duration) {}
+func (loadHints) ObserveInterTokenLatency(string, time.Duration) {}
 
 // CallEnded records the end of a call.
 //
 // Example: h.CallEnded(now, server, true)
-func (h hints) CallEnded(now time.Duration, server string, answered bool) {
+func (h loadHints) CallEnded(now time.Duration, server string, answered bool) {
 	h.Reporter.CallEnded(now, loadreport.ServerID("", server), answered)
 }
 
-// IsDown tells whether a server most likely answers nobody.
+// IsDown reports whether a server is believed to be down.
 //
 // Example: h.IsDown(now, server) == false
-func (h hints) IsDown(now time.Duration, server string) bool {
+func (h loadHints) IsDown(now time.Duration, server string) bool {
 	return h.Reporter.IsDown(now, loadreport.ServerID("", server))
 }
 
-// RecordPrefix records that a server has a prompt.
+// RecordPrefix records that a server caches a prompt prefix.
 //
 // Example: h.RecordPrefix(prefix, server, 1460)
-func (h hints) RecordPrefix(prefix uint64, server string, tokens int) {
+func (h loadHints) RecordPrefix(prefix uint64, server string, tokens int) {
 	h.Reporter.RecordPrefix(prefix, loadreport.ServerID("", server), tokens)
 }
 
-// HasPrefix tells whether a server keeps a prompt.
+// HasPrefix reports whether a server caches a prompt prefix.
 //
 // Example: if h.HasPrefix(prefix, server) { prefer(server) }
-func (h hints) HasPrefix(prefix uint64, server string) bool {
+func (h loadHints) HasPrefix(prefix uint64, server string) bool {
 	return h.Reporter.HasPrefix(prefix, loadreport.ServerID("", server))
 }
 
-// Requests takes a number of hollow requests through one model's decisions on
-// one daemon, with so many servers of the model, a number of them under way at
-// a time; it tells the processor time of one request.
+// Requests runs count simulated requests through the dispatcher of one model, with
+// the given number of servers and concurrent requests. It returns the processor time
+// per request.
 //
 // Example: took := hollow.Requests(422, 0.3, 200, 8)
-func Requests(servers int, reading float64, count, abreast int) (time.Duration, error) {
+func Requests(servers int, prefillShare float64, count, concurrent int) (time.Duration, error) {
 	o := Default(1, servers)
-	o.Models, o.Reading = 1, reading
-	r := records{}
+	o.Models, o.Reading = 1, prefillShare
+	r := staticRecords{}
 	var list fleetconfig.List
 	for i := range servers {
 		part := placement.Decode
-		if float64(i%10) < reading*10 {
+		if float64(i%10) < prefillShare*10 {
 			part = placement.Prefill
 		}
 		s := fleetconfig.Server{ID: fmt.Sprintf("srv-%05d-0", i), Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, 1+i%250), Zone: fmt.Sprintf("zone-%d", i%o.Zones), Capacity: 16, Role: part}
@@ -110,14 +110,14 @@
 		r[key] = message.Record{Key: key, Version: message.Version{Term: 1, Seq: 1}, Value: leadercall.Pack(placement.ServerRecord{Addr: s.Addr, Zone: s.Zone, Capacity: 16, Role: part, Status: placement.Up})}
 	}
 	r[fleetconfig.ListKey(model(0))] = message.Record{Key: fleetconfig.ListKey(model(0)), Version: message.Version{Term: 1, Seq: 1}, Value: leadercall.Pack(list)}
-	l := forward.New(gateway.Config(daemon.Default()), model(0), 1, r, hints{loadreport.New(gateway.LoadReportConfig(daemon.Default()))})
-	type trip struct {
-		id   string
-		move forward.Decision
+	dispatcher := forward.New(gateway.Config(daemon.Default()), model(0), 1, r, loadHints{loadreport.New(gateway.LoadReportConfig(daemon.Default()))})
+	type openRequest struct {
+		id       string
+		decision forward.Decision
 	}
-	var open []trip
+	var open []openRequest
 	now := time.Second
-	begin := used().CPU
+	begin := processUsage().CPU
 	for i := range count {
 		now += time.Millisecond
 		id := fmt.Sprintf("r-%d", i)
@@ -125,25 +125,25 @@
 			ID: id, Service: model(0), Disaggregated: true, MaxAttempts: 3, TTFTTarget: 680 * time.Millisecond, InterTokenTarget: 26 * time.Millisecond, Deadline: now + 30*time.Second,
 			Parts: []forward.Part{{Key: uint64(i % 50), Tokens: 20000}, {Key: uint64(1000 + i), Tokens: 400}}, InputTokens: 20400, MaxOutputTokens: 275,
 		}
-		open = append(open, trip{id, l.Start(now, c)})
-		if len(open) < abreast {
+		open = append(open, openRequest{id, dispatcher.Start(now, c)})
+		if len(open) < concurrent {
 			continue
 		}
 		t := open[0]
 		open = open[1:]
-		for !t.move.Action.Final() {
-			switch t.move.Action {
+		for !t.decision.Action.Final() {
+			switch t.decision.Action {
 			case forward.Prefill:
-				t.move = l.PrefillDone(now, t.id, forward.OK, forward.Handle{ID: "h", RequestID: t.id, Attempt: t.move.Attempt, Server: t.move.Server, Tokens: 20400}, "")
+				t.decision = dispatcher.PrefillDone(now, t.id, forward.OK, forward.Handle{ID: "h", RequestID: t.id, Attempt: t.decision.Attempt, Server: t.decision.Server, Tokens: 20400}, "")
 			case forward.Decode:
-				t.move = l.DecodeDone(now, t.id, forward.OK, "")
+				t.decision = dispatcher.DecodeDone(now, t.id, forward.OK, "")
 			default:
-				return 0, fmt.Errorf("hollow: request %s: %s, %s", t.id, t.move.Action, t.move.Reason)
+				return 0, fmt.Errorf("hollow: request %s: unexpected action %s, %s", t.id, t.decision.Action, t.decision.Reason)
 			}
 		}
-		if t.move.Action != forward.Done {
-			return 0, fmt.Errorf("hollow: request %s ended as %s, %s", t.id, t.move.Action, t.move.Reason)
+		if t.decision.Action != forward.Done {
+			return 0, fmt.Errorf("hollow: request %s ended as %s, %s", t.id, t.decision.Action, t.decision.Reason)
 		}
 	}
-	return (used().CPU - begin) / time.Duration(max(1, count-abreast+1)), nil
+	return (processUsage().CPU - begin) / time.Duration(max(1, count-concurrent+1)), nil
 }
--- a/proof/hollow/daemon.go
+++ b/proof/hollow/daemon.go
@@ -17,39 +17,39 @@
 	"mulleinmast/wire/transport"
 )
 
-// Snap is one daemon's counters and place at a moment.
+// Snap is a snapshot of a daemon's counters and roles.
 type Snap struct {
 	Index   int                            `json:"index"`
 	Zone    int                            `json:"zone"`
 	Core    bool                           `json:"core"`
-	Owns    []int                          `json:"owns,omitempty"`   // parts
-	Relays  []int                          `json:"relays,omitempty"` // parts that it relays in its zone
+	Leads   []int                          `json:"owns,omitempty"`   // partitions
+	Relays  []int                          `json:"relays,omitempty"` // partitions that it relays in its zone
 	Members int                            `json:"members"`
 	Ready   bool                           `json:"ready"`
-	Lost    int64                          `json:"lost"`
+	Dropped int64                          `json:"lost"`
 	Counts  map[string]transport.KindCount `json:"counts"`
 	At      time.Duration                  `json:"at"`
 }
 
-// hollowDaemon is a running one.
+// hollowDaemon is a running daemon of the fleet.
 type hollowDaemon struct {
 	Spec
-	c     *daemon.Daemon
-	g     *gateway.Gateway
-	stop  context.CancelFunc
-	done  chan struct{}
-	lists []listed // by model
+	daemon  *daemon.Daemon
+	gateway *gateway.Gateway
+	stop    context.CancelFunc
+	done    chan struct{}
+	lists   []listedServers // as last read, by model
 }
 
-// service has the supervisor run a function.
+// service adapts a function to a supervised service.
 type service func(context.Context) error
 
-// Serve runs it.
+// Serve runs the function.
 //
 // Example: c.Add(service(g.Run))
 func (s service) Serve(ctx context.Context) error { return s(ctx) }
 
-// start brings a daemon up.
+// start starts a daemon.
 func start(s Spec) (*hollowDaemon, error) {
 	c, err := daemon.Open(s.Config, eventlog.New(s.Config.EventLogSize, io.Discard))
 	if err != nil {
@@ -66,49 +66,49 @@
 			return 0
 		}
 	}
-	c.OrderSender = serverpool.NewClient(s.Config.Bounds.Plan / 4) // to servers that aren't there
-	g := gateway.New(c, engines{})
+	c.OrderSender = serverpool.NewClient(s.Config.Bounds.Plan / 4) // the servers don't exist
+	g := gateway.New(c, fakeEngines{})
 	c.Add(service(g.Run))
 	ctx, stop := context.WithCancel(context.Background())
-	d := &hollowDaemon{Spec: s, c: c, g: g, stop: stop, done: make(chan struct{}), lists: make([]listed, s.Models)}
+	d := &hollowDaemon{Spec: s, daemon: c, gateway: g, stop: stop, done: make(chan struct{}), lists: make([]listedServers, s.Models)}
 	go func() {
 		defer close(d.done)
-		_ = c.Run(ctx) // it ends when it is stopped
+		_ = c.Run(ctx) // returns when ctx is cancelled
 	}()
 	return d, nil
 }
 
-// snap reads the daemon's counters.
+// snap returns the daemon's counters and roles.
 func (d *hollowDaemon) snap() Snap {
-	v := d.c.View()
-	s := Snap{Index: d.Index, Zone: d.Zone, Core: d.Core, Members: len(v.Members), Ready: d.c.Ready(), Lost: d.c.Transport.Dropped.Load(), Counts: d.c.Transport.Counts(), At: d.c.Now()}
+	v := d.daemon.View()
+	s := Snap{Index: d.Index, Zone: d.Zone, Core: d.Core, Members: len(v.Members), Ready: d.daemon.Ready(), Dropped: d.daemon.Transport.Dropped.Load(), Counts: d.daemon.Transport.Counts(), At: d.daemon.Now()}
 	for p := range d.Config.Partitions + 1 {
-		if v.Leaderships[p].Leader.Ident == d.c.Ident() {
-			s.Owns = append(s.Owns, p)
+		if v.Leaderships[p].Leader.Ident == d.daemon.Ident() {
+			s.Leads = append(s.Leads, p)
 		}
-		if v.Relay(p, d.Config.Zone).Ident == d.c.Ident() {
+		if v.Relay(p, d.Config.Zone).Ident == d.daemon.Ident() {
 			s.Relays = append(s.Relays, p)
 		}
 	}
 	return s
 }
 
-// servers counts the records of servers that may be read here now.
+// servers counts the server records that are readable on this daemon now.
 func (d *hollowDaemon) servers() (n int) {
 	for i := range d.Models {
-		partition := d.c.Partition(model(i))
-		rec, ok := d.c.Read(partition, fleetconfig.ListKey(model(i)))
+		partition := d.daemon.Partition(model(i))
+		rec, ok := d.daemon.Read(partition, fleetconfig.ListKey(model(i)))
 		if !ok {
 			continue
 		}
-		if d.lists[i].ver != rec.Version { // a list is long: it is read once a version
-			d.lists[i] = listed{ver: rec.Version}
+		if d.lists[i].ver != rec.Version { // decoding a list is slow: once per version
+			d.lists[i] = listedServers{ver: rec.Version}
 			for _, s := range fleetconfig.OpenList(rec).Servers {
 				d.lists[i].keys = append(d.lists[i].keys, fleetconfig.ServerRecordKey(model(i), s.Key()))
 			}
 		}
 		for _, key := range d.lists[i].keys {
-			if rec, ok := d.c.Read(partition, key); ok && !rec.Deleted {
+			if rec, ok := d.daemon.Read(partition, key); ok && !rec.Deleted {
 				n++
 			}
 		}
@@ -116,76 +116,76 @@
 	return n
 }
 
-// listed is a list of servers as it was read last.
-type listed struct {
+// listedServers are the record keys of a server list at a version.
+type listedServers struct {
 	ver  message.Version
 	keys []string
 }
 
-// reached tells whether every part has a leader outside a zone and a valid
-// lease here.
+// reached reports whether every partition has a leader outside the lost zone and a
+// valid lease on this daemon.
 func (d *hollowDaemon) reached(lost int) bool {
-	v := d.c.View()
+	v := d.daemon.View()
 	for p := range d.Config.Partitions + 1 {
-		if zoneOf(v.Leaderships[p].Leader.Addr) == lost || d.c.ValidUntil(p) <= d.c.Now() {
+		if zoneOf(v.Leaderships[p].Leader.Addr) == lost || d.daemon.ValidUntil(p) <= d.daemon.Now() {
 			return false
 		}
 	}
 	return true
 }
 
-// engines answer for servers that aren't there.
-type engines struct{}
+// fakeEngines answers calls in place of model servers.
+type fakeEngines struct{}
 
-// Prefill says that a prompt was read.
+// Prefill reports a completed prefill.
 //
-// Example: h, out, why := engines{}.Prefill(ctx, q, c, m, may)
-func (engines) Prefill(_ context.Context, _ *gateway.Request, c forward.Request, m forward.Decision, may func() bool) (forward.Handle, forward.Outcome, string) {
+// Example: h, out, why := fakeEngines{}.Prefill(ctx, q, c, m, may)
+func (fakeEngines) Prefill(_ context.Context, _ *gateway.Request, c forward.Request, m forward.Decision, may func() bool) (forward.Handle, forward.Outcome, string) {
 	if !may() {
 		return forward.Handle{}, forward.Blocked, "barred"
 	}
 	return forward.Handle{ID: "h", RequestID: c.ID, Attempt: m.Attempt, Server: m.Server, Tokens: c.InputTokens}, forward.OK, ""
 }
 
-// Decode says that an answer came whole, with nothing in it.
+// Decode returns a complete, empty answer.
 //
-// Example: a, out, why := engines{}.Decode(ctx, q, c, m, "", may)
-func (engines) Decode(_ context.Context, _ *gateway.Request, _ forward.Request, _ forward.Decision, _ string, may func() bool) (gateway.Answer, forward.Outcome, string) {
+// Example: a, out, why := fakeEngines{}.Decode(ctx, q, c, m, "", may)
+func (fakeEngines) Decode(_ context.Context, _ *gateway.Request, _ forward.Request, _ forward.Decision, _ string, may func() bool) (gateway.Answer, forward.Outcome, string) {
 	if !may() {
 		return nil, forward.Blocked, "barred"
 	}
-	return empty{}, forward.OK, ""
+	return emptyAnswer{}, forward.OK, ""
 }
 
 // ReleaseHandle does nothing.
 //
-// Example: engines{}.ReleaseHandle(handle)
-func (engines) ReleaseHandle(forward.Handle) {}
+// Example: fakeEngines{}.ReleaseHandle(handle)
+func (fakeEngines) ReleaseHandle(forward.Handle) {}
 
-// OnLoad does nothing: no server tells its load.
+// OnLoad does nothing: no server reports its load.
 //
-// Example: engines{}.OnLoad(f)
-func (engines) OnLoad(func(service, server string, load forward.Load)) {}
+// Example: fakeEngines{}.OnLoad(f)
+func (fakeEngines) OnLoad(func(service, server string, load forward.Load)) {}
 
-// empty is an answer without a body.
-type empty struct{}
+// emptyAnswer is an answer without a body.
+type emptyAnswer struct{}
 
-// Status is that of success.
+// Status returns 200.
 //
-// Example: empty{}.Status() == 200
-func (empty) Status() int { return http.StatusOK }
+// Example: emptyAnswer{}.Status() == 200
+func (emptyAnswer) Status() int { return http.StatusOK }
 
-// Header has nothing.
+// Header returns an empty header.
 //
-// Example: len(empty{}.Header()) == 0
-func (empty) Header() http.Header { return http.Header{} }
+// Example: len(emptyAnswer{}.Header()) == 0
+func (emptyAnswer) Header() http.Header { return http.Header{} }
 
-// Next is at the end.
+// Next returns io.EOF.
 //
-// Example: _, _, err := empty{}.Next(); err == io.EOF
-func (empty) Next() ([]byte, string, error) { return nil, "", io.EOF }
+// Example: _, _, err := emptyAnswer{}.Next(); err == io.EOF
+func (emptyAnswer) Next() ([]byte, string, error) { return nil, "", io.EOF }
 
 // Close does nothing.
 //
-// Example: defer empty{}.Close()
-func (empty) Close() {}
+// Example: defer emptyAnswer{}.Close()
+func (emptyAnswer) Close() {}
--- a/proof/hollow/fit.go
+++ b/proof/hollow/fit.go
@@ -17,14 +17,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Line is a straight line through measured points.
+// Line is a linear fit of measured points.
 type Line struct {
-	At, Slope float64 // y = At + Slope * x
-	Off       float64 // the largest distance of a point from it, in parts of the largest y
-	Points    int
+	Intercept, Slope float64 // y = Intercept + Slope * x
+	MaxDeviation     float64 // largest deviation of a point, as a fraction of the largest y
+	Points           int
 }
 
-// Fit lays a straight line through points.
+// Fit fits a line to points by linear regression.
 //
 // Example: l := hollow.Fit([]float64{10, 40, 130, 520}, bytes)
 func Fit(x, y []float64) Line {
@@ -32,30 +32,29 @@
 	if len(x) < 2 {
 		return l
 	}
-	l.At, l.Slope = stat.LinearRegression(x, y, nil, false)
-	most := 0.0
+	l.Intercept, l.Slope = stat.LinearRegression(x, y, nil, false)
+	largest := 0.0
 	for i := range x {
-		most = max(most, math.Abs(y[i]))
-		l.Off = max(l.Off, math.Abs(y[i]-l.At-l.Slope*x[i]))
+		largest = max(largest, math.Abs(y[i]))
+		l.MaxDeviation = max(l.MaxDeviation, math.Abs(y[i]-l.Intercept-l.Slope*x[i]))
 	}
-	if most > 0 {
-		l.Off /= most
+	if largest > 0 {
+		l.MaxDeviation /= largest
 	}
 	return l
 }
 
-// Straight tells whether the points lie on the line as far as a measurement
-// can tell.
+// IsLinear reports whether the points lie on the line within measurement error.
 //
-// Example: if !l.Straight() { message("not straight") }
-func (l Line) Straight() bool { return l.Off < 0.15 }
+// Example: if !l.IsLinear() { fmt.Println("not straight") }
+func (l Line) IsLinear() bool { return l.MaxDeviation < 0.15 }
 
-// For is the line's figure at a size.
+// ValueAt returns the value of the line at a size.
 //
-// Example: l.For(520)
-func (l Line) For(size float64) float64 { return l.At + l.Slope*size }
+// Example: l.ValueAt(520)
+func (l Line) ValueAt(size float64) float64 { return l.Intercept + l.Slope*size }
 
-// Size and Cost are what a line is drawn over, and of.
+// Sizes and Costs are the independent and dependent variables of the fits, by name.
 var (
 	Sizes = map[string]func(Row) float64{
 		"daemons": func(r Row) float64 { return float64(r.Daemons) }, "servers": func(r Row) float64 { return float64(r.Servers) },
@@ -68,7 +67,7 @@
 	}
 )
 
-// Series picks one role's cost over a size out of rows.
+// Series returns the points of one role's cost over a size.
 //
 // Example: x, y := hollow.Series(rows, "idle", hollow.Leader, "all", "daemons", "bytes")
 func Series(rows []Row, step, role, kind, size, cost string) (x, y []float64) {
@@ -80,18 +79,18 @@
 	return x, y
 }
 
-// Fits prints the line of each role's costs over a size, and what it gives at
-// the size to design for.
+// Fits formats a table of the linear fits of each role's costs over a size, with
+// the value of each line at the design size.
 //
 // Example: fmt.Print(hollow.Fits(rows, "daemons", 520))
-func Fits(rows []Row, size string, plan float64) (out string) {
+func Fits(rows []Row, size string, designSize float64) (out string) {
 	var steps []string
 	for _, r := range rows {
 		if !slices.Contains(steps, r.Step) {
 			steps = append(steps, r.Step)
 		}
 	}
-	out = fmt.Sprintf("%-10s %-12s %-12s %12s %14s %8s %6s %14s\n", "step", "role", "cost", "at 0", "per "+size, "off", "points", fmt.Sprintf("at %g", plan))
+	out = fmt.Sprintf("%-10s %-12s %-12s %12s %14s %8s %6s %14s\n", "step", "role", "cost", "at 0", "per "+size, "off", "points", fmt.Sprintf("at %g", designSize))
 	for _, step := range steps {
 		for _, role := range Roles() {
 			for _, cost := range []string{"messages in", "messages out", "bytes", "core", "resident MB", "disk bytes"} {
@@ -100,51 +99,51 @@
 					continue
 				}
 				l := Fit(x, y)
-				word := ""
-				if !l.Straight() {
-					word = "  not straight"
+				note := ""
+				if !l.IsLinear() {
+					note = "  not straight"
 				}
-				out += fmt.Sprintf("%-10s %-12s %-12s %12.4g %14.4g %7.0f%% %6d %14.5g%s\n", step, role, cost, l.At, l.Slope, 100*l.Off, l.Points, l.For(plan), word)
+				out += fmt.Sprintf("%-10s %-12s %-12s %12.4g %14.4g %7.0f%% %6d %14.5g%s\n", step, role, cost, l.Intercept, l.Slope, 100*l.MaxDeviation, l.Points, l.ValueAt(designSize), note)
 			}
 		}
 	}
 	return out
 }
 
-// Plot draws one cost of every role over a size.
+// Plot writes an image of one cost of every role over a size.
 //
 // Example: err := hollow.Plot("docs/capacity/bytes.png", rows, "idle", "daemons", "bytes")
 func Plot(path string, rows []Row, step, size, cost string) error {
-	p := plot.New()
-	p.Title.Text = fmt.Sprintf("%s: %s a second and daemon over %s", step, cost, size)
+	figure := plot.New()
+	figure.Title.Text = fmt.Sprintf("%s: %s a second and daemon over %s", step, cost, size)
 	if cost == "core" || cost == "resident MB" {
-		p.Title.Text = fmt.Sprintf("%s: %s a daemon over %s", step, cost, size)
+		figure.Title.Text = fmt.Sprintf("%s: %s a daemon over %s", step, cost, size)
 	}
-	p.X.Label.Text, p.Y.Label.Text = size, cost
-	p.X.Min, p.Y.Min = 0, 0
-	p.BackgroundColor = color.White
+	figure.X.Label.Text, figure.Y.Label.Text = size, cost
+	figure.X.Min, figure.Y.Min = 0, 0
+	figure.BackgroundColor = color.White
 	for i, role := range Roles() {
 		x, y := Series(rows, step, role, "all", size, cost)
 		if len(x) < 2 {
 			continue
 		}
-		pts := make(plotter.XYs, len(x))
+		points := make(plotter.XYs, len(x))
 		for j := range x {
-			pts[j].X, pts[j].Y = x[j], y[j]
+			points[j].X, points[j].Y = x[j], y[j]
 		}
-		line, dots, err := plotter.NewLinePoints(pts)
+		line, dots, err := plotter.NewLinePoints(points)
 		if err != nil {
 			return err
 		}
 		line.Color, dots.Color, dots.Shape = plotutil.Color(i), plotutil.Color(i), plotutil.Shape(i)
-		p.Add(line, dots)
-		p.Legend.Add(role, line, dots)
+		figure.Add(line, dots)
+		figure.Legend.Add(role, line, dots)
 	}
-	p.Legend.Top, p.Legend.Left = true, true
-	return p.Save(16*vg.Centimeter, 10*vg.Centimeter, path)
+	figure.Legend.Top, figure.Legend.Left = true, true
+	return figure.Save(16*vg.Centimeter, 10*vg.Centimeter, path)
 }
 
-// ReadCSV reads what WriteCSV wrote.
+// ReadCSV reads rows written by WriteCSV.
 //
 // Example: rows, err := hollow.ReadCSV("docs/capacity/daemons.csv")
 func ReadCSV(path string) (rows []Row, err error) {
@@ -153,28 +152,28 @@
 		return nil, err
 	}
 	defer func() { _ = f.Close() }()
-	recs, err := csv.NewReader(f).ReadAll()
+	records, err := csv.NewReader(f).ReadAll()
 	if err != nil {
 		return nil, err
 	}
-	for i, rec := range recs {
+	for i, record := range records {
 		if i == 0 {
 			continue
 		}
-		r := Row{Step: rec[0], Role: rec[5], Kind: rec[6]}
-		var bad error
-		for j, to := range map[int]*int{1: &r.Daemons, 2: &r.Servers, 3: &r.Tenants, 4: &r.Routes, 7: &r.Of} {
+		r := Row{Step: record[0], Role: record[5], Kind: record[6]}
+		var errs error
+		for j, to := range map[int]*int{1: &r.Daemons, 2: &r.Servers, 3: &r.Tenants, 4: &r.Routes, 7: &r.DaemonsInRole} {
 			var e error
-			*to, e = strconv.Atoi(rec[j])
-			bad = errors.Join(bad, e)
+			*to, e = strconv.Atoi(record[j])
+			errs = errors.Join(errs, e)
 		}
-		for j, to := range []*float64{&r.In, &r.Out, &r.BytesIn, &r.BytesOut, &r.Hearing, &r.CPU, &r.Memory, &r.Heap, &r.Written, &r.Allocs, &r.Alloc} {
+		for j, to := range []*float64{&r.In, &r.Out, &r.BytesIn, &r.BytesOut, &r.HandlingCores, &r.CPU, &r.Memory, &r.Heap, &r.Written, &r.Allocs, &r.Alloc} {
 			var e error
-			*to, e = strconv.ParseFloat(rec[8+j], 64)
-			bad = errors.Join(bad, e)
+			*to, e = strconv.ParseFloat(record[8+j], 64)
+			errs = errors.Join(errs, e)
 		}
-		if bad != nil {
-			return nil, fmt.Errorf("%s, line %d: %w", path, i+1, bad)
+		if errs != nil {
+			return nil, fmt.Errorf("%s, line %d: %w", path, i+1, errs)
 		}
 		rows = append(rows, r)
 	}
--- a/proof/hollow/fleet.go
+++ b/proof/hollow/fleet.go
@@ -9,27 +9,27 @@
 	"mulleinmast/control/fleetconfig"
 )
 
-// Fleet is a running hollow fleet.
+// Fleet is a running fleet of hollow daemons.
 type Fleet struct {
 	Options
-	specs  []Spec
-	source *source
-	hosts  []host  // the first holds fronts and takes the operator's calls
-	where  [][]int // daemons by host
-	base   uint64  // configuration in force
-	no     int
-	lost   []int // daemons that are cut off
+	specs        []Spec
+	serverSource *serverSource
+	hosts        []host  // the first holds fronts and sends the operator's calls
+	daemonsOf    [][]int // by host
+	version      uint64  // of the current configuration
+	sequence     int     // of the last change
+	lostDaemons  []int   // daemons that are cut off
 }
 
-// Start lays a fleet out and starts its daemons; it waits for nothing.
+// Start creates a fleet and starts its daemons. It does not wait until they are ready.
 //
 // Example: f, err := hollow.Start(hollow.Default(40, 120))
 func Start(o Options) (*Fleet, error) {
-	src, err := newSource(o)
+	src, err := newServerSource(o)
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{Options: o, source: src, specs: o.specs(src.addr())}
+	f := &Fleet{Options: o, serverSource: src, specs: o.specs(src.addr())}
 	var groups [][]int
 	var procs []int
 	if o.Program == "" {
@@ -61,16 +61,16 @@
 			}
 			h = r
 		}
-		f.hosts, f.where = append(f.hosts, h), append(f.where, g)
+		f.hosts, f.daemonsOf = append(f.hosts, h), append(f.daemonsOf, g)
 	}
-	res := f.each(func(i int) Command {
+	res := f.runOnAll(func(i int) Command {
 		c := Command{Op: "start"}
-		for _, d := range f.where[i] {
+		for _, d := range f.daemonsOf[i] {
 			c.Specs = append(c.Specs, f.specs[d])
 		}
 		return c
 	})
-	return f, fault(res)
+	return f, firstError(res)
 }
 
 // Close stops every daemon.
@@ -82,11 +82,11 @@
 		wg.Go(h.close)
 	}
 	wg.Wait()
-	f.source.close()
+	f.serverSource.close()
 }
 
-// each tells every process something, all at once.
-func (f *Fleet) each(command func(i int) Command) []Result {
+// runOnAll runs a command on every process concurrently.
+func (f *Fleet) runOnAll(command func(i int) Command) []Result {
 	out := make([]Result, len(f.hosts))
 	var wg sync.WaitGroup
 	for i, h := range f.hosts {
@@ -96,7 +96,8 @@
 	return out
 }
 
-func fault(list []Result) error {
+// firstError returns the first error among results.
+func firstError(list []Result) error {
 	for _, r := range list {
 		if r.Err != "" {
 			return fmt.Errorf("hollow: %s", r.Err)
@@ -105,34 +106,34 @@
 	return nil
 }
 
-// Await waits until every daemon of the fleet has what is asked for; it tells
-// how many have it and how long that took.
+// Await waits until every daemon meets the condition of the command. It returns how
+// many do and how long it waited.
 //
 // Example: n, took := f.Await(hollow.Command{Version: 3, Wait: 10 * time.Second})
 func (f *Fleet) Await(c Command) (n int, took time.Duration) {
 	c.Op = "await"
 	at := time.Now()
-	for _, r := range f.each(func(int) Command { return c }) {
+	for _, r := range f.runOnAll(func(int) Command { return c }) {
 		n += r.Count
 	}
 	return n, time.Since(at)
 }
 
-// Fill has all servers come, as many at a time as the options say, and waits
-// each time until every daemon has their records; it tells how many daemons
-// had all in the end.
+// Fill lists all servers, Options.Ramp at a time, and waits after each step until
+// every daemon has their records. It returns how many daemons had all records at the
+// end.
 //
 // Example: n, took := f.Fill(time.Minute)
 func (f *Fleet) Fill(most time.Duration) (n int, took time.Duration) {
 	at := time.Now()
 	for shown := 0; shown < f.Servers; {
 		if shown = f.Servers; f.Ramp > 0 {
-			shown = min(f.Servers, f.source.count()+f.Ramp)
+			shown = min(f.Servers, f.serverSource.count()+f.Ramp)
 		}
 		if n == 0 {
-			shown = f.source.count() // those that were there from the start
+			shown = f.serverSource.count() // those listed from the start
 		}
-		f.source.show(shown)
+		f.serverSource.setShown(shown)
 		if n, _ = f.Await(Command{Servers: shown, Wait: most}); n < f.Daemons {
 			break
 		}
@@ -140,7 +141,7 @@
 	return n, time.Since(at)
 }
 
-// AwaitOutside is Await for the daemons of all zones but one.
+// AwaitOutside is Await for the daemons outside a zone.
 //
 // Example: n, took := f.AwaitOutside(3, hollow.Command{Version: 7, Wait: time.Minute})
 func (f *Fleet) AwaitOutside(zone int, c Command) (n int, took time.Duration) {
@@ -152,58 +153,59 @@
 	return f.Await(c)
 }
 
-// RegionOf is a daemon's region.
+// RegionOf returns a daemon's region.
 //
 // Example: f.LoseLink(f.RegionOf(0), 1)
 func (f *Fleet) RegionOf(index int) int { return f.specs[index].Region }
 
-// ask has the first host's first daemon pass a call on.
-func (f *Fleet) ask(call string, body []byte) (fleetconfig.Verdict, int) {
-	r := f.hosts[0].do(Command{Op: "ask", Indexes: f.lost, Call: call, Body: body, Wait: 2 * f.Apply})
+// call sends an operator's call through the first available daemon of the first host.
+func (f *Fleet) call(name string, body []byte) (fleetconfig.Verdict, int) {
+	r := f.hosts[0].do(Command{Op: "ask", Indexes: f.lostDaemons, Call: name, Body: body, Wait: 2 * f.Apply})
 	var v fleetconfig.Verdict
-	if json.Unmarshal(r.Body, &v) != nil { // its code tells
+	if json.Unmarshal(r.Body, &v) != nil { // the status code is reported
 		v.Result = "unreadable"
 	}
 	return v, r.Code
 }
 
-// Configure sends the whole plan of the fleet's size.
+// Configure sends a complete plan of the fleet's size.
 //
 // Example: took, err := f.Configure()
 func (f *Fleet) Configure() (time.Duration, error) {
 	p := configuration(f.Options)
-	p.ID, p.Base = fmt.Sprintf("plan-%d", f.no), f.base
-	f.no++
+	p.ID, p.Base = fmt.Sprintf("plan-%d", f.sequence), f.version
+	f.sequence++
 	b, err := fleetconfig.EncodeCall(p)
 	if err != nil {
 		return 0, err
 	}
-	return f.settle("plan", b)
+	return f.submit("plan", b)
 }
 
-// Change changes one route, and tells how long the acknowledgement took.
+// Change changes one route and returns the time until the acknowledgement.
 //
 // Example: took, err := f.Change()
 func (f *Fleet) Change() (time.Duration, error) {
-	f.no++
-	r := change(f.Options, f.no%max(1, f.Routes), f.no)
-	b, err := fleetconfig.EncodeCall(fleetconfig.Changes{ID: fmt.Sprintf("change-%d", f.no), Base: f.base, Changes: []fleetconfig.Change{{Op: "set-route", Route: &r}}})
+	f.sequence++
+	r := change(f.Options, f.sequence%max(1, f.Routes), f.sequence)
+	b, err := fleetconfig.EncodeCall(fleetconfig.Changes{ID: fmt.Sprintf("change-%d", f.sequence), Base: f.version, Changes: []fleetconfig.Change{{Op: "set-route", Route: &r}}})
 	if err != nil {
 		return 0, err
 	}
-	return f.settle("changes", b)
+	return f.submit("changes", b)
 }
 
-func (f *Fleet) settle(call string, b []byte) (time.Duration, error) {
+// submit sends a call until it is accepted and returns the time that took.
+func (f *Fleet) submit(call string, b []byte) (time.Duration, error) {
 	at := time.Now()
-	for try := 0; ; try++ { // sent again with the same id, as an operator does
-		v, code := f.ask(call, b)
+	for try := 0; ; try++ { // retried with the same ID, as an operator does
+		v, code := f.call(call, b)
 		if code == 200 && v.Result == "taken" {
-			f.base = v.Version
+			f.version = v.Version
 			return time.Since(at), nil
 		}
 		if code != 503 && code != 504 || try > 20 {
-			return 0, fmt.Errorf("hollow: %s: code %d, %+v", call, code, v)
+			return 0, fmt.Errorf("hollow: call %s failed: status %d, %+v", call, code, v)
 		}
 	}
 }
--- a/proof/hollow/remote.go
+++ b/proof/hollow/remote.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Serve makes this process hold daemons for the one that started it. Commands
-// run beside one another.
+// Serve runs daemons in this process on behalf of its parent process. Commands run
+// concurrently.
 //
 // Example: err := hollow.Serve(os.Stdin, os.Stdout)
 func Serve(in io.Reader, out io.Writer) error {
@@ -33,22 +33,23 @@
 			r.No = c.No
 			mu.Lock()
 			defer mu.Unlock()
-			_ = e.Encode(r) // whoever started us is gone, then
+			_ = e.Encode(r) // fails only if the parent has exited
 		}()
 	}
 }
 
-// remote is another process that holds daemons.
+// remote is a child process that runs daemons.
 type remote struct {
-	mu   sync.Mutex
-	no   uint64
-	back map[uint64]chan Result
-	gone bool
-	cmd  *exec.Cmd
-	in   io.WriteCloser
-	done chan struct{}
+	mu      sync.Mutex
+	lastNo  uint64
+	pending map[uint64]chan Result // by command number
+	exited  bool
+	cmd     *exec.Cmd
+	in      io.WriteCloser
+	done    chan struct{}
 }
 
+// spawn starts a worker process with a limit of processors.
 func spawn(program string, procs int) (*remote, error) {
 	cmd := exec.Command(program, "-hollow-worker")
 	cmd.Stderr = os.Stderr
@@ -62,15 +63,16 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &remote{cmd: cmd, in: in, back: map[uint64]chan Result{}, done: make(chan struct{})}
+	r := &remote{cmd: cmd, in: in, pending: map[uint64]chan Result{}, done: make(chan struct{})}
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
-	go r.listen(out)
+	go r.readResults(out)
 	return r, nil
 }
 
-func (r *remote) listen(out io.Reader) {
+// readResults delivers results until the process exits.
+func (r *remote) readResults(out io.Reader) {
 	d := json.NewDecoder(out)
 	for {
 		var res Result
@@ -78,32 +80,32 @@
 			break
 		}
 		r.mu.Lock()
-		ch := r.back[res.No]
-		delete(r.back, res.No)
+		ch := r.pending[res.No]
+		delete(r.pending, res.No)
 		r.mu.Unlock()
 		ch <- res
 	}
 	r.mu.Lock()
-	r.gone = true
-	for _, ch := range r.back {
-		ch <- Result{Err: "a process of the fleet has ended"}
+	r.exited = true
+	for _, ch := range r.pending {
+		ch <- Result{Err: "a worker process of the fleet has exited"}
 	}
-	r.back = nil
+	r.pending = nil
 	r.mu.Unlock()
-	_ = r.cmd.Wait() // its results are all that counts
+	_ = r.cmd.Wait() // the exit status is not used
 	close(r.done)
 }
 
 func (r *remote) do(c Command) Result {
 	ch := make(chan Result, 1)
 	r.mu.Lock()
-	if r.gone {
+	if r.exited {
 		r.mu.Unlock()
-		return Result{Err: "a process of the fleet has ended"}
+		return Result{Err: "a worker process of the fleet has exited"}
 	}
-	r.no++
-	c.No = r.no
-	r.back[c.No] = ch
+	r.lastNo++
+	c.No = r.lastNo
+	r.pending[c.No] = ch
 	err := json.NewEncoder(r.in).Encode(c)
 	r.mu.Unlock()
 	if err != nil {
@@ -117,7 +119,7 @@
 	select {
 	case <-r.done:
 	case <-time.After(10 * time.Second):
-		_ = r.cmd.Process.Kill() // it may have ended just now
+		_ = r.cmd.Process.Kill() // fails only if it has just exited
 		<-r.done
 	}
 }
--- a/proof/hollow/source.go
+++ b/proof/hollow/source.go
@@ -12,10 +12,11 @@
 	"mulleinmast/control/fleetconfig"
 )
 
-const perPage = 500
+// pageSize is the number of servers in a page of the list.
+const pageSize = 500
 
-// row is a server as the platform's list names it.
-type row struct {
+// serverEntry is a server in the platform's list.
+type serverEntry struct {
 	ID    string `json:"id"`
 	Model string `json:"service-name"`
 	Addr  string `json:"address"`
@@ -25,27 +26,27 @@
 	Phase string `json:"phase"`
 }
 
-// source is the hollow list of servers, served over HTTP in pages.
-type source struct {
-	mu    sync.Mutex
-	rows  []row
-	life  int
-	shown int // of rows: the others don't run yet
-	ln    net.Listener
-	srv   *http.Server
-	calls atomic.Int64
-	bytes atomic.Int64
+// serverSource serves the list of nonexistent servers over HTTP, in pages.
+type serverSource struct {
+	mu         sync.Mutex
+	rows       []serverEntry
+	generation int // of the last restart
+	shown      int // number of rows listed; the others are not running yet
+	ln         net.Listener
+	srv        *http.Server
+	calls      atomic.Int64
+	bytes      atomic.Int64
 }
 
 func model(i int) string { return fmt.Sprintf("model-%d", i) }
 
-// newSource names the servers of a fleet: dealt over models, then zones.
-func newSource(o Options) (*source, error) {
+// newServerSource creates the servers of a fleet, distributed over models, then zones.
+func newServerSource(o Options) (*serverSource, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	s := &source{ln: ln, shown: o.Servers}
+	s := &serverSource{ln: ln, shown: o.Servers}
 	if o.Ramp > 0 {
 		s.shown = min(o.Ramp, o.Servers)
 	}
@@ -54,29 +55,29 @@
 		if float64(i/o.Models%10) < o.Reading*10 {
 			phase = "reading"
 		}
-		s.rows = append(s.rows, row{
+		s.rows = append(s.rows, serverEntry{
 			ID: fmt.Sprintf("srv-%05d-0", i), Model: model(i % o.Models), Addr: fmt.Sprintf("10.%d.%d.%d:9000", 1+i/60000, i/250%240, 1+i%250),
 			Zone: fmt.Sprintf("zone-%d", i/o.Models%o.Zones), Slots: 16, State: "running", Phase: phase,
 		})
 	}
-	s.srv = &http.Server{Handler: http.HandlerFunc(s.page)}
-	go func() { _ = s.srv.Serve(ln) }() // ends with close
+	s.srv = &http.Server{Handler: http.HandlerFunc(s.servePage)}
+	go func() { _ = s.srv.Serve(ln) }() // returns after close
 	return s, nil
 }
 
-func (s *source) addr() string { return s.ln.Addr().String() }
+func (s *serverSource) addr() string { return s.ln.Addr().String() }
 
-func (s *source) close() { _ = s.srv.Close() }
+func (s *serverSource) close() { _ = s.srv.Close() }
 
-func (s *source) page(w http.ResponseWriter, r *http.Request) {
-	from, _ := strconv.Atoi(r.URL.Query().Get("page-token")) // none is the first
+func (s *serverSource) servePage(w http.ResponseWriter, r *http.Request) {
+	from, _ := strconv.Atoi(r.URL.Query().Get("page-token")) // no token: first page
 	s.mu.Lock()
 	all := s.rows[:s.shown]
-	end := min(len(all), from+perPage)
+	end := min(len(all), from+pageSize)
 	p := struct {
-		Servers []row   `json:"servers"`
-		Next    *string `json:"next-token"`
-	}{Servers: append([]row{}, all[min(from, end):end]...)}
+		Servers []serverEntry `json:"servers"`
+		Next    *string       `json:"next-token"`
+	}{Servers: append([]serverEntry{}, all[min(from, end):end]...)}
 	if end < len(all) {
 		next := strconv.Itoa(end)
 		p.Next = &next
@@ -92,34 +93,33 @@
 	_, _ = w.Write(b)
 }
 
-func (s *source) count() int {
+func (s *serverSource) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.shown
 }
 
-// show has the list name so many servers.
-func (s *source) show(n int) {
+// setShown sets the number of servers listed.
+func (s *serverSource) setShown(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.shown = min(n, len(s.rows))
 }
 
-// replace gives servers a new life, as after a restart, and names the new ids
-// by model.
-func (s *source) replace(indexes ...int) map[string]string {
+// replace gives servers new IDs, as after a restart, and returns one new ID per model.
+func (s *serverSource) replace(indexes ...int) map[string]string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := map[string]string{}
 	for _, i := range indexes {
-		s.life++
-		s.rows[i].ID = fmt.Sprintf("srv-%05d-%d", i, s.life)
+		s.generation++
+		s.rows[i].ID = fmt.Sprintf("srv-%05d-%d", i, s.generation)
 		out[s.rows[i].Model] = s.rows[i].ID
 	}
 	return out
 }
 
-// configuration is a plan of the sizes asked for.
+// configuration returns a plan of the configured sizes.
 func configuration(o Options) fleetconfig.Plan {
 	p := fleetconfig.Plan{ID: "first"}
 	for i := range o.Models {
@@ -134,7 +134,7 @@
 	return p
 }
 
-// change is route i as change no makes it.
+// change returns route i as of change number no.
 func change(o Options, i, no int) fleetconfig.Route {
 	return fleetconfig.Route{
 		Name: fmt.Sprintf("route-%d", i), Host: fmt.Sprintf("tenant-%d.example", i%max(1, o.Tenants)), Prefix: fmt.Sprintf("/v1/%d/", i), Kind: "stream",
--- a/proof/hollow/spec.go
+++ b/proof/hollow/spec.go
@@ -1,10 +1,10 @@
-// Package hollow runs whole fleets of daemons on one machine to find what
-// control costs at a size. Its daemons are the real ones: control/daemon with
-// its state machines, timers, frames over TCP and SQLite files, and the
-// gateway that keeps a front's records wanted. What is hollow is around them:
-// the list of servers names addresses where nothing listens, and clients'
-// requests are answered by engines that send nothing. Many daemons share one
-// process; those whose processor time and memory are wanted have their own.
+// Package hollow runs complete fleets of daemons on one machine to measure the cost
+// of the control plane at a given size. The daemons are the real ones: control/daemon
+// with its state machines, timers, frames over TCP and SQLite files, and the gateway
+// that keeps a front's records pinned. Their environment is simulated: the server list
+// holds addresses where nothing listens, and requests are answered by fake engines.
+// Most daemons share a process; those whose processor time and memory are measured
+// have their own.
 package hollow
 
 import (
@@ -17,26 +17,26 @@
 // Options are the sizes of a hollow fleet.
 type Options struct {
 	Daemons int // fronts and control daemons together
-	Core    int // of these, daemons with a disk
+	Core    int // control daemons (those with a disk) among them
 	Zones   int
 	Regions int
 	Servers int
-	Ramp    int // they come so many at a time; 0: all at once
+	Ramp    int // servers listed per step; 0: all at once
 	Models  int
 	Tenants int
 	Routes  int
-	Reading float64       // of the servers, those that read
-	Apply   time.Duration // a change is in force everywhere within this
-	Losses  int           // machines that may be lost at once
-	Port    int           // of all daemons, on addresses of their own
-	Dir     string        // of the control daemons' files
-	Far     time.Duration // one way between regions; 0: no delay anywhere
-	Alone   int           // fronts with a process of their own, beside the core
-	Shared  int           // most daemons in one process
-	Program string        // started for other processes; none: all daemons share this one
+	Reading float64       // fraction of the servers that prefill
+	Apply   time.Duration // bound for a change to take effect on all daemons
+	Losses  int           // simultaneous machine failures to survive
+	Port    int           // of all daemons; each has its own address
+	Dir     string        // data folder of the control daemons
+	Far     time.Duration // one-way latency between regions; 0: none
+	Alone   int           // fronts with their own process, besides the control daemons
+	Shared  int           // maximum number of daemons per shared process
+	Program string        // executable of worker processes; empty: all daemons run in this process
 }
 
-// Default is the shape of a fleet with so many daemons and servers.
+// Default returns the options of a fleet with the given numbers of daemons and servers.
 //
 // Example: f, err := hollow.Start(ctx, hollow.Default(40, 120))
 func Default(daemons, servers int) Options {
@@ -50,28 +50,28 @@
 	return o
 }
 
-// Spec is one daemon of a fleet.
+// Spec describes one daemon of a fleet.
 type Spec struct {
 	Index   int
 	Zone    int
 	Region  int
 	Core    bool
 	Config  daemon.Config
-	List    string        // where the list of servers is asked for
-	Far     time.Duration // to daemons of other regions, one way
+	List    string        // address of the server list
+	Far     time.Duration // one-way latency to daemons of other regions
 	Regions int
 	Models  int
 }
 
-// region of a zone: zones are dealt out round the regions.
+// region returns the region of a zone; zones are assigned round-robin.
 func region(zone, regions int) int { return zone % regions }
 
-// address is a loopback address of its own for each daemon.
+// address returns the loopback address of a daemon, unique per daemon.
 func address(zone, place, port int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", 10+zone, place/250, 1+place%250, port)
 }
 
-// zoneOf is the zone of an address made here.
+// zoneOf returns the zone of an address made by address.
 func zoneOf(addr string) int {
 	var a, zone int
 	if _, err := fmt.Sscanf(addr, "%d.%d.", &a, &zone); err != nil {
@@ -80,8 +80,8 @@
 	return zone - 10
 }
 
-// specs lays the fleet out: daemons dealt over the zones, the first ones with
-// a disk, one in each zone as far as they go.
+// specs returns the daemons of the fleet, assigned to zones round-robin. The first
+// o.Core have a disk, so that they are spread over the zones.
 func (o Options) specs(list string) []Spec {
 	out := make([]Spec, o.Daemons)
 	var seeds []string
@@ -94,7 +94,7 @@
 		c.WireAddr, c.HTTPAddr = address(zone, i/o.Zones, o.Port), address(zone, i/o.Zones, o.Port+1)
 		c.Fleet, c.Zone, c.Seeds, c.EventLogSize, c.Losses = "hollow", fmt.Sprintf("zone-%d", zone), seeds, 64, o.Losses
 		c.Bounds.Plan = o.Apply
-		c.Bounds.Leave = max(c.Bounds.Leave, o.Apply*4/3) // or it would shorten the leases
+		c.Bounds.Leave = max(c.Bounds.Leave, o.Apply*4/3) // a smaller bound would shorten the leases
 		out[i] = Spec{Index: i, Zone: zone, Region: region(zone, o.Regions), Core: i < o.Core, List: list, Far: o.Far, Regions: o.Regions, Models: o.Models}
 		if i < o.Core {
 			c.DataFolder = fmt.Sprintf("%s/core-%d", o.Dir, i)
--- a/proof/hollow/stock.go
+++ b/proof/hollow/stock.go
@@ -15,18 +15,18 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Stock is what the control daemons hold after so many changes: the most of
-// any of them, in MB.
+// Stock is the storage and memory use of the control daemons after a number of
+// changes. Each value is the maximum over the daemons, in MB.
 type Stock struct {
 	Changes  int
-	Folder   float64 // all files of the data folder
-	Log      float64 // of them the write-ahead log
+	Folder   float64 // all files in the data folder
+	Log      float64 // the write-ahead log among them
 	Resident float64
-	Heap     float64       // in use after a collection
-	Longest  time.Duration // until a change had its yes, since the stock before
+	Heap     float64       // in use after a garbage collection
+	Longest  time.Duration // longest time to acknowledge a change since the previous sample
 }
 
-// Many makes changes one after another and takes stock at every step of them.
+// Many makes changes sequentially and samples storage and memory every step changes.
 //
 // Example: list, err := f.Many(2000, 100)
 func (f *Fleet) Many(changes, step int) (list []Stock, err error) {
@@ -48,9 +48,10 @@
 	}
 }
 
+// stock samples the storage and memory use of the control daemons.
 func (f *Fleet) stock() (s Stock) {
-	f.each(func(int) Command { return Command{Op: "heap"} })
-	for _, p := range f.each(func(int) Command { return Command{Op: "snap"} }) {
+	f.runOnAll(func(int) Command { return Command{Op: "heap"} })
+	for _, p := range f.runOnAll(func(int) Command { return Command{Op: "snap"} }) {
 		if len(p.Snaps) == 1 && p.Snaps[0].Core {
 			s.Resident = max(s.Resident, megabytes(p.Usage.Memory))
 			s.Heap = max(s.Heap, megabytes(p.Usage.Heap))
@@ -60,27 +61,27 @@
 		if spec.Config.DataFolder == "" {
 			continue
 		}
-		whole, log := int64(0), int64(0)
+		total, log := int64(0), int64(0)
 		_ = filepath.WalkDir(spec.Config.DataFolder, func(path string, d fs.DirEntry, err error) error {
 			if err != nil || d.IsDir() {
-				return nil // a file may go while we look
+				return nil // a file may be removed during the walk
 			}
 			if in, err := d.Info(); err == nil {
-				whole += in.Size()
+				total += in.Size()
 				if strings.HasSuffix(path, "-wal") {
 					log += in.Size()
 				}
 			}
 			return nil
 		})
-		s.Folder, s.Log = max(s.Folder, megabytes(whole)), max(s.Log, megabytes(log))
+		s.Folder, s.Log = max(s.Folder, megabytes(total)), max(s.Log, megabytes(log))
 	}
 	return s
 }
 
 func megabytes(n int64) float64 { return float64(n) / (1 << 20) }
 
-// WriteStock writes a CSV file, and a plot beside it.
+// WriteStock writes samples as a CSV file and as a plot next to it.
 //
 // Example: err := hollow.WriteStock("docs/capacity/many.csv", list)
 func WriteStock(path string, list []Stock) error {
--- a/proof/hollow/trouble.go
+++ b/proof/hollow/trouble.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Put takes one change through the fleet: the time until its yes, and until
-// it is in force at every daemon that can be reached.
+// Put makes one change and returns the time until its acknowledgement, the time until
+// it is visible on every reachable daemon, and the number of those daemons.
 //
 // Example: yes, everywhere, n, err := f.Put()
-func (f *Fleet) Put() (yes, everywhere time.Duration, n int, err error) {
-	want := f.base + 1
+func (f *Fleet) Put() (acked, everywhere time.Duration, n int, err error) {
+	want := f.version + 1
 	done := make(chan struct{})
-	go func() { // asked beside, for daemons may have it before the yes is out
+	go func() { // concurrent, since daemons may have the change before it is acknowledged
 		defer close(done)
 		var took time.Duration
 		n, took = f.Await(Command{Version: want, Wait: 30 * time.Second})
 		everywhere = took
 	}()
-	yes, err = f.Change()
+	acked, err = f.Change()
 	<-done
-	return yes, everywhere, n, err
+	return acked, everywhere, n, err
 }
 
-// Changes sends changes at a steady rate until the time is up; it tells how
-// many were taken and how long the longest took.
+// Changes makes changes at a constant rate until stop fires. It returns how many were
+// acknowledged and the longest time that one took.
 //
 // Example: n, longest := f.Changes(2, time.After(10*time.Second))
 func (f *Fleet) Changes(rate float64, stop <-chan time.Time) (n int, longest time.Duration) {
@@ -44,50 +44,50 @@
 	}
 }
 
-// Replace gives so many servers a new life and waits until every daemon has it.
+// Replace replaces a number of servers and waits until every daemon sees the new ones.
 //
 // Example: took, n := f.Replace(3)
 func (f *Fleet) Replace(count int) (took time.Duration, n int) {
 	var list []int
 	for i := range count {
-		f.no++
-		list = append(list, (f.no*7919+i*f.Models)%max(1, f.Servers))
+		f.sequence++
+		list = append(list, (f.sequence*7919+i*f.Models)%max(1, f.Servers))
 	}
 	at := time.Now()
 	n = f.Daemons
-	for model, id := range f.source.replace(list...) {
+	for model, id := range f.serverSource.replace(list...) {
 		got, _ := f.Await(Command{Model: model, Mark: id, Wait: 30 * time.Second})
 		n = min(n, got)
 	}
 	return time.Since(at), n
 }
 
-// of lists the daemons that a test picks.
-func (f *Fleet) of(pick func(Spec) bool) (in []int) {
+// daemonsWhere returns the indexes of the daemons that match.
+func (f *Fleet) daemonsWhere(matches func(Spec) bool) (in []int) {
 	for _, s := range f.specs {
-		if pick(s) {
+		if matches(s) {
 			in = append(in, s.Index)
 		}
 	}
 	return in
 }
 
-// LoseZone cuts a zone off at once, as when its power goes: nothing comes from
-// it or reaches it any more. It returns the daemons that are left.
+// LoseZone cuts a zone off, as in a power failure: no message leaves or reaches it.
+// It returns the number of remaining daemons.
 //
 // Example: left := f.LoseZone(1)
 func (f *Fleet) LoseZone(zone int) int {
-	gone := f.of(func(s Spec) bool { return s.Zone == zone })
+	lost := f.daemonsWhere(func(s Spec) bool { return s.Zone == zone })
 	cut := map[int][]string{}
-	for _, i := range gone {
+	for _, i := range lost {
 		cut[i] = []string{"*"}
 	}
 	f.cut(cut)
-	f.lost = gone
-	return f.Daemons - len(gone)
+	f.lostDaemons = lost
+	return f.Daemons - len(lost)
 }
 
-// LoseLink cuts two regions off from each other.
+// LoseLink partitions two regions from each other.
 //
 // Example: f.LoseLink(0, 1)
 func (f *Fleet) LoseLink(a, b int) {
@@ -102,37 +102,37 @@
 	f.cut(cut)
 }
 
-// Mend takes every cut away.
+// Mend removes all network partitions.
 //
 // Example: f.Mend()
 func (f *Fleet) Mend() {
 	f.cut(nil)
-	f.lost = nil
+	f.lostDaemons = nil
 }
 
 func (f *Fleet) cut(cut map[int][]string) {
-	f.each(func(int) Command { return Command{Op: "cut", Cut: cut} })
+	f.runOnAll(func(int) Command { return Command{Op: "cut", Cut: cut} })
 }
 
-// Leaders tells which daemons own parts, by part.
+// Leaders returns the index of the leader of each partition.
 //
 // Example: leader := f.Leaders()[0]
 func (f *Fleet) Leaders() map[int]int {
 	out := map[int]int{}
-	for _, s := range f.read().snaps {
-		for _, p := range s.Owns {
+	for _, s := range f.snapshot().snaps {
+		for _, p := range s.Leads {
 			out[p] = s.Index
 		}
 	}
 	return out
 }
 
-// ZoneOf is a daemon's zone.
+// ZoneOf returns a daemon's zone.
 //
 // Example: f.LoseZone(f.ZoneOf(f.Leaders()[0]))
 func (f *Fleet) ZoneOf(index int) int { return f.specs[index].Zone }
 
-// String tells the fleet's sizes.
+// String returns the fleet's sizes.
 //
 // Example: fmt.Println(f)
 func (f *Fleet) String() string {
--- a/proof/hollow/worker.go
+++ b/proof/hollow/worker.go
@@ -18,68 +18,69 @@
 	"mulleinmast/wire/message"
 )
 
-// Command is what a process of the fleet is told.
+// Command is a command to a process of the fleet.
 type Command struct {
 	No      uint64
 	Op      string
 	Specs   []Spec           // of start
-	Indexes []int            // of stop; of await and ask: daemons left out
-	Fresh   bool             // of await: readiness, and leaders outside ...
+	Indexes []int            // of stop: the daemons; of await and ask: the daemons to exclude
+	Fresh   bool             // of await: daemons are ready and all leaders are outside ...
 	Zone    int              // ... this zone
-	Cut     map[int][]string // of cut: by daemon, the addresses it can't reach
-	Version uint64           // of await: a configuration
-	Servers int              // of await: so many servers' records
-	Model   string           // of await: a list of servers ...
-	Mark    string           // ... that has this in it
+	Cut     map[int][]string // of cut: unreachable addresses, by daemon
+	Version uint64           // of await: the version of the configuration
+	Servers int              // of await: the number of server records
+	Model   string           // of await: the server list of this model ...
+	Mark    string           // ... contains this server
 	Wait    time.Duration
 	Path    string // of profile and heap
 	Call    string // of ask
 	Body    []byte
 }
 
-// Usage is what a process has used.
+// Usage is the resource usage of a process.
 type Usage struct {
-	CPU     time.Duration `json:"cpu"`
-	Memory  int64         `json:"memory"` // resident, bytes
-	Heap    int64         `json:"heap"`   // in use after a collection, bytes
-	Threads int           `json:"goroutines"`
-	Written int64         `json:"written"` // to disk, bytes
-	Allocs  uint64        `json:"allocs"`
-	Bytes   uint64        `json:"alloc_bytes"`
+	CPU        time.Duration `json:"cpu"`
+	Memory     int64         `json:"memory"` // resident, bytes
+	Heap       int64         `json:"heap"`   // in use after a garbage collection, bytes
+	Goroutines int           `json:"goroutines"`
+	Written    int64         `json:"written"` // to disk, bytes
+	Allocs     uint64        `json:"allocs"`
+	Bytes      uint64        `json:"alloc_bytes"`
 }
 
-// Result is what came of a command.
+// Result is the result of a command.
 type Result struct {
 	No    uint64
 	Err   string
 	Snaps []Snap
 	Usage Usage
-	Count int // daemons that did what was awaited
+	Count int // daemons that met the awaited condition
 	Code  int
 	Body  []byte
 	Took  time.Duration
 }
 
-// host is a process that holds daemons: this one or another.
+// host is a process that runs daemons: this one or a child process.
 type host interface {
 	do(Command) Result
 	close()
 }
 
-// worker holds daemons in this process.
+// worker runs daemons in this process.
 type worker struct {
-	mu   sync.Mutex
-	list []*hollowDaemon
-	plan sync.Map // records that were read: versions of configurations, ids of servers
+	mu     sync.Mutex
+	list   []*hollowDaemon
+	opened sync.Map // decoded records: versions of configurations, IDs of servers
 }
 
-// version of a configuration: it is long, and read once for all daemons here.
-func (w *worker) version(rec message.Record) uint64 {
-	if v, ok := w.plan.Load(rec.Version); ok {
+// planVersion returns the version of a configuration. A configuration is long, so it
+// is decoded once for all daemons of the process.
+func (w *worker) planVersion(rec message.Record) uint64 {
+	if v, ok := w.opened.Load(rec.Version); ok {
 		return v.(uint64)
 	}
 	v := fleetconfig.OpenPlan(rec).Version
-	w.plan.Store(rec.Version, v)
+	w.opened.Store(rec.Version, v)
 	return v
 }
 
@@ -90,11 +91,11 @@
 }
 
 func (w *worker) close() {
-	list := w.daemons()
-	for _, d := range list {
+	daemons := w.daemons()
+	for _, d := range daemons {
 		d.stop()
 	}
-	for _, d := range list {
+	for _, d := range daemons {
 		<-d.done
 	}
 }
@@ -117,15 +118,15 @@
 		for _, d := range w.daemons() {
 			r.Snaps = append(r.Snaps, d.snap())
 		}
-		r.Usage = used()
+		r.Usage = processUsage()
 	case "heap":
 		runtime.GC()
-		r.Usage = used()
+		r.Usage = processUsage()
 		if c.Path != "" {
-			r.Err = keep(c.Path, func(f io.Writer) error { return pprof.Lookup("allocs").WriteTo(f, 0) })
+			r.Err = writeFile(c.Path, func(f io.Writer) error { return pprof.Lookup("allocs").WriteTo(f, 0) })
 		}
 	case "profile":
-		r.Err = keep(c.Path, func(f io.Writer) error {
+		r.Err = writeFile(c.Path, func(f io.Writer) error {
 			if err := pprof.StartCPUProfile(f); err != nil {
 				return err
 			}
@@ -139,110 +140,111 @@
 			for _, a := range c.Cut[d.Index] {
 				cut[a] = true
 			}
-			d.c.Transport.DropPeers.Store(&cut)
+			d.daemon.Transport.DropPeers.Store(&cut)
 		}
 	case "stop":
-		w.drop(c.Indexes)
+		w.stopDaemons(c.Indexes)
 	case "await":
 		r.Count = w.await(c)
 	case "ask":
-		list := slices.DeleteFunc(w.daemons(), func(d *hollowDaemon) bool { return slices.Contains(c.Indexes, d.Index) })
+		daemons := slices.DeleteFunc(w.daemons(), func(d *hollowDaemon) bool { return slices.Contains(c.Indexes, d.Index) })
 		ctx, done := context.WithTimeout(context.Background(), c.Wait)
 		defer done()
-		r.Code, r.Body = list[0].c.Call(ctx, 0, c.Call, c.Body, c.Wait)
+		r.Code, r.Body = daemons[0].daemon.Call(ctx, 0, c.Call, c.Body, c.Wait)
 	default:
-		r.Err = "no command " + c.Op
+		r.Err = "unknown command " + c.Op
 	}
 	return r
 }
 
-// drop stops daemons at once, as a kill does.
-func (w *worker) drop(indexes []int) {
-	gone := map[int]bool{}
+// stopDaemons stops daemons without warning, as a kill does.
+func (w *worker) stopDaemons(indexes []int) {
+	stopped := map[int]bool{}
 	for _, i := range indexes {
-		gone[i] = true
+		stopped[i] = true
 	}
 	w.mu.Lock()
-	var left, off []*hollowDaemon
+	var remaining, removed []*hollowDaemon
 	for _, d := range w.list {
-		if gone[d.Index] {
-			off = append(off, d)
+		if stopped[d.Index] {
+			removed = append(removed, d)
 		} else {
-			left = append(left, d)
+			remaining = append(remaining, d)
 		}
 	}
-	w.list = left
+	w.list = remaining
 	w.mu.Unlock()
-	for _, d := range off {
+	for _, d := range removed {
 		d.stop()
 	}
-	for _, d := range off {
+	for _, d := range removed {
 		<-d.done
 	}
 }
 
-// await waits until every daemon here has what is asked for under valid
-// leases, and counts those that have it.
+// await waits until every daemon of this process meets the condition of the command
+// under valid leases, and returns how many do.
 func (w *worker) await(c Command) int {
-	list := slices.DeleteFunc(w.daemons(), func(d *hollowDaemon) bool { return slices.Contains(c.Indexes, d.Index) })
-	has := func(d *hollowDaemon) bool {
+	daemons := slices.DeleteFunc(w.daemons(), func(d *hollowDaemon) bool { return slices.Contains(c.Indexes, d.Index) })
+	meetsCondition := func(d *hollowDaemon) bool {
 		switch {
 		case c.Fresh:
-			return d.c.Ready() && d.reached(c.Zone)
+			return d.daemon.Ready() && d.reached(c.Zone)
 		case c.Servers > 0:
 			return d.servers() >= c.Servers
 		case c.Model != "":
-			rec, ok := d.c.Read(d.c.Partition(c.Model), fleetconfig.ListKey(c.Model))
-			return ok && w.names(c.Model, rec, c.Mark)
+			rec, ok := d.daemon.Read(d.daemon.Partition(c.Model), fleetconfig.ListKey(c.Model))
+			return ok && w.listContains(c.Model, rec, c.Mark)
 		case c.Version > 0:
-			rec, ok := d.c.Read(0, fleetconfig.PlanKey)
-			return ok && w.version(rec) >= c.Version
+			rec, ok := d.daemon.Read(0, fleetconfig.PlanKey)
+			return ok && w.planVersion(rec) >= c.Version
 		}
-		return d.c.Ready()
+		return d.daemon.Ready()
 	}
 	end := time.Now().Add(c.Wait)
-	every := 5 * time.Millisecond
-	if c.Servers > 0 { // a look is long
-		every = 500 * time.Millisecond
+	interval := 5 * time.Millisecond
+	if c.Servers > 0 { // this check is slow
+		interval = 500 * time.Millisecond
 	}
-	t := time.NewTicker(every)
+	t := time.NewTicker(interval)
 	defer t.Stop()
 	n := 0
 	for {
-		left := list[:0]
-		for _, d := range list {
-			if has(d) {
+		remaining := daemons[:0]
+		for _, d := range daemons {
+			if meetsCondition(d) {
 				n++
 			} else {
-				left = append(left, d)
+				remaining = append(remaining, d)
 			}
 		}
-		if list = left; len(list) == 0 || time.Now().After(end) {
+		if daemons = remaining; len(daemons) == 0 || time.Now().After(end) {
 			return n
 		}
 		<-t.C
 	}
 }
 
-// names tells whether a list of servers has this one in it; a list is long,
-// and read once for all daemons here.
-func (w *worker) names(model string, rec message.Record, id string) bool {
-	type place struct {
+// listContains reports whether a server list contains a server. A list is long, so it
+// is decoded once for all daemons of the process.
+func (w *worker) listContains(model string, rec message.Record, id string) bool {
+	type listKey struct {
 		model string
 		ver   message.Version
 	}
-	ids, ok := w.plan.Load(place{model, rec.Version})
+	ids, ok := w.opened.Load(listKey{model, rec.Version})
 	if !ok {
 		set := map[string]bool{}
 		for _, s := range fleetconfig.OpenList(rec).Servers {
 			set[s.ID] = true
 		}
-		ids, _ = w.plan.LoadOrStore(place{model, rec.Version}, set)
+		ids, _ = w.opened.LoadOrStore(listKey{model, rec.Version}, set)
 	}
 	return ids.(map[string]bool)[id]
 }
 
-func keep(path string, write func(io.Writer) error) string {
+// writeFile creates a file and returns the text of an error, or "".
+func writeFile(path string, write func(io.Writer) error) string {
 	f, err := os.Create(path)
 	if err == nil {
 		err = write(f)
@@ -256,15 +258,15 @@
 	return ""
 }
 
-// used reads what this process has used so far.
-func used() (u Usage) {
+// processUsage returns the resource usage of this process.
+func processUsage() (u Usage) {
 	var r syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &r) == nil {
 		u.CPU = time.Duration(r.Utime.Nano() + r.Stime.Nano())
 	}
 	var pages, resident int64
 	if b, err := os.ReadFile("/proc/self/statm"); err == nil {
-		_, _ = fmt.Sscan(string(b), &pages, &resident) // stays 0 where there is none
+		_, _ = fmt.Sscan(string(b), &pages, &resident) // 0 where the file does not exist
 	}
 	u.Memory = resident * int64(os.Getpagesize())
 	if b, err := os.ReadFile("/proc/self/io"); err == nil {
@@ -277,6 +279,6 @@
 	}
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	u.Heap, u.Threads, u.Allocs, u.Bytes = int64(m.HeapAlloc), runtime.NumGoroutine(), m.Mallocs, m.TotalAlloc
+	u.Heap, u.Goroutines, u.Allocs, u.Bytes = int64(m.HeapAlloc), runtime.NumGoroutine(), m.Mallocs, m.TotalAlloc
 	return u
 }
