--- a/proof/platform/platform.go
+++ b/proof/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform is the stand-in for the users' platform: it asks every
-// daemon once a second whether it is ready and hands clients one of their
-// own zone, or of another when none there is.
+// Package platform simulates the load balancer of the users' platform: it probes the
+// readiness of every daemon once a second and assigns clients a ready daemon, preferably
+// in their own zone.
 package platform
 
 import (
@@ -10,22 +10,22 @@
 	"time"
 )
 
-// Box is a daemon as the platform knows it.
-type Box struct{ Addr, Zone string }
+// Daemon is a daemon as the platform lists it.
+type Daemon struct{ Addr, Zone string }
 
-// Platform is the state.
+// Platform is a simulated platform.
 type Platform struct {
-	boxes func() []Box
-	web   *http.Client
-	mu    sync.Mutex
-	ready []Box
+	daemons func() []Daemon
+	client  *http.Client
+	mu      sync.Mutex
+	ready   []Daemon
 }
 
-// New makes a platform over the daemons that boxes names.
+// New returns a platform for the daemons that the function lists.
 //
-// Example: p := platform.New(func() []platform.Box { return boxes })
-func New(boxes func() []Box) *Platform {
-	return &Platform{boxes: boxes, web: &http.Client{Timeout: 800 * time.Millisecond}}
+// Example: p := platform.New(func() []platform.Daemon { return daemons })
+func New(daemons func() []Daemon) *Platform {
+	return &Platform{daemons: daemons, client: &http.Client{Timeout: 800 * time.Millisecond}}
 }
 
 // Serve checks readiness every second until the context ends.
@@ -44,18 +44,18 @@
 	}
 }
 
-// Check asks every daemon once, all at the same time.
+// Check probes every daemon once, concurrently.
 //
 // Example: p.Check()
 func (p *Platform) Check() {
-	list := p.boxes()
+	list := p.daemons()
 	ok := make([]bool, len(list))
 	var wg sync.WaitGroup
 	for i, b := range list {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			res, err := p.web.Get("http://" + b.Addr + "/readyz")
+			res, err := p.client.Get("http://" + b.Addr + "/readyz")
 			if err == nil {
 				ok[i] = res.StatusCode == http.StatusOK
 				_ = res.Body.Close()
@@ -63,7 +63,7 @@
 		}()
 	}
 	wg.Wait()
-	var ready []Box
+	var ready []Daemon
 	for i, b := range list {
 		if ok[i] {
 			ready = append(ready, b)
@@ -74,24 +74,24 @@
 	p.mu.Unlock()
 }
 
-// Pick hands out a daemon for a client of a zone; dice is any number. With
-// none ready anywhere it names any daemon.
+// Pick returns the address of a ready daemon for a client of a zone. dice is a random
+// number. If no daemon is ready, it returns any daemon.
 //
 // Example: addr := p.Pick("zone-a", rng.Int())
 func (p *Platform) Pick(zone string, dice int) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var near []Box
+	var candidates []Daemon
 	for _, b := range p.ready {
 		if b.Zone == zone {
-			near = append(near, b)
+			candidates = append(candidates, b)
 		}
 	}
-	if len(near) == 0 {
-		near = p.ready
+	if len(candidates) == 0 {
+		candidates = p.ready
 	}
-	if len(near) == 0 {
-		near = p.boxes()
+	if len(candidates) == 0 {
+		candidates = p.daemons()
 	}
-	return near[dice%len(near)].Addr
+	return candidates[dice%len(candidates)].Addr
 }
--- a/proof/track/drive.go
+++ b/proof/track/drive.go
@@ -13,7 +13,7 @@
 	"mulleinmast/proof/load"
 )
 
-// Plan is the stand-in plan of the layout.
+// Plan returns a plan for the layout.
 //
 // Example: f.Call("PUT", addr, "/v1/plan", f.Plan("id", 0))
 func (f *Fleet) Plan(id string, base uint64) fleetconfig.Plan {
@@ -27,23 +27,23 @@
 	return p
 }
 
-// Servers sends the platform's list of every service.
+// SendServers sends the server list of every service.
 //
-// Example: err := f.Servers(f.Daemons[0].Addr)
-func (f *Fleet) Servers(addr string) error {
-	for svc, list := range f.Svc {
+// Example: err := f.SendServers(f.Daemons[0].Addr)
+func (f *Fleet) SendServers(addr string) error {
+	for svc, list := range f.ServersOf {
 		if code, b := f.Call("PUT", addr, "/v1/services/"+svc+"/servers", fleetconfig.List{Servers: list}); code != 200 {
-			return fmt.Errorf("servers of %s: %d %s", svc, code, b)
+			return fmt.Errorf("server list of %s refused: status %d, %s", svc, code, b)
 		}
 	}
 	return nil
 }
 
-// Serving tells whether every service has a prefill server and a decode server up.
+// Serving reports whether every service has an available prefill server and decode server.
 //
 // Example: track.Until(ctx, limit, f.Serving)
 func (f *Fleet) Serving() bool {
-	seen := map[string]map[string]bool{}
+	roles := map[string]map[string]bool{}
 	for _, p := range f.Daemons {
 		st, ok := f.State(p)
 		if !ok {
@@ -52,58 +52,58 @@
 		for _, partition := range st.Partitions {
 			for _, r := range partition.Servers {
 				if r.Status == "up" && r.NextRole == "" && (r.Role == "maker" || len(r.Pairs) > 0) {
-					if seen[r.Service] == nil {
-						seen[r.Service] = map[string]bool{}
+					if roles[r.Service] == nil {
+						roles[r.Service] = map[string]bool{}
 					}
-					seen[r.Service][r.Role] = true
+					roles[r.Service][r.Role] = true
 				}
 			}
 		}
 	}
 	for _, s := range f.Layout.Order {
-		if len(seen[s]) < 2 {
+		if len(roles[s]) < 2 {
 			return false
 		}
 	}
 	return true
 }
 
-// Begin waits for the fleet, sends the plan and the lists, and waits until
-// every service is served.
+// Begin waits until all daemons are ready, sends the plan and the server lists, and
+// waits until every service is served.
 //
 // Example: err := f.Begin(ctx)
 func (f *Fleet) Begin(ctx context.Context) error {
 	if !Until(ctx, 30*time.Second, func() bool { return f.Ready() == len(f.Daemons) }) {
-		why := ""
+		reasons := ""
 		for _, p := range f.Daemons {
 			if code, b := f.Call("GET", p.Addr, "/readyz", nil); code != 200 {
 				st, _ := f.State(p)
-				why += fmt.Sprintf("\n%s %s: %d %s", p.Name, p.Wire, code, b)
+				reasons += fmt.Sprintf("\n%s %s: %d %s", p.Name, p.Wire, code, b)
 				if len(st.Partitions) > 0 {
 					n := st.Partitions[0].Lease
-					why += fmt.Sprintf("  members %d, leader of part 0 %v, parent %v, lease %d ms", len(st.Members), st.Partitions[0].Leader, n.Parent, n.LeaseLeft)
+					reasons += fmt.Sprintf("  members %d, leader of partition 0 %v, parent %v, lease %d ms", len(st.Members), st.Partitions[0].Leader, n.Parent, n.LeaseLeft)
 				}
 			}
 		}
-		return fmt.Errorf("only %d of %d daemons became ready:%s", f.Ready(), len(f.Daemons), why)
+		return fmt.Errorf("only %d of %d daemons became ready within 30s:%s", f.Ready(), len(f.Daemons), reasons)
 	}
 	last := f.Daemons[len(f.Daemons)-1].Addr
 	code, b := f.Call("PUT", last, "/v1/plan", f.Plan("first", 0))
-	f.told("first", 0, code, b)
+	f.recordVerdict("first", 0, code, b)
 	if code != 200 {
-		return fmt.Errorf("plan: %d %s", code, b)
+		return fmt.Errorf("plan refused: status %d, %s", code, b)
 	}
-	if err := f.Servers(last); err != nil {
+	if err := f.SendServers(last); err != nil {
 		return err
 	}
 	if !Until(ctx, 30*time.Second, f.Serving) {
-		return fmt.Errorf("servers did not come up")
+		return fmt.Errorf("services are not served 30s after the server lists were sent")
 	}
 	return nil
 }
 
-// told writes down what an operator was told of a plan.
-func (f *Fleet) told(id string, base uint64, code int, body []byte) (v fleetconfig.Verdict) {
+// recordVerdict records the answer to a plan call in the history.
+func (f *Fleet) recordVerdict(id string, base uint64, code int, body []byte) (v fleetconfig.Verdict) {
 	_ = json.Unmarshal(body, &v)
 	if code != 0 {
 		f.Recorder.Put(history.Event{Who: "operator", Ev: "plan", Plan: id, Base: base, Ver: v.Version, Result: v.Result})
@@ -111,18 +111,18 @@
 	return v
 }
 
-// Load runs a mix against daemons and returns the clients' journal.
+// Load runs a request mix against the daemons and returns the clients' history.
 //
 // Example: ev := f.Load(ctx, load.Config{Rate: 50, For: 10 * time.Second})
 func (f *Fleet) Load(ctx context.Context, c load.Config) []history.Event {
 	f.mu.Lock()
-	f.plans++
-	path := filepath.Join(f.Dir, fmt.Sprintf("loadgen-%d.jsonl", f.plans))
-	f.files = append(f.files, path)
+	f.loads++
+	path := filepath.Join(f.Dir, fmt.Sprintf("loadgen-%d.jsonl", f.loads))
+	f.histories = append(f.histories, path)
 	f.mu.Unlock()
 	c.Mix = f.Layout.Name
 	if c.Targets == nil {
-		c.Pick = f.Plat.Pick
+		c.Pick = f.Platform.Pick
 		for i := range f.Layout.Zones {
 			c.Zones = append(c.Zones, fmt.Sprintf("zone-%c", 'a'+i))
 		}
@@ -145,14 +145,14 @@
 	return ev
 }
 
-// Verdict joins all journals and names the rules broken.
+// Judge merges all histories and returns the violated rules and the number of events.
 //
-// Example: rows := f.Verdict()
-func (f *Fleet) Verdict() ([]judge.Break, int) {
+// Example: violations, events := f.Judge()
+func (f *Fleet) Judge() ([]judge.Break, int) {
 	var all []history.Event
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, p := range f.files {
+	for _, p := range f.histories {
 		ev, err := history.Read(p)
 		if err != nil {
 			return []judge.Break{{Rule: "journal", What: err.Error()}}, 0
@@ -162,10 +162,10 @@
 	return judge.All(all, judge.Default()), len(all)
 }
 
-// Numbers sums the daemons' counters.
+// TrafficCounts returns the sums of the daemons' traffic counters.
 //
-// Example: n := f.Numbers()
-func (f *Fleet) Numbers() map[string]int64 {
+// Example: n := f.TrafficCounts()
+func (f *Fleet) TrafficCounts() map[string]int64 {
 	sum := map[string]int64{}
 	for _, p := range f.Daemons {
 		st, ok := f.State(p)
--- a/proof/track/proc.go
+++ b/proof/track/proc.go
@@ -11,32 +11,32 @@
 
 // Proc is one process of the fleet.
 type Proc struct {
-	Name string
-	Addr string // web address
-	Wire string
-	Zone string
-	Data string
-	args []string
-	bin  string
-	old  bool // runs the other build
-	cmd  *exec.Cmd
-	done chan struct{}
-	log  string
+	Name       string
+	Addr       string // HTTP address
+	Wire       string
+	Zone       string
+	Data       string
+	args       []string
+	bin        string
+	otherBuild bool // runs the other build
+	cmd        *exec.Cmd
+	done       chan struct{}
+	log        string
 }
 
-// Up starts a process (again).
+// Up starts or restarts a process.
 //
 // Example: err := f.Up(f.Daemons[0])
 func (f *Fleet) Up(p *Proc) error {
 	bin := f.bin
-	if p.old {
+	if p.otherBuild {
 		bin = f.Old
 	}
 	return p.Run(filepath.Join(bin, p.bin), p.args, nil, filepath.Join(f.Dir, p.Name+".log"))
 }
 
-// Run starts a program as this process; env is added to our own variables and
-// its output to a file. It ends with us at the latest.
+// Run starts a program. env is added to the environment of this process, and output is
+// appended to the log file. The kernel kills the program when its parent exits.
 //
 // Example: err := p.Run("bin/mulleinmast", nil, []string{"A=1"}, "run/box-1.log")
 func (p *Proc) Run(program string, args, env []string, log string) error {
@@ -66,7 +66,7 @@
 // Example: f.Signal(p, syscall.SIGSTOP)
 func (f *Fleet) Signal(p *Proc, s syscall.Signal) { p.Signal(s) }
 
-// Signal sends it a signal.
+// Signal sends a signal to the process.
 //
 // Example: p.Signal(syscall.SIGTERM)
 func (p *Proc) Signal(s syscall.Signal) {
@@ -75,7 +75,7 @@
 	}
 }
 
-// End tells how a process ended, "" while it runs.
+// End returns how the process ended, or "" while it runs.
 //
 // Example: p.End() == "signal: hangup"
 func (p *Proc) End() string {
@@ -85,7 +85,7 @@
 	return p.cmd.ProcessState.String()
 }
 
-// Limit bounds the descriptors that it may have open.
+// Limit sets the maximum number of open files of the process.
 //
 // Example: err := p.Limit(400)
 func (p *Proc) Limit(files int) error {
@@ -93,12 +93,12 @@
 	return unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_NOFILE, &most, nil)
 }
 
-// Kill kills a process and waits until it is gone.
+// Kill kills a process and waits for its exit.
 //
 // Example: f.Kill(f.Daemons[0])
 func (f *Fleet) Kill(p *Proc) { p.Kill() }
 
-// Kill kills it and waits until it is gone.
+// Kill kills the process and waits for its exit.
 //
 // Example: p.Kill()
 func (p *Proc) Kill() {
--- a/proof/track/scenario.go
+++ b/proof/track/scenario.go
@@ -19,7 +19,7 @@
 	"mulleinmast/proof/load"
 )
 
-// Report is what a scenario came to.
+// Report is the result of a scenario.
 type Report struct {
 	Load   load.Report
 	Notes  []string
@@ -29,23 +29,25 @@
 	Failed bool
 }
 
-// Say messages something seen.
+// Logf records an observation.
 //
-// Example: r.Say("leader back after %v", took)
-func (r *Report) Say(how string, args ...any) { r.Notes = append(r.Notes, fmt.Sprintf(how, args...)) }
+// Example: r.Logf("leader back after %v", took)
+func (r *Report) Logf(format string, args ...any) {
+	r.Notes = append(r.Notes, fmt.Sprintf(format, args...))
+}
 
-// Fail messages something that should not have been.
+// Failf records a failure and marks the scenario as failed.
 //
-// Example: r.Fail("no leader after %v", limit)
-func (r *Report) Fail(how string, args ...any) {
+// Example: r.Failf("no leader after %v", limit)
+func (r *Report) Failf(format string, args ...any) {
 	r.Failed = true
-	r.Say("FAILED "+how, args...)
+	r.Logf("FAILED "+format, args...)
 }
 
-// Scenario makes things happen while load runs.
+// Scenario injects failures or operator calls while load runs.
 type Scenario func(ctx context.Context, f *Fleet, r *Report)
 
-// Names lists the scenarios.
+// Names returns the sorted names of the scenarios.
 //
 // Example: for _, n := range track.Names() { fmt.Println(n) }
 func Names() []string {
@@ -57,35 +59,35 @@
 	return out
 }
 
-// Play runs a scenario under load and judges what happened.
+// Play runs a scenario under load and checks the rules on the recorded histories.
 //
 // Example: rep := f.Play(ctx, track.Scenarios["calm"], cfg)
-func (f *Fleet) Play(ctx context.Context, s Scenario, c load.Config) *Report {
+func (f *Fleet) Play(ctx context.Context, scenario Scenario, c load.Config) *Report {
 	r := &Report{}
 	var ev []history.Event
 	var wg sync.WaitGroup
-	with, stop := context.WithCancel(ctx)
-	f.Plat.Check()
-	go f.Plat.Serve(with)
-	watched := f.watch(with)
+	loadCtx, stop := context.WithCancel(ctx)
+	f.Platform.Check()
+	go f.Platform.Serve(loadCtx)
+	observationCount := f.monitorPlans(loadCtx)
 	wg.Add(1)
 	go func() { defer wg.Done(); ev = f.Load(ctx, c) }()
 	t := time.NewTimer(c.For / 5)
 	<-t.C
-	s(ctx, f, r)
+	scenario(ctx, f, r)
 	wg.Wait()
 	stop()
-	r.Say("daemons' plans looked at %d times", watched())
+	r.Logf("%d readiness checks recorded the plans of daemons", observationCount())
 	r.Load = load.Sum(ev)
-	r.Counts = f.Numbers()
+	r.Counts = f.TrafficCounts()
 	for _, line := range f.violations() {
-		r.Fail("%s", line)
+		r.Failf("%s", line)
 	}
-	r.Broken, r.Events = f.Verdict()
+	r.Broken, r.Events = f.Judge()
 	return r
 }
 
-// violations lists what the running daemons count of violated invariants.
+// violations returns the nonzero invariant violation metrics of the running daemons.
 func (f *Fleet) violations() (lines []string) {
 	for _, p := range f.Daemons {
 		if !p.Up() {
@@ -101,10 +103,10 @@
 	return lines
 }
 
-// Story counts the lines of all daemons' rings that hold a word.
+// CountLogLines counts occurrences of a word in the event logs of all daemons.
 //
-// Example: shifts := f.Story("(shift)")
-func (f *Fleet) Story(word string) int {
+// Example: shifts := f.CountLogLines("(shift)")
+func (f *Fleet) CountLogLines(word string) int {
 	n := 0
 	for _, p := range f.Daemons {
 		_, b := f.Call("GET", p.Addr, "/v1/ring", nil)
@@ -113,8 +115,8 @@
 	return n
 }
 
-// wait lets time pass while load runs; it decides nothing.
-func wait(ctx context.Context, d time.Duration) {
+// sleep waits for a period or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -123,19 +125,22 @@
 	}
 }
 
-// back waits until every daemon is ready and serves a plan under valid leases,
+// awaitRecovery waits until every daemon is ready and serves a plan under valid leases,
 // and every service is served.
-func (f *Fleet) back(ctx context.Context, r *Report, limit time.Duration, what string) {
+func (f *Fleet) awaitRecovery(ctx context.Context, r *Report, limit time.Duration, event string) {
 	from := time.Now()
-	f.Recorder.Put(history.Event{Ev: "mended"}) // the machines are back: from here the clock runs
-	if !Until(ctx, limit, func() bool { return f.Ready() == f.alive() && f.leased() == f.alive() && f.Serving() }) {
-		r.Fail("%s: %d of %d daemons ready, %d under valid leases, serving %v after %v", what, f.Ready(), f.alive(), f.leased(), f.Serving(), limit)
+	f.Recorder.Put(history.Event{Ev: "mended"}) // starts the recovery time that the judge checks
+	if !Until(ctx, limit, func() bool {
+		return f.Ready() == f.runningCount() && f.leasedCount() == f.runningCount() && f.Serving()
+	}) {
+		r.Failf("%s: %d of %d daemons ready, %d under valid leases, serving %v after %v", event, f.Ready(), f.runningCount(), f.leasedCount(), f.Serving(), limit)
 		return
 	}
-	r.Say("%s: whole again after %.1fs (bound %v)", what, time.Since(from).Seconds(), limit)
+	r.Logf("%s: recovered after %.1fs (bound %v)", event, time.Since(from).Seconds(), limit)
 }
 
-func (f *Fleet) alive() int {
+// runningCount returns the number of running daemons.
+func (f *Fleet) runningCount() int {
 	n := 0
 	for _, p := range f.Daemons {
 		if p.Up() {
@@ -145,7 +150,7 @@
 	return n
 }
 
-// Up tells whether a process runs.
+// Up reports whether the process is running.
 //
 // Example: if !p.Up() { f.Up(p) }
 func (p *Proc) Up() bool {
@@ -157,43 +162,44 @@
 	}
 }
 
-// leased counts the daemons that serve a plan under valid leases. One may be
-// ready a little longer than that, by its last records.
-func (f *Fleet) leased() int {
+// leasedCount returns the number of daemons that serve a plan under valid leases. A
+// daemon without valid leases may stay ready for a short time, on its last records.
+func (f *Fleet) leasedCount() int {
 	n := 0
 	for _, p := range f.Daemons {
-		if _, ok := f.version(p); p.Up() && ok {
+		if _, ok := f.validPlanVersion(p); p.Up() && ok {
 			n++
 		}
 	}
 	return n
 }
 
-// leaseLooks bounds how long daemons may be without valid leases once the fleet is
-// back: it may be found so before the leases of a leader that was killed lapse.
-const leaseLooks = 2 * time.Second
+// leaseTimeout limits how long a daemon may lack valid leases after recovery: the fleet
+// may appear recovered before the leases of a killed leader expire.
+const leaseTimeout = 2 * time.Second
 
-// holds asks that every daemon serves an acknowledged plan under valid leases in
-// time, and that none serves an older one under valid leases at any look.
-func (f *Fleet) holds(ctx context.Context, r *Report, acknowledged uint64) {
+// checkPlanKept checks that every daemon serves at least the acknowledged plan under
+// valid leases within leaseTimeout, and that none serves an older one under valid leases.
+func (f *Fleet) checkPlanKept(ctx context.Context, r *Report, acknowledged uint64) {
 	for _, p := range f.Daemons {
 		if !p.Up() {
 			continue
 		}
-		in := Until(ctx, leaseLooks, func() bool {
-			now, ok := f.version(p)
+		in := Until(ctx, leaseTimeout, func() bool {
+			now, ok := f.validPlanVersion(p)
 			if ok && now < acknowledged {
-				r.Fail("plan %d was acknowledged, %s serves %d", acknowledged, p.Name, now)
+				r.Failf("plan %d was acknowledged, but %s serves plan %d", acknowledged, p.Name, now)
 			}
 			return ok
 		})
 		if !in {
-			r.Fail("plan %d was acknowledged, %s has no valid leases for %v", acknowledged, p.Name, leaseLooks)
+			r.Failf("plan %d was acknowledged, but %s has no valid leases for %v", acknowledged, p.Name, leaseTimeout)
 		}
 	}
 }
 
-func (f *Fleet) disks() (out []*Proc) {
+// controlDaemons returns the running daemons with a disk.
+func (f *Fleet) controlDaemons() (out []*Proc) {
 	for _, p := range f.Daemons {
 		if p.Data != "" && p.Up() {
 			out = append(out, p)
@@ -202,8 +208,8 @@
 	return out
 }
 
-// cut severs a daemon from addresses, both ways unless one is set.
-func (f *Fleet) cut(a, b []*Proc, one bool) {
+// cut blocks messages from a to b, and those from b to a unless oneWay is set.
+func (f *Fleet) cut(a, b []*Proc, oneWay bool) {
 	list := func(ps []*Proc) []string {
 		out := []string{}
 		for _, p := range ps {
@@ -214,95 +220,97 @@
 	for _, p := range a {
 		f.Call("POST", p.Addr, "/test/cut", list(b))
 	}
-	if !one {
+	if !oneWay {
 		for _, p := range b {
 			f.Call("POST", p.Addr, "/test/cut", list(a))
 		}
 	}
 }
 
+// heal removes all cuts.
 func (f *Fleet) heal() {
 	for _, p := range f.Daemons {
 		f.Call("POST", p.Addr, "/test/cut", []string{})
 	}
 }
 
-// version is the plan version that a daemon serves under valid leases.
-func (f *Fleet) version(p *Proc) (uint64, bool) {
+// validPlanVersion returns the plan version that a daemon serves under valid leases.
+func (f *Fleet) validPlanVersion(p *Proc) (uint64, bool) {
 	st, ok := f.State(p)
 	return st.PlanVersion, ok && st.PlanValid
 }
 
-// leasedVersion is the first plan version that a daemon serves under valid
-// leases; a change of leader leaves it without one for a moment. 0: none came.
+// leasedVersion waits for valid leases, which a change of leader interrupts briefly, and
+// returns the plan version served, or the last one seen after 2s.
 func (f *Fleet) leasedVersion(ctx context.Context, p *Proc) (version uint64) {
 	Until(ctx, 2*time.Second, func() bool {
-		now, ok := f.version(p)
+		now, ok := f.validPlanVersion(p)
 		version = now
 		return ok
 	})
 	return version
 }
 
-// change sends a named change of one tenant's timeout and reports the verdict.
-func (f *Fleet) change(addr, id string, base uint64, timeout int) (int, fleetconfig.Verdict) {
+// changeTenant changes one tenant's timeout and returns the status and the verdict.
+func (f *Fleet) changeTenant(addr, id string, base uint64, timeout int) (int, fleetconfig.Verdict) {
 	code, b := f.Call("POST", addr, "/v1/plan/changes", fleetconfig.Changes{ID: id, Base: base, Changes: []fleetconfig.Change{
 		{Op: "set-tenant", Tenant: &fleetconfig.Tenant{Name: "regular", Priority: 4, TimeoutMillis: timeout, QueueFraction: 0.6}},
 	}})
-	return code, f.told(id, base, code, b)
+	return code, f.recordVerdict(id, base, code, b)
 }
 
-// watch writes down every daemon's plan all the time, for the judge: none may
-// go back, and an acknowledged one is in force everywhere within the bound.
-// The function it returns waits for the end and says how often it looked.
-func (f *Fleet) watch(ctx context.Context) func() int {
+// monitorPlans records every daemon's plan until the context ends. The judge checks that
+// no daemon returns to an older plan and that an acknowledged plan takes effect
+// everywhere within the bound. The returned function waits for the end and returns the
+// number of recorded observations.
+func (f *Fleet) monitorPlans(ctx context.Context) func() int {
 	var wg sync.WaitGroup
-	var looks atomic.Int64
-	look := func(p *Proc) {
+	var observations atomic.Int64
+	observe := func(p *Proc) {
 		defer wg.Done()
 		for ctx.Err() == nil {
 			asked := time.Now().UnixNano()
 			code, b := f.Call("GET", p.Addr, "/readyz", nil)
 			var w leadercall.Response
 			if code == 200 && json.Unmarshal(b, &w) == nil && w.Plan != "" {
-				looks.Add(1)
+				observations.Add(1)
 				f.Recorder.Put(history.Event{At: asked, Who: p.Name, Ev: "serves", Plan: w.Plan, Ver: w.Version})
 			}
-			wait(ctx, 40*time.Millisecond)
+			sleep(ctx, 40*time.Millisecond)
 		}
 	}
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
-		seen := map[*Proc]bool{}
+		monitored := map[*Proc]bool{}
 		for ctx.Err() == nil {
 			f.mu.Lock()
 			for _, p := range f.Daemons {
-				if !seen[p] {
-					seen[p] = true
+				if !monitored[p] {
+					monitored[p] = true
 					wg.Add(1)
-					go look(p)
+					go observe(p)
 				}
 			}
 			f.mu.Unlock()
-			wait(ctx, 200*time.Millisecond)
+			sleep(ctx, 200*time.Millisecond)
 		}
 	}()
-	return func() int { wg.Wait(); return int(looks.Load()) }
+	return func() int { wg.Wait(); return int(observations.Load()) }
 }
 
-// Scenarios are the failures that can be brought about.
+// Scenarios are all scenarios by name.
 var Scenarios = func() map[string]Scenario {
 	all := map[string]Scenario{}
-	for _, part := range []map[string]Scenario{daemons, cores, plans, servers} {
+	for _, part := range []map[string]Scenario{daemonScenarios, coreScenarios, planScenarios, serverScenarios} {
 		maps.Copy(all, part)
 	}
 	return all
 }()
 
-// voting tells whether a daemon has a vote in every part, with the part's
-// whole state, and no group is half changed.
-func (f *Fleet) voting(p *Proc) bool {
+// isVoter reports whether a daemon is a voter with the complete state in every
+// partition, and no group change is in progress.
+func (f *Fleet) isVoter(p *Proc) bool {
 	me, ok := f.State(p)
 	if !ok {
 		return false
@@ -324,8 +332,8 @@
 	return true
 }
 
-// roll restarts every daemon with a warning, one after another.
-func (f *Fleet) roll(ctx context.Context, r *Report, change func(*Proc), what string) {
+// rollingRestart restarts the daemons one after another, each with SIGTERM.
+func (f *Fleet) rollingRestart(ctx context.Context, r *Report, change func(*Proc), event string) {
 	from := time.Now()
 	f.mu.Lock()
 	list := append([]*Proc(nil), f.Daemons...)
@@ -333,28 +341,28 @@
 	for _, p := range list {
 		f.Signal(p, syscall.SIGTERM)
 		if !Until(ctx, 13*time.Second, func() bool { return !p.Up() }) {
-			r.Fail("%s still runs 13s after the warning", p.Name)
+			r.Failf("%s still runs 13s after SIGTERM", p.Name)
 			f.Kill(p)
 		}
 		if change != nil {
 			change(p)
 		}
 		if err := f.Up(p); err != nil {
-			r.Fail("%v", err)
+			r.Failf("%v", err)
 			return
 		}
 		if !Until(ctx, 12*time.Second, func() bool { code, _ := f.Call("GET", p.Addr, "/readyz", nil); return code == 200 }) {
 			_, b := f.Call("GET", p.Addr, "/readyz", nil)
-			r.Fail("%s isn't ready 12s after its restart: %s", p.Name, b)
+			r.Failf("%s is not ready 12s after its restart: %s", p.Name, b)
 		}
 	}
-	r.Say("%d daemons %s with a warning, one after another, in %.0fs", len(list), what, time.Since(from).Seconds())
+	r.Logf("%d daemons %s one after another in %.0fs", len(list), event, time.Since(from).Seconds())
 }
 
-// Told counts the explained requests of all daemons whose end has this reason.
+// CountReasons counts the requests of all daemons that ended for a reason.
 //
-// Example: n := f.Told("the client takes no pieces")
-func (f *Fleet) Told(why string) int {
+// Example: n := f.CountReasons("the client takes no pieces")
+func (f *Fleet) CountReasons(why string) int {
 	n := 0
 	for _, p := range f.Daemons {
 		_, b := f.Call("GET", p.Addr, "/v1/why/all", nil)
--- a/proof/track/scene_core.go
+++ b/proof/track/scene_core.go
@@ -11,28 +11,28 @@
 	"mulleinmast/control/fleetconfig"
 )
 
-// cores is what befalls the core, zones and disks.
-var cores = map[string]Scenario{
+// coreScenarios are failures of control daemons, zones and disks.
+var coreScenarios = map[string]Scenario{
 	"cut-core": func(ctx context.Context, f *Fleet, r *Report) {
-		d := f.disks()
-		f.cut(d[:1], d[1:], false)
-		wait(ctx, 4*time.Second)
+		control := f.controlDaemons()
+		f.cut(control[:1], control[1:], false)
+		sleep(ctx, 4*time.Second)
 		f.heal()
-		f.back(ctx, r, 12*time.Second, "one disk machine cut from the other two for 4s")
-		f.cut(d[1:2], d[:1], true)
-		wait(ctx, 3*time.Second)
+		f.awaitRecovery(ctx, r, 12*time.Second, "one control daemon partitioned from the other two for 4s")
+		f.cut(control[1:2], control[:1], true)
+		sleep(ctx, 3*time.Second)
 		f.heal()
-		f.back(ctx, r, 12*time.Second, "one-way cut in the core for 3s")
+		f.awaitRecovery(ctx, r, 12*time.Second, "one-way partition between control daemons for 3s")
 	},
 	"alone": func(ctx context.Context, f *Fleet, r *Report) {
 		last := f.Daemons[len(f.Daemons)-1]
 		f.cut([]*Proc{last}, f.Daemons[:len(f.Daemons)-1], false)
-		wait(ctx, 4*time.Second)
+		sleep(ctx, 4*time.Second)
 		if code, _ := f.Call("GET", last.Addr, "/readyz", nil); code == 200 {
-			r.Fail("%s is cut off and says that it is ready", last.Name)
+			r.Failf("%s is cut off but reports ready", last.Name)
 		}
 		f.heal()
-		f.back(ctx, r, 12*time.Second, "a single machine cut off for 4s")
+		f.awaitRecovery(ctx, r, 12*time.Second, "a single machine partitioned for 4s")
 	},
 	"lost-zone": func(ctx context.Context, f *Fleet, r *Report) {
 		zone := f.Daemons[0].Zone
@@ -46,125 +46,125 @@
 		for _, p := range out {
 			<-p.done
 		}
-		f.back(ctx, r, 12*time.Second, zone+" lost whole")
+		f.awaitRecovery(ctx, r, 12*time.Second, zone+" lost completely")
 		for _, p := range out {
 			_ = f.Up(p)
 		}
-		f.back(ctx, r, 20*time.Second, zone+" back")
+		f.awaitRecovery(ctx, r, 20*time.Second, zone+" back")
 	},
 	"stall-disk": func(ctx context.Context, f *Fleet, r *Report) {
 		p := f.Leader(0)
 		f.Call("POST", p.Addr, "/test/stall?for=1500ms", nil)
 		v := f.leasedVersion(ctx, f.Daemons[0])
 		from := time.Now()
-		code, _ := f.change(f.Daemons[1].Addr, "stalled", v, 6000)
-		r.Say("a change while the leader's disk stalls: %d after %.1fs", code, time.Since(from).Seconds())
-		wait(ctx, 3*time.Second)
+		code, _ := f.changeTenant(f.Daemons[1].Addr, "stalled", v, 6000)
+		r.Logf("change while the leader's disk stalls: status %d after %.1fs", code, time.Since(from).Seconds())
+		sleep(ctx, 3*time.Second)
 		f.Call("POST", p.Addr, "/test/stall?for=0s", nil)
-		f.back(ctx, r, 12*time.Second, "leader's disk stalled")
+		f.awaitRecovery(ctx, r, 12*time.Second, "leader's disk stalled")
 	},
 	"disk-full": func(ctx context.Context, f *Fleet, r *Report) {
 		p := f.Leader(0)
 		f.Call("POST", p.Addr, "/test/full?on=1", nil)
-		big := func(id string, base uint64, n int) (int, uint64) { // needs room in the file
+		big := func(id string, base uint64, n int) (int, uint64) { // requires the database file to grow
 			plan := f.Plan(id, base)
-			for k := 0; k < n; k++ { // names that don't shrink when they are packed
+			for k := 0; k < n; k++ { // hash names don't compress
 				name := fmt.Sprintf("%x", sha256.Sum256(fmt.Appendf(nil, "%s-%d", id, k)))
 				plan.Tenants = append(plan.Tenants, fleetconfig.Tenant{Name: name, Priority: k % 10, TimeoutMillis: 1000, QueueFraction: 0.5})
 			}
 			code, b := f.Call("PUT", f.Daemons[1].Addr, "/v1/plan", plan)
-			return code, f.told(id, base, code, b).Version
+			return code, f.recordVerdict(id, base, code, b).Version
 		}
 		v := f.leasedVersion(ctx, f.Daemons[1])
 		code, got := big("one-full", v, 400)
-		r.Say("the leader's disk is full: a plan that needs room: %d", code)
+		r.Logf("large plan while the leader's disk is full: status %d", code)
 		if code != 200 {
-			r.Fail("two of three disks had room: %d", code)
+			r.Failf("large plan refused although two of three disks had space: status %d", code)
 		}
-		if f.Story("database or disk is full") == 0 {
-			r.Fail("no daemon saw a full disk")
+		if f.CountLogLines("database or disk is full") == 0 {
+			r.Failf("no daemon logged a full disk")
 		}
-		f.Kill(p) // what it could not write must not be missed
+		f.Kill(p) // no acknowledged record may depend on the full disk
 		_ = f.Up(p)
-		f.back(ctx, r, 12*time.Second, "leader with a full disk killed")
+		f.awaitRecovery(ctx, r, 12*time.Second, "leader with a full disk killed")
 		if code == 200 {
-			f.holds(ctx, r, got)
+			f.checkPlanKept(ctx, r, got)
 		}
-		d := f.disks()
-		for _, p := range d[:2] {
+		control := f.controlDaemons()
+		for _, p := range control[:2] {
 			f.Call("POST", p.Addr, "/test/full?on=1", nil)
 		}
 		v = f.leasedVersion(ctx, f.Daemons[1])
 		from := time.Now()
 		code, got = big("two-full", v, 4000)
-		r.Say("two disks of three are full: a plan: %d after %.1fs", code, time.Since(from).Seconds())
+		r.Logf("plan while two of three disks are full: status %d after %.1fs", code, time.Since(from).Seconds())
 		if code == 200 {
-			r.Fail("plan %d was acknowledged with one disk of three", got)
+			r.Failf("plan %d was acknowledged with only one of three disks writable", got)
 		}
-		for _, p := range d[:2] {
+		for _, p := range control[:2] {
 			f.Call("POST", p.Addr, "/test/full?on=0", nil)
 		}
-		f.back(ctx, r, 12*time.Second, "room on every disk again")
+		f.awaitRecovery(ctx, r, 12*time.Second, "space on every disk again")
 	},
 	"two-disks": func(ctx context.Context, f *Fleet, r *Report) {
-		// More than the fleet bears: it must say so and invent nothing.
-		d := f.disks()
+		// A majority of the disks is lost: the fleet must report it and serve no plan.
+		control := f.controlDaemons()
 		v := f.leasedVersion(ctx, f.Daemons[1])
-		for _, p := range d[:2] {
+		for _, p := range control[:2] {
 			f.Signal(p, syscall.SIGKILL)
 		}
-		for _, p := range d[:2] {
+		for _, p := range control[:2] {
 			<-p.done
 			if err := f.Wipe(p); err != nil {
-				r.Fail("%v", err)
+				r.Failf("%v", err)
 			}
 			_ = f.Up(p)
 		}
-		wait(ctx, 6*time.Second)
+		sleep(ctx, 6*time.Second)
 		for _, p := range f.Daemons {
-			if now, ok := f.version(p); ok {
-				r.Fail("%s serves plan %d with a majority of the disks lost (it was %d)", p.Name, now, v)
+			if now, ok := f.validPlanVersion(p); ok {
+				r.Failf("%s serves plan %d with a majority of the disks lost (before: %d)", p.Name, now, v)
 			}
 		}
 		code, b := f.Call("POST", f.Daemons[1].Addr, "/v1/plan/changes", fleetconfig.Changes{ID: "none", Base: v, Changes: []fleetconfig.Change{{Op: "drop-tenant", Name: "bulk"}}})
 		if code != 503 && code != 504 {
-			r.Fail("a change with a majority of the disks lost: %d %s", code, b)
+			r.Failf("change with a majority of the disks lost: status %d, %s", code, b)
 		}
-		_, why := f.Call("GET", d[2].Addr, "/readyz", nil)
-		r.Say("two disks of three lost: changes get %d, the third says %s", code, strings.TrimSpace(string(why)))
+		_, why := f.Call("GET", control[2].Addr, "/readyz", nil)
+		r.Logf("two of three disks lost: changes return status %d, the third daemon reports %s", code, strings.TrimSpace(string(why)))
 		if !strings.Contains(string(why), "majority") {
-			r.Fail("the third doesn't say what is wrong")
+			r.Failf("the third daemon does not report the lost majority")
 		}
 	},
 	"exchange": func(ctx context.Context, f *Fleet, r *Report) {
-		// Every core machine is exchanged for an empty one at a new address.
-		for _, old := range f.disks() {
+		// Every control daemon is replaced with an empty one at a new address.
+		for _, old := range f.controlDaemons() {
 			f.Kill(old)
 			var seeds []string
-			for _, p := range f.disks() {
+			for _, p := range f.controlDaemons() {
 				seeds = append(seeds, p.Wire)
 			}
-			p, err := f.Add(old.Zone, true, append(seeds, fmt.Sprintf("127.0.0.1:%d", f.base+len(f.Daemons))))
+			p, err := f.Add(old.Zone, true, append(seeds, fmt.Sprintf("127.0.0.1:%d", f.basePort+len(f.Daemons))))
 			if err != nil {
-				r.Fail("%v", err)
+				r.Failf("%v", err)
 				return
 			}
-			if !Until(ctx, 45*time.Second, func() bool { return f.voting(p) }) {
-				r.Fail("%s got no replica", p.Name)
+			if !Until(ctx, 45*time.Second, func() bool { return f.isVoter(p) }) {
+				r.Failf("%s got no replica within 45s", p.Name)
 				return
 			}
-			r.Say("%s exchanged for the empty %s", old.Name, p.Name)
+			r.Logf("%s replaced with the empty %s", old.Name, p.Name)
 		}
-		f.back(ctx, r, 20*time.Second, "all core machines exchanged")
-		// And one more fault: the new leader is killed. Its own config names seeds
-		// of which most are gone; its groups name the living.
+		f.awaitRecovery(ctx, r, 20*time.Second, "all control daemons replaced")
+		// The new leader is killed, too. Most seeds of its config no longer exist, but
+		// its stored groups name the running replicas.
 		if p := f.Leader(0); p != nil {
 			f.Kill(p)
 			_ = f.Up(p)
-			f.back(ctx, r, 12*time.Second, "an exchanged core machine killed and restarted")
+			f.awaitRecovery(ctx, r, 12*time.Second, "a replacement control daemon killed and restarted")
 		}
-		// A daemon without a disk that knows only the old seeds says so, and
-		// joins with seeds of which one lives, disk or not.
+		// A daemon without a disk that knows only the old seeds reports it, and joins
+		// once one of its seeds is running, with or without a disk.
 		last := f.Daemons[f.Layout.Zones[0]-1]
 		f.Kill(last)
 		_ = f.Up(last)
@@ -172,7 +172,7 @@
 			_, b := f.Call("GET", last.Addr, "/readyz", nil)
 			return strings.Contains(string(b), "asked at the seeds")
 		}) {
-			r.Fail("%s knows only dead seeds and doesn't say so", last.Name)
+			r.Failf("%s knows only dead seeds but does not report it", last.Name)
 		}
 		f.Kill(last)
 		var near *Proc
@@ -181,8 +181,8 @@
 				near = p
 			}
 		}
-		f.daemonArgs(last, []string{near.Wire, fmt.Sprintf("127.0.0.1:%d", f.base), fmt.Sprintf("127.0.0.1:%d", f.base+1)})
+		f.daemonArgs(last, []string{near.Wire, fmt.Sprintf("127.0.0.1:%d", f.basePort), fmt.Sprintf("127.0.0.1:%d", f.basePort+1)})
 		_ = f.Up(last)
-		f.back(ctx, r, 12*time.Second, "a daemon joined through a seed that has no disk")
+		f.awaitRecovery(ctx, r, 12*time.Second, "daemon joined through a seed without a disk")
 	},
 }
--- a/proof/track/track.go
+++ b/proof/track/track.go
@@ -1,6 +1,6 @@
-// Package track runs a whole fleet as real processes on one machine: daemons,
-// stand-in servers and load, with kills, freezes, lost folders and cuts. It is
-// the only thing here that starts processes.
+// Package track runs a complete fleet as real processes on one machine: daemons, fake
+// servers and load, with injected failures such as kills, freezes, lost data folders
+// and network partitions.
 package track
 
 import (
@@ -23,7 +23,7 @@
 	"mulleinmast/proof/platform"
 )
 
-// Layout is a deployment.
+// Layout describes a deployment.
 type Layout struct {
 	Name     string
 	Zones    []int // daemons in each zone; the first of each has a disk
@@ -45,37 +45,38 @@
 	Layout      Layout
 	Daemons     []*Proc
 	FakeServers []*Proc
-	Svc         map[string][]fleetconfig.Server
+	ServersOf   map[string][]fleetconfig.Server // by service
 	Recorder    *history.Recorder
-	base        int
+	basePort    int
 	bin         string
-	web         *http.Client
-	Plat        *platform.Platform
-	Old         string // folder of another build's programs, for the scenario that mixes them
-	plans       int
+	client      *http.Client
+	Platform    *platform.Platform
+	Old         string // folder with the programs of another build, for the scenario "versions"
+	loads       int    // load runs started
 	mu          sync.Mutex
-	files       []string
+	histories   []string // paths
 }
 
-// Start starts a layout's daemons and servers and waits for nothing.
+// Start starts a layout's daemons and fake servers. It does not wait until they are
+// ready.
 //
 // Example: f, err := track.Start(dir, "bin", track.Layouts["pat"], 21000)
-func Start(dir, bin string, l Layout, base int) (*Fleet, error) {
+func Start(dir, bin string, l Layout, basePort int) (*Fleet, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	f := &Fleet{Dir: dir, Layout: l, Svc: map[string][]fleetconfig.Server{}, base: base, bin: bin, web: &http.Client{Timeout: 10 * time.Second}}
-	f.Plat = platform.New(f.boxes)
+	f := &Fleet{Dir: dir, Layout: l, ServersOf: map[string][]fleetconfig.Server{}, basePort: basePort, bin: bin, client: &http.Client{Timeout: 10 * time.Second}}
+	f.Platform = platform.New(f.platformDaemons)
 	recorder, err := history.Open(filepath.Join(dir, "track.jsonl"))
 	if err != nil {
 		return nil, err
 	}
-	f.Recorder, f.files = recorder, []string{filepath.Join(dir, "track.jsonl")}
+	f.Recorder, f.histories = recorder, []string{filepath.Join(dir, "track.jsonl")}
 	i := 0
 	var seeds []string
 	for c, n := range l.Zones {
 		for j := 0; j < n; j++ {
-			p := &Proc{Name: fmt.Sprintf("box-%d", i), Wire: fmt.Sprintf("127.0.0.1:%d", base+i), Addr: fmt.Sprintf("127.0.0.1:%d", base+100+i), Zone: fmt.Sprintf("zone-%c", 'a'+c), bin: "mulleinmast"}
+			p := &Proc{Name: fmt.Sprintf("box-%d", i), Wire: fmt.Sprintf("127.0.0.1:%d", basePort+i), Addr: fmt.Sprintf("127.0.0.1:%d", basePort+100+i), Zone: fmt.Sprintf("zone-%c", 'a'+c), bin: "mulleinmast"}
 			if j == 0 {
 				p.Data = filepath.Join(dir, p.Name)
 				seeds = append(seeds, p.Wire)
@@ -93,12 +94,12 @@
 	d := 0
 	for _, svc := range l.Order {
 		for k := 0; k < l.Services[svc]; k++ {
-			p := &Proc{Name: fmt.Sprintf("fakeserver-%d", d), Addr: fmt.Sprintf("127.0.0.1:%d", base+200+d), Zone: fmt.Sprintf("zone-%c", 'a'+k%len(l.Zones)), bin: "fakeserver"}
+			p := &Proc{Name: fmt.Sprintf("fakeserver-%d", d), Addr: fmt.Sprintf("127.0.0.1:%d", basePort+200+d), Zone: fmt.Sprintf("zone-%c", 'a'+k%len(l.Zones)), bin: "fakeserver"}
 			j := filepath.Join(dir, p.Name+".jsonl")
-			f.files = append(f.files, j)
+			f.histories = append(f.histories, j)
 			p.args = []string{"-addr", p.Addr, "-zone", p.Zone, "-capacity", "8", "-journal", j}
 			f.FakeServers = append(f.FakeServers, p)
-			f.Svc[svc] = append(f.Svc[svc], fleetconfig.Server{Addr: p.Addr, Zone: p.Zone, Capacity: 8})
+			f.ServersOf[svc] = append(f.ServersOf[svc], fleetconfig.Server{Addr: p.Addr, Zone: p.Zone, Capacity: 8})
 			if err := f.Up(p); err != nil {
 				return f, err
 			}
@@ -108,16 +109,17 @@
 	return f, nil
 }
 
-// boxes is what the platform knows of the daemons.
-func (f *Fleet) boxes() (out []platform.Box) {
+// platformDaemons returns the daemons as the platform lists them.
+func (f *Fleet) platformDaemons() (out []platform.Daemon) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, p := range f.Daemons {
-		out = append(out, platform.Box{Addr: p.Addr, Zone: p.Zone})
+		out = append(out, platform.Daemon{Addr: p.Addr, Zone: p.Zone})
 	}
 	return out
 }
 
+// daemonArgs sets the command line of a daemon.
 func (f *Fleet) daemonArgs(p *Proc, seeds []string) {
 	p.args = []string{"-fleet", f.Layout.Name, "-wire", p.Wire, "-web", p.Addr, "-zone", p.Zone, "-seeds", strings.Join(seeds, ","), "-test-switches"}
 	if p.Data != "" {
@@ -125,13 +127,13 @@
 	}
 }
 
-// Add makes a new daemon, with an empty folder if disk is set, seeded by the
-// given wire addresses.
+// Add starts a new daemon with the given seeds, and with an empty data folder if disk
+// is set.
 //
 // Example: p, err := f.Add("zone-a", true, seeds)
 func (f *Fleet) Add(zone string, disk bool, seeds []string) (*Proc, error) {
 	i := len(f.Daemons)
-	p := &Proc{Name: fmt.Sprintf("box-%d", i), Wire: fmt.Sprintf("127.0.0.1:%d", f.base+i), Addr: fmt.Sprintf("127.0.0.1:%d", f.base+100+i), Zone: zone, bin: "mulleinmast"}
+	p := &Proc{Name: fmt.Sprintf("box-%d", i), Wire: fmt.Sprintf("127.0.0.1:%d", f.basePort+i), Addr: fmt.Sprintf("127.0.0.1:%d", f.basePort+100+i), Zone: zone, bin: "mulleinmast"}
 	if disk {
 		p.Data = filepath.Join(f.Dir, p.Name)
 	}
@@ -143,7 +145,7 @@
 	return p, err
 }
 
-// Stop kills everything.
+// Stop kills all processes of the fleet.
 //
 // Example: defer f.Stop()
 func (f *Fleet) Stop() {
@@ -157,7 +159,8 @@
 	}
 }
 
-// Call makes an HTTP call and returns the status and the body.
+// Call makes an HTTP call and returns the status and the body; the status is 0 if the
+// call failed.
 //
 // Example: code, body := f.Call("PUT", addr, "/v1/plan", plan)
 func (f *Fleet) Call(method, addr, path string, in any) (int, []byte) {
@@ -173,7 +176,7 @@
 	if err != nil {
 		return 0, []byte(err.Error())
 	}
-	res, err := f.web.Do(req)
+	res, err := f.client.Do(req)
 	if err != nil {
 		return 0, []byte(err.Error())
 	}
@@ -182,7 +185,7 @@
 	return res.StatusCode, b
 }
 
-// Until waits for a condition, looking often; it says false after the limit.
+// Until polls a condition and returns false if it does not hold within the limit.
 //
 // Example: ok := track.Until(ctx, 12*time.Second, func() bool { return f.Ready() == 10 })
 func Until(ctx context.Context, limit time.Duration, cond func() bool) bool {
@@ -197,7 +200,7 @@
 	return true
 }
 
-// Ready counts the daemons that say they are ready.
+// Ready returns the number of ready daemons.
 //
 // Example: f.Ready() == len(f.Daemons)
 func (f *Fleet) Ready() int {
@@ -210,7 +213,7 @@
 	return n
 }
 
-// State dumps a daemon.
+// State returns the state dump of a daemon.
 //
 // Example: st, ok := f.State(f.Daemons[0])
 func (f *Fleet) State(p *Proc) (st daemon.State, ok bool) {
@@ -218,7 +221,7 @@
 	return st, code == 200 && json.Unmarshal(b, &st) == nil
 }
 
-// Leader finds the daemon that holds a part.
+// Leader returns the leader of a partition, or nil.
 //
 // Example: p := f.Leader(0)
 func (f *Fleet) Leader(partition int) *Proc {
--- a/proof/track/track_test.go
+++ b/proof/track/track_test.go
@@ -11,8 +11,8 @@
 	"mulleinmast/proof/load"
 )
 
-// build makes the programs once for all tests on real processes.
-func build(t *testing.T) string {
+// buildPrograms builds the programs for the tests on real processes.
+func buildPrograms(t *testing.T) string {
 	t.Helper()
 	bin := filepath.Join(os.TempDir(), "mulleinmast-test-bin")
 	cmd := exec.Command("go", "build", "-o", bin+"/", "mulleinmast/cmd/mulleinmast", "mulleinmast/cmd/fakeserver")
@@ -22,8 +22,8 @@
 	return bin
 }
 
-func TestBothLayoutsServe(t *testing.T) {
-	bin := build(t)
+func TestLayoutsServe(t *testing.T) {
+	bin := buildPrograms(t)
 	base := 23000
 	for _, name := range []string{"rangsit", "pat"} {
 		t.Run(name, func(t *testing.T) {
@@ -41,16 +41,16 @@
 				t.Error(b)
 			}
 			if rep.Load.Results["ok"] < rep.Load.All/2 || rep.Load.Results["duplicate"] == 0 {
-				t.Errorf("served too little: %v", rep.Load.Results)
+				t.Errorf("too few requests served: %v", rep.Load.Results)
 			}
 		})
 	}
 }
 
-// Each failure is brought about on a fleet of real processes; the scenario
-// waits for conditions and the journals are judged.
+// Each failure is injected into a fleet of real processes; the scenario waits for
+// conditions, and the rules are checked on the histories.
 func TestFailuresOnProcesses(t *testing.T) {
-	bin := build(t)
+	bin := buildPrograms(t)
 	base := 25000
 	for _, x := range []struct{ layout, name string }{
 		{"rangsit", "kill-leader"},
@@ -90,7 +90,7 @@
 				t.Error("the scenario failed")
 			}
 			if rep.Load.Results["ok"] < rep.Load.All/3 {
-				t.Errorf("served too little: %s", rep.Load)
+				t.Errorf("too few requests served: %s", rep.Load)
 			}
 		})
 	}
