--- a/proof/overload/front.go
+++ b/proof/overload/front.go
@@ -11,35 +11,35 @@
 	"mulleinmast/wire/message"
 )
 
-// front is one daemon: its lane, its board, and the records that it reads.
+// front is one daemon: its dispatcher, its load reporter, and the records that it reads.
 type front struct {
-	w     *world
-	me    message.Member
-	lane  *forward.Dispatcher
-	board *loadreport.Reporter
-	blind time.Duration // until when its leases don't stand
+	w                  *simulation
+	me                 message.Member
+	dispatcher         *forward.Dispatcher
+	reporter           *loadreport.Reporter
+	leasesInvalidUntil time.Duration
 }
 
-// Generation counts the changes of the records.
+// Generation returns a number that increases with each change of the records.
 //
 // Example: f.Generation(0)
 func (f *front) Generation(int) uint64 { return f.w.gen }
 
-// Until is when the leases lapse.
+// Until returns the expiry of the leases.
 //
 // Example: now < f.Until(0)
 func (f *front) Until(int) time.Duration {
-	if f.w.now < f.blind {
+	if f.w.now < f.leasesInvalidUntil {
 		return f.w.now
 	}
 	return time.Hour
 }
 
-// Read serves a record under valid leases.
+// Read returns a record if the leases are valid.
 //
 // Example: rec, ok := f.Read(1, fleetconfig.ListKey("models"))
 func (f *front) Read(partition int, key string) (message.Record, bool) {
-	if f.w.now < f.blind {
+	if f.w.now < f.leasesInvalidUntil {
 		return message.Record{}, false
 	}
 	ver := message.Version{Term: 1, Seq: f.w.gen}
@@ -66,47 +66,47 @@
 func pack(x any) []byte {
 	b, err := json.Marshal(x)
 	if err != nil {
-		panic(err) // our own types always pack
+		panic(err) // these types can always be encoded
 	}
 	return b
 }
 
-// beat tells the other daemons what is due, again and again.
-func (f *front) beat() {
+// tick periodically sends load reports to the other daemons.
+func (f *front) tick() {
 	members := make([]message.Member, 0, len(f.w.daemons))
 	addrs := make([]string, 0, len(f.w.daemons))
 	for _, o := range f.w.daemons {
 		members, addrs = append(members, o.me), append(addrs, o.me.Addr)
 	}
-	f.lane.SetDaemons(f.w.now, f.me.Addr, addrs)
+	f.dispatcher.SetDaemons(f.w.now, f.me.Addr, addrs)
 	for _, s := range f.w.servers {
-		f.board.SetCacheSize(loadreport.ServerID(service, s.key), memory)
+		f.reporter.SetCacheSize(loadreport.ServerID(service, s.key), cacheTokens)
 	}
-	for _, m := range f.board.Tick(f.w.now, f.me, members) {
+	for _, m := range f.reporter.Tick(f.w.now, f.me, members) {
 		for _, o := range f.w.daemons {
 			if o.me.Ident == m.Message.To {
-				f.w.after(hop, func() { o.board.Step(o.w.now, m.Message) })
+				f.w.after(networkLatency, func() { o.reporter.Step(o.w.now, m.Message) })
 			}
 		}
 	}
-	f.w.after(20*time.Millisecond, f.beat)
+	f.w.after(20*time.Millisecond, f.tick)
 }
 
-// hints is a daemon's board as its lane sees it.
-type hints struct{ f *front }
+// loadHints is a daemon's load reporter as its dispatcher uses it.
+type loadHints struct{ f *front }
 
-// AddLoad records work sent from here.
+// AddLoad records work sent by this daemon.
 //
 // Example: h.AddLoad("server-01", 900, 0)
-func (h hints) AddLoad(server string, tokens, writing int) {
-	h.f.board.AddLoad(loadreport.ServerID(service, server), tokens, writing)
+func (h loadHints) AddLoad(server string, tokens, writing int) {
+	h.f.reporter.AddLoad(loadreport.ServerID(service, server), tokens, writing)
 }
 
-// Load is what is under way at a server.
+// Load returns the load in progress at a server.
 //
 // Example: tokens, writing, pause := h.Load(now, "server-01")
-func (h hints) Load(now time.Duration, server string) (tokens, writing int, pause time.Duration) {
-	u := h.f.board.Load(now, loadreport.ServerID(service, server))
+func (h loadHints) Load(now time.Duration, server string) (tokens, writing int, pause time.Duration) {
+	u := h.f.reporter.Load(now, loadreport.ServerID(service, server))
 	if u.Decoding > 0 {
 		pause = time.Duration(u.InterTokenSum/u.Decoding) * time.Millisecond
 	}
@@ -116,103 +116,103 @@
 // ObserveInterTokenLatency records the time between two events.
 //
 // Example: h.ObserveInterTokenLatency("server-01", 40*time.Millisecond)
-func (h hints) ObserveInterTokenLatency(server string, d time.Duration) {
-	h.f.board.ObserveInterTokenLatency(loadreport.ServerID(service, server), d)
+func (h loadHints) ObserveInterTokenLatency(server string, d time.Duration) {
+	h.f.reporter.ObserveInterTokenLatency(loadreport.ServerID(service, server), d)
 }
 
 // CallEnded records the end of a call.
 //
 // Example: h.CallEnded(now, "server-01", true)
-func (h hints) CallEnded(now time.Duration, server string, answered bool) {
-	h.f.board.CallEnded(now, loadreport.ServerID(service, server), answered)
+func (h loadHints) CallEnded(now time.Duration, server string, answered bool) {
+	h.f.reporter.CallEnded(now, loadreport.ServerID(service, server), answered)
 }
 
-// IsDown tells whether a server most likely answers nobody.
+// IsDown reports whether a server is believed to be down.
 //
 // Example: h.IsDown(now, "server-01")
-func (h hints) IsDown(now time.Duration, server string) bool {
-	return h.f.board.IsDown(now, loadreport.ServerID(service, server))
+func (h loadHints) IsDown(now time.Duration, server string) bool {
+	return h.f.reporter.IsDown(now, loadreport.ServerID(service, server))
 }
 
-// RecordPrefix records that a server keeps a prompt.
+// RecordPrefix records that a server caches a prompt prefix.
 //
 // Example: h.RecordPrefix(prefix, "server-01", 900)
-func (h hints) RecordPrefix(prefix uint64, server string, tokens int) {
-	h.f.board.RecordPrefix(prefix, loadreport.ServerID(service, server), tokens)
+func (h loadHints) RecordPrefix(prefix uint64, server string, tokens int) {
+	h.f.reporter.RecordPrefix(prefix, loadreport.ServerID(service, server), tokens)
 }
 
-// HasPrefix tells whether a server keeps a prompt's shared parts.
+// HasPrefix reports whether a server caches a prompt prefix.
 //
 // Example: h.HasPrefix(prefix, "server-01")
-func (h hints) HasPrefix(prefix uint64, server string) bool {
-	return h.f.board.HasPrefix(prefix, loadreport.ServerID(service, server))
+func (h loadHints) HasPrefix(prefix uint64, server string) bool {
+	return h.f.reporter.HasPrefix(prefix, loadreport.ServerID(service, server))
 }
 
-// try is one try of a client at one daemon.
-type try struct {
-	f     *front
-	call  forward.Request
-	over  bool
-	began bool
-	reads int                                        // tokens that servers read for it
-	told  func(k forward.Action, back time.Duration) // its client, of its end
-	first func()                                     // its client, of the first event
+// attempt is one attempt of a client at one daemon.
+type attempt struct {
+	front           *front
+	call            forward.Request
+	ended           bool
+	streaming       bool
+	prefilledTokens int // by all servers
+	onEnd           func(end forward.Action, retryAfter time.Duration)
+	onFirstEvent    func()
 }
 
-// start brings a try to its daemon.
-func (t *try) start() { t.act(t.f.lane.Start(t.f.w.now, t.call)) }
+// start starts the attempt at its daemon.
+func (t *attempt) start() { t.execute(t.front.dispatcher.Start(t.front.w.now, t.call)) }
 
-// act carries a move out.
-func (t *try) act(m forward.Decision) {
-	w := t.f.w
+// execute carries out a decision of the dispatcher.
+func (t *attempt) execute(m forward.Decision) {
+	w := t.front.w
 	switch m.Action {
 	case forward.Wait:
 		w.after(min(m.Until-w.now, w.cfg.VolumeLease()/16), func() {
-			if !t.over {
-				t.act(t.f.lane.Continue(w.now, t.call.ID))
+			if !t.ended {
+				t.execute(t.front.dispatcher.Continue(w.now, t.call.ID))
 			}
 		})
 	case forward.Prefill:
 		t.send(m, func(out forward.Outcome, h forward.Handle) {
-			t.act(t.f.lane.PrefillDone(w.now, t.call.ID, out, h, "test"))
+			t.execute(t.front.dispatcher.PrefillDone(w.now, t.call.ID, out, h, "test"))
 		})
 	case forward.Decode:
 		t.send(m, func(out forward.Outcome, _ forward.Handle) {
-			t.act(t.f.lane.DecodeDone(w.now, t.call.ID, out, "test"))
+			t.execute(t.front.dispatcher.DecodeDone(w.now, t.call.ID, out, "test"))
 		})
 	default:
-		t.over = true
+		t.ended = true
 		if m.Action != forward.Done {
-			w.result.Wasted += t.reads
+			w.result.WastedTokens += t.prefilledTokens
 		}
-		t.told(m.Action, m.RetryAfter)
+		t.onEnd(m.Action, m.RetryAfter)
 	}
 }
 
-// send puts a call before a server, unless the last look stops it; done hears of
-// its end once, at the latest when its time is up.
-func (t *try) send(m forward.Decision, done func(forward.Outcome, forward.Handle)) {
-	w := t.f.w
-	if !t.f.lane.MaySend(w.now, t.call.ID, m) {
+// send sends a call to a server unless the final check blocks it. done is called once
+// when the call ends, at the latest at its deadline.
+func (t *attempt) send(m forward.Decision, done func(forward.Outcome, forward.Handle)) {
+	w := t.front.w
+	if !t.front.dispatcher.MaySend(w.now, t.call.ID, m) {
 		done(forward.Blocked, forward.Handle{})
 		return
 	}
 	ended := false
 	s := w.serverOf(m.Server.Key)
-	j := &job{try: t, move: m, due: m.Until}
+	j := &job{attempt: t, decision: m, deadline: m.Until}
 	j.done = func(out forward.Outcome, h forward.Handle) {
-		if !ended && !t.over {
+		if !ended && !t.ended {
 			ended = true
 			if out != forward.Lost && out != forward.NotSent {
-				s.idle[t.f]++
+				s.idleConns[t.front]++
 			}
 			done(out, h)
 		}
 	}
-	w.after(s.connect(t.f), func() { s.take(j) })
+	w.after(s.connect(t.front), func() { s.enqueue(j) })
 	w.after(m.Until-w.now, func() {
 		if !ended {
-			j.cut = true
+			j.abandoned = true
 			j.done(forward.Lost, forward.Handle{})
 		}
 	})
--- a/proof/overload/overload.go
+++ b/proof/overload/overload.go
@@ -1,8 +1,8 @@
-// Package overload plays the request path of a fleet by itself: the real decisions
-// (traffic/forward) and hints (traffic/loadreport) of several daemons before model
-// servers of two halves, under load and troubles that come and go, on a simulated
-// clock. It shows what a trouble leaves behind when it is over. The control plane
-// is not in it: records are there, or for a while they aren't.
+// Package overload simulates the request path of a fleet: the real dispatchers
+// (traffic/forward) and load reports (traffic/loadreport) of several daemons in front of
+// prefill and decode servers, under load and temporary faults, on a simulated clock. It
+// shows whether overload persists after a fault has ended. The control plane is not
+// simulated: records are either readable or, during a fault, not.
 package overload
 
 import (
@@ -21,78 +21,78 @@
 
 // Class is a kind of request.
 type Class struct {
-	Name          string
-	PerSecond     float64
-	Aim, Deadline time.Duration
-	Gap           time.Duration
-	Urgency       int
-	Shared        []int // tokens of the parts that others have in common
-	Things        []int // how many there are of each
-	Own           int   // tokens of the request's own part, in the mean
-	Out           int   // tokens of the answer, in the mean
-	Tries         int
+	Name                 string
+	PerSecond            float64
+	TTFTTarget, Deadline time.Duration
+	InterTokenTarget     time.Duration
+	Urgency              int
+	SharedTokens         []int // lengths of the shared prompt parts
+	SharedVariants       []int // number of variants of each shared part
+	OwnTokens            int   // mean length of the request's own prompt part
+	OutputTokens         int   // mean length of the answer
+	Attempts             int
 }
 
-// Trouble is what befalls the deployment.
-type Trouble struct {
-	At, For time.Duration
-	Crowd   float64 // times as many requests
-	Cold    bool    // at At the servers forget the prompts that they kept
-	Gone    float64 // part of the servers that is away
-	Blind   bool    // the daemons' leases don't stand
-	Reset   bool    // at At all connections to servers are reset
+// Fault is a temporary fault of the deployment.
+type Fault struct {
+	At, For       time.Duration
+	LoadFactor    float64 // multiplies the request rate; 0: no change
+	ClearCaches   bool    // all servers drop their prompt caches at At
+	ServersDown   float64 // fraction of the servers that is down
+	LeasesInvalid bool    // the daemons have no valid leases
+	ResetConns    bool    // all connections to servers are reset at At
 }
 
-// Options shape a run.
+// Options configure a run.
 type Options struct {
-	Seed     int64
-	Daemons  int
-	Prefill  int // servers that read
-	Decode   int // servers that write
-	Classes  []Class
-	Troubles []Trouble
-	Length   time.Duration
-	Admit    float64 // as in the daemon's config
+	Seed           int64
+	Daemons        int
+	PrefillServers int
+	DecodeServers  int
+	Classes        []Class
+	Faults         []Fault
+	Length         time.Duration
+	AdmitRatio     float64 // as in the daemon's config
 }
 
-// Default is a deployment of eight daemons and twelve servers at half of what these
-// bear, with two kinds of requests: long prompts with few tokens out, and short
-// ones with many.
+// Default returns a deployment of eight daemons and twelve servers at half of their
+// capacity, with two classes of requests: long prompts with short answers, and short
+// prompts with long answers.
 //
 // Example: r := overload.Run(overload.Default(1))
 func Default(seed int64) Options {
-	return Options{Seed: seed, Daemons: 8, Prefill: 5, Decode: 7, Length: 40 * time.Second, Admit: daemon.Default().AdmitRatio, Classes: []Class{
-		{Name: "long", PerSecond: 34, Aim: 500 * time.Millisecond, Deadline: 3 * time.Second, Gap: 300 * time.Millisecond, Shared: []int{2520, 3780}, Things: []int{4, 64}, Own: 2890, Out: 52, Tries: 2},
-		{Name: "short", PerSecond: 43, Aim: 600 * time.Millisecond, Deadline: 8 * time.Second, Gap: 300 * time.Millisecond, Urgency: 1, Shared: []int{119, 79}, Things: []int{10, 120}, Own: 628, Out: 290, Tries: 1},
+	return Options{Seed: seed, Daemons: 8, PrefillServers: 5, DecodeServers: 7, Length: 40 * time.Second, AdmitRatio: daemon.Default().AdmitRatio, Classes: []Class{
+		{Name: "long", PerSecond: 34, TTFTTarget: 500 * time.Millisecond, Deadline: 3 * time.Second, InterTokenTarget: 300 * time.Millisecond, SharedTokens: []int{2520, 3780}, SharedVariants: []int{4, 64}, OwnTokens: 2890, OutputTokens: 52, Attempts: 2},
+		{Name: "short", PerSecond: 43, TTFTTarget: 600 * time.Millisecond, Deadline: 8 * time.Second, InterTokenTarget: 300 * time.Millisecond, Urgency: 1, SharedTokens: []int{119, 79}, SharedVariants: []int{10, 120}, OwnTokens: 628, OutputTokens: 290, Attempts: 1},
 	}}
 }
 
-// Second is what became of the requests that clients began in one second.
+// Second counts the results of the requests that clients started in one second.
 type Second struct {
-	Asked, InAim, Late, Refused, Failed int
-	Tries                               int // that clients made, further ones too
+	Started, OnTime, Late, Refused, Failed int
+	Attempts                               int // including retries
 }
 
-// Served is the part of what was asked for that was answered at all.
+// Served returns the fraction of the requests that were answered.
 //
 // Example: s.Served() > 0.95
-func (s Second) Served() float64 { return float64(s.InAim+s.Late) / float64(max(1, s.Asked)) }
+func (s Second) Served() float64 { return float64(s.OnTime+s.Late) / float64(max(1, s.Started)) }
 
-// Timely is the part that was answered inside its aim.
+// Timely returns the fraction of the requests that met their TTFT target.
 //
 // Example: s.Timely() > 0.9
-func (s Second) Timely() float64 { return float64(s.InAim) / float64(max(1, s.Asked)) }
+func (s Second) Timely() float64 { return float64(s.OnTime) / float64(max(1, s.Started)) }
 
-// Result is what a run came to.
+// Result is the result of a run.
 type Result struct {
-	Seconds []Second
-	Read    int // prompt tokens that servers read
-	Turned  int // arrivals that servers turned away
-	Wasted  int // tokens read for requests that were never answered
-	Dialled int // new connections
+	Seconds         []Second
+	PrefilledTokens int // prompt tokens processed by servers
+	Rejected        int // calls rejected by servers
+	WastedTokens    int // prompt tokens processed for requests that were not answered
+	Dialed          int // new connections
 }
 
-// Sum adds seconds up, from and up to the given ones.
+// Sum adds up the seconds from..to, excluding to.
 //
 // Example: before := r.Sum(5, 10).Served()
 func (r Result) Sum(from, to int) (s Second) {
@@ -103,22 +103,22 @@
 }
 
 func (s *Second) add(x Second) {
-	s.Asked += x.Asked
-	s.InAim += x.InAim
+	s.Started += x.Started
+	s.OnTime += x.OnTime
 	s.Late += x.Late
 	s.Refused += x.Refused
 	s.Failed += x.Failed
-	s.Tries += x.Tries
+	s.Attempts += x.Attempts
 }
 
-// Recovered is how long after a moment the first second begins in which as large a
-// part is served as is asked for; below 0: it never is.
+// RecoveryTime returns the time from a moment to the first second with at least the given
+// served fraction, or a negative value if there is none.
 //
-// Example: r.Recovered(18*time.Second, 0.95)
-func (r Result) Recovered(after time.Duration, share float64) time.Duration {
+// Example: r.RecoveryTime(18*time.Second, 0.95)
+func (r Result) RecoveryTime(after time.Duration, share float64) time.Duration {
 	from := int(after / time.Second)
 	for n := from; n < len(r.Seconds); n++ {
-		if r.Seconds[n].Asked > 0 && r.Seconds[n].Served() >= share {
+		if r.Seconds[n].Started > 0 && r.Seconds[n].Served() >= share {
 			return time.Duration(n-from) * time.Second
 		}
 	}
@@ -126,12 +126,12 @@
 }
 
 const (
-	service = "models"
-	hop     = time.Millisecond // one way, everywhere
+	service        = "models"
+	networkLatency = time.Millisecond // one-way, between any two machines
 )
 
-// world is a run.
-type world struct {
+// simulation is a run.
+type simulation struct {
 	Options
 	cfg     daemon.Config
 	rng     *rand.Rand
@@ -144,32 +144,32 @@
 	result  Result
 }
 
-// Run makes one run.
+// Run simulates one run.
 //
 // Example: r := overload.Run(overload.Default(1)); r.Seconds[7].Served()
 func Run(o Options) Result {
-	w := &world{Options: o, cfg: daemon.Default(), rng: rand.New(rand.NewSource(o.Seed)), gen: 1}
-	w.cfg.AdmitRatio = o.Admit
+	w := &simulation{Options: o, cfg: daemon.Default(), rng: rand.New(rand.NewSource(o.Seed)), gen: 1}
+	w.cfg.AdmitRatio = o.AdmitRatio
 	w.cfg.Bounds.Plan = 2500 * time.Millisecond
 	w.result.Seconds = make([]Second, int(o.Length/time.Second))
-	for i := range o.Prefill + o.Decode {
+	for i := range o.PrefillServers + o.DecodeServers {
 		part := placement.Decode
-		if i < o.Prefill {
+		if i < o.PrefillServers {
 			part = placement.Prefill
 		}
-		w.servers = append(w.servers, &server{w: w, key: fmt.Sprintf("server-%02d", i), zone: zoneOf(i), part: part, up: true, kept: map[uint64]bool{}, idle: map[*front]int{}})
+		w.servers = append(w.servers, &server{w: w, key: fmt.Sprintf("server-%02d", i), zone: zoneOf(i), part: part, up: true, cached: map[uint64]bool{}, idleConns: map[*front]int{}})
 	}
 	for i := range o.Daemons {
 		w.daemons = append(w.daemons, w.newFront(i))
 	}
 	for _, f := range w.daemons {
-		f.beat()
+		f.tick()
 	}
-	for _, t := range o.Troubles {
-		w.after(t.At, func() { w.begin(t) })
+	for _, t := range o.Faults {
+		w.after(t.At, func() { w.inject(t) })
 	}
 	for _, c := range o.Classes {
-		w.arrive(c)
+		w.scheduleRequests(c)
 	}
 	for w.now < o.Length {
 		at, do, ok := w.queue.Next()
@@ -184,57 +184,57 @@
 
 func zoneOf(i int) string { return fmt.Sprint("zone-", i%3) }
 
-func (w *world) after(d time.Duration, do func()) {
+func (w *simulation) after(d time.Duration, do func()) {
 	w.queue.Add(w.now+max(0, d), do)
 }
 
-// arrive brings the next request of a class, and the one after it.
-func (w *world) arrive(c Class) {
+// scheduleRequests schedules the next request of a class and those after it.
+func (w *simulation) scheduleRequests(c Class) {
 	rate := c.PerSecond
-	for _, t := range w.Troubles {
-		if t.Crowd > 0 && w.now >= t.At && w.now < t.At+t.For {
-			rate *= t.Crowd
+	for _, t := range w.Faults {
+		if t.LoadFactor > 0 && w.now >= t.At && w.now < t.At+t.For {
+			rate *= t.LoadFactor
 		}
 	}
 	w.after(time.Duration(w.rng.ExpFloat64()/rate*float64(time.Second)), func() {
-		w.ask(c)
-		w.arrive(c)
+		w.startRequest(c)
+		w.scheduleRequests(c)
 	})
 }
 
-// begin lets a trouble come, and end.
-func (w *world) begin(t Trouble) {
-	if t.Cold {
+// inject starts a fault and schedules its end.
+func (w *simulation) inject(t Fault) {
+	if t.ClearCaches {
 		for _, s := range w.servers {
-			clear(s.kept)
-			s.order = nil
+			clear(s.cached)
+			s.cacheOrder = nil
 		}
 	}
-	if t.Reset {
+	if t.ResetConns {
 		for _, s := range w.servers {
-			clear(s.idle)
+			clear(s.idleConns)
 		}
 	}
-	if t.Blind {
+	if t.LeasesInvalid {
 		w.gen++
 		for _, f := range w.daemons {
-			f.blind = w.now + t.For
+			f.leasesInvalidUntil = w.now + t.For
 		}
 		w.after(t.For, func() { w.gen++ })
 	}
 	for i, s := range w.servers {
-		if float64(i%4) < 4*t.Gone {
-			s.leave()
-			w.after(t.For, s.comeBack)
+		if float64(i%4) < 4*t.ServersDown {
+			s.stop()
+			w.after(t.For, s.restart)
 		}
 	}
 }
 
-// newFront makes a daemon with its lane and its board.
-func (w *world) newFront(i int) *front {
-	f := &front{w: w, me: message.Member{Ident: fmt.Sprint("daemon-", i), Addr: fmt.Sprintf("10.0.0.%d:1", i), Zone: zoneOf(i), Build: daemon.Build}, board: loadreport.New(gateway.LoadReportConfig(w.cfg))}
+// newFront returns a daemon with its dispatcher and load reporter.
+func (w *simulation) newFront(i int) *front {
+	f := &front{w: w, me: message.Member{Ident: fmt.Sprint("daemon-", i), Addr: fmt.Sprintf("10.0.0.%d:1", i), Zone: zoneOf(i), Build: daemon.Build}, reporter: loadreport.New(gateway.LoadReportConfig(w.cfg))}
 	c := gateway.Config(w.cfg)
 	c.Zone, c.RetrySlack = f.me.Zone, 200
-	f.lane = forward.New(c, service, 1, f, hints{f})
+	f.dispatcher = forward.New(c, service, 1, f, loadHints{f})
 	return f
 }
--- a/proof/overload/server.go
+++ b/proof/overload/server.go
@@ -10,210 +10,213 @@
 	"mulleinmast/traffic/forward"
 )
 
-// The engine of a model server.
+// Parameters of the simulated engine of a model server.
 const (
-	slots     = 64
-	waiting   = 3 * slots               // requests that it lets wait
-	memory    = 276000                  // tokens that it can keep
-	pace      = 56.9                    // prompt tokens read in a ms
-	step      = 3.09                    // ms a token, alone
-	stepMore  = 0.102                   // ms more for each other one that is written
-	stride    = 14                      // tokens in an event
-	setup     = 3300 * time.Microsecond // of a move of memory
-	handshake = time.Millisecond        // of the server for a new connection
+	slots             = 64
+	maxQueue          = 3 * slots // waiting requests
+	cacheTokens       = 276000    // capacity of the prompt cache
+	prefillRate       = 56.9      // prompt tokens per ms
+	tokenLatency      = 3.09      // ms per token of a single request
+	latencyPerRequest = 0.102     // additional ms per token for each request being decoded
+	tokensPerEvent    = 14
+	transferSetup     = 3300 * time.Microsecond // fixed cost of a KV cache transfer
+	handshake         = time.Millisecond        // server time for a new connection
 )
 
 // job is one call at a server.
 type job struct {
-	try  *try
-	move forward.Decision
-	due  time.Duration
-	cut  bool // nobody waits for it any more
-	done func(forward.Outcome, forward.Handle)
+	attempt   *attempt
+	decision  forward.Decision
+	deadline  time.Duration
+	abandoned bool // the caller no longer waits
+	done      func(forward.Outcome, forward.Handle)
 }
 
 // server is one model server.
 type server struct {
-	w       *world
-	key     string
-	zone    string
-	part    string
-	up      bool
-	life    int
-	queue   []*job
-	reading bool // a prompt is being read
-	writing int
-	kept    map[uint64]bool
-	order   []keep
-	held    int            // tokens kept
-	idle    map[*front]int // connections that rest
-	dialled time.Duration  // until when new connections come up, one after another
-}
-
-type keep struct {
+	w             *simulation
+	key           string
+	zone          string
+	part          string
+	up            bool
+	generation    int // incremented when the server stops
+	queue         []*job
+	prefilling    bool
+	decoding      int // requests
+	cached        map[uint64]bool
+	cacheOrder    []cacheEntry // oldest first
+	cachedTokens  int
+	idleConns     map[*front]int
+	handshakesEnd time.Duration // end of the last handshake; the server does one at a time
+}
+
+// cacheEntry is a cached prompt prefix.
+type cacheEntry struct {
 	key    uint64
 	tokens int
 }
 
-func (w *world) serverOf(key string) *server {
+func (w *simulation) serverOf(key string) *server {
 	return w.servers[slices.IndexFunc(w.servers, func(s *server) bool { return s.key == key })]
 }
 
-// leave takes a server away at once, comeBack brings it back with nothing kept.
-func (s *server) leave() {
+// stop stops the server without warning and drops its cache.
+func (s *server) stop() {
 	s.up = false
-	s.life++
+	s.generation++
 	s.w.gen++
 	for _, j := range s.queue {
 		j.done(forward.Lost, forward.Handle{})
 	}
-	s.queue, s.reading, s.writing, s.order, s.held = nil, false, 0, nil, 0
-	clear(s.kept)
-	clear(s.idle)
+	s.queue, s.prefilling, s.decoding, s.cacheOrder, s.cachedTokens = nil, false, 0, nil, 0
+	clear(s.cached)
+	clear(s.idleConns)
 }
 
-func (s *server) comeBack() {
+// restart starts the server with an empty cache.
+func (s *server) restart() {
 	s.up = true
 	s.w.gen++
 }
 
-// connect takes a connection that rests, or makes a new one; it tells when the call
-// is there.
+// connect uses an idle connection or opens a new one, and returns the time until the call
+// arrives.
 func (s *server) connect(f *front) time.Duration {
-	if s.idle[f] > 0 {
-		s.idle[f]--
-		return hop
+	if s.idleConns[f] > 0 {
+		s.idleConns[f]--
+		return networkLatency
 	}
-	s.w.result.Dialled++
-	s.dialled = max(s.dialled, s.w.now+2*hop) + handshake
-	return s.dialled + hop - s.w.now
+	s.w.result.Dialed++
+	s.handshakesEnd = max(s.handshakesEnd, s.w.now+2*networkLatency) + handshake
+	return s.handshakesEnd + networkLatency - s.w.now
 }
 
-// take has a call wait for its turn, or turns it away.
-func (s *server) take(j *job) {
+// enqueue queues a call or rejects it.
+func (s *server) enqueue(j *job) {
 	switch {
 	case !s.up:
-		s.w.after(hop, func() { j.done(forward.NotSent, forward.Handle{}) })
+		s.w.after(networkLatency, func() { j.done(forward.NotSent, forward.Handle{}) })
 		return
-	case len(s.queue) >= waiting:
-		s.w.result.Turned++
-		s.w.after(hop, func() { j.done(forward.Overloaded, forward.Handle{}) })
+	case len(s.queue) >= maxQueue:
+		s.w.result.Rejected++
+		s.w.after(networkLatency, func() { j.done(forward.Overloaded, forward.Handle{}) })
 		return
 	}
-	at := len(s.queue) // the more urgent go first
-	for at > 0 && s.queue[at-1].move.Priority > j.move.Priority {
-		at--
+	index := len(s.queue) // sorted by priority
+	for index > 0 && s.queue[index-1].decision.Priority > j.decision.Priority {
+		index--
 	}
-	s.queue = slices.Insert(s.queue, at, j)
-	s.turn()
+	s.queue = slices.Insert(s.queue, index, j)
+	s.schedule()
 }
 
-// turn begins what can be begun.
-func (s *server) turn() {
+// schedule starts the queued calls that can start.
+func (s *server) schedule() {
 	for len(s.queue) > 0 {
 		j := s.queue[0]
-		if j.cut || s.w.now >= j.due {
+		if j.abandoned || s.w.now >= j.deadline {
 			s.queue = s.queue[1:]
 			continue
 		}
 		switch {
-		case j.move.Action == forward.Prefill || j.move.Handle == nil: // its prompt is read here
-			if s.reading || j.move.Action == forward.Decode && s.writing >= slots {
+		case j.decision.Action == forward.Prefill || j.decision.Handle == nil: // the prompt is prefilled on this server
+			if s.prefilling || j.decision.Action == forward.Decode && s.decoding >= slots {
 				return
 			}
 			s.queue = s.queue[1:]
-			s.read(j)
+			s.prefill(j)
 		default:
-			if s.writing >= slots {
+			if s.decoding >= slots {
 				return
 			}
 			s.queue = s.queue[1:]
-			s.writing++
-			s.keepAll(j)
-			moved := setup + time.Duration(j.try.call.InputTokens)*18432*8/550000*time.Nanosecond
-			s.later(moved, func() { s.write(j) })
+			s.decoding++
+			s.cachePrompt(j)
+			transferTime := transferSetup + time.Duration(j.attempt.call.InputTokens)*18432*8/550000*time.Nanosecond
+			s.afterIfUp(transferTime, func() { s.decode(j) })
 		}
 	}
 }
 
-// later runs something unless the server has gone meanwhile; then the call is lost.
-func (s *server) later(d time.Duration, do func()) {
-	life := s.life
+// afterIfUp calls do after d unless the server has stopped by then, which loses the call.
+func (s *server) afterIfUp(d time.Duration, do func()) {
+	generation := s.generation
 	s.w.after(d, func() {
-		if s.life == life {
+		if s.generation == generation {
 			do()
 		}
 	})
 }
 
-// read reads a prompt, what it keeps of it left out.
-func (s *server) read(j *job) {
-	tokens, speed := s.unread(j), pace
+// prefill processes the uncached part of a prompt.
+func (s *server) prefill(j *job) {
+	tokens, speed := s.uncachedTokens(j), prefillRate
 	if s.part == placement.Decode {
 		speed /= 2
 	}
-	s.reading = true
-	j.try.reads += tokens
-	s.w.result.Read += tokens
-	life := s.life
+	s.prefilling = true
+	j.attempt.prefilledTokens += tokens
+	s.w.result.PrefilledTokens += tokens
+	generation := s.generation
 	s.w.after(time.Duration(float64(tokens)/speed*float64(time.Millisecond)), func() {
-		if s.life != life {
+		if s.generation != generation {
 			j.done(forward.Lost, forward.Handle{})
 			return
 		}
-		s.reading = false
-		s.keepAll(j)
-		if j.move.Action == forward.Prefill {
-			h := forward.Handle{ID: fmt.Sprint(j.try.call.ID, "-", j.move.Attempt), RequestID: j.try.call.ID, Attempt: j.move.Attempt, Server: j.move.Server, Tokens: j.try.call.InputTokens}
-			s.w.after(hop, func() { j.done(forward.OK, h) })
+		s.prefilling = false
+		s.cachePrompt(j)
+		if j.decision.Action == forward.Prefill {
+			h := forward.Handle{ID: fmt.Sprint(j.attempt.call.ID, "-", j.decision.Attempt), RequestID: j.attempt.call.ID, Attempt: j.decision.Attempt, Server: j.decision.Server, Tokens: j.attempt.call.InputTokens}
+			s.w.after(networkLatency, func() { j.done(forward.OK, h) })
 		} else {
-			s.writing++
-			s.write(j)
+			s.decoding++
+			s.decode(j)
 		}
-		s.turn()
+		s.schedule()
 	})
 }
 
-// write streams an answer, an event at a time.
-func (s *server) write(j *job) {
-	s.event(j, max(1, (j.try.call.MaxOutputTokens+stride-1)/stride), s.w.now)
+// decode streams an answer in events.
+func (s *server) decode(j *job) {
+	s.streamEvent(j, max(1, (j.attempt.call.MaxOutputTokens+tokensPerEvent-1)/tokensPerEvent), s.w.now)
 }
 
-func (s *server) event(j *job, left int, last time.Duration) {
-	if j.cut || left == 0 {
-		s.writing--
+// streamEvent sends the next event after its latency, until none is left.
+func (s *server) streamEvent(j *job, left int, last time.Duration) {
+	if j.abandoned || left == 0 {
+		s.decoding--
 		if left == 0 {
-			s.w.after(hop, func() { j.done(forward.OK, forward.Handle{}) })
+			s.w.after(networkLatency, func() { j.done(forward.OK, forward.Handle{}) })
 		}
-		s.turn()
+		s.schedule()
 		return
 	}
-	gap := time.Duration(stride * (step + stepMore*float64(s.writing)) * float64(time.Millisecond))
-	life := s.life
+	gap := time.Duration(tokensPerEvent * (tokenLatency + latencyPerRequest*float64(s.decoding)) * float64(time.Millisecond))
+	generation := s.generation
 	s.w.after(gap, func() {
-		if s.life != life {
+		if s.generation != generation {
 			j.done(forward.Lost, forward.Handle{})
 			return
 		}
 		now := s.w.now
-		if t := j.try; !j.cut && !t.over {
-			if !t.began {
-				t.began = true
-				t.f.lane.StreamStarted(now, t.call.ID)
-				s.w.after(2*hop, t.first)
+		if t := j.attempt; !j.abandoned && !t.ended {
+			if !t.streaming {
+				t.streaming = true
+				t.front.dispatcher.StreamStarted(now, t.call.ID)
+				s.w.after(2*networkLatency, t.onFirstEvent)
 			} else {
-				t.f.lane.EventSent(t.call.ID, now-last)
+				t.front.dispatcher.EventSent(t.call.ID, now-last)
 			}
 		}
-		s.event(j, left-1, now)
+		s.streamEvent(j, left-1, now)
 	})
 }
 
-// unread is the length of the prompt that isn't kept here.
-func (s *server) unread(j *job) (n int) {
+// uncachedTokens returns the number of prompt tokens that are not cached.
+func (s *server) uncachedTokens(j *job) (n int) {
 	all := true
-	for i, p := range j.try.call.Parts {
-		all = all && s.kept[prefix(j.try.call.Parts[:i+1])]
+	for i, p := range j.attempt.call.Parts {
+		all = all && s.cached[prefixHash(j.attempt.call.Parts[:i+1])]
 		if !all {
 			n += p.Tokens
 		}
@@ -221,24 +224,26 @@
 	return n
 }
 
-func (s *server) keepAll(j *job) {
-	for i, p := range j.try.call.Parts {
-		key := prefix(j.try.call.Parts[:i+1])
-		if s.kept[key] {
+// cachePrompt caches all prefixes of a prompt and evicts the oldest entries.
+func (s *server) cachePrompt(j *job) {
+	for i, p := range j.attempt.call.Parts {
+		key := prefixHash(j.attempt.call.Parts[:i+1])
+		if s.cached[key] {
 			continue
 		}
-		s.kept[key] = true
-		s.order = append(s.order, keep{key, p.Tokens})
-		s.held += p.Tokens
+		s.cached[key] = true
+		s.cacheOrder = append(s.cacheOrder, cacheEntry{key, p.Tokens})
+		s.cachedTokens += p.Tokens
 	}
-	for s.held > memory {
-		s.held -= s.order[0].tokens
-		delete(s.kept, s.order[0].key)
-		s.order = s.order[1:]
+	for s.cachedTokens > cacheTokens {
+		s.cachedTokens -= s.cacheOrder[0].tokens
+		delete(s.cached, s.cacheOrder[0].key)
+		s.cacheOrder = s.cacheOrder[1:]
 	}
 }
 
-func prefix(parts []forward.Part) uint64 {
+// prefixHash identifies a prompt prefix.
+func prefixHash(parts []forward.Part) uint64 {
 	h := fnv.New64a()
 	for _, p := range parts {
 		_, _ = fmt.Fprintf(h, "%x/", p.Key)
