--- a/proof/judge/events.go
+++ b/proof/judge/events.go
@@ -55,7 +55,7 @@
 // isRefusal reports whether a client received a refusal.
 func isRefusal(e history.Event) bool { return e.Ev == eventAnswer && e.Result == answerRefused }
 
-// isTaken reports whether a plan call was acknowledged.
+// isAcknowledged reports whether a plan call was acknowledged.
 func isAcknowledged(e history.Event) bool { return e.Ev == eventPlan && e.Result == planTaken }
 
 // sentAt returns when the call answered by e was sent.
--- a/proof/narrowlinks/platform.go
+++ b/proof/narrowlinks/platform.go
@@ -11,24 +11,24 @@
 const (
 	prefillShare = 0.36            // of the servers
 	warmUp       = 3 * time.Second // of a new server
-	goneAfter    = 3 * time.Second // a server that leaves is listed for so long, to the bound on leaving 4 s
+	goneAfter    = 3 * time.Second // a leaving server is listed for this time; the bound on leaving is 4 s
 )
 
-// platform replaces servers and lists them.
+// platform is the simulated platform: it replaces servers and lists them.
 type platform struct {
-	list    []fleetconfig.Server // of those that are there
+	list    []fleetconfig.Server // of the existing servers
 	leaving map[string]time.Duration
 	started int
 }
 
-// begin makes the first servers and has the release come.
-func (p *platform) begin(w *world) {
+// start creates the initial servers and schedules the release.
+func (p *platform) start(w *simulation) {
 	p.leaving = map[string]time.Duration{}
 	for range w.Servers {
 		p.add(false)
 	}
 	for at := w.From; at < w.To; at += time.Second {
-		w.after(at, func() { p.replace(w, w.Replaced) })
+		w.after(at, func() { p.replace(w, w.ReplacedPerSecond) })
 	}
 }
 
@@ -46,8 +46,8 @@
 	return s.ID
 }
 
-// replace starts servers and has as many of the oldest say that they leave.
-func (p *platform) replace(w *world, count int) {
+// replace starts count servers and marks as many of the oldest as leaving.
+func (p *platform) replace(w *simulation, count int) {
 	for _, s := range p.list {
 		if count == 0 {
 			return
--- a/proof/narrowlinks/root.go
+++ b/proof/narrowlinks/root.go
@@ -17,54 +17,55 @@
 )
 
 const (
-	pullRatio     = 0.15 // of the bound on leaving, as the daemon pulls the list
-	pullTimeouts  = 3    // as many fit into that bound
-	reconcileGap  = 16   // rounds of placement in a volume lease
-	orderFollowed = time.Second
+	pullRatio          = 0.15 // interval of pulls, as a fraction of the bound on leaving, as in the daemon
+	pullTimeouts       = 3    // time-outs of a call within that bound
+	reconcilesPerLease = 16   // placement rounds per volume lease
+	orderFollowed      = time.Second
 )
 
-// root is the leader of the service's partition, alone in its group, which also pulls the list.
+// root is the leader of the service's partition and its only replica. It also pulls the server
+// list.
 type root struct {
-	w          *world
+	w          *simulation
 	self       message.Replica
 	controller *leader.Controller
 	link       *link
 	version    uint64
 	calls      uint64
-	sentAt     time.Duration // of the call under way; 0: none is
+	sentAt     time.Duration // of the pending call; 0: none
 	sent       []byte
 	accepted   []byte
 }
 
-// newRoot makes the leader and waits until it leads.
-func newRoot(w *world) *root {
+// newRoot returns the leader, with its timers scheduled.
+func newRoot(w *simulation) *root {
 	r := &root{w: w, self: message.Replica{Ident: "leader", Addr: "10.9.0.1:1"}}
 	meta := quorum.Meta{Group: message.Group{Number: 1, Replicas: []message.Replica{r.self}}}
 	replica := quorum.New(w.cfg.QuorumConfig(), quorum.InitialState{
-		Partition: number, Self: r.self, Meta: meta, Records: digest.NewRecords(), IsNew: true,
+		Partition: partitionNumber, Self: r.self, Meta: meta, Records: digest.NewRecords(), IsNew: true,
 	}, w.now)
 	cfg := leader.Config{Placement: w.cfg.PlacementConfig(), OnceKeyRetention: time.Hour}
-	r.controller = leader.New(cfg, number, r.self, newPartition(w, r.self, replica))
-	r.link = newLink(w.Wide, func(m message.Message) { r.carryOut(r.controller.Step(w.now, m)) })
+	r.controller = leader.New(cfg, partitionNumber, r.self, newPartition(w, r.self, replica))
+	r.link = newLink(w.ControlMbps, func(m message.Message) { r.carryOut(r.controller.Step(w.now, m)) })
 	w.byIdent[r.self.Ident] = r.link
-	w.every(w.cfg.VolumeLease()/stepGap, func() { r.carryOut(r.controller.Tick(w.now)) })
-	w.every(w.cfg.VolumeLease()/reconcileGap, r.reconcile)
+	w.every(w.cfg.VolumeLease()/stepsPerLease, func() { r.carryOut(r.controller.Tick(w.now)) })
+	w.every(w.cfg.VolumeLease()/reconcilesPerLease, r.reconcile)
 	w.every(time.Duration(float64(w.cfg.Bounds.Leave)*pullRatio), r.pull)
 	return r
 }
 
-// newPartition makes a partition's state machine on one daemon.
-func newPartition(w *world, self message.Replica, replica *quorum.Replica) *partition.Partition {
-	tree := lease.New(w.cfg.LeaseConfig(), number, self, 1)
+// newPartition returns a partition's state machine on one daemon.
+func newPartition(w *simulation, self message.Replica, replica *quorum.Replica) *partition.Partition {
+	tree := lease.New(w.cfg.LeaseConfig(), partitionNumber, self, 1)
 	tree.UseCodec(fleetconfig.Codec{}, lease.MinPatchedLength)
-	return partition.New(number, self, 1, replica, tree)
+	return partition.New(partitionNumber, self, 1, replica, tree)
 }
 
-// carryOut does what a step asks for; the disk takes no time.
+// carryOut executes the effects of a step; disk writes take no time.
 func (r *root) carryOut(out leader.Out) {
 	for _, e := range out.Sends {
 		if e.Message.Kind == message.KindCallResult {
-			r.answered(e.Message.AsCallResult())
+			r.handleCallResult(e.Message.AsCallResult())
 			continue
 		}
 		r.w.send(r.self, e)
@@ -81,14 +82,14 @@
 	}
 }
 
-// reconcile runs a round of placement, with an empty plan in force.
+// reconcile runs a placement round with an empty plan.
 func (r *root) reconcile() {
 	none := message.Record{Deleted: true, Version: message.Version{Term: 1, Seq: 1}}
 	view := leader.ClusterView{Plan: none, PlanValid: true, Zones: none, ZonesValid: true}
 	r.carryOut(r.controller.Reconcile(r.w.now, view))
 }
 
-// pull takes the platform's list to the leader if it changed, one call at a time.
+// pull sends the platform's list to the leader if it has changed, one call at a time.
 func (r *root) pull() {
 	w := r.w
 	timeout := w.cfg.Bounds.Leave / pullTimeouts
@@ -108,13 +109,13 @@
 		RequestID: r.calls, CallID: r.calls, Op: leadercall.OpServers,
 		Body: leadercall.Pack(leader.ServersCall{Service: service, List: list}),
 	}
-	m := call.Message(number)
+	m := call.Message(partitionNumber)
 	m.From, m.Addr, m.Epoch = r.self.Ident, r.self.Addr, 1
 	r.carryOut(r.controller.Step(w.now, m))
 }
 
-// answered takes the leader's answer to a call.
-func (r *root) answered(result message.CallResult) {
+// handleCallResult handles the leader's answer to a call.
+func (r *root) handleCallResult(result message.CallResult) {
 	if result.RequestID == r.calls && result.Status == http.StatusOK {
 		r.accepted, r.sentAt = r.sent, 0
 	}
--- a/proof/narrowlinks/source.go
+++ b/proof/narrowlinks/source.go
@@ -10,70 +10,70 @@
 
 func (n *node) tree() *lease.Node { return n.controller.Partition().Node }
 
-// Read serves a record as the daemon does; no zone is evacuated.
+// Read returns a record as the daemon does; no zone is evacuated.
 //
 // Example: rec, ok := n.Read(1, fleetconfig.ListKey("models"))
 func (n *node) Read(p int, key string) (message.Record, bool) {
-	if p != number {
+	if p != partitionNumber {
 		return message.Record{Key: key, Value: fleetconfig.EncodeZones(nil), Version: message.Version{Term: 1, Seq: 1}}, true
 	}
 	return n.tree().ReadAllowingStale(n.w.now, key, n.w.cfg.MaxStaleness(p, key, false))
 }
 
-// Generation counts the changes of the partition's records.
+// Generation returns a number that increases with each change of the partition's records.
 //
 // Example: n.Generation(1)
 func (n *node) Generation(p int) uint64 {
-	if p != number {
+	if p != partitionNumber {
 		return 1
 	}
 	return n.tree().Generation()
 }
 
-// Until is when what Read serves ends.
+// Until returns until when Read may serve records.
 //
 // Example: now < n.Until(1)
 func (n *node) Until(p int) time.Duration {
-	if p != number {
+	if p != partitionNumber {
 		return time.Hour
 	}
 	return n.tree().StaleUntil(n.w.now, n.w.cfg.MaxStaleness(p, fleetconfig.ListKey(service), false))
 }
 
-// idle reports no load at any server.
-type idle struct{}
+// noLoad is a load report without load at any server.
+type noLoad struct{}
 
-// AddLoad takes nothing.
+// AddLoad does nothing.
 //
-// Example: idle{}.AddLoad("server", 100, 0)
-func (idle) AddLoad(string, int, int) {}
+// Example: noLoad{}.AddLoad("server", 100, 0)
+func (noLoad) AddLoad(string, int, int) {}
 
-// Load is none.
+// Load returns no load.
 //
-// Example: tokens, _, _ := idle{}.Load(now, "server"); tokens == 0
-func (idle) Load(time.Duration, string) (tokens, writing int, pause time.Duration) { return 0, 0, 0 }
+// Example: tokens, _, _ := noLoad{}.Load(now, "server"); tokens == 0
+func (noLoad) Load(time.Duration, string) (tokens, writing int, pause time.Duration) { return 0, 0, 0 }
 
-// ObserveInterTokenLatency takes nothing.
+// ObserveInterTokenLatency does nothing.
 //
-// Example: idle{}.ObserveInterTokenLatency("server", time.Second)
-func (idle) ObserveInterTokenLatency(string, time.Duration) {}
+// Example: noLoad{}.ObserveInterTokenLatency("server", time.Second)
+func (noLoad) ObserveInterTokenLatency(string, time.Duration) {}
 
-// CallEnded takes nothing.
+// CallEnded does nothing.
 //
-// Example: idle{}.CallEnded(now, "server", true)
-func (idle) CallEnded(time.Duration, string, bool) {}
+// Example: noLoad{}.CallEnded(now, "server", true)
+func (noLoad) CallEnded(time.Duration, string, bool) {}
 
-// IsDown says that no server is.
+// IsDown returns false.
 //
-// Example: idle{}.IsDown(now, "server") == false
-func (idle) IsDown(time.Duration, string) bool { return false }
+// Example: noLoad{}.IsDown(now, "server") == false
+func (noLoad) IsDown(time.Duration, string) bool { return false }
 
-// RecordPrefix takes nothing.
+// RecordPrefix does nothing.
 //
-// Example: idle{}.RecordPrefix(1, "server", 100)
-func (idle) RecordPrefix(uint64, string, int) {}
+// Example: noLoad{}.RecordPrefix(1, "server", 100)
+func (noLoad) RecordPrefix(uint64, string, int) {}
 
-// HasPrefix says that no server keeps a prompt.
+// HasPrefix returns false.
 //
-// Example: idle{}.HasPrefix(1, "server") == false
-func (idle) HasPrefix(uint64, string) bool { return false }
+// Example: noLoad{}.HasPrefix(1, "server") == false
+func (noLoad) HasPrefix(uint64, string) bool { return false }
