--- a/proof/fakeserver/fakeserver.go
+++ b/proof/fakeserver/fakeserver.go
@@ -1,6 +1,6 @@
-// Package fakeserver is a stand-in model server: it plays prefill server or decode server as
-// ordered, keeps prefixes and KV caches, reports its usage, and writes down
-// what it was asked to do. It checks no rule of the fleet; the checker does.
+// Package fakeserver is a fake model server: it prefills or decodes as ordered, caches
+// prefixes and KV caches, reports its usage, and records the calls it gets. It checks no
+// rule of the fleet; proof/judge does that from the records.
 package fakeserver
 
 import (
@@ -18,84 +18,87 @@
 	"mulleinmast/traffic/serverpool"
 )
 
-// Config sizes a stand-in.
+// Config configures a fake server.
 type Config struct {
 	Addr     string
 	Zone     string
 	Capacity int
-	Char     time.Duration // prefill, per character not held
-	Token    time.Duration // decode, per piece
-	Keep     time.Duration // how long a handle lives
-	Link     time.Duration // hand-over from another server
-	Prefixes int
-	Warm     time.Duration // its own warm-up
-	Naive    bool          // a decode server that takes up whatever cache a handle leads to
+	Char     time.Duration // prefill time per uncached character
+	Token    time.Duration // decode time per piece
+	Keep     time.Duration // lifetime of a handle
+	Link     time.Duration // time to transfer a KV cache from another server
+	Prefixes int           // capacity of the prefix cache
+	Warm     time.Duration // warm-up time after the start
+	Naive    bool          // decode with any KV cache that a handle refers to, without checking its request
 }
 
-// Fault is what a test switches on.
+// Fault is the misbehavior that a test switches on.
 type Fault struct {
 	Leaving bool          `json:"leaving"`
 	Link    time.Duration `json:"link_ns"`
-	Lapse   bool          `json:"lapse"`   // every handle is gone at once
-	Break   int           `json:"break"`   // streams break after so many pieces
-	Foreign bool          `json:"foreign"` // hand out somebody else's handle as if it were ours
-	Crossed bool          `json:"crossed"` // answer with somebody else's handle, as it is
+	Lapse   bool          `json:"lapse"`   // all handles expire immediately
+	Break   int           `json:"break"`   // streams break after this number of pieces
+	Foreign bool          `json:"foreign"` // return another request's handle as if it belonged to this request
+	Crossed bool          `json:"crossed"` // return another request's handle, unchanged
 	Twice   bool          `json:"twice"`   // send a piece twice
-	Deaf    bool          `json:"deaf"`    // take requests and never answer
-	Slow    int           `json:"slow"`    // everything takes so many times as long
-	Fast    bool          `json:"fast"`    // pieces come without a pause
+	Deaf    bool          `json:"deaf"`    // accept requests and never answer
+	Slow    int           `json:"slow"`    // factor by which all work is slowed down
+	Fast    bool          `json:"fast"`    // send pieces without a pause
 	Skip    bool          `json:"skip"`    // skip a piece
 }
 
+// cache is the KV cache of a request.
 type cache struct {
 	request string
 	attempt int
 	prompt  uint64
-	till    time.Time
+	expires time.Time
 }
 
-// FakeServer is one stand-in server.
+// FakeServer is a fake model server.
 type FakeServer struct {
-	cfg      Config
-	recorder *history.Recorder
-	born     time.Time
-	mu       sync.Mutex
-	part     string
-	term     uint64
-	no       uint64
-	busy     int
-	held     map[uint64]bool
-	list     []uint64
-	kv       map[string]cache
-	link     map[string]int
-	bad      Fault
-	told     bool // a poll has said that it leaves
-	web      *http.Client
+	cfg             Config
+	recorder        *history.Recorder
+	born            time.Time
+	mu              sync.Mutex
+	role            string // as ordered
+	term            uint64 // of the last order
+	orderNo         uint64 // of the last order
+	busy            int    // slots in use
+	cachedPrefixes  map[uint64]bool
+	prefixOrder     []uint64         // cached prefixes, oldest first
+	kvCaches        map[string]cache // by handle
+	linkTimes       map[string]int   // last transfer time in ms, by prefill server
+	currentFault    Fault
+	leavingReported bool // a usage report has said that the server is leaving
+	client          *http.Client
 }
 
-// New makes a stand-in; it plays no part until ordered to.
+// New returns the handler of a fake server. The server has no role until it is ordered one.
 //
 // Example: http.ListenAndServe(cfg.Addr, fakeserver.New(cfg, records))
 func New(cfg Config, recorder *history.Recorder) http.Handler {
-	d := &FakeServer{cfg: cfg, recorder: recorder, born: time.Now(), held: map[uint64]bool{}, kv: map[string]cache{}, link: map[string]int{}, web: &http.Client{Timeout: 10 * time.Second}}
+	d := &FakeServer{cfg: cfg, recorder: recorder, born: time.Now(), cachedPrefixes: map[uint64]bool{}, kvCaches: map[string]cache{}, linkTimes: map[string]int{}, client: &http.Client{Timeout: 10 * time.Second}}
 	recorder.Put(history.Event{Who: cfg.Addr, Ev: "boot", N: cfg.Capacity, Zone: cfg.Zone, Warm: cfg.Warm.Nanoseconds()})
 	m := http.NewServeMux()
 	m.HandleFunc("GET /usage", d.usage)
 	m.HandleFunc("POST /order", d.order)
 	m.HandleFunc("POST /prefill", d.prefill)
 	m.HandleFunc("POST /decode", d.decode)
-	m.HandleFunc("GET /kv/{id}", d.hand)
+	m.HandleFunc("GET /kv/{id}", d.sendCache)
 	m.HandleFunc("POST /fault", d.fault)
 	return m
 }
 
+// respond answers with a JSON body.
 func respond(w http.ResponseWriter, code int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-func (d *FakeServer) turnAway(w http.ResponseWriter, code int, result, part, why, req string) {
+// reject records a rejected call and answers it.
+func (d *FakeServer) reject(w http.ResponseWriter, code int, result, part, why, req string) {
 	d.recorder.Put(history.Event{Who: d.cfg.Addr, Ev: result, Part: part, Request: req, Why: why})
 	respond(w, code, map[string]string{"result": result, "why": why})
 }
@@ -104,15 +107,15 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	links := map[string]int{}
-	for a, ms := range d.link {
+	for a, ms := range d.linkTimes {
 		links[a] = ms
 	}
-	if d.bad.Leaving != d.told { // the moment that the first daemon knows
-		d.told = d.bad.Leaving
-		d.recorder.Put(history.Event{Who: d.cfg.Addr, Ev: map[bool]string{true: "leaving", false: "staying"}[d.told]})
+	if d.currentFault.Leaving != d.leavingReported { // the first report that tells a daemon
+		d.leavingReported = d.currentFault.Leaving
+		d.recorder.Put(history.Event{Who: d.cfg.Addr, Ev: map[bool]string{true: "leaving", false: "staying"}[d.leavingReported]})
 	}
 	up := time.Since(d.born)
-	respond(w, 200, map[string]any{"active": d.busy, "uptime_ms": up.Milliseconds(), "leaving": d.bad.Leaving, "warming": up < d.cfg.Warm, "links_ms": links})
+	respond(w, 200, map[string]any{"active": d.busy, "uptime_ms": up.Milliseconds(), "leaving": d.currentFault.Leaving, "warming": up < d.cfg.Warm, "links_ms": links})
 }
 
 func (d *FakeServer) order(w http.ResponseWriter, r *http.Request) {
@@ -127,21 +130,23 @@
 	d.recorder.Put(history.Event{Who: d.cfg.Addr, Ev: "order", Holder: o.Holder, Term: o.Term, Part: o.Part, Why: o.Why})
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if o.Term < d.term || o.Term == d.term && o.No <= d.no {
+	if o.Term < d.term || o.Term == d.term && o.No <= d.orderNo {
 		respond(w, 409, map[string]string{"result": "shed", "why": "an order of an older term"})
 		return
 	}
-	d.term, d.no, d.part = o.Term, o.No, o.Part
+	d.term, d.orderNo, d.role = o.Term, o.No, o.Part
 	respond(w, 200, map[string]string{"result": "done"})
 }
 
-func (d *FakeServer) slow(t time.Duration) time.Duration {
+// slowed returns a duration multiplied by the factor of the current fault.
+func (d *FakeServer) slowed(t time.Duration) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return t * time.Duration(max(1, d.bad.Slow))
+	return t * time.Duration(max(1, d.currentFault.Slow))
 }
 
-func nap(ctx context.Context, t time.Duration) bool {
+// sleep waits and reports whether the context is still valid.
+func sleep(ctx context.Context, t time.Duration) bool {
 	if t <= 0 {
 		return ctx.Err() == nil
 	}
@@ -155,13 +160,13 @@
 	}
 }
 
-// enter takes a slot for a part, or says why not.
-func (d *FakeServer) enter(part string) string {
+// acquireSlot takes a slot for a role, or returns the reason why it cannot.
+func (d *FakeServer) acquireSlot(role string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
-	case d.part != part:
-		return "not a " + part
+	case d.role != role:
+		return "not a " + role
 	case d.busy >= d.cfg.Capacity:
 		return "full"
 	}
@@ -169,52 +174,53 @@
 	return ""
 }
 
-func (d *FakeServer) exit() {
+// releaseSlot returns a slot.
+func (d *FakeServer) releaseSlot() {
 	d.mu.Lock()
 	d.busy--
 	d.mu.Unlock()
 }
 
-// read takes a call's body and tells how the server is to misbehave now.
-func (d *FakeServer) read(w http.ResponseWriter, r *http.Request, call any) (bad Fault, ok bool) {
+// readCall decodes the body of a call and returns the current fault.
+func (d *FakeServer) readCall(w http.ResponseWriter, r *http.Request, call any) (currentFault Fault, ok bool) {
 	if err := json.NewDecoder(r.Body).Decode(call); err != nil {
 		respond(w, 400, map[string]string{"why": err.Error()})
-		return bad, false
+		return currentFault, false
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.bad, true
+	return d.currentFault, true
 }
 
 func (d *FakeServer) prefill(w http.ResponseWriter, r *http.Request) {
 	var p serverpool.PrefillRequest
-	bad, ok := d.read(w, r, &p)
+	currentFault, ok := d.readCall(w, r, &p)
 	if !ok {
 		return
 	}
-	if bad.Deaf {
+	if currentFault.Deaf {
 		<-r.Context().Done()
 		return
 	}
-	if why := d.enter("reader"); why != "" {
-		d.turnAway(w, 503, "shed", "reader", why, p.Request)
+	if why := d.acquireSlot("reader"); why != "" {
+		d.reject(w, 503, "shed", "reader", why, p.Request)
 		return
 	}
-	defer d.exit()
-	chars, cached := 0, 0
+	defer d.releaseSlot()
+	chars, cachedParts := 0, 0
 	d.mu.Lock()
 	n := d.busy
 	for i, c := range p.PrefixHashes {
-		if d.held[c] {
-			cached = i + 1
+		if d.cachedPrefixes[c] {
+			cachedParts = i + 1
 		}
 	}
 	d.mu.Unlock()
 	d.recorder.Put(history.Event{Who: d.cfg.Addr, Ev: "prefill", Request: p.Request, Term: p.Term, N: n})
-	for _, x := range p.Parts[cached:] {
+	for _, x := range p.Parts[cachedParts:] {
 		chars += len(x.Text)
 	}
-	if !nap(r.Context(), d.slow(time.Duration(chars)*d.cfg.Char)) {
+	if !sleep(r.Context(), d.slowed(time.Duration(chars)*d.cfg.Char)) {
 		return
 	}
 	b := make([]byte, 8)
@@ -222,40 +228,40 @@
 	id := hex.EncodeToString(b)
 	d.mu.Lock()
 	for _, c := range p.PrefixHashes {
-		if !d.held[c] {
-			d.held[c] = true
-			d.list = append(d.list, c)
+		if !d.cachedPrefixes[c] {
+			d.cachedPrefixes[c] = true
+			d.prefixOrder = append(d.prefixOrder, c)
 		}
 	}
-	for len(d.list) > d.cfg.Prefixes {
-		delete(d.held, d.list[0])
-		d.list = d.list[1:]
+	for len(d.prefixOrder) > d.cfg.Prefixes {
+		delete(d.cachedPrefixes, d.prefixOrder[0])
+		d.prefixOrder = d.prefixOrder[1:]
 	}
-	for k, c := range d.kv {
-		if time.Now().After(c.till) {
-			delete(d.kv, k)
+	for k, c := range d.kvCaches {
+		if time.Now().After(c.expires) {
+			delete(d.kvCaches, k)
 		}
 	}
-	h := serverpool.Handle{ID: id, Request: p.Request, Attempt: p.Attempt, PrefillServer: d.cfg.Addr, RecordVersion: p.RecordVersion, CachedParts: cached}
-	for k, c := range d.kv {
-		if c.request != p.Request && (d.bad.Foreign || d.bad.Crossed) {
+	h := serverpool.Handle{ID: id, Request: p.Request, Attempt: p.Attempt, PrefillServer: d.cfg.Addr, RecordVersion: p.RecordVersion, CachedParts: cachedParts}
+	for k, c := range d.kvCaches {
+		if c.request != p.Request && (d.currentFault.Foreign || d.currentFault.Crossed) {
 			h.ID = k
-			if d.bad.Crossed {
+			if d.currentFault.Crossed {
 				h.Request, h.Attempt = c.request, c.attempt
 			}
 		}
 	}
-	d.kv[id] = cache{p.Request, p.Attempt, script.Prompt(p.Parts), time.Now().Add(d.cfg.Keep)}
+	d.kvCaches[id] = cache{p.Request, p.Attempt, script.Prompt(p.Parts), time.Now().Add(d.cfg.Keep)}
 	d.mu.Unlock()
 	respond(w, 200, h)
 }
 
-// hand gives a KV cache to a decode server, saying whose it is.
-func (d *FakeServer) hand(w http.ResponseWriter, r *http.Request) {
+// sendCache transfers a KV cache to a decode server, with the request that it belongs to.
+func (d *FakeServer) sendCache(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
-	c, ok := d.kv[r.PathValue("id")]
-	link := d.cfg.Link + d.bad.Link
-	if ok && (d.bad.Lapse || time.Now().After(c.till)) {
+	c, ok := d.kvCaches[r.PathValue("id")]
+	link := d.cfg.Link + d.currentFault.Link
+	if ok && (d.currentFault.Lapse || time.Now().After(c.expires)) {
 		ok = false
 	}
 	d.mu.Unlock()
@@ -266,30 +272,30 @@
 	if r.URL.Query().Get("zone") == d.cfg.Zone {
 		link -= d.cfg.Link / 2
 	}
-	if nap(r.Context(), link) {
+	if sleep(r.Context(), link) {
 		respond(w, 200, map[string]any{"request": c.request, "attempt": c.attempt, "prompt": c.prompt})
 	}
 }
 
 func (d *FakeServer) decode(w http.ResponseWriter, r *http.Request) {
 	var p serverpool.DecodeRequest
-	bad, ok := d.read(w, r, &p)
+	currentFault, ok := d.readCall(w, r, &p)
 	if !ok {
 		return
 	}
-	if bad.Deaf {
+	if currentFault.Deaf {
 		d.recorder.Put(history.Event{Who: d.cfg.Addr, Ev: "decode", Request: p.Handle.Request, Run: p.RunID, Once: p.OnceKey, CacheOf: p.Handle.Request})
 		<-r.Context().Done()
 		return
 	}
-	if why := d.enter("maker"); why != "" {
-		d.turnAway(w, 503, "shed", "maker", why, p.Handle.Request)
+	if why := d.acquireSlot("maker"); why != "" {
+		d.reject(w, 503, "shed", "maker", why, p.Handle.Request)
 		return
 	}
-	defer d.exit()
+	defer d.releaseSlot()
 	from := time.Now()
 	req, _ := http.NewRequestWithContext(r.Context(), "GET", "http://"+p.Handle.PrefillServer+"/kv/"+p.Handle.ID+"?zone="+d.cfg.Zone, nil)
-	res, err := d.web.Do(req)
+	res, err := d.client.Do(req)
 	var kv struct {
 		Request string `json:"request"`
 		Attempt int    `json:"attempt"`
@@ -304,15 +310,15 @@
 		_ = res.Body.Close()
 	}
 	if err != nil {
-		d.turnAway(w, 409, "lapsed", "maker", "KV cache: "+err.Error(), p.Handle.Request)
+		d.reject(w, 409, "lapsed", "maker", "KV cache: "+err.Error(), p.Handle.Request)
 		return
 	}
 	d.mu.Lock()
-	d.link[p.Handle.PrefillServer] = int(time.Since(from).Milliseconds())
+	d.linkTimes[p.Handle.PrefillServer] = int(time.Since(from).Milliseconds())
 	n := d.busy
 	d.mu.Unlock()
 	if !d.cfg.Naive && (kv.Request != p.Handle.Request || kv.Attempt != p.Handle.Attempt) {
-		d.turnAway(w, 409, "lapsed", "maker", "the KV cache is of another request", p.Handle.Request)
+		d.reject(w, 409, "lapsed", "maker", "the KV cache is of another request", p.Handle.Request)
 		return
 	}
 	d.recorder.Put(history.Event{Who: d.cfg.Addr, Ev: "decode", Request: p.Handle.Request, CacheOf: kv.Request, Run: p.RunID, Once: p.OnceKey, Term: p.Term, N: n})
@@ -321,11 +327,11 @@
 	flush := w.(http.Flusher)
 	put := func(x serverpool.Piece) { b, _ := json.Marshal(x); _, _ = w.Write(append(b, '\n')); flush.Flush() }
 	for i := 0; i < p.Tokens && r.Context().Err() == nil; i++ {
-		if !bad.Fast && !nap(r.Context(), d.slow(d.cfg.Token)) {
+		if !currentFault.Fast && !sleep(r.Context(), d.slowed(d.cfg.Token)) {
 			return
 		}
 		d.mu.Lock()
-		stop, skip := d.bad.Break > 0 && i >= d.bad.Break, d.bad.Skip && i == 1
+		stop, skip := d.currentFault.Break > 0 && i >= d.currentFault.Break, d.currentFault.Skip && i == 1
 		d.mu.Unlock()
 		if stop {
 			panic(http.ErrAbortHandler)
@@ -335,7 +341,7 @@
 		}
 		x := serverpool.Piece{Request: p.Handle.Request, RunID: p.RunID, Number: i, Text: script.Text(kv.Prompt, p.Handle.Request, p.RunID, i)}
 		put(x)
-		if bad.Twice && i == 1 {
+		if currentFault.Twice && i == 1 {
 			put(x)
 		}
 	}
@@ -353,9 +359,9 @@
 		return
 	}
 	d.mu.Lock()
-	d.bad = f
+	d.currentFault = f
 	if f.Lapse {
-		d.kv = map[string]cache{}
+		d.kvCaches = map[string]cache{}
 	}
 	d.mu.Unlock()
 	respond(w, 200, map[string]string{"result": "done"})
--- a/proof/load/load.go
+++ b/proof/load/load.go
@@ -1,5 +1,5 @@
-// Package load is the stand-in client: it sends a mix at a rate, checks
-// every stream piece by piece and writes down what came of each request.
+// Package load is the load generator: it sends a request mix at a constant rate, checks
+// every stream piece by piece and records the result of each request.
 package load
 
 import (
@@ -21,24 +21,24 @@
 	"mulleinmast/traffic/serverpool"
 )
 
-// Config is one run of load.
+// Config configures a load run.
 type Config struct {
 	Targets []string
-	Zones   []string // where clients are
-	// Pick hands a client of a zone a daemon; without it one of Targets.
+	Zones   []string // of the clients
+	// Pick returns the daemon for a client of a zone. If nil, a random one of Targets is used.
 	Pick    func(zone string, dice int) string
 	Mix     string  // rangsit or pat
-	Rate    float64 // requests a second
+	Rate    float64 // requests per second
 	For     time.Duration
-	Most    int // requests in all
+	Most    int // maximum number of requests
 	Seed    int64
 	Timeout time.Duration
-	Once    float64 // part of the requests that carry a once key
-	Again   bool    // send a once key again to another daemon whatever the answer
-	Swing   float64 // part of long prompts; below 0 the mix's own
+	Once    float64 // fraction of the requests with a once key
+	Again   bool    // send each request with a once key a second time, to another daemon
+	Swing   float64 // fraction of the first kind of the mix; negative: as in the mix
 }
 
-// Mixes names the kinds of request of each deployment.
+// Mixes are the request mixes of the deployments.
 //
 // Example: load.Mixes["rangsit"][0].Model == "timetable"
 var Mixes = map[string][]Kind{
@@ -52,7 +52,7 @@
 	},
 }
 
-// Kind is one kind of request.
+// Kind is a kind of request.
 type Kind struct {
 	Name, Model string
 	Part        float64
@@ -61,23 +61,23 @@
 	Tokens      int
 }
 
-// Tenant is a tenant of the stand-in plans, with its priority.
+// Tenant is a tenant of the test plans, with its priority.
 type Tenant struct {
 	Name string
 	Prio int
 }
 
-// Tenants are those of the stand-in plans, from urgent to not.
+// Tenants are the tenants of the test plans, in order of priority.
 //
 // Example: load.Tenants[0].Prio == 0
 var Tenants = []Tenant{{"express", 0}, {"regular", 4}, {"bulk", 8}}
 
-// Run sends the mix and waits for every answer.
+// Run sends the requests and waits for all answers.
 //
 // Example: load.Run(ctx, cfg, records)
 func Run(ctx context.Context, c Config, recorder *history.Recorder) {
 	rng := rand.New(rand.NewSource(c.Seed))
-	web := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}}
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}}
 	kinds := Mixes[c.Mix]
 	var wg sync.WaitGroup
 	from := time.Now()
@@ -91,19 +91,19 @@
 			}
 			t.Stop()
 		}
-		k := kinds[0]
-		part := k.Part
+		kind := kinds[0]
+		part := kind.Part
 		if c.Swing >= 0 {
 			part = c.Swing
 		}
 		if rng.Float64() >= part {
-			k = kinds[1]
+			kind = kinds[1]
 		}
-		ten := Tenants[rng.Intn(len(Tenants))]
-		pre := rng.Intn(k.Prefixes)
-		parts := []serverpool.Part{{Key: fmt.Sprintf("%s-%d", k.Name, pre), Text: strings.Repeat(string(rune('a'+pre%26)), k.Shared)}, {Text: fmt.Sprintf("%d/%d ", c.Seed, i) + strings.Repeat("x", k.Own)}}
+		tenant := Tenants[rng.Intn(len(Tenants))]
+		prefix := rng.Intn(kind.Prefixes)
+		parts := []serverpool.Part{{Key: fmt.Sprintf("%s-%d", kind.Name, prefix), Text: strings.Repeat(string(rune('a'+prefix%26)), kind.Shared)}, {Text: fmt.Sprintf("%d/%d ", c.Seed, i) + strings.Repeat("x", kind.Own)}}
 		body := map[string]any{
-			"model": k.Model, "tenant": ten.Name, "tokens": k.Tokens, "budget_ms": c.Timeout.Milliseconds(),
+			"model": kind.Model, "tenant": tenant.Name, "tokens": kind.Tokens, "budget_ms": c.Timeout.Milliseconds(),
 			"parts": parts,
 		}
 		key := ""
@@ -126,12 +126,12 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			e := one(ctx, web, a, raw, script.Prompt(parts), c.Timeout)
-			e.Once, e.Tenant, e.Prio, e.Mix, e.Zone = key, ten.Name, ten.Prio, k.Name, zone
+			e := sendRequest(ctx, client, a, raw, script.Prompt(parts), c.Timeout)
+			e.Once, e.Tenant, e.Prio, e.Mix, e.Zone = key, tenant.Name, tenant.Prio, kind.Name, zone
 			recorder.Put(e)
 			if key != "" && c.Again {
-				e = one(ctx, web, b, raw, script.Prompt(parts), c.Timeout)
-				e.Once, e.Tenant, e.Prio, e.Mix, e.Zone, e.Again = key, ten.Name, ten.Prio, k.Name, zone, true
+				e = sendRequest(ctx, client, b, raw, script.Prompt(parts), c.Timeout)
+				e.Once, e.Tenant, e.Prio, e.Mix, e.Zone, e.Again = key, tenant.Name, tenant.Prio, kind.Name, zone, true
 				recorder.Put(e)
 			}
 		}()
@@ -139,8 +139,8 @@
 	wg.Wait()
 }
 
-// one sends a request and judges the answer by itself.
-func one(ctx context.Context, web *http.Client, to string, raw []byte, prompt uint64, timeout time.Duration) (e history.Event) {
+// sendRequest sends a request and checks its answer.
+func sendRequest(ctx context.Context, client *http.Client, to string, raw []byte, prompt uint64, timeout time.Duration) (e history.Event) {
 	ctx, done := context.WithTimeout(ctx, timeout+5*time.Second)
 	defer done()
 	from := time.Now()
@@ -152,10 +152,10 @@
 		return e
 	}
 	req.GetBody = nil
-	res, err := web.Do(req)
+	res, err := client.Do(req)
 	if err != nil {
 		e.Result, e.Why = "error", err.Error()
-		if ctx.Err() != nil { // its timeout and five seconds more went by
+		if ctx.Err() != nil { // no answer within its timeout plus five seconds
 			e.Result = "hung"
 		}
 		return e
@@ -163,28 +163,28 @@
 	defer func() { _ = res.Body.Close() }()
 	e.Request = res.Header.Get("X-Request")
 	if res.StatusCode != 200 {
-		var word struct {
+		var answer struct {
 			Result string `json:"result"`
 			Why    string `json:"why"`
 			After  int64  `json:"retry_after_ms"`
 		}
-		if err := json.NewDecoder(res.Body).Decode(&word); err != nil {
+		if err := json.NewDecoder(res.Body).Decode(&answer); err != nil {
 			e.Result, e.Why = "error", err.Error()
 			return e
 		}
-		e.Result, e.Why, e.After = word.Result, word.Why, word.After
-		if word.Result == "shed" && res.Header.Get("Retry-After") == "" {
+		e.Result, e.Why, e.After = answer.Result, answer.Why, answer.After
+		if answer.Result == "shed" && res.Header.Get("Retry-After") == "" {
 			e.Result, e.Why = "wrong", "refused without Retry-After"
 		}
 		return e
 	}
 	r := bufio.NewReader(res.Body)
-	see := script.Prefill{Prompt: prompt, Request: e.Request}
+	reader := script.Prefill{Prompt: prompt, Request: e.Request}
 	for {
 		line, err := r.ReadBytes('\n')
 		if err != nil {
 			if e.Result == "" {
-				e.Result, e.Why = "broken", fmt.Sprintf("broke off after %d pieces", see.N)
+				e.Result, e.Why = "broken", fmt.Sprintf("broke off after %d pieces", reader.N)
 			}
 			return e
 		}
@@ -196,8 +196,8 @@
 		if e.First == 0 {
 			e.First = time.Since(from).Nanoseconds()
 		}
-		end, broken, why := see.Next(p)
-		e.Run, e.Count = see.Run, see.N
+		end, broken, why := reader.Next(p)
+		e.Run, e.Count = reader.Run, reader.N
 		switch {
 		case why != "":
 			e.Result, e.Why = "wrong", why
@@ -215,19 +215,19 @@
 	}
 }
 
-// Report is what a run of load came to.
+// Report summarizes a load run.
 type Report struct {
 	All      int
 	Results  map[string]int
 	Refusals map[string]int
 	P50      map[string]time.Duration // of served requests, by tenant
 	P99      map[string]time.Duration
-	Served   map[string]float64 // part served, by tenant
+	Served   map[string]float64 // fraction served, by tenant
 	First    time.Duration      // median time to first piece
-	Refusal  time.Duration      // 99th percentile of the time to a refused
+	Refusal  time.Duration      // 99th percentile of the time to a refusal
 }
 
-// Sum makes a report of a client's journal.
+// Sum returns the report of a client's history.
 //
 // Example: fmt.Print(load.Sum(events))
 func Sum(ev []history.Event) Report {
@@ -253,7 +253,7 @@
 			refused = append(refused, e.Took)
 		}
 	}
-	at := func(list []int64, q float64) time.Duration {
+	quantile := func(list []int64, q float64) time.Duration {
 		if len(list) == 0 {
 			return 0
 		}
@@ -261,14 +261,14 @@
 		return time.Duration(list[int(q*float64(len(list)-1))])
 	}
 	for t, list := range took {
-		r.P50[t], r.P99[t] = at(list, 0.5), at(list, 0.99)
+		r.P50[t], r.P99[t] = quantile(list, 0.5), quantile(list, 0.99)
 		r.Served[t] = float64(len(list)) / float64(max(1, all[t]))
 	}
-	r.First, r.Refusal = at(first, 0.5), at(refused, 0.99)
+	r.First, r.Refusal = quantile(first, 0.5), quantile(refused, 0.99)
 	return r
 }
 
-// String prints a report.
+// String formats a report.
 //
 // Example: fmt.Print(load.Sum(events).String())
 func (r Report) String() string {
@@ -276,29 +276,29 @@
 	_, _ = fmt.Fprintf(&b, "requests %d: %v\n", r.All, r.Results)
 	for _, t := range Tenants {
 		if r.P50[t.Name] > 0 {
-			_, _ = fmt.Fprintf(&b, "  %-8s priority %d: served %.3f, median %v, 99th %v\n", t.Name, t.Prio, r.Served[t.Name], r.P50[t.Name].Round(time.Millisecond), r.P99[t.Name].Round(time.Millisecond))
+			_, _ = fmt.Fprintf(&b, "  %-8s priority %d: served %.3f, median %v, 99th percentile %v\n", t.Name, t.Prio, r.Served[t.Name], r.P50[t.Name].Round(time.Millisecond), r.P99[t.Name].Round(time.Millisecond))
 		}
 	}
-	_, _ = fmt.Fprintf(&b, "  first piece: median %v; refused told: 99th %v\n", r.First.Round(time.Millisecond), r.Refusal.Round(time.Millisecond))
-	whys := make([]string, 0, len(r.Refusals))
+	_, _ = fmt.Fprintf(&b, "  time to first piece: median %v; time to a refusal: 99th percentile %v\n", r.First.Round(time.Millisecond), r.Refusal.Round(time.Millisecond))
+	reasons := make([]string, 0, len(r.Refusals))
 	for w := range r.Refusals {
-		whys = append(whys, w)
+		reasons = append(reasons, w)
 	}
-	sort.Strings(whys)
-	for _, w := range whys {
+	sort.Strings(reasons)
+	for _, w := range reasons {
 		_, _ = fmt.Fprintf(&b, "  refused %d: %s\n", r.Refusals[w], w)
 	}
 	return b.String()
 }
 
-// Stuck sends a request, reads its first piece and then nothing for a while,
-// as a client does whose machine hangs. It says how many bytes it could
-// still read afterwards and whether the answer was whole.
+// Stuck sends a request, reads its first piece and then stops reading for a while, like a
+// client whose machine hangs. It returns how many bytes it could read afterwards and
+// whether the answer was complete.
 //
 // Example: got, whole := load.Stuck(ctx, addr, body, 8*time.Second)
-func Stuck(ctx context.Context, to string, raw []byte, hold time.Duration) (got int64, whole bool) {
+func Stuck(ctx context.Context, to string, raw []byte, hold time.Duration) (got int64, complete bool) {
 	dial := &net.Dialer{}
-	web := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := dial.DialContext(ctx, network, addr)
 		if t, ok := c.(*net.TCPConn); ok {
 			_ = t.SetReadBuffer(4096)
@@ -309,7 +309,7 @@
 	if err != nil {
 		return 0, false
 	}
-	res, err := web.Do(req)
+	res, err := client.Do(req)
 	if err != nil {
 		return 0, false
 	}
@@ -328,9 +328,9 @@
 		line, err := r.ReadBytes('\n')
 		got += int64(len(line))
 		if err != nil {
-			return got, whole
+			return got, complete
 		}
 		var p serverpool.Piece
-		whole = json.Unmarshal(line, &p) == nil && p.End
+		complete = json.Unmarshal(line, &p) == nil && p.End
 	}
 }
