--- a/proof/hollow/trouble.go
+++ b/proof/hollow/trouble.go
@@ -8,7 +8,7 @@
 // Put makes one change and returns the time until its acknowledgement, the time until
 // it is visible on every reachable daemon, and the number of those daemons.
 //
-// Example: yes, everywhere, n, err := f.Put()
+// Example: acked, everywhere, n, err := f.Put()
 func (f *Fleet) Put() (acked, everywhere time.Duration, n int, err error) {
 	want := f.version + 1
 	done := make(chan struct{})
--- a/proof/judge/requests.go
+++ b/proof/judge/requests.go
@@ -142,8 +142,7 @@
 			r := recoveryOf(events, zone, e.At)
 			watched := events[len(events)-1].At - e.At
 			if r.answered && r.took > bounds.Recovery || !r.answered && r.answers > 0 && watched > bounds.Recovery {
-				report("%s: no complete answer within %.0fs after the machines were back "+
-					"(%d answers, first complete one after %.1fs)",
+				report("%s: no complete answer within %.0fs after all machines were back (%d answers, first after %.1fs)",
 					zone, seconds(bounds.Recovery), r.answers, seconds(r.took))
 			}
 		}
--- a/proof/load/load.go
+++ b/proof/load/load.go
@@ -295,7 +295,7 @@
 // client whose machine hangs. It returns how many bytes it could read afterwards and
 // whether the answer was complete.
 //
-// Example: got, whole := load.Stuck(ctx, addr, body, 8*time.Second)
+// Example: got, complete := load.Stuck(ctx, addr, body, 8*time.Second)
 func Stuck(ctx context.Context, to string, raw []byte, hold time.Duration) (got int64, complete bool) {
 	dial := &net.Dialer{}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
--- a/proof/narrowlinks/narrowlinks_test.go
+++ b/proof/narrowlinks/narrowlinks_test.go
@@ -9,9 +9,10 @@
 // replacements per second, the relay of each zone served some sixty daemons over a 10 Mbit/s link (1,250 KB/s): it
 // received 943 KB/s and sent 1,263 KB/s; all five relays were saturated for half a minute, while processors were not.
 // Each replaced server invalidated and resent four records per daemon, and each second invalidated the server list,
-// without which a daemon has no servers. Lease renewals queued behind this traffic, leases expired, and daemons used their last lists: two sent
-// to a server 4,001 and 4,002 ms after it was listed as leaving. After the release the relays stayed saturated, since
-// an expired lease causes all records to be compared and resent, until all machines lost power.
+// without which a daemon has no servers. Lease renewals queued behind this traffic, leases expired, and daemons used
+// their last lists: two sent to a server 4,001 and 4,002 ms after it was listed as leaving. After the release the
+// relays stayed saturated, since an expired lease causes all records to be compared and resent, until all machines
+// lost power.
 func TestDaemonsHaveServersDuringRelease(t *testing.T) {
 	const (
 		formationSeconds = 7    // seconds until all daemons have all records
--- a/proof/narrowlinks/node.go
+++ b/proof/narrowlinks/node.go
@@ -20,7 +20,7 @@
 
 // node is a daemon of the zone, with the dispatcher of the service.
 type node struct {
-	w          *simulation
+	sim        *simulation
 	self       message.Member
 	controller *leader.Controller
 	link       *link
@@ -32,70 +32,70 @@
 
 // addDaemons creates the leader, the daemons of the zone and the view of the members, and
 // schedules their faults.
-func (w *simulation) addDaemons() {
-	w.root = newRoot(w)
-	if w.HasControlDaemon {
-		w.addNode(0, true)
+func (sim *simulation) addDaemons() {
+	sim.root = newRoot(sim)
+	if sim.HasControlDaemon {
+		sim.addNode(0, true)
 	}
-	for i := 1; i <= w.Daemons; i++ {
-		w.addNode(i, false)
+	for i := 1; i <= sim.Daemons; i++ {
+		sim.addNode(i, false)
 	}
-	w.buildView()
-	w.after(w.From, func() { w.nodes[w.Daemons/2].link.extraLatency = w.ExtraLatency })
-	w.after(w.To, func() { w.nodes[w.Daemons/2].link.extraLatency = 0 })
-	for i := range w.FailedDaemons {
-		n := w.nodes[len(w.nodes)-1-i]
-		w.after(w.From+time.Second/4, func() { n.link.down = true })
+	sim.buildView()
+	sim.after(sim.From, func() { sim.nodes[sim.Daemons/2].link.extraLatency = sim.ExtraLatency })
+	sim.after(sim.To, func() { sim.nodes[sim.Daemons/2].link.extraLatency = 0 })
+	for i := range sim.FailedDaemons {
+		n := sim.nodes[len(sim.nodes)-1-i]
+		sim.after(sim.From+time.Second/4, func() { n.link.down = true })
 	}
 }
 
 // buildView computes the membership view on a control daemon in the leader's zone.
-func (w *simulation) buildView() {
-	control := message.Member{Ident: w.root.self.Ident, Addr: w.root.self.Addr, Zone: farZone, HasDisk: true, Build: "test"}
-	table := membership.New(w.cfg.MembershipConfig(), control, nil)
-	for _, n := range w.nodes {
+func (sim *simulation) buildView() {
+	control := message.Member{Ident: sim.root.self.Ident, Addr: sim.root.self.Addr, Zone: farZone, HasDisk: true, Build: "test"}
+	table := membership.New(sim.cfg.MembershipConfig(), control, nil)
+	for _, n := range sim.nodes {
 		table.Step(0, message.Hello{Self: n.self}.Message())
 	}
-	table.Tick(0, control, []message.Leadership{{Partition: partitionNumber, Term: 1, Leader: w.root.self}})
-	w.view = table.View()
+	table.Tick(0, control, []message.Leadership{{Partition: partitionNumber, Term: 1, Leader: sim.root.self}})
+	sim.view = table.View()
 }
 
-func (w *simulation) addNode(i int, control bool) {
+func (sim *simulation) addNode(i int, control bool) {
 	n := &node{
-		w: w, pinned: map[string]bool{},
+		sim: sim, pinned: map[string]bool{},
 		self: message.Member{
 			Ident: fmt.Sprintf("daemon-%02d", i), Addr: fmt.Sprintf("10.1.0.%d:1", i+1), Zone: zone, HasDisk: control, Build: "test",
 		},
 	}
-	n.controller = leader.New(leader.Config{}, partitionNumber, n.self.Replica(), newPartition(w, n.self.Replica(), nil))
-	cfg := gateway.Config(w.cfg)
+	n.controller = leader.New(leader.Config{}, partitionNumber, n.self.Replica(), newPartition(sim, n.self.Replica(), nil))
+	cfg := gateway.Config(sim.cfg)
 	cfg.Zone = zone
 	n.dispatcher = forward.New(cfg, service, partitionNumber, n, noLoad{})
 	n.dispatcher.SetDaemons(0, n.self.Addr, []string{n.self.Addr})
-	megabits := w.DaemonMbps
+	megabits := sim.DaemonMbps
 	if control {
-		megabits = w.ControlMbps
-	}
-	n.link = newLink(megabits, func(m message.Message) { n.carryOut(n.controller.Step(w.now, m)) })
-	w.byIdent[n.self.Ident] = n.link
-	w.nodes = append(w.nodes, n)
-	w.after(formation, func() {
-		w.every(w.cfg.VolumeLease()/stepsPerLease, n.tick)
-		w.every(gateway.LoadReportConfig(w.cfg).Interval, n.updatePins)
-		w.every(time.Second/requestsPerSecond, n.requestServer)
+		megabits = sim.ControlMbps
+	}
+	n.link = newLink(megabits, func(m message.Message) { n.carryOut(n.controller.Step(sim.now, m)) })
+	sim.byIdent[n.self.Ident] = n.link
+	sim.nodes = append(sim.nodes, n)
+	sim.after(formation, func() {
+		sim.every(sim.cfg.VolumeLease()/stepsPerLease, n.tick)
+		sim.every(gateway.LoadReportConfig(sim.cfg).Interval, n.updatePins)
+		sim.every(time.Second/requestsPerSecond, n.requestServer)
 	})
 }
 
 func (n *node) carryOut(out leader.Out) {
-	now := n.w.now
+	now := n.sim.now
 	if out.Orphaned {
-		n.fallback = now + fallbackLeases*n.w.cfg.VolumeLease()
+		n.fallback = now + fallbackLeases*n.sim.cfg.VolumeLease()
 	}
 	if out.Redirect.Ident != "" {
 		n.fallback = 0
 	}
 	for _, e := range out.Sends {
-		n.w.send(n.self.Replica(), e)
+		n.sim.send(n.self.Replica(), e)
 	}
 }
 
@@ -104,20 +104,20 @@
 	if n.link.down {
 		return
 	}
-	n.carryOut(n.controller.Tick(n.w.now))
+	n.carryOut(n.controller.Tick(n.sim.now))
 	if parent := n.parent(); parent != n.tree().Parent() {
-		n.carryOut(n.controller.SetParent(n.w.now, parent))
+		n.carryOut(n.controller.SetParent(n.sim.now, parent))
 	}
 }
 
 // updatePins pins the records that the dispatcher reads, and no others, as the gateway does.
 func (n *node) updatePins() {
-	n.dispatcher.Refresh(n.w.now)
+	n.dispatcher.Refresh(n.sim.now)
 	wanted := map[string]bool{}
 	for _, key := range n.dispatcher.Keys() {
 		wanted[key] = true
 		if !n.pinned[key] {
-			n.carryOut(n.controller.Pin(n.w.now, key))
+			n.carryOut(n.controller.Pin(n.sim.now, key))
 		}
 	}
 	for key := range n.pinned {
@@ -131,9 +131,9 @@
 // parent returns the daemon's parent in the lease tree, by the rules of
 // membership.ParentChooser.
 func (n *node) parent() message.Replica {
-	relay := n.w.view.Relay(partitionNumber, zone)
-	if relay.Ident == "" || relay.Ident == n.self.Ident || n.w.now < n.fallback {
-		return n.w.root.self
+	relay := n.sim.view.Relay(partitionNumber, zone)
+	if relay.Ident == "" || relay.Ident == n.self.Ident || n.sim.now < n.fallback {
+		return n.sim.root.self
 	}
 	return relay
 }
@@ -144,26 +144,26 @@
 	if n.link.down {
 		return
 	}
-	w := n.w
+	sim := n.sim
 	n.requests++
 	id := fmt.Sprint(n.requests)
-	decision := n.dispatcher.Start(w.now, forward.Request{
+	decision := n.dispatcher.Start(sim.now, forward.Request{
 		ID: id, Service: service, Repeatable: true, MaxAttempts: 1, TTFTTarget: time.Second,
-		Deadline: w.now + requestDeadline, InputTokens: 100,
+		Deadline: sim.now + requestDeadline, InputTokens: 100,
 	})
 	calling := decision.Action == forward.Decode
 	if !decision.Action.Final() {
-		n.dispatcher.ClientGone(w.now, id, calling)
+		n.dispatcher.ClientGone(sim.now, id, calling)
 	}
-	second := &w.result.Seconds[min(int(w.now/time.Second), len(w.result.Seconds)-1)]
+	second := &sim.result.Seconds[min(int(sim.now/time.Second), len(sim.result.Seconds)-1)]
 	second.Requests++
 	if !calling {
 		return
 	}
 	second.Served++
 	for _, s := range n.dispatcher.Servers() {
-		if since, ok := w.platform.leaving[s.Key]; ok {
-			w.result.LatestSend = max(w.result.LatestSend, w.now-since)
+		if since, ok := sim.platform.leaving[s.Key]; ok {
+			sim.result.LatestSend = max(sim.result.LatestSend, sim.now-since)
 		}
 	}
 }
--- a/proof/narrowlinks/platform.go
+++ b/proof/narrowlinks/platform.go
@@ -22,13 +22,13 @@
 }
 
 // start creates the initial servers and schedules the release.
-func (p *platform) start(w *simulation) {
+func (p *platform) start(sim *simulation) {
 	p.leaving = map[string]time.Duration{}
-	for range w.Servers {
+	for range sim.Servers {
 		p.add(false)
 	}
-	for at := w.From; at < w.To; at += time.Second {
-		w.after(at, func() { p.replace(w, w.ReplacedPerSecond) })
+	for at := sim.From; at < sim.To; at += time.Second {
+		sim.after(at, func() { p.replace(sim, sim.ReplacedPerSecond) })
 	}
 }
 
@@ -47,7 +47,7 @@
 }
 
 // replace starts count servers and marks as many of the oldest as leaving.
-func (p *platform) replace(w *simulation, count int) {
+func (p *platform) replace(sim *simulation, count int) {
 	for _, s := range p.list {
 		if count == 0 {
 			return
@@ -57,10 +57,10 @@
 		}
 		count--
 		p.change(s.ID, func(s *fleetconfig.Server) { s.Leaving = true })
-		p.leaving[s.ID] = w.now
-		w.after(goneAfter, func() { p.remove(s.ID) })
+		p.leaving[s.ID] = sim.now
+		sim.after(goneAfter, func() { p.remove(s.ID) })
 		id := p.add(true)
-		w.after(warmUp, func() { p.change(id, func(s *fleetconfig.Server) { s.Warming = false }) })
+		sim.after(warmUp, func() { p.change(id, func(s *fleetconfig.Server) { s.Warming = false }) })
 	}
 }
 
--- a/proof/narrowlinks/root.go
+++ b/proof/narrowlinks/root.go
@@ -26,7 +26,7 @@
 // root is the leader of the service's partition and its only replica. It also pulls the server
 // list.
 type root struct {
-	w          *simulation
+	sim        *simulation
 	self       message.Replica
 	controller *leader.Controller
 	link       *link
@@ -38,25 +38,25 @@
 }
 
 // newRoot returns the leader, with its timers scheduled.
-func newRoot(w *simulation) *root {
-	r := &root{w: w, self: message.Replica{Ident: "leader", Addr: "10.9.0.1:1"}}
+func newRoot(sim *simulation) *root {
+	r := &root{sim: sim, self: message.Replica{Ident: "leader", Addr: "10.9.0.1:1"}}
 	meta := quorum.Meta{Group: message.Group{Number: 1, Replicas: []message.Replica{r.self}}}
-	replica := quorum.New(w.cfg.QuorumConfig(), quorum.InitialState{
+	replica := quorum.New(sim.cfg.QuorumConfig(), quorum.InitialState{
 		Partition: partitionNumber, Self: r.self, Meta: meta, Records: digest.NewRecords(), IsNew: true,
-	}, w.now)
-	cfg := leader.Config{Placement: w.cfg.PlacementConfig(), OnceKeyRetention: time.Hour}
-	r.controller = leader.New(cfg, partitionNumber, r.self, newPartition(w, r.self, replica))
-	r.link = newLink(w.ControlMbps, func(m message.Message) { r.carryOut(r.controller.Step(w.now, m)) })
-	w.byIdent[r.self.Ident] = r.link
-	w.every(w.cfg.VolumeLease()/stepsPerLease, func() { r.carryOut(r.controller.Tick(w.now)) })
-	w.every(w.cfg.VolumeLease()/reconcilesPerLease, r.reconcile)
-	w.every(time.Duration(float64(w.cfg.Bounds.Leave)*pullRatio), r.pull)
+	}, sim.now)
+	cfg := leader.Config{Placement: sim.cfg.PlacementConfig(), OnceKeyRetention: time.Hour}
+	r.controller = leader.New(cfg, partitionNumber, r.self, newPartition(sim, r.self, replica))
+	r.link = newLink(sim.ControlMbps, func(m message.Message) { r.carryOut(r.controller.Step(sim.now, m)) })
+	sim.byIdent[r.self.Ident] = r.link
+	sim.every(sim.cfg.VolumeLease()/stepsPerLease, func() { r.carryOut(r.controller.Tick(sim.now)) })
+	sim.every(sim.cfg.VolumeLease()/reconcilesPerLease, r.reconcile)
+	sim.every(time.Duration(float64(sim.cfg.Bounds.Leave)*pullRatio), r.pull)
 	return r
 }
 
 // newPartition returns a partition's state machine on one daemon.
-func newPartition(w *simulation, self message.Replica, replica *quorum.Replica) *partition.Partition {
-	tree := lease.New(w.cfg.LeaseConfig(), partitionNumber, self, 1)
+func newPartition(sim *simulation, self message.Replica, replica *quorum.Replica) *partition.Partition {
+	tree := lease.New(sim.cfg.LeaseConfig(), partitionNumber, self, 1)
 	tree.UseCodec(fleetconfig.Codec{}, lease.MinPatchedLength)
 	return partition.New(partitionNumber, self, 1, replica, tree)
 }
@@ -68,16 +68,16 @@
 			r.handleCallResult(e.Message.AsCallResult())
 			continue
 		}
-		r.w.send(r.self, e)
+		r.sim.send(r.self, e)
 	}
 	for _, save := range out.Saves {
-		r.carryOut(r.controller.Saved(r.w.now, save.Ticket))
+		r.carryOut(r.controller.Saved(r.sim.now, save.Ticket))
 	}
 	for _, order := range out.Orders {
 		r.controller.HandleOrdered(order, true)
 		id := order.Key[strings.LastIndexByte(order.Key, '/')+1:]
-		r.w.after(orderFollowed, func() {
-			r.w.platform.change(id, func(s *fleetconfig.Server) { s.Role = order.Role })
+		r.sim.after(orderFollowed, func() {
+			r.sim.platform.change(id, func(s *fleetconfig.Server) { s.Role = order.Role })
 		})
 	}
 }
@@ -86,17 +86,17 @@
 func (r *root) reconcile() {
 	none := message.Record{Deleted: true, Version: message.Version{Term: 1, Seq: 1}}
 	view := leader.ClusterView{Plan: none, PlanValid: true, Zones: none, ZonesValid: true}
-	r.carryOut(r.controller.Reconcile(r.w.now, view))
+	r.carryOut(r.controller.Reconcile(r.sim.now, view))
 }
 
 // pull sends the platform's list to the leader if it has changed, one call at a time.
 func (r *root) pull() {
-	w := r.w
-	timeout := w.cfg.Bounds.Leave / pullTimeouts
-	if !r.controller.IsLeader(w.now) || r.sentAt > 0 && w.now-r.sentAt < timeout {
+	sim := r.sim
+	timeout := sim.cfg.Bounds.Leave / pullTimeouts
+	if !r.controller.IsLeader(sim.now) || r.sentAt > 0 && sim.now-r.sentAt < timeout {
 		return
 	}
-	list := fleetconfig.List{Servers: slices.Clone(w.platform.list)}
+	list := fleetconfig.List{Servers: slices.Clone(sim.platform.list)}
 	slices.SortFunc(list.Servers, func(a, b fleetconfig.Server) int { return strings.Compare(a.Key(), b.Key()) })
 	packed := leadercall.Pack(list)
 	if string(packed) == string(r.accepted) {
@@ -104,14 +104,14 @@
 	}
 	r.version++
 	r.calls++
-	list.Version, r.sent, r.sentAt = r.version, packed, w.now
+	list.Version, r.sent, r.sentAt = r.version, packed, sim.now
 	call := message.Call{
 		RequestID: r.calls, CallID: r.calls, Op: leadercall.OpServers,
 		Body: leadercall.Pack(leader.ServersCall{Service: service, List: list}),
 	}
 	m := call.Message(partitionNumber)
 	m.From, m.Addr, m.Epoch = r.self.Ident, r.self.Addr, 1
-	r.carryOut(r.controller.Step(w.now, m))
+	r.carryOut(r.controller.Step(sim.now, m))
 }
 
 // handleCallResult handles the leader's answer to a call.
--- a/proof/narrowlinks/world.go
+++ b/proof/narrowlinks/simulation.go
@@ -124,55 +124,55 @@
 //
 // Example: r := narrowlinks.Run(narrowlinks.Default(1)); r.LatestSend < 4*time.Second
 func Run(o Options) Result {
-	w := &simulation{
+	sim := &simulation{
 		Options: o, cfg: daemon.Default(), rng: rand.New(rand.NewSource(o.Seed)), byIdent: map[string]*link{},
 	}
-	w.cfg.Bounds = o.Bounds
-	w.result.Seconds = make([]Second, int(o.Length/time.Second))
-	w.platform.start(w)
-	w.addDaemons()
-	for w.now < o.Length {
-		at, do, ok := w.queue.Next()
+	sim.cfg.Bounds = o.Bounds
+	sim.result.Seconds = make([]Second, int(o.Length/time.Second))
+	sim.platform.start(sim)
+	sim.addDaemons()
+	for sim.now < o.Length {
+		at, do, ok := sim.queue.Next()
 		if !ok {
 			break
 		}
-		w.now = at
+		sim.now = at
 		do()
 	}
-	w.measureLinks()
-	return w.result
+	sim.measureLinks()
+	return sim.result
 }
 
-func (w *simulation) after(d time.Duration, do func()) { w.queue.Add(w.now+max(0, d), do) }
+func (sim *simulation) after(d time.Duration, do func()) { sim.queue.Add(sim.now+max(0, d), do) }
 
 // every calls do periodically, first at a random time within the interval.
-func (w *simulation) every(interval time.Duration, do func()) {
+func (sim *simulation) every(interval time.Duration, do func()) {
 	var again func()
 	again = func() {
 		do()
-		w.after(interval, again)
+		sim.after(interval, again)
 	}
-	w.after(time.Duration(w.rng.Int63n(int64(interval))), again)
+	sim.after(time.Duration(sim.rng.Int63n(int64(interval))), again)
 }
 
 // send transmits a message over the links of its sender and its receiver.
-func (w *simulation) send(from message.Replica, e message.Envelope) {
-	out, in := w.byIdent[from.Ident], w.byIdent[e.Message.To]
+func (sim *simulation) send(from message.Replica, e message.Envelope) {
+	out, in := sim.byIdent[from.Ident], sim.byIdent[e.Message.To]
 	if in == nil || out.down {
 		return
 	}
 	size := frameSize(e.Message)
 	e.Message.From, e.Message.Addr, e.Message.Epoch = from.Ident, from.Addr, 1
-	left := out.transmit(0, size, w.now, &out.outFreeAt)
-	w.after(left+latency-w.now, func() {
-		arrived := in.transmit(1, size, w.now, &in.inFreeAt) + in.extraLatency
-		w.after(arrived-w.now, func() {
+	left := out.transmit(0, size, sim.now, &out.outFreeAt)
+	sim.after(left+latency-sim.now, func() {
+		arrived := in.transmit(1, size, sim.now, &in.inFreeAt) + in.extraLatency
+		sim.after(arrived-sim.now, func() {
 			if !in.down {
 				in.receive(e.Message)
 			}
 		})
 	})
-	w.result.Bytes += 2 * size
+	sim.result.Bytes += 2 * size
 }
 
 // frameSize returns the approximate size of a message in a compact frame, which omits what
@@ -187,11 +187,11 @@
 }
 
 // measureLinks computes the utilization of the busiest link.
-func (w *simulation) measureLinks() {
-	for _, n := range w.nodes {
+func (sim *simulation) measureLinks() {
+	for _, n := range sim.nodes {
 		for _, way := range n.link.carried {
 			for _, size := range way {
-				w.result.BusiestLink = max(w.result.BusiestLink, float64(size)/n.link.bytesPerSecond)
+				sim.result.BusiestLink = max(sim.result.BusiestLink, float64(size)/n.link.bytesPerSecond)
 			}
 		}
 	}
--- a/proof/narrowlinks/source.go
+++ b/proof/narrowlinks/source.go
@@ -17,7 +17,7 @@
 	if p != partitionNumber {
 		return message.Record{Key: key, Value: fleetconfig.EncodeZones(nil), Version: message.Version{Term: 1, Seq: 1}}, true
 	}
-	return n.tree().ReadAllowingStale(n.w.now, key, n.w.cfg.MaxStaleness(p, key, false))
+	return n.tree().ReadAllowingStale(n.sim.now, key, n.sim.cfg.MaxStaleness(p, key, false))
 }
 
 // Generation returns a number that increases with each change of the partition's records.
@@ -37,7 +37,7 @@
 	if p != partitionNumber {
 		return time.Hour
 	}
-	return n.tree().StaleUntil(n.w.now, n.w.cfg.MaxStaleness(p, fleetconfig.ListKey(service), false))
+	return n.tree().StaleUntil(n.sim.now, n.sim.cfg.MaxStaleness(p, fleetconfig.ListKey(service), false))
 }
 
 // noLoad is a load report without load at any server.
--- a/proof/overload/front.go
+++ b/proof/overload/front.go
@@ -13,7 +13,7 @@
 
 // front is one daemon: its dispatcher, its load reporter, and the records that it reads.
 type front struct {
-	w                  *simulation
+	sim                *simulation
 	me                 message.Member
 	dispatcher         *forward.Dispatcher
 	reporter           *loadreport.Reporter
@@ -23,14 +23,14 @@
 // Generation returns a number that increases with each change of the records.
 //
 // Example: f.Generation(0)
-func (f *front) Generation(int) uint64 { return f.w.gen }
+func (f *front) Generation(int) uint64 { return f.sim.recordGeneration }
 
 // Until returns the expiry of the leases.
 //
 // Example: now < f.Until(0)
 func (f *front) Until(int) time.Duration {
-	if f.w.now < f.leasesInvalidUntil {
-		return f.w.now
+	if f.sim.now < f.leasesInvalidUntil {
+		return f.sim.now
 	}
 	return time.Hour
 }
@@ -39,23 +39,23 @@
 //
 // Example: rec, ok := f.Read(1, fleetconfig.ListKey("models"))
 func (f *front) Read(partition int, key string) (message.Record, bool) {
-	if f.w.now < f.leasesInvalidUntil {
+	if f.sim.now < f.leasesInvalidUntil {
 		return message.Record{}, false
 	}
-	ver := message.Version{Term: 1, Seq: f.w.gen}
+	ver := message.Version{Term: 1, Seq: f.sim.recordGeneration}
 	if partition == 0 {
 		return message.Record{Key: key, Version: ver, Value: fleetconfig.EncodeZones(map[string]bool{})}, true
 	}
 	if key == fleetconfig.ListKey(service) {
 		var l fleetconfig.List
-		for _, s := range f.w.servers {
+		for _, s := range f.sim.servers {
 			if s.up {
 				l.Servers = append(l.Servers, fleetconfig.Server{ID: s.key, Addr: s.key, Zone: s.zone, Capacity: slots})
 			}
 		}
 		return message.Record{Key: key, Version: ver, Value: pack(l)}, true
 	}
-	for _, s := range f.w.servers {
+	for _, s := range f.sim.servers {
 		if s.up && key == fleetconfig.ServerRecordKey(service, s.key) {
 			return message.Record{Key: key, Version: ver, Value: pack(placement.ServerRecord{Addr: s.key, Zone: s.zone, Capacity: slots, Role: s.part, Status: placement.Up})}, true
 		}
@@ -73,23 +73,23 @@
 
 // tick periodically sends load reports to the other daemons.
 func (f *front) tick() {
-	members := make([]message.Member, 0, len(f.w.daemons))
-	addrs := make([]string, 0, len(f.w.daemons))
-	for _, o := range f.w.daemons {
+	members := make([]message.Member, 0, len(f.sim.daemons))
+	addrs := make([]string, 0, len(f.sim.daemons))
+	for _, o := range f.sim.daemons {
 		members, addrs = append(members, o.me), append(addrs, o.me.Addr)
 	}
-	f.dispatcher.SetDaemons(f.w.now, f.me.Addr, addrs)
-	for _, s := range f.w.servers {
+	f.dispatcher.SetDaemons(f.sim.now, f.me.Addr, addrs)
+	for _, s := range f.sim.servers {
 		f.reporter.SetCacheSize(loadreport.ServerID(service, s.key), cacheTokens)
 	}
-	for _, m := range f.reporter.Tick(f.w.now, f.me, members) {
-		for _, o := range f.w.daemons {
+	for _, m := range f.reporter.Tick(f.sim.now, f.me, members) {
+		for _, o := range f.sim.daemons {
 			if o.me.Ident == m.Message.To {
-				f.w.after(networkLatency, func() { o.reporter.Step(o.w.now, m.Message) })
+				f.sim.after(networkLatency, func() { o.reporter.Step(o.sim.now, m.Message) })
 			}
 		}
 	}
-	f.w.after(20*time.Millisecond, f.tick)
+	f.sim.after(20*time.Millisecond, f.tick)
 }
 
 // loadHints is a daemon's load reporter as its dispatcher uses it.
@@ -160,30 +160,30 @@
 }
 
 // start starts the attempt at its daemon.
-func (t *attempt) start() { t.execute(t.front.dispatcher.Start(t.front.w.now, t.call)) }
+func (t *attempt) start() { t.execute(t.front.dispatcher.Start(t.front.sim.now, t.call)) }
 
 // execute carries out a decision of the dispatcher.
 func (t *attempt) execute(m forward.Decision) {
-	w := t.front.w
+	sim := t.front.sim
 	switch m.Action {
 	case forward.Wait:
-		w.after(min(m.Until-w.now, w.cfg.VolumeLease()/16), func() {
+		sim.after(min(m.Until-sim.now, sim.cfg.VolumeLease()/16), func() {
 			if !t.ended {
-				t.execute(t.front.dispatcher.Continue(w.now, t.call.ID))
+				t.execute(t.front.dispatcher.Continue(sim.now, t.call.ID))
 			}
 		})
 	case forward.Prefill:
 		t.send(m, func(out forward.Outcome, h forward.Handle) {
-			t.execute(t.front.dispatcher.PrefillDone(w.now, t.call.ID, out, h, "test"))
+			t.execute(t.front.dispatcher.PrefillDone(sim.now, t.call.ID, out, h, "test"))
 		})
 	case forward.Decode:
 		t.send(m, func(out forward.Outcome, _ forward.Handle) {
-			t.execute(t.front.dispatcher.DecodeDone(w.now, t.call.ID, out, "test"))
+			t.execute(t.front.dispatcher.DecodeDone(sim.now, t.call.ID, out, "test"))
 		})
 	default:
 		t.ended = true
 		if m.Action != forward.Done {
-			w.result.WastedTokens += t.prefilledTokens
+			sim.result.WastedTokens += t.prefilledTokens
 		}
 		t.onEnd(m.Action, m.RetryAfter)
 	}
@@ -192,13 +192,13 @@
 // send sends a call to a server unless the final check blocks it. done is called once
 // when the call ends, at the latest at its deadline.
 func (t *attempt) send(m forward.Decision, done func(forward.Outcome, forward.Handle)) {
-	w := t.front.w
-	if !t.front.dispatcher.MaySend(w.now, t.call.ID, m) {
+	sim := t.front.sim
+	if !t.front.dispatcher.MaySend(sim.now, t.call.ID, m) {
 		done(forward.Blocked, forward.Handle{})
 		return
 	}
 	ended := false
-	s := w.serverOf(m.Server.Key)
+	s := sim.serverOf(m.Server.Key)
 	j := &job{attempt: t, decision: m, deadline: m.Until}
 	j.done = func(out forward.Outcome, h forward.Handle) {
 		if !ended && !t.ended {
@@ -209,8 +209,8 @@
 			done(out, h)
 		}
 	}
-	w.after(s.connect(t.front), func() { s.enqueue(j) })
-	w.after(m.Until-w.now, func() {
+	sim.after(s.connect(t.front), func() { s.enqueue(j) })
+	sim.after(m.Until-sim.now, func() {
 		if !ended {
 			j.abandoned = true
 			j.done(forward.Lost, forward.Handle{})
--- a/proof/overload/overload.go
+++ b/proof/overload/overload.go
@@ -133,107 +133,107 @@
 // simulation is a run.
 type simulation struct {
 	Options
-	cfg     daemon.Config
-	rng     *rand.Rand
-	now     time.Duration
-	queue   eventqueue.Queue
-	servers []*server
-	daemons []*front
-	gen     uint64
-	ids     int
-	result  Result
+	cfg              daemon.Config
+	rng              *rand.Rand
+	now              time.Duration
+	queue            eventqueue.Queue
+	servers          []*server
+	daemons          []*front
+	recordGeneration uint64
+	lastID           int
+	result           Result
 }
 
 // Run simulates one run.
 //
 // Example: r := overload.Run(overload.Default(1)); r.Seconds[7].Served()
 func Run(o Options) Result {
-	w := &simulation{Options: o, cfg: daemon.Default(), rng: rand.New(rand.NewSource(o.Seed)), gen: 1}
-	w.cfg.AdmitRatio = o.AdmitRatio
-	w.cfg.Bounds.Plan = 2500 * time.Millisecond
-	w.result.Seconds = make([]Second, int(o.Length/time.Second))
+	sim := &simulation{Options: o, cfg: daemon.Default(), rng: rand.New(rand.NewSource(o.Seed)), recordGeneration: 1}
+	sim.cfg.AdmitRatio = o.AdmitRatio
+	sim.cfg.Bounds.Plan = 2500 * time.Millisecond
+	sim.result.Seconds = make([]Second, int(o.Length/time.Second))
 	for i := range o.PrefillServers + o.DecodeServers {
 		part := placement.Decode
 		if i < o.PrefillServers {
 			part = placement.Prefill
 		}
-		w.servers = append(w.servers, &server{w: w, key: fmt.Sprintf("server-%02d", i), zone: zoneOf(i), part: part, up: true, cached: map[uint64]bool{}, idleConns: map[*front]int{}})
+		sim.servers = append(sim.servers, &server{sim: sim, key: fmt.Sprintf("server-%02d", i), zone: zoneOf(i), part: part, up: true, cached: map[uint64]bool{}, idleConns: map[*front]int{}})
 	}
 	for i := range o.Daemons {
-		w.daemons = append(w.daemons, w.newFront(i))
+		sim.daemons = append(sim.daemons, sim.newFront(i))
 	}
-	for _, f := range w.daemons {
+	for _, f := range sim.daemons {
 		f.tick()
 	}
 	for _, t := range o.Faults {
-		w.after(t.At, func() { w.inject(t) })
+		sim.after(t.At, func() { sim.inject(t) })
 	}
 	for _, c := range o.Classes {
-		w.scheduleRequests(c)
+		sim.scheduleRequests(c)
 	}
-	for w.now < o.Length {
-		at, do, ok := w.queue.Next()
+	for sim.now < o.Length {
+		at, do, ok := sim.queue.Next()
 		if !ok {
 			break
 		}
-		w.now = at
+		sim.now = at
 		do()
 	}
-	return w.result
+	return sim.result
 }
 
 func zoneOf(i int) string { return fmt.Sprint("zone-", i%3) }
 
-func (w *simulation) after(d time.Duration, do func()) {
-	w.queue.Add(w.now+max(0, d), do)
+func (sim *simulation) after(d time.Duration, do func()) {
+	sim.queue.Add(sim.now+max(0, d), do)
 }
 
 // scheduleRequests schedules the next request of a class and those after it.
-func (w *simulation) scheduleRequests(c Class) {
+func (sim *simulation) scheduleRequests(c Class) {
 	rate := c.PerSecond
-	for _, t := range w.Faults {
-		if t.LoadFactor > 0 && w.now >= t.At && w.now < t.At+t.For {
+	for _, t := range sim.Faults {
+		if t.LoadFactor > 0 && sim.now >= t.At && sim.now < t.At+t.For {
 			rate *= t.LoadFactor
 		}
 	}
-	w.after(time.Duration(w.rng.ExpFloat64()/rate*float64(time.Second)), func() {
-		w.startRequest(c)
-		w.scheduleRequests(c)
+	sim.after(time.Duration(sim.rng.ExpFloat64()/rate*float64(time.Second)), func() {
+		sim.startRequest(c)
+		sim.scheduleRequests(c)
 	})
 }
 
 // inject starts a fault and schedules its end.
-func (w *simulation) inject(t Fault) {
+func (sim *simulation) inject(t Fault) {
 	if t.ClearCaches {
-		for _, s := range w.servers {
+		for _, s := range sim.servers {
 			clear(s.cached)
 			s.cacheOrder = nil
 		}
 	}
 	if t.ResetConns {
-		for _, s := range w.servers {
+		for _, s := range sim.servers {
 			clear(s.idleConns)
 		}
 	}
 	if t.LeasesInvalid {
-		w.gen++
-		for _, f := range w.daemons {
-			f.leasesInvalidUntil = w.now + t.For
+		sim.recordGeneration++
+		for _, f := range sim.daemons {
+			f.leasesInvalidUntil = sim.now + t.For
 		}
-		w.after(t.For, func() { w.gen++ })
+		sim.after(t.For, func() { sim.recordGeneration++ })
 	}
-	for i, s := range w.servers {
+	for i, s := range sim.servers {
 		if float64(i%4) < 4*t.ServersDown {
 			s.stop()
-			w.after(t.For, s.restart)
+			sim.after(t.For, s.restart)
 		}
 	}
 }
 
 // newFront returns a daemon with its dispatcher and load reporter.
-func (w *simulation) newFront(i int) *front {
-	f := &front{w: w, me: message.Member{Ident: fmt.Sprint("daemon-", i), Addr: fmt.Sprintf("10.0.0.%d:1", i), Zone: zoneOf(i), Build: daemon.Build}, reporter: loadreport.New(gateway.LoadReportConfig(w.cfg))}
-	c := gateway.Config(w.cfg)
+func (sim *simulation) newFront(i int) *front {
+	f := &front{sim: sim, me: message.Member{Ident: fmt.Sprint("daemon-", i), Addr: fmt.Sprintf("10.0.0.%d:1", i), Zone: zoneOf(i), Build: daemon.Build}, reporter: loadreport.New(gateway.LoadReportConfig(sim.cfg))}
+	c := gateway.Config(sim.cfg)
 	c.Zone, c.RetrySlack = f.me.Zone, 200
 	f.dispatcher = forward.New(c, service, 1, f, loadHints{f})
 	return f
--- a/proof/overload/server.go
+++ b/proof/overload/server.go
@@ -34,7 +34,7 @@
 
 // server is one model server.
 type server struct {
-	w             *simulation
+	sim           *simulation
 	key           string
 	zone          string
 	part          string
@@ -56,15 +56,15 @@
 	tokens int
 }
 
-func (w *simulation) serverOf(key string) *server {
-	return w.servers[slices.IndexFunc(w.servers, func(s *server) bool { return s.key == key })]
+func (sim *simulation) serverOf(key string) *server {
+	return sim.servers[slices.IndexFunc(sim.servers, func(s *server) bool { return s.key == key })]
 }
 
 // stop stops the server without warning and drops its cache.
 func (s *server) stop() {
 	s.up = false
 	s.generation++
-	s.w.gen++
+	s.sim.recordGeneration++
 	for _, j := range s.queue {
 		j.done(forward.Lost, forward.Handle{})
 	}
@@ -76,7 +76,7 @@
 // restart starts the server with an empty cache.
 func (s *server) restart() {
 	s.up = true
-	s.w.gen++
+	s.sim.recordGeneration++
 }
 
 // connect uses an idle connection or opens a new one, and returns the time until the call
@@ -86,20 +86,20 @@
 		s.idleConns[f]--
 		return networkLatency
 	}
-	s.w.result.Dialed++
-	s.handshakesEnd = max(s.handshakesEnd, s.w.now+2*networkLatency) + handshake
-	return s.handshakesEnd + networkLatency - s.w.now
+	s.sim.result.Dialed++
+	s.handshakesEnd = max(s.handshakesEnd, s.sim.now+2*networkLatency) + handshake
+	return s.handshakesEnd + networkLatency - s.sim.now
 }
 
 // enqueue queues a call or rejects it.
 func (s *server) enqueue(j *job) {
 	switch {
 	case !s.up:
-		s.w.after(networkLatency, func() { j.done(forward.NotSent, forward.Handle{}) })
+		s.sim.after(networkLatency, func() { j.done(forward.NotSent, forward.Handle{}) })
 		return
 	case len(s.queue) >= maxQueue:
-		s.w.result.Rejected++
-		s.w.after(networkLatency, func() { j.done(forward.Overloaded, forward.Handle{}) })
+		s.sim.result.Rejected++
+		s.sim.after(networkLatency, func() { j.done(forward.Overloaded, forward.Handle{}) })
 		return
 	}
 	index := len(s.queue) // sorted by priority
@@ -114,7 +114,7 @@
 func (s *server) schedule() {
 	for len(s.queue) > 0 {
 		j := s.queue[0]
-		if j.abandoned || s.w.now >= j.deadline {
+		if j.abandoned || s.sim.now >= j.deadline {
 			s.queue = s.queue[1:]
 			continue
 		}
@@ -141,7 +141,7 @@
 // afterIfUp calls do after d unless the server has stopped by then, which loses the call.
 func (s *server) afterIfUp(d time.Duration, do func()) {
 	generation := s.generation
-	s.w.after(d, func() {
+	s.sim.after(d, func() {
 		if s.generation == generation {
 			do()
 		}
@@ -156,9 +156,9 @@
 	}
 	s.prefilling = true
 	j.attempt.prefilledTokens += tokens
-	s.w.result.PrefilledTokens += tokens
+	s.sim.result.PrefilledTokens += tokens
 	generation := s.generation
-	s.w.after(time.Duration(float64(tokens)/speed*float64(time.Millisecond)), func() {
+	s.sim.after(time.Duration(float64(tokens)/speed*float64(time.Millisecond)), func() {
 		if s.generation != generation {
 			j.done(forward.Lost, forward.Handle{})
 			return
@@ -167,7 +167,7 @@
 		s.cachePrompt(j)
 		if j.decision.Action == forward.Prefill {
 			h := forward.Handle{ID: fmt.Sprint(j.attempt.call.ID, "-", j.decision.Attempt), RequestID: j.attempt.call.ID, Attempt: j.decision.Attempt, Server: j.decision.Server, Tokens: j.attempt.call.InputTokens}
-			s.w.after(networkLatency, func() { j.done(forward.OK, h) })
+			s.sim.after(networkLatency, func() { j.done(forward.OK, h) })
 		} else {
 			s.decoding++
 			s.decode(j)
@@ -178,7 +178,7 @@
 
 // decode streams an answer in events.
 func (s *server) decode(j *job) {
-	s.streamEvent(j, max(1, (j.attempt.call.MaxOutputTokens+tokensPerEvent-1)/tokensPerEvent), s.w.now)
+	s.streamEvent(j, max(1, (j.attempt.call.MaxOutputTokens+tokensPerEvent-1)/tokensPerEvent), s.sim.now)
 }
 
 // streamEvent sends the next event after its latency, until none is left.
@@ -186,24 +186,24 @@
 	if j.abandoned || left == 0 {
 		s.decoding--
 		if left == 0 {
-			s.w.after(networkLatency, func() { j.done(forward.OK, forward.Handle{}) })
+			s.sim.after(networkLatency, func() { j.done(forward.OK, forward.Handle{}) })
 		}
 		s.schedule()
 		return
 	}
 	gap := time.Duration(tokensPerEvent * (tokenLatency + latencyPerRequest*float64(s.decoding)) * float64(time.Millisecond))
 	generation := s.generation
-	s.w.after(gap, func() {
+	s.sim.after(gap, func() {
 		if s.generation != generation {
 			j.done(forward.Lost, forward.Handle{})
 			return
 		}
-		now := s.w.now
+		now := s.sim.now
 		if t := j.attempt; !j.abandoned && !t.ended {
 			if !t.streaming {
 				t.streaming = true
 				t.front.dispatcher.StreamStarted(now, t.call.ID)
-				s.w.after(2*networkLatency, t.onFirstEvent)
+				s.sim.after(2*networkLatency, t.onFirstEvent)
 			} else {
 				t.front.dispatcher.EventSent(t.call.ID, now-last)
 			}
