--- a/cmd/mulleinctl/queries.go
+++ b/cmd/mulleinctl/queries.go
@@ -181,7 +181,7 @@
 		for _, trace := range traces.byAddr[addr] {
 			var attempts []string
 			for _, a := range trace.Attempts {
-				attempts = append(attempts, fmt.Sprintf("%s %s: %s %s", a.Phase, a.Server, a.Known, a.Why))
+				attempts = append(attempts, fmt.Sprintf("%s %s: %s %s", a.Phase, a.Server, a.State, a.Why))
 			}
 			steps := strings.Join(append(trace.Picks, attempts...), "; ")
 			t.add(trace.Request, addr, trace.Result, trace.TookMillis, trace.Reason, steps)
--- a/control/daemon/calls.go
+++ b/control/daemon/calls.go
@@ -102,7 +102,7 @@
 	case <-ctx.Done():
 		d.calls.cancel(callID)
 		response := leadercall.Response{Result: leadercall.ResultUncertain, Reason: "the caller went away"}
-		return leadercall.StatusUncertain, leadercall.Pack(response)
+		return leadercall.StatusUncertain, leadercall.MustMarshal(response)
 	}
 }
 
@@ -114,7 +114,7 @@
 	ctx context.Context, partition int, demand placement.Demand, timeout time.Duration,
 ) (share placement.Share, from time.Duration, ok bool) {
 	from = d.Now()
-	status, body := d.Call(ctx, partition, leadercall.OpDemand, leadercall.Pack(demand), timeout)
+	status, body := d.Call(ctx, partition, leadercall.OpDemand, leadercall.MustMarshal(demand), timeout)
 	if status != http.StatusOK || json.Unmarshal(body, &share) != nil {
 		return share, from, false
 	}
@@ -130,7 +130,7 @@
 ) (grant ratelimit.Grant, ok bool) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	status, body := d.Call(ctx, partition, leadercall.OpToken, leadercall.Pack(request), timeout)
+	status, body := d.Call(ctx, partition, leadercall.OpToken, leadercall.MustMarshal(request), timeout)
 	return grant, status == http.StatusOK && json.Unmarshal(body, &grant) == nil
 }
 
--- a/control/daemon/interface_test.go
+++ b/control/daemon/interface_test.go
@@ -227,7 +227,7 @@
 func TestOperatorCallsKeepTheirAnswers(t *testing.T) {
 	cfg, backup := singleDaemonConfig(t), filepath.Join(t.TempDir(), "backup")
 	d, plan := runDaemon(t, cfg), string(firstPlan())
-	servers := string(leadercall.Pack(fleetconfig.List{
+	servers := string(leadercall.MustMarshal(fleetconfig.List{
 		Version: 1,
 		Servers: []fleetconfig.Server{{Addr: "10.0.0.9:80", Zone: "north", Capacity: 1}},
 	}))
--- a/control/daemon/membership.go
+++ b/control/daemon/membership.go
@@ -46,7 +46,7 @@
 	defer t.mu.Unlock()
 	out := t.table.Tick(now(), self, leaderships)
 	before, view := t.view.Load(), t.table.View()
-	if view != before && !view.HasSameCore(before) {
+	if view != before && !view.HasSameControlDaemons(before) {
 		t.coreChanged.Store(int64(now()))
 	}
 	t.view.Store(view)
--- a/control/daemon/metrics.go
+++ b/control/daemon/metrics.go
@@ -53,7 +53,7 @@
 	gauge("wire_sent", func() float64 { return float64(d.Transport.Sent.Load()) })
 	gauge("wire_got", func() float64 { return float64(d.Transport.Received.Load()) })
 	gauge("wire_lost", func() float64 { return float64(d.Transport.Dropped.Load()) })
-	gauge("wire_addresses", func() float64 { return float64(d.Transport.Addresses()) })
+	gauge("wire_addresses", func() float64 { return float64(d.Transport.AddressCount()) })
 }
 
 func boolValue(b bool) float64 {
--- a/control/daemon/operator.go
+++ b/control/daemon/operator.go
@@ -73,7 +73,7 @@
 		d.respondUnknown(w, "no valid lease on the plan")
 		return
 	}
-	Respond(w, http.StatusOK, d.plans.Open(rec))
+	Respond(w, http.StatusOK, d.plans.MustRead(rec))
 }
 
 func (d *Daemon) handlePutPlan(w http.ResponseWriter, r *http.Request) {
@@ -126,7 +126,7 @@
 		respondFaults(w, http.StatusBadRequest, faults.List...)
 		return
 	}
-	d.forwardCall(w, r, 0, leadercall.OpReplica, leadercall.Pack(call))
+	d.forwardCall(w, r, 0, leadercall.OpReplica, leadercall.MustMarshal(call))
 }
 
 // handlePutServers replaces the list of a service's servers.
@@ -147,7 +147,7 @@
 		return
 	}
 	call := leader.ServersCall{Service: service, List: list}
-	d.forwardCall(w, r, d.Partition(service), leadercall.OpServers, leadercall.Pack(call))
+	d.forwardCall(w, r, d.Partition(service), leadercall.OpServers, leadercall.MustMarshal(call))
 }
 
 func (d *Daemon) handleGetServers(w http.ResponseWriter, r *http.Request) {
--- a/control/daemon/reconcile.go
+++ b/control/daemon/reconcile.go
@@ -104,7 +104,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.controller.HandleOrdered(order, err == nil)
+	s.controller.HandleOrderResult(order, err == nil)
 }
 
 // checkFence reports whether an order's fence is at least as high as that of all orders sent from
--- a/control/daemon/records.go
+++ b/control/daemon/records.go
@@ -128,14 +128,14 @@
 	if !ok {
 		return "", 0, false
 	}
-	plan := d.plans.Open(rec)
+	plan := d.plans.MustRead(rec)
 	return plan.ID, plan.Version, true
 }
 
-// OpenPlan decodes a plan record, once per version. The caller must not modify the plan.
+// DecodePlan decodes a plan record, once per version. The caller must not modify the plan.
 //
-// Example: plan := d.OpenPlan(rec)
-func (d *Daemon) OpenPlan(rec message.Record) fleetconfig.Plan { return d.plans.Open(rec) }
+// Example: plan := d.DecodePlan(rec)
+func (d *Daemon) DecodePlan(rec message.Record) fleetconfig.Plan { return d.plans.MustRead(rec) }
 
 // Term returns the term of a partition's leader as far as this daemon knows it; attempts carry it.
 //
--- a/control/daemon/records_test.go
+++ b/control/daemon/records_test.go
@@ -60,7 +60,7 @@
 	check("suspended again", false, false)
 	advance(interval)
 	check("renewal unanswered again", false, true)
-	lapsed, _ := node.Lapsed(d.Now())
+	lapsed, _ := node.StaleSince(d.Now())
 	advance(lapsed + maxStaleness - d.Now() - interval/4)
 	check("just before the limit", false, true)
 	advance(lapsed + maxStaleness - d.Now())
--- a/control/daemon/response.go
+++ b/control/daemon/response.go
@@ -26,7 +26,7 @@
 func Respond(w http.ResponseWriter, status int, v any) {
 	body, ok := v.([]byte)
 	if !ok {
-		body = leadercall.Pack(v)
+		body = leadercall.MustMarshal(v)
 	}
 	if status >= http.StatusInternalServerError || status == http.StatusTooManyRequests {
 		w.Header().Set("Retry-After", retryAfter(body))
--- a/control/daemon/serverlists.go
+++ b/control/daemon/serverlists.go
@@ -109,7 +109,7 @@
 			d.Events.Debug("source", "ignoring an invalid list", "service", service, "faults", faults.List)
 			continue
 		}
-		packed := leadercall.Pack(list)
+		packed := leadercall.MustMarshal(list)
 		if lists.isAccepted(service, packed) {
 			continue
 		}
@@ -118,7 +118,7 @@
 		}
 		list.Version = lists.nextVersion()
 		writes.Go(func() {
-			call := leadercall.Pack(leader.ServersCall{Service: service, List: list})
+			call := leadercall.MustMarshal(leader.ServersCall{Service: service, List: list})
 			status, _ := d.Call(ctx, d.Partition(service), leadercall.OpServers, call, timeout)
 			if status != http.StatusOK {
 				d.Events.Info("source", "writing a list of servers failed; will retry", "service", service, "status", status,
@@ -140,7 +140,7 @@
 	if !ok {
 		return
 	}
-	for _, service := range d.plans.Open(rec).Services {
+	for _, service := range d.plans.MustRead(rec).Services {
 		if _, ok := servers[service.Name]; !ok {
 			servers[service.Name] = nil
 		}
--- a/control/daemon/state.go
+++ b/control/daemon/state.go
@@ -66,7 +66,7 @@
 func (d *Daemon) zonesOut() []string {
 	zones := []string{}
 	if rec, ok := d.Read(0, fleetconfig.ZoneKey); ok {
-		for zone := range fleetconfig.OpenZones(rec) {
+		for zone := range fleetconfig.MustReadZones(rec) {
 			zones = append(zones, zone)
 		}
 		slices.Sort(zones)
--- a/control/daemon/timing.go
+++ b/control/daemon/timing.go
@@ -104,7 +104,7 @@
 	return membership.Config{
 		SessionTimeout:    fraction(c.Bounds.Plan, sessionRatio),
 		HeartbeatInterval: fraction(c.Bounds.Plan, heartbeatRatio),
-		MinRelayZone:      3,
+		MinRelayMembers:      3,
 		ToleratedLosses:   c.Losses,
 		FirstStart:        c.FirstStart,
 	}
@@ -122,14 +122,14 @@
 		ShareLength:  fraction(b.Leave, shareRatio),
 		Drift:        c.Drift,
 		Margin:       c.margin(),
-		Dwell:        2 * b.Evacuate,
+		MinShiftInterval:        2 * b.Evacuate,
 		UsageWindow:  fraction(b.Leave, usageWindowRatio),
 		DrainTimeout: 2 * b.Recover,
 		SlowLink:     fraction(b.Plan, slowLinkRatio),
 		MaxFailures:  3,
 		HighUsage:    0.9,
 		LowUsage:     0.6,
-		ListedDwell:  b.Swap,
-		PressWindow:  b.Swap / 8,
+		ListedMinShiftInterval:  b.Swap,
+		PressureWindow:  b.Swap / 8,
 	}
 }
--- a/control/daemon/unreadable_test.go
+++ b/control/daemon/unreadable_test.go
@@ -95,7 +95,7 @@
 	if status != http.StatusOK {
 		t.Errorf("evacuating a zone: %d %s", status, answer)
 	}
-	changes := leadercall.Pack(fleetconfig.Changes{
+	changes := leadercall.MustMarshal(fleetconfig.Changes{
 		ID:      "next",
 		Base:    1,
 		Changes: []fleetconfig.Change{{Op: "drop-tenant", Name: "x"}},
@@ -115,7 +115,7 @@
 
 // firstPlan returns an encoded plan with one service.
 func firstPlan() []byte {
-	return leadercall.Pack(fleetconfig.Plan{
+	return leadercall.MustMarshal(fleetconfig.Plan{
 		ID:       "first",
 		Tenants:  []fleetconfig.Tenant{},
 		Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}},
--- a/control/fleetconfig/accepted_test.go
+++ b/control/fleetconfig/accepted_test.go
@@ -65,7 +65,7 @@
 			t.Errorf("rival %d repeated: %+v", i, v)
 		}
 	}
-	if p := OpenPlan(s.read(PlanKey)); p.Version != version(changes) || len(p.PastChanges) != 0 {
+	if p := MustReadPlan(s.read(PlanKey)); p.Version != version(changes) || len(p.PastChanges) != 0 {
 		t.Errorf("the current version is %d, with %d ids in its record", p.Version, len(p.PastChanges))
 	}
 }
--- a/control/fleetconfig/codec_test.go
+++ b/control/fleetconfig/codec_test.go
@@ -59,7 +59,7 @@
 			t.Fatal(err)
 		}
 		got, err := ReadPlan(message.Record{Key: PlanKey, Value: val})
-		if err != nil || !reflect.DeepEqual(got, OpenPlan(message.Record{Key: PlanKey, Value: to})) {
+		if err != nil || !reflect.DeepEqual(got, MustReadPlan(message.Record{Key: PlanKey, Value: to})) {
 			t.Fatalf("change %d: the plan differs, or %v", n, err)
 		}
 		if again := (Codec{}).Whole(val); string(again) != string(to) {
--- a/control/fleetconfig/list.go
+++ b/control/fleetconfig/list.go
@@ -48,10 +48,10 @@
 	return l, err
 }
 
-// OpenList is like ReadList for records known to be readable; it panics on others.
+// MustReadList is like ReadList for records known to be readable; it panics on others.
 //
-// Example: for _, s := range fleetconfig.OpenList(rec).Servers { ... }
-func OpenList(r message.Record) List {
+// Example: for _, s := range fleetconfig.MustReadList(rec).Servers { ... }
+func MustReadList(r message.Record) List {
 	l, err := ReadList(r)
 	if err != nil {
 		panic(err)
--- a/control/fleetconfig/records.go
+++ b/control/fleetconfig/records.go
@@ -71,11 +71,11 @@
 	return p, unreadableError(r, err)
 }
 
-// OpenPlan is like ReadPlan for records known to be readable, such as those that the daemon
+// MustReadPlan is like ReadPlan for records known to be readable, such as those that the daemon
 // serves; it panics on others.
 //
-// Example: plan := fleetconfig.OpenPlan(rec)
-func OpenPlan(r message.Record) Plan {
+// Example: plan := fleetconfig.MustReadPlan(rec)
+func MustReadPlan(r message.Record) Plan {
 	p, err := ReadPlan(r)
 	if err != nil {
 		panic(err)
@@ -109,10 +109,10 @@
 	return r.plan, r.err
 }
 
-// Open is like Read for records known to be readable; it panics on others.
+// MustRead is like Read for records known to be readable; it panics on others.
 //
-// Example: plan := reader.Open(rec)
-func (r *PlanReader) Open(rec message.Record) Plan {
+// Example: plan := reader.MustRead(rec)
+func (r *PlanReader) MustRead(rec message.Record) Plan {
 	p, err := r.Read(rec)
 	if err != nil {
 		panic(err)
@@ -139,10 +139,10 @@
 	return evacuated, nil
 }
 
-// OpenZones is like ReadZones for records known to be readable; it panics on others.
+// MustReadZones is like ReadZones for records known to be readable; it panics on others.
 //
-// Example: if fleetconfig.OpenZones(rec)["north"] { skip() }
-func OpenZones(r message.Record) map[string]bool {
+// Example: if fleetconfig.MustReadZones(rec)["north"] { skip() }
+func MustReadZones(r message.Record) map[string]bool {
 	evacuated, err := ReadZones(r)
 	if err != nil {
 		panic(err)
--- a/control/fleetconfig/route_test.go
+++ b/control/fleetconfig/route_test.go
@@ -95,13 +95,13 @@
 		for _, r := range recs {
 			s.stored[r.Key] = r
 		}
-		if cur := OpenPlan(s.read(PlanKey)); len(recs) > 0 && (cur.Version != x.want || cur.Number != 0) {
+		if cur := MustReadPlan(s.read(PlanKey)); len(recs) > 0 && (cur.Version != x.want || cur.Number != 0) {
 			t.Errorf("%d: the current plan has version %d and number %d", i, cur.Version, cur.Number)
 		}
 	}
 	invalid := routedPlan()
 	invalid.Routes[0].GiveUpMillis = 0
-	if _, v := Judge(OpenPlan(s.read(PlanKey)), propose(invalid, "z", 13, 13)); len(v.Faults) != 2 {
+	if _, v := Judge(MustReadPlan(s.read(PlanKey)), propose(invalid, "z", 13, 13)); len(v.Faults) != 2 {
 		t.Errorf("an invalid plan with an outdated number: %v", v.Faults)
 	}
 }
@@ -203,7 +203,7 @@
 	if len(compressed)*5 > len(plain) {
 		t.Errorf("%d bytes compressed to %d", len(plain), len(compressed))
 	}
-	a, b := OpenPlan(message.Record{Value: plain}), OpenPlan(message.Record{Value: compressed})
+	a, b := MustReadPlan(message.Record{Value: plain}), MustReadPlan(message.Record{Value: compressed})
 	p.Raw, a.Raw = nil, nil // escaped by Marshal in the plain record
 	if b.Raw = nil; !reflect.DeepEqual(a, p) || !reflect.DeepEqual(b, p) {
 		t.Error("the records are read as different plans")
@@ -247,7 +247,7 @@
 		b.Fatal(v)
 	}
 	for b.Loop() {
-		cur := OpenPlan(message.Record{Value: val})
+		cur := MustReadPlan(message.Record{Value: val})
 		change := Change{Op: "set-route", Route: &cur.Routes[7]}
 		if _, v := Judge(cur, Changes{ID: "b", Base: 1, Changes: []Change{change}}.Propose()); v.Result != "taken" {
 			b.Fatal(v)
--- a/control/fleetconfig/validate_test.go
+++ b/control/fleetconfig/validate_test.go
@@ -71,7 +71,7 @@
 	if v.Result != "taken" || v.Version != 1 {
 		t.Fatal(v)
 	}
-	cur := OpenPlan(message.Record{Value: val})
+	cur := MustReadPlan(message.Record{Value: val})
 	if val, v := Judge(cur, propose(validPlan(), "a", 0)); val != nil || v.Result != "taken" || v.Version != 1 {
 		t.Errorf("repeated: %v", v)
 	}
@@ -179,7 +179,7 @@
 	if verdict.Result != VerdictAccepted {
 		t.Fatal(verdict)
 	}
-	if got := OpenPlan(message.Record{Value: value}).Needs; got != keysFormat {
+	if got := MustReadPlan(message.Record{Value: value}).Needs; got != keysFormat {
 		t.Errorf("the plan requires format %d, expected %d", got, keysFormat)
 	}
 	if got := validPlan().RequiredFormat(); got != 0 {
--- a/control/leader/call.go
+++ b/control/leader/call.go
@@ -49,7 +49,7 @@
 // invalidBodyAnswer is the answer to a call whose body can't be decoded.
 func invalidBodyAnswer(err error) answer {
 	response := leadercall.Response{Result: leadercall.ResultInvalid, Faults: []string{err.Error()}}
-	return answer{status: http.StatusBadRequest, body: leadercall.Pack(response)}
+	return answer{status: http.StatusBadRequest, body: leadercall.MustMarshal(response)}
 }
 
 // handleCall executes a call if this daemon is the leader.
@@ -100,13 +100,13 @@
 	switch value := r.Answer.(type) {
 	case fleetconfig.Verdict:
 		event := Event{"plan", fmt.Sprintf("%s: %s, version %d", op, value.Result, value.Version)}
-		return answer{status: verdictStatus(value), body: leadercall.Pack(value)}, event
+		return answer{status: verdictStatus(value), body: leadercall.MustMarshal(value)}, event
 	case leadercall.Response:
 		var event Event
 		if value.Result == leadercall.ResultUnclear {
 			event = Event{"call", fmt.Sprintf("%s: %s, %s", op, value.Result, value.Reason)}
 		}
-		return answer{status: responseStatus(value), body: leadercall.Pack(value)}, event
+		return answer{status: responseStatus(value), body: leadercall.MustMarshal(value)}, event
 	case basisMismatch:
 		return answer{status: leadercall.StatusBehind, basis: value.basis}, Event{}
 	default:
--- a/control/leader/calls_test.go
+++ b/control/leader/calls_test.go
@@ -22,16 +22,16 @@
 		Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1, Exclude: []string{"10.0.0.1:1"}}},
 	}
 	bodies := map[string][]byte{
-		"plan": leadercall.Pack(plan),
-		"changes": leadercall.Pack(fleetconfig.Changes{
+		"plan": leadercall.MustMarshal(plan),
+		"changes": leadercall.MustMarshal(fleetconfig.Changes{
 			ID: "c", Base: 0, Changes: []fleetconfig.Change{{Op: "set-tenant", Tenant: &plan.Tenants[0]}},
 		}),
-		"servers": leadercall.Pack(ServersCall{
+		"servers": leadercall.MustMarshal(ServersCall{
 			"m", fleetconfig.List{Version: 2, Servers: []fleetconfig.Server{{Addr: "10.0.0.1:1", Zone: "a", Capacity: 8}}},
 		}),
-		"seat":    leadercall.Pack(ReplicaCall{Out: "a", Ident: "b", Addr: "10.0.0.1:1"}),
-		"claim":   leadercall.Pack(ClaimCall{Key: "t/k", Claim: leadercall.Claim{Request: "r", State: "claimed"}}),
-		"unclaim": leadercall.Pack(ClaimCall{Key: "t/k", Claim: leadercall.Claim{Request: "r", State: "shed"}}),
+		"seat":    leadercall.MustMarshal(ReplicaCall{Out: "a", Ident: "b", Addr: "10.0.0.1:1"}),
+		"claim":   leadercall.MustMarshal(ClaimCall{Key: "t/k", Claim: leadercall.Claim{Request: "r", State: "claimed"}}),
+		"unclaim": leadercall.MustMarshal(ClaimCall{Key: "t/k", Claim: leadercall.Claim{Request: "r", State: "shed"}}),
 	}
 	writes := map[string]int{"plan": 2, "changes": 2} // the plan, and the changes accepted so far
 	for op, good := range bodies {
@@ -55,8 +55,8 @@
 					invalid++
 				}
 				for _, r := range records {
-					fleetconfig.OpenPlan(message.Record{Deleted: r.Key != fleetconfig.PlanKey, Value: r.Value})
-					fleetconfig.OpenList(message.Record{Deleted: r.Key != fleetconfig.ListKey("m"), Value: r.Value})
+					fleetconfig.MustReadPlan(message.Record{Deleted: r.Key != fleetconfig.PlanKey, Value: r.Value})
+					fleetconfig.MustReadList(message.Record{Deleted: r.Key != fleetconfig.ListKey("m"), Value: r.Value})
 				}
 			}
 		}
@@ -80,7 +80,7 @@
 		return noRecord(key)
 	}
 	do := func(op string, in any) leadercall.Response {
-		job, err := newUnnumberedRequest().job(op, leadercall.Pack(in))
+		job, err := newUnnumberedRequest().job(op, leadercall.MustMarshal(in))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -102,7 +102,7 @@
 	do("servers", list(1, false))
 	do("servers", list(2, true))
 	if response := do("servers", list(1, false)); response.Result != "beaten" ||
-		!fleetconfig.OpenList(read(fleetconfig.ListKey("m"))).Servers[0].Leaving {
+		!fleetconfig.MustReadList(read(fleetconfig.ListKey("m"))).Servers[0].Leaving {
 		t.Errorf("a late list of version 1 restored a leaving server: %+v", response)
 	}
 	claim := func(req, state string) ClaimCall {
@@ -129,7 +129,7 @@
 	call := func(op, request, state string) string {
 		t.Helper()
 		callID++
-		body := leadercall.Pack(ClaimCall{"t/k", leadercall.Claim{Request: request, State: state}})
+		body := leadercall.MustMarshal(ClaimCall{"t/k", leadercall.Claim{Request: request, State: state}})
 		_, result := l.call("p", callID, callID, op, body)
 		return result
 	}
--- a/control/leader/configcalls.go
+++ b/control/leader/configcalls.go
@@ -117,7 +117,7 @@
 			}
 			if desired[i].Ident == in.Out {
 				desired[i] = message.Replica{Ident: in.Ident, Addr: in.Addr}
-				return []message.Record{{Key: fleetconfig.ReplicaKey, Value: leadercall.Pack(desired)}}, responseDone
+				return []message.Record{{Key: fleetconfig.ReplicaKey, Value: leadercall.MustMarshal(desired)}}, responseDone
 			}
 		}
 		reason := fmt.Sprintf("no replica of %q in %v", in.Out, desired)
--- a/control/leader/cost_test.go
+++ b/control/leader/cost_test.go
@@ -41,14 +41,14 @@
 		}
 		return group, daemons
 	}
-	call("plan", leadercall.Pack(plan))
+	call("plan", leadercall.MustMarshal(plan))
 	mean := func(n int) (group, daemons int) {
 		for range n {
 			r := plan.Routes[0]
 			r.GiveUpMillis += int(callID % 2)
 			g, d := call(
 				"changes",
-				leadercall.Pack(fleetconfig.Changes{
+				leadercall.MustMarshal(fleetconfig.Changes{
 					ID: fmt.Sprintf("%032x", callID*0x9E3779B97F4A7C15), Base: callID, Number: callID + 1,
 					Changes: []fleetconfig.Change{{Op: "set-route", Route: &r}},
 				}),
--- a/control/leader/cutoff_test.go
+++ b/control/leader/cutoff_test.go
@@ -25,11 +25,11 @@
 		status int // while the leader lease is valid
 	}{
 		{"plan", plan, 200},
-		{"plan", leadercall.Pack(fleetconfig.Plan{ID: "two"}), 409},
+		{"plan", leadercall.MustMarshal(fleetconfig.Plan{ID: "two"}), 409},
 		{"plan", []byte("{"), 400},
-		{"changes", leadercall.Pack(fleetconfig.Changes{ID: "c", Base: 9}), 409},
+		{"changes", leadercall.MustMarshal(fleetconfig.Changes{ID: "c", Base: 9}), 409},
 		{"evacuate", []byte("north"), 200},
-		{"seat", leadercall.Pack(ReplicaCall{Out: "nobody"}), 409},
+		{"seat", leadercall.MustMarshal(ReplicaCall{Out: "nobody"}), 409},
 		{"no such call", nil, 400},
 	}
 	for i, call := range calls {
--- a/control/leader/demand.go
+++ b/control/leader/demand.go
@@ -31,7 +31,7 @@
 	}
 	leaseLeft := c.partition.Replica.LeaseEnd() - now
 	share := c.placement.HandleDemand(now, from.Ident, demand, leaseLeft)
-	c.respond(from, call, answer{status: http.StatusOK, body: leadercall.Pack(share)})
+	c.respond(from, call, answer{status: http.StatusOK, body: leadercall.MustMarshal(share)})
 }
 
 // canGrantShares reports whether shares may be granted: an earlier leader's shares may remain valid
--- a/control/leader/demand_test.go
+++ b/control/leader/demand_test.go
@@ -21,7 +21,7 @@
 func (l *testLeader) sendDemand(epoch, callID uint64) int {
 	l.t.Helper()
 	from := message.Sender{Replica: message.Replica{Ident: "p", Addr: "10.0.0.9:1"}, Epoch: epoch}
-	body := leadercall.Pack(placement.Demand{Service: "m"})
+	body := leadercall.MustMarshal(placement.Demand{Service: "m"})
 	l.sendAs(from, message.Call{RequestID: callID, CallID: callID, Op: leadercall.OpDemand, Body: body})
 	if len(l.answers) != 1 {
 		l.t.Fatalf("answers %+v", l.answers)
--- a/control/leader/plan_test.go
+++ b/control/leader/plan_test.go
@@ -52,9 +52,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, body := range [][]byte{compressed, leadercall.Pack(test.body)} { // the second repeats the first
+		for _, body := range [][]byte{compressed, leadercall.MustMarshal(test.body)} { // the second repeats the first
 			verdict, err := do(test.op, body)
-			routes := len(fleetconfig.OpenPlan(read(fleetconfig.PlanKey)).Routes)
+			routes := len(fleetconfig.MustReadPlan(read(fleetconfig.PlanKey)).Routes)
 			if err != nil || verdict.Result != fleetconfig.VerdictAccepted || verdict.Version != test.version ||
 				routes != test.routes {
 				t.Errorf("%s: %+v %v, %d routes", test.op, verdict, err, routes)
@@ -74,7 +74,7 @@
 	for format, isAccepted := range map[int]bool{0: true, 1: false, 2: false, 3: true, 4: true} {
 		r := newUnnumberedRequest()
 		r.readableFormat = func() int { return format }
-		job, err := r.job(leadercall.OpPlan, leadercall.Pack(plan))
+		job, err := r.job(leadercall.OpPlan, leadercall.MustMarshal(plan))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/control/leader/reconcile.go
+++ b/control/leader/reconcile.go
@@ -53,7 +53,7 @@
 	if !c.reload && c.loaded == current {
 		return
 	}
-	c.placement.SetPlan(c.plans.Open(view.Plan), fleetconfig.OpenZones(view.Zones))
+	c.placement.SetPlan(c.plans.MustRead(view.Plan), fleetconfig.MustReadZones(view.Zones))
 	c.loaded = current
 	c.reload = !c.loadServers(now)
 }
@@ -168,10 +168,10 @@
 	}
 }
 
-// HandleOrdered handles a server's answer to an order; ok is false if there was no answer.
+// HandleOrderResult handles a server's answer to an order; ok is false if there was no answer.
 //
-// Example: c.HandleOrdered(order, true)
-func (c *Controller) HandleOrdered(order placement.Order, ok bool) {
+// Example: c.HandleOrderResult(order, true)
+func (c *Controller) HandleOrderResult(order placement.Order, ok bool) {
 	if c.Term() == order.Term && c.placement != nil {
 		c.placement.HandleOrderResult(order, ok)
 	}
@@ -224,7 +224,7 @@
 	if !ok {
 		return
 	}
-	floor := message.Record{Key: quorum.FloorKey, Value: leadercall.Pack(version)}
+	floor := message.Record{Key: quorum.FloorKey, Value: leadercall.MustMarshal(version)}
 	job := partition.Job{Keys: []string{floor.Key}, Build: func(lease.RecordSource) ([]message.Record, any) {
 		return []message.Record{floor}, nil
 	}}
--- a/control/leader/records_test.go
+++ b/control/leader/records_test.go
@@ -18,7 +18,7 @@
 			ID: id, Addr: "10.0.0." + id + ":1", Zone: "a", Capacity: 8, Role: placement.Decode, Leaving: id == leaving,
 		})
 	}
-	return leadercall.Pack(ServersCall{Service: "m", List: list})
+	return leadercall.MustMarshal(ServersCall{Service: "m", List: list})
 }
 
 // reconcile runs a round of reconciliation with an empty configuration.
--- a/control/leader/repeats.go
+++ b/control/leader/repeats.go
@@ -132,7 +132,7 @@
 		r.orders.acceptedAt[order] = r.orders.now
 	}
 	past = r.orders.prune(append(past, pastCall{Call: r.id, Response: response, Order: order}))
-	return append(records, message.Record{Key: pastCallsKey, Value: leadercall.Pack(past)}), response
+	return append(records, message.Record{Key: pastCallsKey, Value: leadercall.MustMarshal(past)}), response
 }
 
 // isRecentOrder reports whether an order is among the past calls: it was accepted, and its caller may still resend it.
@@ -167,7 +167,7 @@
 		if err != nil {
 			return nil, nil
 		}
-		return []message.Record{{Key: pastCallsKey, Value: leadercall.Pack(c.orders.prune(past))}}, nil
+		return []message.Record{{Key: pastCallsKey, Value: leadercall.MustMarshal(c.orders.prune(past))}}, nil
 	}}
 	out.add(c.Submit(now, job, nil))
 }
--- a/control/leader/repeats_test.go
+++ b/control/leader/repeats_test.go
@@ -60,13 +60,13 @@
 
 func (l *testLeader) isEvacuated(zone string) bool {
 	l.t.Helper()
-	return fleetconfig.OpenZones(l.readRecord(fleetconfig.ZoneKey))[zone]
+	return fleetconfig.MustReadZones(l.readRecord(fleetconfig.ZoneKey))[zone]
 }
 
 // A late attempt doesn't repeat a replica move that has been reverted since, nor one that was refused at first.
 func TestLateReplicaCallDoesNotUndoLaterMove(t *testing.T) {
 	l := startLeader(t, 0, nil)
-	replicas := leadercall.Pack([]message.Replica{
+	replicas := leadercall.MustMarshal([]message.Replica{
 		self, {Ident: "b", Addr: "10.0.0.2:1"}, {Ident: "c", Addr: "10.0.0.3:1"},
 	})
 	job := partition.Job{Keys: []string{fleetconfig.ReplicaKey}, Build: func(lease.RecordSource) ([]message.Record, any) {
@@ -74,7 +74,7 @@
 	}}
 	l.apply(l.controller.Submit(l.now, job, func(partition.Result) {}))
 	move := func(out, in string) []byte {
-		return leadercall.Pack(ReplicaCall{Out: out, Ident: in, Addr: "10.0.0.4:1"})
+		return leadercall.MustMarshal(ReplicaCall{Out: out, Ident: in, Addr: "10.0.0.4:1"})
 	}
 	for i, test := range []struct {
 		callID uint64
@@ -103,7 +103,7 @@
 	l := startLeader(t, 1, nil)
 	list := func(leaving bool) []byte {
 		server := fleetconfig.Server{Addr: "10.0.0.1:1", Zone: "a", Capacity: 8, Leaving: leaving}
-		return leadercall.Pack(ServersCall{"m", fleetconfig.List{Servers: []fleetconfig.Server{server}}})
+		return leadercall.MustMarshal(ServersCall{"m", fleetconfig.List{Servers: []fleetconfig.Server{server}}})
 	}
 	for i, leaving := range []bool{false, true, false} { // the third repeats the first
 		status, result := l.call("p", uint64(i%2+1), uint64(i+1), leadercall.OpServers, list(leaving))
@@ -111,7 +111,7 @@
 			t.Errorf("%d %s", status, result)
 		}
 	}
-	if !fleetconfig.OpenList(l.readRecord(fleetconfig.ListKey("m"))).Servers[0].Leaving {
+	if !fleetconfig.MustReadList(l.readRecord(fleetconfig.ListKey("m"))).Servers[0].Leaving {
 		t.Error("a repeated list restored a leaving server")
 	}
 }
--- a/control/leader/servicecalls.go
+++ b/control/leader/servicecalls.go
@@ -36,7 +36,7 @@
 // bring back a leaving server. An unreadable record is overwritten, since its source keeps resending the list.
 // A list with a version that arrives while an earlier list's record is being invalidated replaces that list.
 func serverListJob(in ServersCall) partition.Job {
-	next := message.Record{Key: fleetconfig.ListKey(in.Service), Value: leadercall.Pack(in.List)}
+	next := message.Record{Key: fleetconfig.ListKey(in.Service), Value: leadercall.MustMarshal(in.List)}
 	return partition.Job{Keys: []string{next.Key}, Mergeable: in.List.Version > 0, Build: func(read lease.RecordSource) ([]message.Record, any) {
 		current := read(next.Key)
 		if current.Deleted {
@@ -105,7 +105,7 @@
 		if next == nil {
 			return nil, response
 		}
-		return []message.Record{{Key: key, Value: leadercall.Pack(*next)}}, response
+		return []message.Record{{Key: key, Value: leadercall.MustMarshal(*next)}}, response
 	}}
 }
 
--- a/control/leader/stored_test.go
+++ b/control/leader/stored_test.go
@@ -61,7 +61,7 @@
 	var out strings.Builder
 	for _, r := range l.lastSave {
 		if r.Key == fleetconfig.PlanKey {
-			r.Value = []byte(fmt.Sprintf("version %d", fleetconfig.OpenPlan(r).Version))
+			r.Value = []byte(fmt.Sprintf("version %d", fleetconfig.MustReadPlan(r).Version))
 		}
 		fmt.Fprintf(&out, "  %s %s %q deleted=%v\n", r.Key, r.Version, r.Value, r.Deleted)
 	}
@@ -114,14 +114,14 @@
 		op   string
 		body []byte
 	}{
-		{"plan", leadercall.Pack(plan)},
-		{"plan", leadercall.Pack(plan)},
-		{"plan", leadercall.Pack(fleetconfig.Plan{ID: "p2"})},
-		{"plan", leadercall.Pack(fleetconfig.Plan{Base: 1})},
+		{"plan", leadercall.MustMarshal(plan)},
+		{"plan", leadercall.MustMarshal(plan)},
+		{"plan", leadercall.MustMarshal(fleetconfig.Plan{ID: "p2"})},
+		{"plan", leadercall.MustMarshal(fleetconfig.Plan{Base: 1})},
 		{"plan", []byte("{")},
 		{"changes", packed},
 		{"changes", packed},
-		{"changes", leadercall.Pack(fleetconfig.Changes{ID: "c2", Base: 2})},
+		{"changes", leadercall.MustMarshal(fleetconfig.Changes{ID: "c2", Base: 2})},
 		{"evacuate", []byte("north")},
 		{"evacuate", []byte("north")},
 		{"return", []byte("north")},
@@ -178,7 +178,7 @@
 
 	follower := &transcript{testLeader: startLeader(t, 0, nil)}
 	follower.now = follower.controller.Partition().Replica.LeaseEnd()
-	follower.call(1, "plan", leadercall.Pack(plan))
+	follower.call(1, "plan", leadercall.MustMarshal(plan))
 	if follower.answers[0].Status != http.StatusMisdirectedRequest {
 		t.Errorf("a leader with an expired lease answered %d", follower.answers[0].Status)
 	}
--- a/control/leader/token.go
+++ b/control/leader/token.go
@@ -23,6 +23,6 @@
 			c.limits = ratelimit.NewAllocator(c.partition.Replica.LeaderSince())
 		}
 		grant := c.limits.Take(now, from.Ident, request)
-		c.respond(from, call, answer{status: http.StatusOK, body: leadercall.Pack(grant)})
+		c.respond(from, call, answer{status: http.StatusOK, body: leadercall.MustMarshal(grant)})
 	}
 }
--- a/control/leader/unreadable_test.go
+++ b/control/leader/unreadable_test.go
@@ -27,15 +27,15 @@
 		ID: "p", Base: 4, Services: []fleetconfig.Service{{Name: "m", PrefillServers: 1, DecodeServers: 1}},
 	}
 	for op, body := range map[string][]byte{
-		"plan": leadercall.Pack(plan),
-		"changes": leadercall.Pack(fleetconfig.Changes{
+		"plan": leadercall.MustMarshal(plan),
+		"changes": leadercall.MustMarshal(fleetconfig.Changes{
 			ID: "c", Base: 4, Changes: []fleetconfig.Change{{Op: "drop-route", Name: "r"}},
 		}),
 		"evacuate": []byte("south"),
 		"return":   []byte("north"),
-		"seat":     leadercall.Pack(ReplicaCall{Out: "a", Ident: "b", Addr: "10.0.0.1:1"}),
-		"claim":    leadercall.Pack(ClaimCall{Key: "t/k", Claim: leadercall.Claim{Request: "r", State: "claimed"}}),
-		"unclaim":  leadercall.Pack(ClaimCall{Key: "t/k", Claim: leadercall.Claim{Request: "r", State: "shed"}}),
+		"seat":     leadercall.MustMarshal(ReplicaCall{Out: "a", Ident: "b", Addr: "10.0.0.1:1"}),
+		"claim":    leadercall.MustMarshal(ClaimCall{Key: "t/k", Claim: leadercall.Claim{Request: "r", State: "claimed"}}),
+		"unclaim":  leadercall.MustMarshal(ClaimCall{Key: "t/k", Claim: leadercall.Claim{Request: "r", State: "shed"}}),
 	} {
 		records, answer, panicked := buildCall(op, body, read)
 		if response, ok := answer.(leadercall.Response); panicked != nil || !ok || response.Result != "not clear" ||
@@ -46,7 +46,7 @@
 	list := ServersCall{
 		"m", fleetconfig.List{Version: 2, Servers: []fleetconfig.Server{{Addr: "10.0.0.1:1", Zone: "a", Capacity: 8}}},
 	}
-	records, answer, panicked := buildCall("servers", leadercall.Pack(list), read)
+	records, answer, panicked := buildCall("servers", leadercall.MustMarshal(list), read)
 	if response, ok := answer.(leadercall.Response); panicked != nil || len(records) != 1 || !ok ||
 		response.Result != responseDone.Result {
 		t.Errorf("server list: wrote %d records, answered %+v, panicked with %v", len(records), answer, panicked)
--- a/control/leadercall/leadercall.go
+++ b/control/leadercall/leadercall.go
@@ -196,7 +196,7 @@
 		status, response.Result = StatusUncertain, ResultUncertain
 		response.Reason = fmt.Sprintf("no word from the leader of part %d; ask again with the same id", call.partition)
 	}
-	out.Results = append(out.Results, Result{call.id, status, Pack(response)})
+	out.Results = append(out.Results, Result{call.id, status, MustMarshal(response)})
 }
 
 // Tick advances all calls to the current time. leaderOf returns a partition's leader as far as
--- a/control/leadercall/response.go
+++ b/control/leadercall/response.go
@@ -59,11 +59,11 @@
 	Version          uint64   `json:"version,omitempty"`
 }
 
-// Pack encodes one of this module's own types as JSON. It panics on an error, which these types
+// MustMarshal encodes one of this module's own types as JSON. It panics on an error, which these types
 // can't cause.
 //
-// Example: body := leadercall.Pack(leadercall.Response{Result: leadercall.ResultDone})
-func Pack(v any) []byte {
+// Example: body := leadercall.MustMarshal(leadercall.Response{Result: leadercall.ResultDone})
+func MustMarshal(v any) []byte {
 	b, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
--- a/control/leadercall/stored_test.go
+++ b/control/leadercall/stored_test.go
@@ -15,7 +15,7 @@
 	golden.Check(t, "response.json", Response{
 		Result: "duplicate", Reason: "why", Faults: []string{"body"}, RetryAfterMillis: 1500, Claim: &claim, Plan: "plan-12", Version: 12,
 	}, golden.JSON[Response]())
-	golden.Bytes(t, "empty-response.json", Pack(Response{}))
+	golden.Bytes(t, "empty-response.json", MustMarshal(Response{}))
 }
 
 // The status codes exchanged with daemons of other builds are unchanged.
--- a/control/lease/golden_test.go
+++ b/control/lease/golden_test.go
@@ -215,7 +215,7 @@
 		if err != nil {
 			r.t.Fatal(err)
 		}
-		expiredAt, servesStale := n.Lapsed(r.now)
+		expiredAt, servesStale := n.StaleSince(r.now)
 		fmt.Fprintf(r.log, "%v %s: %s parent %q cost %v till %v until %v lapsed %v %v changes %d whole %d\n",
 			r.now, name, view, n.Parent().Ident, n.RenewCost(), n.VolumeExpiry()-r.now, n.ValidUntil()-r.now,
 			expiredAt, servesStale, n.SentAsPatches(), n.SentInFull())
--- a/control/lease/records.go
+++ b/control/lease/records.go
@@ -74,17 +74,17 @@
 // Example: if record, at, ok := n.LastKnown(now, "plan/now"); ok && now-at < bound { route(record) }
 func (n *Node) LastKnown(now time.Duration, key string) (record message.Record, expiredAt time.Duration, ok bool) {
 	cached, isCached := n.records.cached[key]
-	expiredAt, ok = n.Lapsed(now)
+	expiredAt, ok = n.StaleSince(now)
 	return cached.record, expiredAt, ok && isCached && cached.expiry >= expiredAt && !n.invalidations.isInProgress(key)
 }
 
-// Lapsed returns when the volume lease expired, and whether LastKnown may serve records
+// StaleSince returns when the volume lease expired, and whether LastKnown may serve records
 // now. It may once a renewal has been unanswered for half a renew interval during which
 // this node ran without interruption. A node that was stalled must first renew, or at
 // least wait for an answer that may already be on its way.
 //
-// Example: if at, ok := n.Lapsed(now); ok { goOnUntil(at + bound) }
-func (n *Node) Lapsed(now time.Duration) (at time.Duration, ok bool) {
+// Example: if at, ok := n.StaleSince(now); ok { goOnUntil(at + bound) }
+func (n *Node) StaleSince(now time.Duration) (at time.Duration, ok bool) {
 	u, timeout := &n.upstream, n.cfg.renewalTimeout()
 	isUnanswered := u.unansweredSince > 0 && now-u.unansweredSince >= timeout
 	wasStalled := now-u.lastTick > timeout
@@ -111,7 +111,7 @@
 	if until := n.ValidUntil(); now < until {
 		return until
 	}
-	expiredAt, ok := n.Lapsed(now)
+	expiredAt, ok := n.StaleSince(now)
 	if !ok { // no stale record is served until a renewal has gone unanswered
 		return expiredAt
 	}
--- a/control/membership/bootstrap.go
+++ b/control/membership/bootstrap.go
@@ -199,7 +199,7 @@
 			c.canBootstrap = false
 			continue
 		}
-		c.addControls(answer.Controls)
+		c.addControls(answer.ControlDaemons)
 		if answer.FirstStart && !slices.Equal(answer.Group.Replicas, b.bound) {
 			c.allBound = false
 			b.adoptProposal(answer.Group)
@@ -211,7 +211,7 @@
 // handleCensus answers a census and binds this seed to the group that it proposes.
 func (t *Table) handleCensus(from string, m message.Census, out *Out) {
 	answer := message.CensusAnswer{
-		Round: m.Round, Self: t.self, Controls: t.controlDaemons(), FirstStart: t.cfg.FirstStart,
+		Round: m.Round, Self: t.self, ControlDaemons: t.controlDaemons(), FirstStart: t.cfg.FirstStart,
 	}
 	answer.Self.Empty = t.knowsNoGroup()
 	if t.cfg.FirstStart {
--- a/control/membership/golden_test.go
+++ b/control/membership/golden_test.go
@@ -22,7 +22,7 @@
 // goldenConfig is the configuration of the recorded scenes.
 var goldenConfig = Config{
 	SessionTimeout: 600 * time.Millisecond, HeartbeatInterval: 200 * time.Millisecond,
-	MinRelayZone: 2, ToleratedLosses: 1, FirstStart: true,
+	MinRelayMembers: 2, ToleratedLosses: 1, FirstStart: true,
 }
 
 type recordedFrame struct {
--- a/control/membership/gossip.go
+++ b/control/membership/gossip.go
@@ -56,7 +56,7 @@
 	t.gossip.rounds++
 	own := message.Gossip{
 		Self: t.self, Members: t.controls.members(), Leaderships: t.knownLeaderships(),
-		ControlsDigest: t.controlsDigest(),
+		ControlDaemonsDigest: t.controlsDigest(),
 	}
 	own.Digest = digest(own.Members, own.Leaderships)
 	addrs := t.controlAddrs()
@@ -99,7 +99,7 @@
 	case m.Self.Ident != "":
 		t.recordGossiper(now, m.Self)
 	}
-	if m.ControlsDigest != t.controlsDigest() && m.Self.Ident != "" { // one side does not know all control daemons yet
+	if m.ControlDaemonsDigest != t.controlsDigest() && m.Self.Ident != "" { // one side does not know all control daemons yet
 		t.sendReferral(m.Self, out)
 	}
 	t.learnLeaderships(m.Leaderships)
--- a/control/membership/lost_test.go
+++ b/control/membership/lost_test.go
@@ -10,7 +10,7 @@
 // oneLossConfig tolerates one loss, so that one lost machine does not isolate the others.
 var oneLossConfig = Config{
 	SessionTimeout: cfg.SessionTimeout, HeartbeatInterval: cfg.HeartbeatInterval,
-	MinRelayZone: cfg.MinRelayZone, ToleratedLosses: 1,
+	MinRelayMembers: cfg.MinRelayMembers, ToleratedLosses: 1,
 }
 
 // Guards against a daemon that is stuck at an isolated control daemon. A daemon without a disk
--- a/control/membership/membership.go
+++ b/control/membership/membership.go
@@ -29,9 +29,9 @@
 	// HeartbeatInterval is the time between two renewals or gossip rounds. The default is 0.1
 	// of the bound on a change.
 	HeartbeatInterval time.Duration
-	// MinRelayZone is the minimum number of members of a zone that gets a relay. The default
+	// MinRelayMembers is the minimum number of members of a zone that gets a relay. The default
 	// is 3.
-	MinRelayZone int
+	MinRelayMembers int
 	// ToleratedLosses is the number of control daemons that may be lost at once, 0 to 4. The
 	// first group has 2*ToleratedLosses+1 replicas. The default is 1.
 	ToleratedLosses int
--- a/control/membership/membership_test.go
+++ b/control/membership/membership_test.go
@@ -8,7 +8,7 @@
 	"mulleinmast/wire/message"
 )
 
-var cfg = Config{SessionTimeout: 1200 * time.Millisecond, HeartbeatInterval: 200 * time.Millisecond, MinRelayZone: 3}
+var cfg = Config{SessionTimeout: 1200 * time.Millisecond, HeartbeatInterval: 200 * time.Millisecond, MinRelayMembers: 3}
 
 func diskMember(id, addr string) message.Member {
 	return message.Member{Ident: id, Epoch: 1, Addr: addr, HasDisk: true}
@@ -121,7 +121,7 @@
 // A control daemon that hears from half of the control daemons or fewer may not know the
 // leaders, so its members move to another one.
 func TestMemberLeavesIsolatedControlDaemon(t *testing.T) {
-	cfg := Config{SessionTimeout: time.Second, HeartbeatInterval: 100 * time.Millisecond, MinRelayZone: 3}
+	cfg := Config{SessionTimeout: time.Second, HeartbeatInterval: 100 * time.Millisecond, MinRelayMembers: 3}
 	seeds := []string{addrOf(1), addrOf(2), addrOf(3)}
 	members := append(controlDaemons(3), message.Member{Ident: "m", Epoch: 1, Addr: addrOf(4)})
 	f := newSmallFleet(cfg, func(int) []string { return seeds }, members...)
--- a/control/membership/session.go
+++ b/control/membership/session.go
@@ -163,7 +163,7 @@
 // newWelcome returns the answer to a hello, with the data that the member does not have yet.
 func (t *Table) newWelcome(now time.Duration, m message.Hello) message.Welcome {
 	w := message.Welcome{
-		Leaderships: t.knownLeaderships(), ViewDigest: t.view.viewDigest(), Controls: t.reachableControls(now),
+		Leaderships: t.knownLeaderships(), ViewDigest: t.view.viewDigest(), ControlDaemonCount: t.reachableControls(now),
 	}
 	if m.LeadershipsDigest == digest(nil, w.Leaderships) {
 		w.Leaderships = nil
@@ -200,7 +200,7 @@
 		t.followReferral(m.Members, out)
 		return
 	}
-	t.recordWelcome(now, from, m.Controls)
+	t.recordWelcome(now, from, m.ControlDaemonCount)
 	switch {
 	case m.Form == message.WelcomeDiff:
 		t.mergeDiff(m)
--- a/control/membership/view.go
+++ b/control/membership/view.go
@@ -40,7 +40,7 @@
 		HasSession:      t.client.hasSession,
 		Lost:            t.lostByTime(),
 		partitionWindow: partitionWindowTimeouts * t.cfg.SessionTimeout,
-		minRelayZone:    t.cfg.MinRelayZone,
+		minRelayZone:    t.cfg.MinRelayMembers,
 		byIdent:         map[string]message.Member{},
 	}
 	for _, m := range v.Members {
@@ -77,11 +77,11 @@
 	return list
 }
 
-// HasSameCore reports whether two views contain the same incarnations of control daemons and the
+// HasSameControlDaemons reports whether two views contain the same incarnations of control daemons and the
 // same leaderships.
 //
-// Example: if !view.HasSameCore(before) { noteUnsettled() }
-func (v *View) HasSameCore(other *View) bool {
+// Example: if !view.HasSameControlDaemons(before) { noteUnsettled() }
+func (v *View) HasSameControlDaemons(other *View) bool {
 	return maps.Equal(v.Leaderships, other.Leaderships) && maps.Equal(v.coreIncarnations(), other.coreIncarnations())
 }
 
--- a/control/placement/balance.go
+++ b/control/placement/balance.go
@@ -133,7 +133,7 @@
 	if _, ok := r.prefillShare[r.service]; !ok && s.all > 0 && prefill+decode == s.all {
 		r.prefillShare[r.service] = float64(prefill) / float64(s.all)
 	}
-	if s.isShifting || r.now-r.lastShift[r.service] < r.cfg.ListedDwell || !r.mayOrder(r.now) {
+	if s.isShifting || r.now-r.lastShift[r.service] < r.cfg.ListedMinShiftInterval || !r.mayOrder(r.now) {
 		return
 	}
 	if r.fillVacant(s) || prefill == 0 || decode == 0 {
@@ -157,7 +157,7 @@
 		delete(r.shortSince, side)
 		return false
 	}
-	if r.shortageDuration(r.now, side) < r.cfg.PressWindow {
+	if r.shortageDuration(r.now, side) < r.cfg.PressureWindow {
 		return false
 	}
 	delete(r.shortSince, side)
--- a/control/placement/balance_test.go
+++ b/control/placement/balance_test.go
@@ -32,7 +32,7 @@
 		t: t, cfg: cfg, serverRecords: map[string]ServerRecord{}, pressure: map[string]Pressure{},
 		later: map[time.Duration][]func(){},
 	}
-	fleet.cfg.ListedDwell, fleet.cfg.PressWindow = 3*time.Second, 400*time.Millisecond
+	fleet.cfg.ListedMinShiftInterval, fleet.cfg.PressureWindow = 3*time.Second, 400*time.Millisecond
 	for i := range prefillServers + decodeServers {
 		fleet.add(map[bool]string{true: Prefill, false: Decode}[i < prefillServers], false)
 	}
@@ -221,12 +221,12 @@
 				fleet.countInUse(Prefill), fleet.countInUse(Decode),
 			)
 		}
-		if len(fleet.shifts) == 0 || fleet.shifts[0]-from < fleet.cfg.PressWindow ||
-			fleet.shifts[0]-from > 4*fleet.cfg.PressWindow {
+		if len(fleet.shifts) == 0 || fleet.shifts[0]-from < fleet.cfg.PressureWindow ||
+			fleet.shifts[0]-from > 4*fleet.cfg.PressureWindow {
 			t.Errorf("%s under pressure from %v on: shifts at %v", test.side, from, fleet.shifts)
 		}
 		for i := 1; i < len(fleet.shifts); i++ {
-			if fleet.shifts[i]-fleet.shifts[i-1] < fleet.cfg.ListedDwell {
+			if fleet.shifts[i]-fleet.shifts[i-1] < fleet.cfg.ListedMinShiftInterval {
 				t.Errorf("%s under pressure: shifts at %v", test.side, fleet.shifts)
 			}
 		}
--- a/control/placement/placement.go
+++ b/control/placement/placement.go
@@ -23,13 +23,13 @@
 	ShareLength  time.Duration // validity of a share of slots; daemons renew shares earlier
 	Drift        float64       // bound on the drift between two clocks, as a fraction
 	Margin       time.Duration // safety margin in addition to Drift, for the granularity of clocks
-	Dwell        time.Duration // minimum time between role shifts in a service
+	MinShiftInterval        time.Duration // minimum time between role shifts in a service
 	UsageWindow  time.Duration // averaging time of utilization, and how long a side must be short before a shift
 	DrainTimeout time.Duration // maximum wait for requests in flight at a server that leaves its role
 	SlowLink     time.Duration // latency above which a link counts as slow
 	MaxFailures  int           // number of failed polls after which a server counts as dark
-	ListedDwell  time.Duration // minimum time between shifts in a service whose roles the platform lists
-	PressWindow  time.Duration // how long a side must be under high pressure before a server is shifted to it
+	ListedMinShiftInterval  time.Duration // minimum time between shifts in a service whose roles the platform lists
+	PressureWindow  time.Duration // how long a side must be under high pressure before a server is shifted to it
 	HighUsage    float64       // demand for a side's slots, as a fraction of them, above which the side is short
 	LowUsage     float64       // the same fraction, below which the side can spare a server
 }
--- a/control/placement/placement_test.go
+++ b/control/placement/placement_test.go
@@ -13,7 +13,7 @@
 
 var cfg = Config{
 	SwapBound: 3 * time.Second, PollInterval: 240 * time.Millisecond, WarmUp: 3 * time.Second, ShareLength: 750 * time.Millisecond, Drift: 0.02, Margin: 20 * time.Millisecond,
-	Dwell: 10 * time.Second, UsageWindow: 2400 * time.Millisecond, DrainTimeout: 24 * time.Second, SlowLink: 100 * time.Millisecond, MaxFailures: 3, HighUsage: 0.9, LowUsage: 0.6,
+	MinShiftInterval: 10 * time.Second, UsageWindow: 2400 * time.Millisecond, DrainTimeout: 24 * time.Second, SlowLink: 100 * time.Millisecond, MaxFailures: 3, HighUsage: 0.9, LowUsage: 0.6,
 }
 
 func newPolledFleet(n int) (*Controller, fleetconfig.List) {
--- a/control/placement/shift.go
+++ b/control/placement/shift.go
@@ -68,7 +68,7 @@
 // minimum only to fill a side that is itself below it. It is for services whose roles
 // the platform doesn't list.
 func (r *round) shiftPolled(count map[string]int, isShifting bool) {
-	if isShifting || r.hasListedRoles() || r.now-r.lastShift[r.service] < r.cfg.Dwell || !r.mayOrder(r.now) {
+	if isShifting || r.hasListedRoles() || r.now-r.lastShift[r.service] < r.cfg.MinShiftInterval || !r.mayOrder(r.now) {
 		return
 	}
 	load := r.sideLoads()
--- a/control/placement/vacant.go
+++ b/control/placement/vacant.go
@@ -14,7 +14,7 @@
 		r.shiftLeastPressed(s.inUse[Prefill], Decode, noServerLeft(Decode))
 		return true
 	case s.present[Prefill] == 0 && len(s.inUse[Decode]) > 1:
-		if r.shortageDuration(r.now, side) < r.cfg.ListedDwell {
+		if r.shortageDuration(r.now, side) < r.cfg.ListedMinShiftInterval {
 			return false
 		}
 		delete(r.shortSince, side)
--- a/control/quorum/candidate.go
+++ b/control/quorum/candidate.go
@@ -98,8 +98,8 @@
 		return
 	}
 	r.election.votes[from.Ident] = voterState{grant.LastCompleteTerm, grant.Digests, grant.Records}
-	if grant.LeasesStandFor > 0 {
-		wait := r.cfg.Wait(min(grant.LeasesStandFor, r.cfg.Wait(r.cfg.LeaderLease)))
+	if grant.LeasesValidFor > 0 {
+		wait := r.cfg.Wait(min(grant.LeasesValidFor, r.cfg.Wait(r.cfg.LeaderLease)))
 		r.writesFrom = max(r.writesFrom, now+wait)
 	}
 	hasVote := func(ident string) bool { _, ok := r.election.votes[ident]; return ok }
@@ -218,7 +218,7 @@
 		}
 	}
 	if r.isElecting() {
-		bound := min(m.BoundFor, r.cfg.Wait(r.cfg.LeaderLease))
+		bound := min(m.SupportRemaining, r.cfg.Wait(r.cfg.LeaderLease))
 		r.election.notBefore = max(r.election.notBefore, now+bound+r.electionDelay()/2+r.cfg.Margin)
 	}
 	// A single voter bound to another term doesn't end a leadership that a majority
--- a/control/quorum/install.go
+++ b/control/quorum/install.go
@@ -47,7 +47,7 @@
 		ranges = digest.DifferingRanges(r.records.Digests(), digests)
 	}
 	out.send(to, message.InstallState{
-		Term: r.term, RecordsSum: r.records.Sum(), Digests: digests,
+		Term: r.term, RecordsChecksum: r.records.Sum(), Digests: digests,
 		Ranges: ranges, Records: r.records.RecordsIn(ranges), Group: r.meta.Group,
 	}.Message(r.partition))
 }
@@ -101,7 +101,7 @@
 // in transit. An earlier build sends no checksum, so its result is not checked.
 func (r *Replica) replaceRecords(from message.Sender, m message.InstallState, out *Out) {
 	isUnexpected := len(digest.DifferingRanges(r.records.Digests(), m.Digests)) > 0
-	if isUnexpected || m.RecordsSum != 0 && m.RecordsSum != r.records.SumAfterInstall(m.Ranges, m.Records) {
+	if isUnexpected || m.RecordsChecksum != 0 && m.RecordsChecksum != r.records.SumAfterInstall(m.Ranges, m.Records) {
 		out.send(from.Replica, message.StateMismatch{Term: m.Term, Digests: r.records.Digests()}.Message(r.partition))
 		return
 	}
--- a/control/quorum/meta.go
+++ b/control/quorum/meta.go
@@ -81,13 +81,13 @@
 	return h.Sum64() | 1 // 0 means that no checksum is stored
 }
 
-// PastSum returns a checksum of State, History and Peers, or 0 if they are empty. It is
+// IncarnationsSum returns a checksum of State, History and Peers, or 0 if they are empty. It is
 // separate from Sum so that a build without incarnations can still verify the rest. It
 // covers the values as %v prints them, so the order and types of their fields must not
 // change.
 //
-// Example: trusted := row.Past == row.PastSum()
-func (m Meta) PastSum() uint64 {
+// Example: trusted := row.Past == row.IncarnationsSum()
+func (m Meta) IncarnationsSum() uint64 {
 	if m.State.Epoch == 0 && len(m.History)+len(m.Peers) == 0 {
 		return 0
 	}
--- a/control/quorum/meta_test.go
+++ b/control/quorum/meta_test.go
@@ -88,7 +88,7 @@
 			if got := c.meta.Sum(c.records); got != c.sum {
 				t.Errorf("Sum %d, want %d", got, c.sum)
 			}
-			if got := c.meta.PastSum(); got != c.pastSum {
+			if got := c.meta.IncarnationsSum(); got != c.pastSum {
 				t.Errorf("PastSum %d, want %d", got, c.pastSum)
 			}
 		})
--- a/control/quorum/vote.go
+++ b/control/quorum/vote.go
@@ -135,7 +135,7 @@
 	grant := message.VoteGrant{
 		Term: req.Term, Group: r.meta.Group, CandidateEpoch: from.Epoch, LastCompleteTerm: r.meta.LastComplete,
 		Digests: own, Records: r.records.RecordsIn(digest.DifferingRanges(req.Digests, own)),
-		LeasesStandFor: max(0, r.support.earlierLeasesUntil-now),
+		LeasesValidFor: max(0, r.support.earlierLeasesUntil-now),
 	}
 	r.save(out, nil, nil, envelope(from.Replica, grant.Message(r.partition)))
 	r.disk.markVoteInLastSave()
@@ -149,7 +149,7 @@
 	}
 	out.send(to, message.VoteRejection{
 		Term: term, VotedTerm: r.meta.VotedTerm, Group: r.meta.Group,
-		BoundFor: boundFor, KnownLeader: r.support.known.Leader,
+		SupportRemaining: boundFor, KnownLeader: r.support.known.Leader,
 	}.Message(r.partition))
 }
 
--- a/control/quorum/vote_test.go
+++ b/control/quorum/vote_test.go
@@ -192,7 +192,7 @@
 	}
 	grant := message.VoteGrant{
 		Term: v.replica.Term(), Group: message.Group{Number: 1},
-		Digests: v.replica.Records().Digests(), LeasesStandFor: leasesStandFor,
+		Digests: v.replica.Records().Digests(), LeasesValidFor: leasesStandFor,
 	}
 	v.deliverToSelf(now, v.step(now, "b", 1, grant.Message(1)))
 	v.deliverToSelf(now, v.step(now, "b", 1, message.StateInstalled{Term: v.replica.Term()}.Message(1)))
--- a/control/storage/load.go
+++ b/control/storage/load.go
@@ -66,7 +66,7 @@
 		if err := json.Unmarshal([]byte(text), &r); err != nil {
 			return corruptError{Error.Wrap(err)}
 		}
-		if r.Past != r.PastSum() { // an altered row must not claim incarnations that were never written
+		if r.Past != r.IncarnationsSum() { // an altered row must not claim incarnations that were never written
 			r.State, r.History, r.Peers = message.SavePoint{}, nil, nil
 		}
 		s.Partitions[partition] = PartitionState{Meta: r.Meta, Records: digest.NewRecords()}
--- a/control/storage/write.go
+++ b/control/storage/write.go
@@ -52,7 +52,7 @@
 }
 
 func writeReplica(tx *sql.Tx, save quorum.Save) error {
-	text, err := json.Marshal(replicaRow{Meta: save.Meta, Sum: save.Sum, Past: save.Meta.PastSum()})
+	text, err := json.Marshal(replicaRow{Meta: save.Meta, Sum: save.Sum, Past: save.Meta.IncarnationsSum()})
 	if err != nil {
 		return err
 	}
--- a/proof/hollow/client.go
+++ b/proof/hollow/client.go
@@ -107,9 +107,9 @@
 		s := fleetconfig.Server{ID: fmt.Sprintf("srv-%05d-0", i), Addr: fmt.Sprintf("10.1.%d.%d:9000", i/250, 1+i%250), Zone: fmt.Sprintf("zone-%d", i%o.Zones), Capacity: 16, Role: part}
 		list.Servers = append(list.Servers, s)
 		key := fleetconfig.ServerRecordKey(model(0), s.Key())
-		r[key] = message.Record{Key: key, Version: message.Version{Term: 1, Seq: 1}, Value: leadercall.Pack(placement.ServerRecord{Addr: s.Addr, Zone: s.Zone, Capacity: 16, Role: part, Status: placement.Up})}
+		r[key] = message.Record{Key: key, Version: message.Version{Term: 1, Seq: 1}, Value: leadercall.MustMarshal(placement.ServerRecord{Addr: s.Addr, Zone: s.Zone, Capacity: 16, Role: part, Status: placement.Up})}
 	}
-	r[fleetconfig.ListKey(model(0))] = message.Record{Key: fleetconfig.ListKey(model(0)), Version: message.Version{Term: 1, Seq: 1}, Value: leadercall.Pack(list)}
+	r[fleetconfig.ListKey(model(0))] = message.Record{Key: fleetconfig.ListKey(model(0)), Version: message.Version{Term: 1, Seq: 1}, Value: leadercall.MustMarshal(list)}
 	l := forward.New(gateway.Config(daemon.Default()), model(0), 1, r, hints{loadreport.New(gateway.LoadReportConfig(daemon.Default()))})
 	type trip struct {
 		id   string
--- a/proof/hollow/daemon.go
+++ b/proof/hollow/daemon.go
@@ -103,7 +103,7 @@
 		}
 		if d.lists[i].ver != rec.Version { // a list is long: it is read once a version
 			d.lists[i] = listed{ver: rec.Version}
-			for _, s := range fleetconfig.OpenList(rec).Servers {
+			for _, s := range fleetconfig.MustReadList(rec).Servers {
 				d.lists[i].keys = append(d.lists[i].keys, fleetconfig.ServerRecordKey(model(i), s.Key()))
 			}
 		}
--- a/proof/hollow/worker.go
+++ b/proof/hollow/worker.go
@@ -78,7 +78,7 @@
 	if v, ok := w.plan.Load(rec.Version); ok {
 		return v.(uint64)
 	}
-	v := fleetconfig.OpenPlan(rec).Version
+	v := fleetconfig.MustReadPlan(rec).Version
 	w.plan.Store(rec.Version, v)
 	return v
 }
@@ -234,7 +234,7 @@
 	ids, ok := w.plan.Load(place{model, rec.Version})
 	if !ok {
 		set := map[string]bool{}
-		for _, s := range fleetconfig.OpenList(rec).Servers {
+		for _, s := range fleetconfig.MustReadList(rec).Servers {
 			set[s.ID] = true
 		}
 		ids, _ = w.plan.LoadOrStore(place{model, rec.Version}, set)
--- a/proof/narrowlinks/root.go
+++ b/proof/narrowlinks/root.go
@@ -73,7 +73,7 @@
 		r.carryOut(r.controller.Saved(r.w.now, save.Ticket))
 	}
 	for _, order := range out.Orders {
-		r.controller.HandleOrdered(order, true)
+		r.controller.HandleOrderResult(order, true)
 		id := order.Key[strings.LastIndexByte(order.Key, '/')+1:]
 		r.w.after(orderFollowed, func() {
 			r.w.platform.change(id, func(s *fleetconfig.Server) { s.Role = order.Role })
@@ -97,7 +97,7 @@
 	}
 	list := fleetconfig.List{Servers: slices.Clone(w.platform.list)}
 	slices.SortFunc(list.Servers, func(a, b fleetconfig.Server) int { return strings.Compare(a.Key(), b.Key()) })
-	packed := leadercall.Pack(list)
+	packed := leadercall.MustMarshal(list)
 	if string(packed) == string(r.accepted) {
 		return
 	}
@@ -106,7 +106,7 @@
 	list.Version, r.sent, r.sentAt = r.version, packed, w.now
 	call := message.Call{
 		RequestID: r.calls, CallID: r.calls, Op: leadercall.OpServers,
-		Body: leadercall.Pack(leader.ServersCall{Service: service, List: list}),
+		Body: leadercall.MustMarshal(leader.ServersCall{Service: service, List: list}),
 	}
 	m := call.Message(number)
 	m.From, m.Addr, m.Epoch = r.self.Ident, r.self.Addr, 1
--- a/proof/sim/caller.go
+++ b/proof/sim/caller.go
@@ -81,7 +81,7 @@
 		return
 	}
 	c.received.Request = fmt.Sprintf("r%d", c.number)
-	p := fleetconfig.OpenPlan(rec)
+	p := fleetconfig.MustReadPlan(rec)
 	c.world.jot(history.Event{Who: n.name, Ev: "serves", Plan: p.ID, Ver: p.Version})
 	req, code, why := scheduler.NewPlanIndex(rec).Admit(c.asked, c.received.Request, now)
 	if code != 0 {
@@ -302,7 +302,7 @@
 		p.Services = append(p.Services, fleetconfig.Service{Name: s, PrefillServers: 1, DecodeServers: 1})
 	}
 	from := w.now
-	w.control(w.pick(""), 0, "plan", leadercall.Pack(p), func(code int, rep []byte) {
+	w.control(w.pick(""), 0, "plan", leadercall.MustMarshal(p), func(code int, rep []byte) {
 		w.recordVerdict("first", 0, from, code, rep)
 		if code != 200 {
 			w.at(500*time.Millisecond, w.sendFirstPlan)
@@ -346,7 +346,7 @@
 	l := w.lists[svc]
 	l.Version++
 	w.lists[svc] = l
-	body := leadercall.Pack(struct {
+	body := leadercall.MustMarshal(struct {
 		Service string
 		List    fleetconfig.List
 	}{svc, l})
--- a/proof/sim/cutoff.go
+++ b/proof/sim/cutoff.go
@@ -31,7 +31,7 @@
 	rec, ok := n.planBack()
 	switch {
 	case ok && !rec.Deleted:
-		p := fleetconfig.OpenPlan(rec)
+		p := fleetconfig.MustReadPlan(rec)
 		w.at(w.lag(), func() {
 			w.result.Plans["read back"]++
 			w.jot(history.Event{Who: n.name, Ev: "readback", Plan: p.ID, Ver: p.Version, Took: int64(w.now - start)})
@@ -88,7 +88,7 @@
 	if !ok {
 		return false
 	}
-	rep := leadercall.Pack(fleetconfig.Verdict{Result: "beaten", Version: fleetconfig.OpenPlan(rec).Version})
+	rep := leadercall.MustMarshal(fleetconfig.Verdict{Result: "beaten", Version: fleetconfig.MustReadPlan(rec).Version})
 	to.send(message.Envelope{Addr: m.Addr, Message: message.Message{
 		Kind: message.KindCallResult, To: m.From, ResponseTo: m.RequestID, Status: 409, Body: rep,
 	}})
--- a/proof/sim/node.go
+++ b/proof/sim/node.go
@@ -161,7 +161,7 @@
 	w := n.world
 	config := w.cfg.MembershipConfig()
 	if w.options.Flat {
-		config.MinRelayZone = len(w.nodes) + 1
+		config.MinRelayMembers = len(w.nodes) + 1
 	}
 	config.ToleratedLosses, config.FirstStart = max(1, w.options.Losses), !w.options.Bare || n.starts == 1
 	n.members = membership.New(config, n.member(), n.seeds())
@@ -394,7 +394,7 @@
 		w.note(Event{Kind: Served, Node: n.name, Partition: p, Key: fmt.Sprintf("%d/%s", p, k), Tags: tags(r)})
 	}
 	if rec, ok := n.source(0, fleetconfig.PlanKey); ok && w.options.Calls > 0 {
-		p := fleetconfig.OpenPlan(rec)
+		p := fleetconfig.MustReadPlan(rec)
 		w.jot(history.Event{Who: n.name, Ev: "serves", Plan: p.ID, Ver: p.Version})
 		w.jot(history.Event{Who: n.name, Ev: "read", Plan: p.ID, Ver: p.Version})
 	}
--- a/proof/sim/operator.go
+++ b/proof/sim/operator.go
@@ -32,7 +32,7 @@
 	if free {
 		c.Number = 0
 	}
-	return leadercall.Pack(c)
+	return leadercall.MustMarshal(c)
 }
 
 // operate is what operators and the platform do through the day.
@@ -64,7 +64,7 @@
 	if !ok {
 		return
 	}
-	base := fleetconfig.OpenPlan(rec).Version
+	base := fleetconfig.MustReadPlan(rec).Version
 	switch w.rng.Intn(6) {
 	case 0, 1:
 		w.set(n, base, 4)
@@ -82,7 +82,7 @@
 func (w *world) newest() (version uint64) {
 	for _, n := range w.nodes {
 		if rec, ok := n.partition(0).Node.Get(n.local(), fleetconfig.PlanKey); ok && n.up {
-			version = max(version, fleetconfig.OpenPlan(rec).Version)
+			version = max(version, fleetconfig.MustReadPlan(rec).Version)
 		}
 	}
 	return version
@@ -100,7 +100,7 @@
 	w.tags++
 	id, start := fmt.Sprintf("c%d", w.tags), w.now
 	c := fleetconfig.Changes{ID: id, Base: base, Changes: []fleetconfig.Change{w.tenantChange(prio)}}
-	w.control(n, 0, "changes", leadercall.Pack(c), func(code int, rep []byte) {
+	w.control(n, 0, "changes", leadercall.MustMarshal(c), func(code int, rep []byte) {
 		w.recordVerdict(id, base, start, code, rep)
 	})
 }
--- a/proof/sim/races.go
+++ b/proof/sim/races.go
@@ -51,7 +51,7 @@
 	w.tags++
 	w.openRaces++
 	r := &raced{id: fmt.Sprintf("r%d", w.tags), base: base, number: number}
-	r.body = leadercall.Pack(fleetconfig.Changes{
+	r.body = leadercall.MustMarshal(fleetconfig.Changes{
 		ID: r.id, Base: base, Number: number, Changes: []fleetconfig.Change{w.tenantChange(4)},
 	})
 	w.sendRaced(r)
@@ -152,7 +152,7 @@
 	if m.Kind != message.KindCall || m.Partition != 0 {
 		return
 	}
-	now := fleetconfig.OpenPlan(w.read(to, fleetconfig.PlanKey)).Version
+	now := fleetconfig.MustReadPlan(w.read(to, fleetconfig.PlanKey)).Version
 	switch w.options.Sabotage {
 	case "nobase":
 		if m.Op == "changes" {
--- a/proof/sim/traffic.go
+++ b/proof/sim/traffic.go
@@ -150,7 +150,7 @@
 	}
 	l.asking = true
 	at := n.local()
-	n.ask(l.part, "want", leadercall.Pack(l.Demand()), n.world.placementConfig().ShareLength/4, func(d leadercall.Result) {
+	n.ask(l.part, "want", leadercall.MustMarshal(l.Demand()), n.world.placementConfig().ShareLength/4, func(d leadercall.Result) {
 		l.asking = false
 		if sh, ok := share(d); ok {
 			if s := n.world.options.Sabotage; s == "stale" || s == "evacuatelate" { // no slot is ever given back
@@ -168,7 +168,7 @@
 	for _, a := range o.Decisions {
 		r := n.requests[a.RequestID]
 		claim := leadercall.Claim{Request: a.RequestID, Daemon: n.addr, State: a.ClaimState}
-		body := leadercall.Pack(leader.ClaimCall{Key: a.OnceKey, Claim: claim})
+		body := leadercall.MustMarshal(leader.ClaimCall{Key: a.OnceKey, Claim: claim})
 		if a.Action == scheduler.SettleClaim {
 			n.ask(l.part, "unclaim", body, n.world.cfg.Bounds.Recover, nil)
 			continue
@@ -337,7 +337,7 @@
 	d := w.fakeServers[ord.Addr]
 	n.in(w.lag(), func() {
 		if d == nil || !d.up || d.dark || !m.MayOrder(n.local(), ord.Term) && w.options.Sabotage != "noswap" {
-			m.HandleOrdered(ord, false)
+			m.HandleOrderResult(ord, false)
 			return
 		}
 		life := n.starts
@@ -345,7 +345,7 @@
 			ok := d.ordered(n.ident, ord)
 			w.at(w.lag(), func() {
 				if n.starts == life {
-					n.in(0, func() { m.HandleOrdered(ord, ok) })
+					n.in(0, func() { m.HandleOrderResult(ord, ok) })
 				}
 			})
 		})
--- a/traffic/attempt/attempt.go
+++ b/traffic/attempt/attempt.go
@@ -14,7 +14,7 @@
 	Prefilled               // a prefill ended and left a handle
 	HandleLost              // a decode was rejected: its handle is gone or belongs to another request
 	Lost                    // sent, but no outcome was received
-	First                   // a piece was sent to the client, more may follow
+	Streaming                   // a piece was sent to the client, more may follow
 	Ended                   // the complete answer was sent to the client
 )
 
@@ -43,7 +43,7 @@
 type Attempt struct {
 	Phase  Phase  `json:"phase"`
 	Server string `json:"server"`
-	Known  State  `json:"known"`
+	State  State  `json:"known"`
 	Why    string `json:"why,omitempty"`
 }
 
@@ -87,7 +87,7 @@
 // Example: l.Record(attempt.Refused, "503")
 func (l *Ledger) Record(s State, why string) {
 	a := &l.Attempts[len(l.Attempts)-1]
-	a.Known, a.Why = s, why
+	a.State, a.Why = s, why
 }
 
 // MayHaveRun reports whether the request may have run on any server.
@@ -95,7 +95,7 @@
 // Example: if !l.MayHaveRun() { refused() }
 func (l Ledger) MayHaveRun() bool {
 	for _, a := range l.Attempts {
-		if a.Phase == Decode && (a.Known == Open || a.Known == Lost || a.Known == First || a.Known == Ended) {
+		if a.Phase == Decode && (a.State == Open || a.State == Lost || a.State == Streaming || a.State == Ended) {
 			return true
 		}
 	}
@@ -137,9 +137,9 @@
 	}
 	last := l.Attempts[len(l.Attempts)-1]
 	if last.Phase == Prefill {
-		return l.afterPrefill(last.Known)
+		return l.afterPrefill(last.State)
 	}
-	return l.afterDecode(last.Known)
+	return l.afterDecode(last.State)
 }
 
 func (l Ledger) afterPrefill(s State) (m Move, isRetry bool) {
@@ -158,7 +158,7 @@
 		return Wait, false
 	case Ended:
 		return Finish, false
-	case First:
+	case Streaming:
 		return Break, false
 	case NotSent, Refused:
 		return l.moveOrEnd(DoDecode, l.hasAttemptsLeft(Decode)), true
@@ -177,13 +177,13 @@
 	if allowed {
 		return m
 	}
-	return l.End()
+	return l.FinalMove()
 }
 
-// End returns the final move of a request that gets no further attempt.
+// FinalMove returns the final move of a request that gets no further attempt.
 //
-// Example: if !bucket.Take(now) { move = l.End() }
-func (l Ledger) End() Move {
+// Example: if !bucket.Take(now) { move = l.FinalMove() }
+func (l Ledger) FinalMove() Move {
 	if l.MayHaveRun() {
 		return Unknown
 	}
--- a/traffic/attempt/attempt_test.go
+++ b/traffic/attempt/attempt_test.go
@@ -16,7 +16,7 @@
 		for step := 0; step < 40; step++ {
 			m, isRetry := l.Next()
 			sends := m == DoPrefill || m == DoDecode
-			followsFailure := len(l.Attempts) > 0 && l.Attempts[len(l.Attempts)-1].Known != Prefilled
+			followsFailure := len(l.Attempts) > 0 && l.Attempts[len(l.Attempts)-1].State != Prefilled
 			if sends && isRetry != followsFailure {
 				t.Fatalf("isRetry is wrong for move %v after %v", m, l.Attempts)
 			}
@@ -30,8 +30,8 @@
 				}
 				p, outcomes := Prefill, []State{NotSent, Refused, Prefilled, Lost}
 				if m == DoDecode {
-					p, outcomes = Decode, []State{NotSent, Refused, HandleLost, Lost, First, Ended}
-					if l.Attempts[len(l.Attempts)-1].Phase == Prefill && l.Attempts[len(l.Attempts)-1].Known != Prefilled {
+					p, outcomes = Decode, []State{NotSent, Refused, HandleLost, Lost, Streaming, Ended}
+					if l.Attempts[len(l.Attempts)-1].Phase == Prefill && l.Attempts[len(l.Attempts)-1].State != Prefilled {
 						t.Fatal("decode without a handle")
 					}
 				}
@@ -41,10 +41,10 @@
 					t.Fatal("move while an attempt is open")
 				}
 				l.Record(k, "")
-				if p == Decode && (k == Lost || k == First || k == Ended) {
+				if p == Decode && (k == Lost || k == Streaming || k == Ended) {
 					mayHaveRun++
 				}
-				pieces = pieces || k == First || k == Ended
+				pieces = pieces || k == Streaming || k == Ended
 				if l.AtMostOnce && mayHaveRun > 1 {
 					t.Fatal("at-most-once request reached a decode server twice")
 				}
@@ -64,7 +64,7 @@
 				}
 				return
 			case Finish:
-				if l.Attempts[len(l.Attempts)-1].Known != Ended {
+				if l.Attempts[len(l.Attempts)-1].State != Ended {
 					t.Fatal("finished before the complete answer was sent")
 				}
 				return
--- a/traffic/forward/dispatcher.go
+++ b/traffic/forward/dispatcher.go
@@ -125,7 +125,7 @@
 // readList decodes a list of servers, once per version.
 func (d *Dispatcher) readList(rec message.Record) []fleetconfig.Server {
 	if d.recordKeys == nil || d.listVersion != rec.Version {
-		d.listedServers = fleetconfig.OpenList(rec).Servers
+		d.listedServers = fleetconfig.MustReadList(rec).Servers
 		d.recordKeys, d.listVersion = []string{rec.Key}, rec.Version
 		known := make(map[string]record, len(d.listedServers))
 		for _, s := range d.listedServers {
@@ -186,7 +186,7 @@
 		d.validUntil = 0
 		return false
 	}
-	evacuatedZones := fleetconfig.OpenZones(zones)
+	evacuatedZones := fleetconfig.MustReadZones(zones)
 	for i, s := range d.listedServers {
 		if s.Leaving || evacuatedZones[s.Zone] {
 			continue
--- a/traffic/forward/request.go
+++ b/traffic/forward/request.go
@@ -97,16 +97,16 @@
 func (d *Dispatcher) decideByAttempts(now time.Duration, r *pendingRequest) (decision Decision, final bool) {
 	last, n := r.lastAttempt()
 	switch {
-	case n > 0 && last.Known == attempt.Ended:
+	case n > 0 && last.State == attempt.Ended:
 		return d.finish(r, Done, ""), true // even if the deadline has passed by now
 	case now >= r.Deadline:
 		return d.giveUp(r, "its time is up"), true
 	case n == 0:
-	case last.Known == attempt.First && !(r.Resumable && r.Repeatable):
+	case last.State == attempt.Streaming && !(r.Resumable && r.Repeatable):
 		return d.finish(r, Break, last.Why), true
-	case last.Known == attempt.Lost && last.Phase == attempt.Decode && !r.Repeatable:
+	case last.State == attempt.Lost && last.Phase == attempt.Decode && !r.Repeatable:
 		return d.finish(r, Unknown, last.Why), true
-	case last.Known == attempt.NotSent && n > 2*r.maxAttempts():
+	case last.State == attempt.NotSent && n > 2*r.maxAttempts():
 		return d.giveUp(r, last.Why), true
 	}
 	if r.countedSends > 0 && (r.countedSends >= r.maxAttempts() || !d.retries.Has(now)) {
@@ -303,8 +303,8 @@
 // Example: d.StreamStarted(now, id)
 func (d *Dispatcher) StreamStarted(now time.Duration, id string) {
 	r := d.pending[id]
-	if r.attempts.Attempts[len(r.attempts.Attempts)-1].Known == attempt.Open {
-		r.attempts.Record(attempt.First, "")
+	if r.attempts.Attempts[len(r.attempts.Attempts)-1].State == attempt.Open {
+		r.attempts.Record(attempt.Streaming, "")
 		newTokens := r.uncachedTokens
 		if r.handle != nil {
 			newTokens = r.InputTokens
@@ -361,8 +361,8 @@
 	switch {
 	case outcome == OK:
 		r.attempts.Record(attempt.Ended, "")
-	case last.Known == attempt.First:
-		r.attempts.Record(attempt.First, why)
+	case last.State == attempt.Streaming:
+		r.attempts.Record(attempt.Streaming, why)
 		if r.Resumable && r.Repeatable {
 			d.counts.Resumed++
 		}
--- a/traffic/gateway/gateway_test.go
+++ b/traffic/gateway/gateway_test.go
@@ -73,7 +73,7 @@
 	if code, rep := c.Call(ctx, 0, "plan", body, 20*time.Second); code != 200 {
 		return nil, fmt.Errorf("set plan: %d %s", code, rep)
 	}
-	if code, rep := c.Call(ctx, c.Partition("one"), "servers", leadercall.Pack(leader.ServersCall{Service: "one", List: list}), 20*time.Second); code != 200 {
+	if code, rep := c.Call(ctx, c.Partition("one"), "servers", leadercall.MustMarshal(leader.ServersCall{Service: "one", List: list}), 20*time.Second); code != 200 {
 		return nil, fmt.Errorf("set servers: %d %s", code, rep)
 	}
 	limit := time.After(20 * time.Second)
--- a/traffic/gateway/plan.go
+++ b/traffic/gateway/plan.go
@@ -48,7 +48,7 @@
 
 // preparePlan decodes a record and prepares it for lookups.
 func (g *Gateway) preparePlan(rec message.Record, last *activePlan) *activePlan {
-	plan := g.daemon.OpenPlan(rec)
+	plan := g.daemon.DecodePlan(rec)
 	if last != nil {
 		planNeverGoesBack.Hold(plan.Version >= last.plan.Version,
 			"version %d after version %d", plan.Version, last.plan.Version)
--- a/traffic/nativeapi/dispatcher.go
+++ b/traffic/nativeapi/dispatcher.go
@@ -134,7 +134,7 @@
 // claimBody returns the body of the call to the leader for a Claim or SettleClaim decision.
 func (a *API) claimBody(decision scheduler.Decision) []byte {
 	claim := leadercall.Claim{Request: decision.RequestID, Daemon: a.daemon.Cfg.HTTPAddr, State: decision.ClaimState}
-	return leadercall.Pack(leader.ClaimCall{Key: decision.OnceKey, Claim: claim})
+	return leadercall.MustMarshal(leader.ClaimCall{Key: decision.OnceKey, Claim: claim})
 }
 
 // settleClaim records the result of a claimed request at the leader. It keeps trying for the long recovery
--- a/traffic/nativeapi/nativeapi_test.go
+++ b/traffic/nativeapi/nativeapi_test.go
@@ -36,7 +36,7 @@
 			t.Errorf("expected one error with prefix %q, got %v", prefix, f.List)
 		}
 	}
-	body := leadercall.Pack(validRequest())
+	body := leadercall.MustMarshal(validRequest())
 	rejected := 0
 	for i := range body {
 		b := append([]byte(nil), body...)
--- a/traffic/nativeapi/stream.go
+++ b/traffic/nativeapi/stream.go
@@ -122,7 +122,7 @@
 		s.writer.Header().Set("Content-Type", "application/x-ndjson")
 		s.writer.WriteHeader(http.StatusOK)
 	}
-	if _, err := s.writer.Write(append(leadercall.Pack(p), '\n')); err != nil {
+	if _, err := s.writer.Write(append(leadercall.MustMarshal(p), '\n')); err != nil {
 		return false
 	}
 	return s.controller.Flush() == nil
@@ -149,7 +149,7 @@
 func (s *stream) abort(a scheduler.Answer, started bool) {
 	if started && !a.ClientStalled {
 		last := serverpool.Piece{Request: s.request.ID, Number: -1, Error: a.Reason}
-		_, _ = s.writer.Write(append(leadercall.Pack(last), '\n'))
+		_, _ = s.writer.Write(append(leadercall.MustMarshal(last), '\n'))
 		_ = s.controller.Flush()
 	}
 	if a.Result == scheduler.ResultBreak {
--- a/traffic/scheduler/call.go
+++ b/traffic/scheduler/call.go
@@ -224,7 +224,7 @@
 ) {
 	switch {
 	case r.stage == streaming:
-		r.attempts.Record(attempt.First, why)
+		r.attempts.Record(attempt.Streaming, why)
 		outcome = serverpool.Lost
 	case outcome == serverpool.NotSent:
 		r.attempts.Record(attempt.NotSent, why)
--- a/traffic/scheduler/finish.go
+++ b/traffic/scheduler/finish.go
@@ -12,7 +12,7 @@
 // giveUp ends a request without another attempt.
 func (d *Dispatcher) giveUp(now time.Duration, r *pendingRequest, why string, out *Out) {
 	r.reason = why
-	d.finish(now, r, r.attempts.End(), out)
+	d.finish(now, r, r.attempts.FinalMove(), out)
 }
 
 // finish ends a request with the final move of its attempt ledger.
@@ -50,7 +50,7 @@
 	}
 	last := r.attempts.Attempts[len(r.attempts.Attempts)-1]
 	r.reason = last.Why
-	return fmt.Sprintf("last %s: %s", last.Phase, last.Known)
+	return fmt.Sprintf("last %s: %s", last.Phase, last.State)
 }
 
 // settleClaim adds the decision to record the request's result under its once key, if it has one.
@@ -65,7 +65,7 @@
 	d.counts.Refused++
 	d.counts.RefusedByReason[reasonKind]++
 	for _, a := range r.attempts.Attempts {
-		if a.Known == attempt.Prefilled {
+		if a.State == attempt.Prefilled {
 			d.counts.WastedPrefills++
 		}
 	}
--- a/traffic/scheduler/plan.go
+++ b/traffic/scheduler/plan.go
@@ -27,7 +27,7 @@
 //
 // Example: index := scheduler.NewPlanIndex(rec)
 func NewPlanIndex(rec message.Record) *PlanIndex {
-	plan := fleetconfig.OpenPlan(rec)
+	plan := fleetconfig.MustReadPlan(rec)
 	p := &PlanIndex{
 		Version: rec.Version, planVersion: plan.Version,
 		tenants: map[string]fleetconfig.Tenant{}, excluded: map[string]map[string]bool{},
--- a/traffic/scheduler/scheduler_test.go
+++ b/traffic/scheduler/scheduler_test.go
@@ -25,7 +25,7 @@
 }
 
 func (h *harness) put(key string, seq uint64, v any) {
-	h.records[key] = message.Record{Key: key, Version: message.Version{Term: 1, Seq: seq}, Value: leadercall.Pack(v)}
+	h.records[key] = message.Record{Key: key, Version: message.Version{Term: 1, Seq: seq}, Value: leadercall.MustMarshal(v)}
 }
 
 func newHarness() *harness {
--- a/traffic/scheduler/servers.go
+++ b/traffic/scheduler/servers.go
@@ -46,7 +46,7 @@
 		return
 	}
 	d.list = serverList{version: rec.Version, byAddr: map[string]fleetconfig.Server{}}
-	for _, s := range fleetconfig.OpenList(rec).Servers {
+	for _, s := range fleetconfig.MustReadList(rec).Servers {
 		d.list.byAddr[s.Addr] = s
 	}
 }
@@ -99,7 +99,7 @@
 func (d *Dispatcher) isAllowed(addr, zone string) bool {
 	zones, okZones := d.source(0, fleetconfig.ZoneKey)
 	plan, okPlan := d.source(0, fleetconfig.PlanKey)
-	if !okZones || !okPlan || !zones.Deleted && fleetconfig.OpenZones(zones)[zone] {
+	if !okZones || !okPlan || !zones.Deleted && fleetconfig.MustReadZones(zones)[zone] {
 		return false
 	}
 	if d.plan == nil || d.plan.Version != plan.Version {
--- a/traffic/scheduler/timeout.go
+++ b/traffic/scheduler/timeout.go
@@ -92,7 +92,7 @@
 	case calling, streaming:
 		r.cancelCall(out)
 		if r.stage == streaming {
-			r.attempts.Record(attempt.First, why)
+			r.attempts.Record(attempt.Streaming, why)
 		} else {
 			r.attempts.Record(attempt.Lost, why)
 		}
--- a/wire/message/membership.go
+++ b/wire/message/membership.go
@@ -51,7 +51,7 @@
 	RemovedAddrs []string     // with WelcomeDiff: members that have left the view
 	ViewDigest   uint64       // of the sender's view; in the frame's Term
 	Leaderships  []Leadership // empty if the recipient has them already
-	Controls     int          // number of control daemons known to the sender, including itself; 0 from older builds
+	ControlDaemonCount     int          // number of control daemons known to the sender, including itself; 0 from older builds
 }
 
 // Message encodes the welcome as a frame. The caller sets the recipient.
@@ -60,7 +60,7 @@
 func (w Welcome) Message() Message {
 	return Message{
 		Kind: KindWelcome, Op: w.Form, Members: w.Members, Keys: w.RemovedAddrs, Term: w.ViewDigest,
-		Leaderships: w.Leaderships, Length: int64(w.Controls),
+		Leaderships: w.Leaderships, Length: int64(w.ControlDaemonCount),
 	}
 }
 
@@ -70,7 +70,7 @@
 func (m Message) AsWelcome() Welcome {
 	return Welcome{
 		Form: m.Op, Members: m.Members, RemovedAddrs: m.Keys, ViewDigest: m.Term, Leaderships: m.Leaderships,
-		Controls: int(m.Length),
+		ControlDaemonCount: int(m.Length),
 	}
 }
 
@@ -82,7 +82,7 @@
 	Unchanged      bool   // Members and Leaderships are left out: the recipient has those of Digest
 	Digest         uint64 // of Members and Leaderships
 	Acknowledged   uint64 // Digest of the latest gossip received from the recipient
-	ControlsDigest uint64 // of the control daemons that the sender knows; in the frame's Term
+	ControlDaemonsDigest uint64 // of the control daemons that the sender knows; in the frame's Term
 }
 
 // Message encodes the gossip as a frame. The caller sets the recipient.
@@ -91,7 +91,7 @@
 func (g Gossip) Message() Message {
 	m := Message{
 		Kind: KindGossip, Self: g.Self, Members: g.Members, Leaderships: g.Leaderships, LastComplete: g.Digest,
-		ResponseTo: g.Acknowledged, Term: g.ControlsDigest,
+		ResponseTo: g.Acknowledged, Term: g.ControlDaemonsDigest,
 	}
 	if g.Unchanged {
 		m.Op = gossipUnchanged
@@ -105,7 +105,7 @@
 func (m Message) AsGossip() Gossip {
 	return Gossip{
 		Self: m.Self, Members: m.Members, Leaderships: m.Leaderships, Unchanged: m.Op == gossipUnchanged,
-		Digest: m.LastComplete, Acknowledged: m.ResponseTo, ControlsDigest: m.Term,
+		Digest: m.LastComplete, Acknowledged: m.ResponseTo, ControlDaemonsDigest: m.Term,
 	}
 }
 
@@ -132,7 +132,7 @@
 type CensusAnswer struct {
 	Round      uint64 // of the census
 	Self       Member // Empty is set if the seed knows no group
-	Controls   []Member
+	ControlDaemons   []Member
 	FirstStart bool  // the seed has never been restarted
 	Group      Group // that the seed is committed to; Number 0: none
 }
@@ -141,7 +141,7 @@
 //
 // Example: m := message.CensusAnswer{Round: 3, Self: self}.Message()
 func (a CensusAnswer) Message() Message {
-	m := Message{Kind: KindCensusAnswer, ResponseTo: a.Round, Self: a.Self, Members: a.Controls, Group: a.Group}
+	m := Message{Kind: KindCensusAnswer, ResponseTo: a.Round, Self: a.Self, Members: a.ControlDaemons, Group: a.Group}
 	if a.FirstStart {
 		m.Op = censusFirstStart
 	}
@@ -153,7 +153,7 @@
 // Example: t.handleCensusAnswer(m.Addr, m.AsCensusAnswer())
 func (m Message) AsCensusAnswer() CensusAnswer {
 	return CensusAnswer{
-		Round: m.ResponseTo, Self: m.Self, Controls: m.Members, FirstStart: m.Op == censusFirstStart, Group: m.Group,
+		Round: m.ResponseTo, Self: m.Self, ControlDaemons: m.Members, FirstStart: m.Op == censusFirstStart, Group: m.Group,
 	}
 }
 
--- a/wire/message/quorum.go
+++ b/wire/message/quorum.go
@@ -50,7 +50,7 @@
 	LastCompleteTerm uint64
 	Digests          []uint64      // of each range of the voter's records
 	Records          []Record      // the voter's records in the ranges that differ from the candidate's
-	LeasesStandFor   time.Duration // remaining time for which leases of an earlier leader may be valid
+	LeasesValidFor   time.Duration // remaining time for which leases of an earlier leader may be valid
 }
 
 // Message encodes the vote as a frame.
@@ -60,7 +60,7 @@
 	return Message{
 		Kind: KindGrantVote, Partition: partition, Op: opIf(v.PreVote, opPreVote),
 		Term: v.Term, Group: v.Group, ResponseTo: v.CandidateEpoch, LastComplete: v.LastCompleteTerm,
-		Digests: v.Digests, Records: v.Records, Length: int64(v.LeasesStandFor),
+		Digests: v.Digests, Records: v.Records, Length: int64(v.LeasesValidFor),
 	}
 }
 
@@ -70,7 +70,7 @@
 func (m Message) AsVoteGrant() VoteGrant {
 	return VoteGrant{
 		Term: m.Term, PreVote: m.Op == opPreVote, Group: m.Group, CandidateEpoch: m.ResponseTo,
-		LastCompleteTerm: m.LastComplete, Digests: m.Digests, Records: m.Records, LeasesStandFor: time.Duration(m.Length),
+		LastCompleteTerm: m.LastComplete, Digests: m.Digests, Records: m.Records, LeasesValidFor: time.Duration(m.Length),
 	}
 }
 
@@ -80,7 +80,7 @@
 	Term        uint64        // of the refused request
 	VotedTerm   uint64        // the highest term that the voter has voted in
 	Group       Group         // the voter's
-	BoundFor    time.Duration // remaining time for which the voter supports another leader
+	SupportRemaining    time.Duration // remaining time for which the voter supports another leader
 	KnownLeader Replica       // the leader that the voter last supported
 }
 
@@ -90,7 +90,7 @@
 func (v VoteRejection) Message(partition int) Message {
 	return Message{
 		Kind: KindRejectVote, Partition: partition, Term: v.Term, LastComplete: v.VotedTerm,
-		Group: v.Group, Length: int64(v.BoundFor), Hint: v.KnownLeader,
+		Group: v.Group, Length: int64(v.SupportRemaining), Hint: v.KnownLeader,
 	}
 }
 
@@ -100,7 +100,7 @@
 func (m Message) AsVoteRejection() VoteRejection {
 	return VoteRejection{
 		Term: m.Term, VotedTerm: m.LastComplete, Group: m.Group,
-		BoundFor: time.Duration(m.Length), KnownLeader: m.Hint,
+		SupportRemaining: time.Duration(m.Length), KnownLeader: m.Hint,
 	}
 }
 
@@ -182,7 +182,7 @@
 	Term       uint64
 	Purpose    InstallPurpose
 	RequestID  uint64   // repair: the leader's last write, or 0 if no answer is needed; join: the group's number
-	RecordsSum uint64   // term: checksum of all records of the leader; 0 from earlier builds
+	RecordsChecksum uint64   // term: checksum of all records of the leader; 0 from earlier builds
 	Digests    []uint64 // term: of the replica's records, as known to the leader; else of the leader's records
 	Ranges     []int    // to be replaced or compared; empty: only digests are requested
 	Records    []Record // all records of the leader in Ranges
@@ -195,7 +195,7 @@
 func (v InstallState) Message(partition int) Message {
 	return Message{
 		Kind: KindInstallState, Partition: partition, Op: string(v.Purpose),
-		Term: v.Term, RequestID: v.RequestID, LastComplete: v.RecordsSum,
+		Term: v.Term, RequestID: v.RequestID, LastComplete: v.RecordsChecksum,
 		Digests: v.Digests, Ranges: v.Ranges, Records: v.Records, Group: v.Group,
 	}
 }
@@ -205,7 +205,7 @@
 // Example: r.handleInstallState(m.Sender(), m.AsInstallState(), &out)
 func (m Message) AsInstallState() InstallState {
 	return InstallState{
-		Term: m.Term, Purpose: InstallPurpose(m.Op), RequestID: m.RequestID, RecordsSum: m.LastComplete,
+		Term: m.Term, Purpose: InstallPurpose(m.Op), RequestID: m.RequestID, RecordsChecksum: m.LastComplete,
 		Digests: m.Digests, Ranges: m.Ranges, Records: m.Records, Group: m.Group,
 	}
 }
--- a/wire/transport/idle_test.go
+++ b/wire/transport/idle_test.go
@@ -25,21 +25,21 @@
 		for i := range 40 {
 			send(i + 1)
 		}
-		if n := transport.Addresses(); n != 40 {
+		if n := transport.AddressCount(); n != 40 {
 			t.Fatalf("%d addresses, expected 40", n)
 		}
 		<-time.After(idleTimeout / 2)
 		send(1)
 		<-time.After(idleTimeout * 3 / 4)
-		if n := transport.Addresses(); n != 1 {
+		if n := transport.AddressCount(); n != 1 {
 			t.Errorf("%d addresses, expected only the active one", n)
 		}
 		<-time.After(2 * idleTimeout)
-		if n := transport.Addresses(); n != 0 {
+		if n := transport.AddressCount(); n != 0 {
 			t.Errorf("%d addresses after the idle timeout, expected 0", n)
 		}
-		if send(1); transport.Addresses() != 1 || transport.Sent.Load() != 42 {
-			t.Errorf("%d addresses and %d messages sent, expected 1 and 42", transport.Addresses(), transport.Sent.Load())
+		if send(1); transport.AddressCount() != 1 || transport.Sent.Load() != 42 {
+			t.Errorf("%d addresses and %d messages sent, expected 1 and 42", transport.AddressCount(), transport.Sent.Load())
 		}
 		stop()
 	})
--- a/wire/transport/transport.go
+++ b/wire/transport/transport.go
@@ -95,10 +95,10 @@
 	}
 }
 
-// Addresses returns the number of addresses that have a queue.
+// AddressCount returns the number of addresses that have a queue.
 //
-// Example: t.Addresses() == 3
-func (t *Transport) Addresses() int {
+// Example: t.AddressCount() == 3
+func (t *Transport) AddressCount() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.queues)
