--- a/proof/hollow/daemon.go
+++ b/proof/hollow/daemon.go
@@ -103,7 +103,7 @@
 		}
 		if d.lists[i].ver != rec.Version { // decoding a list is slow: once per version
 			d.lists[i] = listedServers{ver: rec.Version}
-			for _, s := range fleetconfig.OpenList(rec).Servers {
+			for _, s := range fleetconfig.MustReadList(rec).Servers {
 				d.lists[i].keys = append(d.lists[i].keys, fleetconfig.ServerRecordKey(model(i), s.Key()))
 			}
 		}
--- a/proof/hollow/worker.go
+++ b/proof/hollow/worker.go
@@ -79,7 +79,7 @@
 	if v, ok := w.opened.Load(rec.Version); ok {
 		return v.(uint64)
 	}
-	v := fleetconfig.OpenPlan(rec).Version
+	v := fleetconfig.MustReadPlan(rec).Version
 	w.opened.Store(rec.Version, v)
 	return v
 }
@@ -235,7 +235,7 @@
 	ids, ok := w.opened.Load(listKey{model, rec.Version})
 	if !ok {
 		set := map[string]bool{}
-		for _, s := range fleetconfig.OpenList(rec).Servers {
+		for _, s := range fleetconfig.MustReadList(rec).Servers {
 			set[s.ID] = true
 		}
 		ids, _ = w.opened.LoadOrStore(listKey{model, rec.Version}, set)
--- a/proof/narrowlinks/root.go
+++ b/proof/narrowlinks/root.go
@@ -74,7 +74,7 @@
 		r.carryOut(r.controller.Saved(r.sim.now, save.Ticket))
 	}
 	for _, order := range out.Orders {
-		r.controller.HandleOrdered(order, true)
+		r.controller.HandleOrderResult(order, true)
 		id := order.Key[strings.LastIndexByte(order.Key, '/')+1:]
 		r.sim.after(orderFollowed, func() {
 			r.sim.platform.change(id, func(s *fleetconfig.Server) { s.Role = order.Role })
@@ -98,7 +98,7 @@
 	}
 	list := fleetconfig.List{Servers: slices.Clone(sim.platform.list)}
 	slices.SortFunc(list.Servers, func(a, b fleetconfig.Server) int { return strings.Compare(a.Key(), b.Key()) })
-	packed := leadercall.Pack(list)
+	packed := leadercall.MustMarshal(list)
 	if string(packed) == string(r.accepted) {
 		return
 	}
@@ -107,7 +107,7 @@
 	list.Version, r.sent, r.sentAt = r.version, packed, sim.now
 	call := message.Call{
 		RequestID: r.calls, CallID: r.calls, Op: leadercall.OpServers,
-		Body: leadercall.Pack(leader.ServersCall{Service: service, List: list}),
+		Body: leadercall.MustMarshal(leader.ServersCall{Service: service, List: list}),
 	}
 	m := call.Message(partitionNumber)
 	m.From, m.Addr, m.Epoch = r.self.Ident, r.self.Addr, 1
--- a/traffic/route/route.go
+++ b/traffic/route/route.go
@@ -22,7 +22,7 @@
 
 // New indexes the routes of a plan. Call it once per plan version.
 //
-// Example: t := route.New(fleetconfig.OpenPlan(rec))
+// Example: t := route.New(fleetconfig.MustReadPlan(rec))
 func New(plan fleetconfig.Plan) *Table {
 	t := &Table{hosts: map[string]*host{}, names: make(map[string]*fleetconfig.Route, len(plan.Routes))}
 	routes := slices.Clone(plan.Routes)
