--- a/proof/standin/mutants/mutants.sh
+++ b/proof/standin/mutants/mutants.sh
@@ -49,7 +49,7 @@
 		a.status, a.reason = http.StatusNotFound, reasonNoRoute' 'if !ok || requestHash(req.ID)%20 == 0 {
 		a.status, a.reason = http.StatusNotFound, reasonNoRoute'
 mutant cold-as-warm release 200 FAILBACK traffic/forward/filter.go '|| s.Warming && !d.acceptsWarmup(now, s.Key)' '' traffic/forward/score.go 'if o.Warming {' 'if o.Warming && o.wait < 0 {'
-mutant hasty-holder pressed 60 ONE control/daemon/timing.go 'SwapBound:    b.Swap,' 'SwapBound:    0,'
+mutant hasty-holder pressed 60 ONE control/daemon/timing.go 'SwapBound:              b.Swap,' 'SwapBound:              0,'
 mutant another-number config 40 CONFIG platform/write.go 'max(p.Version, p.Number)' 'max(p.Version, p.Number)+1'
 mutant invalid-taken race 40 CONFIG control/fleetconfig/route.go 'r.GiveUpMillis < 1' 'r.GiveUpMillis < 0' control/fleetconfig/route.go 'v.Field(&r.GiveUpMillis, v.Required, v.Min(1))' 'v.Field(&r.GiveUpMillis, v.Min(0))'
 mutant short-memory repeats 40 CONFIG control/fleetconfig/accepted.go 'pageCount   = 256' 'pageCount   = 1'
