--- a/proof/eventqueue/eventqueue.go
+++ b/proof/eventqueue/eventqueue.go
@@ -1,5 +1,5 @@
-// Package eventqueue is the queue of a simulation: what happens when, in the order of
-// time, and at the same time in the order in which it was added.
+// Package eventqueue is the event queue of a discrete-event simulation. Events are ordered by time;
+// events at the same time keep the order in which they were added.
 package eventqueue
 
 import (
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Queue holds what is still to happen. The zero value is empty.
+// Queue holds the pending events. The zero value is an empty queue.
 type Queue struct {
 	list  events
 	added int
 }
 
-// Add has something happen at a time.
+// Add schedules do to run at the given time.
 //
 // Example: q.Add(now+time.Second, n.start)
 func (q *Queue) Add(at time.Duration, do func()) {
@@ -21,8 +21,8 @@
 	heap.Push(&q.list, event{at, q.added, do})
 }
 
-// Next takes what happens next off the queue; at tells when. There is none in an
-// empty queue.
+// Next removes the earliest event and returns its time and function. It reports false
+// if the queue is empty.
 //
 // Example: at, do, ok := q.Next()
 func (q *Queue) Next() (at time.Duration, do func(), ok bool) {
@@ -34,36 +34,36 @@
 }
 
 type event struct {
-	at time.Duration
-	no int
-	do func()
+	at  time.Duration
+	seq int
+	do  func()
 }
 
 type events []event
 
-// Len is for container/heap.
+// Len implements heap.Interface.
 //
 // Example: q.Len() == 0
 func (q events) Len() int { return len(q) }
 
-// Less is for container/heap.
+// Less implements heap.Interface.
 //
 // Example: q.Less(0, 1)
 func (q events) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].no < q[j].no
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
 
-// Swap is for container/heap.
+// Swap implements heap.Interface.
 //
 // Example: q.Swap(0, 1)
 func (q events) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 //
 // Example: heap.Push(&q, e)
 func (q *events) Push(x any) { *q = append(*q, x.(event)) }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 //
 // Example: e := heap.Pop(&q).(event)
 func (q *events) Pop() any {
--- a/proof/eventqueue/eventqueue_test.go
+++ b/proof/eventqueue/eventqueue_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// What is added goes in the order of time, then of its adding; what an event adds
-// meanwhile finds its place too.
-func TestEventsGoInOrder(t *testing.T) {
+// Events run in the order of their time, then of insertion. Events added while the queue
+// is being drained are sorted in as well.
+func TestEventsRunInOrder(t *testing.T) {
 	var q Queue
 	var got []string
-	add := func(at time.Duration, what string) { q.Add(at, func() { got = append(got, what) }) }
+	add := func(at time.Duration, name string) { q.Add(at, func() { got = append(got, name) }) }
 	add(3, "late")
 	add(1, "first")
 	add(1, "second")
@@ -23,12 +23,12 @@
 			break
 		}
 		if at < last {
-			t.Errorf("%v comes after %v", at, last)
+			t.Errorf("event at %v ran after one at %v", at, last)
 		}
 		last = at
 		do()
 	}
 	if want := []string{"first", "second", "added meanwhile", "late"}; !slices.Equal(got, want) {
-		t.Errorf("got %q, expected %q", got, want)
+		t.Errorf("events ran as %q, want %q", got, want)
 	}
 }
--- a/proof/history/history.go
+++ b/proof/history/history.go
@@ -1,5 +1,5 @@
-// Package history is what stand-in servers and clients write down on their
-// own account, one JSON line an event, for the checker to join afterwards.
+// Package history holds the event logs that fake servers and test clients write
+// independently of the fleet, one JSON object per line. The checker joins them after a run.
 package history
 
 import (
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// Event is one line.
+// Event is one line of a history.
 type Event struct {
-	At      int64  `json:"at"` // unix nanoseconds: all stand-ins share one machine's clock
+	At      int64  `json:"at"` // Unix nanoseconds; all writers share one machine's clock
 	Who     string `json:"who"`
 	Ev      string `json:"ev"`
 	Request string `json:"request,omitempty"`
-	CacheOf string `json:"owner,omitempty"` // whose KV cache a handle really was
+	CacheOf string `json:"owner,omitempty"` // request whose KV cache the handle actually referred to
 	Run     string `json:"run,omitempty"`
 	Once    string `json:"once,omitempty"`
 	Tenant  string `json:"tenant,omitempty"`
@@ -26,13 +26,13 @@
 	Term    uint64 `json:"term,omitempty"`
 	Part    string `json:"part,omitempty"`
 	N       int    `json:"n,omitempty"`
-	Count   int    `json:"count,omitempty"` // pieces
-	Again   bool   `json:"again,omitempty"` // a once key sent a second time
+	Count   int    `json:"count,omitempty"` // number of pieces
+	Again   bool   `json:"again,omitempty"` // the once key was sent before
 	Warm    int64  `json:"warm_ns,omitempty"`
-	Plan    string `json:"plan,omitempty"` // a plan's id
+	Plan    string `json:"plan,omitempty"` // plan ID
 	Ver     uint64 `json:"ver,omitempty"`
 	Base    uint64 `json:"base,omitempty"`
-	Number  uint64 `json:"number,omitempty"` // that a plan's operator chose for it
+	Number  uint64 `json:"number,omitempty"` // version number that the operator chose for the plan
 	Result  string `json:"result,omitempty"`
 	Why     string `json:"why,omitempty"`
 	Took    int64  `json:"took_ns,omitempty"`
@@ -48,9 +48,9 @@
 	w  *bufio.Writer
 }
 
-// Open appends to a file; an empty path writes nowhere.
+// Open opens a file for appending. With an empty path, events are discarded.
 //
-// Example: b, err := journal.Open("run/fakeserver-1.jsonl")
+// Example: r, err := history.Open("run/fakeserver-1.jsonl")
 func Open(path string) (*Recorder, error) {
 	if path == "" {
 		return &Recorder{}, nil
@@ -62,11 +62,12 @@
 	return &Recorder{f: f, w: bufio.NewWriter(f)}, nil
 }
 
-// Put writes an event and hands it to the system, so that a kill keeps it.
+// Put writes an event and flushes it to the operating system, so that it survives a kill
+// of the process.
 //
-// Example: b.Put(journal.Event{Who: addr, Ev: "decode", Request: id})
-func (b *Recorder) Put(e Event) {
-	if b.f == nil {
+// Example: r.Put(history.Event{Who: addr, Ev: "decode", Request: id})
+func (r *Recorder) Put(e Event) {
+	if r.f == nil {
 		return
 	}
 	if e.At == 0 {
@@ -76,15 +77,16 @@
 	if err != nil {
 		panic(err)
 	}
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	_, _ = b.w.Write(append(line, '\n'))
-	_ = b.w.Flush()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	_, _ = r.w.Write(append(line, '\n'))
+	_ = r.w.Flush()
 }
 
-// Read reads a journal; a last line cut short by a kill is left out.
+// Read reads a history. It skips lines that don't parse, such as a last line truncated by
+// a kill.
 //
-// Example: events, err := journal.Read("run/fakeserver-1.jsonl")
+// Example: events, err := history.Read("run/fakeserver-1.jsonl")
 func Read(path string) ([]Event, error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/proof/script/script.go
+++ b/proof/script/script.go
@@ -1,6 +1,6 @@
-// Package script is the text that stand-in servers write: each piece follows
-// from the prompt, the request and the run, so that a client tells a
-// foreign, skipped, repeated or spliced piece by its content.
+// Package script generates the text that fake servers stream. Each piece is derived from the
+// prompt, the request and the run, so that a client detects a foreign, skipped, repeated or
+// spliced piece by its content.
 package script
 
 import (
@@ -11,7 +11,7 @@
 	"mulleinmast/traffic/serverpool"
 )
 
-// Prompt is a prompt's digest.
+// Prompt returns the digest of a prompt.
 //
 // Example: d := script.Prompt(parts)
 func Prompt(parts []serverpool.Part) uint64 {
@@ -23,7 +23,7 @@
 	return h.Sum64()
 }
 
-// Text is piece n of a run.
+// Text returns the text of piece n of a run.
 //
 // Example: if p.Text != script.Text(prompt, request, run, p.N) { wrong() }
 func Text(prompt uint64, request, run string, n int) string {
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("%012x", h.Sum64()&(1<<48-1))
 }
 
-// Prefill server checks a stream as a client does, by its content.
+// Prefill checks the content of a received stream, as a client does.
 type Prefill struct {
 	Prompt  uint64
 	Request string
@@ -41,30 +41,30 @@
 	failed  bool
 }
 
-// Next takes a piece; end says that the answer is whole, why what is wrong with
-// it, and broken that the stream was ended by an error piece.
+// Next checks the next piece. It returns end if the answer is complete, broken with the
+// error text if an error piece ended the stream, and why if the piece is wrong.
 //
-// Example: end, broken, why := r.Next(piece)
-func (r *Prefill) Next(p serverpool.Piece) (end bool, broken, why string) {
-	if r.failed {
+// Example: end, broken, why := c.Next(piece)
+func (c *Prefill) Next(p serverpool.Piece) (end bool, broken, why string) {
+	if c.failed {
 		return false, "", "a piece after an error piece"
 	}
 	if p.Error != "" {
-		r.failed = true
+		c.failed = true
 		return false, p.Error, ""
 	}
-	if r.N == 0 {
-		r.Run = p.RunID
+	if c.N == 0 {
+		c.Run = p.RunID
 	}
-	if why := p.Mismatch(r.Request, r.Run, r.N); why != "" {
+	if why := p.Mismatch(c.Request, c.Run, c.N); why != "" {
 		return false, "", why
 	}
 	if p.End {
 		return true, "", ""
 	}
-	if want := Text(r.Prompt, r.Request, r.Run, r.N); p.Text != want {
-		return false, "", fmt.Sprintf("piece %d says %q where this prompt and run make %q", r.N, p.Text, want)
+	if want := Text(c.Prompt, c.Request, c.Run, c.N); p.Text != want {
+		return false, "", fmt.Sprintf("piece %d says %q where this prompt and run make %q", c.N, p.Text, want)
 	}
-	r.N++
+	c.N++
 	return false, "", ""
 }
