--- a/proof/sim/caller.go
+++ b/proof/sim/caller.go
@@ -19,7 +19,7 @@
 
 var services = []string{"timetable", "yardnotes"}
 
-// caller is a simulated client: one request, checked by content.
+// caller is a simulated client with one request. It checks the answer by its content.
 type caller struct {
 	world    *world
 	number   int
@@ -31,29 +31,30 @@
 	broken   string
 	ended    bool
 	isRepeat bool
-	returned bool // came back when it was told to
-	inCrowd  bool // sent while requests come thick
+	returned bool // retries after the time that a refusal named
+	inCrowd  bool // sent while the request rate was raised
 	afterEnd func()
 }
 
+// share decodes the response to a call for a share.
 func share(d leadercall.Result) (sh placement.Share, ok bool) {
 	return sh, d.Status == 200 && json.Unmarshal(d.Body, &sh) == nil
 }
 
-// send hands the request to a daemon.
+// send sends the request to a daemon.
 func (c *caller) send(n *node) {
 	w := c.world
 	c.node, c.sentAt, c.inCrowd = n, w.now, w.now < w.crowdUntil && !c.isRepeat
 	c.received.Prompt = script.Prompt(c.asked.Parts)
-	w.at(w.lag(), func() {
+	w.schedule(w.lag(), func() {
 		if !n.up {
 			c.end("error", "refused", 0)
 			return
 		}
-		n.in(0, func() { c.land(0) })
+		n.schedule(0, func() { c.admit(0) })
 	})
-	w.at(c.timeout+5*time.Second, func() {
-		if c.node.awakeFrom > c.sentAt { // its daemon's machine froze meanwhile
+	w.schedule(c.timeout+5*time.Second, func() {
+		if c.node.awakeAt > c.sentAt { // its daemon was frozen since
 			c.end("silent", "no final answer from a frozen machine", 0)
 			return
 		}
@@ -61,14 +62,14 @@
 	})
 }
 
-// land is the daemon taking the request in; it waits a little for the plan.
-func (c *caller) land(waited time.Duration) {
+// admit has the daemon accept the request. It waits a limited time for a readable plan.
+func (c *caller) admit(waited time.Duration) {
 	n := c.node
 	now := n.local()
-	rec, ok := n.source(0, fleetconfig.PlanKey)
+	rec, ok := n.readUnderLease(0, fleetconfig.PlanKey)
 	if !ok && waited < min(2*c.world.cfg.VolumeLease(), c.timeout) {
 		n.waitingForPlan[c.number] = c
-		n.in(20*time.Millisecond, func() { c.land(waited + 20*time.Millisecond) })
+		n.schedule(20*time.Millisecond, func() { c.admit(waited + 20*time.Millisecond) })
 		return
 	}
 	delete(n.waitingForPlan, c.number)
@@ -82,7 +83,7 @@
 	}
 	c.received.Request = fmt.Sprintf("r%d", c.number)
 	p := fleetconfig.OpenPlan(rec)
-	c.world.jot(history.Event{Who: n.name, Ev: "serves", Plan: p.ID, Ver: p.Version})
+	c.world.writeJournal(history.Event{Who: n.name, Ev: "serves", Plan: p.ID, Ver: p.Version})
 	req, code, why := scheduler.NewPlanIndex(rec).Admit(c.asked, c.received.Request, now)
 	if code != 0 {
 		c.end("broken-request", why, 0)
@@ -91,25 +92,26 @@
 	l := n.queueOf(req.Model)
 	r := &requestState{node: n, queue: l, request: req, caller: c, calls: map[int]*call{}}
 	n.requests[req.ID] = r
-	n.do(l, l.Start(now, req))
+	n.applyOut(l, l.Start(now, req))
 }
 
-// pass brings a piece to the caller, in order.
-func (r *requestState) pass(p serverpool.Piece) {
+// deliverPiece sends a piece to the caller, in order.
+func (r *requestState) deliverPiece(p serverpool.Piece) {
 	w := r.node.world
 	r.lastArrival = max(w.now+w.lag(), r.lastArrival+1)
-	w.at(r.lastArrival-w.now, func() { r.caller.piece(p) })
-	n := r.caller.received.N // nobody is slow here: taken as it comes
+	w.schedule(r.lastArrival-w.now, func() { r.caller.piece(p) })
+	n := r.caller.received.N // simulated clients read without delay
 	r.queue.PiecesTaken(r.node.local(), r.request.ID, n+1)
 }
 
+// respond sends the final answer to the caller.
 func (r *requestState) respond(e scheduler.Answer) {
 	w := r.node.world
 	for _, c := range r.calls {
 		c.closed = true
 	}
 	r.lastArrival = max(w.now+w.lag(), r.lastArrival+1)
-	w.at(r.lastArrival-w.now, func() {
+	w.schedule(r.lastArrival-w.now, func() {
 		switch e.Result {
 		case "finish":
 		case "break", "gone":
@@ -135,6 +137,7 @@
 	}
 }
 
+// end records the outcome of the request.
 func (c *caller) end(result, why string, after int64) {
 	if c.ended {
 		return
@@ -152,7 +155,7 @@
 		kind, _, _ := strings.Cut(why, " of \"")
 		w.result.Refusals[kind]++
 	}
-	w.jot(history.Event{
+	w.writeJournal(history.Event{
 		Who: c.node.name, Ev: "reply",
 		Request: c.received.Request, Run: c.received.Run, Count: c.received.N,
 		Once: c.asked.OnceKey, Tenant: c.asked.Tenant, Result: result, Why: why,
@@ -161,7 +164,7 @@
 	if result == "silent" || result == "hung" {
 		if r := c.node.requests[c.received.Request]; r != nil && r.caller == c {
 			n, l, id := c.node, r.queue, r.request.ID
-			n.in(0, func() { n.do(l, l.ClientGone(n.local(), id)) })
+			n.schedule(0, func() { n.applyOut(l, l.ClientGone(n.local(), id)) })
 		}
 	}
 	if c.afterEnd != nil {
@@ -175,12 +178,12 @@
 	} else if w.options.Back && result == "shed" && after > 0 {
 		w.callers++
 		again := &caller{world: w, number: w.callers, timeout: c.timeout, asked: c.asked, returned: true}
-		w.at(time.Duration(after)*time.Millisecond, func() { again.send(w.pick(c.node.zone)) })
+		w.schedule(time.Duration(after)*time.Millisecond, func() { again.send(w.pickNode(c.node.zone)) })
 	}
 }
 
-// hangUp ends a killed daemon's connections.
-func (n *node) hangUp() {
+// closeConnections closes the connections of a killed daemon.
+func (n *node) closeConnections() {
 	w := n.world
 	for _, id := range sortedKeys(n.requests) {
 		r := n.requests[id]
@@ -188,7 +191,7 @@
 			c.closed = true
 		}
 		r.lastArrival = max(w.now+w.lag(), r.lastArrival+1)
-		w.at(r.lastArrival-w.now, func() { r.caller.end("broken", "connection lost", 0) })
+		w.schedule(r.lastArrival-w.now, func() { r.caller.end("broken", "connection lost", 0) })
 	}
 	n.requests = map[string]*requestState{}
 	for _, no := range slices.Sorted(maps.Keys(n.waitingForPlan)) {
@@ -197,27 +200,28 @@
 	n.waitingForPlan = map[int]*caller{}
 }
 
-// startTraffic lays out servers, operators, the platform and clients.
+// startTraffic creates the model servers and schedules operators, the platform and clients.
 func (w *world) startTraffic() {
 	w.fakeServers, w.lists, w.firstServiceShare = map[string]*fakeServer{}, map[string]fleetconfig.List{}, 0.6
 	for s, n := range w.options.Servers {
 		for i := 0; i < n; i++ {
-			w.fakeServer(services[s], fmt.Sprintf("zone-%d", i%len(w.options.Zones)))
+			w.addFakeServer(services[s], fmt.Sprintf("zone-%d", i%len(w.options.Zones)))
 		}
 	}
-	w.at(2*time.Second, w.platform)
-	w.at(2500*time.Millisecond, func() { w.sendFirstPlan() })
-	w.at(9*time.Second, w.request)
-	if w.options.Asks > 0 {
-		w.at(9*time.Second, w.askBack)
-		w.at(9*time.Second, w.order)
+	w.schedule(2*time.Second, w.pollReadiness)
+	w.schedule(2500*time.Millisecond, func() { w.sendFirstPlan() })
+	w.schedule(9*time.Second, w.sendRequest)
+	if w.options.ReadBackInterval > 0 {
+		w.schedule(9*time.Second, w.startReadBack)
+		w.schedule(9*time.Second, w.sendOrders)
 	}
-	if w.options.Orders > 0 {
-		w.at(9*time.Second, w.operate)
+	if w.options.OperatorInterval > 0 {
+		w.schedule(9*time.Second, w.runOperators)
 	}
 }
 
-func (w *world) fakeServer(svc, zone string) *fakeServer {
+// addFakeServer adds a model server to a service's list and starts it.
+func (w *world) addFakeServer(svc, zone string) *fakeServer {
 	d := &fakeServer{
 		world:    w,
 		addr:     fmt.Sprintf("10.1.0.%d:1", len(w.addrs)+1),
@@ -236,24 +240,24 @@
 	return d
 }
 
-// platform asks every daemon once a second whether it is ready.
-func (w *world) platform() {
+// pollReadiness checks once a second which daemons are ready, as the platform does.
+func (w *world) pollReadiness() {
 	w.ready = nil
 	for _, n := range w.nodes {
 		if !n.up || n.frozenUntil > w.now || !n.view.HasSession {
 			continue
 		}
-		_, a := n.source(0, fleetconfig.PlanKey)
-		_, b := n.source(0, fleetconfig.ZoneKey)
+		_, a := n.readUnderLease(0, fleetconfig.PlanKey)
+		_, b := n.readUnderLease(0, fleetconfig.ZoneKey)
 		if a && b {
 			w.ready = append(w.ready, n)
 		}
 	}
-	w.at(time.Second, w.platform)
+	w.schedule(time.Second, w.pollReadiness)
 }
 
-// pick is a ready daemon, of the given zone if there is one.
-func (w *world) pick(zone string) *node {
+// pickNode picks a random ready daemon, preferably in the given zone.
+func (w *world) pickNode(zone string) *node {
 	var near []*node
 	for _, n := range w.ready {
 		if n.zone == zone {
@@ -269,8 +273,8 @@
 	return near[w.rng.Intn(len(near))]
 }
 
-// control sends a control call through a daemon, as HTTP would.
-func (w *world) control(n *node, part int, op string, body []byte, then func(code int, rep []byte)) {
+// controlCall sends a control call through a daemon, in place of its HTTP API.
+func (w *world) controlCall(n *node, partition int, op string, body []byte, then func(code int, rep []byte)) {
 	over := false
 	end := func(code int, rep []byte) {
 		if !over {
@@ -278,21 +282,21 @@
 			then(code, rep)
 		}
 	}
-	w.at(w.lag(), func() {
+	w.schedule(w.lag(), func() {
 		if !n.up {
 			end(0, nil)
 			return
 		}
-		n.in(0, func() {
-			n.ask(part, op, body, 2*w.cfg.Bounds.Plan, func(d leadercall.Result) {
-				w.at(w.lag(), func() { end(d.Status, d.Body) })
+		n.schedule(0, func() {
+			n.askLeader(partition, op, body, 2*w.cfg.Bounds.Plan, func(d leadercall.Result) {
+				w.schedule(w.lag(), func() { end(d.Status, d.Body) })
 			})
 		})
 	})
-	w.at(10*time.Second, func() { end(leadercall.StatusUncertain, nil) })
+	w.schedule(10*time.Second, func() { end(leadercall.StatusUncertain, nil) })
 }
 
-// sendFirstPlan sends the plan and the lists until they are taken.
+// sendFirstPlan sends the first plan until it is accepted, and then the servers' lists.
 func (w *world) sendFirstPlan() {
 	p := fleetconfig.Plan{ID: "first"}
 	for i, t := range []string{"express", "regular", "bulk"} {
@@ -302,29 +306,29 @@
 		p.Services = append(p.Services, fleetconfig.Service{Name: s, PrefillServers: 1, DecodeServers: 1})
 	}
 	from := w.now
-	w.control(w.pick(""), 0, "plan", leadercall.Pack(p), func(code int, rep []byte) {
+	w.controlCall(w.pickNode(""), 0, "plan", leadercall.Pack(p), func(code int, rep []byte) {
 		w.recordVerdict("first", 0, from, code, rep)
 		if code != 200 {
-			w.at(500*time.Millisecond, w.sendFirstPlan)
+			w.schedule(500*time.Millisecond, w.sendFirstPlan)
 			return
 		}
 		for _, s := range services {
-			w.list(s, nil)
+			w.sendServerList(s, nil)
 		}
 	})
 }
 
-// recordVerdict writes down what an operator was told.
+// recordVerdict records the answer that an operator received.
 func (w *world) recordVerdict(id string, base uint64, from time.Duration, code int, rep []byte) {
 	v := verdict(rep)
 	if v.Result == "taken" && w.options.Sabotage == "sayno" && w.rng.Intn(3) == 0 {
-		v.Result = "beaten" // told no, and it is in force
+		v.Result = "beaten" // answers that the plan was refused although it was accepted
 	}
 	if v.Result == "" && code != 0 {
 		v.Result = "unheard"
 	}
 	if v.Result != "" && code != 0 {
-		w.jot(history.Event{
+		w.writeJournal(history.Event{
 			Who: "operator", Ev: "plan", Plan: id, Base: base, Ver: v.Version, Result: v.Result,
 			Took: max(1, int64(w.now-from)),
 		})
@@ -335,14 +339,15 @@
 	}
 }
 
-// verdict reads an answer to a plan; none where there is none.
+// verdict decodes the answer to a plan; it is empty if there is none.
 func verdict(rep []byte) (v fleetconfig.Verdict) {
 	_ = json.Unmarshal(rep, &v)
 	return v
 }
 
-// list sends a service's servers until the list is taken.
-func (w *world) list(svc string, then func(bool)) {
+// sendServerList sends a service's server list until it is accepted, refused with a
+// conflict, or out of tries.
+func (w *world) sendServerList(svc string, then func(bool)) {
 	l := w.lists[svc]
 	l.Version++
 	w.lists[svc] = l
@@ -352,8 +357,8 @@
 	}{svc, l})
 	var send func(tries int)
 	send = func(tries int) {
-		part := fleetconfig.PartitionOf(svc, w.options.Partitions)
-		w.control(w.pick(""), part, "servers", body, func(code int, rep []byte) {
+		partition := fleetconfig.PartitionOf(svc, w.options.Partitions)
+		w.controlCall(w.pickNode(""), partition, "servers", body, func(code int, rep []byte) {
 			w.trace("LIST %s version %d: %d %s; leaving %v", svc, l.Version, code, rep, leavers(l))
 			switch {
 			case code == 200:
@@ -365,23 +370,24 @@
 					then(false)
 				}
 			default:
-				w.at(300*time.Millisecond, func() { send(tries - 1) })
+				w.schedule(300*time.Millisecond, func() { send(tries - 1) })
 			}
 		})
 	}
 	send(30)
 }
 
-// request sends one request of the mix, and its once key a second time.
-func (w *world) request() {
+// sendRequest sends a random request. If it has a once key, a second request with the same
+// key follows.
+func (w *world) sendRequest() {
 	if w.now > w.options.Length-9*time.Second {
 		return
 	}
-	mean := w.options.Calls
+	mean := w.options.RequestInterval
 	if w.now < w.crowdUntil {
 		mean /= 12
 	}
-	w.at(w.exp(mean), w.request)
+	w.schedule(w.exp(mean), w.sendRequest)
 	svc := services[0]
 	if w.rng.Float64() > w.firstServiceShare {
 		svc = services[1]
@@ -399,21 +405,22 @@
 		},
 	}}
 	zone := w.nodes[w.rng.Intn(len(w.nodes))].zone
-	to := w.pick(zone)
+	to := w.pickNode(zone)
 	if w.rng.Intn(5) < 2 {
 		c.asked.OnceKey = fmt.Sprintf("k%d", c.number)
 		w.callers++
 		twin := &caller{world: w, number: w.callers, timeout: timeout, asked: c.asked, isRepeat: true}
-		other := w.pick("")
-		if w.rng.Intn(3) == 0 { // while the first may be under way
-			w.at(w.exp(60*time.Millisecond), func() { twin.send(other) })
+		other := w.pickNode("")
+		if w.rng.Intn(3) == 0 { // while the first may still be running
+			w.schedule(w.exp(60*time.Millisecond), func() { twin.send(other) })
 		} else {
-			c.afterEnd = func() { w.at(w.exp(200*time.Millisecond), func() { twin.send(other) }) }
+			c.afterEnd = func() { w.schedule(w.exp(200*time.Millisecond), func() { twin.send(other) }) }
 		}
 	}
 	c.send(to)
 }
 
+// leavers returns the addresses of the servers marked as leaving.
 func leavers(l fleetconfig.List) (out []string) {
 	for _, s := range l.Servers {
 		if s.Leaving {
--- a/proof/sim/check.go
+++ b/proof/sim/check.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// The checker knows the users' rules and the history, nothing of the code.
-// Every write appends its own tag to the list of tags under a key.
+// The checker uses only the users' rules and the history; it is independent of the code
+// under test. Every write appends a unique tag to the list of tags under a key.
 
-// Kind is what happened.
+// Kind is the kind of an event in a history.
 type Kind uint8
 
 // The kinds of events.
 const (
-	Asked  Kind = iota // a write was asked for
-	Yes                // its writer was told that it is in force
-	Never              // its writer was told that it is not and never will be
-	Maybe              // its writer was told that nobody knows
-	Served             // a daemon used a record
-	Owning             // a daemon took itself for a part's leader
-	Silent             // nothing was served though the fleet had long been whole
+	WriteRequested    Kind = iota // a write was requested
+	WriteAcknowledged             // the writer was told that the write is committed
+	WriteRejected                 // the writer was told that the write will never be committed
+	WriteUncertain                // the writer was told that the outcome is unknown
+	RecordServed                  // a daemon read a record under valid leases
+	LeaderObserved                // a daemon considered itself a partition's leader
+	CheckFailed                   // a check outside this checker failed; the tag is its message
 )
 
 // Event is one line of a history.
@@ -34,17 +34,17 @@
 	Tags      []string
 }
 
-// maxBreaches is how many breaches of rules are named at most before the check ends.
+// maxBreaches is the number of rule violations after which the check ends.
 const maxBreaches = 20
 
-// Check names the rules that a history breaks.
+// Check returns a message for each violation of a rule in a history.
 //
 // Example: for _, b := range sim.Check(history) { t.Error(b) }
 func Check(events []Event) []string {
 	c := &checker{keys: map[string]*keyState{}, leaders: map[int]Event{}}
-	// A tag that was refused may have been served before the refusal.
+	// Refusals are collected first, since a refused tag may be served before its refusal.
 	for _, e := range events {
-		if e.Kind == Never {
+		if e.Kind == WriteRejected {
 			c.key(e.Key).refused[e.Tag] = true
 		}
 	}
@@ -57,20 +57,20 @@
 	return c.breaches
 }
 
-// checker is what the events so far say.
+// checker holds the state derived from the events so far.
 type checker struct {
 	keys     map[string]*keyState
-	leaders  map[int]Event // the last that took itself for the leader, by partition
+	leaders  map[int]Event // the last daemon that considered itself the leader, by partition
 	breaches []string
 }
 
-// keyState is what the events so far say of one key.
+// keyState holds the state of one key derived from the events so far.
 type keyState struct {
 	asked     map[string]bool
-	inForce   map[string]time.Duration // since when, by tag
+	inForce   map[string]time.Duration // time of the acknowledgement, by tag
 	refused   map[string]bool          // by tag, over the whole history
-	longest   []string                 // list of tags served so far
-	longestBy string                   // the daemon that served it
+	longest   []string                 // the longest list of tags served so far
+	longestBy string                   // the daemon that served that list
 }
 
 func (c *checker) key(key string) *keyState {
@@ -80,39 +80,40 @@
 	return c.keys[key]
 }
 
-// breach names a rule that an event breaks.
-func (c *checker) breach(e Event, how string, args ...any) {
-	c.breaches = append(c.breaches, fmt.Sprintf("%v: %s ", e.At, e.Node)+fmt.Sprintf(how, args...))
+// breach records that an event violates a rule.
+func (c *checker) breach(e Event, format string, args ...any) {
+	c.breaches = append(c.breaches, fmt.Sprintf("%v: %s ", e.At, e.Node)+fmt.Sprintf(format, args...))
 }
 
 func (c *checker) checkEvent(e Event) {
 	state := c.key(e.Key)
 	switch e.Kind {
-	case Asked:
+	case WriteRequested:
 		state.asked[e.Tag] = true
-	case Yes:
+	case WriteAcknowledged:
 		state.inForce[e.Tag] = e.At
-	case Silent:
+	case CheckFailed:
 		c.breach(e, "%s", e.Tag)
-	case Owning:
+	case LeaderObserved:
 		c.checkLeader(e)
-	case Served:
+	case RecordServed:
 		c.checkTags(state, e)
 		c.checkOrder(state, e)
 	}
 }
 
-// checkLeader looks whether two daemons take themselves for a partition's leader at once.
+// checkLeader checks that no two daemons consider themselves a partition's leader at the
+// same time.
 func (c *checker) checkLeader(e Event) {
 	if other, ok := c.leaders[e.Partition]; ok && other.At == e.At && other.Node != e.Node {
 		c.breaches = append(c.breaches,
-			fmt.Sprintf("%v: %s and %s both own partition %d", e.At, other.Node, e.Node, e.Partition))
+			fmt.Sprintf("%v: %s and %s both lead partition %d", e.At, other.Node, e.Node, e.Partition))
 	}
 	c.leaders[e.Partition] = e
 }
 
-// checkTags looks whether what is served has each tag once, those that were asked for and
-// not refused only, and all that are in force.
+// checkTags checks that a served list has every acknowledged tag, no tag twice, and only tags
+// that were requested and not refused.
 func (c *checker) checkTags(state *keyState, e Event) {
 	served := map[string]bool{}
 	for _, tag := range e.Tags {
@@ -121,7 +122,7 @@
 		}
 		served[tag] = true
 		if !state.asked[tag] {
-			c.breach(e, "serves %q with %s, which nobody asked for", e.Key, tag)
+			c.breach(e, "serves %q with %s, which was never requested", e.Key, tag)
 		}
 		if state.refused[tag] {
 			c.breach(e, "serves %q with %s, which was refused", e.Key, tag)
@@ -129,12 +130,12 @@
 	}
 	for tag, since := range state.inForce {
 		if !served[tag] {
-			c.breach(e, "serves %q without %s, in force since %v", e.Key, tag, since)
+			c.breach(e, "serves %q without %s, acknowledged at %v", e.Key, tag, since)
 		}
 	}
 }
 
-// checkOrder looks whether what is served goes on from the longest list served so far.
+// checkOrder checks that a served list extends the longest list served so far.
 func (c *checker) checkOrder(state *keyState, e Event) {
 	short, long := state.longest, e.Tags
 	if len(short) > len(long) {
--- a/proof/sim/codec.go
+++ b/proof/sim/codec.go
@@ -8,12 +8,12 @@
 	"mulleinmast/control/lease"
 )
 
-// tailCodec stands for the daemon's codec, for values as short as the simulator's: a
-// patch is the length that both values begin alike with, a checksum of the later
-// one, and its rest.
+// tailCodec replaces the daemon's codec for the short values of the simulator. A patch
+// holds the length of the common prefix, a checksum of the new value, and the bytes of the
+// new value after that prefix.
 type tailCodec struct{}
 
-var errBase = errors.New("made from another value")
+var errBase = errors.New("patch does not match the base value")
 
 const tailHead = 4 + 8
 
@@ -23,7 +23,7 @@
 	return h.Sum64()
 }
 
-// Patch gives what turns one value into another.
+// Patch returns a patch that turns one value into another.
 //
 // Example: tailCodec{}.Patch([]byte("ab"), []byte("abc"))
 func (tailCodec) Patch(from, to []byte) []byte {
@@ -36,7 +36,7 @@
 	return append(out, to[n:]...)
 }
 
-// Apply gives the value that a patch was made for.
+// Apply returns the value that a patch produces.
 //
 // Example: val, err := tailCodec{}.Apply([]byte("ab"), patch)
 func (tailCodec) Apply(from, patch []byte) ([]byte, error) {
@@ -54,50 +54,50 @@
 	return val, nil
 }
 
-// Whole gives a value as it is.
+// Whole returns a value unchanged.
 //
 // Example: tailCodec{}.Whole(val)
 func (tailCodec) Whole(val []byte) []byte { return val }
 
-// codec is how records go down the tree in this run.
+// codec returns the codec for records sent down the lease tree; nil: records are sent in full.
 func (w *world) codec() lease.Codec {
 	switch {
-	case w.options.Wholes:
+	case w.options.FullRecords:
 		return nil
 	case w.options.Sabotage == "blindpatch":
 		return blindCodec{}
 	case w.options.Sabotage == "spoiltpatch":
-		return spoiltCodec{}
+		return truncatingCodec{}
 	}
 	return tailCodec{}
 }
 
-// spoiltCodec loses the last bytes of every second patch on its way.
-type spoiltCodec struct{ tailCodec }
+// truncatingCodec truncates some of the patches before they are applied.
+type truncatingCodec struct{ tailCodec }
 
-// Apply gets a patch that was cut short.
+// Apply applies a patch that may be truncated.
 //
-// Example: _, err := spoiltCodec{}.Apply(from, patch)
-func (c spoiltCodec) Apply(from, patch []byte) ([]byte, error) {
-	return c.tailCodec.Apply(from, cutShort(patch))
+// Example: _, err := truncatingCodec{}.Apply(from, patch)
+func (c truncatingCodec) Apply(from, patch []byte) ([]byte, error) {
+	return c.tailCodec.Apply(from, truncated(patch))
 }
 
-// blindCodec keeps the earlier value for the later one where a patch is spoilt: the
-// fault that the sums are there for.
+// blindCodec treats the old value as the new one if a patch is truncated: the fault that
+// the checksums guard against.
 type blindCodec struct{ tailCodec }
 
-// Apply takes a patch that can't be applied for one that changes nothing.
+// Apply treats a patch that can't be applied as one that changes nothing.
 //
 // Example: val, _ := blindCodec{}.Apply(from, patch)
 func (c blindCodec) Apply(from, patch []byte) ([]byte, error) {
-	val, err := c.tailCodec.Apply(from, cutShort(patch))
+	val, err := c.tailCodec.Apply(from, truncated(patch))
 	if err != nil {
 		return from, nil
 	}
 	return val, nil
 }
 
-func cutShort(patch []byte) []byte {
+func truncated(patch []byte) []byte {
 	if patch[len(patch)-1]%2 == 0 || len(patch)%2 == 0 {
 		return patch
 	}
--- a/proof/sim/copies.go
+++ b/proof/sim/copies.go
@@ -9,11 +9,11 @@
 	"mulleinmast/wire/message"
 )
 
-// Copies of folders: a disk is copied at any moment, also while its daemon runs, and
-// later the copy is put in the place of what the disk holds, or started beside it
-// under the same identity. It counts as the loss of a disk.
+// Copies of data folders: a disk may be copied at any time, also while its daemon runs.
+// Later the copy replaces the disk's contents, or a second daemon starts from it under the
+// same identity. Either counts as the loss of a disk.
 
-// clone is a folder as it is now.
+// clone returns a copy of a folder's current state.
 func (f *folder) clone() *folder {
 	out := &folder{
 		ident:         f.ident,
@@ -22,7 +22,7 @@
 		records:       map[int]map[string]message.Record{},
 		recordSums:    maps.Clone(f.recordSums),
 		partitionSums: maps.Clone(f.partitionSums),
-		rotten:        f.rotten,
+		corrupted:     f.corrupted,
 	}
 	for p, recs := range f.records {
 		out.records[p] = maps.Clone(recs)
@@ -30,8 +30,8 @@
 	return out
 }
 
-// latest is the stamp of a folder's state.
-func (f *folder) latest() (s message.SavePoint) {
+// latestSave returns the newest save point in a folder.
+func (f *folder) latestSave() (s message.SavePoint) {
 	for _, m := range f.metaOf {
 		if later(m.State, s) {
 			s = m.State
@@ -40,7 +40,7 @@
 	return s
 }
 
-// later tells whether one state of a folder came after another.
+// later reports whether save point a comes after b.
 func later(a, b message.SavePoint) bool {
 	return incarnation.Starts(a.Epoch) > incarnation.Starts(b.Epoch) || a.Epoch == b.Epoch && a.Saves > b.Saves
 }
@@ -53,46 +53,46 @@
 	if len(n.disk.metaOf) == 0 {
 		return
 	}
-	kept := n.disk.clone()
-	w.at(time.Second+w.exp(6*time.Second), func() { w.startCopy(n, kept, beside, 40) })
+	diskCopy := n.disk.clone()
+	w.schedule(time.Second+w.exp(6*time.Second), func() { w.startCopy(n, diskCopy, beside, 40) })
 }
 
-// startCopy starts an older copy once all others know of a later state of its
-// identity; that is all that the replicas' guard asks for.
-func (w *world) startCopy(n *node, kept *folder, beside bool, tries int) {
-	if w.calm || w.diskLost || n.removed || n.disk == nil || n.disk.ident != kept.ident || tries == 0 {
+// startCopy starts an older copy once all other voters know a later state of its identity,
+// which is the condition under which the incarnation guard must detect the copy.
+func (w *world) startCopy(n *node, diskCopy *folder, beside bool, tries int) {
+	if w.faultsEnded || w.diskLost || n.removed || n.disk == nil || n.disk.ident != diskCopy.ident || tries == 0 {
 		return
 	}
-	if !w.outrun(n, kept) {
-		w.at(250*time.Millisecond, func() { w.startCopy(n, kept, beside, tries-1) })
+	if !w.othersKnowLater(n, diskCopy) {
+		w.schedule(250*time.Millisecond, func() { w.startCopy(n, diskCopy, beside, tries-1) })
 		return
 	}
 	w.diskLost = true
 	if beside {
 		w.result.Faults["copybeside"]++
 		w.trace("FAULT copy of %s beside it", n.name)
-		m := w.add(n.zone, true, len(w.nodes))
-		m.disk = kept
+		m := w.addNode(n.zone, true, len(w.nodes))
+		m.disk = diskCopy
 		m.start()
 		return
 	}
 	w.result.Faults["copyback"]++
 	w.trace("FAULT older copy at %s", n.name)
 	n.kill()
-	n.disk = kept
+	n.disk = diskCopy
 	w.startLater(n)
 }
 
-// outrun tells whether every other voter has on its disk that a machine came
-// further than a copy of its folder.
-func (w *world) outrun(n *node, kept *folder) bool {
-	if w.options.Sabotage == "unguarded" { // nobody hears of anything
+// othersKnowLater reports whether every other voter's disk records a later state of a
+// daemon than the copy of its folder has.
+func (w *world) othersKnowLater(n *node, diskCopy *folder) bool {
+	if w.options.Sabotage == "unguarded" { // no replica knows the others' incarnations
 		return true
 	}
-	was := kept.latest()
+	copied := diskCopy.latestSave()
 	for p, m := range n.disk.metaOf {
 		for _, r := range m.Group.All() {
-			if r.Ident != kept.ident && !w.heardOf(r.Ident, p, kept.ident, was) {
+			if r.Ident != diskCopy.ident && !w.knowsLater(r.Ident, p, diskCopy.ident, copied) {
 				return false
 			}
 		}
@@ -100,8 +100,8 @@
 	return true
 }
 
-// heardOf tells whether a voter's disk has a later state of another one.
-func (w *world) heardOf(voter string, p int, of string, than message.SavePoint) bool {
+// knowsLater reports whether a voter's disk records a later state of another replica.
+func (w *world) knowsLater(voter string, p int, of string, than message.SavePoint) bool {
 	for _, n := range w.nodes {
 		if n.disk == nil || n.disk.ident != voter {
 			continue
@@ -115,15 +115,15 @@
 	return false
 }
 
-// superseded has a daemon that lost its voice end and start empty, as the real one
-// does.
+// superseded stops a superseded daemon and restarts it with an empty disk, as the
+// production daemon does.
 func (n *node) superseded(why string) {
 	w := n.world
 	w.trace("%s is superseded: %s", n.name, why)
 	w.result.Superseded++
-	life := n.starts
-	w.at(50*time.Millisecond, func() {
-		if n.starts == life && n.up {
+	starts := n.starts
+	w.schedule(50*time.Millisecond, func() {
+		if n.starts == starts && n.up {
 			n.kill()
 			n.disk = nil
 			w.startLater(n)
@@ -131,7 +131,7 @@
 	})
 }
 
-// metas are what a folder's replicas hold.
+// metas returns the metadata of all replicas in a folder.
 func (f *folder) metas() (out []quorum.Meta) {
 	for _, m := range f.metaOf {
 		out = append(out, m)
--- a/proof/sim/cutoff.go
+++ b/proof/sim/cutoff.go
@@ -9,79 +9,79 @@
 	"mulleinmast/wire/message"
 )
 
-// patience is how long a daemon waits to read the plan back, as platform does.
-const patience = 900 * time.Millisecond
+// readBackTimeout is how long a daemon tries to read the plan back, as in package platform.
+const readBackTimeout = 900 * time.Millisecond
 
-// askBack reads the plan back at any daemon, one that is cut off or not.
-func (w *world) askBack() {
+// startReadBack reads the plan back at a random daemon, which may be cut off.
+func (w *world) startReadBack() {
 	if w.now > w.options.Length-6*time.Second {
 		return
 	}
-	w.at(w.exp(w.options.Asks), w.askBack)
+	w.schedule(w.exp(w.options.ReadBackInterval), w.startReadBack)
 	n, start := w.nodes[w.rng.Intn(len(w.nodes))], w.now
-	w.at(w.lag(), func() {
+	w.schedule(w.lag(), func() {
 		if n.up {
-			n.in(0, func() { n.readBack(start, w.now+patience) })
+			n.schedule(0, func() { n.readBack(start, w.now+readBackTimeout) })
 		}
 	})
 }
 
 func (n *node) readBack(start, until time.Duration) {
 	w := n.world
-	rec, ok := n.planBack()
+	rec, ok := n.readPlan()
 	switch {
 	case ok && !rec.Deleted:
 		p := fleetconfig.OpenPlan(rec)
-		w.at(w.lag(), func() {
+		w.schedule(w.lag(), func() {
 			w.result.Plans["read back"]++
-			w.jot(history.Event{Who: n.name, Ev: "readback", Plan: p.ID, Ver: p.Version, Took: int64(w.now - start)})
+			w.writeJournal(history.Event{Who: n.name, Ev: "readback", Plan: p.ID, Ver: p.Version, Took: int64(w.now - start)})
 		})
 	case w.now < until:
-		n.in(25*time.Millisecond, func() { n.readBack(start, until) })
+		n.schedule(25*time.Millisecond, func() { n.readBack(start, until) })
 	default:
 		w.result.Plans["not read back"]++
 	}
 }
 
-// planBack is the plan under leases, unless sabotaged.
-func (n *node) planBack() (message.Record, bool) {
-	sec, now := n.partition(0), n.local()
-	rec, ok := sec.Node.Get(now, fleetconfig.PlanKey)
+// readPlan returns the plan if leases allow it to be read, or a sabotage does.
+func (n *node) readPlan() (message.Record, bool) {
+	part, now := n.partition(0), n.local()
+	rec, ok := part.Node.Get(now, fleetconfig.PlanKey)
 	switch {
 	case ok:
 	case n.world.options.Sabotage == "lastread":
-		rec, _, ok = sec.Node.LastKnown(now, fleetconfig.PlanKey)
-	case n.world.options.Sabotage == "afterlease" && n.tookItselfForLeader():
-		rec, ok = sec.Replica.Records().Get(fleetconfig.PlanKey)
+		rec, _, ok = part.Node.LastKnown(now, fleetconfig.PlanKey)
+	case n.world.options.Sabotage == "afterlease" && n.votedForItself():
+		rec, ok = part.Replica.Records().Get(fleetconfig.PlanKey)
 	}
 	return rec, ok
 }
 
-// tookItselfForLeader tells whether this daemon took itself for the leader of the configuration
-// last, whatever its lease.
-func (n *node) tookItselfForLeader() bool {
+// votedForItself reports whether the last vote of this daemon for the configuration's leader
+// was for itself, regardless of its lease.
+func (n *node) votedForItself() bool {
 	return n.partition(0).Replica != nil && n.partition(0).Replica.Meta().VotedFor == n.ident
 }
 
-// order sends a change on top of the newest plan that the operator knows of, to
-// any daemon; at times another operator sends one on the same base.
-func (w *world) order() {
+// sendOrders sends a change based on the newest plan version that the operator knows to a
+// random daemon. Half the time another operator sends one on the same base.
+func (w *world) sendOrders() {
 	if w.now > w.options.Length-6*time.Second {
 		return
 	}
-	w.at(w.exp(w.options.Orders), w.order)
+	w.schedule(w.exp(w.options.OperatorInterval), w.sendOrders)
 	for range 1 + w.rng.Intn(2) {
-		w.set(w.nodes[w.rng.Intn(len(w.nodes))], w.knownVersion, 4)
+		w.sendChange(w.nodes[w.rng.Intn(len(w.nodes))], w.knownVersion, 4)
 	}
 }
 
-// answersFromCache is the sabotage of a daemon that isn't the leader and refuses
-// a change by the plan that it knows.
+// answersFromCache is the sabotage of a daemon that isn't the leader and refuses a change
+// because of the plan that it knows. It reports whether it answered the call.
 func (w *world) answersFromCache(to *node, m message.Message) bool {
 	if w.options.Sabotage != "cachedno" || m.Kind != message.KindCall || m.Op != "changes" {
 		return false
 	}
-	if to.controllers[0].IsLeader(to.local()) || !to.tookItselfForLeader() {
+	if to.controllers[0].IsLeader(to.local()) || !to.votedForItself() {
 		return false
 	}
 	rec, ok := to.partition(0).Replica.Records().Get(fleetconfig.PlanKey)
@@ -95,11 +95,11 @@
 	return true
 }
 
-// cutCore cuts a control daemon off from the rest of the core, the leader of the
-// configuration as often as not: both ways, or its words only, or its ears. The
-// daemons below it still reach it. One of them may start anew meanwhile and know
-// only that machine.
-func (w *world) cutCore(oneWay bool) {
+// cutControlDaemon cuts one control daemon off from the others, preferably the leader of
+// the configuration. It cuts both directions or, with oneWay set, a random one. Daemons
+// without a disk still reach it; one of them may restart during the cut with that control
+// daemon as its only seed.
+func (w *world) cutControlDaemon(oneWay bool) {
 	var core []*node
 	for _, m := range w.nodes {
 		if m.hasDisk && !m.removed {
@@ -117,32 +117,32 @@
 		out = w.rng.Intn(2) == 0
 		in = !out
 	}
-	var made [][2]string
+	var links [][2]string
 	for _, m := range core {
 		if m != n && out {
-			made = append(made, [2]string{n.name, m.name})
+			links = append(links, [2]string{n.name, m.name})
 		}
 		if m != n && in {
-			made = append(made, [2]string{m.name, n.name})
+			links = append(links, [2]string{m.name, n.name})
 		}
 	}
-	w.sever(made, func(f func()) { w.at(2*time.Second+min(w.exp(5*time.Second), 20*time.Second), f) })
+	w.sever(links, func(f func()) { w.schedule(2*time.Second+min(w.exp(5*time.Second), 20*time.Second), f) })
 	if m := w.nodes[w.rng.Intn(len(w.nodes))]; !m.hasDisk && m.up {
 		m.kill()
 		m.onlySeed = n.addr
-		w.at(time.Second+w.exp(time.Second), m.start)
+		w.schedule(time.Second+w.exp(time.Second), m.start)
 	}
 }
 
-// healed brings what a cut held up, once it has healed.
-func (w *world) healed() {
+// deliverHeldMessages delivers the messages held up by cuts that have healed.
+func (w *world) deliverHeldMessages() {
 	var rest []heldMessage
 	for _, h := range w.heldMessages {
 		if w.cutLinks[[2]string{h.from.name, h.to.name}] {
 			rest = append(rest, h)
 			continue
 		}
-		w.at(w.exp(50*time.Millisecond), func() { w.arrive(h.to, h.message) })
+		w.schedule(w.exp(50*time.Millisecond), func() { w.arrive(h.to, h.message) })
 	}
 	w.heldMessages = rest
 }
--- a/proof/sim/fakeserver.go
+++ b/proof/sim/fakeserver.go
@@ -13,8 +13,8 @@
 	"mulleinmast/traffic/serverpool"
 )
 
-// fakeServer is a simulated model server. It checks nothing that the fleet is to
-// check: a decode server takes up whatever cache a handle leads to.
+// fakeServer is a simulated model server. It makes none of the checks that are the fleet's
+// task: a decode server uses whatever cache a handle refers to.
 type fakeServer struct {
 	world             *world
 	addr              string
@@ -36,14 +36,14 @@
 	connections       map[*connection]bool
 	leaving           bool
 	leavingSeen       bool
-	cross             bool // answers are crossed: somebody else's handle comes back
-	breaks            bool // streams break
-	drops             bool // streams break before their first piece
+	cross             bool // prefill answers carry another request's handle
+	breaks            bool // streams break off after some pieces
+	drops             bool // streams break off before their first piece
 	skip              bool // a piece is left out
-	twice             bool // a piece comes twice
+	twice             bool // a piece is sent twice
 	slow              int
 	linkDelay         time.Duration
-	lapseAll          bool
+	expired           bool
 }
 
 type cache struct {
@@ -54,10 +54,10 @@
 
 func addrOf(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
 
-// lag is the time on the wire between a daemon and a server or a client.
+// lag returns a random network delay between a daemon and a server or client.
 func (w *world) lag() time.Duration { return 100*time.Microsecond + w.exp(300*time.Microsecond) }
 
-func (d *fakeServer) jot(e history.Event) { e.Who = d.addr; d.world.jot(e) }
+func (d *fakeServer) writeJournal(e history.Event) { e.Who = d.addr; d.world.writeJournal(e) }
 
 func (d *fakeServer) boot() {
 	if d.up || d.removed {
@@ -68,7 +68,7 @@
 	d.startedAt, d.role, d.term, d.orderNumber, d.busy = d.world.now, "", 0, 0, 0
 	d.caches, d.cachedPrefixes = map[string]cache{}, map[uint64]bool{}
 	d.links, d.connections = map[string]int{}, map[*connection]bool{}
-	d.jot(history.Event{Ev: "boot", N: d.capacity, Zone: d.zone, Warm: int64(d.warmUp)})
+	d.writeJournal(history.Event{Ev: "boot", N: d.capacity, Zone: d.zone, Warm: int64(d.warmUp)})
 }
 
 func (d *fakeServer) crash() {
@@ -81,20 +81,20 @@
 	}
 }
 
-// in runs f in this life of the server.
-func (d *fakeServer) in(t time.Duration, f func()) {
-	life := d.starts
-	d.world.at(t*time.Duration(max(1, d.slow)), func() {
-		if d.up && d.starts == life {
+// schedule runs f after t, unless the server crashes or restarts before.
+func (d *fakeServer) schedule(t time.Duration, f func()) {
+	starts := d.starts
+	d.world.schedule(t*time.Duration(max(1, d.slow)), func() {
+		if d.up && d.starts == starts {
 			f()
 		}
 	})
 }
 
 func (d *fakeServer) usage() placement.Usage {
-	if d.leaving != d.leavingSeen { // the moment that the first daemon knows
+	if d.leaving != d.leavingSeen { // from here on a daemon knows
 		d.leavingSeen = d.leaving
-		d.jot(history.Event{Ev: map[bool]string{true: "leaving", false: "staying"}[d.leavingSeen]})
+		d.writeJournal(history.Event{Ev: map[bool]string{true: "leaving", false: "staying"}[d.leavingSeen]})
 	}
 	links := map[string]int{}
 	for a, ms := range d.links {
@@ -110,11 +110,12 @@
 	}
 }
 
-func (d *fakeServer) ordered(holder string, o placement.Order) bool {
+// applyOrder applies a placement order and reports whether it was newer than the last one.
+func (d *fakeServer) applyOrder(holder string, o placement.Order) bool {
 	if !d.up || d.dark {
 		return false
 	}
-	d.jot(history.Event{Ev: "order", Holder: holder, Term: o.Term, Part: o.Role, Why: o.Reason})
+	d.writeJournal(history.Event{Ev: "order", Holder: holder, Term: o.Term, Part: o.Role, Why: o.Reason})
 	if o.Term < d.term || o.Term == d.term && o.Number <= d.orderNumber {
 		return false
 	}
@@ -122,11 +123,11 @@
 	return true
 }
 
-// enter takes a slot for a part, or says why not.
-func (d *fakeServer) enter(part string) string {
+// takeSlot takes a slot for a role, or returns the reason why it can't.
+func (d *fakeServer) takeSlot(role string) string {
 	switch {
-	case d.role != part:
-		return "not a " + part
+	case d.role != role:
+		return "not a " + role
 	case d.busy >= d.capacity:
 		return "full"
 	}
@@ -134,25 +135,26 @@
 	return ""
 }
 
-func (d *fakeServer) away(l *connection, out serverpool.Outcome, part, why string) {
+// refuse records a refusal and answers the call with it.
+func (d *fakeServer) refuse(l *connection, out serverpool.Outcome, role, why string) {
 	word := "shed"
 	if out == serverpool.HandleLost {
 		word = "lapsed"
 	}
-	d.jot(history.Event{Ev: word, Part: part, Request: l.act.RequestID, Why: why})
+	d.writeJournal(history.Event{Ev: word, Part: role, Request: l.act.RequestID, Why: why})
 	l.end(out, why)
 }
 
-// lets takes a call in, or says why not; a dark server says nothing.
-func (d *fakeServer) lets(l *connection, part string) bool {
+// accept accepts a call, or refuses it with a reason. A dark server doesn't answer.
+func (d *fakeServer) accept(l *connection, role string) bool {
 	if !d.up {
 		l.end(serverpool.Lost, "connection lost")
 	}
 	if !d.up || d.dark {
 		return false
 	}
-	if why := d.enter(part); why != "" {
-		d.away(l, serverpool.Refused, part, why)
+	if why := d.takeSlot(role); why != "" {
+		d.refuse(l, serverpool.Refused, role, why)
 		return false
 	}
 	d.connections[l] = true
@@ -160,10 +162,10 @@
 }
 
 func (d *fakeServer) prefill(l *connection, p serverpool.PrefillRequest) {
-	if !d.lets(l, placement.Prefill) {
+	if !d.accept(l, placement.Prefill) {
 		return
 	}
-	d.jot(history.Event{Ev: "prefill", Request: p.Request, Term: p.Term, N: d.busy})
+	d.writeJournal(history.Event{Ev: "prefill", Request: p.Request, Term: p.Term, N: d.busy})
 	t, cached := 2*time.Millisecond, 0
 	for i, c := range p.PrefixHashes {
 		if d.cachedPrefixes[c] {
@@ -172,7 +174,7 @@
 			t += time.Duration(len(p.Parts[i].Text)) * 100 * time.Microsecond
 		}
 	}
-	d.in(t, func() {
+	d.schedule(t, func() {
 		d.busy--
 		delete(d.connections, l)
 		for _, c := range p.PrefixHashes {
@@ -197,8 +199,8 @@
 	})
 }
 
-// twin is another decode server of the same service.
-func (d *fakeServer) twin() *fakeServer {
+// otherDecodeServer returns another running decode server of the same service; nil: none.
+func (d *fakeServer) otherDecodeServer() *fakeServer {
 	for _, a := range d.world.addrs {
 		if o := d.world.fakeServers[a]; o != d && o.service == d.service && o.up && o.role == placement.Decode {
 			return o
@@ -208,7 +210,7 @@
 }
 
 func (d *fakeServer) decode(l *connection, p serverpool.DecodeRequest) {
-	if !d.lets(l, placement.Decode) {
+	if !d.accept(l, placement.Decode) {
 		return
 	}
 	r := d.world.fakeServers[p.Handle.PrefillServer]
@@ -216,32 +218,33 @@
 	if r.zone != d.zone {
 		link += time.Millisecond
 	}
-	d.in(link, func() {
+	d.schedule(link, func() {
 		kv, ok := r.caches[p.Handle.ID]
-		if !ok || !r.up || r.dark || r.lapseAll {
+		if !ok || !r.up || r.dark || r.expired {
 			d.busy--
 			delete(d.connections, l)
-			d.away(l, serverpool.HandleLost, placement.Decode, "no such handle")
+			d.refuse(l, serverpool.HandleLost, placement.Decode, "no such handle")
 			return
 		}
 		d.links[r.addr] = int(link.Milliseconds())
-		d.jot(history.Event{
+		d.writeJournal(history.Event{
 			Ev: "decode", Request: p.Handle.Request, CacheOf: kv.request, Run: p.RunID, Once: p.OnceKey,
 			Term: p.Term, N: d.busy,
 		})
 		seen := 0
-		d.step(l, p, kv, 0, &seen)
+		d.streamPieces(l, p, kv, 0, &seen)
 	})
 }
 
-// step writes one piece and goes on; a daemon that hung up ends the run.
-func (d *fakeServer) step(l *connection, p serverpool.DecodeRequest, kv cache, i int, seen *int) {
-	d.in(4*time.Millisecond+d.world.exp(4*time.Millisecond), func() {
+// streamPieces sends piece i and schedules the next one. The run ends if the daemon closes
+// the connection.
+func (d *fakeServer) streamPieces(l *connection, p serverpool.DecodeRequest, kv cache, i int, seen *int) {
+	d.schedule(4*time.Millisecond+d.world.exp(4*time.Millisecond), func() {
 		done := func() {
 			d.busy--
 			delete(d.connections, l)
 		}
-		if !l.open() && d.world.options.Sabotage != "double" {
+		if !l.isOpen() && d.world.options.Sabotage != "double" {
 			done()
 			return
 		}
@@ -256,16 +259,16 @@
 			return
 		case d.breaks && i == 2:
 			done()
-			if d.world.options.Sabotage == "fakeend" { // the broken stream is made to look whole
+			if d.world.options.Sabotage == "fakeend" { // the broken stream is made to look complete
 				l.piece(serverpool.Piece{Request: p.Handle.Request, RunID: p.RunID, End: true, Count: i}, seen)
 				return
 			}
-			if d.world.options.Sabotage == "splice" && d.twin() != nil { // another run goes on where this one broke
-				b := d.twin()
+			if d.world.options.Sabotage == "splice" && d.otherDecodeServer() != nil { // another run continues here
+				b := d.otherDecodeServer()
 				b.busy++
 				q := p
 				q.RunID = p.RunID + "-again"
-				b.jot(history.Event{Ev: "decode", Request: p.Handle.Request, CacheOf: kv.request, Run: q.RunID, N: b.busy})
+				b.writeJournal(history.Event{Ev: "decode", Request: p.Handle.Request, CacheOf: kv.request, Run: q.RunID, N: b.busy})
 				b.connections[l] = true
 				l.act.DecodeCall.RunID = q.RunID
 				b.splice(l, p, q.RunID, kv, i, seen)
@@ -275,7 +278,7 @@
 			return
 		case i == p.Tokens:
 			done()
-			d.jot(history.Event{Ev: "ended", Request: p.Handle.Request, Run: p.RunID, Count: i})
+			d.writeJournal(history.Event{Ev: "ended", Request: p.Handle.Request, Run: p.RunID, Count: i})
 			l.piece(serverpool.Piece{Request: p.Handle.Request, RunID: p.RunID, End: true, Count: i}, seen)
 			return
 		case d.skip && i == 1:
@@ -285,17 +288,17 @@
 				l.piece(piece, seen)
 			}
 		}
-		d.step(l, p, kv, i+1, seen)
+		d.streamPieces(l, p, kv, i+1, seen)
 	})
 }
 
-// splice is the sabotage that goes on with another run under the first's name.
+// splice is the sabotage that continues a stream with another run under the first run's ID.
 func (d *fakeServer) splice(l *connection, p serverpool.DecodeRequest, run string, kv cache, i int, seen *int) {
-	d.in(5*time.Millisecond, func() {
+	d.schedule(5*time.Millisecond, func() {
 		if i == p.Tokens {
 			d.busy--
 			delete(d.connections, l)
-			d.jot(history.Event{Ev: "ended", Request: p.Handle.Request, Run: p.RunID, Count: i})
+			d.writeJournal(history.Event{Ev: "ended", Request: p.Handle.Request, Run: p.RunID, Count: i})
 			l.piece(serverpool.Piece{Request: p.Handle.Request, RunID: p.RunID, End: true, Count: i}, seen)
 			return
 		}
--- a/proof/sim/fault.go
+++ b/proof/sim/fault.go
@@ -9,11 +9,11 @@
 	"mulleinmast/control/digest"
 )
 
-// scheduleFaults lays out a run's failures.
+// scheduleFaults schedules the writes and faults of a run.
 func (w *world) scheduleFaults() {
-	w.at(5*time.Second, w.write)
-	if w.options.Races > 0 {
-		w.at(8*time.Second, w.races)
+	w.schedule(5*time.Second, w.write)
+	if w.options.RaceInterval > 0 {
+		w.schedule(8*time.Second, w.startRaces)
 	}
 	end := w.options.Length - w.options.Calm
 	for _, kind := range kinds(w.options.Faults) {
@@ -23,19 +23,19 @@
 		mean := w.options.Faults[kind]
 		for x := w.rng.ExpFloat64(); x < mean; x += w.rng.ExpFloat64() {
 			at := 6*time.Second + time.Duration(w.rng.Float64()*float64(end-7*time.Second))
-			w.at(at, func() { w.fault(kind, w.nodes[w.rng.Intn(len(w.nodes))]) })
+			w.schedule(at, func() { w.injectFault(kind, w.nodes[w.rng.Intn(len(w.nodes))]) })
 		}
 	}
-	for _, at := range w.options.Swaps {
-		w.at(at, w.swap)
+	for _, at := range w.options.ReplacementTimes {
+		w.schedule(at, w.replaceWhenSafe)
 	}
-	w.at(10*time.Second, func() { w.lose(w.options.Rounds) })
-	w.at(end, w.calmDown)
+	w.schedule(10*time.Second, func() { w.loseNext(w.options.LossRounds) })
+	w.schedule(end, w.endFaults)
 }
 
-// calmDown ends all failures: from here on the fleet is to become whole again.
-func (w *world) calmDown() {
-	w.calm = true
+// endFaults ends all faults. From here on the fleet must recover.
+func (w *world) endFaults() {
+	w.faultsEnded = true
 	w.cutLinks = map[[2]string]bool{}
 	w.trace("calm")
 	for _, n := range w.nodes {
@@ -46,21 +46,21 @@
 	w.healServers()
 }
 
-// swap exchanges a control daemon once the fleet bears it: it bears the loss of one disk
-// at a time.
-func (w *world) swap() {
+// replaceWhenSafe replaces a control daemon as soon as the fleet tolerates it; it tolerates
+// the loss of one disk at a time.
+func (w *world) replaceWhenSafe() {
 	for p := 0; p <= w.options.Partitions; p++ {
-		if !w.bearsLoss(p) {
-			w.at(time.Second, w.swap)
+		if !w.toleratesLoss(p) {
+			w.schedule(time.Second, w.replaceWhenSafe)
 			return
 		}
 	}
-	w.fault("swap", w.nodes[0])
+	w.injectFault("swap", w.nodes[0])
 }
 
-// bearsLoss reports whether a partition's leader has a group of daemons that are all there
-// and complete, and no group change under way.
-func (w *world) bearsLoss(p int) bool {
+// toleratesLoss reports whether a partition has a leader whose group has no change in
+// progress and consists of running, complete daemons.
+func (w *world) toleratesLoss(p int) bool {
 	bears := false
 	for _, leader := range w.nodes {
 		if !leader.up || !leader.controllers[p].IsLeader(leader.local()) {
@@ -79,7 +79,7 @@
 	return bears
 }
 
-// isComplete reports whether a daemon runs whose disk holds all records of a term.
+// isComplete reports whether a daemon runs and its disk holds all records of a term.
 func (w *world) isComplete(p int, ident string, term uint64) bool {
 	for _, n := range w.nodes {
 		if n.up && n.ident == ident && n.disk != nil && n.disk.metaOf[p].LastComplete == term {
@@ -89,6 +89,7 @@
 	return false
 }
 
+// kinds returns the sorted keys of m.
 func kinds(m map[string]float64) []string {
 	out := make([]string, 0, len(m))
 	for k := range m {
@@ -98,34 +99,35 @@
 	return out
 }
 
+// kill stops the daemon; pending saves and memory are lost.
 func (n *node) kill() {
 	n.up = false
 	n.starts++
 	n.busy, n.pendingSaves = false, nil
-	n.hangUp()
+	n.closeConnections()
 }
 
 func (w *world) startLater(n *node) {
-	w.at(200*time.Millisecond+w.exp(2*time.Second), n.start)
+	w.schedule(200*time.Millisecond+w.exp(2*time.Second), n.start)
 }
 
-// faultsByKind is what brings each kind of failure about, at the machine drawn for it or
-// at another one that the kind asks for.
+// faultsByKind returns the function that injects each kind of fault, into the given node or
+// into another one that the kind requires.
 func (w *world) faultsByKind() map[string]func(*node) {
 	faults := map[string]func(*node){
 		"kill":       w.killForAWhile,
 		"all":        w.killAll,
 		"core":       w.killControlDaemons,
-		"again":      w.restartAgainAndAgain,
+		"again":      w.restartRepeatedly,
 		"ackkill":    w.killAfterAck,
 		"wipe":       w.wipeDisk,
 		"copyback":   func(n *node) { w.copyFault("copyback", n) },
 		"copybeside": func(n *node) { w.copyFault("copybeside", n) },
-		"rot":        w.rot,
-		"cut":        func(*node) { w.cutInTwo(false) },
-		"oneway":     func(*node) { w.cutInTwo(true) },
-		"cutcore":    func(*node) { w.cutCore(false) },
-		"halfcut":    func(*node) { w.cutCore(true) },
+		"rot":        w.corruptRecord,
+		"cut":        func(*node) { w.partitionNetwork(false) },
+		"oneway":     func(*node) { w.partitionNetwork(true) },
+		"cutcore":    func(*node) { w.cutControlDaemon(false) },
+		"halfcut":    func(*node) { w.cutControlDaemon(true) },
 		"alone":      w.isolate,
 		"swap":       func(*node) { w.replaceControlDaemon() },
 		"freeze":     w.freeze,
@@ -141,22 +143,22 @@
 	return faults
 }
 
-// fault brings one failure about. A kind that faultsByKind doesn't name is brought about
-// by its caller and only counted here.
-func (w *world) fault(kind string, n *node) {
-	if w.calm {
+// injectFault injects a fault and counts it. A kind that is missing from faultsByKind is
+// only counted; the caller injects it.
+func (w *world) injectFault(kind string, n *node) {
+	if w.faultsEnded {
 		return
 	}
 	w.result.Faults[kind]++
 	w.trace("FAULT %s %s", kind, n.name)
-	if bringAbout := w.faultsByKind()[kind]; bringAbout != nil {
-		bringAbout(n)
+	if inject := w.faultsByKind()[kind]; inject != nil {
+		inject(n)
 	}
 }
 
-// healLater ends a failure of the network some time later.
+// healLater ends a network fault after a random time.
 func (w *world) healLater(heal func()) {
-	w.at(200*time.Millisecond+w.exp(2500*time.Millisecond), heal)
+	w.schedule(200*time.Millisecond+w.exp(2500*time.Millisecond), heal)
 }
 
 func (w *world) killForAWhile(n *node) {
@@ -170,35 +172,36 @@
 	}
 }
 
-// killControlDaemons kills every machine with a disk; they are back while others still
+// killControlDaemons kills every control daemon. They restart while other daemons still
 // hold leases.
 func (w *world) killControlDaemons(*node) {
 	for _, n := range w.nodes {
 		if n.hasDisk {
 			n.kill()
-			w.at(20*time.Millisecond+w.exp(100*time.Millisecond), n.start)
+			w.schedule(20*time.Millisecond+w.exp(100*time.Millisecond), n.start)
 		}
 	}
 }
 
-// restartAgainAndAgain restarts a control daemon at once, three times: its incarnations
-// are short.
-func (w *world) restartAgainAndAgain(n *node) {
+// restartRepeatedly restarts a control daemon three times in quick succession, so that its
+// incarnations are short.
+func (w *world) restartRepeatedly(n *node) {
 	for n.removed || !n.hasDisk {
 		n = w.nodes[w.rng.Intn(len(w.nodes))]
 	}
 	for i := range 3 {
-		w.at(time.Duration(i)*700*time.Millisecond, func() {
-			if !w.calm {
+		w.schedule(time.Duration(i)*700*time.Millisecond, func() {
+			if !w.faultsEnded {
 				n.kill()
-				w.at(30*time.Millisecond, n.start)
-				w.at(100*time.Millisecond, func() { w.changeAt(n, w.newest()) })
+				w.schedule(30*time.Millisecond, n.start)
+				w.schedule(100*time.Millisecond, func() { w.sendChangeThrough(n, w.newestPlanVersion()) })
 			}
 		})
 	}
 }
 
-// killAfterAck kills a machine right after an acknowledgement, sometimes with its disk.
+// killAfterAck kills a machine that has just acknowledged a write. Sometimes its disk is
+// lost too.
 func (w *world) killAfterAck(n *node) {
 	n.kill()
 	if !w.diskLost && w.rng.Intn(3) == 0 {
@@ -208,7 +211,7 @@
 	w.startLater(n)
 }
 
-// wipeDisk restarts a control daemon without its disk, unless one was lost already.
+// wipeDisk restarts a control daemon with an empty disk, unless a disk was lost already.
 func (w *world) wipeDisk(n *node) {
 	if w.diskLost {
 		return
@@ -227,14 +230,15 @@
 	w.startLater(n)
 }
 
-// copyFault copies a folder; the fault counts when the copy is started.
+// copyFault copies a data folder. The fault is counted when the copy is started.
 func (w *world) copyFault(kind string, n *node) {
 	w.result.Faults[kind]--
 	w.copyFolder(n, kind == "copybeside")
 }
 
-// cutInTwo cuts the daemons into two sides by lot, both ways or one way only.
-func (w *world) cutInTwo(oneWay bool) {
+// partitionNetwork splits the daemons at random into two sides and cuts the links between
+// them, in both directions or in one only.
+func (w *world) partitionNetwork(oneWay bool) {
 	side := map[string]bool{}
 	for _, n := range w.nodes {
 		side[n.name] = w.rng.Intn(2) == 0
@@ -255,7 +259,7 @@
 	w.sever(w.linksOf(n), w.healLater)
 }
 
-// linksOf is every link of a daemon, both ways.
+// linksOf returns every link of a daemon, in both directions.
 func (w *world) linksOf(n *node) (links [][2]string) {
 	for _, other := range w.nodes {
 		links = append(links, [2]string{n.name, other.name}, [2]string{other.name, n.name})
@@ -263,8 +267,8 @@
 	return links
 }
 
-// replaceControlDaemon ends the first control daemon for good; an empty one starts at a
-// new address.
+// replaceControlDaemon removes the first control daemon. An empty one starts at a new
+// address.
 func (w *world) replaceControlDaemon() {
 	n := w.nodes[0]
 	for _, other := range w.nodes {
@@ -275,15 +279,15 @@
 	}
 	n.kill()
 	n.removed = true
-	successor := w.add(n.zone, true, len(w.nodes))
-	w.at(w.exp(time.Second), successor.start)
+	successor := w.addNode(n.zone, true, len(w.nodes))
+	w.schedule(w.exp(time.Second), successor.start)
 }
 
-// freeze suspends a machine for a while.
+// freeze suspends a machine for up to about six seconds.
 func (w *world) freeze(n *node) {
 	was := max(n.frozenUntil, w.now)
 	n.frozenUntil = max(n.frozenUntil, w.now+50*time.Millisecond+min(w.exp(1500*time.Millisecond), 6*time.Second))
-	n.awakeFrom = n.frozenUntil
+	n.awakeAt = n.frozenUntil
 	if w.options.Sabotage == "standstill" { // a clock that stops while the machine is suspended
 		n.base -= time.Duration(float64(n.frozenUntil-was) * n.rate)
 	}
@@ -294,13 +298,14 @@
 	n.diskDelay, n.slowUntil = w.exp(40*time.Millisecond), w.now+w.exp(3*time.Second)
 }
 
-// stallDisk has a disk take two seconds for each batch, for a while.
+// stallDisk makes a disk take two seconds for each batch, for a while.
 func (w *world) stallDisk(n *node) {
 	w.slowDisk(n)
 	n.diskDelay = 2 * time.Second
 }
 
-// sever cuts links, by the names of both ends, until heal runs what it is given.
+// sever cuts links, given by the names of both ends. heal receives the function that
+// restores them.
 func (w *world) sever(links [][2]string, heal func(func())) {
 	for _, c := range links {
 		w.cutLinks[c] = true
@@ -309,13 +314,14 @@
 		for _, c := range links {
 			delete(w.cutLinks, c)
 		}
-		w.healed()
+		w.deliverHeldMessages()
 	})
 }
 
-// rot spoils one record on the disk of a control daemon that restarts.
-func (w *world) rot(n *node) {
-	if w.diskLost { // the fleet bears the loss of one disk
+// corruptRecord restarts a control daemon after deleting or corrupting one record on its
+// disk.
+func (w *world) corruptRecord(n *node) {
+	if w.diskLost { // the fleet tolerates the loss of one disk
 		return
 	}
 	for _, m := range w.nodes {
@@ -331,7 +337,7 @@
 	}
 	w.diskLost = true
 	n.kill()
-	n.disk.rotten = true
+	n.disk.corrupted = true
 	if w.rng.Intn(2) == 0 {
 		delete(n.disk.records[p], k)
 	} else {
@@ -342,20 +348,21 @@
 	w.startLater(n)
 }
 
-// settleFor is how long a difference between copies may last at the end of a run: a
-// write that is on its way just then is at one of them first.
-const settleFor = 200 * time.Millisecond
+// settleTime is how long copies may differ at the end of a run: a write in progress reaches
+// one of them first.
+const settleTime = 200 * time.Millisecond
 
-// differing names the replicas whose copy of a partition isn't its leader's.
-func (w *world) differing() (list []string) {
+// divergentReplicas names the replicas whose copy of a partition differs from the leader's.
+func (w *world) divergentReplicas() (list []string) {
 	for p := 0; p <= w.options.Partitions; p++ {
-		for _, own := range w.nodes {
-			if !own.up || !own.controllers[p].IsLeader(own.local()) {
+		for _, leader := range w.nodes {
+			if !leader.up || !leader.controllers[p].IsLeader(leader.local()) {
 				continue
 			}
-			g := own.partition(p).Replica.Group()
+			g := leader.partition(p).Replica.Group()
 			for _, n := range w.nodes {
-				if n.up && g.Has(n.ident) && len(digest.DifferingRanges(own.partition(p).Digests(), n.partition(p).Digests())) > 0 {
+				if n.up && g.Has(n.ident) &&
+					len(digest.DifferingRanges(leader.partition(p).Digests(), n.partition(p).Digests())) > 0 {
 					list = append(list, fmt.Sprintf("%s of partition %d", n.name, p))
 				}
 			}
@@ -364,22 +371,22 @@
 	return list
 }
 
-// checkCopies looks whether every replica's copy equals its leader's at the end: each
-// does at some moment of a short while, or it differs for good.
+// checkCopies checks that every replica's copy equals its leader's at the end. A copy is
+// reported only if it differs throughout settleTime.
 func (w *world) checkCopies() {
-	last := w.differing()
-	for end := w.now + settleFor; len(last) > 0 && w.now < end && w.step(); {
-		now := w.differing()
+	last := w.divergentReplicas()
+	for end := w.now + settleTime; len(last) > 0 && w.now < end && w.runNextEvent(); {
+		now := w.divergentReplicas()
 		last = slices.DeleteFunc(last, func(x string) bool { return !slices.Contains(now, x) })
 	}
-	for _, what := range last {
-		how := fmt.Sprintf("is a copy that differs from its leader's, %v after the last failure", w.options.Calm)
-		w.note(Event{Kind: Silent, Node: what, Tag: how})
+	for _, replica := range last {
+		message := fmt.Sprintf("is a copy that differs from its leader's, %v after the last fault", w.options.Calm)
+		w.recordEvent(Event{Kind: CheckFailed, Node: replica, Tag: message})
 	}
 	for p := 0; p <= w.options.Partitions; p++ {
-		for _, own := range w.nodes {
-			if own.up && own.controllers[p].IsLeader(own.local()) {
-				w.result.Mended += own.partition(p).Replica.Repairs
+		for _, leader := range w.nodes {
+			if leader.up && leader.controllers[p].IsLeader(leader.local()) {
+				w.result.RepairCount += leader.partition(p).Replica.Repairs
 			}
 		}
 	}
--- a/proof/sim/folder.go
+++ b/proof/sim/folder.go
@@ -9,18 +9,18 @@
 	"mulleinmast/wire/message"
 )
 
-// folder is what a simulated disk holds, synced.
+// folder is the synced content of a simulated disk.
 type folder struct {
 	ident         string
 	epoch         uint64
 	metaOf        map[int]quorum.Meta
 	records       map[int]map[string]message.Record
-	recordSums    map[string]uint64 // by part and key, as control/storage keeps them
-	partitionSums map[int]uint64    // of each partition, too
-	rotten        bool              // what it holds isn't what was written
+	recordSums    map[string]uint64 // by partition and key, as in control/storage
+	partitionSums map[int]uint64    // by partition, as in control/storage
+	corrupted     bool              // the content was corrupted on purpose
 }
 
-// newFolder is an empty folder of a daemon's identity.
+// newFolder returns an empty folder with a daemon's identity.
 func newFolder(ident string) *folder {
 	return &folder{
 		ident:         ident,
@@ -31,24 +31,24 @@
 	}
 }
 
-// loadReplica is what a replica's disk holds: a partition that isn't what was written, for
-// a record that is lost or spoilt, is short.
+// loadReplica loads a replica from disk. A partition with lost or corrupted records is
+// marked as incomplete.
 func (n *node) loadReplica(p int) (quorum.Meta, *digest.Records) {
 	records := digest.NewRecords()
-	spoilt := false
+	isCorrupted := false
 	for k, r := range n.disk.records[p] {
-		if n.disk.recordSums[sumKey(p, k)] == digest.Fingerprint(r) { // else it is spoilt and counts as missing
+		if n.disk.recordSums[sumKey(p, k)] == digest.Fingerprint(r) { // otherwise it is corrupted and treated as missing
 			records.Put(r)
 		} else {
-			spoilt = true
+			isCorrupted = true
 			delete(n.disk.records[p], k)
 		}
 	}
 	meta := n.disk.metaOf[p]
-	if sum := n.disk.partitionSums[p]; spoilt || sum != 0 && sum != meta.Sum(records) {
-		if !n.disk.rotten {
-			what := fmt.Sprintf("reads partition %d back as what was never written", p)
-			n.world.note(Event{Kind: Silent, Node: n.name, Tag: what})
+	if sum := n.disk.partitionSums[p]; isCorrupted || sum != 0 && sum != meta.Sum(records) {
+		if !n.disk.corrupted {
+			failure := fmt.Sprintf("reads a partition %d that differs from what was written", p)
+			n.world.recordEvent(Event{Kind: CheckFailed, Node: n.name, Tag: failure})
 		}
 		meta.Incomplete = n.world.options.Sabotage != "rotvote"
 		n.disk.metaOf[p], n.disk.partitionSums[p] = meta, meta.Sum(records)
@@ -56,10 +56,10 @@
 	return meta, records
 }
 
-// save syncs after the disk's time; a crash before that loses it. What comes
-// while the disk is busy is one batch, as in the daemon.
+// save writes saves to disk after the disk's delay; a crash before that loses them. Saves
+// that arrive while the disk is busy form one batch, as in the daemon.
 func (n *node) save(list []quorum.Save) {
-	if !n.up { // killed by what this very step brought about
+	if !n.up { // the current step has killed it
 		return
 	}
 	n.pendingSaves = append(n.pendingSaves, list...)
@@ -77,28 +77,28 @@
 		d += n.diskDelay
 	}
 	d = max(d, n.jammedUntil-w.now)
-	life := n.starts
-	told := func() {
+	starts := n.starts
+	notify := func() {
 		for _, s := range list {
-			n.carry(s.Partition, n.controllers[s.Partition].Saved(n.local(), s.Ticket))
+			n.apply(s.Partition, n.controllers[s.Partition].Saved(n.local(), s.Ticket))
 		}
 	}
-	if w.options.Sabotage == "nosync" { // says saved, and writes only much later
+	if w.options.Sabotage == "nosync" { // reports the saves as done, and writes them only much later
 		n.busy = false
-		n.in(0, told)
-		w.at(d+time.Second, func() {
-			if n.up && n.starts == life && n.disk != nil {
+		n.schedule(0, notify)
+		w.schedule(d+time.Second, func() {
+			if n.up && n.starts == starts && n.disk != nil {
 				n.disk.sync(list)
 			}
 		})
 		return
 	}
-	w.at(d, func() {
-		if !n.up || n.starts != life || n.disk == nil {
+	w.schedule(d, func() {
+		if !n.up || n.starts != starts || n.disk == nil {
 			return
 		}
 		n.disk.sync(list)
-		n.in(0, told)
+		n.schedule(0, notify)
 		if n.busy = false; len(n.pendingSaves) > 0 {
 			n.flush()
 		}
@@ -107,7 +107,7 @@
 
 func sumKey(p int, key string) string { return fmt.Sprintf("%d/%s", p, key) }
 
-// sync is what a transaction leaves behind.
+// sync applies saves to the folder, as one transaction.
 func (f *folder) sync(list []quorum.Save) {
 	for _, s := range list {
 		f.metaOf[s.Partition] = s.Meta
--- a/proof/sim/losses.go
+++ b/proof/sim/losses.go
@@ -8,24 +8,25 @@
 	"mulleinmast/wire/message"
 )
 
-// Losses of control daemons one after the other, as fast as the fleet is to bear
-// them: the next comes a catch-up bound after the last successor's start.
+// Losses of control daemons, one after the other at the highest rate that the fleet must
+// tolerate: each follows one catch-up bound after the previous successor's start.
 
-// downFor is how long a machine is away that keeps its disk: longer than a part
-// may be without a leader.
-const downFor = 5500 * time.Millisecond
+// downTime is how long a machine that keeps its disk is down: longer than a partition may be
+// without a leader.
+const downTime = 5500 * time.Millisecond
 
-// shortStop is how long a daemon at least goes on after it was told to end.
-const shortStop = 2200 * time.Millisecond
+// minStopTime is how long a daemon keeps running at least after it was told to stop.
+const minStopTime = 2200 * time.Millisecond
 
-// successors is a run of losses, with a second loss after each or not.
-func successors(rounds int, second bool) func(int64) Options {
+// lossScenario returns options for a series of losses, optionally with a second loss after
+// each.
+func lossScenario(rounds int, second bool) func(int64) Options {
 	return func(seed int64) Options {
 		o := Default(seed)
-		o.Rounds, o.Second, o.Faults = rounds, second, nil
-		o.Writes, o.Reads, o.Keys = 100*time.Millisecond, 80*time.Millisecond, 6
+		o.LossRounds, o.SecondLoss, o.Faults = rounds, second, nil
+		o.WritePeriod, o.ReadPeriod, o.Keys = 100*time.Millisecond, 80*time.Millisecond, 6
 		o.Calm = 8 * time.Second
-		if seed%3 == 0 { // five replicas, a standby, and two lost at once
+		if seed%3 == 0 { // five replicas and a standby, with two daemons lost at once
 			o.Zones, o.Disks, o.Losses = []int{4, 3, 3}, 2, 2
 		}
 		each := 7 * time.Second
@@ -37,80 +38,82 @@
 	}
 }
 
-// lose brings the next loss about, of as many control daemons as may be lost at
-// once: one is gone for good and an empty one comes at a new address, with or
-// without notice, or it loses its disk.
-func (w *world) lose(left int) {
-	if left == 0 || w.calm {
+// loseNext causes the next loss, of as many control daemons as may be lost at once. Each is
+// replaced by an empty one at a new address, with or without notice, or loses its disk.
+func (w *world) loseNext(left int) {
+	if left == 0 || w.faultsEnded {
 		return
 	}
 	gap := w.exp(500 * time.Millisecond)
-	hit := w.someCore(nil)
+	hit := w.pickControlDaemon(nil)
 	lost := []*node{hit}
 	for len(lost) < w.options.Losses {
-		n := w.someCore(lost)
+		n := w.pickControlDaemon(lost)
 		lost = append(lost, n)
-		w.loseForGood(n, w.rng.Intn(2), gap, func(*node, time.Duration) {})
+		w.loseControlDaemon(n, w.rng.Intn(2), gap, func(*node, time.Duration) {})
 	}
-	w.loseForGood(hit, w.rng.Intn(3), gap, func(successor *node, wait time.Duration) { w.after(successor, wait, left) })
+	w.loseControlDaemon(hit, w.rng.Intn(3), gap, func(successor *node, wait time.Duration) {
+		w.continueLosses(successor, wait, left)
+	})
 }
 
-// loseForGood takes a machine or its disk away; then hears of the successor
-// when it starts, and how long it is until that counts.
-func (w *world) loseForGood(n *node, kind int, gap time.Duration, then func(*node, time.Duration)) {
+// loseControlDaemon removes a daemon or its disk. When the successor starts, it calls then
+// with the successor and the time by which that must have caught up.
+func (w *world) loseControlDaemon(n *node, kind int, gap time.Duration, then func(*node, time.Duration)) {
 	switch kind {
 	case 0:
-		w.fault("gone", n)
+		w.injectFault("gone", n)
 		n.kill()
 		n.removed = true
-		m := w.add(n.zone, true, len(w.nodes))
-		w.at(gap, func() { m.start(); then(m, w.cfg.CatchUpBound) })
+		m := w.addNode(n.zone, true, len(w.nodes))
+		w.schedule(gap, func() { m.start(); then(m, w.cfg.CatchUpBound) })
 	case 1:
-		w.fault("wiped", n)
+		w.injectFault("wiped", n)
 		n.kill()
 		n.disk = nil
-		w.at(gap, func() { n.start(); then(n, w.cfg.CatchUpBound) })
+		w.schedule(gap, func() { n.start(); then(n, w.cfg.CatchUpBound) })
 	default:
-		w.fault("planned", n)
-		m := w.add(n.zone, true, len(w.nodes))
+		w.injectFault("planned", n)
+		m := w.addNode(n.zone, true, len(w.nodes))
 		m.start()
-		w.at(w.cfg.CatchUpBound, func() { n.leave(func() { then(m, 0) }) })
+		w.schedule(w.cfg.CatchUpBound, func() { n.decommission(func() { then(m, 0) }) })
 	}
 }
 
-// after goes on once a successor counts: with a second loss if there is to be
-// one, and then with the next.
-func (w *world) after(m *node, wait time.Duration, left int) {
-	w.at(wait, func() {
-		if !w.options.Second {
-			w.lose(left - 1)
+// continueLosses waits until a successor must have caught up. It then causes a second loss,
+// if the run has them, and the next loss.
+func (w *world) continueLosses(m *node, wait time.Duration, left int) {
+	w.schedule(wait, func() {
+		if !w.options.SecondLoss {
+			w.loseNext(left - 1)
 			return
 		}
 		w.loseSecond(m)
-		w.at(downFor+w.cfg.CatchUpBound, func() { w.lose(left - 1) })
+		w.schedule(downTime+w.cfg.CatchUpBound, func() { w.loseNext(left - 1) })
 	})
 }
 
-// loseSecond kills other control daemons than the successor; they keep their disks.
+// loseSecond kills control daemons other than the successor; they keep their disks.
 func (w *world) loseSecond(successor *node) {
-	if w.calm {
+	if w.faultsEnded {
 		return
 	}
 	hit := []*node{successor}
 	for len(hit) <= max(1, w.options.Losses) {
-		n := w.someCore(hit)
+		n := w.pickControlDaemon(hit)
 		hit = append(hit, n)
-		w.fault("second", n)
+		w.injectFault("second", n)
 		n.kill()
-		w.at(downFor, n.start)
+		w.schedule(downTime, n.start)
 	}
 }
 
-// someCore picks a control daemon, every other time the leader of part 0.
-func (w *world) someCore(but []*node) *node {
+// pickControlDaemon picks a random control daemon that isn't excluded, in half of the cases
+// the leader of partition 0.
+func (w *world) pickControlDaemon(excluded []*node) *node {
 	var all []*node
 	for _, n := range w.nodes {
-		if !n.hasDisk || n.removed || n.leaving || slices.Contains(but, n) {
+		if !n.hasDisk || n.removed || n.leaving || slices.Contains(excluded, n) {
 			continue
 		}
 		if all = append(all, n); n.up && n.controllers[0].IsLeader(n.local()) && w.rng.Intn(2) == 0 {
@@ -120,9 +123,9 @@
 	return all[w.rng.Intn(len(all))]
 }
 
-// leave tells a daemon to end for good; it does once its replicas are taken over,
-// or when its time is up.
-func (n *node) leave(then func()) {
+// decommission tells a daemon to stop permanently. It stops once its replicas are taken over
+// or its grace period is nearly over.
+func (n *node) decommission(then func()) {
 	w := n.world
 	n.leaving = true
 	if w.options.Sabotage != "nohandover" {
@@ -134,18 +137,18 @@
 	var look func()
 	look = func() {
 		if n.pendingHandovers() > 0 && w.now < limit && w.options.Sabotage != "nohandover" {
-			w.at(50*time.Millisecond, look)
+			w.schedule(50*time.Millisecond, look)
 			return
 		}
 		n.kill()
 		n.removed = true
-		w.trace("%s ends for good", n.name)
+		w.trace("%s stops permanently", n.name)
 		then()
 	}
-	w.at(shortStop, look)
+	w.schedule(minStopTime, look)
 }
 
-// pendingHandovers counts the parts that a standby could take over and hasn't.
+// pendingHandovers counts the partitions that a standby can take over but hasn't yet.
 func (n *node) pendingHandovers() (count int) {
 	for p := range n.controllers {
 		if n.view.MustHandOver(n.partition(p).Replica.Group()) {
@@ -155,21 +158,22 @@
 	return count
 }
 
-// vacancy records a part that nobody led for too long.
-func (w *world) vacancy(p int, owned bool) {
-	if w.options.Rounds == 0 {
+// checkVacancy records a violation if a partition has had no leader for too long.
+func (w *world) checkVacancy(p int, hasLeader bool) {
+	if w.options.LossRounds == 0 {
 		return
 	}
-	if since, ok := w.ownedAt[p]; ok && !owned && w.now-since > w.cfg.CatchUpBound {
-		w.note(Event{Kind: Silent, Node: "nobody", Tag: fmt.Sprintf("led partition %d for %v", p, w.now-since)})
-		w.ownedAt[p] = w.now
+	if since, ok := w.lastLedAt[p]; ok && !hasLeader && w.now-since > w.cfg.CatchUpBound {
+		w.recordEvent(Event{Kind: CheckFailed, Node: "nobody", Tag: fmt.Sprintf("led partition %d for %v", p, w.now-since)})
+		w.lastLedAt[p] = w.now
 	}
-	if owned {
-		w.ownedAt[p] = w.now
+	if hasLeader {
+		w.lastLedAt[p] = w.now
 	}
 }
 
-// noCopies is the sabotage that keeps no copies at standbys.
-func (w *world) noCopies(to *node, m message.Message) bool {
+// dropsStandbyCopy reports whether a message is dropped by the sabotage that sends standbys
+// no copies.
+func (w *world) dropsStandbyCopy(to *node, m message.Message) bool {
 	return w.options.Sabotage == "nocopies" && m.Kind == message.KindInstallState && !m.Group.Has(to.ident)
 }
--- a/proof/sim/main_test.go
+++ b/proof/sim/main_test.go
@@ -7,5 +7,5 @@
 	"mulleinmast/control/invariant"
 )
 
-// A violated invariant fails the package's tests.
+// TestMain fails the package's tests if an invariant was violated.
 func TestMain(m *testing.M) { os.Exit(invariant.Main(m)) }
--- a/proof/sim/many.go
+++ b/proof/sim/many.go
@@ -9,38 +9,38 @@
 	"mulleinmast/wire/message"
 )
 
-// Hundreds of changes, and then one event after another, each on a control daemon
-// drawn by lot, while changes go on. Whoever was hit must hold on its disk all
-// that was acknowledged within the catch-up bound of its return.
+// Hundreds of changes, followed by a series of events, each at a random control daemon,
+// while changes continue. Within the catch-up bound after its return, the daemon must have
+// every acknowledged change on its disk.
 
 const (
-	catchUp = 4 * time.Second
-	away    = 10 * time.Second // of a long cut
-	jam     = 8 * time.Second  // of a disk that takes nothing
-	behind  = 3 * time.Second  // of a cut that a member returns from as another is lost
+	catchUpBound  = 4 * time.Second
+	isolationTime = 10 * time.Second // duration of a long cut
+	jamDuration   = 8 * time.Second  // duration of a blocked disk
+	lagDuration   = 3 * time.Second  // duration of a cut at whose end another member is lost
 )
 
-// acked is a write that its writer was told is in force.
-type acked struct {
+// ackedWrite is a write that was acknowledged to its writer.
+type ackedWrite struct {
 	at        time.Duration
 	partition int
 	key       string
 	tag       string
 }
 
-// events plans the events once enough changes are in force.
-func (w *world) events() {
-	if len(w.acks) < w.options.Many {
-		w.at(100*time.Millisecond, w.events)
+// startMachineEvents starts the series of events once enough changes are acknowledged.
+func (w *world) startMachineEvents() {
+	if len(w.ackedWrites) < w.options.MinChanges {
+		w.schedule(100*time.Millisecond, w.startMachineEvents)
 		return
 	}
 	kinds := []string{"restart", "wiped", "away", "power", "jam", "second", "rotten"}
 	w.rng.Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
-	w.event(kinds)
+	w.runMachineEvents(kinds)
 }
 
-// core is the machines with a disk, in an order drawn by lot.
-func (w *world) core() (out []*node) {
+// shuffledControlDaemons returns the nodes with a disk in random order.
+func (w *world) shuffledControlDaemons() (out []*node) {
 	for _, n := range w.nodes {
 		if n.hasDisk {
 			out = append(out, n)
@@ -50,28 +50,28 @@
 	return out
 }
 
-// event brings the first of the kinds about, looks at the fleet a catch-up bound after the
-// return of whoever was hit, and goes on with the rest.
-func (w *world) event(kinds []string) {
-	if len(kinds) == 0 || w.calm {
+// runMachineEvents causes an event of the first kind, checks the copies one catch-up bound
+// after the return of the daemon that it hit, and continues with the other kinds.
+func (w *world) runMachineEvents(kinds []string) {
+	if len(kinds) == 0 || w.faultsEnded {
 		return
 	}
 	kind := kinds[0]
 	w.result.Faults[kind]++
-	n := w.core()[0]
-	w.trace("EVENT %s %s, %d changes in force", kind, n.name, len(w.acks))
-	w.bringEventAbout(kind, n, func() {
-		w.at(catchUp, func() {
+	n := w.shuffledControlDaemons()[0]
+	w.trace("EVENT %s %s, %d changes acknowledged", kind, n.name, len(w.ackedWrites))
+	w.causeEvent(kind, n, func() {
+		w.schedule(catchUpBound, func() {
 			w.checkCopiesAfter(kind)
-			w.at(time.Second, func() { w.event(kinds[1:]) })
+			w.schedule(time.Second, func() { w.runMachineEvents(kinds[1:]) })
 		})
 	})
 }
 
-// bringEventAbout has one event hit a control daemon; returned runs when it is back.
-func (w *world) bringEventAbout(kind string, n *node, returned func()) {
+// causeEvent causes an event at a control daemon. It calls returned when the daemon is back.
+func (w *world) causeEvent(kind string, n *node, returned func()) {
 	startAfter := func(pause time.Duration) {
-		w.at(pause, func() {
+		w.schedule(pause, func() {
 			n.start()
 			returned()
 		})
@@ -85,44 +85,46 @@
 		n.disk = nil
 		startAfter(500 * time.Millisecond)
 	case "away":
-		w.isolateFor(away, n)
-		w.at(away, returned)
-	case "power": // as soon as the disk is at work
-		w.power(n, func() { startAfter(time.Second) })
+		w.isolateFor(isolationTime, n)
+		w.schedule(isolationTime, returned)
+	case "power": // as soon as the disk is writing
+		w.killDuringWrite(n, func() { startAfter(time.Second) })
 	case "jam":
 		w.jamDisk(n, returned)
 	case "second", "rotten":
-		w.second(kind == "rotten", returned)
+		w.rejoinAtLeaderLoss(kind == "rotten", returned)
 	}
 }
 
-// jamDisk has a disk take nothing for a while; at the end its daemon may lead nothing.
+// jamDisk blocks a disk's writes for a while. At the end its daemon must not lead a
+// partition.
 func (w *world) jamDisk(n *node, then func()) {
-	n.jammedUntil = w.now + jam
-	w.at(jam, func() {
+	n.jammedUntil = w.now + jamDuration
+	w.schedule(jamDuration, func() {
 		for p := range n.controllers {
 			if n.up && n.controllers[p].IsLeader(n.local()) {
-				what := fmt.Sprintf("leads partition %d though its disk has taken nothing for %v", p, jam)
-				w.note(Event{Kind: Silent, Node: n.name, Tag: what})
+				message := fmt.Sprintf("leads partition %d although its disk has written nothing for %v", p, jamDuration)
+				w.recordEvent(Event{Kind: CheckFailed, Node: n.name, Tag: message})
 			}
 		}
 		then()
 	})
 }
 
-// isolateFor cuts machines off from all others for a while.
+// isolateFor cuts nodes off from all others for the given time.
 func (w *world) isolateFor(d time.Duration, nodes ...*node) {
 	var links [][2]string
 	for _, n := range nodes {
 		links = append(links, w.linksOf(n)...)
 	}
-	w.sever(links, func(heal func()) { w.at(d, heal) })
+	w.sever(links, func(heal func()) { w.schedule(d, heal) })
 }
 
-// power ends a machine in the middle of a batch write; the batch is there or not.
-func (w *world) power(n *node, then func()) {
+// killDuringWrite kills a machine in the middle of a batch write. The batch is on its disk
+// or not, at random.
+func (w *world) killDuringWrite(n *node, then func()) {
 	if !n.busy || !n.up {
-		w.at(time.Millisecond, func() { w.power(n, then) })
+		w.schedule(time.Millisecond, func() { w.killDuringWrite(n, then) })
 		return
 	}
 	writing := n.savesUnderWay
@@ -133,35 +135,35 @@
 	then()
 }
 
-// second brings a member back that missed changes at the moment when the leader
-// is lost. Where the third's disk lost a record at the same time, nobody may
-// lead until the leader is back.
-func (w *world) second(rotten bool, then func()) {
-	core := w.core()
-	own := slices.IndexFunc(core, func(n *node) bool { return n.up && n.controllers[0].IsLeader(n.local()) })
-	if own < 0 {
-		w.at(100*time.Millisecond, func() { w.second(rotten, then) })
+// rejoinAtLeaderLoss reconnects a member that missed changes at the moment when the leader
+// is cut off. If the third member's disk loses a record at the same time, there must be no
+// leader until the old one is back.
+func (w *world) rejoinAtLeaderLoss(corrupted bool, then func()) {
+	core := w.shuffledControlDaemons()
+	leaderIndex := slices.IndexFunc(core, func(n *node) bool { return n.up && n.controllers[0].IsLeader(n.local()) })
+	if leaderIndex < 0 {
+		w.schedule(100*time.Millisecond, func() { w.rejoinAtLeaderLoss(corrupted, then) })
 		return
 	}
-	leader := core[own]
-	core = slices.Delete(core, own, own+1)
+	leader := core[leaderIndex]
+	core = slices.Delete(core, leaderIndex, leaderIndex+1)
 	late, third := core[0], core[1]
-	w.isolateFor(behind, late)
-	w.at(behind, func() {
-		if rotten {
+	w.isolateFor(lagDuration, late)
+	w.schedule(lagDuration, func() {
+		if corrupted {
 			third.kill()
 			w.loseNewest(third)
 			third.start()
 		}
-		w.isolateFor(behind, leader)
-		w.at(behind, then)
+		w.isolateFor(lagDuration, leader)
+		w.schedule(lagDuration, then)
 	})
 }
 
-// loseNewest has a disk at rest lose the record that was acknowledged last.
+// loseNewest deletes the most recently acknowledged record from a stopped daemon's disk.
 func (w *world) loseNewest(n *node) {
-	n.disk.rotten = true
-	for _, a := range slices.Backward(w.acks) {
+	n.disk.corrupted = true
+	for _, a := range slices.Backward(w.ackedWrites) {
 		if r, ok := n.disk.records[a.partition][a.key]; ok && a.partition == 0 && slices.Contains(tags(r), a.tag) {
 			delete(n.disk.records[a.partition], a.key)
 			return
@@ -169,30 +171,31 @@
 	}
 }
 
-// checkCopiesAfter looks whether every control daemon has on its disk what was acknowledged, up
-// to what is under way just now.
+// checkCopiesAfter checks that every control daemon has the acknowledged changes on its disk,
+// except those of the last second.
 func (w *world) checkCopiesAfter(after string) {
-	for _, n := range w.core() {
+	for _, n := range w.shuffledControlDaemons() {
 		if !n.up || n.disk == nil {
 			continue
 		}
 		for p := range n.controllers {
-			if lack := w.lackOf(n, p); lack != "" {
-				what := fmt.Sprintf("isn't whole %v after %s: %s", catchUp, after, lack)
-				w.note(Event{Kind: Silent, Node: n.name, Tag: what})
+			if problem := w.missingFrom(n, p); problem != "" {
+				message := fmt.Sprintf("is incomplete %v after %s: %s", catchUpBound, after, problem)
+				w.recordEvent(Event{Kind: CheckFailed, Node: n.name, Tag: message})
 			}
 		}
 	}
 }
 
-// lackOf says what a control daemon's copy of a partition lacks, nothing if it is whole.
-func (w *world) lackOf(n *node, p int) string {
+// missingFrom describes what a control daemon's copy of a partition lacks; it is empty if
+// the copy is complete.
+func (w *world) missingFrom(n *node, p int) string {
 	group := w.ledGroup(p)
 	if !group.Has(n.ident) || n.partition(p).Replica.Meta().Incomplete {
-		return fmt.Sprintf("no voter of partition %d (%d voters, next %d)", p, len(group.Replicas), len(group.Next))
+		return fmt.Sprintf("not a voter of partition %d (%d voters, next %d)", p, len(group.Replicas), len(group.Next))
 	}
 	missing := 0
-	for _, a := range w.acks {
+	for _, a := range w.ackedWrites {
 		if a.partition == p && w.now-a.at > time.Second && !slices.Contains(tags(n.disk.records[p][a.key]), a.tag) {
 			missing++
 		}
@@ -205,8 +208,8 @@
 		missing, p, len(differing), digest.Ranges)
 }
 
-// ledGroup is the group of a partition as its last leader in order has it, empty where
-// nobody leads.
+// ledGroup returns the group of a partition according to its leader (the last one in node
+// order); it is empty if there is no leader.
 func (w *world) ledGroup(p int) (group message.Group) {
 	for _, n := range w.nodes {
 		if n.up && n.controllers[p].IsLeader(n.local()) {
--- a/proof/sim/net.go
+++ b/proof/sim/net.go
@@ -6,20 +6,21 @@
 	"mulleinmast/wire/message"
 )
 
+// send counts a message and transmits it to every node at its address.
 func (n *node) send(m message.Envelope) {
 	w := n.world
 	m.Message.From, m.Message.Epoch, m.Message.Addr = n.ident, n.epoch, n.addr
 	if m.Message.To == n.ident {
-		n.in(0, func() { w.deliver(n, m.Message) })
+		n.schedule(0, func() { w.deliver(n, m.Message) })
 		return
 	}
 	w.result.Messages++
 	if m.Message.Kind == message.KindGrantLease {
 		for _, r := range m.Message.Records {
 			if r.Patched {
-				w.result.Patched++
+				w.result.PatchedCount++
 			} else if !r.Deleted {
-				w.result.Whole++
+				w.result.FullCount++
 			}
 		}
 	}
@@ -28,25 +29,25 @@
 	}
 	for _, to := range w.nodes {
 		if to.addr == m.Addr {
-			w.carry(n, to, m.Message)
+			w.transmit(n, to, m.Message)
 		}
 	}
 }
 
-// carry takes a message from one daemon to another, over the network's faults and what a
-// sabotage does to it.
-func (w *world) carry(from, to *node, m message.Message) {
+// transmit sends a message from one daemon to another, subject to network faults and
+// sabotages.
+func (w *world) transmit(from, to *node, m message.Message) {
 	if w.cutLinks[[2]string{from.name, to.name}] {
-		if w.options.Held > 0 && w.rng.Float64() < w.options.Held {
+		if w.options.HeldShare > 0 && w.rng.Float64() < w.options.HeldShare {
 			w.heldMessages = append(w.heldMessages, heldMessage{from, to, m})
 		}
 		return
 	}
 	if w.options.Sabotage == "ackpurge" && m.Kind == message.KindInvalidate {
-		w.carry(to, from, acknowledgeOnly(from, to, m))
+		w.transmit(to, from, acknowledgeOnly(from, to, m))
 		return
 	}
-	if w.noCopies(to, m) {
+	if w.dropsStandbyCopy(to, m) {
 		return
 	}
 	if m.Kind == message.KindRedirect {
@@ -58,20 +59,21 @@
 	w.cutRecordsShort(from, to, &m)
 	w.sendAgain(to, m)
 	delay := w.networkDelay(from, to)
-	if !w.calm && !w.options.Clean {
+	if !w.faultsEnded && !w.options.Clean {
 		switch x := w.rng.Float64(); {
 		case x < 0.005:
 			return // lost
 		case x < 0.02:
-			delay += w.exp(200 * time.Millisecond) // late, overtaken by others
+			delay += w.exp(200 * time.Millisecond) // late: other messages overtake it
 		case x < 0.025:
-			w.at(w.exp(300*time.Millisecond), func() { w.arrive(to, m) }) // twice
+			w.schedule(w.exp(300*time.Millisecond), func() { w.arrive(to, m) }) // duplicated
 		}
 	}
-	w.at(delay, func() { w.arrive(to, m) })
+	w.schedule(delay, func() { w.arrive(to, m) })
 }
 
-// acknowledgeOnly is the sabotage that acknowledges an invalidation and never does it.
+// acknowledgeOnly returns the acknowledgement of an invalidation, for the sabotage that
+// acknowledges it without delivering it.
 func acknowledgeOnly(from, to *node, m message.Message) message.Message {
 	return message.Message{
 		Kind: message.KindInvalidated, Partition: m.Partition, Key: m.Key, ResponseTo: m.ResponseTo,
@@ -79,7 +81,7 @@
 	}
 }
 
-// isWithheld reports whether a sabotage withholds a message of the comparison of copies.
+// isWithheld reports whether a sabotage drops this message of the comparison of replicas' copies.
 func (w *world) isWithheld(m message.Message) bool {
 	if m.Kind != message.KindInstallState {
 		return false
@@ -93,43 +95,44 @@
 	return false
 }
 
-// cutRecordsShort is what the sabotages do to the records of a message.
+// cutRecordsShort removes records from a message, as the current sabotage asks for.
 func (w *world) cutRecordsShort(from, to *node, m *message.Message) {
 	if w.options.Sabotage == "cutshort" && m.Kind == message.KindInstallState && len(m.Records) > 1 {
-		m.LastComplete, m.Records = 0, m.Records[:len(m.Records)/2] // and no sum to tell
+		m.LastComplete, m.Records = 0, m.Records[:len(m.Records)/2] // without the checksum that would reveal it
 	}
 	if w.options.Sabotage == "oldset" && m.Kind == message.KindGrantVote && m.Op == "" && from != to {
-		m.LastComplete, m.Digests, m.Records = 0, nil, nil // the candidate reads its own copy only
+		m.LastComplete, m.Digests, m.Records = 0, nil, nil // so that the candidate reads only its own copy
 	}
 }
 
-// sendAgain has part of the messages come a second time, as the run's options ask for.
+// sendAgain duplicates some messages, as the run's options ask for.
 func (w *world) sendAgain(to *node, m message.Message) {
-	if w.options.Mutate > 0 && w.rng.Float64() < w.options.Mutate {
-		w.at(w.exp(time.Millisecond), func() { w.arrive(to, w.mutated(m)) })
+	if w.options.MutatedShare > 0 && w.rng.Float64() < w.options.MutatedShare {
+		w.schedule(w.exp(time.Millisecond), func() { w.arrive(to, w.mutated(m)) })
 	}
-	// An evacuation that came again would hide what a late end of one undid.
-	if w.options.Late > 0 && m.Kind == message.KindCall && m.Op != "evacuate" && w.rng.Float64() < w.options.Late {
-		w.at(w.exp(3*time.Second), func() { w.arrive(to, m) })
+	// A repeated evacuation would hide that a delayed return undid one, so they are left out.
+	if w.options.LateCallShare > 0 && m.Kind == message.KindCall && m.Op != "evacuate" &&
+		w.rng.Float64() < w.options.LateCallShare {
+		w.schedule(w.exp(3*time.Second), func() { w.arrive(to, m) })
 	}
-	if w.options.Responses > 0 && responses[m.Kind] && w.rng.Float64() < w.options.Responses {
-		w.at(w.exp(time.Second), func() { w.arrive(to, m) })
+	if w.options.LateResponseShare > 0 && responses[m.Kind] && w.rng.Float64() < w.options.LateResponseShare {
+		w.schedule(w.exp(time.Second), func() { w.arrive(to, m) })
 	}
 }
 
-// networkDelay is how long a message takes that nothing befalls.
+// networkDelay returns the transmission time of a message without faults.
 func (w *world) networkDelay(from, to *node) time.Duration {
 	delay := 100*time.Microsecond + w.exp(400*time.Microsecond)
 	if from.zone != to.zone {
-		delay += w.options.Far
+		delay += w.options.ZoneDelay
 	}
 	if (w.isSlowRelay(from) || w.isSlowRelay(to)) && from != to {
-		delay += w.options.Lame
+		delay += w.options.SlowRelayDelay
 	}
 	return delay
 }
 
-// responses are the kinds that respond to another message.
+// responses are the kinds of messages that respond to another message.
 var responses = map[message.Kind]bool{
 	message.KindCallResult:     true,
 	message.KindGrantVote:      true,
@@ -147,15 +150,16 @@
 	message.KindWelcome:        true,
 }
 
-// arrive hands a message over; one that waits at a frozen node is read on waking.
+// arrive delivers a message. A frozen node reads it when it wakes.
 func (w *world) arrive(to *node, m message.Message) {
-	to.in(0, func() {
+	to.schedule(0, func() {
 		if m.To == "" || m.To == to.ident {
 			w.deliver(to, m)
 		}
 	})
 }
 
+// deliver passes a message to the state machine that handles its kind.
 func (w *world) deliver(to *node, m message.Message) {
 	now := to.local()
 	switch {
@@ -167,7 +171,7 @@
 		to.bootstrap(now, o.Bootstrap)
 		return
 	case m.Kind == message.KindCallResult:
-		to.carryCalls(to.calls.Step(now, m))
+		to.applyCalls(to.calls.Step(now, m))
 		return
 	}
 	if w.answersFromCache(to, m) {
@@ -181,11 +185,11 @@
 	if w.options.Sabotage == "nonumber" && m.Kind == message.KindCall {
 		m.ResponseTo = 0
 	}
-	w.spoilCall(to, &m)
-	to.carry(m.Partition, p.Step(now, m))
+	w.sabotageCall(to, &m)
+	to.apply(m.Partition, p.Step(now, m))
 }
 
-// traceMessage traces what a daemon is sent of the lease tree and of the votes.
+// traceMessage traces a received message of the lease tree or of the quorum protocol.
 func (w *world) traceMessage(to *node, m message.Message) {
 	if w.options.Trace == nil {
 		return
@@ -203,9 +207,11 @@
 	}
 }
 
-// isSlowRelay tells whether a daemon's machine is slow now: the last zone's relays.
+// isSlowRelay reports whether a daemon is slow now: it is a relay of the last zone, between
+// 15 s and 55 s.
 func (w *world) isSlowRelay(n *node) bool {
-	if w.options.Lame == 0 || w.now < 15*time.Second || w.now > 55*time.Second || n.zone != w.nodes[len(w.nodes)-1].zone {
+	if w.options.SlowRelayDelay == 0 || w.now < 15*time.Second || w.now > 55*time.Second ||
+		n.zone != w.nodes[len(w.nodes)-1].zone {
 		return false
 	}
 	for p := 0; p <= w.options.Partitions; p++ {
@@ -216,8 +222,8 @@
 	return false
 }
 
-// mutated is a message with one field changed, from somebody who is no member.
-// Kinds are kept: an unknown one never gets past the wire.
+// mutated returns a copy of a message with one field changed and a sender that is no
+// member. The kind is kept, as the decoder rejects unknown kinds.
 func (w *world) mutated(m message.Message) message.Message {
 	m.From, m.Addr = "stranger", "10.9.9.9:9"
 	n := uint64(w.rng.Int63())
--- a/proof/sim/node.go
+++ b/proof/sim/node.go
@@ -17,6 +17,7 @@
 	"mulleinmast/wire/message"
 )
 
+// node is a simulated daemon.
 type node struct {
 	world         *world
 	name          string
@@ -24,21 +25,21 @@
 	zone          string
 	disk          *folder
 	hasDisk       bool
-	onlySeed      string // the one seed that its settings name now, if so
-	starts        int    // counts starts; old events of a past life are dropped
+	onlySeed      string // if set, the only seed in its settings
+	starts        int    // number of starts and kills; events scheduled before the last one are dropped
 	up            bool
-	removed       bool          // for good
-	leaving       bool          // told to end for good
-	frozenUntil   time.Duration // until this true time
-	awakeFrom     time.Duration // when it last was, or will be, awake again
+	removed       bool          // permanently
+	leaving       bool          // told to stop permanently
+	frozenUntil   time.Duration // in simulated time
+	awakeAt       time.Duration // end of the last or current freeze
 	rate          float64
 	base          time.Duration
 	diskDelay     time.Duration
 	slowUntil     time.Duration
-	busy          bool          // the disk is at work
-	pendingSaves  []quorum.Save // what waits for it
-	savesUnderWay []quorum.Save // what it is at
-	jammedUntil   time.Duration // until when it takes nothing
+	busy          bool          // the disk is writing
+	pendingSaves  []quorum.Save // saves waiting for the disk
+	savesUnderWay []quorum.Save // the batch being written
+	jammedUntil   time.Duration // the disk completes no write until then
 
 	ident          string
 	epoch          uint64
@@ -52,15 +53,15 @@
 	onResult       map[uint64]func(leadercall.Result)
 	queues         map[string]*serviceQueue
 	requests       map[string]*requestState
-	waitingForPlan map[int]*caller           // requests that wait for the plan
-	lastRead       map[string]message.Record // what a sabotaged daemon goes on reading
+	waitingForPlan map[int]*caller           // requests waiting for a readable plan
+	lastRead       map[string]message.Record // stale records that a sabotaged daemon keeps reading
 
-	forgotInTerm uint64 // the term at whose beginning a sabotaged leader forgot
+	forgotInTerm uint64 // the term in which a sabotaged leader lost its memory of changes
 }
 
 func (n *node) partition(p int) *partition.Partition { return n.controllers[p].Partition() }
 
-// local is a node's own monotonic time.
+// local returns the time of the node's own monotonic clock.
 func (n *node) local() time.Duration { return n.base + time.Duration(float64(n.world.now)*n.rate) }
 
 func (n *node) seeds() []string {
@@ -69,31 +70,32 @@
 	}
 	var out []string
 	for _, m := range n.world.nodes {
-		if m.hasDisk != n.world.options.Bare && !m.removed && len(out) < 3 {
+		if m.hasDisk != n.world.options.DisklessSeeds && !m.removed && len(out) < 3 {
 			out = append(out, m.addr)
 		}
 	}
 	return out
 }
 
-// in runs f in this life of the node, once it isn't frozen.
-func (n *node) in(d time.Duration, f func()) {
-	life := n.starts
+// schedule runs f after d, or when the node wakes if it is frozen then. If the node is
+// killed or restarted before, f doesn't run.
+func (n *node) schedule(d time.Duration, f func()) {
+	starts := n.starts
 	var run func()
 	run = func() {
-		if !n.up || n.starts != life {
+		if !n.up || n.starts != starts {
 			return
 		}
 		if n.frozenUntil > n.world.now {
-			n.world.at(n.frozenUntil-n.world.now+time.Duration(n.world.rng.Intn(1000)), run)
+			n.world.schedule(n.frozenUntil-n.world.now+time.Duration(n.world.rng.Intn(1000)), run)
 			return
 		}
 		f()
 	}
-	n.world.at(d, run)
+	n.world.schedule(d, run)
 }
 
-// start begins a new incarnation of the daemon, unless it runs or is gone for good.
+// start starts a new incarnation of the daemon, unless it is running or removed.
 func (n *node) start() {
 	if n.up || n.removed {
 		return
@@ -104,7 +106,7 @@
 	w.ids++
 	now := n.local()
 	n.openDisk()
-	n.forgetMemory()
+	n.resetMemory()
 	n.startCalls()
 	n.startMembership()
 	var disk *quorum.Folder
@@ -115,12 +117,12 @@
 		n.startPartition(now, p, disk)
 	}
 	w.trace("%s starts as %s", n.name, n.ident)
-	n.in(0, n.tick)
-	n.in(w.exp(w.options.Reads), n.read)
+	n.schedule(0, n.tick)
+	n.schedule(w.exp(w.options.ReadPeriod), n.read)
 }
 
-// openDisk gives the daemon the identity and incarnation that its disk has for it; without
-// one, an identity of this start alone.
+// openDisk sets the daemon's identity and incarnation from its disk. Without a disk the
+// identity is new for this start.
 func (n *node) openDisk() {
 	w := n.world
 	n.ident, n.epoch = fmt.Sprintf("%s-%d", n.name, w.ids), 1
@@ -137,8 +139,8 @@
 	n.ident, n.epoch = n.disk.ident, incarnation.Number(n.disk.epoch, uint32(w.ids))
 }
 
-// forgetMemory drops what an earlier incarnation had in memory.
-func (n *node) forgetMemory() {
+// resetMemory resets the in-memory state of the previous incarnation.
+func (n *node) resetMemory() {
 	n.controllers, n.parentChoosers, n.onResult = nil, nil, map[uint64]func(leadercall.Result){}
 	n.queues, n.requests = map[string]*serviceQueue{}, map[string]*requestState{}
 	n.waitingForPlan, n.lastRead = map[int]*caller{}, map[string]message.Record{}
@@ -163,13 +165,13 @@
 	if w.options.Flat {
 		config.MinRelayZone = len(w.nodes) + 1
 	}
-	config.ToleratedLosses, config.FirstStart = max(1, w.options.Losses), !w.options.Bare || n.starts == 1
+	config.ToleratedLosses, config.FirstStart = max(1, w.options.Losses), !w.options.DisklessSeeds || n.starts == 1
 	n.members = membership.New(config, n.member(), n.seeds())
 	n.view = n.members.View()
 }
 
-// startPartition starts the daemon's part in a partition, and pins the records that it
-// reads. disk is nil where there is none, or nothing guards it.
+// startPartition starts the daemon's state machines for a partition and pins the records
+// that it reads. disk is nil if there is no disk or the incarnation guard is sabotaged.
 func (n *node) startPartition(now time.Duration, p int, disk *quorum.Folder) {
 	w := n.world
 	self := n.self()
@@ -189,11 +191,11 @@
 	n.controllers = append(n.controllers, controller)
 	n.parentChoosers = append(n.parentChoosers, membership.ParentChooser{Partition: p, VolumeLease: w.cfg.VolumeLease()})
 	for _, key := range n.pinnedKeys(p) {
-		n.carry(p, controller.Pin(now, key))
+		n.apply(p, controller.Pin(now, key))
 	}
 }
 
-// self is the daemon as the others address it.
+// self returns the daemon's identity and address.
 func (n *node) self() message.Replica { return message.Replica{Ident: n.ident, Addr: n.addr} }
 
 func (n *node) newReplica(now time.Duration, p int, disk *quorum.Folder) *quorum.Replica {
@@ -218,7 +220,7 @@
 	if w.options.Sabotage == "nowait" {
 		config.Drift, config.Margin = -0.6, 0
 	}
-	if w.options.Static {
+	if w.options.StaticTree {
 		config.LoadInterval = 0
 	}
 	tree := lease.New(config, p, n.self(), n.epoch)
@@ -234,8 +236,8 @@
 	return tree
 }
 
-// pinnedKeys are the records of a partition that every daemon reads, and where it is the
-// configuration those that it works by.
+// pinnedKeys returns the keys of a partition that every daemon reads. In the
+// configuration partition they include those of the fleet configuration.
 func (n *node) pinnedKeys(p int) (keys []string) {
 	for k := range n.world.options.Keys {
 		keys = append(keys, key(k))
@@ -271,27 +273,27 @@
 	}
 }
 
-// tick lets time pass at a node, as the daemon's tickers do.
+// tick runs the node's periodic work, as the daemon's tickers do.
 func (n *node) tick() {
 	w := n.world
 	now := n.local()
 	n.ticks++
 	for p, m := range n.controllers {
-		n.carry(p, m.Tick(now))
+		n.apply(p, m.Tick(now))
 		tree := m.Partition().Node
 		if to := n.parentChoosers[p].Parent(now, n.view); to != tree.Parent() && !tree.IsRoot() {
-			n.carry(p, m.SetParent(now, to))
+			n.apply(p, m.SetParent(now, to))
 		}
 		for _, m := range n.parentChoosers[p].ReturnRedirects(tree.HasVolumeLease(now), tree.VolumeEpoch(), n.view) {
 			n.send(m)
 		}
 	}
-	n.carryCalls(n.calls.Tick(now, func(p int) message.Replica { return n.view.Leaderships[p].Leader }))
+	n.applyCalls(n.calls.Tick(now, func(p int) message.Replica { return n.view.Leaderships[p].Leader }))
 	if n.ticks%4 == 0 {
 		n.tickMembership(now)
 		n.reconcile(now)
 	}
-	n.in(15*time.Millisecond+time.Duration(w.rng.Intn(int(10*time.Millisecond))), n.tick)
+	n.schedule(15*time.Millisecond+time.Duration(w.rng.Intn(int(10*time.Millisecond))), n.tick)
 }
 
 func (n *node) tickMembership(now time.Duration) {
@@ -303,7 +305,7 @@
 	n.bootstrap(now, out.Bootstrap)
 }
 
-// knownLeaderships are the daemon's own and those that its replicas know of.
+// knownLeaderships returns the daemon's own leaderships and those that its replicas know of.
 func (n *node) knownLeaderships(now time.Duration) (known []message.Leadership) {
 	for p, m := range n.controllers {
 		replica := m.Partition().Replica
@@ -316,12 +318,12 @@
 	return known
 }
 
-// bootstrap makes the first group, as the daemon does.
+// bootstrap creates the first replica group, as the daemon does.
 func (n *node) bootstrap(now time.Duration, replicas []message.Replica) {
 	if replicas == nil {
 		return
 	}
-	n.world.trace("%s takes the founding", n.name)
+	n.world.trace("%s bootstraps the first group", n.name)
 	var all []quorum.Save
 	for _, m := range n.controllers {
 		out := m.Bootstrap(now, message.Group{Number: 1, Replicas: replicas})
@@ -333,7 +335,7 @@
 	n.save(all)
 }
 
-// reconcile runs the leaders' systems, as the daemon does.
+// reconcile runs the leaders' periodic work, as the daemon does.
 func (n *node) reconcile(now time.Duration) {
 	get := func(key string) (message.Record, bool) { return n.partition(0).Node.Get(now, key) }
 	var s leader.ClusterView
@@ -350,17 +352,18 @@
 		}
 		o := m.Reconcile(now, s)
 		term := m.Term()
-		n.carry(p, o)
+		n.apply(p, o)
 		for _, key := range o.Polls {
 			n.poll(m, term, key)
 		}
 		for _, ord := range o.Orders {
-			n.order(m, ord)
+			n.sendOrder(m, ord)
 		}
 	}
 }
 
-func (n *node) carry(p int, o leader.Out) {
+// apply carries out the output of a controller.
+func (n *node) apply(p int, o leader.Out) {
 	if len(o.Saves) > 0 {
 		n.save(o.Saves)
 	}
@@ -385,26 +388,26 @@
 	}
 }
 
-// read is a daemon using a record, as traffic does.
+// read reads a record, as request handling does.
 func (n *node) read() {
 	w := n.world
 	p, k := w.rng.Intn(len(n.controllers)), key(w.rng.Intn(w.options.Keys))
 	if r, ok := n.partition(p).Node.Get(n.local(), k); ok {
 		w.result.Reads++
-		w.note(Event{Kind: Served, Node: n.name, Partition: p, Key: fmt.Sprintf("%d/%s", p, k), Tags: tags(r)})
+		w.recordEvent(Event{Kind: RecordServed, Node: n.name, Partition: p, Key: fmt.Sprintf("%d/%s", p, k), Tags: tags(r)})
 	}
-	if rec, ok := n.source(0, fleetconfig.PlanKey); ok && w.options.Calls > 0 {
+	if rec, ok := n.readUnderLease(0, fleetconfig.PlanKey); ok && w.options.RequestInterval > 0 {
 		p := fleetconfig.OpenPlan(rec)
-		w.jot(history.Event{Who: n.name, Ev: "serves", Plan: p.ID, Ver: p.Version})
-		w.jot(history.Event{Who: n.name, Ev: "read", Plan: p.ID, Ver: p.Version})
+		w.writeJournal(history.Event{Who: n.name, Ev: "serves", Plan: p.ID, Ver: p.Version})
+		w.writeJournal(history.Event{Who: n.name, Ev: "read", Plan: p.ID, Ver: p.Version})
 	}
-	w.leaders()
-	whileSlow := w.options.Lame > 0 && w.now > 25*time.Second && w.now < 55*time.Second
+	w.recordLeaders()
+	whileSlow := w.options.SlowRelayDelay > 0 && w.now > 25*time.Second && w.now < 55*time.Second
 	if whileSlow && n.zone == w.nodes[len(w.nodes)-1].zone && !w.isSlowRelay(n) {
-		w.cost += n.partition(p).Node.RenewCost()
-		w.costs++
+		w.renewalTime += n.partition(p).Node.RenewCost()
+		w.renewals++
 	}
-	n.in(w.exp(w.options.Reads), n.read)
+	n.schedule(w.exp(w.options.ReadPeriod), n.read)
 }
 
 func tags(r message.Record) []string {
--- a/proof/sim/operator.go
+++ b/proof/sim/operator.go
@@ -15,14 +15,14 @@
 
 func sortedKeys[T any](m map[string]T) []string { return slices.Sorted(maps.Keys(m)) }
 
-// read is a record as a daemon has it, whatever its leases.
+// read returns a record as a daemon has it under its leases; it is empty otherwise.
 func (w *world) read(n *node, key string) message.Record {
 	r, _ := n.partition(0).Node.Get(n.local(), key)
 	return r
 }
 
-// rebase is the sabotage that takes every change as if on the current plan, with
-// a number of its own or none.
+// rebase is the sabotage that treats every change as based on the given plan version. With
+// free set it also removes the change's number.
 func rebase(body []byte, ver uint64, free bool) []byte {
 	var c fleetconfig.Changes
 	if json.Unmarshal(body, &c) != nil {
@@ -35,28 +35,28 @@
 	return leadercall.Pack(c)
 }
 
-// operate is what operators and the platform do through the day.
-func (w *world) operate() {
+// runOperators sends the random calls of operators and the platform.
+func (w *world) runOperators() {
 	if w.now > w.options.Length-6*time.Second {
 		return
 	}
-	w.at(w.exp(w.options.Orders), w.operate)
+	w.schedule(w.exp(w.options.OperatorInterval), w.runOperators)
 	switch w.rng.Intn(8) {
 	case 0:
 		w.evacuate()
 	case 1:
-		w.leave()
+		w.markLeaving()
 	case 2:
-		w.selfLeave()
+		w.announceLeaving()
 	default:
-		w.change()
+		w.sendRandomChange()
 	}
 }
 
-// change sends a named change; at times two operators at once on one base, an
-// old base, or a broken one.
-func (w *world) change() {
-	n := w.pick("")
+// sendRandomChange sends a change: of one operator, of two at once on the same base, on an
+// old base, or an invalid one.
+func (w *world) sendRandomChange() {
+	n := w.pickNode("")
 	if !n.up || n.frozenUntil > w.now {
 		return
 	}
@@ -67,19 +67,19 @@
 	base := fleetconfig.OpenPlan(rec).Version
 	switch w.rng.Intn(6) {
 	case 0, 1:
-		w.set(n, base, 4)
-		w.set(w.pick(""), base, 5)
+		w.sendChange(n, base, 4)
+		w.sendChange(w.pickNode(""), base, 5)
 	case 2:
-		w.set(n, base-1, 4)
+		w.sendChange(n, base-1, 4)
 	case 3:
-		w.set(n, base, 77)
+		w.sendChange(n, base, 77)
 	default:
-		w.set(n, base, 4)
+		w.sendChange(n, base, 4)
 	}
 }
 
-// newest is the newest plan that any daemon has.
-func (w *world) newest() (version uint64) {
+// newestPlanVersion returns the newest plan version at any running daemon.
+func (w *world) newestPlanVersion() (version uint64) {
 	for _, n := range w.nodes {
 		if rec, ok := n.partition(0).Node.Get(n.local(), fleetconfig.PlanKey); ok && n.up {
 			version = max(version, fleetconfig.OpenPlan(rec).Version)
@@ -88,35 +88,35 @@
 	return version
 }
 
-// changeAt sends one change through a daemon, whatever that knows.
-func (w *world) changeAt(n *node, base uint64) {
+// sendChangeThrough sends a change on the given base through a daemon, if that is running.
+func (w *world) sendChangeThrough(n *node, base uint64) {
 	if n.up && n.frozenUntil <= w.now {
-		w.set(n, base, 4)
+		w.sendChange(n, base, 4)
 	}
 }
 
-// set sends a named change on a base.
-func (w *world) set(n *node, base uint64, prio int) {
+// sendChange sends a change of a tenant's priority on a base.
+func (w *world) sendChange(n *node, base uint64, prio int) {
 	w.tags++
 	id, start := fmt.Sprintf("c%d", w.tags), w.now
 	c := fleetconfig.Changes{ID: id, Base: base, Changes: []fleetconfig.Change{w.tenantChange(prio)}}
-	w.control(n, 0, "changes", leadercall.Pack(c), func(code int, rep []byte) {
+	w.controlCall(n, 0, "changes", leadercall.Pack(c), func(code int, rep []byte) {
 		w.recordVerdict(id, base, start, code, rep)
 	})
 }
 
-// tenantChange is a change of one tenant, with a timeout that tells it from others.
+// tenantChange returns a change of one tenant; its timeout distinguishes it from others.
 func (w *world) tenantChange(priority int) fleetconfig.Change {
 	return fleetconfig.Change{Op: "set-tenant", Tenant: &fleetconfig.Tenant{
 		Name: "regular", Priority: priority, TimeoutMillis: 4000 + int(w.tags%1000), QueueFraction: 0.6,
 	}}
 }
 
-// spares tells whether a server may be taken out of service. In the calm at the end
-// one at a time is, and none beside a zone that is out: that the fleet serves again in
-// time is asked of it only while there are servers for both sides.
-func (w *world) spares() bool {
-	if !w.calm {
+// mayTakeServerOut reports whether a server may be taken out of service. After the last
+// fault only one may be out at a time, and none while a zone is evacuated: the bound on
+// recovery applies only while both roles have enough servers.
+func (w *world) mayTakeServerOut() bool {
+	if !w.faultsEnded {
 		return true
 	}
 	for _, d := range w.fakeServers {
@@ -127,47 +127,49 @@
 	return w.evacuatedZone == ""
 }
 
-// evacuate takes a zone out, if none is, and later brings it back.
+// evacuate evacuates a zone, unless one is evacuated, and later brings it back.
 func (w *world) evacuate() {
-	if w.evacuatedZone != "" || len(w.options.Zones) < 2 || !w.spares() {
+	if w.evacuatedZone != "" || len(w.options.Zones) < 2 || !w.mayTakeServerOut() {
 		return
 	}
 	zone := fmt.Sprintf("zone-%d", w.rng.Intn(len(w.options.Zones)))
-	if w.options.Moves > 0 { // again and again the same, so that a late call meets another's work
+	if w.options.EvacuationInterval > 0 { // always the same zone, so that a delayed call meets a later evacuation
 		zone = "zone-1"
 	}
 	w.evacuatedZone = zone
 	from := w.now
-	w.control(w.pick(""), 0, "evacuate", []byte(zone), func(code int, _ []byte) {
-		if code == 200 { // known from when it was asked, unless that took long
+	w.controlCall(w.pickNode(""), 0, "evacuate", []byte(zone), func(code int, _ []byte) {
+		if code == 200 { // counts from the request, unless the answer took long
 			at := from
 			if w.now-from > 2*time.Second {
 				at = w.now
 			}
-			w.jot(history.Event{At: int64(at), Ev: "evacuated", Zone: zone})
+			w.writeJournal(history.Event{At: int64(at), Ev: "evacuated", Zone: zone})
 			w.result.Faults["evacuated"]++
 		}
-		w.at(6*time.Second+w.exp(2*time.Second), func() { w.bringBack(zone) })
+		w.schedule(6*time.Second+w.exp(2*time.Second), func() { w.bringBack(zone) })
 	})
 }
 
 func (w *world) bringBack(zone string) {
-	w.jot(history.Event{Ev: "returned", Zone: zone})
-	w.control(w.pick(""), 0, "return", []byte(zone), func(code int, _ []byte) {
+	w.writeJournal(history.Event{Ev: "returned", Zone: zone})
+	w.controlCall(w.pickNode(""), 0, "return", []byte(zone), func(code int, _ []byte) {
 		if code != 200 {
-			w.at(300*time.Millisecond, func() { w.bringBack(zone) })
+			w.schedule(300*time.Millisecond, func() { w.bringBack(zone) })
 			return
 		}
 		w.evacuatedZone = ""
 	})
 }
 
-func (w *world) someFakeServer() *fakeServer { return w.fakeServers[w.addrs[w.rng.Intn(len(w.addrs))]] }
+func (w *world) randomFakeServer() *fakeServer {
+	return w.fakeServers[w.addrs[w.rng.Intn(len(w.addrs))]]
+}
 
-// leave marks a server as leaving in the platform's list, and takes it back.
-func (w *world) leave() {
-	d := w.someFakeServer()
-	if d.removed || slices.Contains(leavers(w.lists[d.service]), d.addr) || !w.spares() {
+// markLeaving marks a server as leaving in the platform's list, and later clears the mark.
+func (w *world) markLeaving() {
+	d := w.randomFakeServer()
+	if d.removed || slices.Contains(leavers(w.lists[d.service]), d.addr) || !w.mayTakeServerOut() {
 		return
 	}
 	mark := func(on bool) {
@@ -181,43 +183,43 @@
 		w.lists[d.service] = l
 	}
 	mark(true)
-	w.list(d.service, func(ok bool) {
-		if ok { // an older list that is acknowledged late says nothing any more
+	w.sendServerList(d.service, func(ok bool) {
+		if ok { // a late acknowledgement may be for an outdated list
 			if slices.Contains(leavers(w.lists[d.service]), d.addr) {
-				d.jot(history.Event{Ev: "leaving"})
+				d.writeJournal(history.Event{Ev: "leaving"})
 				w.result.Faults["leaving"]++
 			}
 		}
-		w.at(4*time.Second+w.exp(2*time.Second), func() {
+		w.schedule(4*time.Second+w.exp(2*time.Second), func() {
 			if d.removed {
 				return
 			}
 			mark(false)
-			d.jot(history.Event{Ev: "staying"})
-			w.list(d.service, nil)
+			d.writeJournal(history.Event{Ev: "staying"})
+			w.sendServerList(d.service, nil)
 		})
 	})
 }
 
-// selfLeave has a server say itself that it leaves.
-func (w *world) selfLeave() {
-	d := w.someFakeServer()
-	if !d.up || d.leaving || d.removed || !w.spares() {
+// announceLeaving makes a server report itself as leaving for a while.
+func (w *world) announceLeaving() {
+	d := w.randomFakeServer()
+	if !d.up || d.leaving || d.removed || !w.mayTakeServerOut() {
 		return
 	}
 	d.leaving = true
 	w.result.Faults["selfleave"]++
-	w.at(4*time.Second+w.exp(2*time.Second), func() { d.leaving = false })
+	w.schedule(4*time.Second+w.exp(2*time.Second), func() { d.leaving = false })
 }
 
-// serverFaultKinds are the kinds of failures that serverFault knows.
+// serverFaultKinds are the kinds of faults that serverFault injects.
 var serverFaultKinds = []string{
 	"crash", "dark", "lapse", "cross", "break", "drop", "skip", "twice", "sluggish", "link", "roll",
 }
 
-// serverFault brings one failure of a server about, or of all.
+// serverFault injects a fault into a random server, or into all of them for kind lapse.
 func (w *world) serverFault(kind string) {
-	d := w.someFakeServer()
+	d := w.randomFakeServer()
 	switch kind {
 	case "crash":
 		if d.up {
@@ -227,19 +229,19 @@
 	case "roll":
 		w.replaceServer(d)
 	case "dark":
-		w.raiseForAWhile(&d.dark)
+		w.setTemporarily(&d.dark)
 	case "lapse":
-		w.lapseAllHandles()
+		w.expireAllHandles()
 	case "cross":
-		w.raiseForAWhile(&d.cross)
+		w.setTemporarily(&d.cross)
 	case "break":
-		w.raiseForAWhile(&d.breaks)
+		w.setTemporarily(&d.breaks)
 	case "drop":
-		w.raiseForAWhile(&d.drops)
+		w.setTemporarily(&d.drops)
 	case "skip":
-		w.raiseForAWhile(&d.skip)
+		w.setTemporarily(&d.skip)
 	case "twice":
-		w.raiseForAWhile(&d.twice)
+		w.setTemporarily(&d.twice)
 	case "sluggish":
 		d.slow = 2 + w.rng.Intn(6)
 		w.healServerLater(func() { d.slow = 1 })
@@ -249,32 +251,32 @@
 	}
 }
 
-// healServerLater ends a failure of a server some time later.
+// healServerLater ends a server's fault after a random time.
 func (w *world) healServerLater(heal func()) {
-	w.at(300*time.Millisecond+w.exp(2*time.Second), heal)
+	w.schedule(300*time.Millisecond+w.exp(2*time.Second), heal)
 }
 
-// raiseForAWhile sets one of a server's failures, and clears it some time later.
-func (w *world) raiseForAWhile(failure *bool) {
+// setTemporarily sets a server's fault flag and clears it after a random time.
+func (w *world) setTemporarily(failure *bool) {
 	*failure = true
 	w.healServerLater(func() { *failure = false })
 }
 
-// lapseAllHandles has every handle of every server be gone at once.
-func (w *world) lapseAllHandles() {
+// expireAllHandles drops all handles of all servers.
+func (w *world) expireAllHandles() {
 	for _, addr := range w.addrs {
 		w.fakeServers[addr].caches = map[string]cache{}
-		w.fakeServers[addr].lapseAll = true
+		w.fakeServers[addr].expired = true
 	}
 	w.healServerLater(func() {
 		for _, addr := range w.addrs {
-			w.fakeServers[addr].lapseAll = false
+			w.fakeServers[addr].expired = false
 		}
 	})
 }
 
-// replaceServer puts another server in the place of one, which ends when the platform's
-// list has been without it for a while.
+// replaceServer replaces a server by a new one. The old server stops some time after the
+// platform's list without it was accepted.
 func (w *world) replaceServer(d *fakeServer) {
 	if d.removed {
 		return
@@ -288,13 +290,13 @@
 	}
 	list.Servers = rest
 	w.lists[d.service] = list
-	w.fakeServer(d.service, d.zone)
+	w.addFakeServer(d.service, d.zone)
 	d.removed = true
-	w.list(d.service, func(ok bool) {
+	w.sendServerList(d.service, func(ok bool) {
 		if ok {
-			d.jot(history.Event{Ev: "leaving"})
+			d.writeJournal(history.Event{Ev: "leaving"})
 		}
-		w.at(3*time.Second, func() {
+		w.schedule(3*time.Second, func() {
 			if d.up {
 				d.crash()
 			}
@@ -302,37 +304,37 @@
 	})
 }
 
-// loseZone kills every daemon and server of a zone; they come back later.
+// loseZone kills every daemon and server in a zone; they restart later.
 func (w *world) loseZone(zone string) {
 	for _, n := range w.nodes {
 		if n.zone == zone && n.up {
 			n.kill()
-			w.at(3*time.Second+w.exp(2*time.Second), n.start)
+			w.schedule(3*time.Second+w.exp(2*time.Second), n.start)
 		}
 	}
 	for _, a := range w.addrs {
 		if d := w.fakeServers[a]; d.zone == zone && d.up {
 			d.crash()
-			w.at(3*time.Second+w.exp(2*time.Second), d.boot)
+			w.schedule(3*time.Second+w.exp(2*time.Second), d.boot)
 		}
 	}
 }
 
-// healServers brings every server back, whole, at the start of the calm.
+// healServers restarts all servers and clears their faults.
 func (w *world) healServers() {
-	if w.options.Calls == 0 {
+	if w.options.RequestInterval == 0 {
 		return
 	}
 	for _, a := range w.addrs {
 		d := w.fakeServers[a]
-		d.dark, d.lapseAll, d.cross, d.breaks, d.drops, d.skip, d.twice = false, false, false, false, false, false, false
+		d.dark, d.expired, d.cross, d.breaks, d.drops, d.skip, d.twice = false, false, false, false, false, false, false
 		d.slow, d.linkDelay = 1, 0
 		back := time.Duration(0)
 		if w.options.Sabotage == "lateback" {
 			d.crash()
 			back = 14 * time.Second
 		}
-		w.at(back, d.boot)
+		w.schedule(back, d.boot)
 	}
-	w.jot(history.Event{Ev: "mended"})
+	w.writeJournal(history.Event{Ev: "mended"})
 }
--- a/proof/sim/options.go
+++ b/proof/sim/options.go
@@ -6,76 +6,76 @@
 	"mulleinmast/proof/history"
 )
 
-// Options shape a run.
+// Options configure a run.
 type Options struct {
-	Seed       int64
-	Zones      []int // daemons in each zone; the first of each has a disk
-	Disks      int   // daemons with a disk in each zone, if more than one
-	Losses     int   // of them that may be lost at once, if more than one
-	Bare       bool  // the seeds have no disk, and the platform tells a first start from others
-	Partitions int   // beside the configuration part
-	Length     time.Duration
-	Calm       time.Duration      // at the end nothing fails any more
-	Faults     map[string]float64 // mean faults of each kind in a run
-	Writes     time.Duration      // mean time between writes
-	Reads      time.Duration      // mean time between a daemon's reads
-	Keys       int
-	Many       int             // changes in force before the events of many.go; 0: none of these
-	Drift      float64         // how far clocks really run apart
-	Sabotage   string          // a fault put in on purpose, to prove the checker
-	Clean      bool            // the network loses, delays and doubles nothing
-	Flat       bool            // no relays: every daemon renews at the leader
-	Calls      time.Duration   // mean time between requests; 0: no servers and no requests
-	Servers    []int           // model servers of each service
-	Orders     time.Duration   // mean time between operators' and the platform's calls
-	Swaps      []time.Duration // when a core machine is exchanged for an empty one
-	Rounds     int             // losses of core machines for good, one after the other
-	Second     bool            // another is lost for a while as soon as a successor is to count
-	Moves      time.Duration   // mean time until a zone that was brought back is evacuated again; 0: only by Orders
-	// Races is the mean time between operators' changes that are sent until their end is
-	// clear, and again; 0: none.
-	Races     time.Duration
-	Late      float64       // part of the calls to leaders that come a second time, seconds later
-	Responses float64       // part of the responses between daemons that come a second time, seconds later
-	Far       time.Duration // more between zones, one way
-	Lame      time.Duration // more to and from one relay, from 15 s to 55 s
-	Back      bool          // who is refused comes back when told to, once
-	Static    bool          // the tree is not reshaped by load and cost
-	Mutate    float64       // part of the messages that come a second time with one field changed, as from a stranger
-	Asks      time.Duration // mean time between read-backs of the plan; 0: none
-	Held      float64       // part of what a cut stops that comes when it has healed
-	Wholes    bool          // records go whole at each change
-	Trace     func(string)
+	Seed               int64
+	Zones              []int // daemons in each zone; the first of each zone has a disk
+	Disks              int   // daemons with a disk in each zone, if more than one is wanted
+	Losses             int   // daemons with a disk that may be lost at once, if more than one
+	DisklessSeeds      bool  // the seeds have no disk; the platform marks a daemon's first start
+	Partitions         int   // besides the configuration partition
+	Length             time.Duration
+	Calm               time.Duration      // no faults in this period at the end of a run
+	Faults             map[string]float64 // mean number of faults of each kind in a run
+	WritePeriod        time.Duration      // mean time between writes
+	ReadPeriod         time.Duration      // mean time between a daemon's reads
+	Keys               int
+	MinChanges         int             // changes acknowledged before the events of many.go start; 0: no such events
+	Drift              float64         // actual spread of the clock rates
+	Sabotage           string          // a fault planted on purpose, to test the checkers
+	Clean              bool            // the network never loses, delays or duplicates messages
+	Flat               bool            // no relays: every daemon renews its leases at the leader
+	RequestInterval    time.Duration   // mean time between requests; 0: no model servers and no requests
+	Servers            []int           // model servers of each service
+	OperatorInterval   time.Duration   // mean time between calls of operators and the platform
+	ReplacementTimes   []time.Duration // when a control daemon is replaced by an empty one
+	LossRounds         int             // permanent losses of control daemons, one after the other
+	SecondLoss         bool            // another one fails for a while as soon as a successor must have caught up
+	EvacuationInterval time.Duration   // mean time between a zone's return and its next evacuation; 0: by operators only
+	// RaceInterval is the mean time between racing changes, which operators resend until the
+	// outcome is known, and some of them once more after that; 0: none.
+	RaceInterval      time.Duration
+	LateCallShare     float64       // share of the calls to leaders that are delivered again seconds later
+	LateResponseShare float64       // share of the responses between daemons that are delivered again seconds later
+	ZoneDelay         time.Duration // additional one-way delay between zones
+	SlowRelayDelay    time.Duration // additional delay to and from the last zone's relays, from 15 s to 55 s
+	Back              bool          // a client that is refused retries once, after the time that it is told
+	StaticTree        bool          // the lease tree is not reshaped by load and cost
+	MutatedShare      float64       // share of the messages repeated with one field changed, from a stranger
+	ReadBackInterval  time.Duration // mean time between read-backs of the plan; 0: no read-backs
+	HeldShare         float64       // share of the messages stopped by a cut that arrive after it heals
+	FullRecords       bool          // changed records are sent in full, not as patches
+	Trace             func(string)
 }
 
-// Result is what a run came to.
+// Result is the outcome of a run.
 type Result struct {
 	History                  []Event
 	Journal                  []history.Event
 	Broken                   []string
 	Yes, Never, Maybe, Reads int
 	Messages, Invalidations  int
-	RootMessages             int             // messages into leaders
-	Gap                      time.Duration   // longest time without a leader of part 0
-	Waits                    []time.Duration // time from asking for a write to yes
+	RootMessages             int             // messages received by leaders
+	Gap                      time.Duration   // longest time without a leader of partition 0
+	Waits                    []time.Duration // time from requesting a write to its acknowledgement
 	Faults                   map[string]int
-	Recs, Mended             int
-	Patched, Whole           int            // records that went down the tree as what changed, and whole
-	Superseded               int            // daemons that lost their voice to another of their identity
-	Returned, Helped         int            // requests that came back when told to, and those served then
-	Served, Sent             map[string]int // requests by tenant, in crowds
-	Steers                   map[string]int // messages that moved a daemon in the tree, by why
-	Renewal                  time.Duration  // mean time of a renewal of a lease while a relay was lame
-	Results, Refusals, Plans map[string]int // requests by result and by why refused, operators' calls
+	RecordCount, RepairCount int
+	PatchedCount, FullCount  int            // records sent down the lease tree as patches, and in full
+	Superseded               int            // daemons superseded by another one with the same identity
+	Returned, Helped         int            // requests retried after a refusal, and those of them served
+	Served, Sent             map[string]int // requests by tenant, during crowds
+	Steers                   map[string]int // messages that moved a daemon in the lease tree, by reason
+	Renewal                  time.Duration  // mean time of a lease renewal while a relay was slow
+	Results, Refusals, Plans map[string]int // requests by result, refusals by reason, operators' calls by result
 }
 
-// Default is a run with every kind of failure.
+// Default returns a run with all the general kinds of faults.
 //
 // Example: sim.Run(sim.Default(1))
 func Default(seed int64) Options {
 	return Options{
 		Seed: seed, Zones: []int{3, 3, 1}, Partitions: 1, Length: 40 * time.Second, Calm: 14 * time.Second, Keys: 3,
-		Writes: 250 * time.Millisecond, Reads: 60 * time.Millisecond, Drift: 0.02,
+		WritePeriod: 250 * time.Millisecond, ReadPeriod: 60 * time.Millisecond, Drift: 0.02,
 		Faults: map[string]float64{
 			"kill": 2, "all": 0.15, "wipe": 0.4, "cut": 1.5, "oneway": 1, "alone": 1, "freeze": 2,
 			"slow": 1, "stall": 0.5, "ackkill": 1,
@@ -83,157 +83,162 @@
 	}
 }
 
-// Scenarios are the runs of a sweep.
+// Scenarios maps the names of a sweep's scenarios to their options for a seed.
 //
 // Example: for name, make := range sim.Scenarios { sim.Run(make(seed)) }
 var Scenarios = map[string]func(int64) Options{
 	"storm":   Default,
-	"kills":   only(map[string]float64{"kill": 6, "all": 0.7, "ackkill": 6}),
-	"disks":   only(map[string]float64{"wipe": 1, "ackkill": 3, "slow": 4, "stall": 2, "kill": 1}),
-	"cuts":    only(map[string]float64{"cut": 3, "oneway": 3, "alone": 4}),
-	"freezes": only(map[string]float64{"freeze": 12, "kill": 1}),
+	"kills":   faultScenario(map[string]float64{"kill": 6, "all": 0.7, "ackkill": 6}),
+	"disks":   faultScenario(map[string]float64{"wipe": 1, "ackkill": 3, "slow": 4, "stall": 2, "kill": 1}),
+	"cuts":    faultScenario(map[string]float64{"cut": 3, "oneway": 3, "alone": 4}),
+	"freezes": faultScenario(map[string]float64{"freeze": 12, "kill": 1}),
 	"rangsit": func(seed int64) Options {
 		o := Default(seed)
-		o.Zones, o.Reads = []int{4, 3, 3}, 100*time.Millisecond
+		o.Zones, o.ReadPeriod = []int{4, 3, 3}, 100*time.Millisecond
 		return o
 	},
-	"traffic": calls([]int{4, 3, 3}, []int{7, 5}, map[string]float64{
+	"traffic": trafficScenario([]int{4, 3, 3}, []int{7, 5}, map[string]float64{
 		"kill": 2, "freeze": 1, "cut": 0.7, "oneway": 0.5, "alone": 0.7, "wipe": 0.3, "stall": 0.5, "ackkill": 1,
 		"crash": 2, "dark": 1, "lapse": 1, "cross": 1, "break": 2, "skip": 1, "twice": 1,
 		"sluggish": 1, "link": 1, "roll": 1, "crowd": 1, "swing": 1,
 	}),
-	"servers": calls([]int{3, 3, 3}, []int{5, 4}, map[string]float64{
+	"servers": trafficScenario([]int{3, 3, 3}, []int{5, 4}, map[string]float64{
 		"crash": 4, "dark": 2, "lapse": 2, "cross": 3, "break": 4, "skip": 2, "twice": 2,
 		"sluggish": 2, "link": 2, "roll": 2, "crowd": 1,
 	}),
-	// Decodes that were sent are lost, before and after their first piece.
-	"lost": calls([]int{3, 3, 3}, []int{5, 4}, map[string]float64{
+	// Decode calls are lost after they were sent, before and after their first piece.
+	"lost": trafficScenario([]int{3, 3, 3}, []int{5, 4}, map[string]float64{
 		"drop": 10, "break": 4, "crash": 6, "dark": 3, "crowd": 1,
 	}),
-	"zones": calls([]int{3, 3, 3}, []int{5, 4}, map[string]float64{
+	"zones": trafficScenario([]int{3, 3, 3}, []int{5, 4}, map[string]float64{
 		"zone": 1, "kill": 1, "freeze": 1, "crowd": 1, "swing": 1,
 	}),
-	"reboot": calls([]int{3, 3, 3}, []int{5, 4}, map[string]float64{"all": 1.5, "kill": 4, "ackkill": 3, "freeze": 3}),
-	// A zone is evacuated and brought back all the time, and calls come a second
-	// time seconds later, under the same leader or the next.
+	"reboot": trafficScenario([]int{3, 3, 3}, []int{5, 4}, map[string]float64{
+		"all": 1.5, "kill": 4, "ackkill": 3, "freeze": 3,
+	}),
+	// A zone is evacuated and brought back continuously, and calls are delivered again
+	// seconds later, under the same leader or the next one.
 	"late": func(seed int64) Options {
-		o := calls([]int{3, 3, 3}, []int{5, 4}, map[string]float64{"kill": 3, "freeze": 2, "alone": 1})(seed)
-		o.Late, o.Moves = 0.8, 200*time.Millisecond
+		o := trafficScenario([]int{3, 3, 3}, []int{5, 4}, map[string]float64{"kill": 3, "freeze": 2, "alone": 1})(seed)
+		o.LateCallShare, o.EvacuationInterval = 0.8, 200*time.Millisecond
 		return o
 	},
-	// Operators race with the same numbers, eight calls under way, answers lost
-	// and calls doubled; all are sent again later, through other daemons, with
-	// hundreds of changes and other leaders between. A control daemon is replaced
-	// meanwhile, or loses its disk.
+	// Operators race with the same version numbers, with up to eight calls in flight, lost
+	// answers and duplicated calls. Calls are sent again later through other daemons, after
+	// hundreds of changes and under other leaders. During the run a control daemon is
+	// replaced or loses its disk.
 	"races": func(seed int64) Options {
-		o := calls([]int{3, 3, 3}, []int{3, 3}, map[string]float64{
+		o := trafficScenario([]int{3, 3, 3}, []int{3, 3}, map[string]float64{
 			"kill": 4, "core": 1, "alone": 1.5, "oneway": 1, "freeze": 2, "slow": 1, "wipe": 0.5,
 		})(seed)
-		o.Calls, o.Orders, o.Races = 150*time.Millisecond, 4*time.Second, 80*time.Millisecond
+		o.RequestInterval, o.OperatorInterval, o.RaceInterval = 150*time.Millisecond, 4*time.Second, 80*time.Millisecond
 		if seed%2 == 0 {
-			o.Swaps = []time.Duration{18 * time.Second}
+			o.ReplacementTimes = []time.Duration{18 * time.Second}
 			delete(o.Faults, "wipe")
 		}
 		return o
 	},
-	// Core machines are cut off from the others, both ways or one, while operators
-	// order and read back at any daemon, and others start with seeds that name
-	// only those; what was held up comes in the end.
+	// Control daemons are cut off from the others, in one or both directions, while
+	// operators send changes and read back at any daemon, and other daemons start with a
+	// cut-off daemon as their only seed. Some of the messages held up arrive after the cut heals.
 	"cutoff": func(seed int64) Options {
-		o := calls([]int{4, 3, 3}, []int{3, 3}, map[string]float64{
+		o := trafficScenario([]int{4, 3, 3}, []int{3, 3}, map[string]float64{
 			"cutcore": 4, "halfcut": 3, "alone": 1, "freeze": 3, "kill": 0.5,
 		})(seed)
-		o.Calls, o.Asks, o.Held = 100*time.Millisecond, 60*time.Millisecond, 0.3
+		o.RequestInterval, o.ReadBackInterval, o.HeldShare = 100*time.Millisecond, 60*time.Millisecond, 0.3
 		return o
 	},
-	// The whole core is killed again and again and back at once, beside other
-	// trouble, with writes all the time: leaders are elected while leases under
-	// the ones before still stand.
+	// All control daemons are killed and restarted at once, repeatedly, besides other
+	// faults and under continuous writes: leaders are elected while leases of their
+	// predecessors are still valid.
 	"early": func(seed int64) Options {
 		o := Default(seed)
-		o.Zones, o.Writes, o.Reads = []int{4, 3, 3}, 40*time.Millisecond, 20*time.Millisecond
+		o.Zones, o.WritePeriod, o.ReadPeriod = []int{4, 3, 3}, 40*time.Millisecond, 20*time.Millisecond
 		o.Faults = map[string]float64{"core": 8, "kill": 3, "freeze": 2, "alone": 1, "ackkill": 0.2}
 		return o
 	},
-	// Responses of all kinds come a second time, seconds later: to a later call, a
-	// later life under the same identity, or a later term. Operators call all the
-	// time, and control daemons restart again and again.
+	// LateResponseShare of all kinds are delivered again seconds later: to a later call, a later
+	// incarnation of the same identity, or a later term. Operators call continuously, and
+	// control daemons restart repeatedly.
 	"answers": func(seed int64) Options {
-		o := calls([]int{3, 3, 3}, []int{4, 3}, map[string]float64{"again": 4, "kill": 1, "ackkill": 1, "slow": 2})(seed)
-		o.Responses, o.Orders = 0.5, 400*time.Millisecond
+		o := trafficScenario([]int{3, 3, 3}, []int{4, 3}, map[string]float64{
+			"again": 4, "kill": 1, "ackkill": 1, "slow": 2,
+		})(seed)
+		o.LateResponseShare, o.OperatorInterval = 0.5, 400*time.Millisecond
 		return o
 	},
-	// Five replicas over three zones, and a founder without a disk.
+	// Five replicas in three zones, and seeds without a disk.
 	"five": func(seed int64) Options {
 		o := Default(seed)
-		o.Zones, o.Disks, o.Losses, o.Bare = []int{4, 3, 3}, 2, 2, true
+		o.Zones, o.Disks, o.Losses, o.DisklessSeeds = []int{4, 3, 3}, 2, 2, true
 		return o
 	},
-	// A control daemon is lost or replaced, and another is lost a catch-up bound
+	// A control daemon is lost or replaced, and another one is lost one catch-up bound
 	// after the successor's start.
-	"secondloss": successors(3, true),
-	// Ten control daemons are replaced, each a catch-up bound after the last
+	"secondloss": lossScenario(3, true),
+	// Ten control daemons are replaced, each one catch-up bound after the previous
 	// successor's start.
-	"successors": successors(10, false),
-	// Many records, so that few are written anew after one is spoilt.
+	"successors": lossScenario(10, false),
+	// MinChanges records, so that few of them are rewritten after one is corrupted.
 	"rot": func(seed int64) Options {
 		o := Default(seed)
 		o.Keys, o.Faults = 24, map[string]float64{"rot": 3, "slow": 1}
 		return o
 	},
-	// Folders are copied, and older copies put back or started beside their originals.
+	// Data folders are copied, and older copies are restored or started next to their originals.
 	"copies": func(seed int64) Options {
 		o := Default(seed)
-		o.Writes, o.Reads = 100*time.Millisecond, 40*time.Millisecond
+		o.WritePeriod, o.ReadPeriod = 100*time.Millisecond, 40*time.Millisecond
 		o.Faults = map[string]float64{
 			"copyback": 3, "copybeside": 3, "kill": 2, "all": 0.2, "cut": 1, "alone": 1, "freeze": 1,
 		}
 		return o
 	},
-	// Hundreds of changes and then, one after another, all that may befall a core
-	// machine, while changes go on.
+	// Hundreds of changes and then, one after another, every event that may hit a control
+	// daemon, while changes continue.
 	"manychanges": func(seed int64) Options {
 		o := Default(seed)
-		o.Zones, o.Keys, o.Many = []int{3, 2, 2}, 24, 500
-		o.Writes, o.Reads, o.Length, o.Calm = 25*time.Millisecond, 150*time.Millisecond, 110*time.Second, 5*time.Second
+		o.Zones, o.Keys, o.MinChanges = []int{3, 2, 2}, 24, 500
+		o.WritePeriod, o.ReadPeriod, o.Length, o.Calm =
+			25*time.Millisecond, 150*time.Millisecond, 110*time.Second, 5*time.Second
 		o.Faults = nil
 		return o
 	},
-	// All three control daemons are exchanged, one after another, while the
-	// usual trouble goes on.
+	// All three control daemons are replaced, one after another, under the usual faults.
 	"swaps": func(seed int64) Options {
 		o := Default(seed)
-		o.Length, o.Calm, o.Writes, o.Reads = 130*time.Second, 34*time.Second, time.Second, 250*time.Millisecond
+		o.Length, o.Calm, o.WritePeriod, o.ReadPeriod = 130*time.Second, 34*time.Second, time.Second, 250*time.Millisecond
 		o.Faults = map[string]float64{"kill": 1, "freeze": 2, "alone": 0.5, "slow": 1}
-		o.Swaps = []time.Duration{10 * time.Second, 45 * time.Second, 80 * time.Second}
+		o.ReplacementTimes = []time.Duration{10 * time.Second, 45 * time.Second, 80 * time.Second}
 		return o
 	},
 }
 
-// calls is a whole fleet with servers, clients, operators and a platform.
-func calls(zones []int, servers []int, f map[string]float64) func(int64) Options {
+// trafficScenario returns options for a complete fleet with model servers, clients,
+// operators and a platform.
+func trafficScenario(zones []int, servers []int, f map[string]float64) func(int64) Options {
 	return func(seed int64) Options {
 		return Options{
 			Seed: seed, Zones: zones, Partitions: 2, Length: 56 * time.Second, Calm: 24 * time.Second,
-			Keys: 1, Writes: time.Second, Reads: 250 * time.Millisecond, Drift: 0.02,
-			Calls: 45 * time.Millisecond, Servers: servers, Orders: time.Second, Faults: f,
+			Keys: 1, WritePeriod: time.Second, ReadPeriod: 250 * time.Millisecond, Drift: 0.02,
+			RequestInterval: 45 * time.Millisecond, Servers: servers, OperatorInterval: time.Second, Faults: f,
 		}
 	}
 }
 
-// Tree is a healthy fleet of three far zones in which the relays of one zone
-// become slow for a while: the paper's inequalities ask for a join, and for a
-// split once they are well again.
+// Tree returns options for a healthy fleet of three distant zones in which the relays of
+// one zone become slow for a while. The inequalities of the lease paper then call for a
+// join, and for a split once the relays have recovered.
 //
 // Example: r := sim.Run(sim.Tree(1, false)); r.Steers["join"] > 0
 func Tree(seed int64, static bool) Options {
 	o := Default(seed)
 	o.Zones, o.Faults, o.Length, o.Calm, o.Clean = []int{6, 6, 6}, nil, 130*time.Second, time.Second, true
-	o.Far, o.Lame, o.Static = 40*time.Millisecond, 90*time.Millisecond, static
+	o.ZoneDelay, o.SlowRelayDelay, o.StaticTree = 40*time.Millisecond, 90*time.Millisecond, static
 	return o
 }
 
-func only(f map[string]float64) func(int64) Options {
+func faultScenario(f map[string]float64) func(int64) Options {
 	return func(seed int64) Options {
 		o := Default(seed)
 		o.Faults = f
--- a/proof/sim/races.go
+++ b/proof/sim/races.go
@@ -11,98 +11,103 @@
 	"mulleinmast/wire/message"
 )
 
-// Operators in a race: what part of their answers is lost, of their calls goes
-// to two daemons at once, and comes again long after it had its answer.
+// Parameters of racing operators: the most changes in flight, and the shares of answers that
+// are lost, of calls sent through two daemons at once, and of calls sent again long after
+// they were answered.
 const (
-	mostOpen    = 8
-	answerLost  = 0.4
-	callDoubled = 0.2
-	calledAgain = 0.5
-	leaderFails = 0.02 // right after an acknowledgement
+	maxOpenRaces       = 8
+	lostAnswerShare    = 0.4
+	doubledCallShare   = 0.2
+	repeatedCallShare  = 0.5
+	leaderFailureShare = 0.02 // share of acknowledgements after which the leader is killed
 )
 
-// raced is a change that an operator sends until its end is clear.
-type raced struct {
+// racedChange is a change that an operator sends until its outcome is known.
+type racedChange struct {
 	id           string
 	base, number uint64
 	body         []byte
 	clear        bool
 }
 
-// races sends one change, or two on the same version and with the same number,
-// now and then; never more than mostOpen are under way.
-func (w *world) races() {
+// startRaces repeatedly sends one change, or two on the same base and with the same number.
+// At most maxOpenRaces are in flight.
+func (w *world) startRaces() {
 	if w.now > w.options.Length-12*time.Second {
 		return
 	}
-	w.at(w.exp(w.options.Races), w.races)
+	w.schedule(w.exp(w.options.RaceInterval), w.startRaces)
 	both := w.rng.Intn(2) == 0
-	if w.openRaces+2 > mostOpen || w.knownVersion == 0 {
+	if w.openRaces+2 > maxOpenRaces || w.knownVersion == 0 {
 		return
 	}
 	base, number := w.knownVersion, w.knownVersion+1+uint64(w.rng.Intn(3))
-	w.race(base, number)
+	w.startRace(base, number)
 	if both {
-		w.race(base, number)
+		w.startRace(base, number)
 	}
 }
 
-func (w *world) race(base, number uint64) {
+// startRace sends a racing change until its outcome is known.
+func (w *world) startRace(base, number uint64) {
 	w.tags++
 	w.openRaces++
-	r := &raced{id: fmt.Sprintf("r%d", w.tags), base: base, number: number}
+	r := &racedChange{id: fmt.Sprintf("r%d", w.tags), base: base, number: number}
 	r.body = leadercall.Pack(fleetconfig.Changes{
 		ID: r.id, Base: base, Number: number, Changes: []fleetconfig.Change{w.tenantChange(4)},
 	})
-	w.sendRaced(r)
+	w.sendRacedChange(r)
 }
 
-// sendRaced sends one try, or two at once through different daemons.
-func (w *world) sendRaced(r *raced) {
-	w.tryRaced(r, w.pick(""))
-	if w.rng.Float64() < callDoubled {
-		w.tryRaced(r, w.pick(""))
+// sendRacedChange sends one call, or two at once through different daemons.
+func (w *world) sendRacedChange(r *racedChange) {
+	w.tryRacedChange(r, w.pickNode(""))
+	if w.rng.Float64() < doubledCallShare {
+		w.tryRacedChange(r, w.pickNode(""))
 	}
 }
 
-func (w *world) tryRaced(r *raced, n *node) {
+// tryRacedChange sends a change through a daemon, records the answer and, if the outcome is
+// unknown, schedules a retry.
+func (w *world) tryRacedChange(r *racedChange, n *node) {
 	from := w.now
-	w.control(n, 0, "changes", r.body, func(code int, rep []byte) {
-		if code == 0 { // nobody took it
-			w.againRaced(r)
+	w.controlCall(n, 0, "changes", r.body, func(code int, rep []byte) {
+		if code == 0 { // no daemon accepted the call
+			w.retryRacedChange(r)
 			return
 		}
 		v := verdict(rep)
-		heard := w.rng.Float64() >= answerLost && (v.Result == "taken" || v.Result == "beaten" || v.Result == "broken")
-		if !heard {
+		answered := w.rng.Float64() >= lostAnswerShare &&
+			(v.Result == "taken" || v.Result == "beaten" || v.Result == "broken")
+		if !answered {
 			v = fleetconfig.Verdict{Result: "unheard"}
 		}
-		w.jot(history.Event{
+		w.writeJournal(history.Event{
 			Who: "operator", Ev: "plan", Plan: r.id, Base: r.base, Number: r.number, Ver: v.Version,
 			Result: v.Result, Took: max(1, int64(w.now-from)),
 		})
-		if !heard {
-			w.againRaced(r)
+		if !answered {
+			w.retryRacedChange(r)
 			return
 		}
 		w.result.Plans[v.Result]++
 		w.knownVersion = max(w.knownVersion, v.Version)
-		if v.Result == "taken" && !w.calm && w.rng.Float64() < leaderFails {
+		if v.Result == "taken" && !w.faultsEnded && w.rng.Float64() < leaderFailureShare {
 			w.failLeader()
 		}
 		if !r.clear {
 			r.clear = true
 			w.openRaces--
 		}
-		if w.rng.Float64() < calledAgain && w.now < w.options.Length-12*time.Second { // much later, with hundreds between
+		if w.rng.Float64() < repeatedCallShare && w.now < w.options.Length-12*time.Second { // after many others
 			w.result.Faults["sent again"]++
-			w.at(w.exp(8*time.Second), func() { w.tryRaced(r, w.pick("")) })
+			w.schedule(w.exp(8*time.Second), func() { w.tryRacedChange(r, w.pickNode("")) })
 		}
 	})
 }
 
-// againRaced sends a call again whose end isn't clear, seconds later at times.
-func (w *world) againRaced(r *raced) {
+// retryRacedChange resends a change whose outcome isn't known, sometimes only seconds later.
+func (w *world) retryRacedChange(r *racedChange) {
 	if r.clear || w.now > w.options.Length-12*time.Second {
 		return
 	}
@@ -110,27 +115,27 @@
 	if w.rng.Intn(4) == 0 {
 		pause += w.exp(3 * time.Second)
 	}
-	w.at(pause, func() { w.sendRaced(r) })
+	w.schedule(pause, func() { w.sendRacedChange(r) })
 }
 
-// failLeader kills the leader of the configuration, at times with its disk: not
-// where a machine is replaced, whose disk is the one that may be lost at once.
+// failLeader kills the leader of the configuration, sometimes with its disk. In runs that
+// replace a machine the disk is kept, since only one disk may be lost at once.
 func (w *world) failLeader() {
 	kind := "ackkill"
-	if len(w.options.Swaps) > 0 {
+	if len(w.options.ReplacementTimes) > 0 {
 		kind = "kill"
 	}
 	for _, n := range w.nodes {
 		if n.up && n.controllers[0].IsLeader(n.local()) {
-			w.fault(kind, n)
+			w.injectFault(kind, n)
 			return
 		}
 	}
 }
 
-// forget is the sabotage that loses the memory of accepted changes: always, or
-// with each new leader.
-func (w *world) forget(n *node, always bool) {
+// forgetChanges is the sabotage that loses the record of accepted changes: always, or once
+// per leader term.
+func (w *world) forgetChanges(n *node, always bool) {
 	replica := n.partition(0).Replica
 	if replica == nil || !n.controllers[0].IsLeader(n.local()) || !always && n.forgotInTerm == replica.Term() {
 		return
@@ -147,8 +152,8 @@
 	}
 }
 
-// spoilCall is what the sabotages of the calls of plans do to one.
-func (w *world) spoilCall(to *node, m *message.Message) {
+// sabotageCall applies the current sabotage of plan calls to a call.
+func (w *world) sabotageCall(to *node, m *message.Message) {
 	if m.Kind != message.KindCall || m.Partition != 0 {
 		return
 	}
@@ -158,14 +163,14 @@
 		if m.Op == "changes" {
 			m.Body = rebase(m.Body, now, false)
 		}
-	case "again": // what isn't known is taken on the present version, whatever it was on
-		w.forget(to, true)
+	case "again": // an unknown change is applied to the current version, whatever its base
+		w.forgetChanges(to, true)
 		if m.Op == "changes" {
 			m.Body = rebase(m.Body, now, true)
 		}
 	case "refuseagain":
-		w.forget(to, true)
+		w.forgetChanges(to, true)
 	case "forgetful":
-		w.forget(to, false)
+		w.forgetChanges(to, false)
 	}
 }
--- a/proof/sim/sim_test.go
+++ b/proof/sim/sim_test.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// sweep runs a scenario with a range of seeds and reports every violation.
 func sweep(t *testing.T, name string, from, to int64) (yes, reads, ok, taken int) {
 	t.Helper()
 	for seed := from; seed <= to; seed++ {
@@ -19,34 +20,34 @@
 	return yes, reads, ok, taken
 }
 
-func TestRulesHoldOverSeeds(t *testing.T) {
+func TestScenariosKeepRules(t *testing.T) {
 	for name := range Scenarios {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			n := int64(12)
 			o := Scenarios[name](1)
-			if name == "swaps" || o.Many > 0 || o.Rounds > 0 || o.Calls > 0 {
+			if name == "swaps" || o.MinChanges > 0 || o.LossRounds > 0 || o.RequestInterval > 0 {
 				n = 4
 			}
 			yes, reads, ok, taken := sweep(t, name, 1, n)
-			if o.Calls > 0 {
+			if o.RequestInterval > 0 {
 				if ok < 150*int(n) || taken < 4*int(n) {
-					t.Errorf("too little happened: %d whole answers, %d plans taken", ok, taken)
+					t.Errorf("too little activity: %d complete answers, %d plans accepted", ok, taken)
 				}
 			} else if yes < 20*int(n) || reads < 300*int(n) {
-				t.Errorf("too little happened: %d writes in force, %d reads", yes, reads)
+				t.Errorf("too little activity: %d writes acknowledged, %d reads", yes, reads)
 			}
 		})
 	}
 }
 
-// Runs that broke a rule once.
-func TestSeedsThatBrokeARule(t *testing.T) {
+// Regression test with seeds of runs that once violated a rule.
+func TestFormerlyFailingSeedsKeepRules(t *testing.T) {
 	for name, seeds := range map[string][]int64{
-		"kills":   {568},      // a core machine was killed just after it had stood with a term above the leader's
-		"rangsit": {120, 262}, // a daemon steered to a leader, or a relay, stayed there under the next one
-		"servers": {151},      // a server killed and back between two polls
-		// a machine that was told to end went while its group was changing
+		"kills":   {568},      // a control daemon was killed just after it ran for election with a term above the leader's
+		"rangsit": {120, 262}, // a daemon redirected to a leader or relay stayed there under the next leader
+		"servers": {151},      // a server was killed and restarted between two polls
+		// a machine that was told to stop did so during a change of its group
 		"successors": {7003, 7445},
 		"traffic":    {2, 60},
 	} {
@@ -58,9 +59,9 @@
 	}
 }
 
-// Two machines of five that are lost at once are replaced within a catch-up bound of
-// their successors' starts, so that two others may be lost then.
-func TestTwoLostMachinesAreReplacedInTime(t *testing.T) {
+// Two machines of five that are lost at once must be replaced within one catch-up bound
+// after their successors' starts, so that two others may be lost then.
+func TestTwoLostMachinesAreReplacedWithinBound(t *testing.T) {
 	for _, seed := range []int64{7197, 7206, 7269, 7371} {
 		for _, b := range Run(Scenarios["successors"](seed)).Broken {
 			t.Errorf("successors seed %d: %s", seed, b)
@@ -68,61 +69,61 @@
 	}
 }
 
-// Each sabotage breaks one thing that safety rests on; the rule that it breaks
-// must be seen broken.
-func TestEachSabotageIsCaught(t *testing.T) {
-	for what, x := range map[string]struct{ scenario, rule string }{
-		"lastread":     {"cutoff", "plan-old:"},      // a last record is read back
-		"afterlease":   {"cutoff", "plan-old:"},      // a leader reads back after its lease
-		"cachedno":     {"cutoff", "plan-old:"},      // a follower refuses by the plan that it knows
-		"nosync":       {"kills", "without"},         // says saved before it is on disk
-		"ackpurge":     {"cuts", "without"},          // an invalidation is acknowledged and never done
-		"drift":        {"cuts", ""},                 // clocks run further apart than the bound
-		"nowait":       {"cuts", ""},                 // a granter doesn't wait a lease out
-		"nowaitvote":   {"early", ""},                // a restarted voter promises at once
+// Each sabotage disables one mechanism that safety depends on. The checkers must report the
+// rule that it violates.
+func TestSabotagesAreDetected(t *testing.T) {
+	for sabotage, x := range map[string]struct{ scenario, rule string }{
+		"lastread":     {"cutoff", "plan-old:"},      // the last known record is read back without a lease
+		"afterlease":   {"cutoff", "plan-old:"},      // a leader reads back after its lease has expired
+		"cachedno":     {"cutoff", "plan-old:"},      // a follower refuses a change because of the plan that it knows
+		"nosync":       {"kills", "without"},         // saves are reported as done before they are on disk
+		"ackpurge":     {"cuts", "without"},          // an invalidation is acknowledged but never delivered
+		"drift":        {"cuts", ""},                 // clock rates differ by more than the bound
+		"nowait":       {"cuts", ""},                 // a granter doesn't wait until a lease expires
+		"nowaitvote":   {"early", ""},                // a restarted voter votes at once
 		"nocalm":       {"early", "without"},         // a leader that is elected early writes at once
-		"standstill":   {"freezes", ""},              // the clock stops while its machine is suspended
-		"nomend":       {"rot", "copy"},              // copies are not compared
+		"standstill":   {"freezes", ""},              // a clock stops while its machine is suspended
+		"nomend":       {"rot", "copy"},              // replicas' copies are not compared
 		"double":       {"servers", "once:"},         // a decode goes to two decode servers
-		"noclaim":      {"servers", "once:"},         // a once key is not claimed first
-		"lostisshed":   {"lost", "refused:"},         // a decode that was lost is taken for turned away
-		"nofit":        {"servers", "foreign:"},      // any handle that comes back is believed
-		"nocount":      {"servers", "stream:"},       // pieces are renumbered until they fit
-		"splice":       {"servers", "stream:"},       // another run goes on where one broke
+		"noclaim":      {"servers", "once:"},         // a once key is not claimed before the decode
+		"lostisshed":   {"lost", "refused:"},         // a lost decode is treated as refused
+		"nofit":        {"servers", "foreign:"},      // any returned handle is accepted
+		"nocount":      {"servers", "stream:"},       // pieces are renumbered to fit
+		"splice":       {"servers", "stream:"},       // another run continues a broken stream
 		"fakeend":      {"servers", "whole:"},        // a broken stream gets an end piece
-		"stale":        {"servers", "leaving:"},      // records are believed for ever: leaving servers
-		"evacuatelate": {"servers", "evacuated:"},    // the same with evacuated zones
-		"lapsed":       {"traffic", "plan-late:"},    // leases are never looked at
-		"fallback":     {"servers", "plan-back:"},    // a daemon goes back to the plan before
-		"nobase":       {"servers", "plan-race:"},    // a plan's base is not looked at
-		"forgetful":    {"races", "linear:"},         // the memory of changes is lost with a leader
-		"again":        {"races", "linear:"},         // a change that comes again is carried out again
-		"refuseagain":  {"races", "linear:"},         // a change that was taken is refused when it comes again
-		"nonumber":     {"late", "evacuated:"},       // tries of one call are taken for calls of their own
-		"sayno":        {"servers", "plan-refused:"}, // a plan is refused and written all the same
-		"noretrybound": {"servers", "retries:"},      // retries know no bound
-		"noramp":       {"servers", "flood:"},        // a server that starts gets its whole share
+		"stale":        {"servers", "leaving:"},      // records are used forever: leaving servers
+		"evacuatelate": {"servers", "evacuated:"},    // records are used forever: evacuated zones
+		"lapsed":       {"traffic", "plan-late:"},    // leases are never checked
+		"fallback":     {"servers", "plan-back:"},    // a daemon goes back to the previous plan
+		"nobase":       {"servers", "plan-race:"},    // the base of a change is ignored
+		"forgetful":    {"races", "linear:"},         // the record of accepted changes is lost with each new leader
+		"again":        {"races", "linear:"},         // a repeated change is applied again
+		"refuseagain":  {"races", "linear:"},         // an accepted change is refused when it is repeated
+		"nonumber":     {"late", "evacuated:"},       // retries of a call are treated as separate calls
+		"sayno":        {"servers", "plan-refused:"}, // a plan is reported as refused but written
+		"noretrybound": {"servers", "retries:"},      // retries are unbounded
+		"noramp":       {"servers", "flood:"},        // a starting server gets its full share at once
 		"lategone":     {"secondloss", "nobody"},     // a lost replica is filled after one and a half recovery bounds
-		"nohandover":   {"secondloss", "nobody"},     // a daemon that ends doesn't say so and isn't waited for
+		"nohandover":   {"secondloss", "nobody"},     // a stopping daemon gives no notice and doesn't wait for the handover
 		"nocopies":     {"secondloss", "nobody"},     // standbys are sent no copies
-		"noswap":       {"reboot", "holders:"},       // a new holder orders at once
-		"noafter":      {"servers", "told:"},         // nobody is told when to come back
-		"samenumbers":  {"answers", "plan"},          // calls of two lives go under the same numbers
-		"lateback":     {"servers", "recovery:"},     // servers take 14 s longer to come back
+		"noswap":       {"reboot", "holders:"},       // a new leader sends placement orders at once
+		"noafter":      {"servers", "told:"},         // refusals name no time for a retry
+		"samenumbers":  {"answers", "plan"},          // calls of two incarnations use the same numbers
+		"lateback":     {"servers", "recovery:"},     // servers take 14 s longer to restart
 
-		"blindpatch": {"cuts", "without"}, // what comes of a patch is taken, whatever its sum
-		"unguarded":  {"copies", ""},      // incarnations are told to nobody
+		"blindpatch": {"cuts", "without"}, // the result of a patch is accepted regardless of its checksum
+		"unguarded":  {"copies", ""},      // no replica learns the others' incarnations
 
-		"nochase":  {"manychanges", "isn't whole"}, // a replica that missed writes is only compared now and then
-		"cutshort": {"manychanges", "isn't whole"}, // half of a copy is taken for all of it
-		"rotvote":  {"manychanges", "without"},     // a replica whose disk lost a record keeps its vote
-		"oldset":   {"manychanges", "without"},     // a candidate reads its own copy only
+		"nochase":  {"manychanges", "is incomplete"}, // a replica that missed writes waits for the periodic comparison
+		"cutshort": {"manychanges", "is incomplete"}, // half of a copy is treated as complete
+		"rotvote":  {"manychanges", "without"},       // a replica whose disk lost a record keeps its vote
+		"oldset":   {"manychanges", "without"},       // a candidate reads only its own copy
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(sabotage, func(t *testing.T) {
 			t.Parallel()
 			for seed := int64(1); seed <= 30; seed++ {
 				o := Scenarios[x.scenario](seed)
-				o.Sabotage = what
+				o.Sabotage = sabotage
 				for _, b := range Run(o).Broken {
 					if strings.Contains(b, x.rule) {
 						t.Logf("%s seed %d: %s", x.scenario, seed, b)
@@ -130,31 +131,31 @@
 					}
 				}
 			}
-			t.Errorf("30 seeds and nothing seen")
+			t.Errorf("30 seeds without the expected violation")
 		})
 	}
 }
 
-// Records go down the tree as what changed, in calm times nearly all; patches that
-// are spoilt on their way are asked for whole and break nothing.
-func TestChangesGoAsWhatChanged(t *testing.T) {
+// Changed records are sent as patches, nearly always if there are no faults. Truncated patches
+// violate no rule, because the records are then requested in full.
+func TestChangesAreSentAsPatches(t *testing.T) {
 	o := Default(1)
 	o.Zones, o.Faults, o.Clean, o.Length = []int{4, 3, 3}, nil, true, 150*time.Second
 	r := Run(o)
-	if t.Logf("calm: %d as what changed, %d whole", r.Patched, r.Whole); r.Patched < 10*r.Whole {
-		t.Errorf("%d as what changed, %d whole", r.Patched, r.Whole)
+	if t.Logf("without faults: %d as patches, %d in full", r.PatchedCount, r.FullCount); r.PatchedCount < 10*r.FullCount {
+		t.Errorf("%d records were sent as patches, %d in full", r.PatchedCount, r.FullCount)
 	}
 	for seed := int64(1); seed <= 6; seed++ {
 		o := Scenarios["rangsit"](seed)
 		o.Sabotage = "spoiltpatch"
 		for _, b := range Run(o).Broken {
-			t.Errorf("spoilt patches, seed %d: %s", seed, b)
+			t.Errorf("truncated patches, seed %d: %s", seed, b)
 		}
 	}
 }
 
-// Older copies are started in the scenario of that name, and lose their voice; no
-// daemon does in any other.
+// Older copies of folders are started in scenario copies and must be superseded. In the other
+// scenarios no daemon may be superseded.
 func TestOnlyCopiesAreSuperseded(t *testing.T) {
 	started, superseded := 0, 0
 	for seed := int64(1); seed <= 12; seed++ {
@@ -163,7 +164,7 @@
 		superseded += r.Superseded
 	}
 	if t.Logf("%d copies started, %d daemons superseded", started, superseded); started < 4 || superseded < started {
-		t.Errorf("%d copies were started, %d daemons lost their voice", started, superseded)
+		t.Errorf("%d copies were started, %d daemons superseded", started, superseded)
 	}
 	for _, name := range []string{"storm", "kills", "cuts", "early", "answers", "rot", "races"} {
 		for seed := int64(1); seed <= 3; seed++ {
@@ -174,15 +175,15 @@
 	}
 }
 
-// Messages of every kind, one field changed and from somebody who is no member,
-// break no rule and stop no daemon.
-func TestStrangersBreakNothing(t *testing.T) {
+// Messages of every kind that have one field changed and come from a non-member must violate
+// no rule and stop no daemon.
+func TestMutatedMessagesFromStrangersAreHarmless(t *testing.T) {
 	for _, name := range []string{"storm", "swaps", "traffic"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			for seed := int64(1); seed <= 3; seed++ {
 				o := Scenarios[name](seed)
-				o.Mutate = 0.05
+				o.MutatedShare = 0.05
 				for _, b := range Run(o).Broken {
 					t.Errorf("seed %d: %s", seed, b)
 				}
@@ -191,9 +192,9 @@
 	}
 }
 
-// When requests come at several times what the servers bear, the urgent tenant
-// is served first.
-func TestUrgentTenantsGoFirstInCrowds(t *testing.T) {
+// When the request rate is several times the servers' capacity, tenants are served by
+// priority.
+func TestTenantsAreServedByPriorityUnderOverload(t *testing.T) {
 	sent, served := map[string]int{}, map[string]int{}
 	for seed := int64(1); seed <= 3; seed++ {
 		o := Scenarios["servers"](seed)
@@ -207,37 +208,38 @@
 			served[k] += r.Served[k]
 		}
 	}
-	part := func(k string) float64 { return float64(served[k]) / float64(max(1, sent[k])) }
-	t.Logf("served in crowds: express %.2f, regular %.2f, bulk %.2f", part("express"), part("regular"), part("bulk"))
-	if sent["express"] < 200 || part("bulk") > 0.8 {
-		t.Fatalf("no crowd: sent %v, served %v", sent, served)
+	share := func(k string) float64 { return float64(served[k]) / float64(max(1, sent[k])) }
+	t.Logf("served in crowds: express %.2f, regular %.2f, bulk %.2f", share("express"), share("regular"), share("bulk"))
+	if sent["express"] < 200 || share("bulk") > 0.8 {
+		t.Fatalf("no overload: sent %v, served %v", sent, served)
 	}
-	if part("express") < part("regular") || part("regular") < part("bulk") || part("express") < 1.5*part("bulk") {
-		t.Errorf("express %.2f, regular %.2f, bulk %.2f", part("express"), part("regular"), part("bulk"))
+	if share("express") < share("regular") || share("regular") < share("bulk") || share("express") < 1.5*share("bulk") {
+		t.Errorf("express %.2f, regular %.2f, bulk %.2f", share("express"), share("regular"), share("bulk"))
 	}
 }
 
-// Where a zone's relays are slow the paper's inequality joins their children to
-// the leader, and once they are well a split brings them back; both keep the
-// rules and make renewals cheaper than the static tree's.
-func TestTheTreeIsReshapedByCost(t *testing.T) {
-	static, moving := Run(Tree(1, true)), Run(Tree(1, false))
-	for _, b := range append(static.Broken, moving.Broken...) {
+// While a zone's relays are slow, their children join the leader as the inequality of the
+// lease paper demands; once the relays have recovered, a split moves them back. No rule is
+// violated, and renewals cost less than in the static tree.
+func TestTreeIsReshapedByCost(t *testing.T) {
+	static, dynamic := Run(Tree(1, true)), Run(Tree(1, false))
+	for _, b := range append(static.Broken, dynamic.Broken...) {
 		t.Error(b)
 	}
-	if static.Steers["join"]+static.Steers["split"] > 0 || moving.Steers["join"] == 0 || moving.Steers["split"] == 0 {
-		t.Errorf("static %v, moving %v", static.Steers, moving.Steers)
+	if static.Steers["join"]+static.Steers["split"] > 0 || dynamic.Steers["join"] == 0 || dynamic.Steers["split"] == 0 {
+		t.Errorf("redirects in the static tree %v, in the dynamic tree %v", static.Steers, dynamic.Steers)
 	}
-	if moving.Renewal*2 > static.Renewal {
-		t.Errorf("a renewal takes %v, in the static tree %v", moving.Renewal, static.Renewal)
+	if dynamic.Renewal*2 > static.Renewal {
+		t.Errorf("a renewal takes %v, in the static tree %v", dynamic.Renewal, static.Renewal)
 	}
 }
 
-func TestSameSeedSameRun(t *testing.T) {
+// Two runs with the same seed give the same history and journal.
+func TestRunsAreDeterministic(t *testing.T) {
 	for _, name := range []string{"storm", "traffic"} {
 		a, b := Run(Scenarios[name](3)), Run(Scenarios[name](3))
 		if fmt.Sprint(a.History) != fmt.Sprint(b.History) || fmt.Sprint(a.Journal) != fmt.Sprint(b.Journal) {
-			t.Errorf("%s: two runs of one seed differ", name)
+			t.Errorf("%s: two runs with the same seed differ", name)
 		}
 	}
 }
--- a/proof/sim/trace_test.go
+++ b/proof/sim/trace_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// TestTrace prints one seed's run: SEED=27 go test -run TestTrace -v ./proof/sim
+// TestTrace prints the trace of one seed's run. It is for debugging by hand:
+// SEED=27 KIND=storm go test -run TestTrace -v ./proof/sim
 func TestTrace(t *testing.T) {
 	seed, err := strconv.ParseInt(os.Getenv("SEED"), 10, 64)
 	if err != nil {
--- a/proof/sim/traffic.go
+++ b/proof/sim/traffic.go
@@ -13,33 +13,35 @@
 	"mulleinmast/wire/message"
 )
 
-// The daemon's side of traffic: what traffic/nativeapi and control/daemon do over
-// HTTP is done here over simulated calls, with the same machines.
+// The daemon's side of request handling. It uses the same state machines as
+// traffic/nativeapi and control/daemon, with simulated calls in place of HTTP.
 
+// serviceQueue is a daemon's dispatcher for one service.
 type serviceQueue struct {
 	*scheduler.Dispatcher
-	part   int
-	asking bool
-	pins   map[string]bool
+	partition int  // partition of the service
+	asking    bool // a call for a share is in flight
+	pins      map[string]bool
 }
 
-// requestState is a trip's connections.
+// requestState holds the connections of a request.
 type requestState struct {
 	node        *node
 	queue       *serviceQueue
 	request     scheduler.Request
 	caller      *caller
 	calls       map[int]*call
-	lastArrival time.Duration // when the last thing sent to the caller lands
+	lastArrival time.Duration // arrival of the last message sent to the caller
 }
 
 // call is one connection to a server.
 type call struct {
 	closed      bool          // the daemon closed it
-	lastArrival time.Duration // when the last thing sent back lands
+	lastArrival time.Duration // arrival of the last message sent back
 }
 
-// placementConfig is the holders' config, sabotaged or not.
+// placementConfig returns the leaders' placement configuration, with the current sabotage
+// applied.
 func (w *world) placementConfig() placement.Config {
 	c := w.cfg.PlacementConfig()
 	switch w.options.Sabotage {
@@ -51,15 +53,16 @@
 	return c
 }
 
-// source reads as traffic does, under valid leases.
-func (n *node) source(part int, key string) (message.Record, bool) {
-	r, ok := n.partition(part).Node.Get(n.local(), key)
+// readUnderLease reads a record under valid leases, as request handling does, unless a
+// sabotage returns a stale one.
+func (n *node) readUnderLease(partition int, key string) (message.Record, bool) {
+	r, ok := n.partition(partition).Node.Get(n.local(), key)
 	switch n.world.options.Sabotage {
 	case "stale", "evacuatelate", "fallback":
-		// What was read once is believed for ever: of the servers, of the zones,
-		// and now and then of the plan.
+		// Records that were read once are used forever: those of servers, of zones, and
+		// sometimes the plan.
 		old, had := n.lastRead[key]
-		if had && !old.Deleted && n.believesOld(part, key) {
+		if had && !old.Deleted && n.usesStale(partition, key) {
 			return old, true
 		}
 		if had && !old.Deleted && n.world.options.Sabotage == "fallback" {
@@ -76,21 +79,21 @@
 	return r, ok
 }
 
-// believesOld reports whether a sabotaged daemon goes on with what it read once.
-func (n *node) believesOld(part int, key string) bool {
+// usesStale reports whether a sabotaged daemon keeps using the first record that it read.
+func (n *node) usesStale(partition int, key string) bool {
 	switch n.world.options.Sabotage {
 	case "stale":
-		return part > 0
+		return partition > 0
 	case "evacuatelate":
-		return part > 0 || key == fleetconfig.ZoneKey
+		return partition > 0 || key == fleetconfig.ZoneKey
 	case "fallback":
 		return key == fleetconfig.PlanKey && n.world.rng.Intn(4) == 0
 	}
 	return false
 }
 
-// carryCalls carries out what a step of the calls to leaders asks for.
-func (n *node) carryCalls(o leadercall.Out) {
+// applyCalls carries out the output of the leader calls.
+func (n *node) applyCalls(o leadercall.Out) {
 	for _, m := range o.Sends {
 		n.send(m)
 	}
@@ -102,16 +105,17 @@
 	}
 }
 
-// ask calls the leader of a part.
-func (n *node) ask(part int, op string, body []byte, timeout time.Duration, then func(leadercall.Result)) {
+// askLeader calls the leader of a partition.
+func (n *node) askLeader(partition int, op string, body []byte, timeout time.Duration, then func(leadercall.Result)) {
 	now := n.local()
-	no, o := n.calls.Start(now, n.view.Leaderships[part].Leader, part, op, body, now+timeout, op == "want")
+	no, o := n.calls.Start(now, n.view.Leaderships[partition].Leader, partition, op, body, now+timeout, op == "want")
 	if then != nil {
 		n.onResult[no] = then
 	}
-	n.carryCalls(o)
+	n.applyCalls(o)
 }
 
+// queueOf returns the queue of a service, which it creates if necessary.
 func (n *node) queueOf(svc string) *serviceQueue {
 	if l := n.queues[svc]; l != nil {
 		return l
@@ -124,53 +128,56 @@
 		cfg.RetryAfter, cfg.Queue.MinRetryAfter = 0, 0
 	}
 	p := fleetconfig.PartitionOf(svc, n.world.options.Partitions)
-	l := &serviceQueue{part: p, pins: map[string]bool{}}
-	l.Dispatcher = scheduler.New(cfg, svc, p, n.source, func() uint64 { return n.view.Leaderships[p].Term })
+	l := &serviceQueue{partition: p, pins: map[string]bool{}}
+	l.Dispatcher = scheduler.New(cfg, svc, p, n.readUnderLease, func() uint64 { return n.view.Leaderships[p].Term })
 	n.queues[svc] = l
 	n.tickQueue(l)
 	return l
 }
 
-// tickQueue keeps a queue's share fresh and its queue moving.
+// tickQueue runs a queue's periodic work and renews its share.
 func (n *node) tickQueue(l *serviceQueue) {
-	n.do(l, l.Tick(n.local()))
+	n.applyOut(l, l.Tick(n.local()))
 	for _, k := range l.Keys() {
 		if !l.pins[k] {
 			l.pins[k] = true
-			n.carry(l.part, n.controllers[l.part].Pin(n.local(), k))
+			n.apply(l.partition, n.controllers[l.partition].Pin(n.local(), k))
 		}
 	}
-	n.askForShare(l)
-	n.in(n.world.placementConfig().ShareLength/8, func() { n.tickQueue(l) })
+	n.requestShare(l)
+	n.schedule(n.world.placementConfig().ShareLength/8, func() { n.tickQueue(l) })
 }
 
-func (n *node) askForShare(l *serviceQueue) {
+// requestShare asks the leader for a share of the servers' slots.
+func (n *node) requestShare(l *serviceQueue) {
 	if l.asking {
 		return
 	}
 	l.asking = true
 	at := n.local()
-	n.ask(l.part, "want", leadercall.Pack(l.Demand()), n.world.placementConfig().ShareLength/4, func(d leadercall.Result) {
-		l.asking = false
-		if sh, ok := share(d); ok {
-			if s := n.world.options.Sabotage; s == "stale" || s == "evacuatelate" { // no slot is ever given back
-				for a, k := range l.Report().Share {
-					sh.Slots[a] = max(sh.Slots[a], k)
+	n.askLeader(
+		l.partition, "want", leadercall.Pack(l.Demand()), n.world.placementConfig().ShareLength/4,
+		func(d leadercall.Result) {
+			l.asking = false
+			if sh, ok := share(d); ok {
+				if s := n.world.options.Sabotage; s == "stale" || s == "evacuatelate" { // slots are never given back
+					for a, k := range l.Report().Share {
+						sh.Slots[a] = max(sh.Slots[a], k)
+					}
 				}
+				n.applyOut(l, l.SetShare(n.local(), sh, at))
 			}
-			n.do(l, l.SetShare(n.local(), sh, at))
-		}
-	})
+		})
 }
 
-// do carries out what a queue asks for.
-func (n *node) do(l *serviceQueue, o scheduler.Out) {
+// applyOut carries out a queue's decisions.
+func (n *node) applyOut(l *serviceQueue, o scheduler.Out) {
 	for _, a := range o.Decisions {
 		r := n.requests[a.RequestID]
 		claim := leadercall.Claim{Request: a.RequestID, Daemon: n.addr, State: a.ClaimState}
 		body := leadercall.Pack(leader.ClaimCall{Key: a.OnceKey, Claim: claim})
 		if a.Action == scheduler.SettleClaim {
-			n.ask(l.part, "unclaim", body, n.world.cfg.Bounds.Recover, nil)
+			n.askLeader(l.partition, "unclaim", body, n.world.cfg.Bounds.Recover, nil)
 			continue
 		}
 		if r == nil {
@@ -179,32 +186,33 @@
 		switch a.Action {
 		case scheduler.Claim:
 			if n.world.options.Sabotage == "noclaim" {
-				n.in(0, func() { n.do(l, l.ClaimDone(n.local(), a.RequestID, 200, nil)) })
+				n.schedule(0, func() { n.applyOut(l, l.ClaimDone(n.local(), a.RequestID, 200, nil)) })
 				continue
 			}
-			n.ask(l.part, "claim", body, min(n.world.cfg.Bounds.Plan, r.request.Deadline-n.local()), func(d leadercall.Result) {
-				n.do(l, l.ClaimDone(n.local(), a.RequestID, d.Status, d.Body))
-			})
+			n.askLeader(l.partition, "claim", body, min(n.world.cfg.Bounds.Plan, r.request.Deadline-n.local()),
+				func(d leadercall.Result) {
+					n.applyOut(l, l.ClaimDone(n.local(), a.RequestID, d.Status, d.Body))
+				})
 		case scheduler.Prefill, scheduler.Decode:
-			n.call(r, a)
+			n.callServer(r, a)
 		case scheduler.CancelCall:
 			if c := r.calls[a.Attempt]; c != nil {
 				c.closed = true
 			}
 		case scheduler.SendPiece:
-			r.pass(a.Piece)
+			r.deliverPiece(a.Piece)
 		case scheduler.Respond:
 			delete(n.requests, a.RequestID)
 			r.respond(a.Answer)
 		}
 	}
 	if o.NeedsSlots {
-		n.in(0, func() { n.askForShare(l) })
+		n.schedule(0, func() { n.requestShare(l) })
 	}
 }
 
-// call dials a server, looks a last time, and sends.
-func (n *node) call(r *requestState, a scheduler.Decision) {
+// callServer connects to a server, checks once more that the call may be sent, and sends it.
+func (n *node) callServer(r *requestState, a scheduler.Decision) {
 	w := n.world
 	d := w.fakeServers[a.Addr]
 	c := &call{}
@@ -213,29 +221,29 @@
 	if w.rng.Intn(20) == 0 {
 		dial += w.exp(150 * time.Millisecond)
 	}
-	n.in(dial, func() {
+	n.schedule(dial, func() {
 		switch {
 		case c.closed:
 		case !d.up:
-			n.outcome(r, a, c, serverpool.NotSent, "no connection")
-		case d.dark: // no word, ever
+			n.reportOutcome(r, a, c, serverpool.NotSent, "no connection")
+		case d.dark: // never answers
 		case !r.queue.MaySend(n.local(), a) && w.options.Sabotage != "nolook":
-			n.outcome(r, a, c, serverpool.Blocked, "")
+			n.reportOutcome(r, a, c, serverpool.Blocked, "")
 		case a.Action == scheduler.Prefill:
-			w.at(w.lag(), func() { d.prefill(n.newConnection(r, a, c), a.PrefillCall) })
+			w.schedule(w.lag(), func() { d.prefill(n.newConnection(r, a, c), a.PrefillCall) })
 		default:
-			w.at(w.lag(), func() { d.decode(n.newConnection(r, a, c), a.DecodeCall) })
+			w.schedule(w.lag(), func() { d.decode(n.newConnection(r, a, c), a.DecodeCall) })
 			if w.options.Sabotage == "double" { // sent to a second decode server as well
-				if b := d.twin(); b != nil {
-					w.at(w.lag(), func() { b.decode(n.newConnection(r, a, &call{closed: true}), a.DecodeCall) })
+				if b := d.otherDecodeServer(); b != nil {
+					w.schedule(w.lag(), func() { b.decode(n.newConnection(r, a, &call{closed: true}), a.DecodeCall) })
 				}
 			}
 		}
 	})
 }
 
-// outcome gives the queue the end of a call.
-func (n *node) outcome(r *requestState, a scheduler.Decision, c *call, out serverpool.Outcome, why string) {
+// reportOutcome reports the outcome of a call to the queue.
+func (n *node) reportOutcome(r *requestState, a scheduler.Decision, c *call, out serverpool.Outcome, why string) {
 	if c.closed {
 		return
 	}
@@ -244,17 +252,17 @@
 		out = serverpool.Refused
 	}
 	if a.Action == scheduler.Prefill {
-		n.do(r.queue, r.queue.PrefillDone(n.local(), a.RequestID, a.Attempt, serverpool.Handle{}, out, why))
+		n.applyOut(r.queue, r.queue.PrefillDone(n.local(), a.RequestID, a.Attempt, serverpool.Handle{}, out, why))
 		return
 	}
-	n.do(r.queue, r.queue.DecodeDone(n.local(), a.RequestID, a.Attempt, out, why))
+	n.applyOut(r.queue, r.queue.DecodeDone(n.local(), a.RequestID, a.Attempt, out, why))
 }
 
-// connection is a server's end of a connection: what it sends back lands in order at
-// this life of the daemon.
+// connection is a server's end of a connection. Its messages arrive in order, and only at
+// the daemon's incarnation that opened it.
 type connection struct {
 	node    *node
-	life    int
+	starts  int
 	request *requestState
 	act     scheduler.Decision
 	call    *call
@@ -264,17 +272,18 @@
 	return &connection{n, n.starts, r, a, c}
 }
 
-// open tells whether the daemon still listens.
-func (l *connection) open() bool { return !l.call.closed && l.node.up && l.node.starts == l.life }
+// isOpen reports whether the daemon still reads from the connection.
+func (l *connection) isOpen() bool { return !l.call.closed && l.node.up && l.node.starts == l.starts }
 
-func (l *connection) back(f func()) {
+// sendBack runs f at the daemon after a network delay, unless the call is closed.
+func (l *connection) sendBack(f func()) {
 	w := l.node.world
 	at := max(w.now+w.lag(), l.call.lastArrival+1)
 	l.call.lastArrival = at
-	life := l.life
-	w.at(at-w.now, func() {
-		if l.node.starts == life {
-			l.node.in(0, func() {
+	starts := l.starts
+	w.schedule(at-w.now, func() {
+		if l.node.starts == starts {
+			l.node.schedule(0, func() {
 				if !l.call.closed {
 					f()
 				}
@@ -283,24 +292,27 @@
 	})
 }
 
+// end reports the outcome of the call.
 func (l *connection) end(out serverpool.Outcome, why string) {
-	l.back(func() { l.node.outcome(l.request, l.act, l.call, out, why) })
+	l.sendBack(func() { l.node.reportOutcome(l.request, l.act, l.call, out, why) })
 }
 
+// handle answers a prefill call with a handle.
 func (l *connection) handle(h serverpool.Handle) {
-	l.back(func() {
+	l.sendBack(func() {
 		l.call.closed = true
-		if l.node.world.options.Sabotage == "nofit" { // whatever handle comes back is believed
+		if l.node.world.options.Sabotage == "nofit" { // any returned handle is accepted
 			h.Request, h.Attempt = l.act.RequestID, l.act.Attempt
 			h.PrefillServer, h.RecordVersion = l.act.Addr, l.act.PrefillCall.RecordVersion
 		}
 		queue, now := l.request.queue, l.node.local()
-		l.node.do(queue, queue.PrefillDone(now, l.act.RequestID, l.act.Attempt, h, serverpool.OK, ""))
+		l.node.applyOut(queue, queue.PrefillDone(now, l.act.RequestID, l.act.Attempt, h, serverpool.OK, ""))
 	})
 }
 
+// piece sends a piece of the answer.
 func (l *connection) piece(p serverpool.Piece, seen *int) {
-	l.back(func() {
+	l.sendBack(func() {
 		if l.node.world.options.Sabotage == "nocount" { // numbers are made to fit
 			p.Number = *seen
 			if p.End {
@@ -308,44 +320,45 @@
 			}
 		}
 		*seen++
-		l.node.do(l.request.queue, l.request.queue.PieceReceived(l.node.local(), l.act.RequestID, l.act.Attempt, p))
+		l.node.applyOut(l.request.queue, l.request.queue.PieceReceived(l.node.local(), l.act.RequestID, l.act.Attempt, p))
 	})
 }
 
-// poll and order speak to a server as the leader does.
+// poll polls a server's usage on behalf of a leader.
 func (n *node) poll(m *leader.Controller, term uint64, key string) {
 	w := n.world
 	d := w.fakeServers[addrOf(key)]
-	told := func(u placement.Usage, ok bool) { m.HandlePoll(n.local(), term, key, u, ok) }
-	life := n.starts
-	w.at(w.lag(), func() {
+	notify := func(u placement.Usage, ok bool) { m.HandlePoll(n.local(), term, key, u, ok) }
+	starts := n.starts
+	w.schedule(w.lag(), func() {
 		if d == nil || !d.up || d.dark {
-			n.in(2*w.placementConfig().PollInterval, func() { told(placement.Usage{}, false) })
+			n.schedule(2*w.placementConfig().PollInterval, func() { notify(placement.Usage{}, false) })
 			return
 		}
 		u := d.usage()
-		w.at(w.lag(), func() {
-			if n.starts == life {
-				n.in(0, func() { told(u, true) })
+		w.schedule(w.lag(), func() {
+			if n.starts == starts {
+				n.schedule(0, func() { notify(u, true) })
 			}
 		})
 	})
 }
 
-func (n *node) order(m *leader.Controller, ord placement.Order) {
+// sendOrder sends a placement order to a server on behalf of a leader.
+func (n *node) sendOrder(m *leader.Controller, ord placement.Order) {
 	w := n.world
 	d := w.fakeServers[ord.Addr]
-	n.in(w.lag(), func() {
+	n.schedule(w.lag(), func() {
 		if d == nil || !d.up || d.dark || !m.MayOrder(n.local(), ord.Term) && w.options.Sabotage != "noswap" {
 			m.HandleOrdered(ord, false)
 			return
 		}
-		life := n.starts
-		w.at(w.lag(), func() {
-			ok := d.ordered(n.ident, ord)
-			w.at(w.lag(), func() {
-				if n.starts == life {
-					n.in(0, func() { m.HandleOrdered(ord, ok) })
+		starts := n.starts
+		w.schedule(w.lag(), func() {
+			ok := d.applyOrder(n.ident, ord)
+			w.schedule(w.lag(), func() {
+				if n.starts == starts {
+					n.schedule(0, func() { m.HandleOrdered(ord, ok) })
 				}
 			})
 		})
--- a/proof/sim/write.go
+++ b/proof/sim/write.go
@@ -9,10 +9,10 @@
 	"mulleinmast/wire/message"
 )
 
-// write asks some daemon that takes itself for the leader to append a tag.
+// write appends a tag through a random daemon that considers itself the leader.
 func (w *world) write() {
-	if !w.calm {
-		w.at(w.exp(w.options.Writes), w.write)
+	if !w.faultsEnded {
+		w.schedule(w.exp(w.options.WritePeriod), w.write)
 	}
 	p, k := w.rng.Intn(w.options.Partitions+1), key(w.rng.Intn(w.options.Keys))
 	var own []*node
@@ -22,39 +22,40 @@
 		}
 	}
 	if len(own) > 0 {
-		w.ask(own[w.rng.Intn(len(own))], p, k)
+		w.appendTag(own[w.rng.Intn(len(own))], p, k)
 	}
 }
 
-func (w *world) ask(n *node, p int, k string) {
+// appendTag submits a write that appends a new tag to a key, and records its outcome.
+func (w *world) appendTag(n *node, p int, k string) {
 	w.tags++
 	tag, at := fmt.Sprintf("w%d", w.tags), w.now
 	name := fmt.Sprintf("%d/%s", p, k)
-	w.note(Event{Kind: Asked, Node: n.name, Partition: p, Key: name, Tag: tag})
+	w.recordEvent(Event{Kind: WriteRequested, Node: n.name, Partition: p, Key: name, Tag: tag})
 	then := func(r partition.Result) {
 		e := Event{Node: n.name, Partition: p, Key: name, Tag: tag}
 		switch r.Outcome {
 		case partition.Done:
-			e.Kind = Yes
+			e.Kind = WriteAcknowledged
 			w.result.Yes++
-			w.acks = append(w.acks, acked{w.now, p, k, tag})
+			w.ackedWrites = append(w.ackedWrites, ackedWrite{w.now, p, k, tag})
 			w.result.Waits = append(w.result.Waits, w.now-at)
-			if !w.calm && w.rng.Float64() < w.options.Faults["ackkill"]/40 {
-				w.fault("ackkill", n)
+			if !w.faultsEnded && w.rng.Float64() < w.options.Faults["ackkill"]/40 {
+				w.injectFault("ackkill", n)
 			}
 		case partition.NotLeader, partition.Unchanged:
-			e.Kind = Never
+			e.Kind = WriteRejected
 			w.result.Never++
 		default:
-			e.Kind = Maybe
+			e.Kind = WriteUncertain
 			w.result.Maybe++
 		}
-		w.note(e)
+		w.recordEvent(e)
 	}
 	build := func(read lease.RecordSource) ([]message.Record, any) {
 		val, _ := json.Marshal(append(tags(read(k)), tag))
 		return []message.Record{{Key: k, Value: val}}, nil
 	}
 	job := partition.Job{Keys: []string{k}, Mergeable: true, Build: build}
-	n.carry(p, n.controllers[p].Submit(n.local(), job, then))
+	n.apply(p, n.controllers[p].Submit(n.local(), job, then))
 }
