--- a/proof/modelcheck/check.go
+++ b/proof/modelcheck/check.go
@@ -12,29 +12,30 @@
 	"mulleinmast/wire/message"
 )
 
-// The invariants. Each is looked at after every event; what breaks one is put
-// into world.broken, and the run ends there.
+// The invariants. They are checked after every event. The first violation is stored in
+// world.violation and ends the run.
 
-func (w *world) breaks(format string, args ...any) {
-	if w.broken == "" {
-		w.broken = fmt.Sprintf(format, args...)
+// violate records the violation of an invariant, unless there is one already.
+func (w *world) violate(format string, args ...any) {
+	if w.violation == "" {
+		w.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// checkElected: one leader a term.
+// checkElected checks that each term has at most one leader.
 func (w *world) checkElected(i int) {
 	d := w.daemons[i]
 	term, incarnation := d.partition.Replica.Term(), fmt.Sprintf("%s#%d", d.self.Ident, d.epoch)
 	group := d.partition.Replica.Group()
-	w.log("%s leads under term %d with group %d %s", incarnation, term, group.Number, names(group))
+	w.log("%s leads under term %d with group %d %s", incarnation, term, group.Number, groupNames(group))
 	if other, ok := w.leaders[term]; ok && other != incarnation {
-		w.breaks("one leader a term: %s and %s both led under term %d", other, incarnation, term)
+		w.violate("one leader a term: %s and %s both led under term %d", other, incarnation, term)
 	}
 	w.leaders[term] = incarnation
 }
 
-// checkAcknowledged: at most one acknowledged change on a base, and none while a lease
-// stands under which the state before it may be read.
+// checkAcknowledged checks that at most one change on a base is acknowledged, and none while
+// a lease is valid under which the previous state may be read.
 func (w *world) checkAcknowledged(i int, r partition.Result) {
 	d := w.daemons[i]
 	c := &w.changes[r.Tag-1]
@@ -45,52 +46,52 @@
 	}
 	for k, o := range w.changes {
 		if k != int(r.Tag-1) && o.outcome == partition.Done && o.base == c.base {
-			w.breaks("one change on a base: %c and %c were both acknowledged on base %d", o.tag, c.tag, c.base)
+			w.violate("one change on a base: %c and %c were both acknowledged on base %d", o.tag, c.tag, c.base)
 		}
 	}
 	for _, g := range w.grants {
 		if g.end > w.now && (g.daemon != i || g.epoch != d.epoch || g.term != d.partition.Replica.Term()) {
-			w.breaks("no old read: change %c is acknowledged under term %d while leases of term %d stand for %v",
+			w.violate("no old read: change %c is acknowledged under term %d while leases of term %d are valid for %v",
 				c.tag, d.partition.Replica.Term(), g.term, g.end-w.now)
 		}
 	}
 	rec, _ := d.partition.Replica.Records().Get(key)
 	at := strings.IndexByte(string(rec.Value), c.tag)
 	if at < 0 {
-		w.breaks("no write lost: change %c is acknowledged, its leader holds %q", c.tag, rec.Value)
-	} else if at >= len(w.lastRead) { // what follows may be the next change, under way
+		w.violate("no write lost: change %c is acknowledged, its leader holds %q", c.tag, rec.Value)
+	} else if at >= len(w.lastRead) { // the rest may be the next change, in progress
 		w.lastRead = string(rec.Value[:at+1])
 	}
 }
 
-// check looks at what holds in every state.
-func (w *world) check() {
-	w.oneLeader()
-	w.reads()
+// checkInvariants checks the invariants that hold in every state.
+func (w *world) checkInvariants() {
+	w.checkOneLeader()
+	w.checkReads()
 	w.checkMajority()
 }
 
-// oneLeader: never two leaders with valid leases.
-func (w *world) oneLeader() {
+// checkOneLeader checks that no two leaders have valid leases at the same time.
+func (w *world) checkOneLeader() {
 	last := -1
 	for i, d := range w.daemons {
-		if !d.leads(w.now) {
+		if !d.isLeader(w.now) {
 			continue
 		}
 		if last >= 0 {
 			o := w.daemons[last]
-			w.breaks("one leader: %s under term %d and %s under term %d both have valid leases",
+			w.violate("one leader: %s under term %d and %s under term %d both have valid leases",
 				o.self.Ident, o.partition.Replica.Term(), d.self.Ident, d.partition.Replica.Term())
 		}
 		last = i
 		if !w.setup.Tree {
-			w.granted(i)
+			w.recordGrant(i)
 		}
 	}
 }
 
-// granted notes for how long leases below a leader may stand.
-func (w *world) granted(i int) {
+// recordGrant records until when leases granted by a leader may be valid.
+func (w *world) recordGrant(i int) {
 	d := w.daemons[i]
 	end := w.now + min(leaseConfig.VolumeLease, d.partition.Replica.LeaseEnd()-d.local(w.now))
 	g := grant{i, d.epoch, d.partition.Replica.Term(), end}
@@ -103,9 +104,9 @@
 	w.grants = append(slices.DeleteFunc(w.grants, func(o grant) bool { return o.end <= w.now }), g)
 }
 
-// reads: nothing is served that is older than what was acknowledged or served
-// before, and nothing that was refused.
-func (w *world) reads() {
+// checkReads checks that no daemon serves a state older than one that was acknowledged or
+// served before, or a refused change.
+func (w *world) checkReads() {
 	for _, d := range w.daemons {
 		if !d.isUp {
 			continue
@@ -115,7 +116,7 @@
 			continue
 		}
 		if !strings.HasPrefix(string(rec.Value), w.lastRead) {
-			w.breaks("no old read: %s serves %q after %q", d.self.Ident, rec.Value, w.lastRead)
+			w.violate("no old read: %s serves %q after %q", d.self.Ident, rec.Value, w.lastRead)
 		}
 		if len(rec.Value) > len(w.lastRead) {
 			w.lastRead = string(rec.Value)
@@ -124,13 +125,13 @@
 	for _, c := range w.changes {
 		isRefused := c.outcome == partition.NotLeader || c.outcome == partition.Unchanged
 		if isRefused && strings.IndexByte(w.lastRead, c.tag) >= 0 {
-			w.breaks("refused is refused: change %c was refused (%v) and is in force", c.tag, c.outcome)
+			w.violate("refused is refused: change %c was refused (%v) and took effect", c.tag, c.outcome)
 		}
 	}
 }
 
-// copyOf is what a replica would show a candidate.
-type copyOf struct {
+// replicaState is the state that a replica would report to a candidate.
+type replicaState struct {
 	ident string
 	group message.Group
 	set   uint64
@@ -142,21 +143,23 @@
 	peers []message.PeerIncarnation
 }
 
-// checkMajority: whatever majority comes together next, under any group that a replica
-// may still stand for, holds all that was acknowledged or read.
+// checkMajority checks that any majority that may elect a leader next, under any group with
+// which a replica may still run for election, holds every change acknowledged or read.
 func (w *world) checkMajority() {
-	if w.lastRead == "" || w.setup.Twins {
-		return // of two copies each may be elected, and not both: that is looked at as it happens
+	if w.lastRead == "" || w.setup.DuplicateStart {
+		return // with duplicate starts either copy may be elected, but not both; checkOneLeader covers that
 	}
-	var disks, mems []copyOf
+	var disks, mems []replicaState
 	for _, d := range w.daemons {
 		if !d.hasDisk {
 			continue
 		}
 		if d.isUp && d.partition.Replica.Superseded() != "" {
-			continue // it has no voice, and starts anew as another one
+			continue // it no longer votes, and restarts with a new identity
+		}
+		c := replicaState{
+			ident: d.self.Ident, group: d.disk.meta.Group, set: d.disk.meta.LastComplete, peers: d.disk.meta.Peers,
 		}
-		c := copyOf{ident: d.self.Ident, group: d.disk.meta.Group, set: d.disk.meta.LastComplete, peers: d.disk.meta.Peers}
 		c.epoch, c.base = d.startsAs()
 		if r, ok := d.disk.records[key]; ok {
 			c.val, c.ver = string(r.Value), r.Version
@@ -171,33 +174,35 @@
 		}
 		mems = append(mems, c)
 	}
-	w.electable(disks, "on disk")
-	w.electable(mems, "as they run")
+	w.checkElectable(disks, "on disk")
+	w.checkElectable(mems, "as they run")
 }
 
-func (w *world) electable(copies []copyOf, how string) {
+// checkElectable checks, for every majority of the replicas, that a candidate elected by it
+// finds every change acknowledged or read.
+func (w *world) checkElectable(copies []replicaState, how string) {
 	for mask := 1; mask < 1<<len(copies); mask++ {
 		in := func(id string) bool {
-			k := slices.IndexFunc(copies, func(c copyOf) bool { return c.ident == id })
+			k := slices.IndexFunc(copies, func(c replicaState) bool { return c.ident == id })
 			return k >= 0 && mask>>k&1 == 1
 		}
 		for k, c := range copies {
 			if mask>>k&1 == 0 || !c.group.Has(c.ident) || !c.group.HasQuorum(in) {
 				continue
 			}
-			if val, ok := elect(copies, mask, c.group); ok && !strings.HasPrefix(val, w.lastRead) {
-				w.breaks("a majority holds all: %q was acknowledged or read, "+
+			if val, ok := electedValue(copies, mask, c.group); ok && !strings.HasPrefix(val, w.lastRead) {
+				w.violate("a majority holds all: %q was acknowledged or read, "+
 					"but %s with group %d %s may be elected by %s, %s, and finds %q",
-					w.lastRead, c.ident, c.group.Number, names(c.group), members(copies, mask), how, val)
+					w.lastRead, c.ident, c.group.Number, groupNames(c.group), memberNames(copies, mask), how, val)
 				return
 			}
 		}
 	}
 }
 
-// elect is what a candidate with this group would find at these replicas; ok
-// reports whether all of them are members and would vote for it.
-func elect(copies []copyOf, mask int, g message.Group) (val string, ok bool) {
+// electedValue returns the value that a candidate with this group would find at the replicas in
+// mask. ok reports whether all of them are members and would vote for it.
+func electedValue(copies []replicaState, mask int, g message.Group) (val string, ok bool) {
 	var set uint64
 	var ver message.Version
 	for k, c := range copies {
@@ -209,7 +214,8 @@
 				return "", false
 			}
 		}
-		if !g.Has(c.ident) || c.group.Number > g.Number || c.group.Number == g.Number && names(c.group) != names(g) {
+		if !g.Has(c.ident) || c.group.Number > g.Number ||
+			c.group.Number == g.Number && groupNames(c.group) != groupNames(g) {
 			return "", false
 		}
 		if c.set > set {
@@ -222,7 +228,7 @@
 	return val, true
 }
 
-func members(copies []copyOf, mask int) (s string) {
+func memberNames(copies []replicaState, mask int) (s string) {
 	for k, c := range copies {
 		if mask>>k&1 == 1 {
 			s += c.ident
@@ -231,7 +237,8 @@
 	return s
 }
 
-// hash tells states apart: all that decides what can still happen.
+// hash returns a hash of everything that determines the future of a state. States with equal
+// hashes are treated as the same.
 func (w *world) hash() uint64 {
 	h := hasher{now: w.now}
 	for _, d := range w.daemons {
@@ -239,7 +246,7 @@
 	}
 	var held uint64
 	for _, p := range w.packets {
-		if p.isHeld {
+		if p.isDelayed {
 			held += p.hash
 		} else {
 			h.word(p.hash)
@@ -249,7 +256,7 @@
 	for _, c := range w.cuts {
 		h.word(uint64(c[0]<<8 | c[1]))
 	}
-	h.value(reflect.ValueOf(w.spent))
+	h.value(reflect.ValueOf(w.used))
 	for _, c := range w.changes {
 		h.word(uint64(c.tag)<<16 | uint64(c.base)<<8 | uint64(c.outcome))
 	}
--- a/proof/modelcheck/copy.go
+++ b/proof/modelcheck/copy.go
@@ -13,11 +13,11 @@
 	"mulleinmast/wire/message"
 )
 
-// A copy of a state machine is made by reflection, so that a field added to the
-// machine is copied (and hashed) without a word here. Messages and records are
-// never changed in place by the machines and are shared between copies.
+// State machines are copied by reflection, so that fields added to them are copied (and
+// hashed) without a change here. The machines never modify messages and records in place;
+// copies share them.
 
-// shared are the types whose values copies share: nobody changes them in place.
+// shared are the types whose values copies share, since they are never modified in place.
 var shared = map[reflect.Type]bool{
 	reflect.TypeFor[message.Message]():     true,
 	reflect.TypeFor[message.Envelope]():    true,
@@ -32,19 +32,20 @@
 	reflect.TypeFor[lease.Config]():        true,
 }
 
-// copier copies one object graph; what two pointers share stays shared.
+// copier copies one object graph. It maps the pointers copied so far to their copies, so that
+// aliases stay aliases.
 type copier map[unsafe.Pointer]reflect.Value
 
-// copyPartition copies a partition with its replica and its node, and ties the
-// copy's functions to the copy.
+// copyPartition copies a partition with its replica and its node, and rebinds the copy's
+// functions to the copy.
 func copyPartition(s *partition.Partition) *partition.Partition {
 	out := copier{}.value(reflect.ValueOf(s)).Interface().(*partition.Partition)
-	tie(out)
+	rebindFuncs(out)
 	return out
 }
 
-// tie points the functions that a partition's parts hold at this copy of them.
-func tie(s *partition.Partition) {
+// rebindFuncs binds the functions stored in a partition, its replica and its node to this copy.
+func rebindFuncs(s *partition.Partition) {
 	if s.Replica == nil {
 		return
 	}
@@ -63,14 +64,15 @@
 	settable(root.FieldByName("leaseEnd")).Set(reflect.ValueOf(s.Replica.LeaseEnd))
 }
 
-// settable makes a field that may be unexported one that can be read and set.
+// settable returns a field, even an unexported one, as a value that can be read and set.
 func settable(v reflect.Value) reflect.Value {
 	return reflect.NewAt(v.Type(), unsafe.Pointer(v.UnsafeAddr())).Elem()
 }
 
+// value returns a deep copy of v.
 func (c copier) value(v reflect.Value) reflect.Value {
 	t := v.Type()
-	if flat(t) {
+	if isShallow(t) {
 		return v
 	}
 	switch t.Kind() {
@@ -99,7 +101,7 @@
 			return v
 		}
 		out := reflect.MakeSlice(t, v.Len(), v.Len())
-		if flat(t.Elem()) {
+		if isShallow(t.Elem()) {
 			reflect.Copy(out, v)
 			return out
 		}
@@ -117,14 +119,14 @@
 	return v
 }
 
-// into copies an addressable struct or array, field by field.
+// into copies the addressable struct or array v into out.
 func (c copier) into(out, v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Struct:
 		out.Set(v)
-		if v.Type() == typeRecords { // the model has one key: no other range is ever written
+		if v.Type() == typeRecords { // the model has one key, so only its range is ever written
 			maps, old := settable(out.FieldByName("records")), settable(v.FieldByName("records"))
-			maps.Index(span).Set(c.value(old.Index(span)))
+			maps.Index(keyRange).Set(c.value(old.Index(keyRange)))
 			return
 		}
 		for _, i := range deepFields(v.Type()) {
@@ -139,17 +141,17 @@
 	}
 }
 
-var span = digest.RangeOf(key)
+var keyRange = digest.RangeOf(key)
 
 var copiedFields sync.Map // reflect.Type of a struct -> []int
 
-// deepFields lists the fields that an assignment doesn't copy.
+// deepFields returns the indexes of the fields that a plain assignment doesn't copy.
 func deepFields(t reflect.Type) (list []int) {
 	if known, ok := copiedFields.Load(t); ok {
 		return known.([]int)
 	}
 	for i := range t.NumField() {
-		if !flat(t.Field(i).Type) {
+		if !isShallow(t.Field(i).Type) {
 			list = append(list, i)
 		}
 	}
@@ -157,54 +159,54 @@
 	return list
 }
 
-var flats sync.Map // reflect.Type -> bool
+var shallowTypes sync.Map // reflect.Type -> bool
 
-// flat reports whether a plain assignment copies a value of this type.
-func flat(t reflect.Type) bool {
-	if known, ok := flats.Load(t); ok {
+// isShallow reports whether a plain assignment copies a value of this type completely.
+func isShallow(t reflect.Type) bool {
+	if known, ok := shallowTypes.Load(t); ok {
 		return known.(bool)
 	}
-	is := isFlat(t)
-	flats.Store(t, is)
+	is := computeShallow(t)
+	shallowTypes.Store(t, is)
 	return is
 }
 
-func isFlat(t reflect.Type) bool {
+func computeShallow(t reflect.Type) bool {
 	switch t.Kind() {
 	case reflect.Pointer, reflect.Map, reflect.Slice, reflect.Interface:
-		return t.Kind() == reflect.Interface // what callers say of a write: never changed
+		return t.Kind() == reflect.Interface // tags that callers attach to a write; never modified
 	case reflect.Func:
-		return true // tied anew by the caller
+		return true // rebound by the caller
 	case reflect.Struct:
 		if shared[t] {
 			return true
 		}
 		for i := range t.NumField() {
-			if !flat(t.Field(i).Type) {
+			if !isShallow(t.Field(i).Type) {
 				return false
 			}
 		}
 		return true
 	case reflect.Array:
-		return flat(t.Elem())
+		return isShallow(t.Elem())
 	}
 	return true
 }
 
-// forgotten is how long ago a time lies at which all earlier ones look the same.
-const forgotten = 10 * leaderLease
+// maxAge is the age from which on all times in the past hash alike.
+const maxAge = 10 * leaderLease
 
 var (
-	typeTime    = reflect.TypeFor[time.Duration]()
-	typeRecords = reflect.TypeFor[digest.Records]()
-	noContent   = map[string]bool{
+	typeTime       = reflect.TypeFor[time.Duration]()
+	typeRecords    = reflect.TypeFor[digest.Records]()
+	unhashedFields = map[string]bool{
 		"leaderSince": true, "Repairs": true,
 		"sentAsPatches": true, "sentInFull": true, "generation": true, "renewCost": true,
 	}
 )
 
-// hasher hashes values by content. Times count as seen from now, so that states
-// that differ only in when they were reached are one.
+// hasher hashes values by content. Times are hashed relative to now, so that states that
+// differ only in the time at which they were reached are equal.
 type hasher struct {
 	sum  uint64
 	now  time.Duration
@@ -228,7 +230,7 @@
 func (h *hasher) value(v reflect.Value) {
 	t := v.Type()
 	if t == typeTime {
-		h.word(uint64(max(time.Duration(v.Int())-h.now, -forgotten)))
+		h.word(uint64(max(time.Duration(v.Int())-h.now, -maxAge)))
 		return
 	}
 	switch t.Kind() {
@@ -275,7 +277,7 @@
 func (h *hasher) fields(v reflect.Value) {
 	t := v.Type()
 	if t == typeRecords {
-		h.value(v.FieldByName("digests").Index(span))
+		h.value(v.FieldByName("digests").Index(keyRange))
 		return
 	}
 	for _, i := range hashFields(t) {
@@ -285,13 +287,13 @@
 
 var hashedFields sync.Map // reflect.Type of a struct -> []int
 
-// hashFields lists the fields by which states are told apart.
+// hashFields returns the indexes of the fields that distinguish states.
 func hashFields(t reflect.Type) (list []int) {
 	if known, ok := hashedFields.Load(t); ok {
 		return known.([]int)
 	}
 	for i := range t.NumField() {
-		if name := t.Field(i).Name; name != "cfg" && !noContent[name] {
+		if name := t.Field(i).Name; name != "cfg" && !unhashedFields[name] {
 			list = append(list, i)
 		}
 	}
--- a/proof/modelcheck/event.go
+++ b/proof/modelcheck/event.go
@@ -9,56 +9,57 @@
 	"mulleinmast/wire/message"
 )
 
-// Bounds say how often each kind of event may come in one run of the explorer.
+// Bounds are the numbers of events of each kind in one run of the explorer.
 type Bounds struct {
-	Write, Want                          int // changes asked for; wishes for another group
-	Crash, Wipe, Stall                   int
-	Drop, Double, Hold, Cut, Lapse, Tick int
-	Copy, PutBack, Beside                int
+	Write, Replace                                  int // requested changes; requested replacements of a replica
+	Crash, Wipe, Stall                              int
+	Drop, Duplicate, Delay, Cut, ExpireLeases, Tick int
+	Copy, RestoreCopy, StartCopy                    int
 }
 
-// Kind is what happens.
+// Kind is the kind of an event.
 type Kind uint8
 
-// The kinds of events. Those below Step cost nothing.
+// The kinds of events. Kinds without a field in Bounds are unlimited.
 const (
-	Step    Kind = iota // what happens when nothing goes wrong
-	Restart             // a daemon that is down starts with its disk
-	Release             // a held message arrives
-	Sync                // a stalled disk completes its oldest write
-	Heal                // all cuts end
-	Write               // somebody asks a leader for a change on the last acknowledged one
-	Want                // another group is wished for
-	Crash               // a daemon stops; what its disk had not completed is lost
-	Wipe                // a daemon stops for good; an empty one takes its address
-	Stall               // a disk stops completing writes
-	Drop                // a message is lost
-	Double              // a message arrives now, and again later
-	Hold                // a message arrives later
-	Cut                 // messages one way between two daemons are lost from now on
-	Lapse               // time passes that ends every lease, and nobody looked
-	Tick                // one daemon lets time pass
-	Pass                // a little time passes
-	Arrive              // any message arrives
-	Copy                // a disk is copied
-	PutBack             // a daemon stops and starts with the copy of its disk
-	Beside              // the copy is started beside the daemon
+	Step         Kind = iota // all messages in flight arrive, or else time passes; no faults
+	Restart                  // a stopped daemon starts from its disk
+	Release                  // a delayed message arrives
+	Sync                     // a stalled disk completes its oldest write
+	Heal                     // all cut links are restored
+	Write                    // a client requests a change based on the last one acknowledged or read
+	Replace                  // an operator requests the replacement of a replica
+	Crash                    // a daemon stops; pending disk writes are lost
+	Wipe                     // a daemon loses its disk; an empty one takes its address
+	Stall                    // a disk stops completing writes
+	Drop                     // a message is lost
+	Duplicate                // a message arrives now and again later
+	Delay                    // a message is delayed until it is released
+	Cut                      // messages from one daemon to another are lost until the cut heals
+	ExpireLeases             // enough time passes that every lease expires, without any tick
+	Tick                     // one daemon runs its periodic work
+	AdvanceTime              // a little time passes
+	Deliver                  // a chosen message arrives, in any order
+	Copy                     // a disk is copied
+	RestoreCopy              // a daemon restarts from the copy of its disk
+	StartCopy                // a second daemon starts from the copy
 )
 
-// Event is one event: what, at which daemon, with which message or other daemon.
+// Event is one event: its kind, the daemon that it concerns, and the message or other daemon
+// involved.
 type Event struct {
 	Kind Kind
 	At   int8
 	With int16
 }
 
-// count is the field of the bounds that an event draws on; nil: it is free.
+// count returns the field of the bounds for a kind of event; nil: the kind is unlimited.
 func (b *Bounds) count(k Kind) *int {
 	switch k {
 	case Write:
 		return &b.Write
-	case Want:
-		return &b.Want
+	case Replace:
+		return &b.Replace
 	case Crash:
 		return &b.Crash
 	case Wipe:
@@ -67,38 +68,38 @@
 		return &b.Stall
 	case Drop:
 		return &b.Drop
-	case Double:
-		return &b.Double
-	case Hold:
-		return &b.Hold
+	case Duplicate:
+		return &b.Duplicate
+	case Delay:
+		return &b.Delay
 	case Cut:
 		return &b.Cut
-	case Lapse:
-		return &b.Lapse
+	case ExpireLeases:
+		return &b.ExpireLeases
 	case Tick:
 		return &b.Tick
 	case Copy:
 		return &b.Copy
-	case PutBack:
-		return &b.PutBack
-	case Beside:
-		return &b.Beside
+	case RestoreCopy:
+		return &b.RestoreCopy
+	case StartCopy:
+		return &b.StartCopy
 	}
 	return nil
 }
 
 func (b Bounds) sum() int {
-	return b.Crash + b.Wipe + b.Stall + b.Drop + b.Double + b.Hold + b.Cut + b.Lapse + b.Tick +
-		b.Write + b.Want + b.Copy + b.PutBack + b.Beside
+	return b.Crash + b.Wipe + b.Stall + b.Drop + b.Duplicate + b.Delay + b.Cut + b.ExpireLeases + b.Tick +
+		b.Write + b.Replace + b.Copy + b.RestoreCopy + b.StartCopy
 }
 
-// events lists what may happen next within the bounds. Their order is that in which
-// states are visited.
-func (w *world) events(most Bounds, total int) []Event {
-	c := chooser{world: w, most: most, total: total}
+// nextEvents returns the events that may happen next within the bounds, in the order in which
+// their states are visited.
+func (w *world) nextEvents(bounds Bounds, total int) []Event {
+	c := eventLister{world: w, bounds: bounds, total: total}
 	c.add(Step, 0, 0)
 	for k, p := range w.packets {
-		if p.isHeld {
+		if p.isDelayed {
 			c.add(Release, 0, k)
 		}
 	}
@@ -106,56 +107,56 @@
 		c.add(Heal, 0, 0)
 	}
 	for i, d := range w.daemons {
-		c.addOfDaemon(i, d)
+		c.addDaemonEvents(i, d)
 	}
 	for i, d := range w.daemons {
 		if d.hasDisk {
-			c.addOfDisk(i, d)
+			c.addDiskEvents(i, d)
 		}
 	}
-	c.addOfMessages()
-	c.addIf(c.may(Lapse), Lapse, 0)
-	if c.may(Want) {
-		c.addWanted()
+	c.addMessageEvents()
+	c.addIf(c.isAllowed(ExpireLeases), ExpireLeases, 0)
+	if c.isAllowed(Replace) {
+		c.addReplacements()
 	}
 	return c.events
 }
 
-// chooser collects the events that may happen next.
-type chooser struct {
+// eventLister collects the events that may happen next.
+type eventLister struct {
 	*world
-	most   Bounds
-	total  int // of all kinds together
+	bounds Bounds
+	total  int // bound for all kinds together
 	events []Event
 }
 
-// may reports whether an event of a bounded kind may still happen.
-func (c *chooser) may(k Kind) bool {
-	return c.spent.sum() < c.total && *c.spent.count(k) < *c.most.count(k)
+// isAllowed reports whether the bounds allow another event of a bounded kind.
+func (c *eventLister) isAllowed(k Kind) bool {
+	return c.used.sum() < c.total && *c.used.count(k) < *c.bounds.count(k)
 }
 
-func (c *chooser) add(k Kind, at, with int) {
+func (c *eventLister) add(k Kind, at, with int) {
 	c.events = append(c.events, Event{k, int8(at), int16(with)})
 }
 
-func (c *chooser) addIf(holds bool, k Kind, at int) {
+func (c *eventLister) addIf(holds bool, k Kind, at int) {
 	if holds {
 		c.add(k, at, 0)
 	}
 }
 
-// addOfDaemon adds what may happen to a daemon.
-func (c *chooser) addOfDaemon(i int, d *daemon) {
+// addDaemonEvents adds the events that may happen to a daemon.
+func (c *eventLister) addDaemonEvents(i int, d *daemon) {
 	if !d.isUp {
 		c.add(Restart, i, 0)
 		return
 	}
 	c.addIf(len(d.pendingSaves) > 0, Sync, i)
-	c.addIf(c.may(Crash), Crash, i)
-	c.addIf(c.may(Stall) && d.hasDisk && !d.isStalled, Stall, i)
-	c.addIf(c.may(Tick), Tick, i)
-	c.addIf(c.may(Write) && d.leads(c.now), Write, i)
-	if !c.may(Cut) {
+	c.addIf(c.isAllowed(Crash), Crash, i)
+	c.addIf(c.isAllowed(Stall) && d.hasDisk && !d.isStalled, Stall, i)
+	c.addIf(c.isAllowed(Tick), Tick, i)
+	c.addIf(c.isAllowed(Write) && d.isLeader(c.now), Write, i)
+	if !c.isAllowed(Cut) {
 		return
 	}
 	for j := range c.daemons {
@@ -165,39 +166,39 @@
 	}
 }
 
-// addOfDisk adds what may happen to a daemon's disk.
-func (c *chooser) addOfDisk(i int, d *daemon) {
-	c.addIf(c.may(Wipe) && c.mayWipe(i), Wipe, i)
-	c.addIf(c.may(Copy), Copy, i)
-	for _, kind := range []Kind{PutBack, Beside} {
-		c.addIf(d.diskCopy != nil && c.may(kind) && c.older(i), kind, i)
+// addDiskEvents adds the events that may happen to a daemon's disk.
+func (c *eventLister) addDiskEvents(i int, d *daemon) {
+	c.addIf(c.isAllowed(Wipe) && c.mayWipe(i), Wipe, i)
+	c.addIf(c.isAllowed(Copy), Copy, i)
+	for _, kind := range []Kind{RestoreCopy, StartCopy} {
+		c.addIf(d.diskCopy != nil && c.isAllowed(kind) && c.mayStartCopy(i), kind, i)
 	}
 }
 
-// addOfMessages adds what may happen to the messages on their way.
-func (c *chooser) addOfMessages() {
-	for _, kind := range []Kind{Drop, Double, Hold} {
+// addMessageEvents adds the events that may happen to messages in flight.
+func (c *eventLister) addMessageEvents() {
+	for _, kind := range []Kind{Drop, Duplicate, Delay} {
 		for k, p := range c.packets {
-			if !p.isHeld && c.may(kind) {
+			if !p.isDelayed && c.isAllowed(kind) {
 				c.add(kind, 0, k)
 			}
 		}
 	}
 }
 
-// addWanted adds the groups that may be wished for next.
-func (c *chooser) addWanted() {
+// addReplacements adds the replacements of a replica that may be requested next.
+func (c *eventLister) addReplacements() {
 	for out := range c.wantedReplicas {
 		for in, d := range c.daemons {
 			if d.hasDisk && !(message.Group{Replicas: c.wantedReplicas}).Has(d.self.Ident) {
-				c.add(Want, out, in)
+				c.add(Replace, out, in)
 			}
 		}
 	}
 }
 
-// mayWipe reports whether the loss of this disk is one that the fleet must bear:
-// no other disk was lost since the group was last whole.
+// mayWipe reports whether the fleet must tolerate the loss of a disk now: no other disk was
+// lost since the group was last complete.
 func (w *world) mayWipe(int) bool {
 	for _, d := range w.daemons {
 		if !d.hasDisk {
@@ -212,9 +213,9 @@
 	return true
 }
 
-// apply lets an event happen in this world and looks at the invariants.
+// apply applies an event to this world and checks the invariants.
 func (w *world) apply(e Event) {
-	if b := w.spent.count(e.Kind); b != nil {
+	if b := w.used.count(e.Kind); b != nil {
 		*b++
 	}
 	i, k := int(e.At), int(e.With)
@@ -222,51 +223,51 @@
 	case Step:
 		w.step()
 	case Heal:
-		w.log("cuts end")
+		w.log("cuts heal")
 		w.cuts = nil
-	case Lapse:
-		w.log("every lease lapses")
+	case ExpireLeases:
+		w.log("every lease expires")
 		w.now += quorumConfig.Wait(leaderLease)
-	case Pass:
+	case AdvanceTime:
 		w.now += timeStep * time.Duration(1+k) / 4
-		w.log("it is %v", w.now-100*leaderLease)
-	case Release, Arrive, Drop, Double, Hold:
+		w.log("time is %v", w.now-100*leaderLease)
+	case Release, Deliver, Drop, Duplicate, Delay:
 		w.applyToMessage(e.Kind, k)
 	case Cut:
 		w.log("cut from %s to %s", w.daemons[i].self.Ident, w.daemons[k].self.Ident)
 		w.cuts = append(w.cuts, [2]int{i, k})
-	case Want:
-		w.log("wanted: %s in place of %s", w.daemons[k].self.Ident, w.wantedReplicas[i].Ident)
+	case Replace:
+		w.log("requested: %s replaces %s", w.daemons[k].self.Ident, w.wantedReplicas[i].Ident)
 		w.wantedReplicas = slices.Clone(w.wantedReplicas)
 		w.wantedReplicas[i] = w.daemons[k].self
 	default:
 		w.applyToDaemon(e.Kind, i)
 	}
-	w.check()
+	w.checkInvariants()
 }
 
-// applyToMessage lets something happen to a message on its way.
+// applyToMessage applies an event to a message in flight.
 func (w *world) applyToMessage(kind Kind, k int) {
 	switch kind {
-	case Release, Arrive:
-		w.log("deliver %s", w.show(w.packets[k]))
+	case Release, Deliver:
+		w.log("deliver %s", w.describe(w.packets[k]))
 		w.deliver(k)
 	case Drop:
-		w.log("lost: %s", w.show(w.packets[k]))
+		w.log("lost: %s", w.describe(w.packets[k]))
 		w.packets = slices.Delete(w.packets, k, k+1)
-	case Double:
-		w.log("doubled: %s", w.show(w.packets[k]))
+	case Duplicate:
+		w.log("duplicated: %s", w.describe(w.packets[k]))
 		p := w.packets[k]
-		p.isHeld = true
+		p.isDelayed = true
 		w.deliver(k)
 		w.packets = append(w.packets, p)
-	case Hold:
-		w.log("held: %s", w.show(w.packets[k]))
-		w.packets[k].isHeld = true
+	case Delay:
+		w.log("delayed: %s", w.describe(w.packets[k]))
+		w.packets[k].isDelayed = true
 	}
 }
 
-// applyToDaemon lets something happen to a daemon or its disk.
+// applyToDaemon applies an event to a daemon or its disk.
 func (w *world) applyToDaemon(kind Kind, i int) {
 	ident := w.daemons[i].self.Ident
 	switch kind {
@@ -286,39 +287,40 @@
 		w.log("the disk of %s stalls", ident)
 		w.mutable(i).isStalled = true
 	case Tick:
-		w.log("%s lets time pass", ident)
+		w.log("%s ticks", ident)
 		w.tick(i)
 	case Copy:
 		w.log("the disk of %s is copied", ident)
 		w.copyDisk(i)
-	case PutBack:
+	case RestoreCopy:
 		w.log("%s starts from the copy of its disk", ident)
-		w.putBack(i)
-	case Beside:
-		w.log("the copy of %s is started beside it", ident)
-		w.beside(i)
+		w.restoreCopy(i)
+	case StartCopy:
+		w.log("a second daemon starts from the copy of %s", ident)
+		w.startCopy(i)
 	}
 }
 
+// crash stops a daemon. With wipe set it also loses its disk and gets a new identity.
 func (w *world) crash(i int, wipe bool) {
 	d := *w.daemons[i]
 	w.daemons[i] = &d
 	d.isUp, d.partition, d.pendingSaves, d.cachedHash, d.isStalled = false, nil, nil, 0, false
 	if wipe {
 		d.disk, d.epoch, d.diskCopy, d.isStale = disk{}, 0, nil, false
-		if w.setup.Plant != reusedIdentity {
-			w.rename(i)
+		if w.setup.Fault != reusedIdentity {
+			w.assignIdentity(i)
 		}
 	}
 }
 
-// write asks a leader for a change that names what was last read as its base, as
-// two writers do that don't know of each other.
+// write requests a change from a leader, based on the last state that was read. Two such
+// changes model two writers that don't know of each other.
 func (w *world) write(i int) {
 	c := change{tag: byte('a' + len(w.changes)), base: len(w.lastRead)}
 	w.changes = append(w.changes, c)
-	w.log("change %c on base %d is asked of %s", c.tag, c.base, w.daemons[i].self.Ident)
-	base := w.setup.Plant.base(c.base)
+	w.log("change %c on base %d is requested from %s", c.tag, c.base, w.daemons[i].self.Ident)
+	base := w.setup.Fault.base(c.base)
 	j := partition.Job{Keys: []string{key}, Mergeable: true, Build: func(read lease.RecordSource) ([]message.Record, any) {
 		cur := read(key)
 		if base >= 0 && len(cur.Value) != base {
@@ -326,7 +328,7 @@
 		}
 		return []message.Record{{Key: key, Value: append(slices.Clone(cur.Value), c.tag)}}, nil
 	}}
-	w.do(i, func(d *daemon, now time.Duration) partition.Out {
+	w.input(i, func(d *daemon, now time.Duration) partition.Out {
 		return d.partition.Submit(now, uint64(len(w.changes)), j)
 	})
 }
--- a/proof/modelcheck/explore.go
+++ b/proof/modelcheck/explore.go
@@ -9,36 +9,36 @@
 	"sync"
 )
 
-// Scope is what one run of the explorer looks at.
+// Scope defines the states that one run of the explorer visits.
 type Scope struct {
 	Name   string
 	Setup  Setup
-	Most   Bounds // of each kind of event
-	Total  int    // of all kinds together
-	Depth  int    // events in a row
-	States int    // the run ends after so many states, and says so
+	Bounds Bounds // bounds for each kind of event
+	Total  int    // bound for all kinds together
+	Depth  int    // bound for the number of events in a row
+	States int    // if positive, the run stops after this number of states and is not complete
 }
 
-// Report says what a run came to.
+// Report is the result of an exploration or a walk.
 type Report struct {
-	Name   string
-	States int
-	Depth  int      // of the deepest state
-	Whole  bool     // every state within the bounds was looked at
-	Broken string   // the invariant that was broken; "": none
-	Trace  []string // how, as short as can be in an exploration
-	Events int      // events in the trace or walk
-	Acked  int      // changes acknowledged in a walk
-	Terms  int      // leaders in a walk
-	Copies int      // older copies started in a walk
+	Name     string
+	States   int
+	Depth    int      // of the deepest state
+	Complete bool     // every state within the bounds was visited
+	Broken   string   // the violated invariant; "": none
+	Trace    []string // the events that led to the violation; in an exploration the shortest trace
+	Events   int      // events in the trace or walk
+	Acked    int      // changes acknowledged in a walk
+	Terms    int      // leaders in a walk
+	Copies   int      // older copies started in a walk
 }
 
-// String is the report in a line, and the trace below.
+// String returns the report in one line, followed by the trace of a violation.
 //
 // Example: fmt.Print(report)
 func (r Report) String() string {
 	how := "all states within the bounds"
-	if !r.Whole {
+	if !r.Complete {
 		how = "NOT all states within the bounds"
 	}
 	s := fmt.Sprintf("%s: %d states, depth %d, %s\n", r.Name, r.States, r.Depth, how)
@@ -48,70 +48,70 @@
 	return s
 }
 
-// place is a state that was visited: how it was reached.
-type place struct {
+// visitedState records how a visited state was reached: its predecessor and the event.
+type visitedState struct {
 	from int32
 	by   Event
 }
 
-// reached is a state that an event led to.
-type reached struct {
+// successor is the state after an event.
+type successor struct {
 	world *world
 	hash  uint64
-	from  int32 // the place before
+	from  int32 // index of the predecessor in explorer.states
 	by    Event
 }
 
-// open is a state whose next ones are to be visited.
-type open struct {
-	world *world
-	place int32
+// openState is a visited state whose successors are still to be visited.
+type openState struct {
+	world      *world
+	stateIndex int32
 }
 
-// batchStates is how many states are visited beside one another.
+// batchStates is the number of states that are expanded in parallel.
 const batchStates = 4096
 
-// explorer visits states, those fewest events away first.
+// explorer visits states breadth-first.
 type explorer struct {
-	scope   Scope
-	places  []place
-	visited map[uint64]struct{}
-	broken  string // the invariant that the last place broke
+	scope     Scope
+	states    []visitedState
+	visited   map[uint64]struct{}
+	violation string // the invariant that the last visited state violates
 }
 
-// Explore looks at every state within the scope, those fewest events away first.
+// Explore visits every state within the scope, breadth-first.
 //
 // Example: r := modelcheck.Explore(modelcheck.Small[0])
 func Explore(s Scope) (r Report) {
 	r = Report{Name: s.Name}
-	root := begin(&s.Setup)
-	x := &explorer{scope: s, places: []place{{from: -1}}, visited: map[uint64]struct{}{root.hash(): {}}}
-	front, isWhole := []open{{root, 0}}, true
+	root := newWorld(&s.Setup)
+	x := &explorer{scope: s, states: []visitedState{{from: -1}}, visited: map[uint64]struct{}{root.hash(): {}}}
+	front, isComplete := []openState{{root, 0}}, true
 	for r.Depth = 0; len(front) > 0 && r.Depth < s.Depth; r.Depth++ {
-		if front, isWhole = x.visitNext(front); !isWhole {
+		if front, isComplete = x.visitNext(front); !isComplete {
 			break
 		}
 	}
-	r.States, r.Whole, r.Broken = len(x.visited), isWhole, x.broken
-	if x.broken != "" {
-		r.Trace, r.Events = retrace(&s.Setup, x.places)
+	r.States, r.Complete, r.Broken = len(x.visited), isComplete, x.violation
+	if x.violation != "" {
+		r.Trace, r.Events = replay(&s.Setup, x.states)
 	}
 	return r
 }
 
-// visitNext visits the states one event away from those of a front. It ends early
-// where an invariant is broken or there are states enough.
-func (x *explorer) visitNext(front []open) (next []open, isWhole bool) {
+// visitNext visits the successors of the states in front. It stops early at a violation or
+// when the limit of states is reached.
+func (x *explorer) visitNext(front []openState) (next []openState, isComplete bool) {
 	for batch := range slices.Chunk(front, batchStates) {
 		for _, list := range x.expand(batch) {
 			for _, r := range list {
 				if !x.visit(r) {
 					continue
 				}
-				if x.broken = r.world.broken; x.broken != "" {
+				if x.violation = r.world.violation; x.violation != "" {
 					return nil, false
 				}
-				next = append(next, open{r.world, int32(len(x.places) - 1)})
+				next = append(next, openState{r.world, int32(len(x.states) - 1)})
 			}
 		}
 		if x.scope.States > 0 && len(x.visited) >= x.scope.States {
@@ -121,29 +121,30 @@
 	return next, true
 }
 
-// expand gives the states one event away from each of a batch.
-func (x *explorer) expand(batch []open) [][]reached {
-	out := make([][]reached, len(batch))
+// expand returns the successors of each state in a batch.
+func (x *explorer) expand(batch []openState) [][]successor {
+	out := make([][]successor, len(batch))
 	parallel(len(batch), func(i int) {
-		for _, e := range batch[i].world.events(x.scope.Most, x.scope.Total) {
+		for _, e := range batch[i].world.nextEvents(x.scope.Bounds, x.scope.Total) {
 			w := batch[i].world.fork()
 			w.apply(e)
-			out[i] = append(out[i], reached{w, w.hash(), batch[i].place, e})
+			out[i] = append(out[i], successor{w, w.hash(), batch[i].stateIndex, e})
 		}
 	})
 	return out
 }
 
-// visit notes a state as visited, unless it was.
-func (x *explorer) visit(r reached) (isNew bool) {
+// visit marks a state as visited. It reports false if it was visited before.
+func (x *explorer) visit(r successor) (isNew bool) {
 	if _, visited := x.visited[r.hash]; visited {
 		return false
 	}
 	x.visited[r.hash] = struct{}{}
-	x.places = append(x.places, place{r.from, r.by})
+	x.states = append(x.states, visitedState{r.from, r.by})
 	return true
 }
 
+// parallel calls f with 0 to n-1, on all processors.
 func parallel(n int, f func(int)) {
 	var wg sync.WaitGroup
 	workers := runtime.GOMAXPROCS(0)
@@ -157,13 +158,14 @@
 	wg.Wait()
 }
 
-// retrace is how the last place was reached.
-func retrace(s *Setup, places []place) (lines []string, n int) {
+// replay replays the events that led to the last visited state. It returns the trace and
+// the number of events.
+func replay(s *Setup, states []visitedState) (lines []string, n int) {
 	var list []Event
-	for at := int32(len(places) - 1); at > 0; at = places[at].from {
-		list = append([]Event{places[at].by}, list...)
+	for at := int32(len(states) - 1); at > 0; at = states[at].from {
+		list = append([]Event{states[at].by}, list...)
 	}
-	w := begin(s)
+	w := newWorld(s)
 	w.trace = func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
 	for _, e := range list {
 		w.apply(e)
@@ -179,13 +181,13 @@
 	Events int
 }
 
-// Go walks until an invariant is broken or the events are over.
+// Go applies random events until an invariant is violated or the number of events is reached.
 //
 // Example: r := modelcheck.Walk{Name: "deep", Setup: s, Seed: 7, Events: 5000}.Go()
 func (k Walk) Go() (r Report) {
-	r = Report{Name: fmt.Sprintf("%s seed %d", k.Name, k.Seed), Whole: true}
+	r = Report{Name: fmt.Sprintf("%s seed %d", k.Name, k.Seed), Complete: true}
 	rng := rand.New(rand.NewSource(k.Seed))
-	w := begin(&k.Setup)
+	w := newWorld(&k.Setup)
 	var lines []string
 	w.trace = func(format string, args ...any) {
 		lines = append(lines, fmt.Sprintf(format, args...))
@@ -193,12 +195,12 @@
 			lines = lines[200:]
 		}
 	}
-	mood := newMood(rng)
-	for r.Events < k.Events && w.broken == "" {
+	weights := newEventWeights(rng)
+	for r.Events < k.Events && w.violation == "" {
 		if r.Events%200 == 0 {
-			mood = newMood(rng)
+			weights = newEventWeights(rng)
 		}
-		e, ok := w.chance(rng, mood)
+		e, ok := w.randomEvent(rng, weights)
 		if !ok {
 			continue
 		}
@@ -208,8 +210,8 @@
 	r.States, r.Depth = r.Events, r.Events
 	r.Acked = w.acknowledgedCount()
 	r.Terms = len(w.leaders)
-	r.Copies = w.spent.PutBack + w.spent.Beside
-	if r.Broken = w.broken; w.broken != "" {
+	r.Copies = w.used.RestoreCopy + w.used.StartCopy
+	if r.Broken = w.violation; w.violation != "" {
 		r.Trace = lines[max(0, len(lines)-120):]
 	}
 	return r
--- a/proof/modelcheck/folders.go
+++ b/proof/modelcheck/folders.go
@@ -7,14 +7,13 @@
 	"mulleinmast/wire/message"
 )
 
-// Copies of folders. A copy is taken of a disk at any moment. It may be put in the
-// place of what the disk holds by now, or be started beside it, once every other
-// replica has on its own disk that the copied one came further: that is all that
-// the replicas' guard asks for. A daemon that is superseded starts again empty, as
-// the real one does.
+// Copies of data folders. A disk may be copied at any time. The copy may replace the disk's
+// contents, or be started as a second daemon, once every other replica's disk records a
+// later state of the copied replica: that is the condition under which the incarnation guard
+// must detect the copy. A superseded daemon restarts empty, as the production daemon does.
 
-// precedes reports whether a state lies before another one, or beside it. It is
-// written here anew: the machines' own judgement is what is looked at.
+// precedes reports whether save point a comes before b or is concurrent with it. It does not
+// use the machines' own comparison, since that is under test.
 func precedes(a, b message.SavePoint) bool {
 	if b.Epoch == 0 {
 		return false
@@ -25,40 +24,40 @@
 	return incarnation.Starts(a.Epoch) <= incarnation.Starts(b.Epoch)
 }
 
-// heardOf is what a disk has of another replica.
-func (d disk) heardOf(ident string) (p message.PeerIncarnation) {
+// knownPeer returns the incarnation of another replica that a disk records.
+func (d disk) knownPeer(ident string) (p message.PeerIncarnation) {
 	if i := slices.IndexFunc(d.meta.Peers, func(p message.PeerIncarnation) bool { return p.Ident == ident }); i >= 0 {
 		p = d.meta.Peers[i]
 	}
 	return p
 }
 
-// older reports whether a copy of this daemon's disk may be started: all other
+// mayStartCopy reports whether a copy of this daemon's disk may be started: all other
 // voters know of a later state, and no other disk is lost.
-func (w *world) older(i int) bool {
+func (w *world) mayStartCopy(i int) bool {
 	d := w.daemons[i]
 	hasCopy := d.hasDisk && d.diskCopy != nil && d.diskCopy.meta.Group.Number != 0
 	if !hasCopy || !w.mayWipe(i) || w.daemonOf(d.self.Ident) != i {
 		return false
 	}
-	if w.setup.Plant == noIncarnationGuard { // nobody hears of anything
-		return w.votes(d.self.Ident)
+	if w.setup.Fault == noIncarnationGuard { // no replica knows the others' incarnations
+		return w.isVoter(d.self.Ident)
 	}
 	for _, o := range w.daemons {
-		isOtherVoter := o.hasDisk && o.self.Ident != d.self.Ident && w.votes(o.self.Ident)
-		if isOtherVoter && !precedes(d.diskCopy.meta.State, o.disk.heardOf(d.self.Ident).State) {
+		isOtherVoter := o.hasDisk && o.self.Ident != d.self.Ident && w.isVoter(o.self.Ident)
+		if isOtherVoter && !precedes(d.diskCopy.meta.State, o.disk.knownPeer(d.self.Ident).State) {
 			return false
 		}
 	}
-	return w.votes(d.self.Ident)
+	return w.isVoter(d.self.Ident)
 }
 
-// votes reports whether any disk's group has an identity.
-func (w *world) votes(ident string) bool {
+// isVoter reports whether the group on any disk has a replica with this identity.
+func (w *world) isVoter(ident string) bool {
 	return slices.ContainsFunc(w.daemons, func(d *daemon) bool { return d.hasDisk && d.disk.meta.Group.Has(ident) })
 }
 
-// copyDisk takes a copy of what a disk holds.
+// copyDisk copies a daemon's disk.
 func (w *world) copyDisk(i int) {
 	d := *w.daemons[i]
 	w.daemons[i] = &d
@@ -66,8 +65,8 @@
 	d.diskCopy, d.cachedHash = &kept, 0
 }
 
-// putBack puts the copy in the place of what the disk holds, and starts it.
-func (w *world) putBack(i int) {
+// restoreCopy replaces the disk's contents by the copy, and restarts the daemon.
+func (w *world) restoreCopy(i int) {
 	w.crash(i, false)
 	d := *w.daemons[i]
 	w.daemons[i] = &d
@@ -75,8 +74,8 @@
 	w.start(i)
 }
 
-// beside starts the copy as another process, while the first one goes on.
-func (w *world) beside(i int) {
+// startCopy starts the copy as another process, while the original keeps running.
+func (w *world) startCopy(i int) {
 	of := w.daemons[i]
 	d := &daemon{
 		self: of.self, epoch: of.diskCopy.meta.State.Epoch, hasDisk: true, disk: *of.diskCopy,
@@ -86,8 +85,8 @@
 	w.start(len(w.daemons) - 1)
 }
 
-// empty has a daemon that is superseded start again with nothing.
-func (w *world) empty(i int) {
+// restartSuperseded restarts a superseded daemon with an empty disk.
+func (w *world) restartSuperseded(i int) {
 	if d := w.daemons[i]; d.isUp && d.partition.Replica != nil && d.partition.Replica.Superseded() != "" {
 		w.log("%s is superseded: %s", d.self.Ident, d.partition.Replica.Superseded())
 		w.crash(i, true)
@@ -95,9 +94,8 @@
 	}
 }
 
-// admits reports whether a replica that holds one copy counts what one with another
-// copy says.
-func admits(by, of copyOf) bool {
+// admits reports whether a replica in state by accepts messages from a replica in state of.
+func admits(by, of replicaState) bool {
 	i := slices.IndexFunc(by.peers, func(p message.PeerIncarnation) bool { return p.Ident == of.ident })
 	if i < 0 {
 		return true
@@ -112,8 +110,8 @@
 	return false
 }
 
-// startsAs is the incarnation that a daemon has, or will have at its next start,
-// and the state that it starts from.
+// startsAs returns the incarnation that a daemon has, or will have at its next start, and the
+// state from which it starts.
 func (d *daemon) startsAs() (epoch uint64, base message.SavePoint) {
 	if !d.isUp {
 		return incarnation.Number(incarnation.Starts(d.epoch)+1, 0), d.disk.meta.State
--- a/proof/modelcheck/folders_test.go
+++ b/proof/modelcheck/folders_test.go
@@ -6,30 +6,29 @@
 	"testing"
 )
 
-// Two processes that are started from copies of one folder at the same moment can
-// both be counted only as long as the group is cut into two sides that each hear
-// one of them and never the other side: then each side has a majority, and both
-// may lead. This is all that two copies can do, and they can do it. That nothing
-// is broken without a cut is looked at by the scope "two copies at the same moment".
-func TestTwoCopiesBothCountOnlyAcrossACut(t *testing.T) {
+// Two processes started from copies of one folder at the same time can both be counted as
+// voters only while the network is split and each side has one of them: each side then has a
+// majority, so both may lead. This known limitation is the only one: the scope "two copies at
+// the same moment" checks that no invariant is violated without a cut.
+func TestTwoCopiesBothCountOnlyAcrossNetworkSplit(t *testing.T) {
 	for mask := 0; mask < 1<<4; mask++ {
-		w := begin(&Setup{Replicas: 3, Twins: true})
+		w := newWorld(&Setup{Replicas: 3, DuplicateStart: true})
 		copies := []int{0, 3}
 		split := mask>>copies[0]&1 != mask>>copies[1]&1 && mask>>1&1 != mask>>2&1
 		w.cutSides(mask)
-		for n := 0; n < 400 && w.broken == ""; n++ {
+		for n := 0; n < 400 && w.violation == ""; n++ {
 			w.apply(Event{Kind: Step})
 		}
-		if both := strings.HasPrefix(w.broken, "one leader"); both != split || !both && w.broken != "" {
-			t.Errorf("sides %04b, a copy and a member on each: %v; broken: %q", mask, split, w.broken)
+		if both := strings.HasPrefix(w.violation, "one leader"); both != split || !both && w.violation != "" {
+			t.Errorf("sides %04b, a copy and a member on each: %v; violation: %q", mask, split, w.violation)
 		}
-		if split && mask&1 == 1 { // the other half of the masks are the same cuts
+		if split && mask&1 == 1 { // the other masks with split set give the same cuts
 			checkHealed(t, w)
 		}
 	}
 }
 
-// cutSides cuts the daemons whose bit is set off from the others.
+// cutSides cuts off the daemons whose bit is set in mask from the others.
 func (w *world) cutSides(mask int) {
 	for i := range w.daemons {
 		for j := range w.daemons {
@@ -40,16 +39,15 @@
 	}
 }
 
-// leader is the daemon that leads; -1: none.
+// leader returns the index of the leader, or -1.
 func (w *world) leader() int {
-	return slices.IndexFunc(w.daemons, func(d *daemon) bool { return d.leads(w.now) })
+	return slices.IndexFunc(w.daemons, func(d *daemon) bool { return d.isLeader(w.now) })
 }
 
-// checkHealed ends a cut: one of the copies at least learns of the other and is
-// superseded from then on.
+// checkHealed heals a cut and checks that at least one of the copies is superseded then.
 func checkHealed(t *testing.T, w *world) {
 	t.Helper()
-	w.cuts, w.broken = nil, ""
+	w.cuts, w.violation = nil, ""
 	notSuperseded := func() (n int) {
 		for _, i := range []int{0, 3} {
 			if d := w.daemons[i]; d.self == w.daemons[0].self && d.partition.Replica.Superseded() == "" {
@@ -62,20 +60,20 @@
 		w.step()
 	}
 	if notSuperseded() > 1 {
-		t.Error("neither copy is superseded long after the cut")
+		t.Error("neither copy is superseded although the cut healed long ago")
 	}
 }
 
-// A copy that is put back learns of it, is superseded, and comes back as an empty
-// daemon; the others go on.
-func TestAnOlderCopyIsSuperseded(t *testing.T) {
-	for _, start := range []Kind{PutBack, Beside} {
-		w := begin(&Setup{Replicas: 3, Standbys: 1, Copies: true})
+// A daemon started from an older copy is superseded and restarts empty; the others keep
+// running.
+func TestOlderCopyIsSuperseded(t *testing.T) {
+	for _, start := range []Kind{RestoreCopy, StartCopy} {
+		w := newWorld(&Setup{Replicas: 3, Standbys: 1, Copies: true})
 		lead := w.leader()
 		i := (lead + 1) % 3
 		w.apply(Event{Kind: Copy, At: int8(i)})
 		w.apply(Event{Kind: Write, At: int8(lead)})
-		for range 2 { // what the others hear goes to their disks with the next save
+		for range 2 { // the others write what they learn of it with their next save
 			for range 12 {
 				w.apply(Event{Kind: Step})
 			}
@@ -83,23 +81,23 @@
 		}
 		w.apply(Event{Kind: Step})
 		w.apply(Event{Kind: Step})
-		if !w.older(i) {
-			t.Fatal("the others never hear how far the copied one came")
+		if !w.mayStartCopy(i) {
+			t.Fatal("the others never learn of the later state of the copied daemon")
 		}
 		before, size := w.daemons[i].self, len(w.daemons)
 		w.apply(Event{Kind: start, At: int8(i)})
 		at := i
-		if start == Beside {
+		if start == StartCopy {
 			at = size
 		}
 		for n := 0; n < 200 && w.daemons[at].self == before; n++ {
 			w.apply(Event{Kind: Step})
 		}
-		if w.daemons[at].self == before || w.broken != "" {
-			t.Errorf("start %d: still %s; %s", start, before.Ident, w.broken)
+		if w.daemons[at].self == before || w.violation != "" {
+			t.Errorf("start kind %d: still running as %s; violation: %q", start, before.Ident, w.violation)
 		}
-		if start == Beside && (w.daemons[i].self != before || w.daemons[i].partition.Replica.Superseded() != "") {
-			t.Error("the one that had gone on was superseded, too")
+		if start == StartCopy && (w.daemons[i].self != before || w.daemons[i].partition.Replica.Superseded() != "") {
+			t.Error("the original was superseded too")
 		}
 	}
 }
--- a/proof/modelcheck/long_test.go
+++ b/proof/modelcheck/long_test.go
@@ -7,11 +7,12 @@
 	"testing"
 )
 
-// Walks of many seeds, for a run by hand: MODELCHECK_SEEDS=1-400 names them.
+// TestManyWalks runs the walks of many seeds. It is for runs by hand: MODELCHECK_FROM=1
+// MODELCHECK_TO=400 go test -run TestManyWalks -v ./proof/modelcheck
 func TestManyWalks(t *testing.T) {
 	from, to := os.Getenv("MODELCHECK_FROM"), os.Getenv("MODELCHECK_TO")
 	if from == "" {
-		t.Skip("for a run by hand: MODELCHECK_FROM and MODELCHECK_TO name the seeds")
+		t.Skip("for runs by hand: set MODELCHECK_FROM and MODELCHECK_TO to the first and last seed")
 	}
 	a, err := strconv.Atoi(from)
 	if err != nil {
--- a/proof/modelcheck/world.go
+++ b/proof/modelcheck/world.go
@@ -1,8 +1,7 @@
-// Package modelcheck explores the real state machines of voting, membership
-// change and partition writes: every order of events within bounds, shortest
-// first, or long seeded walks. The machines are the daemon's own; this package
-// only carries their messages and saves, lets time pass, breaks things, and
-// looks after each event whether an invariant is broken.
+// Package modelcheck explores the production state machines of elections, membership changes
+// and partition writes: every order of events within bounds, breadth-first, or long seeded
+// random walks. It delivers the machines' messages and saves, advances time, injects faults,
+// and checks the invariants after each event.
 package modelcheck
 
 import (
@@ -19,10 +18,10 @@
 )
 
 const (
-	leaderLease     = time.Second // length of the leader's lease; all other times are ratios to it
+	leaderLease     = time.Second // all other times are multiples of it
 	partitionNumber = 1
 	key             = "plan/now"
-	timeStep        = leaderLease / 12 // time passes in steps of this; candidates are spaced by as much
+	timeStep        = leaderLease / 12 // granularity of time, and the spacing between candidates
 )
 
 var (
@@ -36,24 +35,25 @@
 	}
 )
 
-// Setup is what a model consists of.
+// Setup configures a model.
 type Setup struct {
-	Replicas int   // daemons with a vote from the start
-	Standbys int   // daemons with a disk and no vote
-	Caches   int   // daemons without a disk
-	Tree     bool  // daemons that don't lead hold leases below the leader's
-	Skew     bool  // clocks run as differently as is allowed
-	Copies   bool  // disks are copied, and copies are put back or started beside
-	Twins    bool  // two processes are started from one folder at the same moment
-	Plant    plant // a fault planted on purpose
+	Replicas       int          // daemons in the first group
+	Standbys       int          // daemons with a disk that are not in the first group
+	Caches         int          // daemons without a disk
+	Tree           bool         // daemons that don't lead hold leases granted by the leader
+	Skew           bool         // clock rates differ by nearly as much as allowed
+	Copies         bool         // disks are copied, and copies are restored or started as second daemons
+	DuplicateStart bool         // two processes start from copies of one folder at the same time
+	Fault          plantedFault // a planted fault
 }
 
-// disk is what a daemon's disk holds, synced; it is never changed in place.
+// disk is the synced content of a daemon's disk. It is never modified in place.
 type disk struct {
 	meta    quorum.Meta
 	records map[string]message.Record
 }
 
+// with returns the content after a save.
 func (d disk) with(s quorum.Save) disk {
 	out := disk{meta: s.Meta, records: map[string]message.Record{}}
 	for k, r := range d.records {
@@ -67,21 +67,21 @@
 	return out
 }
 
-// daemon is one daemon. It is copied before it is changed.
+// daemon is the state of one daemon. Worlds share daemons, so it is copied before a change.
 type daemon struct {
 	self            message.Replica
 	epoch           uint64
-	hasDisk         bool // has a disk
+	hasDisk         bool
 	isUp            bool
-	isStalled       bool // its disk completes nothing for now
+	isStalled       bool // its disk completes no writes
 	disk            disk
-	diskAtLastStart disk // what it held at the last start, for a planted fault
+	diskAtLastStart disk // content at the last start, for a planted fault
 	diskCopy        *disk
-	isStale         bool // it was started from an older copy and is no loss that is made good yet
+	isStale         bool // started from an older copy; counts as a lost disk until it is replaced
 	pendingSaves    []quorum.Save
 	partition       *partition.Partition
-	clockRate       float64 // of its clock
-	cachedHash      uint64  // hash of sec as of sumAt; 0: unknown
+	clockRate       float64 // relative to true time
+	cachedHash      uint64  // hash as of cachedAt; 0: unknown
 	cachedAt        time.Duration
 }
 
@@ -89,26 +89,27 @@
 	return time.Duration(float64(now) * d.clockRate)
 }
 
-func (d *daemon) leads(now time.Duration) bool { return d.isUp && d.partition.IsLeader(d.local(now)) }
+func (d *daemon) isLeader(now time.Duration) bool {
+	return d.isUp && d.partition.IsLeader(d.local(now))
+}
 
-// packet is a message on its way. One that is held is delivered only when an
-// event says so.
+// packet is a message in flight. A delayed one is delivered only by an event.
 type packet struct {
-	from, to int
-	isHeld   bool
-	message  message.Message
-	hash     uint64
+	from, to  int
+	isDelayed bool
+	message   message.Message
+	hash      uint64
 }
 
-// change is a write that somebody asked for: its tag is appended to the list
-// under the key if that list is still as long as its base.
+// change is a requested write. It appends its tag to the list under the key if the length of
+// the list still equals its base.
 type change struct {
 	tag     byte
 	base    int
-	outcome partition.Outcome // 0: open
+	outcome partition.Outcome // 0: pending
 }
 
-// grant is how long leases handed out by one leader's term may stand.
+// grant records until when leases granted by a leader in one term may be valid.
 type grant struct {
 	daemon int
 	epoch  uint64
@@ -116,27 +117,27 @@
 	end    time.Duration
 }
 
-// world is one state of the model; events make new ones and leave it as it is.
+// world is one state of the model. Events are applied to forks of it.
 type world struct {
 	setup          *Setup
 	now            time.Duration
 	daemons        []*daemon
 	packets        []packet
 	cuts           [][2]int
-	spent          Bounds
+	used           Bounds
 	changes        []change
 	grants         []grant
 	leaders        map[uint64]string // term -> the incarnation that was leader in it
 	wantedReplicas []message.Replica
 	identities     int
-	starts         int    // of all daemons: nonces of their incarnations
-	lastRead       string // longest list that was read or acknowledged
-	broken         string // the invariant that the last event broke
+	starts         int    // starts of all daemons; nonces for their incarnations
+	lastRead       string // longest list read or acknowledged
+	violation      string // the invariant that the last event violated; "": none
 	trace          func(format string, args ...any)
 }
 
-// begin makes a fleet whose first group is formed and has a leader.
-func begin(s *Setup) *world {
+// newWorld returns a fleet with a complete first group and a leader.
+func newWorld(s *Setup) *world {
 	w := &world{setup: s, now: 100 * leaderLease, leaders: map[uint64]string{}}
 	var members []message.Replica
 	for i := range s.Replicas + s.Standbys + s.Caches {
@@ -144,11 +145,11 @@
 		if s.Skew && i%2 == 1 {
 			d.clockRate += quorumConfig.Drift * 0.9
 		}
-		if s.Plant == slowClock && i == 0 {
+		if s.Fault == slowClock && i == 0 {
 			d.clockRate = 0.5
 		}
 		w.daemons = append(w.daemons, d)
-		w.rename(i)
+		w.assignIdentity(i)
 		w.start(i)
 		if i < s.Replicas {
 			members = append(members, d.self)
@@ -156,7 +157,7 @@
 	}
 	w.wantedReplicas = members
 	for i := range members {
-		w.do(i, func(d *daemon, now time.Duration) partition.Out {
+		w.input(i, func(d *daemon, now time.Duration) partition.Out {
 			return d.partition.Bootstrap(now, message.Group{Number: 1, Replicas: members})
 		})
 	}
@@ -164,22 +165,22 @@
 		w.step()
 	}
 	if !w.isSettled() {
-		panic("modelcheck: no leader at the start")
+		panic("modelcheck: no leader was elected at the start")
 	}
-	w.spent = Bounds{}
-	if s.Twins {
+	w.used = Bounds{}
+	if s.DuplicateStart {
 		w.copyDisk(0)
-		w.putBack(0)
-		w.beside(0)
+		w.restoreCopy(0)
+		w.startCopy(0)
 	}
 	return w
 }
 
-// isSettled reports whether a leader stands whose group is not changing and whose
-// members all hold its state on disk.
+// isSettled reports whether there is a leader whose group is not changing and whose members
+// all have its state on disk.
 func (w *world) isSettled() bool {
 	for _, d := range w.daemons {
-		if !d.leads(w.now) {
+		if !d.isLeader(w.now) {
 			continue
 		}
 		g := d.partition.Replica.Group()
@@ -203,7 +204,7 @@
 	}
 }
 
-// fork makes a world that can be changed without changing this one.
+// fork returns a copy of the world that can be modified independently.
 func (w *world) fork() *world {
 	out := *w
 	out.daemons = slices.Clone(w.daemons)
@@ -219,34 +220,34 @@
 	return &out
 }
 
-// mutable readies a daemon of this world for a change.
+// mutable replaces a daemon of this world by a copy that may be modified, and returns it.
 func (w *world) mutable(i int) *daemon {
 	d := *w.daemons[i]
 	d.cachedHash = 0
 	if d.partition != nil {
 		d.partition = copyPartition(d.partition)
-		w.setup.Plant.setWritesFrom(d.partition)
+		w.setup.Fault.setWritesFrom(d.partition)
 	}
 	d.pendingSaves = slices.Clone(d.pendingSaves)
 	w.daemons[i] = &d
 	return &d
 }
 
-// rename gives a daemon an identity that nobody had before.
-func (w *world) rename(i int) {
+// assignIdentity gives a daemon a new unique identity.
+func (w *world) assignIdentity(i int) {
 	w.identities++
 	ident, addr := fmt.Sprintf("%c%d", 'A'+i, w.identities), fmt.Sprintf("addr-%c", 'a'+i)
 	w.daemons[i].self = message.Replica{Ident: ident, Addr: addr}
 }
 
-// start begins a new incarnation of a daemon with what its disk holds.
+// start starts a new incarnation of a daemon from its disk.
 func (w *world) start(i int) {
 	d := *w.daemons[i]
 	w.daemons[i] = &d
 	d.cachedHash, d.isUp, d.pendingSaves, d.isStalled = 0, true, nil, false
 	d.epoch = incarnation.Number(incarnation.Starts(d.epoch)+1, uint32(w.starts+1))
 	w.starts++
-	if w.setup.Plant == rolledBackDisk {
+	if w.setup.Fault == rolledBackDisk {
 		d.disk, d.diskAtLastStart = d.diskAtLastStart, d.disk
 	}
 	now := d.local(w.now)
@@ -256,32 +257,32 @@
 		for _, r := range d.disk.records {
 			records.Put(r)
 		}
-		meta, isNew := w.setup.Plant.atStart(d.disk.meta)
+		meta, isNew := w.setup.Fault.atStart(d.disk.meta)
 		replica = quorum.New(quorumConfig, quorum.InitialState{
-			Partition: partitionNumber, Self: d.self, Folder: w.setup.Plant.guard(d.epoch, meta),
+			Partition: partitionNumber, Self: d.self, Folder: w.setup.Fault.guard(d.epoch, meta),
 			Meta: meta, Records: records, IsNew: isNew,
 		}, now)
 	}
 	cfg := leaseConfig
-	w.setup.Plant.leases(&cfg)
+	w.setup.Fault.leases(&cfg)
 	node := lease.New(cfg, partitionNumber, d.self, d.epoch)
 	d.partition = partition.New(partitionNumber, d.self, d.epoch, replica, node)
-	w.setup.Plant.setWritesFrom(d.partition)
+	w.setup.Fault.setWritesFrom(d.partition)
 	if w.setup.Tree {
-		w.run(i, func(d *daemon, now time.Duration) partition.Out { return d.partition.Pin(now, key) })
+		w.inputInPlace(i, func(d *daemon, now time.Duration) partition.Out { return d.partition.Pin(now, key) })
 	}
 }
 
-// do copies a daemon, runs one input through it and carries out what it asks for.
-func (w *world) do(i int, f func(*daemon, time.Duration) partition.Out) {
+// input copies a daemon, applies one input to it and carries out its output.
+func (w *world) input(i int, f func(*daemon, time.Duration) partition.Out) {
 	w.mutable(i)
-	w.run(i, f)
+	w.inputInPlace(i, f)
 }
 
-// run is do for a daemon that is this world's own already.
-func (w *world) run(i int, f func(*daemon, time.Duration) partition.Out) {
+// inputInPlace is input for a daemon that this world doesn't share.
+func (w *world) inputInPlace(i int, f func(*daemon, time.Duration) partition.Out) {
 	d := w.daemons[i]
-	w.carry(i, f(d, d.local(w.now)))
+	w.handleOutput(i, f(d, d.local(w.now)))
 	for !d.isStalled && len(d.pendingSaves) > 0 {
 		w.sync(i)
 	}
@@ -293,14 +294,15 @@
 	s := d.pendingSaves[0]
 	d.pendingSaves = d.pendingSaves[1:]
 	d.disk = d.disk.with(s)
-	w.carry(i, d.partition.Saved(d.local(w.now), s.Ticket))
+	w.handleOutput(i, d.partition.Saved(d.local(w.now), s.Ticket))
 }
 
-func (w *world) carry(i int, o partition.Out) {
+// handleOutput carries out the output of a daemon's partition.
+func (w *world) handleOutput(i int, o partition.Out) {
 	d := w.daemons[i]
 	d.pendingSaves = append(d.pendingSaves, o.Saves...)
 	for _, m := range o.Sends {
-		w.emit(i, m)
+		w.send(i, m)
 	}
 	for _, r := range o.Results {
 		w.checkAcknowledged(i, r)
@@ -308,40 +310,40 @@
 	if o.Won {
 		w.checkElected(i)
 	}
-	if early := w.setup.Plant.savedEarly(d, d.local(w.now), o.Saves); len(early.Sends)+len(early.Saves) > 0 || early.Won {
-		w.carry(i, early)
+	if early := w.setup.Fault.savedEarly(d, d.local(w.now), o.Saves); len(early.Sends)+len(early.Saves) > 0 || early.Won {
+		w.handleOutput(i, early)
 	}
 }
 
-// tick lets time pass in a daemon, which also moves the group towards what is
-// wanted, as the leader's works do.
+// tick runs a daemon's periodic work. A leader also moves its group towards the wanted one,
+// as the production leader does.
 func (w *world) tick(i int) {
-	w.do(i, func(d *daemon, now time.Duration) partition.Out { return d.partition.Tick(now) })
-	w.empty(i)
-	if w.daemons[i].leads(w.now) {
-		w.regroup(i)
+	w.input(i, func(d *daemon, now time.Duration) partition.Out { return d.partition.Tick(now) })
+	w.restartSuperseded(i)
+	if w.daemons[i].isLeader(w.now) {
+		w.changeGroup(i)
 	}
 	if w.setup.Tree {
-		w.adopt(i)
+		w.chooseParent(i)
 	}
 }
 
-// regroup has a leader keep the standbys up, go on with a step that is under way,
-// and begin the next one towards the wanted group.
-func (w *world) regroup(i int) {
+// changeGroup makes a leader update its standbys, continue a change in progress, and start
+// the next change towards the wanted group.
+func (w *world) changeGroup(i int) {
 	var standbys []message.Replica
 	for _, d := range w.daemons {
 		if d.hasDisk && d.isUp {
 			standbys = append(standbys, d.self)
 		}
 	}
-	w.run(i, func(d *daemon, now time.Duration) partition.Out { return d.partition.SetLearners(now, standbys) })
-	w.run(i, func(d *daemon, now time.Duration) partition.Out { return d.partition.ContinueChange(now) })
+	w.inputInPlace(i, func(d *daemon, now time.Duration) partition.Out { return d.partition.SetLearners(now, standbys) })
+	w.inputInPlace(i, func(d *daemon, now time.Duration) partition.Out { return d.partition.ContinueChange(now) })
 	g := w.daemons[i].partition.Replica.Group()
 	for _, out := range g.Replicas {
 		for _, in := range w.wantedReplicas {
 			if !(message.Group{Replicas: w.wantedReplicas}).Has(out.Ident) && !g.Has(in.Ident) {
-				w.run(i, func(d *daemon, now time.Duration) partition.Out {
+				w.inputInPlace(i, func(d *daemon, now time.Duration) partition.Out {
 					return d.partition.ReplaceReplica(now, out.Ident, in)
 				})
 				return
@@ -350,11 +352,12 @@
 	}
 }
 
-// adopt gives a daemon that doesn't lead the leader with the highest term as parent.
-func (w *world) adopt(i int) {
+// chooseParent makes the leader with the highest term the parent of a daemon that doesn't
+// lead.
+func (w *world) chooseParent(i int) {
 	best, term := -1, uint64(0)
 	for k, d := range w.daemons {
-		if d.leads(w.now) && d.partition.Replica.Term() > term {
+		if d.isLeader(w.now) && d.partition.Replica.Term() > term {
 			best, term = k, d.partition.Replica.Term()
 		}
 	}
@@ -362,25 +365,25 @@
 		return
 	}
 	if node := w.daemons[i].partition.Node; !node.IsRoot() && node.Parent() != w.daemons[best].self {
-		w.run(i, func(d *daemon, now time.Duration) partition.Out {
+		w.inputInPlace(i, func(d *daemon, now time.Duration) partition.Out {
 			return d.partition.SetParent(now, w.daemons[best].self)
 		})
 	}
 }
 
-// step is what happens when nothing goes wrong: all messages that are on their
-// way arrive in their order, or else time passes until somebody does something.
+// step advances the model without faults: all messages in flight arrive in order or, if
+// there are none, time passes until a daemon sends one.
 func (w *world) step() {
 	due := 0
 	for _, p := range w.packets {
-		if !p.isHeld {
+		if !p.isDelayed {
 			due++
 		}
 	}
 	if due > 0 {
 		for range due {
-			k := w.head()
-			w.log("deliver %s", w.show(w.packets[k]))
+			k := w.nextPacket()
+			w.log("deliver %s", w.describe(w.packets[k]))
 			w.deliver(k)
 		}
 		return
