--- a/proof/sim/check.go
+++ b/proof/sim/check.go
@@ -34,8 +34,8 @@
 	Tags      []string
 }
 
-// maxBreaches is the number of rule violations after which the check ends.
-const maxBreaches = 20
+// maxViolations is the number of rule violations after which the check ends.
+const maxViolations = 20
 
 // Check returns a message for each violation of a rule in a history.
 //
@@ -50,24 +50,24 @@
 	}
 	for _, e := range events {
 		c.checkEvent(e)
-		if len(c.breaches) > maxBreaches {
+		if len(c.violations) > maxViolations {
 			break
 		}
 	}
-	return c.breaches
+	return c.violations
 }
 
 // checker holds the state derived from the events so far.
 type checker struct {
-	keys     map[string]*keyState
-	leaders  map[int]Event // the last daemon that considered itself the leader, by partition
-	breaches []string
+	keys       map[string]*keyState
+	leaders    map[int]Event // the last daemon that considered itself the leader, by partition
+	violations []string
 }
 
 // keyState holds the state of one key derived from the events so far.
 type keyState struct {
 	asked     map[string]bool
-	inForce   map[string]time.Duration // time of the acknowledgement, by tag
+	ackedAt   map[string]time.Duration // time of the acknowledgement, by tag
 	refused   map[string]bool          // by tag, over the whole history
 	longest   []string                 // the longest list of tags served so far
 	longestBy string                   // the daemon that served that list
@@ -75,14 +75,14 @@
 
 func (c *checker) key(key string) *keyState {
 	if c.keys[key] == nil {
-		c.keys[key] = &keyState{asked: map[string]bool{}, inForce: map[string]time.Duration{}, refused: map[string]bool{}}
+		c.keys[key] = &keyState{asked: map[string]bool{}, ackedAt: map[string]time.Duration{}, refused: map[string]bool{}}
 	}
 	return c.keys[key]
 }
 
-// breach records that an event violates a rule.
-func (c *checker) breach(e Event, format string, args ...any) {
-	c.breaches = append(c.breaches, fmt.Sprintf("%v: %s ", e.At, e.Node)+fmt.Sprintf(format, args...))
+// violate records that an event violates a rule.
+func (c *checker) violate(e Event, format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf("%v: %s ", e.At, e.Node)+fmt.Sprintf(format, args...))
 }
 
 func (c *checker) checkEvent(e Event) {
@@ -91,9 +91,9 @@
 	case WriteRequested:
 		state.asked[e.Tag] = true
 	case WriteAcknowledged:
-		state.inForce[e.Tag] = e.At
+		state.ackedAt[e.Tag] = e.At
 	case CheckFailed:
-		c.breach(e, "%s", e.Tag)
+		c.violate(e, "%s", e.Tag)
 	case LeaderObserved:
 		c.checkLeader(e)
 	case RecordServed:
@@ -106,7 +106,7 @@
 // same time.
 func (c *checker) checkLeader(e Event) {
 	if other, ok := c.leaders[e.Partition]; ok && other.At == e.At && other.Node != e.Node {
-		c.breaches = append(c.breaches,
+		c.violations = append(c.violations,
 			fmt.Sprintf("%v: %s and %s both lead partition %d", e.At, other.Node, e.Node, e.Partition))
 	}
 	c.leaders[e.Partition] = e
@@ -118,19 +118,19 @@
 	served := map[string]bool{}
 	for _, tag := range e.Tags {
 		if served[tag] {
-			c.breach(e, "serves %q with %s twice", e.Key, tag)
+			c.violate(e, "serves %q with %s twice", e.Key, tag)
 		}
 		served[tag] = true
 		if !state.asked[tag] {
-			c.breach(e, "serves %q with %s, which was never requested", e.Key, tag)
+			c.violate(e, "serves %q with %s, which was never requested", e.Key, tag)
 		}
 		if state.refused[tag] {
-			c.breach(e, "serves %q with %s, which was refused", e.Key, tag)
+			c.violate(e, "serves %q with %s, which was refused", e.Key, tag)
 		}
 	}
-	for tag, since := range state.inForce {
+	for tag, since := range state.ackedAt {
 		if !served[tag] {
-			c.breach(e, "serves %q without %s, acknowledged at %v", e.Key, tag, since)
+			c.violate(e, "serves %q without %s, acknowledged at %v", e.Key, tag, since)
 		}
 	}
 }
@@ -139,11 +139,11 @@
 func (c *checker) checkOrder(state *keyState, e Event) {
 	short, long := state.longest, e.Tags
 	if len(short) > len(long) {
-		c.breach(e, "serves %q at length %d after %s served %d", e.Key, len(long), state.longestBy, len(short))
+		c.violate(e, "serves %q at length %d after %s served %d", e.Key, len(long), state.longestBy, len(short))
 		short, long = long, short
 	}
 	if strings.Join(long[:len(short)], " ") != strings.Join(short, " ") {
-		c.breach(e, "serves %q as %v, %s served %v", e.Key, e.Tags, state.longestBy, state.longest)
+		c.violate(e, "serves %q as %v, %s served %v", e.Key, e.Tags, state.longestBy, state.longest)
 	}
 	if len(e.Tags) >= len(state.longest) {
 		state.longest, state.longestBy = e.Tags, e.Node
--- a/proof/sim/fakeserver.go
+++ b/proof/sim/fakeserver.go
@@ -36,14 +36,14 @@
 	connections       map[*connection]bool
 	leaving           bool
 	leavingSeen       bool
-	cross             bool // prefill answers carry another request's handle
+	crosses           bool // prefill answers carry another request's handle
 	breaks            bool // streams break off after some pieces
 	drops             bool // streams break off before their first piece
-	skip              bool // a piece is left out
-	twice             bool // a piece is sent twice
+	skips             bool // a piece is left out
+	repeats           bool // a piece is sent twice
 	slow              int
 	linkDelay         time.Duration
-	expired           bool
+	expired           bool // all handles are gone
 }
 
 type cache struct {
@@ -92,7 +92,7 @@
 }
 
 func (d *fakeServer) usage() placement.Usage {
-	if d.leaving != d.leavingSeen { // from here on a daemon knows
+	if d.leaving != d.leavingSeen { // a daemon knows from here on
 		d.leavingSeen = d.leaving
 		d.writeJournal(history.Event{Ev: map[bool]string{true: "leaving", false: "staying"}[d.leavingSeen]})
 	}
@@ -186,7 +186,7 @@
 			Request: p.Request, Attempt: p.Attempt, PrefillServer: d.addr, RecordVersion: p.RecordVersion, CachedParts: cached,
 		}
 		d.caches[h.ID] = cache{p.Request, p.Attempt, script.Prompt(p.Parts)}
-		if d.cross {
+		if d.crosses {
 			for i := d.handleCount - 1; i > 0; i-- {
 				id := fmt.Sprintf("%s/%d/%d", d.addr, d.starts, i)
 				if c, ok := d.caches[id]; ok && c.request != p.Request {
@@ -281,10 +281,10 @@
 			d.writeJournal(history.Event{Ev: "ended", Request: p.Handle.Request, Run: p.RunID, Count: i})
 			l.piece(serverpool.Piece{Request: p.Handle.Request, RunID: p.RunID, End: true, Count: i}, seen)
 			return
-		case d.skip && i == 1:
+		case d.skips && i == 1:
 		default:
 			l.piece(piece, seen)
-			if d.twice && i == 1 {
+			if d.repeats && i == 1 {
 				l.piece(piece, seen)
 			}
 		}
--- a/proof/sim/folder.go
+++ b/proof/sim/folder.go
@@ -71,12 +71,12 @@
 func (n *node) flush() {
 	w := n.world
 	list := n.pendingSaves
-	n.pendingSaves, n.busy, n.savesUnderWay = nil, true, list
+	n.pendingSaves, n.busy, n.savesInProgress = nil, true, list
 	d := 200*time.Microsecond + w.exp(time.Millisecond)
 	if w.now < n.slowUntil {
 		d += n.diskDelay
 	}
-	d = max(d, n.jammedUntil-w.now)
+	d = max(d, n.blockedUntil-w.now)
 	starts := n.starts
 	notify := func() {
 		for _, s := range list {
--- a/proof/sim/many.go
+++ b/proof/sim/many.go
@@ -99,7 +99,7 @@
 // jamDisk blocks a disk's writes for a while. At the end its daemon must not lead a
 // partition.
 func (w *world) jamDisk(n *node, then func()) {
-	n.jammedUntil = w.now + jamDuration
+	n.blockedUntil = w.now + jamDuration
 	w.schedule(jamDuration, func() {
 		for p := range n.controllers {
 			if n.up && n.controllers[p].IsLeader(n.local()) {
@@ -127,7 +127,7 @@
 		w.schedule(time.Millisecond, func() { w.killDuringWrite(n, then) })
 		return
 	}
-	writing := n.savesUnderWay
+	writing := n.savesInProgress
 	n.kill()
 	if w.rng.Intn(2) == 0 {
 		n.disk.sync(writing)
--- a/proof/sim/node.go
+++ b/proof/sim/node.go
@@ -19,27 +19,27 @@
 
 // node is a simulated daemon.
 type node struct {
-	world         *world
-	name          string
-	addr          string
-	zone          string
-	disk          *folder
-	hasDisk       bool
-	onlySeed      string // if set, the only seed in its settings
-	starts        int    // number of starts and kills; events scheduled before the last one are dropped
-	up            bool
-	removed       bool          // permanently
-	leaving       bool          // told to stop permanently
-	frozenUntil   time.Duration // in simulated time
-	awakeAt       time.Duration // end of the last or current freeze
-	rate          float64
-	base          time.Duration
-	diskDelay     time.Duration
-	slowUntil     time.Duration
-	busy          bool          // the disk is writing
-	pendingSaves  []quorum.Save // saves waiting for the disk
-	savesUnderWay []quorum.Save // the batch being written
-	jammedUntil   time.Duration // the disk completes no write until then
+	world           *world
+	name            string
+	addr            string
+	zone            string
+	disk            *folder
+	hasDisk         bool
+	onlySeed        string // if set, the only seed in its settings
+	starts          int    // number of starts and kills; events scheduled before the last one are dropped
+	up              bool
+	removed         bool          // permanently
+	leaving         bool          // told to stop permanently
+	frozenUntil     time.Duration // in simulated time
+	awakeAt         time.Duration // end of the last or current freeze
+	rate            float64
+	base            time.Duration
+	diskDelay       time.Duration
+	slowUntil       time.Duration
+	busy            bool          // the disk is writing
+	pendingSaves    []quorum.Save // saves waiting for the disk
+	savesInProgress []quorum.Save // the batch being written
+	blockedUntil    time.Duration // the disk completes no write until then
 
 	ident          string
 	epoch          uint64
--- a/proof/sim/operator.go
+++ b/proof/sim/operator.go
@@ -233,15 +233,15 @@
 	case "lapse":
 		w.expireAllHandles()
 	case "cross":
-		w.setTemporarily(&d.cross)
+		w.setTemporarily(&d.crosses)
 	case "break":
 		w.setTemporarily(&d.breaks)
 	case "drop":
 		w.setTemporarily(&d.drops)
 	case "skip":
-		w.setTemporarily(&d.skip)
+		w.setTemporarily(&d.skips)
 	case "twice":
-		w.setTemporarily(&d.twice)
+		w.setTemporarily(&d.repeats)
 	case "sluggish":
 		d.slow = 2 + w.rng.Intn(6)
 		w.healServerLater(func() { d.slow = 1 })
@@ -327,7 +327,7 @@
 	}
 	for _, a := range w.addrs {
 		d := w.fakeServers[a]
-		d.dark, d.expired, d.cross, d.breaks, d.drops, d.skip, d.twice = false, false, false, false, false, false, false
+		d.dark, d.expired, d.crosses, d.breaks, d.drops, d.skips, d.repeats = false, false, false, false, false, false, false
 		d.slow, d.linkDelay = 1, 0
 		back := time.Duration(0)
 		if w.options.Sabotage == "lateback" {
--- a/proof/sim/traffic.go
+++ b/proof/sim/traffic.go
@@ -68,7 +68,7 @@
 		if had && !old.Deleted && n.world.options.Sabotage == "fallback" {
 			return r, ok
 		}
-	case "lapsed": // leases are never looked at
+	case "lapsed": // leases are never checked
 		if old, had := n.lastRead[key]; !ok && had {
 			return old, true
 		}
