--- a/cmd/fleetlab/fleet.go
+++ b/cmd/fleetlab/fleet.go
@@ -85,7 +85,7 @@
 	defer stop()
 	fleet, err := track.Start(dir, filepath.Dir(executable), layout, *f.port)
 	defer fleet.Stop()
-	fleet.Old = *f.oldBuild
+	fleet.OtherBuild = *f.oldBuild
 	if err == nil {
 		err = fleet.Begin(ctx)
 	}
@@ -99,10 +99,10 @@
 		return exitPassed
 	}
 	report := fleet.Play(ctx, scenario, load.Config{
-		Rate: *f.rate, For: *f.length, Seed: *f.seed, Once: loadOnce, Again: true, Swing: loadSwing,
+		Rate: *f.rate, For: *f.length, Seed: *f.seed, OnceKeyShare: loadOnce, RepeatOnceKeys: true, LongShare: loadSwing,
 	})
 	printReport(report)
-	if len(report.Broken) > 0 || report.Failed {
+	if len(report.Violations) > 0 || report.Failed {
 		return exitFailed
 	}
 	return exitPassed
@@ -132,10 +132,10 @@
 		fmt.Printf("  %s %d", name, report.Counts[name])
 	}
 	fmt.Println()
-	for _, broken := range report.Broken {
+	for _, broken := range report.Violations {
 		fmt.Println("BROKEN", broken)
 	}
-	fmt.Printf("%d events, %d rules broken\n", report.Events, len(report.Broken))
+	fmt.Printf("%d events, %d rules broken\n", report.Events, len(report.Violations))
 }
 
 func printLines(lines []string) {
--- a/cmd/fleetlab/hollowsteps.go
+++ b/cmd/fleetlab/hollowsteps.go
@@ -53,7 +53,7 @@
 // measureResources makes many changes one after another and prints samples of the
 // resources that the fleet holds.
 func (h hollowFlags) measureResources(fleet *hollow.Fleet) error {
-	samples, err := fleet.Many(*h.changes, max(1, *h.changes/stockSamples))
+	samples, err := fleet.MeasureStorage(*h.changes, max(1, *h.changes/stockSamples))
 	if err == nil && *h.stock != "" {
 		err = hollow.WriteStock(*h.stock, samples)
 	}
@@ -87,7 +87,7 @@
 	}
 	var maxAcked, maxActive time.Duration // until a change was acknowledged, and active at all daemons
 	for range singleChanges {
-		ackedAfter, activeAfter, active, err := fleet.Put()
+		ackedAfter, activeAfter, active, err := fleet.MeasureChange()
 		if err != nil || active < fleet.Daemons {
 			return nil, fmt.Errorf("change: %v, active at %d of %d daemons", err, active, fleet.Daemons)
 		}
@@ -153,7 +153,7 @@
 // configuration.
 func restoreFleet(fleet *hollow.Fleet) {
 	begin := time.Now()
-	fleet.Mend()
+	fleet.HealPartitions()
 	active, _ := fleet.Await(hollow.Command{Version: fleet.Version(), Wait: activationTimeout})
 	fmt.Printf("; restored: %d daemons have it after %v\n", active, milliseconds(time.Since(begin)))
 }
--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -22,12 +22,12 @@
 	flag.StringVar(&c.Mix, "mix", "rangsit", "request mix: rangsit or pat")
 	flag.Float64Var(&c.Rate, "rate", 20, "requests per second")
 	flag.DurationVar(&c.For, "for", 10*time.Second, "duration of the load")
-	flag.IntVar(&c.Most, "most", 100000, "maximum number of requests")
+	flag.IntVar(&c.MaxRequests, "most", 100000, "maximum number of requests")
 	flag.Int64Var(&c.Seed, "seed", 1, "seed")
 	flag.DurationVar(&c.Timeout, "timeout", 10*time.Second, "timeout of a request")
-	flag.Float64Var(&c.Once, "once", 0.3, "fraction of the requests with an idempotency (once) key")
-	flag.BoolVar(&c.Again, "again", false, "send each request with a once key to a second daemon as well")
-	flag.Float64Var(&c.Swing, "swing", -1, "fraction of long prompts (below 0: as the mix sets it)")
+	flag.Float64Var(&c.OnceKeyShare, "once", 0.3, "fraction of the requests with an idempotency (once) key")
+	flag.BoolVar(&c.RepeatOnceKeys, "again", false, "send each request with a once key to a second daemon as well")
+	flag.Float64Var(&c.LongShare, "swing", -1, "fraction of long prompts (below 0: as the mix sets it)")
 	path := flag.String("journal", "loadgen.jsonl", "journal `file`")
 	check := flag.Bool("check", false, "check the journals given as arguments instead of sending load")
 	flag.Parse()
@@ -48,10 +48,10 @@
 	if c.Rate <= 0 {
 		faults = append(faults, fmt.Sprintf("-rate %v: expected more than 0", c.Rate))
 	}
-	if c.Once < 0 || c.Once > 1 {
-		faults = append(faults, fmt.Sprintf("-once %v: expected 0 to 1", c.Once))
+	if c.OnceKeyShare < 0 || c.OnceKeyShare > 1 {
+		faults = append(faults, fmt.Sprintf("-once %v: expected 0 to 1", c.OnceKeyShare))
 	}
-	if c.Timeout <= 0 || c.Most < 1 {
+	if c.Timeout <= 0 || c.MaxRequests < 1 {
 		faults = append(faults, "-timeout and -most: expected more than 0")
 	}
 	if len(faults) > 0 {
--- a/cmd/mulleinmast/main.go
+++ b/cmd/mulleinmast/main.go
@@ -179,7 +179,7 @@
 			return
 		case <-ticker.C:
 		}
-		if d.RefusesRequests() && p.api.Open() == 0 {
+		if d.RefusesRequests() && p.api.InFlight() == 0 {
 			d.HandOver(ctx)
 			return
 		}
--- a/proof/fakeserver/fakeserver.go
+++ b/proof/fakeserver/fakeserver.go
@@ -23,10 +23,10 @@
 	Addr     string
 	Zone     string
 	Capacity int
-	Char     time.Duration // prefill time per uncached character
-	Token    time.Duration // decode time per piece
-	Keep     time.Duration // lifetime of a handle
-	Link     time.Duration // time to transfer a KV cache from another server
+	PrefillTimePerChar     time.Duration // prefill time per uncached character
+	DecodeTimePerPiece    time.Duration // decode time per piece
+	HandleLifetime     time.Duration // lifetime of a handle
+	TransferTime     time.Duration // time to transfer a KV cache from another server
 	Prefixes int           // capacity of the prefix cache
 	Warm     time.Duration // warm-up time after the start
 	Naive    bool          // decode with any KV cache that a handle refers to, without checking its request
@@ -220,7 +220,7 @@
 	for _, x := range p.Parts[cachedParts:] {
 		chars += len(x.Text)
 	}
-	if !sleep(r.Context(), d.slowed(time.Duration(chars)*d.cfg.Char)) {
+	if !sleep(r.Context(), d.slowed(time.Duration(chars)*d.cfg.PrefillTimePerChar)) {
 		return
 	}
 	b := make([]byte, 8)
@@ -251,7 +251,7 @@
 			}
 		}
 	}
-	d.kvCaches[id] = cache{p.Request, p.Attempt, script.Prompt(p.Parts), time.Now().Add(d.cfg.Keep)}
+	d.kvCaches[id] = cache{p.Request, p.Attempt, script.Prompt(p.Parts), time.Now().Add(d.cfg.HandleLifetime)}
 	d.mu.Unlock()
 	respond(w, 200, h)
 }
@@ -260,7 +260,7 @@
 func (d *FakeServer) sendCache(w http.ResponseWriter, r *http.Request) {
 	d.mu.Lock()
 	c, ok := d.kvCaches[r.PathValue("id")]
-	link := d.cfg.Link + d.currentFault.Link
+	link := d.cfg.TransferTime + d.currentFault.Link
 	if ok && (d.currentFault.Lapse || time.Now().After(c.expires)) {
 		ok = false
 	}
@@ -270,7 +270,7 @@
 		return
 	}
 	if r.URL.Query().Get("zone") == d.cfg.Zone {
-		link -= d.cfg.Link / 2
+		link -= d.cfg.TransferTime / 2
 	}
 	if sleep(r.Context(), link) {
 		respond(w, 200, map[string]any{"request": c.request, "attempt": c.attempt, "prompt": c.prompt})
@@ -327,7 +327,7 @@
 	flush := w.(http.Flusher)
 	put := func(x serverpool.Piece) { b, _ := json.Marshal(x); _, _ = w.Write(append(b, '\n')); flush.Flush() }
 	for i := 0; i < p.Tokens && r.Context().Err() == nil; i++ {
-		if !currentFault.Fast && !sleep(r.Context(), d.slowed(d.cfg.Token)) {
+		if !currentFault.Fast && !sleep(r.Context(), d.slowed(d.cfg.DecodeTimePerPiece)) {
 			return
 		}
 		d.mu.Lock()
--- a/proof/hollow/client.go
+++ b/proof/hollow/client.go
@@ -96,7 +96,7 @@
 // Example: took := hollow.Requests(422, 0.3, 200, 8)
 func Requests(servers int, prefillShare float64, count, concurrent int) (time.Duration, error) {
 	o := Default(1, servers)
-	o.Models, o.Reading = 1, prefillShare
+	o.Models, o.PrefillShare = 1, prefillShare
 	r := staticRecords{}
 	var list fleetconfig.List
 	for i := range servers {
--- a/proof/hollow/fleet.go
+++ b/proof/hollow/fleet.go
@@ -39,15 +39,15 @@
 		}
 		groups = [][]int{all}
 	} else {
-		rest := o.Daemons - o.Core - o.Alone
-		for at := 0; at < rest; at += o.Shared {
+		rest := o.Daemons - o.Core - o.DedicatedFronts
+		for at := 0; at < rest; at += o.DaemonsPerProcess {
 			var g []int
-			for i := at; i < min(rest, at+o.Shared); i++ {
-				g = append(g, o.Core+o.Alone+i)
+			for i := at; i < min(rest, at+o.DaemonsPerProcess); i++ {
+				g = append(g, o.Core+o.DedicatedFronts+i)
 			}
 			groups, procs = append(groups, g), append(procs, 4)
 		}
-		for i := range o.Core + o.Alone {
+		for i := range o.Core + o.DedicatedFronts {
 			groups, procs = append(groups, []int{i}), append(procs, 2)
 		}
 	}
--- a/proof/hollow/hollow_test.go
+++ b/proof/hollow/hollow_test.go
@@ -60,7 +60,7 @@
 	if checked < 6 {
 		t.Errorf("only %d costs were compared: %s", checked, Table(rows))
 	}
-	acked, everywhere, n, err := f.Put()
+	acked, everywhere, n, err := f.MeasureChange()
 	if err != nil || n < f.Daemons {
 		t.Fatalf("change: %v, visible on %d of %d daemons; acknowledged after %v, visible after %v", err, n, f.Daemons, acked, everywhere)
 	}
--- a/proof/hollow/source.go
+++ b/proof/hollow/source.go
@@ -52,7 +52,7 @@
 	}
 	for i := range o.Servers {
 		phase := "writing"
-		if float64(i/o.Models%10) < o.Reading*10 {
+		if float64(i/o.Models%10) < o.PrefillShare*10 {
 			phase = "reading"
 		}
 		s.rows = append(s.rows, serverEntry{
--- a/proof/hollow/spec.go
+++ b/proof/hollow/spec.go
@@ -25,14 +25,14 @@
 	Models  int
 	Tenants int
 	Routes  int
-	Reading float64       // fraction of the servers that prefill
+	PrefillShare float64       // fraction of the servers that prefill
 	Apply   time.Duration // bound for a change to take effect on all daemons
 	Losses  int           // simultaneous machine failures to survive
 	Port    int           // of all daemons; each has its own address
 	Dir     string        // data folder of the control daemons
 	Far     time.Duration // one-way latency between regions; 0: none
-	Alone   int           // fronts with their own process, besides the control daemons
-	Shared  int           // maximum number of daemons per shared process
+	DedicatedFronts   int           // fronts with their own process, besides the control daemons
+	DaemonsPerProcess  int           // maximum number of daemons per shared process
 	Program string        // executable of worker processes; empty: all daemons run in this process
 }
 
@@ -41,8 +41,8 @@
 // Example: f, err := hollow.Start(ctx, hollow.Default(40, 120))
 func Default(daemons, servers int) Options {
 	o := Options{
-		Daemons: daemons, Core: 7, Zones: 10, Regions: 4, Servers: servers, Models: 9, Tenants: 60, Routes: 60, Reading: 0.3, Apply: 2 * time.Second, Losses: 1,
-		Port: 7300, Alone: 2, Shared: 150,
+		Daemons: daemons, Core: 7, Zones: 10, Regions: 4, Servers: servers, Models: 9, Tenants: 60, Routes: 60, PrefillShare: 0.3, Apply: 2 * time.Second, Losses: 1,
+		Port: 7300, DedicatedFronts: 2, DaemonsPerProcess: 150,
 	}
 	if daemons < 100 {
 		o.Core, o.Zones, o.Regions = 3, 3, 3
--- a/proof/hollow/stock.go
+++ b/proof/hollow/stock.go
@@ -26,10 +26,10 @@
 	Longest  time.Duration // longest time to acknowledge a change since the previous sample
 }
 
-// Many makes changes sequentially and samples storage and memory every step changes.
+// MeasureStorage makes changes sequentially and samples storage and memory every step changes.
 //
-// Example: list, err := f.Many(2000, 100)
-func (f *Fleet) Many(changes, step int) (list []Stock, err error) {
+// Example: list, err := f.MeasureStorage(2000, 100)
+func (f *Fleet) MeasureStorage(changes, step int) (list []Stock, err error) {
 	longest := time.Duration(0)
 	for n := 0; ; n++ {
 		if n%step == 0 {
--- a/proof/hollow/trouble.go
+++ b/proof/hollow/trouble.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Put makes one change and returns the time until its acknowledgement, the time until
+// MeasureChange makes one change and returns the time until its acknowledgement, the time until
 // it is visible on every reachable daemon, and the number of those daemons.
 //
-// Example: acked, everywhere, n, err := f.Put()
-func (f *Fleet) Put() (acked, everywhere time.Duration, n int, err error) {
+// Example: acked, everywhere, n, err := f.MeasureChange()
+func (f *Fleet) MeasureChange() (acked, everywhere time.Duration, n int, err error) {
 	want := f.version + 1
 	done := make(chan struct{})
 	go func() { // concurrent, since daemons may have the change before it is acknowledged
@@ -102,10 +102,10 @@
 	f.cut(cut)
 }
 
-// Mend removes all network partitions.
+// HealPartitions removes all network partitions.
 //
-// Example: f.Mend()
-func (f *Fleet) Mend() {
+// Example: f.HealPartitions()
+func (f *Fleet) HealPartitions() {
 	f.cut(nil)
 	f.lostDaemons = nil
 }
--- a/proof/load/load.go
+++ b/proof/load/load.go
@@ -30,12 +30,12 @@
 	Mix     string  // rangsit or pat
 	Rate    float64 // requests per second
 	For     time.Duration
-	Most    int // maximum number of requests
+	MaxRequests    int // maximum number of requests
 	Seed    int64
 	Timeout time.Duration
-	Once    float64 // fraction of the requests with a once key
-	Again   bool    // send each request with a once key a second time, to another daemon
-	Swing   float64 // fraction of the first kind of the mix; negative: as in the mix
+	OnceKeyShare    float64 // fraction of the requests with a once key
+	RepeatOnceKeys   bool    // send each request with a once key a second time, to another daemon
+	LongShare   float64 // fraction of the first kind of the mix; negative: as in the mix
 }
 
 // Mixes are the request mixes of the deployments.
@@ -81,7 +81,7 @@
 	kinds := Mixes[c.Mix]
 	var wg sync.WaitGroup
 	from := time.Now()
-	for i := 0; i < c.Most && time.Since(from) < c.For && ctx.Err() == nil; i++ {
+	for i := 0; i < c.MaxRequests && time.Since(from) < c.For && ctx.Err() == nil; i++ {
 		due := from.Add(time.Duration(float64(i) / c.Rate * 1e9))
 		if d := time.Until(due); d > 0 {
 			t := time.NewTimer(d)
@@ -93,8 +93,8 @@
 		}
 		kind := kinds[0]
 		part := kind.Part
-		if c.Swing >= 0 {
-			part = c.Swing
+		if c.LongShare >= 0 {
+			part = c.LongShare
 		}
 		if rng.Float64() >= part {
 			kind = kinds[1]
@@ -107,7 +107,7 @@
 			"parts": parts,
 		}
 		key := ""
-		if rng.Float64() < c.Once {
+		if rng.Float64() < c.OnceKeyShare {
 			key = fmt.Sprintf("k%d-%d-%d", c.Seed, from.UnixNano(), i)
 			body["once"] = key
 		}
@@ -129,7 +129,7 @@
 			e := sendRequest(ctx, client, a, raw, script.Prompt(parts), c.Timeout)
 			e.Once, e.Tenant, e.Prio, e.Mix, e.Zone = key, tenant.Name, tenant.Prio, kind.Name, zone
 			recorder.Put(e)
-			if key != "" && c.Again {
+			if key != "" && c.RepeatOnceKeys {
 				e = sendRequest(ctx, client, b, raw, script.Prompt(parts), c.Timeout)
 				e.Once, e.Tenant, e.Prio, e.Mix, e.Zone, e.Again = key, tenant.Name, tenant.Prio, kind.Name, zone, true
 				recorder.Put(e)
--- a/proof/standin/client/load.go
+++ b/proof/standin/client/load.go
@@ -18,8 +18,8 @@
 // Config configures the clients of a Load.
 type Config struct {
 	Rate    float64 // requests a second
-	Further int     // retries after the first try
-	Actors  int     // clients that reuse their connections
+	Retries int     // retries after the first try
+	PersistentClients  int     // clients that reuse their connections
 	Zones   []string
 	Seed    int64
 	Name    string   // prefix of client names and attempt ids
@@ -30,8 +30,8 @@
 type Load struct {
 	Config
 	log          *record.Log
-	balancer     *entry.Entry
-	requestKinds atomic.Pointer[[]Ask]
+	balancer     *entry.Balancer
+	requestKinds atomic.Pointer[[]RequestKind]
 	lastID       atomic.Int64
 	wg           sync.WaitGroup
 }
@@ -39,14 +39,14 @@
 // New returns a load generator whose clients connect through the given load balancer.
 //
 // Example: l := client.New(cfg, log, door); l.Menu(asks); l.Run(ctx)
-func New(c Config, log *record.Log, balancer *entry.Entry) *Load {
+func New(c Config, log *record.Log, balancer *entry.Balancer) *Load {
 	return &Load{Config: c, log: log, balancer: balancer}
 }
 
-// Menu sets the kinds of requests that clients send from now on.
+// SetRequestKinds sets the kinds of requests that clients send from now on.
 //
-// Example: l.Menu([]client.Ask{{Route: r, Weight: 1}})
-func (l *Load) Menu(kinds []Ask) { l.requestKinds.Store(&kinds) }
+// Example: l.SetRequestKinds([]client.Ask{{Route: r, Weight: 1}})
+func (l *Load) SetRequestKinds(kinds []RequestKind) { l.requestKinds.Store(&kinds) }
 
 // client is one simulated client.
 type client struct {
@@ -63,8 +63,8 @@
 // Example: go l.Run(ctx)
 func (l *Load) Run(ctx context.Context) {
 	rng := rand.New(rand.NewSource(l.Seed))
-	idle := make(chan *client, l.Actors)
-	for i := range l.Actors {
+	idle := make(chan *client, l.PersistentClients)
+	for i := range l.PersistentClients {
 		idle <- &client{name: fmt.Sprintf("%s-keeps-%d", l.Name, i), zone: l.Zones[i%len(l.Zones)], keepAlive: true, rng: rand.New(rand.NewSource(l.Seed + int64(i) + 1))}
 	}
 	next := time.Now()
@@ -75,7 +75,7 @@
 		case <-ctx.Done():
 			t.Stop()
 			l.wg.Wait()
-			for range l.Actors {
+			for range l.PersistentClients {
 				if c := <-idle; c.conn != nil {
 					l.checkIdle(c)
 					_ = c.conn.Close()
@@ -103,7 +103,7 @@
 	}
 }
 
-func pickWeighted(kinds []Ask, rng *rand.Rand) Ask {
+func pickWeighted(kinds []RequestKind, rng *rand.Rand) RequestKind {
 	sum := 0
 	for _, a := range kinds {
 		sum += a.Weight
@@ -118,9 +118,9 @@
 }
 
 // newMessage builds a request of the given kind; all its tries send the same body.
-func (l *Load) newMessage(c *client, a Ask) message {
+func (l *Load) newMessage(c *client, a RequestKind) message {
 	m := message{
-		Ask: a, host: a.Route.Host, method: "POST", target: fmt.Sprintf("%s%s?n=%d", a.Route.Start, a.Path, c.rng.Intn(1000)), chunked: c.rng.Intn(4) == 0,
+		RequestKind: a, host: a.Route.Host, method: "POST", target: fmt.Sprintf("%s%s?n=%d", a.Route.Start, a.Path, c.rng.Intn(1000)), chunked: c.rng.Intn(4) == 0,
 		body: strings.Repeat("prompt ", 1+c.rng.Intn(60)), key: c.key,
 	}
 	if a.In > 0 {
@@ -148,7 +148,7 @@
 
 // sendWithRetries sends one request and retries it until it succeeds, must not be
 // retried or runs out of time.
-func (l *Load) sendWithRetries(ctx context.Context, c *client, a Ask) {
+func (l *Load) sendWithRetries(ctx context.Context, c *client, a RequestKind) {
 	m := l.newMessage(c, a)
 	timeout := time.Duration(a.Route.GiveUpMs) * time.Millisecond
 	deadline := time.Now().Add(timeout)
@@ -157,7 +157,7 @@
 	if a.Route.Kind == wire.Streaming {
 		readTimeout = max(2*time.Second, 4*targetLatency, 8*targetGap)
 	}
-	for try := 0; try <= l.Further; try++ {
+	for try := 0; try <= l.Retries; try++ {
 		if m.timeLeft = time.Until(deadline); m.timeLeft <= 0 {
 			return
 		}
@@ -168,7 +168,7 @@
 		var done, sent bool
 		var retryAfter float64
 		l.log.Do(func(*record.All) {
-			done, sent, retryAfter = t.Served(), t.Whole > 0, t.RetryIn
+			done, sent, retryAfter = t.Served(), t.SentFully > 0, t.RetryIn
 			switch {
 			case done || t.Status/100 == 2 && t.Complete:
 				done = true
@@ -257,7 +257,7 @@
 	ctx context.Context, d entry.Daemon, host, path string, r wire.Route, who Identity,
 ) *record.Try {
 	deadline := time.Now().Add(2 * time.Second)
-	m := &message{Ask: Ask{Route: r}, id: fmt.Sprintf("%sprobe%06x", l.Name, l.lastID.Add(1)), host: host, method: "POST", target: path + "probe", body: "probe", timeLeft: 2 * time.Second, key: who.Key, tenant: who.Tenant}
+	m := &message{RequestKind: RequestKind{Route: r}, id: fmt.Sprintf("%sprobe%06x", l.Name, l.lastID.Add(1)), host: host, method: "POST", target: path + "probe", body: "probe", timeLeft: 2 * time.Second, key: who.Key, tenant: who.Tenant}
 	nc, err := dial(ctx, d)
 	if err != nil {
 		return nil
--- a/proof/standin/client/misbehave.go
+++ b/proof/standin/client/misbehave.go
@@ -74,7 +74,7 @@
 	case SetsHeaders:
 		for ctx.Err() == nil {
 			m := l.newMessage(c, a)
-			m.extraHeaders = fmt.Sprintf("%s: %s\r\n%s: i-nobody\r\n%s: 127.0.0.1:1/handle\r\nX-Mulleinmast-Expect-Version: 99\r\n%s: 0\r\nConnection: keep-alive, %s, %s\r\n", wire.Stage, wire.Reading, wire.Expect, wire.Memory, wire.Urgency, wire.Attempt, wire.Prefix)
+			m.extraHeaders = fmt.Sprintf("%s: %s\r\n%s: i-nobody\r\n%s: 127.0.0.1:1/handle\r\nX-Mulleinmast-Expect-Version: 99\r\n%s: 0\r\nConnection: keep-alive, %s, %s\r\n", wire.Stage, wire.Prefill, wire.Expect, wire.Memory, wire.Urgency, wire.Attempt, wire.Prefix)
 			l.sendOnNewConn(d, m)
 		}
 	case HalfCloses:
@@ -119,7 +119,7 @@
 }
 
 // sendAndClose sends a request and closes the connection after the given delay.
-func (l *Load) sendAndClose(c *client, a Ask, d entry.Daemon, after time.Duration) {
+func (l *Load) sendAndClose(c *client, a RequestKind, d entry.Daemon, after time.Duration) {
 	m := l.newMessage(c, a)
 	deadline := l.prepare(&m)
 	nc, err := dial(context.Background(), d)
@@ -133,9 +133,9 @@
 	<-timer.C
 	l.log.Do(func(*record.All) {
 		if err == nil {
-			t.Whole = t.Sent + 1
+			t.SentFully = t.Sent + 1
 		}
-		t.GaveUp, t.Left, t.End = true, l.log.Now(), l.log.Now()
+		t.GaveUp, t.ClosedAt, t.End = true, l.log.Now(), l.log.Now()
 	})
 	_ = nc.Close()
 }
@@ -192,7 +192,7 @@
 
 // pipeline sends two requests at once and closes the connection before the first
 // answer is complete.
-func (l *Load) pipeline(ctx context.Context, c *client, a Ask, d entry.Daemon) {
+func (l *Load) pipeline(ctx context.Context, c *client, a RequestKind, d entry.Daemon) {
 	for ctx.Err() == nil {
 		first, second := l.newMessage(c, a), l.newMessage(c, a)
 		l.prepare(&first)
@@ -220,7 +220,7 @@
 }
 
 // sendTwice sends a request twice concurrently under the same attempt id.
-func (l *Load) sendTwice(c *client, a Ask, d entry.Daemon) {
+func (l *Load) sendTwice(c *client, a RequestKind, d entry.Daemon) {
 	m := l.newMessage(c, a)
 	deadline := l.prepare(&m)
 	var wait sync.WaitGroup
--- a/proof/standin/client/try.go
+++ b/proof/standin/client/try.go
@@ -25,8 +25,8 @@
 	maxAnswerBytes = 16 << 20    // maximum size of an answer's body
 )
 
-// Ask describes one kind of request.
-type Ask struct {
+// RequestKind describes one kind of request.
+type RequestKind struct {
 	Route   wire.Route
 	Weight  int
 	In, Out int    // prompt and output tokens; In 0: not a generation request
@@ -64,7 +64,7 @@
 
 // message is a request to be sent.
 type message struct {
-	Ask
+	RequestKind
 	id           string
 	host         string
 	method       string
@@ -128,7 +128,7 @@
 	if _, err := io.WriteString(c, m.bytes()); err != nil {
 		return false
 	}
-	log.Do(func(*record.All) { t.Whole = log.Now() })
+	log.Do(func(*record.All) { t.SentFully = log.Now() })
 	if m.halfCloses {
 		c.closeWrite()
 	}
--- a/proof/standin/cloud/cloud.go
+++ b/proof/standin/cloud/cloud.go
@@ -85,20 +85,20 @@
 	c.takeSnapshot()
 }
 
-// Drop removes a server from the list.
+// Remove removes a server from the list.
 //
-// Example: c.Drop(s.ID)
-func (c *Cloud) Drop(id string) {
+// Example: c.Remove(s.ID)
+func (c *Cloud) Remove(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.sources, id)
 	c.takeSnapshot()
 }
 
-// Down makes the list answer every call with 500 while down is true.
+// SetDown makes the list answer every call with 500 while down is true.
 //
-// Example: c.Down(true)
-func (c *Cloud) Down(down bool) {
+// Example: c.SetDown(true)
+func (c *Cloud) SetDown(down bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.down = down
--- a/proof/standin/cloud/cloud_test.go
+++ b/proof/standin/cloud/cloud_test.go
@@ -61,7 +61,7 @@
 			break
 		}
 		query = "?page-token=" + *p.Next
-		c.Drop("a") // must not affect the pages that follow
+		c.Remove("a") // must not affect the pages that follow
 	}
 	if got != "abcde" {
 		t.Error(got)
--- a/proof/standin/entry/entry.go
+++ b/proof/standin/entry/entry.go
@@ -16,14 +16,14 @@
 // Daemon describes a daemon to the load balancer and the operator.
 type Daemon struct {
 	Name, Zone               string
-	Public, Readiness, Steer string // addresses; Steer serves the operator's calls
+	Public, Readiness, Admin string // addresses; Steer serves the operator's calls
 	Life                     int    // number of times its process was started
 }
 
 const maxMisses = 2 // failed checks in a row that take a daemon out of rotation
 
-// Entry is the load balancer.
-type Entry struct {
+// Balancer is the load balancer.
+type Balancer struct {
 	daemons func() []Daemon
 	client  *http.Client
 
@@ -36,8 +36,8 @@
 // New returns a load balancer for the daemons that list returns.
 //
 // Example: e := entry.New(fleet.Daemons)
-func New(daemons func() []Daemon) *Entry {
-	return &Entry{
+func New(daemons func() []Daemon) *Balancer {
+	return &Balancer{
 		daemons: daemons, failedChecks: map[string]int{}, inRotation: map[string]bool{},
 		client: &http.Client{Timeout: 900 * time.Millisecond, Transport: &http.Transport{DisableKeepAlives: true}},
 	}
@@ -46,7 +46,7 @@
 // Serve checks all daemons each second until the context is canceled.
 //
 // Example: go e.Serve(ctx)
-func (e *Entry) Serve(ctx context.Context) {
+func (e *Balancer) Serve(ctx context.Context) {
 	t := time.NewTicker(time.Second)
 	defer t.Stop()
 	for {
@@ -59,7 +59,7 @@
 	}
 }
 
-func (e *Entry) checkAll(ctx context.Context) {
+func (e *Balancer) checkAll(ctx context.Context) {
 	var wait sync.WaitGroup
 	for _, d := range e.daemons() {
 		wait.Go(func() {
@@ -81,7 +81,7 @@
 	e.rounds++
 }
 
-func (e *Entry) checkReady(ctx context.Context, d Daemon) bool {
+func (e *Balancer) checkReady(ctx context.Context, d Daemon) bool {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.Readiness+wire.ReadyPath, nil)
 	if err != nil {
 		return false
@@ -94,10 +94,10 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// In returns the number of daemons that receive new connections.
+// InRotation returns the number of daemons that receive new connections.
 //
-// Example: for e.In() < 6 { wait() }
-func (e *Entry) In() int {
+// Example: for e.InRotation() < 6 { wait() }
+func (e *Balancer) InRotation() int {
 	all := e.daemons()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -114,7 +114,7 @@
 // daemon. It reports false if there are no daemons.
 //
 // Example: d, ok := e.Pick("c-17", "north", 0)
-func (e *Entry) Pick(client, zone string, try int) (Daemon, bool) {
+func (e *Balancer) Pick(client, zone string, try int) (Daemon, bool) {
 	all := e.daemons()
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/proof/standin/entry/entry_test.go
+++ b/proof/standin/entry/entry_test.go
@@ -47,8 +47,8 @@
 		return out
 	}
 	checkAll(1)
-	if e.In() != 4 || picks("north") != "abc" || picks("south") != "d" {
-		t.Error(e.In(), picks("north"), picks("south"))
+	if e.InRotation() != 4 || picks("north") != "abc" || picks("south") != "d" {
+		t.Error(e.InRotation(), picks("north"), picks("south"))
 	}
 	up[0].Store(false)
 	checkAll(1)
--- a/proof/standin/fleet/fault.go
+++ b/proof/standin/fleet/fault.go
@@ -154,7 +154,7 @@
 //
 // Example: f.Reload(m)
 func (f *Fleet) Reload(m *Machine) {
-	t := &record.Trouble{Daemon: m.Name, What: "SIGHUP", From: f.log.Now(), Hup: true}
+	t := &record.Disruption{Daemon: m.Name, What: "SIGHUP", From: f.log.Now(), Hup: true}
 	f.log.Do(func(a *record.All) { a.Troubles = append(a.Troubles, t) })
 	m.Signal(syscall.SIGHUP)
 }
--- a/proof/standin/fleet/fleet.go
+++ b/proof/standin/fleet/fleet.go
@@ -60,7 +60,7 @@
 	IP, Zone string
 	Core     bool
 	life     int
-	troubles []*record.Trouble // in progress
+	troubles []*record.Disruption // in progress
 	seeds    []string
 	gone     bool // removed permanently
 }
@@ -194,7 +194,7 @@
 		if !m.gone {
 			out = append(out, entry.Daemon{
 				Name: m.Name, Zone: m.Zone, Public: fmt.Sprintf("%s:%d", m.IP, publicPort), Readiness: fmt.Sprintf("%s:%d", m.IP, readinessPort),
-				Steer: fmt.Sprintf("%s:%d", m.IP, controlPort), Life: m.life,
+				Admin: fmt.Sprintf("%s:%d", m.IP, controlPort), Life: m.life,
 			})
 		}
 	}
@@ -235,7 +235,7 @@
 
 // beginTrouble records the start of a trouble.
 func (f *Fleet) beginTrouble(m *Machine, what string, planned bool) {
-	t := &record.Trouble{Daemon: m.Name, Core: m.Core, What: what, From: f.log.Now(), Planned: planned}
+	t := &record.Disruption{Daemon: m.Name, Core: m.Core, What: what, From: f.log.Now(), Planned: planned}
 	f.log.Do(func(a *record.All) { a.Troubles = append(a.Troubles, t) })
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/proof/standin/operator/operator.go
+++ b/proof/standin/operator/operator.go
@@ -104,7 +104,7 @@
 // configuration. It returns 0 if there was no answer or the answer was dropped.
 func (o *Operator) try(ctx context.Context, method string, d entry.Daemon, path, match string, body []byte) int {
 	sent := o.log.Now()
-	code, _ := o.sendOnce(ctx, method, d.Steer, path, match, body)
+	code, _ := o.sendOnce(ctx, method, d.Admin, path, match, body)
 	if path == wire.ConfigPath {
 		base, _ := strconv.Atoi(match)
 		var c wire.Config
@@ -119,10 +119,10 @@
 	return code
 }
 
-// Lose drops a random fraction of the answers from now on.
+// SetLossRate drops a random fraction of the answers from now on.
 //
-// Example: o.Lose(0.5, seed); o.Lose(0, 0)
-func (o *Operator) Lose(fraction float64, seed int64) {
+// Example: o.SetLossRate(0.5, seed); o.SetLossRate(0, 0)
+func (o *Operator) SetLossRate(fraction float64, seed int64) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.lossRate, o.rng = fraction, rand.New(rand.NewSource(seed))
@@ -202,11 +202,11 @@
 	return o.send(ctx, http.MethodPatch, mustMarshal(ch), on.With(ch), on.Version, true)
 }
 
-// Bad sends an invalid configuration with an extra route, so that applying it would be
+// PutInvalid sends an invalid configuration with an extra route, so that applying it would be
 // visible. The fault is selected by kind, from 0 to Kinds-1.
 //
-// Example: for kind := range operator.Kinds { o.Bad(ctx, kind) }
-func (o *Operator) Bad(ctx context.Context, kind int) *record.Change {
+// Example: for kind := range operator.Kinds { o.PutInvalid(ctx, kind) }
+func (o *Operator) PutInvalid(ctx context.Context, kind int) *record.Change {
 	c := o.Now()
 	base := c.Version
 	c.Version += 5
@@ -235,8 +235,8 @@
 	return o.send(ctx, http.MethodPut, mustMarshal(c), c, base, false)
 }
 
-// Kinds is the number of invalid configurations that Bad can send.
-const Kinds = 6
+// InvalidKinds is the number of invalid configurations that Bad can send.
+const InvalidKinds = 6
 
 // Repeat sends an earlier call unchanged to each daemon in turn and returns the
 // status codes.
@@ -261,10 +261,10 @@
 	return e
 }
 
-// Return withdraws an evacuation.
+// CancelEvacuation withdraws an evacuation.
 //
-// Example: o.Return(ctx, e)
-func (o *Operator) Return(ctx context.Context, e *record.Evacuation) bool {
+// Example: o.CancelEvacuation(ctx, e)
+func (o *Operator) CancelEvacuation(ctx context.Context, e *record.Evacuation) bool {
 	o.log.Do(func(*record.All) { e.Back = o.log.Now() })
 	ok := o.sendUntilDefinite(ctx, http.MethodDelete, wire.EvacPath+e.Zone, "", nil)/100 == 2
 	if ok {
@@ -309,7 +309,7 @@
 		if !ok {
 			break
 		}
-		if r.Status, r.Body = o.sendOnce(ctx, http.MethodGet, d.Steer, wire.ConfigPath, "", nil); r.Status != http.StatusOK {
+		if r.Status, r.Body = o.sendOnce(ctx, http.MethodGet, d.Admin, wire.ConfigPath, "", nil); r.Status != http.StatusOK {
 			t := time.NewTimer(100 * time.Millisecond)
 			<-t.C
 		}
--- a/proof/standin/operator/operator_test.go
+++ b/proof/standin/operator/operator_test.go
@@ -38,14 +38,14 @@
 	daemon := httptest.NewServer(&fakeDaemon{})
 	defer daemon.Close()
 	at := strings.TrimPrefix(daemon.URL, "http://")
-	list := func() []entry.Daemon { return []entry.Daemon{{Name: "front-1", Steer: at}} }
+	list := func() []entry.Daemon { return []entry.Daemon{{Name: "front-1", Admin: at}} }
 	o := New(record.New(), list, 300*time.Millisecond)
-	o.Lose(1, 1)
+	o.SetLossRate(1, 1)
 	c := o.Patch(t.Context(), wire.Change{Version: 8}, o.Now())
 	if c.Status != 0 || o.Now().Version != 0 {
 		t.Fatalf("all answers lost: got status %d and base version %d", c.Status, o.Now().Version)
 	}
-	o.Lose(0, 0)
+	o.SetLossRate(0, 0)
 	if !o.Learn(t.Context()) || o.Now().Version != 8 {
 		t.Errorf("after Learn: got base version %d, want 8", o.Now().Version)
 	}
--- a/proof/standin/record/record.go
+++ b/proof/standin/record/record.go
@@ -27,7 +27,7 @@
 	Probe    bool   // sent directly to a daemon, not through the load balancer
 	Resume   int    // id of the event after which to resume
 	Sent     time.Duration
-	Whole    time.Duration // when the last byte was sent; 0: not sent completely
+	SentFully    time.Duration // when the last byte was sent; 0: not sent completely
 	End      time.Duration
 	Deadline time.Duration
 	Status   int    // 0: no answer
@@ -42,7 +42,7 @@
 	Last     bool          // the final event was received
 	Fault    string        // protocol error in the received bytes
 	GaveUp   bool          // the client gave up or closed the connection
-	Left     time.Duration // when the client closed its connection early; 0: it did not
+	ClosedAt     time.Duration // when the client closed its connection early; 0: it did not
 	Prompt   string        // model, token counts and prompt parts as sent
 	Key      string        // API key sent by the client; empty: none
 }
@@ -63,9 +63,9 @@
 const (
 	Open   = ""       // no outcome yet
 	Ran    = "ran"    // the request was run
-	Read   = "read"   // the prompt was prefilled
-	Away   = "away"   // the request was refused
-	Other  = "421"    // misdirected: addressed to another server or phase
+	Prefilled   = "read"   // the prompt was prefilled
+	Refused   = "away"   // the request was refused
+	Misdirected  = "421"    // misdirected: addressed to another server or phase
 	Probed = "probed" // a health check or report call, not a request
 )
 
@@ -90,8 +90,8 @@
 	Seal     string
 	Status   int
 	End      time.Duration
-	Whole    bool // the server wrote the complete answer
-	Broke    bool // the server deliberately broke the answer
+	Complete    bool // the server wrote the complete answer
+	FaultInjected    bool // the server deliberately broke the answer
 	Length   int
 	Digest   uint64
 	Pieces   []Piece
@@ -149,8 +149,8 @@
 	BackAcked   time.Duration
 }
 
-// Trouble is a disruption of a daemon over a period of time.
-type Trouble struct {
+// Disruption is a disruption of a daemon over a period of time.
+type Disruption struct {
 	Daemon  string
 	Core    bool
 	What    string
@@ -185,7 +185,7 @@
 	Changes     []*Change
 	PlanCalls   []*PlanCall
 	Evacuations []*Evacuation
-	Troubles    []*Trouble
+	Troubles    []*Disruption
 	Readbacks   []*Readback
 	Reads       []*ConfigRead
 	Back        time.Duration // when all machines had recovered from the final fault; 0: there was none
--- a/proof/standin/rules/answers.go
+++ b/proof/standin/rules/answers.go
@@ -27,9 +27,9 @@
 			report("%s got a success without a seal", t.ID)
 		case a.Status/100 != 2:
 			report("%s got a success, but its server answered %d", t.ID, a.Status)
-		case t.Pieces == nil && (!a.Whole || t.Length != a.Length || t.Digest != a.Digest):
+		case t.Pieces == nil && (!a.Complete || t.Length != a.Length || t.Digest != a.Digest):
 			report("%s got %d bytes that differ from its server's body (%d bytes, complete: %v)",
-				t.ID, t.Length, a.Length, a.Whole)
+				t.ID, t.Length, a.Length, a.Complete)
 		}
 	}
 }
@@ -79,7 +79,7 @@
 // checkAsSent checks that servers process only requests that clients sent, unmodified.
 func checkAsSent(v *view, report reporter) {
 	for _, a := range v.Arrivals {
-		if a.Out != record.Ran && a.Out != record.Read {
+		if a.Out != record.Ran && a.Out != record.Prefilled {
 			continue
 		}
 		switch t := v.tries[a.Attempt]; {
--- a/proof/standin/rules/config.go
+++ b/proof/standin/rules/config.go
@@ -30,7 +30,7 @@
 // handling returns how a try was handled, which shows the configuration that was applied.
 func (v *view) handling(t *record.Try) (out []handled) {
 	for _, a := range v.arrivals[t.ID] {
-		if a.Out == record.Ran || a.Out == record.Read {
+		if a.Out == record.Ran || a.Out == record.Prefilled {
 			out = append(out, handled{a.Service, a.At})
 		}
 	}
--- a/proof/standin/rules/leaving.go
+++ b/proof/standin/rules/leaving.go
@@ -20,15 +20,15 @@
 func checkClientsLeft(v *view, report reporter) {
 	late, repeatable, worked := 0, 0, 0
 	for _, t := range v.Tries {
-		if t.Left == 0 || !v.inTouchThroughout(t.Daemon, t.Sent, t.Left+leftAfter) {
+		if t.ClosedAt == 0 || !v.inTouchThroughout(t.Daemon, t.Sent, t.ClosedAt+leftAfter) {
 			continue
 		}
 		working := false
 		for _, a := range v.arrivals[t.ID] {
-			if a.At > t.Left+leftAfter {
+			if a.At > t.ClosedAt+leftAfter {
 				late++
 			}
-			working = working || isWorkingAt(a, t.Left+leftAfter)
+			working = working || isWorkingAt(a, t.ClosedAt+leftAfter)
 		}
 		if r, known := v.routes[t.Route]; !known || !r.Repeatable() {
 			continue
@@ -71,10 +71,10 @@
 // connection without an answer, though neither the client, the deadline nor a server
 // was the cause.
 func (v *view) wasClosed(t *record.Try) bool {
-	if t.Whole == 0 || t.Status != 0 || t.Fault != "" {
+	if t.SentFully == 0 || t.Status != 0 || t.Fault != "" {
 		return false
 	}
-	if t.GaveUp || t.Left > 0 || t.End >= t.Deadline {
+	if t.GaveUp || t.ClosedAt > 0 || t.End >= t.Deadline {
 		return false
 	}
 	arrivals := v.arrivals[t.ID]
--- a/proof/standin/rules/rules_test.go
+++ b/proof/standin/rules/rules_test.go
@@ -100,7 +100,7 @@
 		Body:     7,
 		Route:    r.Name,
 		Sent:     at,
-		Whole:    at + 1,
+		SentFully:    at + 1,
 		End:      at + s/10,
 		Deadline: at + 3*s,
 		Status:   200,
@@ -126,7 +126,7 @@
 		Seal:    t.Seal,
 		Status:  200,
 		End:     t.End,
-		Whole:   true,
+		Complete:   true,
 		Length:  4,
 		Digest:  9,
 		Tenant:  "ten",
@@ -173,7 +173,7 @@
 	}},
 	{"MIXED", "the id of another request", func(a *record.All) { t, _ := find(a, "unsafe", 0); t.Echo = "t99" }},
 	{"MIXED", "another body", func(a *record.All) { t, _ := find(a, "unsafe", 0); t.Digest++ }},
-	{"MIXED", "a truncated body, seen as complete", func(a *record.All) { _, x := find(a, "unsafe", 0); x.Whole = false }},
+	{"MIXED", "a truncated body, seen as complete", func(a *record.All) { _, x := find(a, "unsafe", 0); x.Complete = false }},
 	{"MIXED", "an encoded body", func(a *record.All) { t, _ := find(a, "unsafe", 0); t.Coded = true }},
 	{"MIXED", "an error turned into a success", func(a *record.All) { _, x := find(a, "unsafe", 0); x.Status = 500 }},
 	{"MIXED", "bytes on an idle connection", func(a *record.All) {
@@ -208,7 +208,7 @@
 	{"UNASKED", "another tenant", func(a *record.All) { _, x := find(a, "safe", 0); x.Tenant = "free" }},
 	{"UNASKED", "no tenant for a prefill", func(a *record.All) {
 		_, x := find(a, "stream", 0)
-		addArrival(a, x, func(x *record.Arrival) { x.Out, x.Run, x.Seal, x.Tenant = record.Read, "", "", "" })
+		addArrival(a, x, func(x *record.Arrival) { x.Out, x.Run, x.Seal, x.Tenant = record.Prefilled, "", "", "" })
 	}},
 	{"UNASKED", "the key shown to a server", func(a *record.All) { _, x := find(a, "safe", 0); x.Key = "k" }},
 	{"ROUTE", "a key that was never configured", func(a *record.All) {
@@ -219,7 +219,7 @@
 	{"CONFIG", "a removed key", func(a *record.All) { t, _ := find(a, "safe", 40*s); t.Key = "old" }},
 	{"DENIED", "401 for a valid key", func(a *record.All) {
 		t, x := find(a, "safe", 0)
-		t.Status, t.Seal, x.Out = 401, "", record.Away
+		t.Status, t.Seal, x.Out = 401, "", record.Refused
 	}},
 	{"QUOTA", "more than a tenant's limit in a window", func(a *record.All) {
 		_, x := find(a, "safe", 20*s)
@@ -230,7 +230,7 @@
 	{"UNASKED", "another prompt", func(a *record.All) { _, x := find(a, "stream", 0); x.Prompt = "other 1,2 a:1" }},
 	{"GONE", "requests that reach servers late", func(a *record.All) {
 		for _, t := range a.Tries[:8] {
-			t.Left = t.Sent + 1
+			t.ClosedAt = t.Sent + 1
 		}
 		for _, x := range a.Arrivals[:8] {
 			x.At, x.End = x.At+s, x.End+2*s
@@ -242,9 +242,9 @@
 			if t.Route != "safe" {
 				continue
 			}
-			t.Left = t.Sent + s/10
+			t.ClosedAt = t.Sent + s/10
 			if a.Arrivals[i].At = t.Sent + s/20; n%3 == 0 {
-				a.Arrivals[i].End = t.Left + 2*s
+				a.Arrivals[i].End = t.ClosedAt + 2*s
 			}
 			n++
 		}
@@ -256,7 +256,7 @@
 		}
 	}},
 	{"CONFIG", "a disconnected machine that returns an old version", func(a *record.All) {
-		a.Troubles = append(a.Troubles, &record.Trouble{Daemon: "d0", What: "cut off", From: 25 * s, To: 50 * s})
+		a.Troubles = append(a.Troubles, &record.Disruption{Daemon: "d0", What: "cut off", From: 25 * s, To: 50 * s})
 		a.Reads = []*record.ConfigRead{{Daemon: "d0", Sent: 33 * s, Status: 200, Version: 5}}
 	}},
 	{"TWICE", "run again", func(a *record.All) {
@@ -285,20 +285,20 @@
 	{"LOST", "cut off by a SIGTERM", func(a *record.All) {
 		t, _ := find(a, "safe", 20*s)
 		t.Status, t.Seal, t.Complete, t.Length = 0, "", false, 0
-		a.Troubles = []*record.Trouble{
+		a.Troubles = []*record.Disruption{
 			{Daemon: t.Daemon, What: "SIGTERM", From: t.Sent - s, To: t.Sent + 5*s, Planned: true},
 		}
 	}},
 	{"LOST", "cut off by a SIGHUP", func(a *record.All) {
 		t, _ := find(a, "safe", 20*s)
 		t.Status, t.Seal, t.Complete, t.Length = 0, "", false, 0
-		a.Troubles = []*record.Trouble{{Daemon: t.Daemon, From: t.Sent - s, Hup: true}}
+		a.Troubles = []*record.Disruption{{Daemon: t.Daemon, From: t.Sent - s, Hup: true}}
 	}},
 	{"LOST", "an evacuation after the closing fault", func(a *record.All) {
 		a.Fault, a.Back = 20*s, 21*s
 		a.Evacuations = []*record.Evacuation{{Zone: "north", Sent: 18 * s, Acked: 19 * s}}
 		// the troubles exempt the machines from EVAC itself
-		a.Troubles = []*record.Trouble{
+		a.Troubles = []*record.Disruption{
 			{Daemon: "d0", From: 20 * s},
 			{Daemon: "d1", From: 20 * s},
 		}
@@ -364,14 +364,14 @@
 	{"BUDGET", "too many retries in a window", func(a *record.All) {
 		for i := range 11 {
 			_, x := find(a, "safe", time.Duration(20+i/4)*s)
-			addArrival(a, x, func(x *record.Arrival) { x.Out, x.Seal, x.At = record.Away, "", x.At+time.Duration(i) })
+			addArrival(a, x, func(x *record.Arrival) { x.Out, x.Seal, x.At = record.Refused, "", x.At+time.Duration(i) })
 		}
 	}},
 	{"BUDGET", "prefills after the first", func(a *record.All) {
 		for i := range 11 {
 			_, x := find(a, "resume", time.Duration(20+i/4)*s)
-			addArrival(a, x, func(x *record.Arrival) { x.Out, x.Seal, x.Reading = record.Read, "", true })
-			addArrival(a, x, func(x *record.Arrival) { x.Out, x.Seal, x.Reading = record.Read, "", true })
+			addArrival(a, x, func(x *record.Arrival) { x.Out, x.Seal, x.Reading = record.Prefilled, "", true })
+			addArrival(a, x, func(x *record.Arrival) { x.Out, x.Seal, x.Reading = record.Prefilled, "", true })
 		}
 	}},
 	{"FAILBACK", "an overloaded cold server", func(a *record.All) {
@@ -447,7 +447,7 @@
 		for i := range 11 {
 			_, x := find(a, "resume", time.Duration(20+i)*s)
 			addArrival(a, x, func(x *record.Arrival) {
-				x.Out, x.Seal, x.Reading, x.At = record.Read, "", true, x.At-2*time.Millisecond
+				x.Out, x.Seal, x.Reading, x.At = record.Prefilled, "", true, x.At-2*time.Millisecond
 			})
 		}
 	},
@@ -459,7 +459,7 @@
 		t, _ := find(a, "new", 40*s)
 		t.Status, t.Seal = 404, ""
 		a.Arrivals = withoutAttempt(a.Arrivals, t.ID)
-		a.Troubles = []*record.Trouble{{Daemon: t.Daemon, From: 32 * s, To: 39 * s}}
+		a.Troubles = []*record.Disruption{{Daemon: t.Daemon, From: 32 * s, To: 39 * s}}
 		for _, x := range a.Tries { // a new incarnation, since the old one would have returned to an older version
 			if x.Daemon == t.Daemon && x.Sent > 39*s {
 				x.Life = 1
@@ -471,18 +471,18 @@
 		a.Lives[1].DrainShown = 20 * s
 		t, x := find(a, "safe", 30*s)
 		x.Server = "i-1"
-		a.Troubles = []*record.Trouble{{Daemon: t.Daemon, From: 10 * s, To: 29 * s}}
+		a.Troubles = []*record.Disruption{{Daemon: t.Daemon, From: 10 * s, To: 29 * s}}
 	},
 	"a redirect to another server": func(a *record.All) {
 		a.Lives[1].DrainShown = 20 * s
 		_, x := find(a, "safe", 30*s)
-		addArrival(a, x, func(x *record.Arrival) { x.Server, x.Out, x.Seal = "i-1", record.Other, "" })
+		addArrival(a, x, func(x *record.Arrival) { x.Server, x.Out, x.Seal = "i-1", record.Misdirected, "" })
 	},
 	"a change without an answer": func(a *record.All) { a.Changes[1].Status, a.Changes[1].Done = 0, 0 },
 	"an answer that the server aborted": func(a *record.All) {
 		t, x := find(a, "safe", 20*s)
-		t.Status, t.Seal, t.Complete, x.Broke = 0, "", false, true
-		a.Troubles = []*record.Trouble{{Daemon: t.Daemon, From: t.Sent - s, To: t.Sent + 5*s, Planned: true}}
+		t.Status, t.Seal, t.Complete, x.FaultInjected = 0, "", false, true
+		a.Troubles = []*record.Disruption{{Daemon: t.Daemon, From: t.Sent - s, To: t.Sent + 5*s, Planned: true}}
 	},
 	"a new holder after the lease": func(a *record.All) {
 		o := a.Orders[3]
@@ -490,7 +490,7 @@
 	},
 	"a refusal": func(a *record.All) {
 		t, x := find(a, "unsafe", 0)
-		t.Status, t.Seal, x.Out, x.Seal = 503, "", record.Away, ""
+		t.Status, t.Seal, x.Out, x.Seal = 503, "", record.Refused, ""
 	},
 }
 
--- a/proof/standin/rules/servers.go
+++ b/proof/standin/rules/servers.go
@@ -10,7 +10,7 @@
 // checkRoutes checks that a service runs only requests that some configuration routed to it.
 func checkRoutes(v *view, report reporter) {
 	for _, a := range v.Arrivals {
-		if a.Out != record.Ran && a.Out != record.Read {
+		if a.Out != record.Ran && a.Out != record.Prefilled {
 			continue
 		}
 		if !slices.ContainsFunc(v.versions, func(x version) bool {
@@ -34,7 +34,7 @@
 func checkDrained(v *view, report reporter) {
 	for _, a := range v.Arrivals {
 		l := v.lives[a.Server]
-		if a.Out == record.Other || l == nil || !v.cameInTouch(a) {
+		if a.Out == record.Misdirected || l == nil || !v.cameInTouch(a) {
 			continue
 		}
 		for what, since := range map[string]time.Duration{"draining": l.DrainShown, "gone": l.GoneShown} {
@@ -55,7 +55,7 @@
 		}
 		for _, a := range v.Arrivals {
 			applies := a.At > e.Acked+v.Evacuate && (e.Back == 0 || a.At < e.Back)
-			if a.Zone == e.Zone && a.Out != record.Other && applies && v.cameInTouch(a) {
+			if a.Zone == e.Zone && a.Out != record.Misdirected && applies && v.cameInTouch(a) {
 				report("%s reached %s in %s %.2fs after its evacuation was acknowledged",
 					a.Attempt, a.Server, a.Zone, seconds(a.At-e.Acked))
 			}
@@ -70,7 +70,7 @@
 			continue
 		}
 		for _, a := range v.Arrivals {
-			if a.Zone == e.Zone && a.Out != record.Other && a.At > v.Back+v.Recovery+v.Evacuate {
+			if a.Zone == e.Zone && a.Out != record.Misdirected && a.At > v.Back+v.Recovery+v.Evacuate {
 				report("%s reached %s: the evacuation of %s was lost", a.Attempt, a.Server, a.Zone)
 			}
 		}
@@ -108,7 +108,7 @@
 		arrived, read := map[string]bool{}, map[string]bool{} // by service
 		for _, a := range arrivals {
 			switch {
-			case a.Reading && a.Out == record.Read && !read[a.Service]:
+			case a.Reading && a.Out == record.Prefilled && !read[a.Service]:
 				read[a.Service] = true
 			case !arrived[a.Service]:
 				arrived[a.Service] = true
@@ -146,7 +146,7 @@
 func checkColdServers(v *view, report reporter) {
 	cold := map[string][]*record.Arrival{} // by server
 	for _, a := range v.Arrivals {
-		if l := v.lives[a.Server]; l != nil && a.At < l.ColdUntil && a.Out != record.Other {
+		if l := v.lives[a.Server]; l != nil && a.At < l.ColdUntil && a.Out != record.Misdirected {
 			cold[a.Server] = append(cold[a.Server], a)
 		}
 	}
@@ -217,11 +217,11 @@
 // wasLost reports whether a request that was read got no complete answer, though neither
 // the client, the deadline, a server nor an unplanned trouble was the cause.
 func (v *view) wasLost(t *record.Try) bool {
-	if t.Whole == 0 || t.Complete || t.GaveUp || t.Probe || t.Status/100 > 2 || t.End >= t.Deadline {
+	if t.SentFully == 0 || t.Complete || t.GaveUp || t.Probe || t.Status/100 > 2 || t.End >= t.Deadline {
 		return false
 	}
 	arrivals := v.arrivals[t.ID]
-	if len(arrivals) == 0 && t.End <= t.Whole+v.LostSlack {
+	if len(arrivals) == 0 && t.End <= t.SentFully+v.LostSlack {
 		return false // it may not have been read
 	}
 	route, known := v.routes[t.Route]
@@ -235,14 +235,14 @@
 func (v *view) brokenByServer(list []*record.Arrival, end time.Duration) bool {
 	return slices.ContainsFunc(list, func(a *record.Arrival) bool {
 		l := v.lives[a.Server]
-		return a.Broke || l != nil && l.Died > 0 && l.Died <= end
+		return a.FaultInjected || l != nil && l.Died > 0 && l.Died <= end
 	})
 }
 
 // hadUnplannedTrouble reports whether an unplanned trouble affected a try's daemon or the
 // core around the time of the try.
 func (v *view) hadUnplannedTrouble(t *record.Try) bool {
-	return slices.ContainsFunc(v.Troubles, func(x *record.Trouble) bool {
+	return slices.ContainsFunc(v.Troubles, func(x *record.Disruption) bool {
 		affects := !x.Planned && !x.Hup && (x.Daemon == t.Daemon || x.Core)
 		return affects && t.End >= x.From && (x.To == 0 || t.Sent <= x.To+v.InTouch)
 	})
--- a/proof/standin/rules/tenants.go
+++ b/proof/standin/rules/tenants.go
@@ -11,7 +11,7 @@
 )
 
 // wasProcessed reports whether a server ran an arrival or prefilled its prompt.
-func wasProcessed(a *record.Arrival) bool { return a.Out == record.Ran || a.Out == record.Read }
+func wasProcessed(a *record.Arrival) bool { return a.Out == record.Ran || a.Out == record.Prefilled }
 
 // needsKey reports whether every version that may have been current requires a key of a try.
 func (v *view) needsKey(t *record.Try) bool {
@@ -50,14 +50,14 @@
 // tenant.
 func (v *view) mayHold(t *record.Try, tenant string) bool {
 	return slices.ContainsFunc(v.versions, func(x version) bool {
-		name, ok := x.config.Holder(t.Key)
+		name, ok := x.config.CustomerByKey(t.Key)
 		return x.mayApply() && ok && name == tenant
 	})
 }
 
 // wasHeld reports whether any configuration ever had the key of a try.
 func (v *view) wasHeld(t *record.Try) bool {
-	return slices.ContainsFunc(v.versions, func(x version) bool { _, ok := x.config.Holder(t.Key); return ok })
+	return slices.ContainsFunc(v.versions, func(x version) bool { _, ok := x.config.CustomerByKey(t.Key); return ok })
 }
 
 // checkKeys checks that no request runs with a key that no configuration ever had, or
@@ -84,7 +84,7 @@
 		}
 		oldest := v.oldestAllowed(t.Sent)
 		allowed := oldest < 0 || slices.ContainsFunc(v.versions, func(x version) bool {
-			_, ok := x.config.Holder(t.Key)
+			_, ok := x.config.CustomerByKey(t.Key)
 			return ok && x.mayApply() && x.Version >= oldest && x.Sent <= a.At
 		})
 		if !allowed && v.inTouchThroughout(t.Daemon, t.Sent, a.At) {
@@ -108,7 +108,7 @@
 			}
 			all++
 			r, routed := x.config.Match(t.Host, pathOf(t.Target))
-			if _, ok := x.config.Holder(t.Key); ok || routed && r.Public || len(x.config.Customers) == 0 {
+			if _, ok := x.config.CustomerByKey(t.Key); ok || routed && r.Public || len(x.config.Customers) == 0 {
 				known++
 			}
 		}
@@ -131,7 +131,7 @@
 			continue
 		}
 		for _, x := range v.versions {
-			if name, ok := x.config.Holder(t.Key); ok {
+			if name, ok := x.config.CustomerByKey(t.Key); ok {
 				ran[name] = append(ran[name], a.At)
 				break
 			}
--- a/proof/standin/scene/answers.go
+++ b/proof/standin/scene/answers.go
@@ -21,7 +21,7 @@
 		w.Fail("%v", err)
 	}
 	w.WaitServed(ctx, int(w.Rate/2))
-	w.Cloud.Drop(old.ID)
+	w.Cloud.Remove(old.ID)
 }
 
 // misbehaveAll makes all servers misbehave with groups of faults, one group after another.
@@ -31,7 +31,7 @@
 		for j, s := range w.Servers("") {
 			for k, f := range faults[i:min(i+groupSize, len(faults))] {
 				if (j+k)%2 == 0 {
-					s.Misbehave(f, 2)
+					s.InjectFault(f, 2)
 				}
 			}
 		}
@@ -39,7 +39,7 @@
 	}
 	for _, s := range w.Servers("") { // clear faults that were not triggered
 		for _, f := range faults {
-			s.Misbehave(f, 0)
+			s.InjectFault(f, 0)
 		}
 	}
 }
--- a/proof/standin/scene/cutoff.go
+++ b/proof/standin/scene/cutoff.go
@@ -107,7 +107,7 @@
 	}
 	w.Sleep(ctx, w.Bounds.InTouch)
 	w.probe(ctx, "/while-cut/", true)
-	if !w.Op.Return(ctx, e) {
+	if !w.Op.CancelEvacuation(ctx, e) {
 		w.Fail("the return of the zone was not acknowledged")
 	}
 }
--- a/proof/standin/scene/orders.go
+++ b/proof/standin/scene/orders.go
@@ -45,7 +45,7 @@
 	w.Note("%s was evacuated, acknowledged after %.2fs", zone, (e.Acked - e.Sent).Seconds())
 	w.Sleep(ctx, w.Bounds.Evacuate)
 	w.WaitServed(ctx, int(2*w.Rate))
-	if !w.Op.Return(ctx, e) {
+	if !w.Op.CancelEvacuation(ctx, e) {
 		w.Fail("the return of the zone was not acknowledged")
 		return
 	}
@@ -88,7 +88,7 @@
 			return
 		}
 		w.Note("version %d acknowledged after %.2fs", c.Version, (c.Done - c.Sent).Seconds())
-		w.Load.Menu(w.Menu(now().Routes))
+		w.Load.SetRequestKinds(w.Menu(now().Routes))
 		w.WaitServed(ctx, int(w.Rate/2))
 		w.probe(ctx, "/later/", i == 1 || i == 2)
 	}
@@ -126,8 +126,8 @@
 				w.Fail("a change in a race was answered %d", c.Status)
 			}
 		}
-		if c := w.Op.Bad(ctx, i%operator.Kinds); c.Status/100 != 4 {
-			w.Fail("an invalid configuration (kind %d) was answered %d", i%operator.Kinds, c.Status)
+		if c := w.Op.PutInvalid(ctx, i%operator.InvalidKinds); c.Status/100 != 4 {
+			w.Fail("an invalid configuration (kind %d) was answered %d", i%operator.InvalidKinds, c.Status)
 		}
 	}
 	w.Note("%d changes won, %d were in conflict", won, conflict)
--- a/proof/standin/scene/repeats.go
+++ b/proof/standin/scene/repeats.go
@@ -139,7 +139,7 @@
 func lateOrder(ctx context.Context, w *World) {
 	zone := Zones[1]
 	e := w.Op.Evacuate(ctx, zone)
-	if e.Acked == 0 || !w.Op.Return(ctx, e) {
+	if e.Acked == 0 || !w.Op.CancelEvacuation(ctx, e) {
 		w.Fail("the evacuation or its end was not acknowledged")
 		return
 	}
--- a/proof/standin/scene/scenes.go
+++ b/proof/standin/scene/scenes.go
@@ -53,7 +53,7 @@
 
 // waitReady waits until all machines are ready.
 func (w *World) waitReady(ctx context.Context, what string) bool {
-	return w.Until(ctx, w.Bounds.Recovery+10*time.Second, what, func() bool { return w.Entry.In() == len(w.Fleet.Machines()) })
+	return w.Until(ctx, w.Bounds.Recovery+10*time.Second, what, func() bool { return w.Entry.InRotation() == len(w.Fleet.Machines()) })
 }
 
 // roll restarts daemons with SIGTERM, one after another.
@@ -243,7 +243,7 @@
 			w.Fail("%v", err)
 		}
 		w.WaitServed(ctx, int(w.Rate/2))
-		w.Cloud.Drop(s.ID)
+		w.Cloud.Remove(s.ID)
 		if _, err := w.Serve(svc, s.Zone, s.Phase, time.Second); err != nil {
 			w.Fail("%v", err)
 		}
@@ -255,7 +255,7 @@
 func dark(ctx context.Context, w *World) {
 	a, b, c := w.Servers("gen")[0], w.Servers("gen")[4], w.Servers("plain")[1]
 	for _, s := range []*server.Server{a, b, c} {
-		s.Dark()
+		s.Hang()
 	}
 	w.WaitServed(ctx, int(3*w.Rate))
 	for _, s := range []*server.Server{a, b, c} {
@@ -272,24 +272,24 @@
 	for _, f := range []server.Fault{server.Break, server.Garble, server.Extra, server.Late, server.NoSeal, server.Encoded, server.Close, server.Forget, server.Unwarned, server.Full} {
 		for i, s := range w.Servers("") {
 			if i%2 == int(f)%2 {
-				s.Misbehave(f, 2)
+				s.InjectFault(f, 2)
 			}
 		}
 		w.WaitServed(ctx, int(w.Rate/2))
 	}
-	w.Servers("gen")[3].Misbehave(server.Slow, 2)
-	w.Servers("plain")[0].Misbehave(server.Silent, 1)
+	w.Servers("gen")[3].InjectFault(server.Slow, 2)
+	w.Servers("plain")[0].InjectFault(server.Silent, 1)
 	w.WaitServed(ctx, int(w.Rate))
 }
 
 // lapse makes prompt handles expire at once.
 func lapse(ctx context.Context, w *World) {
 	for _, s := range w.Servers("gen") {
-		s.Misbehave(server.Lapse, -1)
+		s.InjectFault(server.Lapse, -1)
 	}
 	w.WaitServed(ctx, int(2*w.Rate))
 	for _, s := range w.Servers("gen") {
-		s.Misbehave(server.Lapse, 0)
+		s.InjectFault(server.Lapse, 0)
 	}
 	w.WaitServed(ctx, int(w.Rate))
 }
@@ -299,7 +299,7 @@
 func pressed(ctx context.Context, w *World) {
 	long := w.Menu(w.Routes[2:3])
 	long[0].In, long[0].Out, long[0].Shared = 9000, 2, nil
-	w.Load.Menu(long)
+	w.Load.SetRequestKinds(long)
 	orders := func() int { return w.Log.Count(func(a *record.All) int { return len(a.Orders) }) }
 	w.Until(ctx, 20*time.Second, "a server is ordered to switch to prefill", func() bool { return orders() > 0 })
 	before := orders()
@@ -311,7 +311,7 @@
 		}
 		w.waitReady(ctx, m.Name+" is back")
 	}
-	w.Load.Menu(w.Menu(w.Routes))
+	w.Load.SetRequestKinds(w.Menu(w.Routes))
 	w.WaitServed(ctx, int(2*w.Rate))
 	w.Note("%d orders, %d before the kill", orders(), before)
 }
@@ -333,8 +333,8 @@
 
 // staleList makes the server list unavailable for a while.
 func staleList(ctx context.Context, w *World) {
-	w.Cloud.Down(true)
+	w.Cloud.SetDown(true)
 	w.WaitServed(ctx, int(2*w.Rate))
-	w.Cloud.Down(false)
+	w.Cloud.SetDown(false)
 	w.WaitServed(ctx, int(w.Rate))
 }
--- a/proof/standin/scene/storm.go
+++ b/proof/standin/scene/storm.go
@@ -148,7 +148,7 @@
 
 func (s *stormRun) misbehave(context.Context) {
 	for range 4 {
-		s.pickServer().Misbehave(server.Fault(1+s.intn(int(server.Unwarned))), 1+s.intn(3))
+		s.pickServer().InjectFault(server.Fault(1+s.intn(int(server.Unwarned))), 1+s.intn(3))
 	}
 }
 
@@ -172,13 +172,13 @@
 		s.w.Load.Probe(ctx, d, extra.Host, extra.Start, extra)
 		s.w.Load.Probe(ctx, d, extra.Host, fmt.Sprintf("/storm%d/", (s.n+1)%3), wire.Route{})
 	}
-	s.w.Load.Menu(s.w.Menu(s.w.Op.Now().Routes))
+	s.w.Load.SetRequestKinds(s.w.Menu(s.w.Op.Now().Routes))
 }
 
 func (s *stormRun) invalidConfig(ctx context.Context) {
 	s.orders.Lock()
 	defer s.orders.Unlock()
-	if c := s.w.Op.Bad(ctx, s.intn(operator.Kinds)); c.Status/100 == 2 {
+	if c := s.w.Op.PutInvalid(ctx, s.intn(operator.InvalidKinds)); c.Status/100 == 2 {
 		s.w.Fail("an invalid configuration was acknowledged")
 	}
 }
@@ -192,7 +192,7 @@
 		s.w.Fail("an evacuation was not acknowledged")
 	}
 	s.w.Sleep(ctx, s.w.Bounds.Evacuate+time.Second)
-	if !s.w.Op.Return(ctx, e) {
+	if !s.w.Op.CancelEvacuation(ctx, e) {
 		s.w.Fail("a return of a zone was not acknowledged")
 	}
 }
@@ -200,7 +200,7 @@
 func (s *stormRun) listDown(ctx context.Context) {
 	s.servers.Lock() // the fleet can't see that a server ends while the list is down, so no server may end then
 	defer s.servers.Unlock()
-	s.w.Cloud.Down(true)
+	s.w.Cloud.SetDown(true)
 	s.w.Sleep(ctx, time.Duration(500+s.intn(2000))*time.Millisecond)
-	s.w.Cloud.Down(false)
+	s.w.Cloud.SetDown(false)
 }
--- a/proof/standin/scene/world.go
+++ b/proof/standin/scene/world.go
@@ -64,7 +64,7 @@
 	Log    *record.Log
 	Fleet  *fleet.Fleet
 	Cloud  *cloud.Cloud
-	Entry  *entry.Entry
+	Entry  *entry.Balancer
 	Op     *operator.Operator
 	Load   *client.Load
 	Routes []wire.Route // of the initial configuration
@@ -134,14 +134,14 @@
 	w.Entry = entry.New(w.Fleet.Daemons)
 	w.Op = operator.New(w.Log, w.Fleet.Daemons, 20*time.Second)
 	crowd := client.Config{
-		Rate: c.Rate, Further: 2, Actors: 12, Zones: Zones, Seed: c.Seed, Name: fmt.Sprintf("%04x", c.Seed&0xffff),
+		Rate: c.Rate, Retries: 2, PersistentClients: 12, Zones: Zones, Seed: c.Seed, Name: fmt.Sprintf("%04x", c.Seed&0xffff),
 	}
 	for _, customer := range c.Customers {
 		crowd.Keys = append(crowd.Keys, customer.Keys[0])
 	}
 	w.Load = client.New(crowd, w.Log, w.Entry)
 	for i := range 6 {
-		if _, err := w.Serve("gen", Zones[i%3], []string{wire.Reading, wire.Writing}[i/3], 0); err != nil {
+		if _, err := w.Serve("gen", Zones[i%3], []string{wire.Prefill, wire.Decode}[i/3], 0); err != nil {
 			return w, err
 		}
 	}
@@ -176,7 +176,7 @@
 	}
 	c.Changed = func(s *server.Server) { w.Cloud.Put(s.ID, s) }
 	if phase != "" {
-		c.Pace, c.Step, c.Memory, c.TokenBytes, c.Mbps, c.Hold, c.Switch = 20, 15*time.Millisecond, 60000, 18432, 550000, 2*time.Second, 300*time.Millisecond
+		c.PrefillRate, c.Step, c.Memory, c.TokenBytes, c.Mbps, c.Hold, c.Switch = 20, 15*time.Millisecond, 60000, 18432, 550000, 2*time.Second, 300*time.Millisecond
 	}
 	s, err := server.Start(c, w.Log, &w.peers)
 	if err != nil {
@@ -228,7 +228,7 @@
 	}
 	w.removeServer(s)
 	s.End()
-	w.Cloud.Drop(s.ID)
+	w.Cloud.Remove(s.ID)
 }
 
 // Crash ends a server abruptly; it stays on the list for a second.
@@ -243,7 +243,7 @@
 	case <-ctx.Done():
 	case <-t.C:
 	}
-	w.Cloud.Drop(s.ID)
+	w.Cloud.Remove(s.ID)
 }
 
 // Stop stops all daemons, servers and clients.
@@ -290,9 +290,9 @@
 // Menu returns the requests that clients send for routes.
 //
 // Example: w.Load.Menu(w.Menu(routes))
-func (w *World) Menu(routes []wire.Route) (out []client.Ask) {
+func (w *World) Menu(routes []wire.Route) (out []client.RequestKind) {
 	for _, r := range routes {
-		a := client.Ask{Route: r, Weight: 2, Path: "x"}
+		a := client.RequestKind{Route: r, Weight: 2, Path: "x"}
 		if r.Kind == wire.Streaming {
 			a.Weight, a.In, a.Out, a.Shared = 3, 3000, 8, []int{1600, 800}
 			if r.Resume {
@@ -327,8 +327,8 @@
 	wait.Go(func() { w.Entry.Serve(with) })
 	w.stop = append([]func(){func() { cut(); wait.Wait() }}, w.stop...)
 	n := len(w.Fleet.Machines())
-	if !track.Until(ctx, 30*time.Second, func() bool { return w.Entry.In() == n }) {
-		return Error.New("only %d of %d daemons are ready; logs in %s", w.Entry.In(), n, w.Dir)
+	if !track.Until(ctx, 30*time.Second, func() bool { return w.Entry.InRotation() == n }) {
+		return Error.New("only %d of %d daemons are ready; logs in %s", w.Entry.InRotation(), n, w.Dir)
 	}
 	w.Note("%d daemons are ready", n)
 	if c := w.Op.Put(ctx, w.firstConfig(), 0); c.Status != 200 {
@@ -338,7 +338,7 @@
 		return Error.New("some daemons do not serve the initial configuration; logs in %s", w.Dir)
 	}
 	w.Note("the initial configuration is applied")
-	w.Load.Menu(w.Menu(w.Routes))
+	w.Load.SetRequestKinds(w.Menu(w.Routes))
 	wait.Go(func() { w.Load.Run(with) })
 	return nil
 }
--- a/proof/standin/server/answer.go
+++ b/proof/standin/server/answer.go
@@ -18,17 +18,17 @@
 	s := c.s
 	h = c.head(http.StatusOK, req)
 	if s.faults.take(NoSeal) {
-		s.log.Do(func(*record.All) { arrival.Broke = true })
+		s.log.Do(func(*record.All) { arrival.FaultInjected = true })
 	} else {
 		h.add(wire.Seal, arrival.Seal)
 	}
 	if s.faults.take(Encoded) {
 		h.add(wire.Encoding, "gzip")
-		s.log.Do(func(*record.All) { arrival.Broke = true })
+		s.log.Do(func(*record.All) { arrival.FaultInjected = true })
 	}
 	if s.faults.take(Denied) {
 		h.add(wire.NotRun, "full")
-		s.log.Do(func(*record.All) { arrival.Broke = true })
+		s.log.Do(func(*record.All) { arrival.FaultInjected = true })
 	}
 	if s.faults.take(Close) {
 		h.add("Connection", "close")
@@ -52,13 +52,13 @@
 	s := c.s
 	switch {
 	case s.faults.take(Silent):
-		s.log.Do(func(*record.All) { arrival.Broke = true })
+		s.log.Do(func(*record.All) { arrival.FaultInjected = true })
 		<-ctx.Done()
 	case s.faults.take(Garble):
-		s.log.Do(func(*record.All) { arrival.Broke = true })
+		s.log.Do(func(*record.All) { arrival.FaultInjected = true })
 		_, _ = c.Write([]byte("\x16\x03\x01 no answer at all\r\n\r\n"))
 	case s.faults.take(Reset):
-		s.log.Do(func(*record.All) { arrival.Broke = true })
+		s.log.Do(func(*record.All) { arrival.FaultInjected = true })
 		c.reset()
 	case s.faults.take(Interim):
 		_, err := c.Write([]byte("HTTP/1.1 103 Early Hints\r\n\r\n"))
@@ -100,7 +100,7 @@
 	h, last := c.success(req, arrival)
 	h.add("Content-Type", "text/plain")
 	if s.faults.take(Break) {
-		s.log.Do(func(*record.All) { arrival.Broke = true })
+		s.log.Do(func(*record.All) { arrival.FaultInjected = true })
 		h.add("Content-Length", len(body))
 		_, _ = c.Write(append(h.bytes(), body[:len(body)/2]...))
 		c.reset()
@@ -111,7 +111,7 @@
 		return false
 	}
 	reusable := c.send(h, body)
-	s.log.Do(func(*record.All) { arrival.Whole, arrival.End = true, s.log.Now() })
+	s.log.Do(func(*record.All) { arrival.Complete, arrival.End = true, s.log.Now() })
 	return c.injectTrailingFault(req, arrival, string(h.bytes())+body) && reusable && !last
 }
 
@@ -120,10 +120,10 @@
 	s := c.s
 	switch {
 	case s.faults.take(Unframed):
-		s.log.Do(func(*record.All) { arrival.Whole, arrival.End = true, s.log.Now() })
+		s.log.Do(func(*record.All) { arrival.Complete, arrival.End = true, s.log.Now() })
 		_, _ = c.Write(append(h.bytes(), body...))
 	case s.faults.take(UnframedReset):
-		s.log.Do(func(*record.All) { arrival.Broke = true })
+		s.log.Do(func(*record.All) { arrival.FaultInjected = true })
 		_, _ = c.Write(append(h.bytes(), body[:len(body)/2]...))
 		c.reset()
 	default:
@@ -137,7 +137,7 @@
 	if !c.s.faults.take(HeadOnly) {
 		return false
 	}
-	c.s.log.Do(func(*record.All) { arrival.Broke = true })
+	c.s.log.Do(func(*record.All) { arrival.FaultInjected = true })
 	_, _ = c.Write(h.bytes())
 	c.reset()
 	return true
@@ -177,7 +177,7 @@
 		}
 		event := fmt.Sprintf("id: %d\ndata: %s %d/%d %s\n\n", k, arrival.Run, k, n, Text(arrival.Attempt, arrival.Run, k))
 		if k == cut {
-			s.log.Do(func(*record.All) { arrival.Broke = true })
+			s.log.Do(func(*record.All) { arrival.FaultInjected = true })
 			_, _ = c.Write(append(b, fmt.Sprintf("%x\r\n%s", len(event), event[:len(event)/2])...))
 			c.reset()
 			return false
@@ -191,6 +191,6 @@
 	if _, err := c.Write(append(b, "0\r\n\r\n"...)); err != nil {
 		return false
 	}
-	s.log.Do(func(*record.All) { arrival.Whole, arrival.Last, arrival.End = true, true, s.log.Now() })
+	s.log.Do(func(*record.All) { arrival.Complete, arrival.Last, arrival.End = true, true, s.log.Now() })
 	return c.injectTrailingFault(req, arrival, duplicate) && !last && !strings.Contains(strings.Join(h.lines, "\n"), "Connection: close")
 }
--- a/proof/standin/server/fault.go
+++ b/proof/standin/server/fault.go
@@ -36,11 +36,11 @@
 	pending map[Fault]int
 }
 
-// Misbehave makes the server inject a fault at its next n opportunities. A negative n
+// InjectFault makes the server inject a fault at its next n opportunities. A negative n
 // means at every opportunity, until reset with 0.
 //
-// Example: s.Misbehave(server.Break, 3)
-func (s *Server) Misbehave(f Fault, n int) {
+// Example: s.InjectFault(server.Break, 3)
+func (s *Server) InjectFault(f Fault, n int) {
 	s.faults.mu.Lock()
 	defer s.faults.mu.Unlock()
 	if s.faults.pending == nil {
--- a/proof/standin/server/order.go
+++ b/proof/standin/server/order.go
@@ -23,7 +23,7 @@
 	switch err := json.Unmarshal(body, &o); {
 	case err != nil || o.Holder == "" || o.Fence == nil:
 		return http.StatusBadRequest, o
-	case o.Operation != "phase" || o.Phase != wire.Reading && o.Phase != wire.Writing || s.phase == "":
+	case o.Operation != "phase" || o.Phase != wire.Prefill && o.Phase != wire.Decode || s.phase == "":
 		return http.StatusBadRequest, o
 	case s.ChecksFence && *o.Fence < s.orderState.highestFence:
 		return http.StatusPreconditionFailed, o
--- a/proof/standin/server/request.go
+++ b/proof/standin/server/request.go
@@ -49,7 +49,7 @@
 	s := c.s
 	arrival := &record.Arrival{
 		At: s.log.Now(), Server: s.ID, Service: s.Service, Zone: s.Zone, Attempt: req.Header.Get(wire.Attempt), Host: req.Host, Target: req.RequestURI,
-		Method: req.Method, Body: Digest(req.body), Reading: req.Header.Get(wire.Stage) == wire.Reading, Memory: req.Header.Get(wire.Memory),
+		Method: req.Method, Body: Digest(req.body), Reading: req.Header.Get(wire.Stage) == wire.Prefill, Memory: req.Header.Get(wire.Memory),
 		Prompt: req.Header.Get(wire.Model) + " " + req.Header.Get(wire.Tokens) + " " + req.Header.Get(wire.Prefix),
 		Tenant: req.Header.Get(wire.Tenant), Key: req.Header.Get(wire.Key),
 	}
@@ -93,15 +93,15 @@
 	expected := req.Header.Get(wire.Expect)
 	switch {
 	case expected != "" && expected != s.ID:
-		return c.refuse(req, arrival, http.StatusMisdirectedRequest, record.Other, "another server")
+		return c.refuse(req, arrival, http.StatusMisdirectedRequest, record.Misdirected, "another server")
 	case arrival.Attempt == "":
-		return c.refuse(req, arrival, http.StatusBadRequest, record.Away, "no id")
-	case arrival.Reading != (phase == wire.Reading):
-		return c.refuse(req, arrival, http.StatusMisdirectedRequest, record.Other, "another part")
+		return c.refuse(req, arrival, http.StatusBadRequest, record.Refused, "no id")
+	case arrival.Reading != (phase == wire.Prefill):
+		return c.refuse(req, arrival, http.StatusMisdirectedRequest, record.Misdirected, "another part")
 	case busy:
-		return c.refuse(req, arrival, http.StatusServiceUnavailable, record.Away, "an order is under way")
+		return c.refuse(req, arrival, http.StatusServiceUnavailable, record.Refused, "an order is under way")
 	case s.faults.take(Full):
-		return c.refuse(req, arrival, http.StatusServiceUnavailable, record.Away, "full")
+		return c.refuse(req, arrival, http.StatusServiceUnavailable, record.Refused, "full")
 	}
 	// The request's remaining time limits the work on it.
 	if ms, err := strconv.ParseFloat(req.Header.Get(wire.TimeLeft), 64); err == nil {
@@ -115,7 +115,7 @@
 	}
 	release, ok := s.acquire(ctx, slot)
 	if !ok {
-		return c.refuse(req, arrival, http.StatusServiceUnavailable, record.Away, "full")
+		return c.refuse(req, arrival, http.StatusServiceUnavailable, record.Refused, "full")
 	}
 	defer release()
 	if arrival.Reading {
@@ -128,18 +128,18 @@
 func (c *conn) prefill(ctx context.Context, req request, arrival *record.Arrival) bool {
 	s := c.s
 	parts := parseParts(req.Header.Get(wire.Prefix))
-	s.log.Do(func(*record.All) { arrival.Out = record.Read })
-	if !sleep(ctx, time.Duration(float64(s.uncachedTokens(parts))/s.Pace*float64(time.Millisecond))) {
+	s.log.Do(func(*record.All) { arrival.Out = record.Prefilled })
+	if !sleep(ctx, time.Duration(float64(s.uncachedTokens(parts))/s.PrefillRate*float64(time.Millisecond))) {
 		return false
 	}
 	s.cacheParts(parts, s.Memory)
 	if s.faults.take(Silent) {
-		s.log.Do(func(*record.All) { arrival.Broke = true })
+		s.log.Do(func(*record.All) { arrival.FaultInjected = true })
 		<-ctx.Done()
 		return false
 	}
 	if s.faults.take(Garble) {
-		s.log.Do(func(*record.All) { arrival.Broke = true })
+		s.log.Do(func(*record.All) { arrival.FaultInjected = true })
 		_, _ = c.Write([]byte("\x16\x03\x01 no answer\r\n\r\n"))
 		return false
 	}
@@ -152,12 +152,12 @@
 	h := c.head(http.StatusOK, req)
 	h.add("Content-Type", "application/json")
 	if s.faults.take(Reset) {
-		s.log.Do(func(*record.All) { arrival.Broke = true })
+		s.log.Do(func(*record.All) { arrival.FaultInjected = true })
 		c.reset()
 		return false
 	}
 	reusable := c.send(h, string(b))
-	s.log.Do(func(*record.All) { arrival.Whole, arrival.Status = reusable, http.StatusOK })
+	s.log.Do(func(*record.All) { arrival.Complete, arrival.Status = reusable, http.StatusOK })
 	return c.injectTrailingFault(req, arrival, string(h.bytes())+string(b)) && reusable
 }
 
@@ -193,18 +193,18 @@
 	parts := parseParts(req.Header.Get(wire.Prefix))
 	if arrival.Memory != "" {
 		if !c.fetchPrompt(ctx, arrival, parts) {
-			return c.refuse(req, arrival, http.StatusServiceUnavailable, record.Away, "memory can't be had")
+			return c.refuse(req, arrival, http.StatusServiceUnavailable, record.Refused, "memory can't be had")
 		}
-	} else if n := s.uncachedTokens(parts); n > 0 && s.Pace > 0 {
+	} else if n := s.uncachedTokens(parts); n > 0 && s.PrefillRate > 0 {
 		select {
 		case s.prefillSlot <- struct{}{}:
 		case <-ctx.Done():
-			return c.refuse(req, arrival, http.StatusServiceUnavailable, record.Away, "no time")
+			return c.refuse(req, arrival, http.StatusServiceUnavailable, record.Refused, "no time")
 		}
-		ok := sleep(ctx, time.Duration(float64(n)/(s.Pace/2)*float64(time.Millisecond)))
+		ok := sleep(ctx, time.Duration(float64(n)/(s.PrefillRate/2)*float64(time.Millisecond)))
 		<-s.prefillSlot
 		if !ok {
-			return c.refuse(req, arrival, http.StatusServiceUnavailable, record.Away, "no time")
+			return c.refuse(req, arrival, http.StatusServiceUnavailable, record.Refused, "no time")
 		}
 		s.cacheParts(parts, s.Memory)
 	}
--- a/proof/standin/server/server.go
+++ b/proof/standin/server/server.go
@@ -30,7 +30,7 @@
 	ID, Service, Zone, Address string
 	Phase                      string // empty: the service does not separate prefill and decode
 	Slots, Queue               int
-	Pace                       float64 // prompt tokens per millisecond in the prefill phase
+	PrefillRate                       float64 // prompt tokens per millisecond in the prefill phase
 	Step                       time.Duration
 	Work                       time.Duration // time for a request that is not a stream
 	Memory, TokenBytes         int
@@ -165,10 +165,10 @@
 	s.wg.Wait()
 }
 
-// Dark makes the server unresponsive: it handles no requests and sends nothing.
+// Hang makes the server unresponsive: it handles no requests and sends nothing.
 //
-// Example: s.Dark()
-func (s *Server) Dark() {
+// Example: s.Hang()
+func (s *Server) Hang() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	select {
@@ -260,7 +260,7 @@
 			return
 		}
 		early := req.ContentLength > 0 && req.Header.Get(wire.Attempt) != "" && c.s.faults.take(Early)
-		if early && !c.refuse(request{req, nil}, c.recordArrival(request{req, nil}), http.StatusServiceUnavailable, record.Away, "too long") {
+		if early && !c.refuse(request{req, nil}, c.recordArrival(request{req, nil}), http.StatusServiceUnavailable, record.Refused, "too long") {
 			return
 		}
 		body, err := io.ReadAll(req.Body)
--- a/proof/standin/server/server_test.go
+++ b/proof/standin/server/server_test.go
@@ -29,7 +29,7 @@
 		env.t.Fatal(err)
 	}
 	c := Config{
-		ID: fmt.Sprint("i-", env.n), Service: "gen", Zone: "north", Address: ln.Addr().String(), Phase: phase, Slots: 1, Queue: 1, Pace: 1000, Step: time.Millisecond, Memory: 1000, TokenBytes: 1, Mbps: 1000,
+		ID: fmt.Sprint("i-", env.n), Service: "gen", Zone: "north", Address: ln.Addr().String(), Phase: phase, Slots: 1, Queue: 1, PrefillRate: 1000, Step: time.Millisecond, Memory: 1000, TokenBytes: 1, Mbps: 1000,
 		Hold: time.Minute, Health: "/health", KeepAlive: 30 * time.Second,
 	}
 	_ = ln.Close()
@@ -80,7 +80,7 @@
 // handle can't be taken at all.
 func TestHandles(t *testing.T) {
 	env := &testEnv{t: t, log: record.New()}
-	r, w := env.start(wire.Reading, nil), env.start(wire.Writing, nil)
+	r, w := env.start(wire.Prefill, nil), env.start(wire.Decode, nil)
 	prefill := func(s *Server) string {
 		code, h, body := send(s, "POST", "/a/", "p", attempt("a"), tokens, prefix, wire.Stage+": reading")
 		var handle wire.Handle
@@ -110,7 +110,7 @@
 	if code, _, _ := decode(id); code != 503 {
 		t.Error("deleted handle taken:", code)
 	}
-	r.Misbehave(Lapse, 1)
+	r.InjectFault(Lapse, 1)
 	if code, _, _ := decode(prefill(r)); code != 503 {
 		t.Error("expired handle taken:", code)
 	}
@@ -130,7 +130,7 @@
 // marks the answer as not run.
 func TestRefusedRequestsAreMarkedNotRun(t *testing.T) {
 	env := &testEnv{t: t, log: record.New()}
-	r, w := env.start(wire.Reading, nil), env.start(wire.Writing, nil)
+	r, w := env.start(wire.Prefill, nil), env.start(wire.Decode, nil)
 	for name, x := range map[string]struct {
 		s    *Server
 		code int
@@ -146,7 +146,7 @@
 			t.Errorf("%s: %d %v", name, code, h)
 		}
 	}
-	slow := env.start(wire.Writing, func(c *Config) { c.Slots, c.Queue, c.Step = 1, 0, time.Hour })
+	slow := env.start(wire.Decode, func(c *Config) { c.Slots, c.Queue, c.Step = 1, 0, time.Hour })
 	for range slow.Slots {
 		slow.slots <- struct{}{}
 	}
@@ -166,7 +166,7 @@
 // A stream resumes after the last event that the client has.
 func TestStreamResumesAfterLastEvent(t *testing.T) {
 	env := &testEnv{t: t, log: record.New()}
-	w := env.start(wire.Writing, nil)
+	w := env.start(wire.Decode, nil)
 	if _, _, body := send(w, "POST", "/a/", "", attempt("a"), tokens, prefix, wire.LastEvent+": 2"); strings.Contains(body, "id: 2") || !strings.HasPrefix(body, "id: 3\n") || !strings.Contains(body, Text("a", "i-1.1", 3)) {
 		t.Errorf("%q", body)
 	}
@@ -175,7 +175,7 @@
 func TestOrders(t *testing.T) {
 	env := &testEnv{t: t, log: record.New()}
 	phaseChanged := make(chan bool, 1)
-	w := env.start(wire.Writing, func(c *Config) { c.ChecksFence, c.Changed = true, func(*Server) { phaseChanged <- true } })
+	w := env.start(wire.Decode, func(c *Config) { c.ChecksFence, c.Changed = true, func(*Server) { phaseChanged <- true } })
 	order := func(body string) int {
 		code, _, _ := send(w, "POST", wire.OrderPath, body)
 		return code
@@ -197,7 +197,7 @@
 		}
 	}
 	<-phaseChanged
-	if e := w.Entry(); e.Phase != wire.Reading || w.report().Calls != 1 {
+	if e := w.Entry(); e.Phase != wire.Prefill || w.report().Calls != 1 {
 		t.Errorf("%+v %+v", e, w.report())
 	}
 	if n := env.log.Count(func(a *record.All) int { return len(a.Orders) }); n != 5 { // orders with a holder and a fence number
@@ -208,7 +208,7 @@
 // Each injected fault is visible to the client and affects only one answer.
 func TestInjectedFaultsAreVisible(t *testing.T) {
 	env := &testEnv{t: t, log: record.New()}
-	w := env.start(wire.Writing, nil)
+	w := env.start(wire.Decode, nil)
 	for f, isExpected := range map[Fault]func(code int, h http.Header, body string) bool{
 		Break: func(code int, _ http.Header, body string) bool {
 			return code == 200 && strings.HasPrefix(body, "broken: ")
@@ -228,7 +228,7 @@
 		Close:   func(code int, _ http.Header, body string) bool { return code == 200 && strings.Contains(body, "id: 3") },
 		Full:    func(code int, h http.Header, _ string) bool { return code == 503 && h.Get(wire.NotRun) != "" },
 	} {
-		w.Misbehave(f, 1)
+		w.InjectFault(f, 1)
 		if code, h, body := send(w, "POST", "/a/", "", attempt("a"), tokens, prefix); !isExpected(code, h, body) {
 			t.Errorf("fault %d: got status %d, headers %v, body %q", f, code, h, body)
 		}
--- a/proof/standin/soak/others.go
+++ b/proof/standin/soak/others.go
@@ -72,7 +72,7 @@
 	defer r.servers.Unlock()
 	old := r.server(rng)
 	r.Note("%s stops answering", old.ID)
-	old.Dark()
+	old.Hang()
 	r.Sleep(ctx, between(rng, time.Second, 4*time.Second))
 	r.Crash(ctx, old)
 	r.serve(old.Service, old.Zone, old.Phase, time.Second)
@@ -80,7 +80,7 @@
 
 func (r *run) misbehave(_ context.Context, rng *rand.Rand) {
 	for range 1 + rng.Intn(5) {
-		r.server(rng).Misbehave(server.Fault(1+rng.Intn(int(server.Early))), 1+rng.Intn(4))
+		r.server(rng).InjectFault(server.Fault(1+rng.Intn(int(server.Early))), 1+rng.Intn(4))
 	}
 }
 
@@ -88,9 +88,9 @@
 	r.servers.Lock() // the fleet can't see that a server ends while the list is down, so no server may end then
 	defer r.servers.Unlock()
 	r.Note("the list is down")
-	r.Cloud.Down(true)
+	r.Cloud.SetDown(true)
 	r.Sleep(ctx, between(rng, 300*time.Millisecond, 4*time.Second))
-	r.Cloud.Down(false)
+	r.Cloud.SetDown(false)
 }
 
 // change sends one configuration change.
@@ -114,7 +114,7 @@
 			break // the outcome is unknown: the core may be unavailable
 		}
 	}
-	r.Load.Menu(r.Menu(r.Op.Now().Routes))
+	r.Load.SetRequestKinds(r.Menu(r.Op.Now().Routes))
 }
 
 // race sends two changes of the same version at once. At most one may win; without answers
@@ -142,7 +142,7 @@
 	default:
 		r.Fail("two changes of one version at once got %d and %d", one, other)
 	}
-	r.Load.Menu(r.Menu(r.Op.Now().Routes))
+	r.Load.SetRequestKinds(r.Menu(r.Op.Now().Routes))
 }
 
 // nextChange returns a change that adds a route, removes another and moves a third one to
@@ -165,7 +165,7 @@
 		r.Load.Probe(ctx, d, added.Host, added.Start, added)
 		r.Load.Probe(ctx, d, added.Host, "/soak"+gone+"/", wire.Route{})
 	}
-	r.Load.Menu(r.Menu(r.Op.Now().Routes))
+	r.Load.SetRequestKinds(r.Menu(r.Op.Now().Routes))
 }
 
 // send sends a change of the current version. A change without a clear answer may have been
@@ -201,7 +201,7 @@
 func (r *run) invalid(ctx context.Context, rng *rand.Rand) {
 	r.orders.Lock()
 	defer r.orders.Unlock()
-	if c := r.Op.Bad(ctx, rng.Intn(operator.Kinds)); c.Status/100 == 2 {
+	if c := r.Op.PutInvalid(ctx, rng.Intn(operator.InvalidKinds)); c.Status/100 == 2 {
 		r.Fail("an invalid configuration was acknowledged")
 	}
 }
@@ -217,7 +217,7 @@
 	if r.Log.Count(func(*record.All) int { return int(e.Acked) }) > 0 {
 		r.Sleep(ctx, r.Bounds.Evacuate+between(rng, 0, 2*time.Second))
 	}
-	for !r.Op.Return(ctx, e) && ctx.Err() == nil {
+	for !r.Op.CancelEvacuation(ctx, e) && ctx.Err() == nil {
 		r.Note("the return of %s was not acknowledged", zone)
 	}
 }
@@ -228,9 +228,9 @@
 	defer r.list.Unlock()
 	fraction := 0.3 + 0.6*rng.Float64()
 	r.Note("%.0f%% of the answers to the operator are lost", 100*fraction)
-	r.Op.Lose(fraction, rng.Int63())
+	r.Op.SetLossRate(fraction, rng.Int63())
 	r.Sleep(ctx, between(rng, time.Second, 5*time.Second))
-	r.Op.Lose(0, 0)
+	r.Op.SetLossRate(0, 0)
 }
 
 func (r *run) clients(ctx context.Context, rng *rand.Rand) {
--- a/proof/standin/soak/soak.go
+++ b/proof/standin/soak/soak.go
@@ -137,8 +137,8 @@
 func (r *run) checkAfter(ctx context.Context) {
 	r.Note("all troubles are over")
 	bound := r.Bounds.Recovery + r.Bounds.InTouch
-	if !track.Until(ctx, bound, func() bool { return r.Entry.In() == len(r.Fleet.Machines()) }) {
-		r.Fail("only %d of %d machines are ready %v after the last trouble", r.Entry.In(), len(r.Fleet.Machines()), bound)
+	if !track.Until(ctx, bound, func() bool { return r.Entry.InRotation() == len(r.Fleet.Machines()) }) {
+		r.Fail("only %d of %d machines are ready %v after the last trouble", r.Entry.InRotation(), len(r.Fleet.Machines()), bound)
 		return
 	}
 	r.Note("all machines are ready")
--- a/proof/standin/wire/wire.go
+++ b/proof/standin/wire/wire.go
@@ -44,8 +44,8 @@
 
 // Phases of a server (prefill and decode) and its states on the list.
 const (
-	Reading  = "reading"
-	Writing  = "writing"
+	Prefill  = "reading"
+	Decode  = "writing"
 	Ready    = "ready"
 	Draining = "draining"
 )
@@ -208,10 +208,10 @@
 	Customers []Customer `json:"customers,omitempty"`
 }
 
-// Holder returns the name of the customer that has the API key.
+// CustomerByKey returns the name of the customer that has the API key.
 //
-// Example: name, ok := config.Holder("x42q492cqf75rjvz48wu")
-func (c Config) Holder(key string) (name string, ok bool) {
+// Example: name, ok := config.CustomerByKey("x42q492cqf75rjvz48wu")
+func (c Config) CustomerByKey(key string) (name string, ok bool) {
 	for _, customer := range c.Customers {
 		if slices.Contains(customer.Keys, key) {
 			return customer.Name, true
--- a/proof/track/drive.go
+++ b/proof/track/drive.go
@@ -127,8 +127,8 @@
 			c.Zones = append(c.Zones, fmt.Sprintf("zone-%c", 'a'+i))
 		}
 	}
-	if c.Most == 0 {
-		c.Most = 100000
+	if c.MaxRequests == 0 {
+		c.MaxRequests = 100000
 	}
 	if c.Timeout == 0 {
 		c.Timeout = 10 * time.Second
--- a/proof/track/format_test.go
+++ b/proof/track/format_test.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Old = buildNewerFormat(t)
+	f.OtherBuild = buildNewerFormat(t)
 	next := fleetconfig.NewestFormat() + 1
 	last := f.Daemons[len(f.Daemons)-1]
 
--- a/proof/track/proc.go
+++ b/proof/track/proc.go
@@ -30,7 +30,7 @@
 func (f *Fleet) Up(p *Proc) error {
 	bin := f.bin
 	if p.otherBuild {
-		bin = f.Old
+		bin = f.OtherBuild
 	}
 	return p.Run(filepath.Join(bin, p.bin), p.args, nil, filepath.Join(f.Dir, p.Name+".log"))
 }
--- a/proof/track/scenario.go
+++ b/proof/track/scenario.go
@@ -24,7 +24,7 @@
 	Load   load.Report
 	Notes  []string
 	Counts map[string]int64
-	Broken []judge.Break
+	Violations []judge.Break
 	Events int
 	Failed bool
 }
@@ -83,7 +83,7 @@
 	for _, line := range f.violations() {
 		r.Failf("%s", line)
 	}
-	r.Broken, r.Events = f.Judge()
+	r.Violations, r.Events = f.Judge()
 	return r
 }
 
--- a/proof/track/scene_daemon.go
+++ b/proof/track/scene_daemon.go
@@ -107,7 +107,7 @@
 	},
 	"roll": func(ctx context.Context, f *Fleet, r *Report) { f.rollingRestart(ctx, r, nil, "restarted") },
 	"versions": func(ctx context.Context, f *Fleet, r *Report) {
-		if f.Old == "" {
+		if f.OtherBuild == "" {
 			r.Failf("flag -old is required: a folder with another build's mulleinmast")
 			return
 		}
--- a/proof/track/scene_server.go
+++ b/proof/track/scene_server.go
@@ -70,7 +70,7 @@
 		}
 	},
 	"crowd": func(ctx context.Context, f *Fleet, r *Report) {
-		ev := f.Load(ctx, load.Config{Rate: 500, For: 5 * time.Second, Seed: 99, Timeout: 3 * time.Second, Swing: -1})
+		ev := f.Load(ctx, load.Config{Rate: 500, For: 5 * time.Second, Seed: 99, Timeout: 3 * time.Second, LongShare: -1})
 		report := load.Sum(ev)
 		for _, t := range load.Tenants {
 			r.Logf("crowd: %s served %.2f, median %v, 99th %v", t.Name, report.Served[t.Name], report.P50[t.Name].Round(time.Millisecond), report.P99[t.Name].Round(time.Millisecond))
@@ -82,7 +82,7 @@
 	},
 	"swing": func(ctx context.Context, f *Fleet, r *Report) {
 		for i, part := range []float64{1, 0, 1} {
-			ev := f.Load(ctx, load.Config{Rate: 420, For: 16 * time.Second, Seed: int64(50 + i), Timeout: 4 * time.Second, Swing: part})
+			ev := f.Load(ctx, load.Config{Rate: 420, For: 16 * time.Second, Seed: int64(50 + i), Timeout: 4 * time.Second, LongShare: part})
 			report := load.Sum(ev)
 			r.Logf("swing to long share %.0f: %v, median time to first piece %v, %d role shifts so far", part, report.Results, report.First.Round(time.Millisecond), f.CountLogLines("(shift)"))
 		}
--- a/proof/track/track_test.go
+++ b/proof/track/track_test.go
@@ -36,8 +36,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			rep := f.Play(context.Background(), Scenarios["calm"], load.Config{Rate: 40, For: 4 * time.Second, Seed: 7, Once: 0.3, Again: true, Swing: -1})
-			for _, b := range rep.Broken {
+			rep := f.Play(context.Background(), Scenarios["calm"], load.Config{Rate: 40, For: 4 * time.Second, Seed: 7, OnceKeyShare: 0.3, RepeatOnceKeys: true, LongShare: -1})
+			for _, b := range rep.Violations {
 				t.Error(b)
 			}
 			if rep.Load.Results["ok"] < rep.Load.All/2 || rep.Load.Results["duplicate"] == 0 {
@@ -79,8 +79,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			rep := f.Play(context.Background(), Scenarios[x.name], load.Config{Rate: 25, For: 8 * time.Second, Seed: 11, Once: 0.4, Again: true, Swing: -1})
-			for _, b := range rep.Broken {
+			rep := f.Play(context.Background(), Scenarios[x.name], load.Config{Rate: 25, For: 8 * time.Second, Seed: 11, OnceKeyShare: 0.4, RepeatOnceKeys: true, LongShare: -1})
+			for _, b := range rep.Violations {
 				t.Error(b)
 			}
 			for _, s := range rep.Notes {
--- a/traffic/gateway/gateway.go
+++ b/traffic/gateway/gateway.go
@@ -93,10 +93,10 @@
 	return s.StaleUntil(partition, fleetconfig.ZoneKey)
 }
 
-// Open returns the number of requests in flight.
+// InFlight returns the number of requests in flight.
 //
-// Example: for g.Open() > 0 { wait() }
-func (g *Gateway) Open() int64 { return g.inFlight.Load() }
+// Example: for g.InFlight() > 0 { wait() }
+func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
 // Run sends load reports and pins the records that the dispatchers read, until the
 // context ends.
--- a/traffic/gateway/gateway_test.go
+++ b/traffic/gateway/gateway_test.go
@@ -125,7 +125,7 @@
 	case <-time.After(20 * time.Second):
 		t.Fatalf("%s: the request does not end; calls %v, client received %v", path, f.calls, e.log)
 	}
-	if n := g.Open(); n != 0 {
+	if n := g.InFlight(); n != 0 {
 		t.Errorf("%d requests are open", n)
 	}
 	d.mu.Lock()
@@ -278,8 +278,8 @@
 	g.engines = f
 	e := &recordingClient{}
 	g.Serve(ctx, &Request{ID: "gone", Host: "h.example", Path: "/resume/", Header: http.Header{}}, e)
-	if len(f.calls) != 1 || !slices.Equal(e.log, []string{"break"}) || g.Open() != 0 {
-		t.Errorf("%v %v, %d open", f.calls, e.log, g.Open())
+	if len(f.calls) != 1 || !slices.Equal(e.log, []string{"break"}) || g.InFlight() != 0 {
+		t.Errorf("%v %v, %d open", f.calls, e.log, g.InFlight())
 	}
 	ctx, cut = context.WithCancel(context.Background())
 	f = &fakeEngines{prefill: func(int, forward.Decision) forward.Outcome { cut(); return forward.OK }, decode: scriptedOutcomes(events(1, 2, nil))}
--- a/traffic/nativeapi/nativeapi.go
+++ b/traffic/nativeapi/nativeapi.go
@@ -56,10 +56,10 @@
 	return a
 }
 
-// Open returns the number of unfinished requests.
+// InFlight returns the number of unfinished requests.
 //
-// Example: for api.Open() > 0 { wait() }
-func (a *API) Open() int64 { return a.inFlight.Load() }
+// Example: for api.InFlight() > 0 { wait() }
+func (a *API) InFlight() int64 { return a.inFlight.Load() }
 
 // Config derives a dispatcher's limits and timeouts from the daemon's config.
 //
