--- a/proof/fakeserver/fakeserver.go
+++ b/proof/fakeserver/fakeserver.go
@@ -20,16 +20,16 @@
 
 // Config configures a fake server.
 type Config struct {
-	Addr     string
-	Zone     string
-	Capacity int
-	PrefillTimePerChar     time.Duration // prefill time per uncached character
-	DecodeTimePerPiece    time.Duration // decode time per piece
+	Addr               string
+	Zone               string
+	Capacity           int
+	PrefillTimePerChar time.Duration // prefill time per uncached character
+	DecodeTimePerPiece time.Duration // decode time per piece
 	HandleLifetime     time.Duration // lifetime of a handle
-	TransferTime     time.Duration // time to transfer a KV cache from another server
-	Prefixes int           // capacity of the prefix cache
-	Warm     time.Duration // warm-up time after the start
-	Naive    bool          // decode with any KV cache that a handle refers to, without checking its request
+	TransferTime       time.Duration // time to transfer a KV cache from another server
+	Prefixes           int           // capacity of the prefix cache
+	Warm               time.Duration // warm-up time after the start
+	Naive              bool          // decode with any KV cache that a handle refers to, without checking its request
 }
 
 // Fault is the misbehavior that a test switches on.
--- a/proof/hollow/spec.go
+++ b/proof/hollow/spec.go
@@ -16,24 +16,24 @@
 
 // Options are the sizes of a hollow fleet.
 type Options struct {
-	Daemons int // fronts and control daemons together
-	Core    int // control daemons (those with a disk) among them
-	Zones   int
-	Regions int
-	Servers int
-	Ramp    int // servers listed per step; 0: all at once
-	Models  int
-	Tenants int
-	Routes  int
-	PrefillShare float64       // fraction of the servers that prefill
-	Apply   time.Duration // bound for a change to take effect on all daemons
-	Losses  int           // simultaneous machine failures to survive
-	Port    int           // of all daemons; each has its own address
-	Dir     string        // data folder of the control daemons
-	Far     time.Duration // one-way latency between regions; 0: none
+	Daemons           int // fronts and control daemons together
+	Core              int // control daemons (those with a disk) among them
+	Zones             int
+	Regions           int
+	Servers           int
+	Ramp              int // servers listed per step; 0: all at once
+	Models            int
+	Tenants           int
+	Routes            int
+	PrefillShare      float64       // fraction of the servers that prefill
+	Apply             time.Duration // bound for a change to take effect on all daemons
+	Losses            int           // simultaneous machine failures to survive
+	Port              int           // of all daemons; each has its own address
+	Dir               string        // data folder of the control daemons
+	Far               time.Duration // one-way latency between regions; 0: none
 	DedicatedFronts   int           // fronts with their own process, besides the control daemons
-	DaemonsPerProcess  int           // maximum number of daemons per shared process
-	Program string        // executable of worker processes; empty: all daemons run in this process
+	DaemonsPerProcess int           // maximum number of daemons per shared process
+	Program           string        // executable of worker processes; empty: all daemons run in this process
 }
 
 // Default returns the options of a fleet with the given numbers of daemons and servers.
--- a/proof/load/load.go
+++ b/proof/load/load.go
@@ -26,16 +26,16 @@
 	Targets []string
 	Zones   []string // of the clients
 	// Pick returns the daemon for a client of a zone. If nil, a random one of Targets is used.
-	Pick    func(zone string, dice int) string
-	Mix     string  // rangsit or pat
-	Rate    float64 // requests per second
-	For     time.Duration
+	Pick           func(zone string, dice int) string
+	Mix            string  // rangsit or pat
+	Rate           float64 // requests per second
+	For            time.Duration
 	MaxRequests    int // maximum number of requests
-	Seed    int64
-	Timeout time.Duration
-	OnceKeyShare    float64 // fraction of the requests with a once key
-	RepeatOnceKeys   bool    // send each request with a once key a second time, to another daemon
-	LongShare   float64 // fraction of the first kind of the mix; negative: as in the mix
+	Seed           int64
+	Timeout        time.Duration
+	OnceKeyShare   float64 // fraction of the requests with a once key
+	RepeatOnceKeys bool    // send each request with a once key a second time, to another daemon
+	LongShare      float64 // fraction of the first kind of the mix; negative: as in the mix
 }
 
 // Mixes are the request mixes of the deployments.
--- a/proof/standin/client/load.go
+++ b/proof/standin/client/load.go
@@ -17,13 +17,13 @@
 
 // Config configures the clients of a Load.
 type Config struct {
-	Rate    float64 // requests a second
-	Retries int     // retries after the first try
-	PersistentClients  int     // clients that reuse their connections
-	Zones   []string
-	Seed    int64
-	Name    string   // prefix of client names and attempt ids
-	Keys    []string // tenants' API keys, assigned to the clients round-robin; empty: clients send no key
+	Rate              float64 // requests a second
+	Retries           int     // retries after the first try
+	PersistentClients int     // clients that reuse their connections
+	Zones             []string
+	Seed              int64
+	Name              string   // prefix of client names and attempt ids
+	Keys              []string // tenants' API keys, assigned to the clients round-robin; empty: clients send no key
 }
 
 // Load generates requests from many clients.
@@ -38,14 +38,14 @@
 
 // New returns a load generator whose clients connect through the given load balancer.
 //
-// Example: l := client.New(cfg, log, door); l.Menu(asks); l.Run(ctx)
+// Example: l := client.New(cfg, log, door); l.SetRequestKinds(kinds); l.Run(ctx)
 func New(c Config, log *record.Log, balancer *entry.Balancer) *Load {
 	return &Load{Config: c, log: log, balancer: balancer}
 }
 
 // SetRequestKinds sets the kinds of requests that clients send from now on.
 //
-// Example: l.SetRequestKinds([]client.Ask{{Route: r, Weight: 1}})
+// Example: l.SetRequestKinds([]client.RequestKind{{Route: r, Weight: 1}})
 func (l *Load) SetRequestKinds(kinds []RequestKind) { l.requestKinds.Store(&kinds) }
 
 // client is one simulated client.
--- a/proof/standin/entry/entry.go
+++ b/proof/standin/entry/entry.go
@@ -16,7 +16,7 @@
 // Daemon describes a daemon to the load balancer and the operator.
 type Daemon struct {
 	Name, Zone               string
-	Public, Readiness, Admin string // addresses; Steer serves the operator's calls
+	Public, Readiness, Admin string // addresses; Admin serves the operator's calls
 	Life                     int    // number of times its process was started
 }
 
--- a/proof/standin/operator/operator.go
+++ b/proof/standin/operator/operator.go
@@ -203,9 +203,9 @@
 }
 
 // PutInvalid sends an invalid configuration with an extra route, so that applying it would be
-// visible. The fault is selected by kind, from 0 to Kinds-1.
+// visible. The fault is selected by kind, from 0 to InvalidKinds-1.
 //
-// Example: for kind := range operator.Kinds { o.PutInvalid(ctx, kind) }
+// Example: for kind := range operator.InvalidKinds { o.PutInvalid(ctx, kind) }
 func (o *Operator) PutInvalid(ctx context.Context, kind int) *record.Change {
 	c := o.Now()
 	base := c.Version
@@ -235,7 +235,7 @@
 	return o.send(ctx, http.MethodPut, mustMarshal(c), c, base, false)
 }
 
-// InvalidKinds is the number of invalid configurations that Bad can send.
+// InvalidKinds is the number of invalid configurations that PutInvalid can send.
 const InvalidKinds = 6
 
 // Repeat sends an earlier call unchanged to each daemon in turn and returns the
--- a/proof/standin/record/record.go
+++ b/proof/standin/record/record.go
@@ -15,36 +15,36 @@
 
 // Try is one attempt by a client: one request to a daemon.
 type Try struct {
-	ID       string
-	Client   string
-	Daemon   string // name of the daemon
-	Life     int    // start count of the daemon's process
-	Host     string
-	Target   string // path and query
-	Method   string
-	Body     uint64 // digest of the body
-	Route    string // name of the route that should match; empty: no route should
-	Probe    bool   // sent directly to a daemon, not through the load balancer
-	Resume   int    // id of the event after which to resume
-	Sent     time.Duration
-	SentFully    time.Duration // when the last byte was sent; 0: not sent completely
-	End      time.Duration
-	Deadline time.Duration
-	Status   int    // 0: no answer
-	Seal     string // seal header of the answer
-	Coded    bool   // the answer has a Content-Encoding
-	Echo     string // attempt id in the answer
-	RetryIn  float64
-	Complete bool          // the answer was received to its end
-	Length   int           // of the answer's body
-	Digest   uint64        // of the answer's body
-	Pieces   []Piece       // events of a streaming answer
-	Last     bool          // the final event was received
-	Fault    string        // protocol error in the received bytes
-	GaveUp   bool          // the client gave up or closed the connection
-	ClosedAt     time.Duration // when the client closed its connection early; 0: it did not
-	Prompt   string        // model, token counts and prompt parts as sent
-	Key      string        // API key sent by the client; empty: none
+	ID        string
+	Client    string
+	Daemon    string // name of the daemon
+	Life      int    // start count of the daemon's process
+	Host      string
+	Target    string // path and query
+	Method    string
+	Body      uint64 // digest of the body
+	Route     string // name of the route that should match; empty: no route should
+	Probe     bool   // sent directly to a daemon, not through the load balancer
+	Resume    int    // id of the event after which to resume
+	Sent      time.Duration
+	SentFully time.Duration // when the last byte was sent; 0: not sent completely
+	End       time.Duration
+	Deadline  time.Duration
+	Status    int    // 0: no answer
+	Seal      string // seal header of the answer
+	Coded     bool   // the answer has a Content-Encoding
+	Echo      string // attempt id in the answer
+	RetryIn   float64
+	Complete  bool          // the answer was received to its end
+	Length    int           // of the answer's body
+	Digest    uint64        // of the answer's body
+	Pieces    []Piece       // events of a streaming answer
+	Last      bool          // the final event was received
+	Fault     string        // protocol error in the received bytes
+	GaveUp    bool          // the client gave up or closed the connection
+	ClosedAt  time.Duration // when the client closed its connection early; 0: it did not
+	Prompt    string        // model, token counts and prompt parts as sent
+	Key       string        // API key sent by the client; empty: none
 }
 
 // Promised reports whether the answer guarantees that the request has not run.
@@ -61,45 +61,45 @@
 
 // Outcomes of an arrival.
 const (
-	Open   = ""       // no outcome yet
-	Ran    = "ran"    // the request was run
+	Open        = ""       // no outcome yet
+	Ran         = "ran"    // the request was run
 	Prefilled   = "read"   // the prompt was prefilled
-	Refused   = "away"   // the request was refused
-	Misdirected  = "421"    // misdirected: addressed to another server or phase
-	Probed = "probed" // a health check or report call, not a request
+	Refused     = "away"   // the request was refused
+	Misdirected = "421"    // misdirected: addressed to another server or phase
+	Probed      = "probed" // a health check or report call, not a request
 )
 
 // Arrival is one request as received by a server.
 type Arrival struct {
-	At       time.Duration
-	Server   string // id of the server
-	Service  string
-	Zone     string
-	Attempt  string
-	Host     string
-	Target   string
-	Method   string
-	Body     uint64
-	Reading  bool
-	After    int    // id of the event after which to resume
-	Memory   string // KV handle in the request, as ADDRESS/ID
-	HandleOf string // attempt id for which the handle was created
-	Out      string
-	Why      string
-	Run      string
-	Seal     string
-	Status   int
-	End      time.Duration
-	Complete    bool // the server wrote the complete answer
-	FaultInjected    bool // the server deliberately broke the answer
-	Length   int
-	Digest   uint64
-	Pieces   []Piece
-	Last     bool
-	ClientID string // used in messages
-	Prompt   string // model, token counts and prompt parts as received
-	Tenant   string // tenant header received by the server
-	Key      string // API key of the client; servers should never receive one
+	At            time.Duration
+	Server        string // id of the server
+	Service       string
+	Zone          string
+	Attempt       string
+	Host          string
+	Target        string
+	Method        string
+	Body          uint64
+	Reading       bool
+	After         int    // id of the event after which to resume
+	Memory        string // KV handle in the request, as ADDRESS/ID
+	HandleOf      string // attempt id for which the handle was created
+	Out           string
+	Why           string
+	Run           string
+	Seal          string
+	Status        int
+	End           time.Duration
+	Complete      bool // the server wrote the complete answer
+	FaultInjected bool // the server deliberately broke the answer
+	Length        int
+	Digest        uint64
+	Pieces        []Piece
+	Last          bool
+	ClientID      string // used in messages
+	Prompt        string // model, token counts and prompt parts as received
+	Tenant        string // tenant header received by the server
+	Key           string // API key of the client; servers should never receive one
 }
 
 // Life is the lifetime of one server process.
--- a/proof/standin/scene/world.go
+++ b/proof/standin/scene/world.go
@@ -157,7 +157,7 @@
 
 // Serve starts another server and adds it to the list.
 //
-// Example: s, err := w.Serve("gen", "north", wire.Writing, 2*time.Second)
+// Example: s, err := w.Serve("gen", "north", wire.Decode, 2*time.Second)
 func (w *World) Serve(svc, zone, phase string, cold time.Duration) (*server.Server, error) {
 	w.mu.Lock()
 	w.born++
@@ -191,7 +191,7 @@
 
 // Servers returns the running servers of a service, or all if the service is empty.
 //
-// Example: for _, s := range w.Servers("gen") { s.Misbehave(server.Break, 2) }
+// Example: for _, s := range w.Servers("gen") { s.InjectFault(server.Break, 2) }
 func (w *World) Servers(svc string) (out []*server.Server) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -289,7 +289,7 @@
 
 // Menu returns the requests that clients send for routes.
 //
-// Example: w.Load.Menu(w.Menu(routes))
+// Example: w.Load.SetRequestKinds(w.Menu(routes))
 func (w *World) Menu(routes []wire.Route) (out []client.RequestKind) {
 	for _, r := range routes {
 		a := client.RequestKind{Route: r, Weight: 2, Path: "x"}
--- a/proof/standin/server/server.go
+++ b/proof/standin/server/server.go
@@ -30,7 +30,7 @@
 	ID, Service, Zone, Address string
 	Phase                      string // empty: the service does not separate prefill and decode
 	Slots, Queue               int
-	PrefillRate                       float64 // prompt tokens per millisecond in the prefill phase
+	PrefillRate                float64 // prompt tokens per millisecond in the prefill phase
 	Step                       time.Duration
 	Work                       time.Duration // time for a request that is not a stream
 	Memory, TokenBytes         int
--- a/proof/standin/wire/wire.go
+++ b/proof/standin/wire/wire.go
@@ -45,7 +45,7 @@
 // Phases of a server (prefill and decode) and its states on the list.
 const (
 	Prefill  = "reading"
-	Decode  = "writing"
+	Decode   = "writing"
 	Ready    = "ready"
 	Draining = "draining"
 )
--- a/proof/track/scenario.go
+++ b/proof/track/scenario.go
@@ -21,12 +21,12 @@
 
 // Report is the result of a scenario.
 type Report struct {
-	Load   load.Report
-	Notes  []string
-	Counts map[string]int64
+	Load       load.Report
+	Notes      []string
+	Counts     map[string]int64
 	Violations []judge.Break
-	Events int
-	Failed bool
+	Events     int
+	Failed     bool
 }
 
 // Logf records an observation.
--- a/proof/track/track.go
+++ b/proof/track/track.go
@@ -51,7 +51,7 @@
 	bin         string
 	client      *http.Client
 	Platform    *platform.Platform
-	OtherBuild         string // folder with the programs of another build, for the scenario "versions"
+	OtherBuild  string // folder with the programs of another build, for the scenario "versions"
 	loads       int    // load runs started
 	mu          sync.Mutex
 	histories   []string // paths
--- a/traffic/attempt/attempt.go
+++ b/traffic/attempt/attempt.go
@@ -128,7 +128,7 @@
 }
 
 // Next derives the next move. isRetry reports whether the move must take a retry from the
-// bucket; if the bucket has none left, End returns the final move instead.
+// bucket; if the bucket has none left, FinalMove returns the final move instead.
 //
 // Example: move, isRetry := l.Next()
 func (l Ledger) Next() (m Move, isRetry bool) {
