--- a/control/leader/call.go
+++ b/control/leader/call.go
@@ -25,8 +25,8 @@
 	Addr  string `json:"addr"`  // IP address and port of the daemon that takes it over
 }
 
-// ClaimCall is the body of leadercall.OpClaim and leadercall.OpRelease: it claims a once key,
-// or reports the end of the request that claimed it.
+// ClaimCall is the body of leadercall.OpClaim, which claims a once key for a request, and of
+// leadercall.OpRelease, which reports that this request has ended.
 type ClaimCall struct {
 	Key   string           `json:"Key"` // tenant and key; see OnceKey
 	Claim leadercall.Claim `json:"Claim"`
@@ -84,7 +84,7 @@
 			events = append(events, event)
 		}
 	})
-	out.Events = append(out.Events, events...) // of a write that completed within this step
+	out.Events = append(out.Events, events...) // events of writes that completed within this step
 	return out
 }
 
@@ -141,7 +141,7 @@
 // callRequest is one attempt of a call, with what its handlers need.
 type callRequest struct {
 	id    string          // identifies the call across all its attempts; "" if the daemon's build doesn't number calls
-	basis message.Version // version a leader returned to the caller; zero if the daemon's build doesn't support it
+	basis message.Version // the basis that the attempt carries; see message.Call
 	// orders holds the recent orders of the current leadership; used only if id is set.
 	orders         *recentOrders
 	readableFormat func() int // see Config.ReadableFormat
--- a/control/leader/configcalls.go
+++ b/control/leader/configcalls.go
@@ -42,7 +42,8 @@
 	return value, nil
 }
 
-// planJob decides on a proposal, which is accepted only if all daemons can read the resulting plan.
+// planJob returns the write that decides on a proposal. A proposal is accepted only if all daemons can read the
+// resulting plan.
 func (r callRequest) planJob(proposal fleetconfig.Proposal) partition.Job {
 	build := func(read lease.RecordSource) ([]message.Record, any) {
 		unreadable := ""
@@ -96,8 +97,8 @@
 	return r.deduplicate(op+"/"+zone, partition.Job{Keys: []string{fleetconfig.ZoneKey}, Build: build})
 }
 
-// handleReplica replaces one of the replicas that an operator requested. If the outgoing replica isn't among
-// those requested before, but is in the current group, the change starts from the current group.
+// handleReplica replaces one replica in the list of replicas that an operator requested. If the outgoing replica
+// is in the current group but not in that list, the call changes a copy of the current group instead.
 func (r callRequest) handleReplica(body []byte) (partition.Job, error) {
 	in, err := decodeBody[ReplicaCall](body)
 	if err != nil {
--- a/control/leader/demand.go
+++ b/control/leader/demand.go
@@ -18,7 +18,7 @@
 	return n.epoch > other.epoch || n.epoch == other.epoch && n.call > other.call
 }
 
-// handleDemand returns a daemon's share of the slots. Shares are kept in memory only.
+// handleDemand answers a demand with the daemon's share of the slots. Shares are kept in memory only.
 func (c *Controller) handleDemand(now time.Duration, from message.Sender, call message.Call) {
 	var demand placement.Demand
 	if err := json.Unmarshal(call.Body, &demand); err != nil {
@@ -34,14 +34,14 @@
 	c.respond(from, call, answer{status: http.StatusOK, body: leadercall.MustMarshal(share)})
 }
 
-// canGrantShares reports whether shares may be granted: an earlier leader's shares may remain valid
-// until this leader may write.
+// canGrantShares reports whether this leader may grant shares. It must not do so before it may write,
+// since an earlier leader's shares may be valid until then.
 func (c *Controller) canGrantShares(now time.Duration) bool {
 	return c.partition.IsLeader(now) && c.placement != nil && now >= c.partition.WritesFrom()
 }
 
-// isOutdated reports whether a later demand of the same daemon arrived before this
-// one, so that its count of requests in flight is out of date.
+// isOutdated reports whether a later demand of the same daemon arrived before this call. The
+// call's count of requests in flight is then out of date.
 func (c *Controller) isOutdated(from message.Sender, call message.Call, service string) bool {
 	if call.CallID == 0 { // a build that doesn't number its calls
 		return false
--- a/control/leader/leader.go
+++ b/control/leader/leader.go
@@ -21,7 +21,7 @@
 	OnceKeyRetention time.Duration // a once key's record is kept at least this long after its last write
 	RepeatWindow     time.Duration // for how long a caller may resend an operator's order as a new call
 	// ReadableFormat returns the newest plan format that all daemons of the fleet can read, or 0 if it isn't known.
-	// If it is nil, no plan is refused for the format that it needs.
+	// If ReadableFormat is nil, no plan is refused because of its format.
 	ReadableFormat func() int
 }
 
@@ -38,7 +38,7 @@
 // Controller is the state machine of one partition on one daemon. It is not safe for concurrent use.
 type Controller struct {
 	cfg             Config
-	partitionNumber int // of the partition
+	partitionNumber int
 	self            message.Replica
 	partition       *partition.Partition
 	plans           fleetconfig.PlanReader
@@ -49,7 +49,7 @@
 	callResults []message.Envelope                // of the current step; finishStep sends them
 
 	// State of the current leadership.
-	placement       *placement.Controller // nil until the first Reconcile of a leadership, and once it is lost
+	placement       *placement.Controller // nil before the first Reconcile of a leadership, and after the leadership is lost
 	orders          recentOrders
 	demands         map[string]demandNumber // each daemon's last demand for a service, by "service/daemon"
 	writtenVersions writtenVersions
@@ -140,7 +140,7 @@
 	return c.finishStep(c.partition.Pin(now, key))
 }
 
-// Unpin lets a record that Pin kept leave the cache.
+// Unpin reverses Pin: the record may be removed from the cache.
 //
 // Example: c.Unpin("server/of/yesterday")
 func (c *Controller) Unpin(key string) { c.partition.Unpin(key) }
--- a/control/leader/orders_test.go
+++ b/control/leader/orders_test.go
@@ -51,7 +51,7 @@
 	return l.answers[0].AsCallResult()
 }
 
-// unknownBasis is the basis of a call that no leader has returned one to yet.
+// unknownBasis is the basis that an attempt carries before a leader has returned one to its call.
 var unknownBasis = message.Version{Seq: 1 << 60}
 
 // sendOrder sends a call, repeats it if its basis doesn't match, and returns the status of the answer.
@@ -64,9 +64,9 @@
 	return result.Status
 }
 
-// An order that was accepted, then undone, and is resent as another call gets an unclear
-// answer for as long as it may be a late repeat, even after a leader change. After that
-// it is executed as a new order.
+// An order was accepted and then undone. If it is resent as another call, its result is
+// unclear as long as it may be a late repeat, even after a leader change. Once it can't be
+// a late repeat, it is executed as a new order.
 func TestUndoneOrderIsNotRepeatedWithinWindow(t *testing.T) {
 	for _, test := range []struct{ first, undo string }{{"evacuate", "return"}, {"return", "evacuate"}} {
 		for _, leaderChanges := range []bool{false, true} {
--- a/control/leader/reconcile.go
+++ b/control/leader/reconcile.go
@@ -60,7 +60,7 @@
 
 // reconcileServers runs a round of placement and starts the writes that it requests.
 func (c *Controller) reconcileServers(now time.Duration, out *Out) {
-	controller := c.placement // a write may end the leadership
+	controller := c.placement // kept in a variable, since a write may end the leadership and reset c.placement
 	step := controller.Reconcile(now)
 	for _, note := range step.Notes {
 		out.log("servers", "%s", note)
@@ -111,12 +111,12 @@
 // add adds a record of the service; an unreadable record is treated as absent.
 func (s *committedService) add(kind, key string, r message.Record) {
 	if kind == kindList {
-		if list, err := fleetconfig.ReadList(r); err == nil { // otherwise the next list from its source replaces it
+		if list, err := fleetconfig.ReadList(r); err == nil { // the source's next list replaces an unreadable one
 			s.list, s.hasList = list, true
 		}
 		return
 	}
-	if record, ok, err := placement.ReadServerRecord(r); ok && err == nil { // otherwise it is created again
+	if record, ok, err := placement.ReadServerRecord(r); ok && err == nil { // an unreadable record is created again
 		s.records[key] = record
 	}
 }
@@ -152,7 +152,8 @@
 	return c.partition.Replica.Term()
 }
 
-// MayOrder reports whether this daemon still leads in a term; it is checked immediately before an order is sent.
+// MayOrder reports whether this daemon still leads in a term. The caller checks this immediately before it sends an
+// order.
 //
 // Example: if c.MayOrder(now, order.Term) { send(order) }
 func (c *Controller) MayOrder(now time.Duration, term uint64) bool {
@@ -216,7 +217,7 @@
 	return oldest.version, true
 }
 
-// advanceOnceKeyFloor makes the replicas drop once keys that were last written before the retention period.
+// advanceOnceKeyFloor makes the replicas drop once keys whose last write is older than the retention period.
 func (c *Controller) advanceOnceKeyFloor(now time.Duration, out *Out) {
 	keep := c.cfg.OnceKeyRetention
 	c.writtenVersions.sample(now, keep/8, c.partition.Replica.LastWritten())
--- a/control/leader/repeats.go
+++ b/control/leader/repeats.go
@@ -13,19 +13,19 @@
 
 // A call may reach its leader, or a later leader, more than once: it is retried if
 // it gets no answer, and an attempt may be delayed in the network. Plans are ordered
-// by their base, lists by their version, claims by their request. Calls without such
-// an order (starting and ending an evacuation, replica changes, lists without a
+// by their base, lists by their version, claims by their request. Calls that have no
+// such sequence (starting and ending an evacuation, replica changes, lists without a
 // version) are protected against duplicate execution in three ways.
-//   - Each call has one number for all its attempts: the partition keeps the most
-//     recent calls, with their responses, in a record that is written together with
-//     their changes.
+//   - All attempts of a call have the same number. The partition keeps the most recent
+//     calls, with their responses, in a record that is written together with the
+//     changes that the calls make.
 //   - An attempt is executed only if its record still has the version (the attempt's
-//     basis) that the leader returned to the same call while its caller was waiting:
-//     an attempt that was delayed while other calls changed the record does nothing.
-//   - The caller itself may resend an order, as another call, for a bounded time. An
-//     order that was accepted and has since been undone by another one is refused
-//     until that time has passed, because until then a late repeat can't be told from
-//     a new order.
+//     basis) that the leader returned to the same call while its caller was waiting.
+//     An attempt that was delayed while other calls changed the record does nothing.
+//   - An operator's order may be resent as a new call for a limited time
+//     (Config.RepeatWindow). If an order was accepted and another order has undone it,
+//     the leader refuses the first order until this time has passed: it can't
+//     distinguish a late repeat from a new order.
 
 const (
 	pastCallsKey  = "calls/done"
@@ -93,8 +93,8 @@
 	return past
 }
 
-// deduplicate wraps a job so that its call is executed only once, as described above. order identifies the
-// order if the caller may resend it as another call, and is "" otherwise.
+// deduplicate wraps a job so that its call is executed only once, as described at the top of this file. order
+// identifies an operator's order that the caller may resend as another call; it is "" for other calls.
 func (r callRequest) deduplicate(order string, job partition.Job) partition.Job {
 	if r.id == "" {
 		return job
--- a/control/leader/replicas.go
+++ b/control/leader/replicas.go
@@ -19,7 +19,7 @@
 // reconcileReplicas keeps learners on the control daemons without a replica, and changes the group one
 // replica at a time: a replica whose daemon is lost or terminating is replaced by a learner that has caught
 // up. Each partition manages its own group. Treating a running daemon as lost is safe, since a change
-// requires both majorities and a complete copy; its only cost is the transfer of a copy.
+// requires majorities of the old and the new group and a complete copy; the only cost is the transfer of a copy.
 func (c *Controller) reconcileReplicas(now time.Duration, view ClusterView, out *Out) {
 	group := c.partition.Replica.Group()
 	c.logGroup(group, out)
@@ -120,7 +120,8 @@
 }
 
 // isMissingWhileAnotherTerminates reports whether a replica misses heartbeats while another replica's daemon is
-// terminating. Two replicas would soon be away, and the terminating daemon's disk is intact.
+// terminating. The silent replica is then replaced first: otherwise two replicas would soon be away, and the
+// terminating daemon's disk is intact.
 func (c replicaChoice) isMissingWhileAnotherTerminates(replica message.Replica) bool {
 	return c.health.MissedHeartbeats(c.now, replica.Ident) && c.isAnotherTerminating(replica)
 }
@@ -132,7 +133,7 @@
 }
 
 // isTerminating reports whether a replica's daemon is terminating and may leave. While another replica may be
-// lost, learners are kept for that one, since its disk won't come back.
+// lost, learners are reserved to replace that replica, since its disk won't come back.
 func (c replicaChoice) isTerminating(replica message.Replica) bool {
 	return c.health.IsTerminating(replica.Ident) && c.health.MayLeave(c.now, replica.Ident)
 }
--- a/control/leader/servicecalls.go
+++ b/control/leader/servicecalls.go
@@ -19,7 +19,8 @@
 // Example: leader.OnceKey("express/k-17") == "once/express/k-17"
 func OnceKey(key string) string { return kindOnceKey + "/" + key }
 
-// handleServers stores a list of servers. Lists without a version have no order, so each call is executed only once.
+// handleServers stores a list of servers. Lists without a version have no sequence, so a call with such a list is
+// executed only once.
 func (r callRequest) handleServers(body []byte) (partition.Job, error) {
 	in, err := decodeBody[ServersCall](body)
 	if err != nil {
@@ -136,7 +137,7 @@
 	return &claim, responseDone
 }
 
-// release records the end of a request: the one that holds the key, or one whose claim may still arrive.
+// release records the end of a request. Either the request holds the key, or its claim may still arrive.
 func (k onceKey) release(ended leadercall.Claim) (*leadercall.Claim, leadercall.Response) {
 	if !k.exists || k.claim.Request == ended.Request {
 		ended.Past = k.claim.Past
