--- a/control/placement/balance.go
+++ b/control/placement/balance.go
@@ -6,10 +6,10 @@
 // average pressure on their servers; see Pressure.
 const (
 	highPressure      = 0.5     // a side at or above this pressure needs another server
-	lowPressure       = 0.4     // the other side can spare one if its pressure with one server less is at most this
-	maxPressureRatio  = 0.8     // and at most this fraction of the pressed side's pressure
+	lowPressure       = 0.4     // the other side can spare a server if its pressure with one server less is at most this
+	maxPressureRatio  = 0.8     // and is also at most this fraction of the pressure on the side that needs the server
 	pressureWeight    = 1.0 / 8 // weight of a new value in the moving average of a server's pressure
-	ignoredSwapBounds = 4       // an order that the list contradicts is repeated after so many swap bounds
+	ignoredSwapBounds = 4       // an order that the list contradicts is repeated after this many swap bounds
 )
 
 // hasListedRoles reports whether the platform lists the roles of the service's servers.
@@ -61,8 +61,8 @@
 	return role
 }
 
-// repeatIgnoredOrder repeats an order if the platform's list keeps naming another role than the server's record. It
-// waits for ignoredSwapBounds first, since requests in flight at the server may delay the shift.
+// repeatIgnoredOrder repeats an order if the platform's list has named a role other than the one in the server's
+// record for ignoredSwapBounds. Until then, requests in flight at the server may be delaying the shift.
 func (r *round) repeatIgnoredOrder(key string, s *server) {
 	if s.listing.role == s.Role || s.isLeaving() {
 		s.listing.mismatchSince = 0
@@ -122,8 +122,8 @@
 }
 
 // balanceListed shifts a server of a listed service to a side that has none left, or from
-// a side with low pressure to one under sustained high pressure. In the latter case it never takes
-// a side's last server or goes below the plan's minimum.
+// a side with low pressure to a side under sustained high pressure. A shift because of pressure never
+// takes a side's last server and never goes below the plan's minimum.
 func (r *round) balanceListed() {
 	if r.Pressure == nil || !r.hasListedRoles() {
 		return
--- a/control/placement/balance_test.go
+++ b/control/placement/balance_test.go
@@ -312,7 +312,7 @@
 			break
 		}
 	}
-	if fleet.countInUse(Prefill)+fleet.countInUse(Decode) != 5 { // until then the server is used in neither role
+	if fleet.countInUse(Prefill)+fleet.countInUse(Decode) != 5 { // while its order is ignored, the sixth server is used in neither role
 		t.Errorf("%d prefill servers, %d decode servers in use", fleet.countInUse(Prefill), fleet.countInUse(Decode))
 	}
 	fleet.ignoresOrders, fleet.pressure = false, map[string]Pressure{}
--- a/control/placement/placement_test.go
+++ b/control/placement/placement_test.go
@@ -275,8 +275,8 @@
 	}
 }
 
-// A server that doesn't report its uptime is used as well, and is ordered to play its
-// role again when it is no longer dark.
+// A server that doesn't report its uptime is used like any other. After it was dark, it is
+// ordered to play its role again.
 func TestServersWithoutUptimeAreUsed(t *testing.T) {
 	c, list := newPolledFleet(2)
 	serverRecords := map[string]ServerRecord{}
--- a/control/placement/roles.go
+++ b/control/placement/roles.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// mayOrder reports whether the controller may issue orders: until the swap bound has passed, actions of an older
-// controller may still be in progress.
+// mayOrder reports whether the controller may issue orders yet. It may not until the swap bound has passed, since
+// actions of an older controller may still be in progress.
 func (c *Controller) mayOrder(now time.Duration) bool { return now-c.since >= c.cfg.SwapBound }
 
 // issueOrder orders a server to play a role, unless an order is pending, the last one was less than a poll interval
--- a/control/placement/shares.go
+++ b/control/placement/shares.go
@@ -18,7 +18,7 @@
 // grant is a share that was granted to a daemon.
 type grant struct {
 	number  uint64        // see Share.Number
-	expires time.Duration // by this clock, counted from the grant; the daemon counts from its request
+	expires time.Duration // by the controller's clock, from the grant; the daemon counts from sending its demand
 	slots   map[string]int
 }
 
@@ -96,9 +96,9 @@
 		s.observed.known && !s.restarted && !c.isDark(s)
 }
 
-// HandleDemand handles a daemon's demand and returns its share: the slots left to it by more
-// urgent demand across the fleet, and never more than are free. leaseLeft is the remaining time of the
-// leader lease, which the share doesn't outlive.
+// HandleDemand handles a daemon's demand and returns its share: the slots that more urgent demand
+// across the fleet leaves to the daemon, and never more than are free. leaseLeft is the remaining time
+// of the leader lease; the share expires no later than this lease.
 //
 // Example: share := c.HandleDemand(now, ident, demand, leaseLeft)
 func (c *Controller) HandleDemand(now time.Duration, ident string, demand Demand, leaseLeft time.Duration) Share {
@@ -124,7 +124,8 @@
 	return share
 }
 
-// countFailures counts failed calls that a daemon reports like failed polls, and makes the next poll due immediately.
+// countFailures counts one failed poll for each server at which a daemon reports failed calls, and makes the server's
+// next poll due immediately. It skips servers that were polled within the last eighth of a poll interval.
 func (c *Controller) countFailures(now time.Duration, demand Demand) {
 	for addr := range demand.Failures {
 		s := c.servers[fleetconfig.ServerRecordKey(demand.Service, addr)]
--- a/control/placement/shift.go
+++ b/control/placement/shift.go
@@ -12,7 +12,7 @@
 	vacant  bool // no server plays the role
 }
 
-// shortageDuration returns how long a side has been short, counted from the first call for that side.
+// shortageDuration returns how long a side has been short, counted from the first call since the shortage began.
 func (c *Controller) shortageDuration(now time.Duration, side shortage) time.Duration {
 	if _, ok := c.shortSince[side]; !ok {
 		c.shortSince[side] = now
@@ -38,7 +38,7 @@
 
 // continueShift orders a server to take its next role once no requests of the old role are in flight there, and
 // writes the new role once the order is accepted. It runs only after the record that began the shift is committed,
-// and so after the invalidation is complete.
+// and therefore after the previous version of the record has been invalidated in all caches.
 func (r *round) continueShift(key string, s *server) {
 	if s.order.role == s.NextRole {
 		record := s.ServerRecord
@@ -63,10 +63,10 @@
 	r.write(key, s, record, reason)
 }
 
-// shiftPolled shifts one server from a side that can spare it to one that has been
-// short for UsageWindow. It never takes a side's last server, and goes below the plan's
-// minimum only to fill a side that is itself below it. It is for services whose roles
-// the platform doesn't list.
+// shiftPolled shifts one server of a service whose roles the platform doesn't list. The
+// server moves from a side that can spare one to a side that has been short for
+// UsageWindow, or immediately to a side below the plan's minimum. shiftPolled never takes a
+// side's last server. It takes a side below the minimum only to fill a side below its own.
 func (r *round) shiftPolled(count map[string]int, isShifting bool) {
 	if isShifting || r.hasListedRoles() || r.now-r.lastShift[r.service] < r.cfg.MinShiftInterval || !r.mayOrder(r.now) {
 		return
--- a/control/placement/status.go
+++ b/control/placement/status.go
@@ -29,10 +29,11 @@
 	seen.utilization += (float64(usage.Active)/float64(max(1, s.Capacity)) - seen.utilization) * min(1, weight)
 }
 
-// hasRestarted reports whether a server that answers a poll has restarted since the last answer. Its start time,
-// by this clock, lies between the poll and the answer, less its uptime. If that is later than the latest start
-// time computed before, it is a new process, even if its uptime is longer than the last one reported. A server
-// that doesn't report its uptime is assumed to have restarted only after it was dark.
+// hasRestarted reports whether a server that answers a poll has restarted since the last answer. By this clock,
+// the server started no earlier than the poll less its uptime, and no later than the answer less its uptime. If
+// the earliest start time is later than the latest one computed from a previous answer, the server is a new
+// process, even if its uptime is longer than the last one reported. A server that doesn't report its uptime is
+// assumed to have restarted only after it was dark.
 func (c *Controller) hasRestarted(now time.Duration, seen *observation, usage Usage) bool {
 	if !seen.known || usage.UptimeMillis <= 0 || seen.usage.UptimeMillis <= 0 {
 		return false
@@ -102,7 +103,7 @@
 		r.write(key, s, record, "polls fail or the server restarted")
 	case answers && s.Status == Dark && s.order.role == s.Role:
 		r.writeWarming(key, s, "back")
-	case s.isInUse() && r.isWarming(s) && !s.isLeaving(): // left in this state by an earlier controller
+	case s.isInUse() && r.isWarming(s) && !s.isLeaving(): // an earlier controller wrote this status
 		r.writeWarming(key, s, "warming up")
 	case s.isLeaving() && stays && (s.Status == Up || s.Status == Warming):
 		r.writeStatus(key, s, Leaving, "leaving")
--- a/control/placement/vacant.go
+++ b/control/placement/vacant.go
@@ -5,8 +5,9 @@
 // fillVacant shifts a server to a side that has none left, in use or warming
 // up, and reports whether it did. Without a decode server nothing is served, so
 // even the last prefill server is shifted: a decode server can process prompts itself.
-// Without a prefill server the decode servers process prompts, only more slowly, so
-// their last one stays, and the shift waits for ListedMinShiftInterval in case another one joins.
+// Without a prefill server, the decode servers process prompts more slowly. The last decode
+// server is therefore kept, and the shift waits for ListedMinShiftInterval, in case a prefill
+// server joins.
 func (r *round) fillVacant(s sides) bool {
 	side := shortage{service: r.service, role: Prefill, vacant: true}
 	switch {
--- a/control/storage/backup.go
+++ b/control/storage/backup.go
@@ -14,7 +14,7 @@
 		return Error.Wrap(err)
 	}
 	if err := markBackup(path); err != nil {
-		_ = os.Remove(path) // an unmarked copy would pass for the live state of a folder
+		_ = os.Remove(path) // an unmarked copy could be mistaken for the live state of a folder
 		return Error.Wrap(err)
 	}
 	return nil
--- a/control/storage/batch.go
+++ b/control/storage/batch.go
@@ -9,9 +9,9 @@
 	"mulleinmast/wire/message"
 )
 
-// Batch holds the saves that wait for the disk, merged into one save a partition. So
-// while the disk is full or stalled, the memory used is bounded by the size of the state,
-// however many changes arrive, and a single transaction writes them all.
+// Batch holds the saves that wait for the disk, merged into one save for each partition.
+// While the disk is full or stalled, the size of the state therefore bounds the memory
+// used, however many changes arrive. A single transaction writes the whole batch.
 type Batch struct {
 	partitions map[int]*pendingSave
 	// Tickets identify the saves in the batch, in the order in which they were added.
--- a/control/storage/batch_test.go
+++ b/control/storage/batch_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// A merged batch must have the same effect as its saves in order, also where a failed batch
-// is merged with a later one.
+// A merged batch must have the same effect as its saves in order, even if a failed batch is
+// merged with a later one.
 func TestBatchEqualsSavesInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sequential, merged := digest.NewRecords(), digest.NewRecords()
--- a/control/storage/crash_test.go
+++ b/control/storage/crash_test.go
@@ -290,7 +290,7 @@
 	}
 }
 
-// A partition whose rows were altered on disk must be incomplete, also where each remaining
+// A partition whose rows were altered on disk must be incomplete, even if each remaining
 // record matches its checksum: a record deleted with its checksum, an altered vote, or an
 // added record.
 func TestAlteredPartitionIsIncomplete(t *testing.T) {
@@ -314,7 +314,7 @@
 			t.Errorf("%s: incomplete %v", name, store.IncompletePartitions)
 		}
 		store.Close()
-		store = open(t, s.dir) // it stays incomplete until its state is reinstalled
+		store = open(t, s.dir) // the partition stays incomplete until its state is reinstalled
 		if !store.Partitions[0].Meta.Incomplete {
 			t.Errorf("%s: no longer incomplete after another start", name)
 		}
--- a/control/storage/disk_test.go
+++ b/control/storage/disk_test.go
@@ -15,7 +15,7 @@
 	"mulleinmast/wire/message"
 )
 
-// A write that fails on a full disk must leave no part of it behind, also after a restart.
+// A write that fails on a full disk must leave none of its data behind, even after a restart.
 // Once there is space, the same write succeeds.
 func TestFailedWriteLeavesNothing(t *testing.T) {
 	dir := t.TempDir()
@@ -48,8 +48,8 @@
 	}
 }
 
-// A file that can't be read or written at the moment must not be treated as damaged: it
-// stays in place and opens once it is accessible.
+// A file that temporarily can't be read or written must not be treated as damaged. It stays
+// in place and opens once it is accessible.
 func TestUnreadableFileIsNotCorrupt(t *testing.T) {
 	dir := t.TempDir()
 	store := open(t, dir)
--- a/control/storage/errors.go
+++ b/control/storage/errors.go
@@ -49,9 +49,9 @@
 // corruptError marks content that is corrupt although SQLite itself reports no error.
 type corruptError struct{ error }
 
-// isCorrupt reports whether an error is due to the content of a file. A disk that is full,
-// stalled or unreadable says nothing about the content: Open then fails and the file
-// stays in place.
+// isCorrupt reports whether an error is due to the content of a file. Errors of a full,
+// stalled or unreadable disk don't show that the content is corrupt. After such an error
+// Open fails and leaves the file in place.
 func isCorrupt(err error) bool {
 	var sqliteErr sqlite3.Error
 	if errors.As(err, &sqliteErr) {
--- a/control/storage/golden_test.go
+++ b/control/storage/golden_test.go
@@ -248,7 +248,7 @@
 	})
 }
 
-// The rows written must equal those of earlier builds, so that these can still read them.
+// The rows written must equal those of earlier builds, so that earlier builds can read them.
 func TestRowsMatchEarlierBuilds(t *testing.T) {
 	dir := t.TempDir()
 	store := open(t, dir)
--- a/control/storage/header.go
+++ b/control/storage/header.go
@@ -15,13 +15,13 @@
 	headerFormat = "format"
 	headerFleet  = "fleet"
 	headerIdent  = "ident"
-	headerEpoch  = "epoch" // of the latest start, with the largest nonce
+	headerEpoch  = "epoch" // incarnation number of the latest start, but with the largest nonce
 	headerBackup = "copy"  // present only in a back-up
 )
 
 // restoreStartOffset is added to the start count when an operator restores a back-up
-// after the loss of a majority. The count must exceed any that the other daemons may have
-// seen from this identity, or they would treat the restored state as superseded.
+// after the loss of a majority. The count must exceed every count that the other daemons may
+// have seen from this identity. Otherwise they would treat the restored state as superseded.
 const restoreStartOffset = 1 << 16
 
 func newHeader(fleet, identity string) fileHeader {
@@ -70,7 +70,7 @@
 }
 
 // beginIncarnation increments the start count and writes the file header. A restored
-// back-up loses its mark and is the live state of the folder from here on.
+// back-up loses its mark and becomes the live state of the folder.
 func (s *Store) beginIncarnation(header fileHeader, restored bool) error {
 	starts := incarnation.Starts(s.Epoch) + 1
 	if restored {
--- a/control/storage/load.go
+++ b/control/storage/load.go
@@ -20,8 +20,8 @@
 }
 
 // load reads all partitions. A record that doesn't match its checksum counts as missing.
-// A partition with such a record, or whose own checksum doesn't match, is incomplete and
-// is marked so on disk at once.
+// A partition with such a record, or whose own checksum doesn't match, is incomplete. load
+// also marks it as incomplete on disk.
 func (s *Store) load() error {
 	sums, err := s.loadReplicas()
 	if err != nil {
--- a/control/storage/open.go
+++ b/control/storage/open.go
@@ -118,7 +118,7 @@
 	}
 	// With a single connection in exclusive locking mode, SQLite keeps the index of the
 	// write-ahead log on the heap, not in a memory-mapped file. The locking mode must be
-	// set before the journal mode, or the index would be mapped.
+	// set before the journal mode. Otherwise the index would be memory-mapped.
 	const options = "_locking_mode=EXCLUSIVE&_synchronous=FULL&_busy_timeout=1000"
 	db, err := sql.Open("sqlite3", databaseURI(s.statePath(), options))
 	if err != nil {
--- a/control/storage/quarantine.go
+++ b/control/storage/quarantine.go
@@ -12,9 +12,9 @@
 )
 
 // MajorityLostFile is the name of the file by which an operator declares that a majority
-// of the disks is lost, so that the back-up next to it is to be restored. Without the file
-// a back-up isn't used: the other disks hold later writes, which a vote by the back-up
-// could undo.
+// of the disks is lost and the back-up next to the file must be restored. Without the file
+// a back-up isn't used, since the other disks may hold later writes, which a vote by the
+// back-up could undo.
 const MajorityLostFile = "majority-lost"
 
 // SupersededFile is the name of the file by which a daemon marks its state as superseded:
@@ -71,8 +71,8 @@
 
 // quarantine renames a file, with its write-ahead log, that isn't usable because of err.
 // Files quarantined earlier for the same reason are deleted. The new names are synced
-// before any file is created under the old ones: a write-ahead log that reappeared next
-// to a new file after a crash would be treated as part of that file.
+// before any file is created under the old names. Otherwise an old write-ahead log could
+// reappear after a crash, next to a new file, and be treated as part of that file.
 func quarantine(path string, reason quarantineReason, err error) (moved string, _ error) {
 	earlier, _ := filepath.Glob(path + "." + string(reason) + "-*")
 	for _, old := range earlier {
@@ -87,8 +87,9 @@
 	return moved, Error.Wrap(syncDir(filepath.Dir(path)))
 }
 
-// clearIncarnations removes the incarnation fields from a restored state: they are older
-// than what its identity reached, and the other daemons may have been restored as well.
+// clearIncarnations removes the incarnation fields from a restored state. They are older
+// than the latest incarnation of the state's identity, and the other daemons may have been
+// restored as well.
 func (s *Store) clearIncarnations() error {
 	var saves []quorum.Save
 	for partition, state := range s.Partitions {
--- a/control/storage/quarantine_test.go
+++ b/control/storage/quarantine_test.go
@@ -10,7 +10,8 @@
 	"mulleinmast/wire/message"
 )
 
-// A state that was marked as superseded is quarantined at the next start, and only then.
+// A state that was marked as superseded is quarantined at the next start only; the mark
+// doesn't apply to later starts.
 // A file MajorityLostFile overrides the mark.
 func TestSupersededStateIsQuarantined(t *testing.T) {
 	dir := t.TempDir()
--- a/control/storage/storage_test.go
+++ b/control/storage/storage_test.go
@@ -148,7 +148,7 @@
 	}
 }
 
-// A folder may have any name, also one with characters that have a meaning in a URI.
+// A folder may have any name, including one with characters that have a meaning in a URI.
 func TestFolderNameWithURICharacters(t *testing.T) {
 	for _, name := range []string{"a#b", "a?b=c", "a%41b", "a b", "a&_synchronous=OFF"} {
 		dir := filepath.Join(t.TempDir(), name)
