--- a/control/fleetconfig/accepted.go
+++ b/control/fleetconfig/accepted.go
@@ -8,16 +8,16 @@
 	"mulleinmast/wire/message"
 )
 
-// Accepted changes are stored separately from the plan record, so that a call that is
-// repeated gets the same answer again. They form a ring of pages, each in a separate
-// record: a change is written together with the single page that it is added to, and only
-// the replicas hold the pages. A page consists of a header and entries.
+// Accepted changes are stored, so that a repeated call gets the same answer again. They are
+// kept outside the plan record, in a ring of pages with one record each. A change is written
+// together with the single page that it is added to. Only the replicas hold the pages. A
+// page consists of a header and entries.
 const (
 	pageKeyFmt  = "taken/%02x"
 	pageCount   = 256
-	pageEntries = 32 // 8,192 changes in all, enough for two days of 4,100
+	pageEntries = 32 // 8,192 changes in all, enough for two days at about 4,100 a day
 	entryBytes  = 16 // a digest of the id and the accepted version
-	digestBytes = 8  // of an entry
+	digestBytes = 8  // the digest in an entry
 	headerBytes = 8  // the number of pages started so far, including this one
 	pageBytes   = headerBytes + pageEntries*entryBytes
 )
@@ -57,8 +57,8 @@
 	return binary.BigEndian.Uint64(sum[:])
 }
 
-// Find returns the version that the change with the given id was accepted as. If the call
-// chose a version number, the accepted version must equal it.
+// Find returns the version that the change with the given id was accepted as. If number
+// isn't 0, only a change that was accepted as version number is found.
 //
 // Example: version, ok := accepted.Find("c17", 0)
 func (a *AcceptedChanges) Find(id string, number uint64) (version uint64, ok bool) {
--- a/control/fleetconfig/accepted_test.go
+++ b/control/fleetconfig/accepted_test.go
@@ -39,8 +39,8 @@
 	return v
 }
 
-// Repeating an accepted change gets the same answer, even thousands of changes later, and
-// repeating a conflicting one is a conflict again; neither changes the plan.
+// Repeating an accepted change gets the same answer, even thousands of changes later.
+// Repeating a conflicting change is a conflict again. Neither repeat changes the plan.
 func TestAcceptedChangeIsRemembered(t *testing.T) {
 	s := &testRecords{stored: map[string]message.Record{}}
 	const changes = 5000
--- a/control/fleetconfig/codec.go
+++ b/control/fleetconfig/codec.go
@@ -7,10 +7,10 @@
 // It ends with a checksum of the new value.
 type Codec struct{}
 
-// dictionaryID is the zstd dictionary id of the base; a patch has only one.
+// dictionaryID is the zstd dictionary id of a patch's base, which is the patch's only dictionary.
 const dictionaryID = 1
 
-// minPatchWindow is the minimum zstd window of a patch, in bytes: a base may be as long as a plan.
+// minPatchWindow is the minimum zstd window of a patch, in bytes. A base may be as long as a plan.
 const minPatchWindow = 1 << 20
 
 // Patch returns the patch that turns one value into another, or nil if the patch isn't
--- a/control/fleetconfig/encode.go
+++ b/control/fleetconfig/encode.go
@@ -10,7 +10,7 @@
 // The first byte of a value identifies its encoding; uncompressed JSON begins with '{'.
 const (
 	compressedJSON = 'z' // bodies of calls, and plan records of older builds
-	compressedMsgp = 'm' // plan records: they are read far more often than written, on a fifth of a processor
+	compressedMsgp = 'm' // plan records, which are read far more often than written, on a fifth of a processor
 	plainMsgp      = 'o' // plan records in daemons that receive them as patches
 )
 
--- a/control/fleetconfig/judge.go
+++ b/control/fleetconfig/judge.go
@@ -9,7 +9,7 @@
 // Verdict is the answer to a plan or a change.
 type Verdict struct {
 	Result  string   `json:"result"`  // one of the results of a verdict
-	Version uint64   `json:"version"` // of the accepted plan, or else the current version
+	Version uint64   `json:"version"` // version of the accepted plan, otherwise the current version
 	Faults  []string `json:"faults,omitempty"`
 }
 
@@ -44,8 +44,9 @@
 }
 
 // Judge validates a proposal against the current plan. It returns the value of the new plan
-// record if the proposal is accepted. A proposal whose id the current plan's record names is
-// accepted again; Decide also recognizes earlier ones.
+// record if the proposal is accepted. If the current plan's record names the proposal's id,
+// the proposal is answered as accepted again, without a value. Decide also recognizes ids
+// that were accepted earlier.
 //
 // Example: val, verdict := fleetconfig.Judge(current, changes.Propose())
 func Judge(current Plan, proposal Proposal) ([]byte, Verdict) {
@@ -78,9 +79,9 @@
 }
 
 // Decide judges a proposal and returns the records to write. A proposal that was accepted
-// before gets the same answer again. One that is accepted now is written together with its
-// id. plans reads the plan record. Decide returns an error, and no verdict, if this build
-// can't read the current plan.
+// before gets the same answer again. For a newly accepted proposal, the records hold the new
+// plan and the proposal's id. plans reads the plan record. Decide returns an error, and no
+// verdict, if this build can't read the current plan.
 //
 // Example: records, verdict, err := fleetconfig.Decide(read, plans, plan.Propose())
 func Decide(
--- a/control/fleetconfig/keys.go
+++ b/control/fleetconfig/keys.go
@@ -3,7 +3,7 @@
 // Bounds on tenants' keys and limits.
 const (
 	maxKeyBytes = 1024
-	maxRate     = 1e9 // of the request rate a second, and of the burst
+	maxRate     = 1e9 // maximum of Tenant.Rate and of Tenant.Burst
 )
 
 // NeedsKeys reports whether clients need keys, because the plan has tenants that are
@@ -24,7 +24,8 @@
 func (p Plan) validateKeys(f *Faults) {
 	tenantOfKey := map[string]int{} // index of the first tenant with the key
 	for i, t := range p.Tenants {
-		if !t.ByKey && (len(t.Keys) > 0 || t.Urgency != nil || t.Rate != 0 || t.Burst != 0) { // without effect
+		// Without ByKey, these fields would have no effect.
+		if !t.ByKey && (len(t.Keys) > 0 || t.Urgency != nil || t.Rate != 0 || t.Burst != 0) {
 			f.Add("tenants[%d]: keys, urgency, rate and burst are for tenants that are known by keys", i)
 		}
 		for j, key := range t.Keys {
--- a/control/fleetconfig/list.go
+++ b/control/fleetconfig/list.go
@@ -20,7 +20,7 @@
 	Warming  bool   `json:"warming,omitempty"` // as reported by the platform
 }
 
-// Key identifies a server within its service: by the id of its start, or else by its address.
+// Key identifies a server within its service: by ID, or by the address if the platform assigns no ID.
 //
 // Example: fleetconfig.Server{Addr: "10.0.0.1:9000"}.Key() == "10.0.0.1:9000"
 func (s Server) Key() string {
@@ -32,7 +32,7 @@
 
 // List holds the servers of a service as listed by the platform.
 type List struct {
-	// Version is the platform's version of the list; a list with a lower one is in conflict. 0: unversioned.
+	// Version is the platform's version of the list; a list with a lower one is refused as a conflict. 0: unversioned.
 	Version uint64   `json:"version,omitempty"`
 	Servers []Server `json:"servers"`
 }
--- a/control/fleetconfig/openapi/openapi.go
+++ b/control/fleetconfig/openapi/openapi.go
@@ -16,8 +16,8 @@
 // modelExtension is the OpenAPI extension that names the model of an operation.
 const modelExtension = "x-model"
 
-// Read converts an OpenAPI document into named changes. The caller has to set their id, and
-// their base to the current version of the plan.
+// Read converts an OpenAPI document into named changes. The caller must set the id of the
+// changes, and set their base to the current version of the plan.
 //
 // Example: changes, faults := openapi.Read(file)
 func Read(doc []byte) (changes fleetconfig.Changes, faults fleetconfig.Faults) {
--- a/control/fleetconfig/plan.go
+++ b/control/fleetconfig/plan.go
@@ -33,16 +33,16 @@
 	Needs int `json:"needs,omitempty"`
 	// Raw is an object of further fields that the operator sent.
 	Raw json.RawMessage `json:"raw,omitempty"`
-	// PastChanges holds accepted changes in plans of older builds; now see AcceptedChanges.
+	// PastChanges holds accepted changes in plans of older builds. This build stores them as AcceptedChanges.
 	PastChanges []AcceptedChange `json:"past,omitempty"`
 }
 
-// Tenant is the configuration of a tenant; see Template.
+// Tenant is the configuration of a tenant. Template returns an example.
 type Tenant struct {
 	Name          string   `json:"name"`               // 1 to 64 letters, digits, '.', '_' or '-'
 	Priority      int      `json:"priority"`           // 0 is the most urgent, 9 the least
-	Services      []string `json:"services,omitempty"` // that it may use; none: all
-	TimeoutMillis int      `json:"budget_ms"`          // of requests without a timeout; 1 to 600,000
+	Services      []string `json:"services,omitempty"` // services that it may use; none: all
+	TimeoutMillis int      `json:"budget_ms"`          // timeout of requests that set none; 1 to 600,000
 	QueueFraction float64  `json:"queue"`              // maximum fraction of a daemon's queue that it may fill; 0.001 to 1
 
 	// The fields below are for tenants whose clients are identified by keys.
@@ -69,7 +69,7 @@
 
 	// The fields below are for services whose servers the platform lists; 0: not set.
 	StatusPath     string          `json:"status,omitempty"`      // path at which a server reports its state
-	MaxConnections int             `json:"conns,omitempty"`       // maximum of a server, over all daemons
+	MaxConnections int             `json:"conns,omitempty"`       // maximum for a server, over all daemons
 	WarmUpSeconds  float64         `json:"cold_s,omitempty"`      // time after its start during which a server is cold
 	WarmUpRate     float64         `json:"cold_rate,omitempty"`   // requests a second that a cold server sustains
 	Slots          int             `json:"slots,omitempty"`       // concurrent requests of a server
--- a/control/fleetconfig/route.go
+++ b/control/fleetconfig/route.go
@@ -32,13 +32,13 @@
 	Kind         string          `json:"kind"`                // Safe, Unsafe or Stream
 	GiveUpMillis int             `json:"give_up_ms"`          // maximum time to hold a request; 1 or more
 	TargetMillis int             `json:"target_ms,omitempty"` // answers within this time count in full
-	GapMillis    int             `json:"gap_ms,omitempty"`    // longest time between a stream's events that is on time
+	GapMillis    int             `json:"gap_ms,omitempty"`    // longest time between a stream's events that counts as on time
 	Urgency      int             `json:"urgency"`             // 0 is the most urgent
 	MaxAttempts  int             `json:"tries,omitempty"`     // maximum number of servers that a request is sent to
 	Sticky       bool            `json:"sticky,omitempty"`    // send requests with a common prompt to the same server
 	Resume       bool            `json:"resume,omitempty"`    // an interrupted stream may be resumed
 	Services     []Share         `json:"services"`
-	Regions      []string        `json:"homes,omitempty"`  // in which its requests may be served; none: all
+	Regions      []string        `json:"homes,omitempty"`  // regions in which its requests may be served; none: all
 	Public       bool            `json:"public,omitempty"` // requests need no key
 	Raw          json.RawMessage `json:"raw,omitempty"`    // the route as sent by the operator
 }
--- a/control/fleetconfig/route_test.go
+++ b/control/fleetconfig/route_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// A number chosen by the operator becomes the version if it is above the current one. Plans
-// without a number continue counting from there.
+// A number chosen by the operator becomes the plan's version if it is above the current
+// version. A later plan without a number gets the next version.
 func TestOperatorNumberBecomesVersion(t *testing.T) {
 	propose := func(p Plan, id string, base, number uint64) Proposal {
 		p.ID, p.Base, p.Number = id, base, number
--- a/control/fleetconfig/validate_test.go
+++ b/control/fleetconfig/validate_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-// Each change makes a valid plan invalid in one field, which the fault must name.
+// Each change makes one field of a valid plan invalid. The fault must name this field.
 func TestPlanValidationNamesEveryFault(t *testing.T) {
 	if f := validPlan().Validate(); f.Any() {
 		t.Fatal(f)
