--- a/control/fleetconfig/list.go
+++ b/control/fleetconfig/list.go
@@ -32,7 +32,8 @@
 
 // List holds the servers of a service as listed by the platform.
 type List struct {
-	// Version is the platform's version of the list; a list with a lower one is refused as a conflict. 0: unversioned.
+	// Version is the platform's version of the list; 0: unversioned. A list with a lower version than the current
+	// list is refused as a conflict.
 	Version uint64   `json:"version,omitempty"`
 	Servers []Server `json:"servers"`
 }
--- a/control/fleetconfig/route.go
+++ b/control/fleetconfig/route.go
@@ -32,7 +32,7 @@
 	Kind         string          `json:"kind"`                // Safe, Unsafe or Stream
 	GiveUpMillis int             `json:"give_up_ms"`          // maximum time to hold a request; 1 or more
 	TargetMillis int             `json:"target_ms,omitempty"` // answers within this time count in full
-	GapMillis    int             `json:"gap_ms,omitempty"`    // longest time between a stream's events that counts as on time
+	GapMillis    int             `json:"gap_ms,omitempty"`    // events of a stream at most this far apart count as on time
 	Urgency      int             `json:"urgency"`             // 0 is the most urgent
 	MaxAttempts  int             `json:"tries,omitempty"`     // maximum number of servers that a request is sent to
 	Sticky       bool            `json:"sticky,omitempty"`    // send requests with a common prompt to the same server
--- a/control/leader/leader.go
+++ b/control/leader/leader.go
@@ -49,7 +49,7 @@
 	callResults []message.Envelope                // of the current step; finishStep sends them
 
 	// State of the current leadership.
-	placement       *placement.Controller // nil before the first Reconcile of a leadership, and after the leadership is lost
+	placement       *placement.Controller // nil before a leadership's first Reconcile and after its end
 	orders          recentOrders
 	demands         map[string]demandNumber // each daemon's last demand for a service, by "service/daemon"
 	writtenVersions writtenVersions
--- a/control/leader/repeats.go
+++ b/control/leader/repeats.go
@@ -135,7 +135,8 @@
 	return append(records, message.Record{Key: pastCallsKey, Value: leadercall.MustMarshal(past)}), response
 }
 
-// isRecentOrder reports whether an order is among the past calls: it was accepted, and its caller may still resend it.
+// isRecentOrder reports whether an order is among the past calls. If so, it was accepted and its caller may still
+// resend it.
 func isRecentOrder(past []pastCall, order string) bool {
 	return slices.ContainsFunc(past, func(p pastCall) bool { return p.Order == order })
 }
--- a/control/placement/balance.go
+++ b/control/placement/balance.go
@@ -146,7 +146,8 @@
 	}
 }
 
-// relieveSide shifts a server to a side that has been under high pressure for PressureWindow, and reports whether it did.
+// relieveSide shifts a server to a side that has been under high pressure for PressureWindow. It reports whether it
+// shifted one.
 func (r *round) relieveSide(to string, s sides) bool {
 	from := otherRole(to)
 	side := shortage{service: r.service, role: to}
--- a/control/placement/balance_test.go
+++ b/control/placement/balance_test.go
@@ -293,8 +293,8 @@
 	}
 }
 
-// An order that the platform's list keeps contradicting is repeated, at long
-// intervals, until the list reflects it.
+// An order that the platform's list keeps contradicting is repeated at long
+// intervals until the list reflects the order.
 func TestIgnoredOrderIsRepeated(t *testing.T) {
 	fleet := newListedFleet(t, 3, 3, fleetconfig.Service{})
 	fleet.advance(5 * time.Second)
@@ -312,7 +312,8 @@
 			break
 		}
 	}
-	if fleet.countInUse(Prefill)+fleet.countInUse(Decode) != 5 { // while its order is ignored, the sixth server is used in neither role
+	// While its order is ignored, the sixth server is used in neither role.
+	if fleet.countInUse(Prefill)+fleet.countInUse(Decode) != 5 {
 		t.Errorf("%d prefill servers, %d decode servers in use", fleet.countInUse(Prefill), fleet.countInUse(Decode))
 	}
 	fleet.ignoresOrders, fleet.pressure = false, map[string]Pressure{}
