--- a/control/fleetconfig/accepted_test.go
+++ b/control/fleetconfig/accepted_test.go
@@ -130,7 +130,7 @@
 	checkKnown("after")
 }
 
-// A lost page, or a record that isn't a page, is ignored; the other pages are still used.
+// A lost page is ignored, as is a record that isn't a page. The other pages are still used.
 func TestDamagedPageIsIgnored(t *testing.T) {
 	stored := map[string]message.Record{}
 	read := func(key string) message.Record { return stored[key] }
--- a/control/leader/demand_test.go
+++ b/control/leader/demand_test.go
@@ -51,7 +51,8 @@
 }
 
 // Shares that a leader granted before its daemon was lost stay valid as long as its
-// leases: a new leader that was elected earlier grants no shares until then.
+// leases. A new leader that is elected before these leases expire grants no shares until
+// then.
 func TestNoSharesWhileEarlierSharesAreValid(t *testing.T) {
 	l := startPlacementLeader(t)
 	writesFrom := l.now + time.Second
--- a/control/leader/orders_test.go
+++ b/control/leader/orders_test.go
@@ -142,8 +142,8 @@
 	}
 }
 
-// All orders that may be resent are kept: once there are maxPastCalls of them, further orders
-// are refused, and none is dropped.
+// All orders that may be resent are kept. While the record holds maxPastCalls orders, further
+// orders are refused, and no kept order is dropped.
 func TestRecentOrdersAreBounded(t *testing.T) {
 	l := startOrderLeader(t, nil)
 	for i := range uint64(maxPastCalls + 20) {
--- a/control/leader/repeats_test.go
+++ b/control/leader/repeats_test.go
@@ -63,7 +63,8 @@
 	return fleetconfig.MustReadZones(l.readRecord(fleetconfig.ZoneKey))[zone]
 }
 
-// A late attempt doesn't repeat a replica move that has been reverted since, nor one that was refused at first.
+// A late attempt doesn't repeat a replica move that has been reverted since, nor execute a move that was refused at
+// the first attempt.
 func TestLateReplicaCallDoesNotUndoLaterMove(t *testing.T) {
 	l := startLeader(t, 0, nil)
 	replicas := leadercall.MustMarshal([]message.Replica{
@@ -98,7 +99,7 @@
 	}
 }
 
-// A late attempt to store a list of servers without a version doesn't undo a later one.
+// A late attempt to store a list of servers without a version doesn't replace a list that was stored later.
 func TestLateUnversionedListDoesNotUndoLaterList(t *testing.T) {
 	l := startLeader(t, 1, nil)
 	list := func(leaving bool) []byte {
--- a/control/leader/replicas.go
+++ b/control/leader/replicas.go
@@ -120,8 +120,8 @@
 }
 
 // isMissingWhileAnotherTerminates reports whether a replica misses heartbeats while another replica's daemon is
-// terminating. The silent replica is then replaced first: otherwise two replicas would soon be away, and the
-// terminating daemon's disk is intact.
+// terminating. The replica that misses heartbeats is then replaced first: otherwise two replicas would soon be
+// away, and the terminating daemon's disk is intact.
 func (c replicaChoice) isMissingWhileAnotherTerminates(replica message.Replica) bool {
 	return c.health.MissedHeartbeats(c.now, replica.Ident) && c.isAnotherTerminating(replica)
 }
--- a/control/leader/replicas_test.go
+++ b/control/leader/replicas_test.go
@@ -8,7 +8,8 @@
 	"mulleinmast/wire/message"
 )
 
-// fakeHealth reports the listed identities as ready, silent, missing, lost or terminating.
+// fakeHealth reports the listed identities as ready, silent, missing, lost or terminating. The silent ones only
+// prevent other replicas from leaving.
 type fakeHealth struct{ ready, silent, missing, lost, terminating []string }
 
 func (h fakeHealth) LearnerReady(_ time.Duration, id string) bool {
--- a/control/leader/unreadable_test.go
+++ b/control/leader/unreadable_test.go
@@ -8,9 +8,9 @@
 	"mulleinmast/wire/message"
 )
 
-// An unreadable record doesn't stop a leader: a call that needs it changes nothing and
-// is answered that its outcome is unclear. An unreadable server list is overwritten by
-// the next one, which its source keeps resending.
+// An unreadable record doesn't stop a leader. A call that needs such a record changes
+// nothing, and its result is unclear. An unreadable server list is overwritten by the next
+// list, since the source of lists keeps resending the current one.
 func TestCallOnUnreadableRecord(t *testing.T) {
 	stored := map[string][]byte{
 		fleetconfig.PlanKey:      []byte("m\xffof another build"),
--- a/control/placement/vacant_test.go
+++ b/control/placement/vacant_test.go
@@ -8,7 +8,7 @@
 )
 
 // If the last server of a side leaves, a server of the other side takes its role,
-// because nothing is served without a decode server. A last decode server is not
+// because nothing is served without a decode server. The last decode server is not
 // shifted to prefill.
 func TestVacantSideGetsServer(t *testing.T) {
 	leave := func(fleet *listedFleet, id string) {
@@ -40,7 +40,7 @@
 	}
 }
 
-// No server is shifted to a side that has a warming server, since that one will be in use soon.
+// No server is shifted to a side that has a warming server, since the warming server will be in use soon.
 func TestWarmingServerFillsItsSide(t *testing.T) {
 	fleet := newListedFleet(t, 1, 1, fleetconfig.Service{})
 	fleet.advance(10 * time.Second)
--- a/control/storage/crash_test.go
+++ b/control/storage/crash_test.go
@@ -195,8 +195,8 @@
 	expectState(t, "whole", later, after)
 }
 
-// While a checkpoint copies the log into the file, any page of the file may be new, old or
-// torn. The log is still complete, so nothing is lost.
+// If power fails while a checkpoint copies the log into the file, any page of the file may
+// be new, old or torn. The log is still complete, so nothing is lost.
 func TestPartialCheckpointLosesNothing(t *testing.T) {
 	s := newPopulatedStore(t, 2)
 	earlier := readFiles(t, s.dir)
@@ -216,7 +216,7 @@
 				copy(old, earlier.db[at:])
 			}
 			switch s.rng.Intn(3) {
-			case 0: // missing
+			case 0: // old
 				copy(db[at:], old)
 			case 1: // torn
 				copy(db[at+512:at+pageSize], old[512:])
@@ -275,8 +275,8 @@
 	expectState(t, "restarted log", later, after)
 }
 
-// A folder whose creation was interrupted opens as an empty one. An old log that reappears
-// next to a new file, because its removal wasn't synced, must not be applied to that file.
+// A folder whose creation was interrupted opens as an empty one. An old log may reappear next
+// to a new file if the removal of the log wasn't synced. It must not be applied to that file.
 func TestPartiallyCreatedFolderIsEmpty(t *testing.T) {
 	s := newPopulatedStore(t, 4)
 	complete := readFiles(t, s.dir)
--- a/control/storage/disk_test.go
+++ b/control/storage/disk_test.go
@@ -77,8 +77,8 @@
 // to the child process of a test.
 const fileSizeLimitEnv = "STORAGE_TEST_ROOM"
 
-// A full disk at start must not be treated as damage either. A child process opens the
-// folder under a limit on the size of files.
+// A full disk at start must not be treated as damage. A child process opens the folder under
+// a limit on the size of files.
 func TestFullDiskAtStartIsNotCorrupt(t *testing.T) {
 	if arg := os.Getenv(fileSizeLimitEnv); arg != "" {
 		openWithFileSizeLimit(arg)
--- a/control/storage/quarantine_test.go
+++ b/control/storage/quarantine_test.go
@@ -11,8 +11,7 @@
 )
 
 // A state that was marked as superseded is quarantined at the next start only; the mark
-// doesn't apply to later starts.
-// A file MajorityLostFile overrides the mark.
+// doesn't apply to later starts. A file MajorityLostFile overrides the mark.
 func TestSupersededStateIsQuarantined(t *testing.T) {
 	dir := t.TempDir()
 	store := open(t, dir)
@@ -44,8 +43,8 @@
 	store.Close()
 }
 
-// A restored state starts with an incarnation beyond any that other daemons may have seen,
-// and doesn't keep the incarnations recorded in it.
+// A restored state starts with an incarnation number above all that other daemons may have
+// seen. The incarnations recorded in the state are cleared.
 func TestRestoredStateDisownsIncarnations(t *testing.T) {
 	dir := t.TempDir()
 	store := open(t, dir)
