--- a/control/fleetconfig/route_test.go
+++ b/control/fleetconfig/route_test.go
@@ -204,7 +204,7 @@
 		t.Errorf("%d bytes compressed to %d", len(plain), len(compressed))
 	}
 	a, b := MustReadPlan(message.Record{Value: plain}), MustReadPlan(message.Record{Value: compressed})
-	p.Raw, a.Raw = nil, nil // escaped by Marshal in the plain record
+	p.Raw, a.Raw = nil, nil // json.Marshal escaped Raw in the plain record
 	if b.Raw = nil; !reflect.DeepEqual(a, p) || !reflect.DeepEqual(b, p) {
 		t.Error("the records are read as different plans")
 	}
--- a/control/placement/balance_test.go
+++ b/control/placement/balance_test.go
@@ -196,8 +196,8 @@
 	}
 }
 
-// A side under high pressure gets servers from the other one, the first after PressureWindow and then one
-// at a time, at least ListedMinShiftInterval apart. The other side keeps the plan's minimum, and at least one server.
+// A side under high pressure gets servers from the other side: the first after PressureWindow, then one at a time,
+// at least ListedMinShiftInterval apart. The other side keeps the plan's minimum, and at least one server.
 func TestPressedSideGainsServers(t *testing.T) {
 	for _, test := range []struct {
 		side                string // under high pressure
--- a/control/placement/placement.go
+++ b/control/placement/placement.go
@@ -17,7 +17,7 @@
 
 // Config holds the controller's time limits and thresholds.
 type Config struct {
-	SwapBound              time.Duration // minimum wait after an older controller could last act before the first order
+	SwapBound              time.Duration // minimum time from an older controller's last possible act to the first order
 	PollInterval           time.Duration
 	WarmUp                 time.Duration // time over which a warming server's slots increase
 	ShareLength            time.Duration // validity of a share of slots; daemons renew shares earlier
--- a/control/storage/golden_test.go
+++ b/control/storage/golden_test.go
@@ -213,7 +213,7 @@
 	}
 }
 
-// A back-up written by an earlier build is quarantined, or restored where a file
+// A back-up written by an earlier build is quarantined, or restored if a file
 // MajorityLostFile is present.
 func TestBackupOfEarlierBuild(t *testing.T) {
 	t.Run("quarantined without the operator's file", func(t *testing.T) {
