--- a/control/fleetconfig/accepted_test.go
+++ b/control/fleetconfig/accepted_test.go
@@ -39,8 +39,8 @@
 	return v
 }
 
-// Repeating an accepted change gets the same answer, even thousands of changes later, and
-// repeating a conflicting one is a conflict again; neither changes the plan.
+// Repeating an accepted change gets the same answer, even thousands of changes later.
+// Repeating a conflicting change is a conflict again. Neither repeat changes the plan.
 func TestAcceptedChangeIsRemembered(t *testing.T) {
 	s := &testRecords{stored: map[string]message.Record{}}
 	const changes = 5000
@@ -130,7 +130,7 @@
 	checkKnown("after")
 }
 
-// A lost page, or a record that isn't a page, is ignored; the other pages are still used.
+// A lost page is ignored, as is a record that isn't a page. The other pages are still used.
 func TestDamagedPageIsIgnored(t *testing.T) {
 	stored := map[string]message.Record{}
 	read := func(key string) message.Record { return stored[key] }
--- a/control/fleetconfig/route_test.go
+++ b/control/fleetconfig/route_test.go
@@ -63,8 +63,8 @@
 	}
 }
 
-// A number chosen by the operator becomes the version if it is above the current one. Plans
-// without a number continue counting from there.
+// A number chosen by the operator becomes the plan's version if it is above the current
+// version. A later plan without a number gets the next version.
 func TestOperatorNumberBecomesVersion(t *testing.T) {
 	propose := func(p Plan, id string, base, number uint64) Proposal {
 		p.ID, p.Base, p.Number = id, base, number
@@ -204,7 +204,7 @@
 		t.Errorf("%d bytes compressed to %d", len(plain), len(compressed))
 	}
 	a, b := MustReadPlan(message.Record{Value: plain}), MustReadPlan(message.Record{Value: compressed})
-	p.Raw, a.Raw = nil, nil // escaped by Marshal in the plain record
+	p.Raw, a.Raw = nil, nil // json.Marshal escaped Raw in the plain record
 	if b.Raw = nil; !reflect.DeepEqual(a, p) || !reflect.DeepEqual(b, p) {
 		t.Error("the records are read as different plans")
 	}
--- a/control/placement/balance_test.go
+++ b/control/placement/balance_test.go
@@ -196,8 +196,8 @@
 	}
 }
 
-// A side under high pressure gets servers from the other one, the first after PressureWindow and then one
-// at a time, at least ListedMinShiftInterval apart. The other side keeps the plan's minimum, and at least one server.
+// A side under high pressure gets servers from the other side: the first after PressureWindow, then one at a time,
+// at least ListedMinShiftInterval apart. The other side keeps the plan's minimum, and at least one server.
 func TestPressedSideGainsServers(t *testing.T) {
 	for _, test := range []struct {
 		side                string // under high pressure
@@ -293,8 +293,8 @@
 	}
 }
 
-// An order that the platform's list keeps contradicting is repeated, at long
-// intervals, until the list reflects it.
+// An order that the platform's list keeps contradicting is repeated at long
+// intervals until the list reflects the order.
 func TestIgnoredOrderIsRepeated(t *testing.T) {
 	fleet := newListedFleet(t, 3, 3, fleetconfig.Service{})
 	fleet.advance(5 * time.Second)
@@ -312,7 +312,8 @@
 			break
 		}
 	}
-	if fleet.countInUse(Prefill)+fleet.countInUse(Decode) != 5 { // until then the server is used in neither role
+	// While its order is ignored, the sixth server is used in neither role.
+	if fleet.countInUse(Prefill)+fleet.countInUse(Decode) != 5 {
 		t.Errorf("%d prefill servers, %d decode servers in use", fleet.countInUse(Prefill), fleet.countInUse(Decode))
 	}
 	fleet.ignoresOrders, fleet.pressure = false, map[string]Pressure{}
--- a/control/storage/crash_test.go
+++ b/control/storage/crash_test.go
@@ -195,8 +195,8 @@
 	expectState(t, "whole", later, after)
 }
 
-// While a checkpoint copies the log into the file, any page of the file may be new, old or
-// torn. The log is still complete, so nothing is lost.
+// If power fails while a checkpoint copies the log into the file, any page of the file may
+// be new, old or torn. The log is still complete, so nothing is lost.
 func TestPartialCheckpointLosesNothing(t *testing.T) {
 	s := newPopulatedStore(t, 2)
 	earlier := readFiles(t, s.dir)
@@ -216,7 +216,7 @@
 				copy(old, earlier.db[at:])
 			}
 			switch s.rng.Intn(3) {
-			case 0: // missing
+			case 0: // old
 				copy(db[at:], old)
 			case 1: // torn
 				copy(db[at+512:at+pageSize], old[512:])
@@ -275,8 +275,8 @@
 	expectState(t, "restarted log", later, after)
 }
 
-// A folder whose creation was interrupted opens as an empty one. An old log that reappears
-// next to a new file, because its removal wasn't synced, must not be applied to that file.
+// A folder whose creation was interrupted opens as an empty one. An old log may reappear next
+// to a new file if the removal of the log wasn't synced. It must not be applied to that file.
 func TestPartiallyCreatedFolderIsEmpty(t *testing.T) {
 	s := newPopulatedStore(t, 4)
 	complete := readFiles(t, s.dir)
@@ -290,7 +290,7 @@
 	}
 }
 
-// A partition whose rows were altered on disk must be incomplete, also where each remaining
+// A partition whose rows were altered on disk must be incomplete, even if each remaining
 // record matches its checksum: a record deleted with its checksum, an altered vote, or an
 // added record.
 func TestAlteredPartitionIsIncomplete(t *testing.T) {
@@ -314,7 +314,7 @@
 			t.Errorf("%s: incomplete %v", name, store.IncompletePartitions)
 		}
 		store.Close()
-		store = open(t, s.dir) // it stays incomplete until its state is reinstalled
+		store = open(t, s.dir) // the partition stays incomplete until its state is reinstalled
 		if !store.Partitions[0].Meta.Incomplete {
 			t.Errorf("%s: no longer incomplete after another start", name)
 		}
--- a/control/storage/golden_test.go
+++ b/control/storage/golden_test.go
@@ -213,7 +213,7 @@
 	}
 }
 
-// A back-up written by an earlier build is quarantined, or restored where a file
+// A back-up written by an earlier build is quarantined, or restored if a file
 // MajorityLostFile is present.
 func TestBackupOfEarlierBuild(t *testing.T) {
 	t.Run("quarantined without the operator's file", func(t *testing.T) {
@@ -248,7 +248,7 @@
 	})
 }
 
-// The rows written must equal those of earlier builds, so that these can still read them.
+// The rows written must equal those of earlier builds, so that earlier builds can read them.
 func TestRowsMatchEarlierBuilds(t *testing.T) {
 	dir := t.TempDir()
 	store := open(t, dir)
