--- a/wire/message/call.go
+++ b/wire/message/call.go
@@ -7,8 +7,9 @@
 	CallID    uint64 // of the call, the same in all its attempts; 0 from builds that don't number their calls
 	Op        string
 	Body      []byte
-	// Basis is the version of the state that the call changes, as returned by the leader in the result of an earlier
-	// attempt. It is zero if the caller's build doesn't support it or the call has none.
+	// Basis is the version of the state that the call changes. The leader returns it in the result of an earlier
+	// attempt; the first attempt carries a version that no record has. Basis is zero if the caller's build doesn't
+	// support it or the call is never retried.
 	Basis Version
 }
 
@@ -34,7 +35,7 @@
 	RequestID uint64 // of the attempt
 	Status    int    // an HTTP status, or one defined by control/leadercall
 	Body      []byte
-	Basis     Version // for the next attempt, if this one was based on another version; else zero
+	Basis     Version // for the next attempt, if this attempt was based on another version; otherwise zero
 }
 
 // Message encodes the result as a frame. The caller sets the recipient.
--- a/wire/message/kind.go
+++ b/wire/message/kind.go
@@ -3,7 +3,7 @@
 import "fmt"
 
 // Kind is the kind of a Message and determines which typed value it holds. The wire
-// format contains its number, histories and counters contain its name; neither may change.
+// format contains the kind's number; histories and counters contain its name. Neither may change.
 type Kind uint8
 
 // The kinds of messages. Each decodes into one typed value.
@@ -20,7 +20,7 @@
 	KindReconnectDone // child has applied the reconciliation
 	KindInvalidate    // parent invalidates a record
 	KindInvalidated   // child and all its descendants have dropped the record
-	KindDenyLease     // parent can't grant leases; the child tries another one
+	KindDenyLease     // parent can't grant leases; the child tries another parent
 	KindRedirect      // parent refers the child to another parent; reasons: RedirectJoin, RedirectSplit, RedirectReturn
 
 	// Votes, writes and leadership in a partition's group (quorum.go).
@@ -52,7 +52,7 @@
 
 	KindBootstrap   // names the replicas of the first group
 	KindLoadReport  // requests in progress at the servers, and what they cache (traffic/loadreport)
-	KindIncarnation // replica states its own incarnation and the one of the receiver that it recognizes
+	KindIncarnation // replica states its own incarnation and which incarnation of the receiver it recognizes
 
 	kindEnd // one past the last kind
 )
--- a/wire/message/lease.go
+++ b/wire/message/lease.go
@@ -11,8 +11,8 @@
 
 // GrantHeader is part of every message from a parent to a child of the lease tree.
 type GrantHeader struct {
-	Sequence    uint64      // of the parent's messages; the child drops a message that arrives after a later one
-	ChildEpoch  uint64      // the child's incarnation that the message is for; in the frame's Term
+	Sequence    uint64      // number of the message; the child drops a message that arrives after one with a higher number
+	ChildEpoch  uint64      // incarnation of the child that the message is for; encoded in the frame's Term
 	VolumeEpoch VolumeEpoch // of the parent
 }
 
@@ -62,7 +62,7 @@
 
 // LeaseGrant grants the volume lease, records, or both.
 type LeaseGrant struct {
-	ResponseTo  uint64        // the renewal; 0 if the records became available only after its answer
+	ResponseTo  uint64        // RequestID of the renewal; 0 if the records became available after its answer
 	VolumeLease time.Duration // counted from when the renewal was sent; 0: not granted
 	ObjectLease time.Duration // of each record, counted from when it was first requested
 	Records     []Record
@@ -90,7 +90,7 @@
 
 // ReconnectRequest asks a child for the list of records that it holds.
 type ReconnectRequest struct {
-	ResponseTo uint64 // the renewal that could not be granted
+	ResponseTo uint64 // RequestID of the renewal that could not be granted
 }
 
 // Message encodes the request as a frame. The caller adds the grant header and the recipient.
@@ -134,7 +134,7 @@
 // Reconciliation confirms the records of a lease list that are up to date and
 // grants the volume lease. Records that it doesn't confirm are invalid.
 type Reconciliation struct {
-	ResponseTo  uint64        // the lease list
+	ResponseTo  uint64        // RequestID of the lease list
 	VolumeLease time.Duration // counted from when the list was sent
 	ObjectLease time.Duration // of each record, counted from when the list was sent
 	Records     []Record      // keys and versions, without values
@@ -224,7 +224,7 @@
 
 // LeaseDenial reports that a parent holds no lease itself and so can't grant any.
 type LeaseDenial struct {
-	ResponseTo uint64 // the renewal; 0 if it timed out while waiting at the parent
+	ResponseTo uint64 // RequestID of the renewal; 0 if the renewal timed out while waiting at the parent
 	Reason     string
 }
 
--- a/wire/message/membership.go
+++ b/wire/message/membership.go
@@ -18,7 +18,7 @@
 // Hello asks a control daemon to open or renew a session.
 type Hello struct {
 	Self              Member
-	ViewDigest        uint64 // of the sender's view; in the frame's Term
+	ViewDigest        uint64 // of the sender's view; encoded in the frame's Term
 	LeadershipsDigest uint64 // of the leaderships that the sender knows
 	TakesDiff         bool   // the sender accepts a WelcomeDiff
 }
@@ -44,12 +44,13 @@
 }
 
 // Welcome is a control daemon's answer to a Hello. It confirms the session and carries
-// what has changed. A daemon that can't open a session answers with a referral.
+// the view and the leaderships if the recipient's are out of date. A daemon that can't open
+// a session answers with a referral.
 type Welcome struct {
 	Form               string // WelcomeWhole, WelcomeDiff or WelcomeReferral
 	Members            []Member
 	RemovedAddrs       []string     // with WelcomeDiff: members that have left the view
-	ViewDigest         uint64       // of the sender's view; in the frame's Term
+	ViewDigest         uint64       // of the sender's view; encoded in the frame's Term
 	Leaderships        []Leadership // empty if the recipient has them already
 	ControlDaemonCount int          // number of control daemons known to the sender, including itself; 0 from older builds
 }
@@ -79,10 +80,10 @@
 	Self                 Member
 	Members              []Member // that have a session with the sender
 	Leaderships          []Leadership
-	Unchanged            bool   // Members and Leaderships are left out: the recipient has those of Digest
+	Unchanged            bool   // Members and Leaderships are omitted: the recipient already has the ones with this Digest
 	Digest               uint64 // of Members and Leaderships
 	Acknowledged         uint64 // Digest of the latest gossip received from the recipient
-	ControlDaemonsDigest uint64 // of the control daemons that the sender knows; in the frame's Term
+	ControlDaemonsDigest uint64 // of the control daemons that the sender knows; encoded in the frame's Term
 }
 
 // Message encodes the gossip as a frame. The caller sets the recipient.
--- a/wire/message/message.go
+++ b/wire/message/message.go
@@ -127,10 +127,10 @@
 	Term  uint64 `msg:"t" json:"Term"`  // its term, if it is the leader
 }
 
-// SavePoint identifies a saved state of a replica by an incarnation of its daemon and
-// the number of saves in it. It is zero for builds that don't count saves. Disks hold a
-// checksum of its fmt output (quorum.Meta.PastSum), so it must not get a String method,
-// and its fields must keep their order.
+// SavePoint identifies a saved state of a replica by an incarnation of its daemon and the
+// number of saves in that incarnation. It is zero for builds that don't count saves.
+// Replicas store a checksum of its fmt output on disk (quorum.Meta.PastSum), so the type
+// must not get a String method and its fields must keep their order.
 type SavePoint struct {
 	Epoch uint64 `msg:"e" json:"Epoch"` // the incarnation
 	Saves uint64 `msg:"n" json:"Saves"` // counted from 1
@@ -141,7 +141,7 @@
 type PeerIncarnation struct {
 	Ident string    `msg:"i" json:"Ident"`
 	Epoch uint64    `msg:"e" json:"Epoch"`          // the incarnation that is recognized as the current one
-	State SavePoint `msg:"s" json:"State,omitzero"` // the latest one known to be on its disk
+	State SavePoint `msg:"s" json:"State,omitzero"` // the latest state known to be on the peer's disk
 }
 
 // Member describes one daemon in the membership table.
@@ -210,7 +210,7 @@
 	State      SavePoint         `msg:"sa,omitempty"`
 	Saves      uint64            `msg:"sv,omitempty"` // number of saves on the sender's disk in this incarnation
 	KnownEpoch uint64            `msg:"kn,omitempty"` // the recipient's incarnation that the sender recognizes
-	KnownState SavePoint         `msg:"kt,omitempty"` // the state of that incarnation, if the recipient has another one
+	KnownState SavePoint         `msg:"kt,omitempty"` // latest known state of the recipient; only in KindIncarnation
 	Peers      []PeerIncarnation `msg:"pe,omitempty"` // what the leader knows about the other replicas
 
 	Self        Member       `msg:"me,omitempty"`
--- a/wire/message/quorum.go
+++ b/wire/message/quorum.go
@@ -44,7 +44,7 @@
 // candidate needs to take over as leader.
 type VoteGrant struct {
 	Term             uint64
-	PreVote          bool   // answers a pre-vote: the vote would be granted; only Term and Group.Number are set
+	PreVote          bool   // answers a pre-vote that the voter would grant; otherwise only Term and Group.Number are set
 	Group            Group  // the voter's
 	CandidateEpoch   uint64 // the incarnation of the candidate that sent the request; 0 from earlier builds
 	LastCompleteTerm uint64
@@ -125,7 +125,7 @@
 type Heartbeat struct {
 	Term  uint64
 	Round uint64            // sequence number that the leader assigned to the heartbeat
-	Peers []PeerIncarnation // what the leader knows about the other replicas and the receiver may not
+	Peers []PeerIncarnation // what the leader knows about the other replicas; the receiver may not know it
 }
 
 // Message encodes the heartbeat as a frame.
@@ -172,18 +172,19 @@
 // The purposes of a state installation.
 const (
 	InstallForTerm   InstallPurpose = ""        // brings a replica to the leader's state for its term
-	InstallForRepair InstallPurpose = "compare" // compares a replica in the leader's term, and sends the differences
+	InstallForRepair InstallPurpose = "compare" // compares a replica's records with the leader's and sends the differences
 	InstallForJoin   InstallPurpose = "whole"   // has a new replica confirm that it holds all records of the leader
 )
 
 // InstallState makes a replica's records equal to the leader's, or first requests the
-// digests of the replica's records.
+// digests of the replica's records. A field comment that begins with "term", "repair" or
+// "join" applies only to that purpose.
 type InstallState struct {
 	Term            uint64
 	Purpose         InstallPurpose
 	RequestID       uint64   // repair: the leader's last write, or 0 if no answer is needed; join: the group's number
 	RecordsChecksum uint64   // term: checksum of all records of the leader; 0 from earlier builds
-	Digests         []uint64 // term: of the replica's records, as known to the leader; else of the leader's records
+	Digests         []uint64 // term: of the replica's records, as known to the leader; repair, join: of the leader's
 	Ranges          []int    // to be replaced or compared; empty: only digests are requested
 	Records         []Record // all records of the leader in Ranges
 	Group           Group    // the leader's
@@ -305,10 +306,10 @@
 func (m Message) AsReplicated() Replicated { return Replicated{Term: m.Term, ResponseTo: m.ResponseTo} }
 
 // IncarnationNotice states which incarnation of the receiver the sender recognizes, and
-// requests the receiver's own in answer. The sender's own incarnation is part of every
-// message: see IncarnationClaims.
+// asks the receiver to answer with its own incarnation. The sender's own incarnation is
+// part of every message (see IncarnationClaims).
 type IncarnationNotice struct {
-	KnownEpoch uint64    // incarnation of the receiver; 0: set when the message is sent
+	KnownEpoch uint64    // incarnation of the receiver; if 0, it is filled in when the message is sent
 	KnownState SavePoint // latest state of the receiver that the sender knows
 	Group      Group     // the sender's
 }
--- a/wire/transport/compact.go
+++ b/wire/transport/compact.go
@@ -42,7 +42,7 @@
 		frame, err = encodeFrame(&next, message.FrameVersion)
 	}
 	if err != nil {
-		return nil, err // the frame isn't sent, so the base stays
+		return nil, err // the frame isn't sent, so the base stays unchanged
 	}
 	c.remember(&m)
 	return frame, nil
@@ -70,8 +70,8 @@
 	return m, headerSize + size, nil
 }
 
-// canCompact reports whether a message differs from the base in nothing but its recipient,
-// and contains none of the reserved values.
+// canCompact reports whether a message has the same sender fields as the base and contains
+// none of the reserved values.
 func (c *frameCodec) canCompact(m *message.Message) bool {
 	sameBase := m.Fleet == c.base.fleet && m.From == c.base.from && m.Epoch == c.base.epoch && m.Addr == c.base.addr
 	holdsReserved := m.To == noRecipient || m.VolumeEpoch.Ident == sameSender || m.VolumeEpoch.Ident == sameRecipient
--- a/wire/transport/peertimeout.go
+++ b/wire/transport/peertimeout.go
@@ -10,7 +10,7 @@
 )
 
 // A remote machine that is cut off or without power sends nothing, and the kernel backs
-// off its retransmissions: after an outage of 20 s the next one may be another 20 s away.
+// off its retransmissions: after an outage of 20 s the next retransmission may be 20 s away.
 // A connection whose data isn't acknowledged for PeerTimeout is therefore closed, which
 // discards the data, and dialed again. The state machines that sent the data retry.
 
--- a/wire/transport/peertimeout_test.go
+++ b/wire/transport/peertimeout_test.go
@@ -30,8 +30,8 @@
 }
 
 // TestUnresponsiveConnectionIsReplaced cuts off a connection without closing it. The
-// sender must dial a new one after PeerTimeout: the kernel alone would keep the old one
-// for as long again as the cut lasted, or for up to a quarter of an hour.
+// sender must dial a new connection after PeerTimeout. The kernel alone would keep the old
+// connection after the cut for as long as the cut lasted, or for up to 15 minutes.
 func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/wire/transport/send.go
+++ b/wire/transport/send.go
@@ -50,8 +50,8 @@
 }
 
 // queueFor returns the queue of an address, creating it and starting its writer if
-// needed. It returns nil before Serve. coalescing is set while a Coalesce call is in
-// progress, at whose end the writers are woken.
+// needed. It returns nil before Serve. coalescing reports whether a Coalesce call is in
+// progress. The writers are woken when the last such call ends.
 func (t *Transport) queueFor(addr string) (queue *sendQueue, coalescing bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/wire/transport/transport.go
+++ b/wire/transport/transport.go
@@ -57,7 +57,7 @@
 	mu          sync.Mutex            // guards the fields below
 	ctx         context.Context       // of Serve; nil before Serve, when messages are dropped
 	queues      map[string]*sendQueue // by address
-	compactSeen map[string]time.Time  // by address: when it last announced that it reads compact frames
+	compactSeen map[string]time.Time  // by address: when its daemon last announced that it reads compact frames
 	coalescing  int                   // number of Coalesce calls in progress
 }
 
