--- a/cmd/mulleinctl/queries.go
+++ b/cmd/mulleinctl/queries.go
@@ -128,7 +128,8 @@
 	}
 }
 
-// addTree adds the daemon's place in the lease trees, or in one of them.
+// addTree adds the daemon's place in the lease tree of a partition, or in all lease trees
+// if partition is empty.
 func addTree(t *table, addr string, state daemon.State, partition string) {
 	for _, p := range state.Partitions {
 		if partition != "" && partition != fmt.Sprint(p.Partition) {
@@ -167,7 +168,7 @@
 	return strings.Join(fields, " ")
 }
 
-// explain shows how a request was routed and why, or does so for all recorded requests.
+// explain shows how and why a request was routed, or all recorded requests if id is "all".
 func (s *shell) explain(id string) int {
 	if id == "" {
 		return failQuery("why: expected a request ID or \"all\"")
--- a/cmd/mulleinmast/main.go
+++ b/cmd/mulleinmast/main.go
@@ -25,7 +25,7 @@
 	exitBadConfig  = 2
 	exitBadFolder  = 3
 	exitBadAddress = 4
-	exitSuperseded = 5 // a restarted daemon begins with empty state
+	exitSuperseded = 5 // the state on disk is superseded; a restarted daemon begins with empty state
 )
 
 func main() { os.Exit(run()) }
--- a/cmd/mulleinmast/signals.go
+++ b/cmd/mulleinmast/signals.go
@@ -44,8 +44,9 @@
 	}
 }
 
-// exitDuringStart exits at once if a stop is requested before the daemon has started:
-// no requests are in progress, and the data on disk is as consistent as after a kill.
+// exitDuringStart exits immediately if a stop is requested before the daemon has started.
+// This is safe because no requests are in progress, and the data on disk is as consistent
+// as after a kill.
 func (s *signals) exitDuringStart(started <-chan struct{}) {
 	select {
 	case <-started:
--- a/wire/message/quorum.go
+++ b/wire/message/quorum.go
@@ -44,7 +44,7 @@
 // candidate needs to take over as leader.
 type VoteGrant struct {
 	Term             uint64
-	PreVote          bool   // answers a pre-vote that the voter would grant; otherwise only Term and Group.Number are set
+	PreVote          bool   // answers a pre-vote that the voter would grant; only Term and Group.Number are set
 	Group            Group  // the voter's
 	CandidateEpoch   uint64 // the incarnation of the candidate that sent the request; 0 from earlier builds
 	LastCompleteTerm uint64
