--- a/cmd/mulleinctl/queries.go
+++ b/cmd/mulleinctl/queries.go
@@ -194,8 +194,8 @@
 	return s.show(traces.byAddr, t)
 }
 
-// importFile converts an OpenAPI file into named changes to the current plan and prints
-// them.
+// importFile converts an OpenAPI file into named changes to the current plan and prints the
+// changes.
 func (s *shell) importFile(path string) int {
 	document, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/mulleinctl/shell.go
+++ b/cmd/mulleinctl/shell.go
@@ -59,7 +59,7 @@
 	return answer, err
 }
 
-// answers holds the members' answers and, for those that did not answer, the errors,
+// answers holds the members' answers, and the errors of the members that did not answer,
 // by HTTP address.
 type answers[T any] struct {
 	byAddr map[string]T
--- a/wire/message/kind.go
+++ b/wire/message/kind.go
@@ -51,7 +51,7 @@
 	KindCallResult
 
 	KindBootstrap   // names the replicas of the first group
-	KindLoadReport  // requests in progress at the servers, and what they cache (traffic/loadreport)
+	KindLoadReport  // requests in progress and cache contents of the servers (traffic/loadreport)
 	KindIncarnation // replica states its own incarnation and which incarnation of the receiver it recognizes
 
 	kindEnd // one past the last kind
--- a/wire/message/membership.go
+++ b/wire/message/membership.go
@@ -1,7 +1,7 @@
 package message
 
-// Forms of a Welcome. Any other form comes from a later build: its members may be only
-// a part of the view and must not be treated as the complete view.
+// Forms of a Welcome. Any other form comes from a later build. The members of such a
+// welcome may be only a part of the view and must not be treated as the complete view.
 const (
 	WelcomeWhole    = ""       // Members is the complete view, or empty if the recipient has it already
 	WelcomeDiff     = "differ" // Members and RemovedAddrs are the changes to the recipient's view
--- a/wire/message/message.go
+++ b/wire/message/message.go
@@ -1,11 +1,11 @@
 // Package message defines the messages that daemons exchange. Message is the frame
 // shared by all kinds: one flat struct, laid out as on the wire (wire/transport). Each
-// kind also has a typed value for its handler; the file of its family (lease.go,
-// quorum.go, membership.go, call.go, loadreport.go) converts between the two.
+// kind also has a typed value for its handler. The methods that convert between frames and
+// typed values are in lease.go, quorum.go, membership.go, call.go and loadreport.go.
 //
 // The msgp tags, the order of the fields and the numbers of the kinds are the wire
 // format, which older builds read and write. The JSON keys are used on disk
-// (control/storage) and in answers to operators. All of them must stay as they are.
+// (control/storage) and in answers to operators. None of these may change.
 package message
 
 import "fmt"
--- a/wire/message/quorum.go
+++ b/wire/message/quorum.go
@@ -347,7 +347,7 @@
 	}
 }
 
-// opIf returns op if the condition holds, else an empty Op.
+// opIf returns op if the condition holds, otherwise an empty Op.
 func opIf(condition bool, op string) string {
 	if condition {
 		return op
--- a/wire/transport/compact.go
+++ b/wire/transport/compact.go
@@ -7,7 +7,7 @@
 )
 
 // frameCodec encodes or decodes the frames of one connection. It keeps the values of
-// the previous frame that a compact frame omits, which both ends know: the fields that
+// the previous frame that a compact frame omits because both ends know them: the fields that
 // are the same in all messages of a daemon, and the last recipient. The zero value is
 // ready for a new connection.
 type frameCodec struct {
@@ -26,8 +26,8 @@
 // any identity.
 const (
 	noRecipient   = "-" // the message has no recipient
-	sameSender    = "f" // the volume epoch is the sender's
-	sameRecipient = "t" // the volume epoch is the recipient's
+	sameSender    = "f" // the identity in the volume epoch is the sender's
+	sameRecipient = "t" // the identity in the volume epoch is the recipient's
 )
 
 // encode returns the next frame of a connection. It is a compact one if compact is set
--- a/wire/transport/counters.go
+++ b/wire/transport/counters.go
@@ -10,8 +10,8 @@
 // maxKinds is the capacity of the counters. The number of each message kind must be below it.
 const maxKinds = 32
 
-// Counters count the messages sent and received by kind, their size including the frame
-// header, and the time spent on handling them.
+// Counters hold, for each kind of message, the number of messages sent and received, their
+// total size including the frame headers, and the time spent on handling received messages.
 type Counters struct {
 	sent, sentBytes, received, receivedBytes, handlingTime [maxKinds]atomic.Int64
 }
--- a/wire/transport/faults.go
+++ b/wire/transport/faults.go
@@ -11,7 +11,7 @@
 type Faults struct {
 	// DropPeers drops messages to and from these addresses.
 	DropPeers atomic.Pointer[map[string]bool]
-	// DropSenders drops messages from these addresses, but not those to them.
+	// DropSenders drops messages from these addresses, but not messages to them.
 	DropSenders atomic.Pointer[map[string]bool]
 	// MaxDelay is the upper limit, in nanoseconds, of a random delay that is chosen for each
 	// message, so that messages can overtake one another.
--- a/wire/transport/receive.go
+++ b/wire/transport/receive.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// receiveWithBuffered handles a message together with those whose complete frames are
+// receiveWithBuffered handles a message together with the messages whose complete frames are
 // already in the buffer, so that the answers to all of them are sent together.
 func (t *Transport) receiveWithBuffered(
 	m message.Message, size int, codec *frameCodec, reader *bufio.Reader,
