--- a/wire/transport/peertimeout_test.go
+++ b/wire/transport/peertimeout_test.go
@@ -99,8 +99,8 @@
 }
 
 // TestUnacknowledgedConnectionTimesOut checks that the kernel's timeout for unacknowledged
-// data is set to PeerTimeout. Without it, as the kernel doubles its retry interval, a
-// connection that survived a cut of 7 s would stay silent for another 6 s.
+// data is set to PeerTimeout. Without that timeout, a connection that survived a cut of 7 s
+// would stay silent for another 6 s, because the kernel doubles its retry interval.
 func TestUnacknowledgedConnectionTimesOut(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
