--- a/wire/transport/compact.go
+++ b/wire/transport/compact.go
@@ -7,7 +7,7 @@
 )
 
 // frameCodec encodes or decodes the frames of one connection. It keeps the values of
-// the previous frame that a compact frame omits, which both ends know: the fields that
+// the previous frame that a compact frame omits because both ends know them: the fields that
 // are the same in all messages of a daemon, and the last recipient. The zero value is
 // ready for a new connection.
 type frameCodec struct {
@@ -26,8 +26,8 @@
 // any identity.
 const (
 	noRecipient   = "-" // the message has no recipient
-	sameSender    = "f" // the volume epoch is the sender's
-	sameRecipient = "t" // the volume epoch is the recipient's
+	sameSender    = "f" // the identity in the volume epoch is the sender's
+	sameRecipient = "t" // the identity in the volume epoch is the recipient's
 )
 
 // encode returns the next frame of a connection. It is a compact one if compact is set
@@ -42,7 +42,7 @@
 		frame, err = encodeFrame(&next, message.FrameVersion)
 	}
 	if err != nil {
-		return nil, err // the frame isn't sent, so the base stays
+		return nil, err // the frame isn't sent, so the base stays unchanged
 	}
 	c.remember(&m)
 	return frame, nil
@@ -70,8 +70,8 @@
 	return m, headerSize + size, nil
 }
 
-// canCompact reports whether a message differs from the base in nothing but its recipient,
-// and contains none of the reserved values.
+// canCompact reports whether a message has the same sender fields as the base and contains
+// none of the reserved values.
 func (c *frameCodec) canCompact(m *message.Message) bool {
 	sameBase := m.Fleet == c.base.fleet && m.From == c.base.from && m.Epoch == c.base.epoch && m.Addr == c.base.addr
 	holdsReserved := m.To == noRecipient || m.VolumeEpoch.Ident == sameSender || m.VolumeEpoch.Ident == sameRecipient
--- a/wire/transport/peertimeout_test.go
+++ b/wire/transport/peertimeout_test.go
@@ -30,8 +30,8 @@
 }
 
 // TestUnresponsiveConnectionIsReplaced cuts off a connection without closing it. The
-// sender must dial a new one after PeerTimeout: the kernel alone would keep the old one
-// for as long again as the cut lasted, or for up to a quarter of an hour.
+// sender must dial a new connection after PeerTimeout. The kernel alone would keep the old
+// connection after the cut for as long as the cut lasted, or for up to 15 minutes.
 func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -99,8 +99,8 @@
 }
 
 // TestUnacknowledgedConnectionTimesOut checks that the kernel's timeout for unacknowledged
-// data is set to PeerTimeout. Without it, as the kernel doubles its retry interval, a
-// connection that survived a cut of 7 s would stay silent for another 6 s.
+// data is set to PeerTimeout. Without that timeout, a connection that survived a cut of 7 s
+// would stay silent for another 6 s, because the kernel doubles its retry interval.
 func TestUnacknowledgedConnectionTimesOut(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
