--- a/control/quorum/candidate.go
+++ b/control/quorum/candidate.go
@@ -8,8 +8,8 @@
 	"mulleinmast/wire/message"
 )
 
-// The candidate's side of elections: a pre-vote, the votes of a majority, and the
-// merge of the records that these votes carry.
+// This file implements the candidate's side of elections: requesting pre-votes, counting
+// votes until a majority has voted, and merging the records that the votes carry.
 
 // election is the state of a replica's own candidacies.
 type election struct {
@@ -28,8 +28,8 @@
 	records      []message.Record // in the ranges that differ from the candidate's
 }
 
-// requestPreVotes asks whether an election could be won now. Pre-votes bind no
-// voter, so a replica that can't win an election doesn't disturb the leader.
+// requestPreVotes asks all replicas whether they would vote for this replica now. Pre-votes
+// bind no voter, so a replica that can't win an election doesn't disturb the leader.
 func (r *Replica) requestPreVotes(now time.Duration, out *Out) {
 	r.term = max(r.election.rejectedTerm, r.meta.VotedTerm, r.meta.CandidateTerm, r.term) + 1
 	r.role, r.election.startedAt, r.election.preVotes = preCandidate, now, map[string]bool{}
@@ -47,7 +47,7 @@
 
 // requestVotes starts an election once a majority has granted its pre-votes.
 func (r *Replica) requestVotes(now time.Duration, out *Out) {
-	if r.meta.VotedTerm >= r.term { // it has since voted for another candidate in that term
+	if r.meta.VotedTerm >= r.term { // it has since voted in this term or a higher one
 		r.stepDown(out)
 		return
 	}
@@ -91,9 +91,9 @@
 }
 
 func (r *Replica) countVote(now time.Duration, from message.Sender, grant message.VoteGrant, out *Out) {
-	// An incarnation that ended before its own vote was on disk may be followed by one
-	// that uses the same term. Votes for the earlier one hold only the records that
-	// its copy lacked.
+	// If an incarnation ended before its own vote was on disk, the next incarnation may use
+	// the same term. Votes for the earlier incarnation hold only the records that the copy of
+	// that incarnation lacked, so they don't count.
 	if grant.CandidateEpoch != 0 && grant.CandidateEpoch != r.epochs[r.self.Ident] {
 		return
 	}
@@ -103,15 +103,15 @@
 		r.writesFrom = max(r.writesFrom, now+wait)
 	}
 	hasVote := func(ident string) bool { _, ok := r.election.votes[ident]; return ok }
-	// Its own vote must be among them: the voters' records are merged with its own.
+	// This replica's own vote is required, since its records are merged with the voters' records.
 	if !hasVote(r.self.Ident) || !r.meta.Group.HasQuorum(hasVote) {
 		return
 	}
 	r.startInstalling(now, out)
 }
 
-// startInstalling begins the leadership of a candidate that has a majority's votes. That
-// majority supports no other leader, so no earlier leader's lease is valid.
+// startInstalling begins the leadership of a candidate that has a majority's votes. The
+// replicas of this majority support no other leader, so no earlier leader's lease is valid.
 func (r *Replica) startInstalling(now time.Duration, out *Out) {
 	r.leaderSince = now
 	r.role = installing
@@ -150,8 +150,9 @@
 	r.save(out, wipe, merged.RecordsIn(wipe), envelope(r.self, installed))
 }
 
-// mergeVoterRecords merges one voter's records by version. In ranges with equal digests
-// they are this replica's own records, in the others they are those that the voter sent.
+// mergeVoterRecords merges one voter's records by version. In ranges with equal digests,
+// the voter's records equal this replica's own records, which are merged instead. In the
+// other ranges, it merges the records that the voter sent.
 func (r *Replica) mergeVoterRecords(merged *digest.Records, own []uint64, v voterState) {
 	differs := map[int]bool{}
 	for _, span := range digest.DifferingRanges(own, v.digests) {
@@ -174,7 +175,8 @@
 
 // dropTombstones drops the markers of deleted records. Installing a new term replaces
 // complete ranges of all earlier copies, so a copy that still holds a deleted record
-// is never merged with the new state. Keys under FloorPrefix are left to the floor.
+// is never merged with the new state. Markers under FloorPrefix are kept until the floor
+// deletes them.
 func dropTombstones(records *digest.Records) {
 	var deleted []string
 	for rec := range records.All() {
@@ -221,8 +223,9 @@
 		bound := min(m.SupportRemaining, r.cfg.Wait(r.cfg.LeaderLease))
 		r.election.notBefore = max(r.election.notBefore, now+bound+r.electionDelay()/2+r.cfg.Margin)
 	}
-	// A single voter bound to another term doesn't end a leadership that a majority
-	// supports. If it stays bound, Tick steps down so that a higher term is used.
+	// A single voter bound to a higher term doesn't end a leadership that a majority
+	// supports. If the voter stays bound, Tick steps down so that the next election uses
+	// a higher term.
 	if m.VotedTerm >= r.term && r.role == leader {
 		if _, known := r.election.boundToHigherTerm[from.Ident]; !known {
 			r.election.boundToHigherTerm[from.Ident] = now
@@ -233,8 +236,8 @@
 // isElecting reports whether this replica is a candidate or pre-candidate.
 func (r *Replica) isElecting() bool { return r.role == preCandidate || r.role == candidate }
 
-// electionDelay staggers candidacies by the replicas' ranks in this partition: the
-// replica that ranks first has no delay.
+// electionDelay returns how long this replica delays its candidacies. The delay grows with
+// its rank in this partition and is zero for the replica that ranks first.
 func (r *Replica) electionDelay() time.Duration {
 	ahead := 0
 	for _, other := range r.meta.Group.All() {
@@ -245,8 +248,8 @@
 	return time.Duration(ahead) * r.cfg.LeaderLease / 12
 }
 
-// candidateRank returns a replica's rank in a partition. The order differs between
-// partitions, so that leaderships are spread over the replicas.
+// candidateRank returns a number by which the replicas of a partition are ranked; the highest
+// ranks first. The order differs between partitions, to spread leaderships over the replicas.
 func candidateRank(partition int, addr string) uint64 {
 	return digest.Fingerprint(message.Record{Key: addr, Version: message.Version{Term: uint64(partition), Seq: 7}})
 }
--- a/control/quorum/contact.go
+++ b/control/quorum/contact.go
@@ -7,15 +7,15 @@
 )
 
 // contact records when the replicas and learners last answered this replica as
-// leader. It is kept after the leadership ends, until the next one.
+// leader. It is kept until this replica's next leadership starts.
 type contact struct {
 	answeredAt       map[string]time.Duration // nil before the first leadership
 	terminatingSince map[string]time.Duration // since when a daemon is known to be terminating
 }
 
-// newContact returns the contact state for the start of a leadership. Replicas that
-// voted count as in contact now, the previous leader as of its last heartbeat to this
-// replica, and the others as of the start of the election.
+// newContact returns the contact state for the start of a leadership. A replica that voted
+// counts as having answered now, the previous leader when it sent its last heartbeat to this
+// replica, and any other replica at the start of the election.
 func (r *Replica) newContact(now time.Duration) contact {
 	c := contact{answeredAt: map[string]time.Duration{}, terminatingSince: map[string]time.Duration{}}
 	for _, replica := range r.meta.Group.All() {
@@ -71,7 +71,8 @@
 	return ident != r.self.Ident && r.SilentFor(now, ident) >= 2*r.cfg.HeartbeatInterval
 }
 
-// IsLost reports whether a replica was silent for so long that a learner replaces it.
+// IsLost reports whether a replica has not answered for Config.LostAfter, after which a
+// learner replaces it.
 //
 // Example: if r.IsLost(now, "c") { replace() }
 func (r *Replica) IsLost(now time.Duration, ident string) bool {
@@ -86,9 +87,10 @@
 	return terminating
 }
 
-// MayLeave reports whether a replica whose daemon is terminating may be replaced at
-// once: each other replica has answered a heartbeat sent since the termination was
-// known. A replica that has not may be lost, and a learner is reserved for it.
+// MayLeave reports whether a replica whose daemon is terminating may be replaced
+// immediately. Each other replica must have answered a heartbeat sent after the leader
+// learned of the termination. A replica that has not answered may be lost, and the learner
+// is then needed to replace that replica.
 //
 // Example: if r.IsTerminating("c") && r.MayLeave(now, "c") { replace() }
 func (r *Replica) MayLeave(now time.Duration, ident string) bool {
--- a/control/quorum/disk.go
+++ b/control/quorum/disk.go
@@ -10,8 +10,8 @@
 	"mulleinmast/wire/message"
 )
 
-// Save is a change of a replica's durable state that must be synced to disk; the
-// caller calls Saved(Ticket) once it is. The saves of a partition are written in order.
+// Save is a change of a replica's durable state that must be synced to disk. The caller
+// calls Saved(Ticket) when the sync has completed. The saves of a partition are written in order.
 type Save struct {
 	Ticket     uint64 // increases with each save of the replica
 	Partition  int
@@ -23,23 +23,23 @@
 }
 
 // FloorKey is the key of the record that holds the floor: the version below which
-// records with the prefix FloorPrefix are deleted. Every replica deletes them itself.
-// If a replica that missed the floor brings one back, it is deleted again.
+// records with the prefix FloorPrefix are deleted. Every replica deletes these records
+// itself. If a replica that missed the floor sends such a record, it is deleted again.
 const (
 	FloorKey    = "floor/once"
 	FloorPrefix = "once/"
 )
 
-// maxDiskStallLeases is the time that a save may take, in leader leases. A replica
-// whose disk takes longer steps down and does not become a candidate.
+// maxDiskStallLeases is the time that a save may take, in leader leases. A replica with
+// a save that takes longer steps down and does not become a candidate.
 const maxDiskStallLeases = 4
 
 // diskQueue tracks a replica's outstanding saves and the messages that wait for them.
 type diskQueue struct {
 	lastTicket uint64                        // of the latest save
-	voteTicket uint64                        // the save that holds the current vote; may be the next one
+	voteTicket uint64                        // of the save that holds the current vote; lastTicket+1 if not made yet
 	pending    []pendingSave                 // not known to be on disk, ordered by ticket
-	onSync     map[uint64][]message.Envelope // by ticket: messages to send once that save is on disk
+	onSync     map[uint64][]message.Envelope // by ticket: messages to send once the ticket's save is on disk
 }
 
 // pendingSave is a save that isn't known to be on disk.
@@ -80,13 +80,14 @@
 	return len(r.disk.pending) > 0 && now-r.disk.pending[0].madeAt >= maxDiskStallLeases*r.cfg.LeaderLease
 }
 
-// save queues a save of the current state with new records, and with the deletions
-// that a new floor among them causes. The messages in then are sent once it is on disk.
+// save queues a save of the current state with new records. If these include a new floor,
+// the save also deletes the records below it. The messages in then are sent once the save
+// is on disk.
 func (r *Replica) save(out *Out, wipe []int, records []message.Record, then ...message.Envelope) {
 	r.enqueueSave(out, Save{WipeRanges: wipe, Records: records, Delete: r.deleteBelowFloor(records)}, then...)
 }
 
-// enqueueSave queues a save. The messages in then are sent once it is on disk.
+// enqueueSave queues a save. The messages in then are sent once the save is on disk.
 func (r *Replica) enqueueSave(out *Out, s Save, then ...message.Envelope) {
 	r.disk.lastTicket++
 	if r.guard.folder != nil {
--- a/control/quorum/folder.go
+++ b/control/quorum/folder.go
@@ -12,9 +12,9 @@
 // maxPastIncarnations bounds the history of earlier incarnations that a folder keeps.
 const maxPastIncarnations = 8
 
-// Folder is the data folder that the replicas of one daemon share, with one
-// incarnation that counts the saves of all of them. A copy of the folder is
-// therefore outdated for all partitions as soon as one of them saves.
+// Folder is the data folder that the replicas of one daemon share. It has one incarnation,
+// which counts the saves of all these replicas. A copy of the folder is therefore outdated
+// for all partitions as soon as one replica saves.
 type Folder struct {
 	epoch      uint64
 	startState message.SavePoint   // the last state of the previous incarnation
@@ -63,8 +63,8 @@
 }
 
 // descendsFrom reports whether a state is in the folder's history. It also returns
-// true where the folder can't tell: if it was last written by a build that doesn't
-// count saves, or if the state is older than a full history reaches back.
+// true if the folder can't tell: it was last written by a build that doesn't count
+// saves, or the state is older than the oldest entry of a full history.
 func (f *Folder) descendsFrom(state message.SavePoint) bool {
 	if state.Epoch == 0 || f.startState.Epoch == 0 {
 		return true
--- a/control/quorum/group.go
+++ b/control/quorum/group.go
@@ -10,16 +10,16 @@
 
 // Group membership changes one replica at a time, by joint consensus. A learner first
 // receives a copy and every write, without a vote. Then the leader creates a joint
-// group of the old and the new replicas, in which both majorities are needed. The new
+// group of the old and the new replicas, in which a majority of each is needed. The new
 // replicas become the group once the joint group is committed, the joining replica has
 // confirmed that it holds all that the leader held when the change began, and both
 // majorities have renewed the leader's lease. The renewal ensures that the new replicas
-// elect no other leader while that lease is valid. Until then the change can be undone,
-// as it is if the joining replica stops answering. A new leader finds the joint group
+// elect no other leader while that lease is valid. Until the new replicas become the group,
+// the leader undoes the change if the joining replica stops answering. A new leader finds the joint group
 // in its state and finishes or undoes the change.
 
-// groupNumberShift puts the term of the leader that made a group into the upper bits
-// of the group's number: no two leaders use the same number, and a later leader's
+// groupNumberShift is the number of bits below the leader's term in a group's number. With
+// the term in the upper bits, no two leaders use the same number, and a later leader's
 // number is higher.
 const groupNumberShift = 16
 
@@ -62,8 +62,8 @@
 }
 
 // adoptGroup switches to a later group. A replica that is no longer a member is
-// released from its vote: the change that removed it was committed by a majority that
-// binds every later candidate to the new group.
+// released from its vote, because the majority that committed its removal binds every
+// later candidate to the new group.
 func (r *Replica) adoptGroup(group message.Group) {
 	if group.Number <= r.meta.Group.Number {
 		return
@@ -93,7 +93,7 @@
 }
 
 // SetLearners sets the learners. Each receives a copy and every write, and has no
-// vote. A learner that is missing from the list stays as long as it answers.
+// vote. A current learner that is not in the list remains a learner while it answers.
 //
 // Example: out := r.SetLearners(now, standbys)
 func (r *Replica) SetLearners(now time.Duration, list []message.Replica) (out Out) {
@@ -166,9 +166,9 @@
 func (r *Replica) isChangeUncommitted() bool { return r.replication.pending[r.change.requestID] != nil }
 
 // ContinueChange advances the group change in progress, whether this leader or an
-// earlier one began it. It asks the joining replica again or finishes the change, and
-// undoes it if the joining replica is lost or if the leader would remove itself. It
-// finishes only under a lease that a majority of the next group supports. Otherwise,
+// earlier one began it. It repeats the request to the joining replica or finishes the
+// change. If the joining replica is lost or the leader would remove itself, it undoes the
+// change. It finishes only under a lease that a majority of the next group supports. Otherwise,
 // after two changes in a row, a majority that never acknowledged this leader could
 // elect another one while the lease is valid.
 //
@@ -182,7 +182,7 @@
 	isReady, undo := r.checkJoining(now, group, &out)
 	undo = undo || !has(group.Next, r.self.Ident)
 	switch {
-	case undo: // possible before it is committed, since the old replicas are in both groups
+	case undo: // allowed before the joint group is committed, since both groups include the old replicas
 		r.changeGroup(now, tag, group.Replicas, nil, &out)
 	case r.change.requestID == 0: // begun by an earlier leader, and possibly not committed
 		r.changeGroup(now, tag, group.Replicas, group.Next, &out)
@@ -192,9 +192,8 @@
 	return out
 }
 
-// checkJoining resends the request to confirm the copy to each joining replica of a
-// change that hasn't done so. It reports whether all hold the complete state, and
-// whether one of them is lost.
+// checkJoining asks each joining replica that hasn't confirmed its copy again to do so. It
+// reports whether all joining replicas hold the complete state, and whether one is lost.
 func (r *Replica) checkJoining(now time.Duration, group message.Group, out *Out) (isReady, isLost bool) {
 	isReady = true
 	for _, replica := range group.Next {
@@ -209,8 +208,8 @@
 	return isReady, isLost
 }
 
-// hasCompleteCopy reports whether a joining replica holds the complete state on its
-// disk: by its own answer or, for the leader itself, because its copy was saved.
+// hasCompleteCopy reports whether a joining replica holds the complete state on its disk.
+// Other replicas confirm this in an answer; the leader's own copy must be saved.
 func (r *Replica) hasCompleteCopy(ident string) bool {
 	if ident == r.self.Ident {
 		return r.copies.installed[ident]
@@ -257,8 +256,8 @@
 	}.Message(r.partition))
 }
 
-// answerJoin answers as a joining replica: it confirms that it holds the complete
-// state once that is on disk, or sends its digests if its copy differs.
+// answerJoin answers a leader's request as a joining replica. It sends its digests if its
+// copy differs, and otherwise confirms the complete state once that state is on disk.
 func (r *Replica) answerJoin(from message.Sender, m message.InstallState, out *Out) {
 	if m.Ranges == nil && len(digest.DifferingRanges(r.records.Digests(), m.Digests)) > 0 {
 		out.send(from.Replica, message.StateMismatch{
--- a/control/quorum/heartbeat.go
+++ b/control/quorum/heartbeat.go
@@ -6,9 +6,8 @@
 	"mulleinmast/wire/message"
 )
 
-// The leader lease: a leader acts only while a majority supports it, and every voter
-// supports no other leader for the length of a lease after it last acknowledged a
-// heartbeat.
+// This file implements the leader lease. A leader acts only while a majority supports it.
+// A voter that acknowledges a heartbeat supports no other leader for the length of a lease.
 
 // maxOpenRounds is the number of heartbeat rounds that may be in flight before the
 // latest one. Answers to earlier rounds don't renew the lease.
@@ -99,8 +98,8 @@
 	}
 }
 
-// ackHeartbeat acknowledges a heartbeat once the vote for that leader is on disk:
-// after a restart that lost the vote, this replica would not wait the lease out.
+// ackHeartbeat acknowledges a heartbeat once the vote for the leader is on disk. If a
+// restart lost the vote, this replica could support another leader before the lease expires.
 func (r *Replica) ackHeartbeat(to message.Replica, ack message.HeartbeatAck, out *Out) {
 	if r.disk.isVoteUnsaved() {
 		r.save(out, nil, nil)
--- a/control/quorum/incarnation.go
+++ b/control/quorum/incarnation.go
@@ -16,12 +16,12 @@
 // saves. A replica claims its current save point in each message and, until the
 // receiver recognizes its incarnation, also the save point that it started from. Its
 // peers store on disk the incarnation that they recognize and its latest save point;
-// the leader announces to the rest of the group what it knows of each replica.
+// the leader announces each replica's incarnation and save point to the rest of the group.
 //
 // A replica rejects messages from an incarnation earlier than the one it recognizes,
 // from a different one with the same number of starts, and from a later one that
-// started from an earlier state than the latest known one. It answers these with what
-// it knows. A replica that learns of an incarnation or a state that isn't in its own
+// started from an earlier state than the latest known one. It answers such messages with the
+// incarnation and save point that it knows. A replica that learns of an incarnation or a state that isn't in its own
 // history is superseded: it stops taking part in the group.
 
 // incarnationGuard is what a replica keeps about incarnations, its own and its
@@ -108,8 +108,8 @@
 	return own.Number > 0 && (own.Has(from.Ident) || isOfLaterGroup)
 }
 
-// admitsMessage reports whether a message is to be processed, by what it claims about
-// its sender's and this replica's incarnations. If it isn't, the answer is sent here.
+// admitsMessage reports whether a message is to be processed, given its claims about the
+// incarnations of its sender and of this replica. If not, it adds any answer to out.
 func (r *Replica) admitsMessage(
 	now time.Duration, from message.Sender, claims message.IncarnationClaims, out *Out,
 ) bool {
@@ -130,8 +130,8 @@
 
 // peerKnowsIncarnation reports whether a peer's messages are meant for this
 // incarnation, and supersedes this replica if the peer knows of a later state. A peer
-// that recognizes an earlier incarnation is first sent a notice of this one: until it
-// has that, its messages may refer to a state that this replica has lost.
+// that recognizes an earlier incarnation is first sent a notice of this one. Until it
+// receives the notice, its messages may refer to a state that this replica has lost.
 func (r *Replica) peerKnowsIncarnation(from message.Sender, claims message.IncarnationClaims, out *Out) bool {
 	ident := from.Ident
 	switch incarnation.Compare(claims.KnownEpoch, r.guard.folder.epoch) {
@@ -150,7 +150,7 @@
 		return false
 	}
 	delete(r.guard.acknowledgedBy, ident)
-	if claims.IsNotice { // it is answered once the peer's own incarnation is checked
+	if claims.IsNotice { // admitsSender answers the notice after it has checked the peer's incarnation
 		return true
 	}
 	r.sendNotice(from.Replica, out)
@@ -165,7 +165,7 @@
 }
 
 // admitsSender reports whether a sender's incarnation is admitted. If so, it records
-// what the sender claims about itself and what it announces, as leader, about others.
+// the sender's claims about itself and, from a leader, its announcements about others.
 func (r *Replica) admitsSender(
 	now time.Duration, from message.Sender, claims message.IncarnationClaims, out *Out,
 ) bool {
@@ -187,7 +187,7 @@
 			r.refuseIncarnation(from, known, out)
 			return false
 		}
-		if claims.Saves == 0 { // no save yet: its state is the one that it started from, if it claims one
+		if claims.Saves == 0 { // no save yet, so the state is the one that the sender started from, if claimed
 			next.State = claims.StartState
 		}
 	default:
@@ -234,8 +234,8 @@
 	}
 }
 
-// refuseIncarnation answers an incarnation that isn't admitted with the one that is
-// known. The answer goes to the address that the message came from, since the same
+// refuseIncarnation sends the known incarnation to a sender whose incarnation isn't
+// admitted. The answer goes to the address that the message came from, since the same
 // identity may be known at another address.
 func (r *Replica) refuseIncarnation(from message.Sender, known message.PeerIncarnation, out *Out) {
 	notice := message.IncarnationNotice{KnownEpoch: known.Epoch, KnownState: known.State, Group: r.meta.Group}
@@ -273,8 +273,7 @@
 	}
 }
 
-// claimIncarnations adds the incarnation claims to a step's outgoing messages, as they
-// are when the messages are sent.
+// claimIncarnations adds the current incarnation claims to a step's outgoing messages.
 func (r *Replica) claimIncarnations(out *Out) {
 	if r.guard.folder == nil {
 		return
--- a/control/quorum/install.go
+++ b/control/quorum/install.go
@@ -7,16 +7,16 @@
 	"mulleinmast/wire/message"
 )
 
-// Installing state: how a replica's records are made equal to the leader's under
-// the leader's term.
+// This file implements the installation of state, which makes a replica's records equal to
+// the leader's and assigns them the leader's term.
 
 // copies is what a leader knows about the copies at the other replicas and learners.
 type copies struct {
-	installed     map[string]bool          // its copy holds the leader's term
-	installSentAt map[string]time.Duration // when it was last sent an InstallState, for a term or to join
-	comparedAt    map[string]time.Duration // when its copy was last compared; see repair.go
-	joinComplete  map[string]bool          // joining in the current group change, and holds the complete state
-	lagging       map[string]*laggingPeer  // missed committed writes
+	installed     map[string]bool          // the peer's copy holds the leader's term
+	installSentAt map[string]time.Duration // when the peer was last sent an InstallState, for a term or to join
+	comparedAt    map[string]time.Duration // when the peer's copy was last compared, see repair.go
+	joinComplete  map[string]bool          // the peer joins in the current group change and holds the complete state
+	lagging       map[string]*laggingPeer  // peers that missed committed writes
 }
 
 func newCopies() copies {
@@ -26,8 +26,8 @@
 	}
 }
 
-// forget drops what is known about a daemon's copy, but keeps when it was last sent an
-// InstallState.
+// forget drops what is known about a daemon's copy, except when the daemon was last sent
+// an InstallState.
 func (c *copies) forget(ident string) {
 	delete(c.installed, ident)
 	delete(c.comparedAt, ident)
@@ -36,7 +36,8 @@
 }
 
 // sendInstall sends a replica this leader's records in the ranges where the replica's
-// digests differ, under this leader's term. Without digests it only asks for them.
+// digests differ, under this leader's term. If digests is nil, the message holds no records
+// and only asks for the replica's digests.
 func (r *Replica) sendInstall(now time.Duration, to message.Replica, digests []uint64, out *Out) {
 	if to.Ident == r.self.Ident {
 		return
@@ -82,7 +83,7 @@
 		r.answerRepair(from, m, out)
 	case m.Purpose == message.InstallForJoin:
 		r.answerJoin(from, m, out)
-	default: // a duplicate, or one overtaken by writes of this term: only newer records are taken
+	default: // a duplicate, or overtaken by writes of this term; store only newer records
 		r.save(out, nil, r.putNewer(m.Records), r.stateInstalledEnvelope(from, m.Term))
 	}
 }
@@ -95,10 +96,10 @@
 	r.disk.markVoteInNextSave()
 }
 
-// replaceRecords replaces all records in the ranges that the leader sent. It answers a
-// mismatch if this copy is no longer the one that the leader compared, or if the
-// result would differ from the leader's records, as with a message that was truncated
-// in transit. An earlier build sends no checksum, so its result is not checked.
+// replaceRecords replaces all records in the ranges that the leader sent. It answers with
+// a StateMismatch if this copy has changed since the leader compared it, or if the result
+// would differ from the leader's records, for example because the message was truncated in
+// transit. Leaders of earlier builds send no checksum, so the result is not checked for them.
 func (r *Replica) replaceRecords(from message.Sender, m message.InstallState, out *Out) {
 	isUnexpected := len(digest.DifferingRanges(r.records.Digests(), m.Digests)) > 0
 	if isUnexpected || m.RecordsChecksum != 0 && m.RecordsChecksum != r.records.SumAfterInstall(m.Ranges, m.Records) {
@@ -126,13 +127,13 @@
 	}
 }
 
-// stateInstalledEnvelope returns the answer which confirms that this replica holds a
-// leader's term.
+// stateInstalledEnvelope returns the answer that confirms that this replica's records hold
+// a leader's term.
 func (r *Replica) stateInstalledEnvelope(from message.Sender, term uint64) message.Envelope {
 	return envelope(from.Replica, message.StateInstalled{Term: term}.Message(r.partition))
 }
 
-// handleStateInstalled handles a peer's answer that the state it was sent is on disk.
+// handleStateInstalled handles a peer's confirmation that the state sent to it is on disk.
 func (r *Replica) handleStateInstalled(
 	now time.Duration, from message.Sender, m message.StateInstalled, out *Out,
 ) {
--- a/control/quorum/lagging.go
+++ b/control/quorum/lagging.go
@@ -8,19 +8,19 @@
 	"mulleinmast/wire/message"
 )
 
-// Catch-up during writes: a replica that was unreachable while hundreds of writes were
-// committed is sent the ranges that differ once, and is up to date when they are on
-// its disk.
+// This file implements catch-up during writes. A replica that was unreachable while hundreds
+// of writes were committed is sent the differing ranges once instead of each write. It is up
+// to date when these ranges are on its disk.
 
 // laggingPeer is a replica or learner that did not acknowledge a committed write in time.
 type laggingPeer struct {
-	lastMissed    uint64        // the request ID of the last such write
+	lastMissed    uint64        // the request ID of the last write that it did not acknowledge in time
 	comparedAt    time.Duration // when it was last asked to compare its copy
 	hasAckedSince bool          // it has acknowledged a write since it began to lag
 	comparisons   int           // comparisons sent since that acknowledgement
 }
 
-// noteLateAnswer records an acknowledgement of a write that was committed without it.
+// noteLateAnswer records an acknowledgement that arrived after its write was committed.
 func (r *Replica) noteLateAnswer(from message.Sender, request uint64) {
 	if l := r.copies.lagging[from.Ident]; l != nil {
 		l.hasAckedSince = true
@@ -31,8 +31,8 @@
 	}
 }
 
-// catchUpLagging compares copies with the lagging peers, so that they receive the
-// writes that they missed.
+// catchUpLagging sends the lagging peers this leader's digests to compare, so that they
+// receive the writes that they missed.
 func (r *Replica) catchUpLagging(now time.Duration, out *Out) {
 	r.markLaggingPeers(now)
 	for _, peer := range r.peers() {
--- a/control/quorum/meta.go
+++ b/control/quorum/meta.go
@@ -10,19 +10,19 @@
 	"mulleinmast/wire/message"
 )
 
-// Meta is a replica's durable state besides its records. It is stored as JSON under
-// the names of its tags, which earlier builds use too.
+// Meta is a replica's durable state except its records. It is stored as JSON with the field
+// names in the tags, which earlier builds use too.
 type Meta struct {
 	VotedTerm     uint64        `json:"Promised"` // the highest term in which it voted or which it joined; 0: none
 	VotedFor      string        `json:"To"`       // the candidate that has its vote in that term
 	VotedForEpoch uint64        `json:"ToEpoch"`  // the incarnation of VotedFor that was voted for
-	CandidateTerm uint64        `json:"Tried"`    // the highest term of its own candidacies; none is used twice
+	CandidateTerm uint64        `json:"Tried"`    // the highest term of its own candidacies; no term is used twice
 	LastComplete  uint64        `json:"Set"`      // the last complete term, see the package comment
 	Group         message.Group `json:"Group"`
 	Incomplete    bool          `json:"Short,omitempty"` // the disk lost records: no vote until they are installed again
 
 	State   message.SavePoint         `json:"State,omitzero"`    // the save point of this state
-	History []message.SavePoint       `json:"History,omitempty"` // the last save point of earlier incarnations, oldest first
+	History []message.SavePoint       `json:"History,omitempty"` // last save points of earlier incarnations, oldest first
 	Peers   []message.PeerIncarnation `json:"Peers,omitempty"`   // the known incarnations of the other replicas
 }
 
--- a/control/quorum/repair.go
+++ b/control/quorum/repair.go
@@ -7,13 +7,14 @@
 	"mulleinmast/wire/message"
 )
 
-// Repair: copies that hold the same term are compared in the background, at a steady
-// low rate and not during writes. The leader sends its digests, a replica whose copy
+// This file implements repair. Copies that hold the same term are compared in the
+// background, at a steady low rate and not during writes. The leader sends its digests, a replica whose copy
 // differs sends its own digests, and the leader sends its records in the ranges that
 // differ. The newer version of a record wins. A repair never counts as a vote and
 // never raises a copy above the leader's term.
 
-// compareCopies starts a comparison with each peer whose last one is long enough ago.
+// compareCopies starts a comparison with each peer that was last compared at least
+// repairIntervalLeases leader leases ago.
 func (r *Replica) compareCopies(now time.Duration, out *Out) {
 	if r.role != leader || len(r.replication.pending) > 0 {
 		return
@@ -28,7 +29,7 @@
 		}
 		r.copies.comparedAt[peer.Ident] = now
 		if !compared {
-			continue // it was installed just now, so its copy needs no comparison yet
+			continue // the peer's copy was installed recently and needs no comparison yet
 		}
 		out.send(peer, message.InstallState{
 			Term: r.term, Purpose: message.InstallForRepair, Digests: r.records.Digests(), Group: r.meta.Group,
@@ -36,9 +37,9 @@
 	}
 }
 
-// answerRepair handles a repair message. It answers digests with this replica's own,
-// and records, after it has applied them, with those that are newer or unknown to the
-// leader.
+// answerRepair handles a repair message. If the message holds only digests, it answers with
+// this replica's digests. If the message holds records, it applies them and answers with this
+// replica's records that are newer than the leader's or unknown to the leader.
 func (r *Replica) answerRepair(from message.Sender, m message.InstallState, out *Out) {
 	if m.Ranges == nil {
 		r.answerComparison(from, m, out)
@@ -66,8 +67,8 @@
 	}
 }
 
-// applyRepair stores the leader's records where they are newer than this replica's, and
-// returns them and this replica's newer ones. Its own records of a term above the
+// applyRepair stores the leader's records that are newer than this replica's. It returns the
+// stored records and this replica's newer records. This replica's records of a term above the
 // leader's are replaced too, since they were never committed.
 func (r *Replica) applyRepair(m message.InstallState) (accepted, newer []message.Record) {
 	for _, rec := range m.Records {
@@ -89,10 +90,10 @@
 	return own.Version == rec.Version && digest.Fingerprint(own) != digest.Fingerprint(rec)
 }
 
-// deleteStrayRecords looks at the records that the leader lacks in the ranges that it
-// sent. It deletes those that can't be valid, because they are below the floor or of a
-// term above the leader's, and returns their keys. The others are returned as unknown:
-// the leader may have lost them.
+// deleteStrayRecords examines this replica's records that the leader lacks in the ranges
+// that the leader sent. It deletes the invalid records, which are below the floor or of a
+// term above the leader's, and returns their keys. It returns the other records as unknown,
+// since the leader may have lost them.
 func (r *Replica) deleteStrayRecords(m message.InstallState) (deleted []string, unknown []message.Record) {
 	sent := map[string]bool{}
 	for _, rec := range m.Records {
@@ -130,9 +131,9 @@
 	}.Message(r.partition))
 }
 
-// checkNewerRecords checks the records that a replica holds and that the leader's copy
-// lacked or had in an older version. If the leader still lacks one, its own copy is
-// damaged: it steps down, and the next term merges the newest records of a majority.
+// checkNewerRecords checks the records of a replica that were newer than the leader's or
+// missing in the leader's copy. If the leader's copy still lacks one, the leader's copy is
+// damaged. The leader then steps down, and the next term merges a majority's newest records.
 func (r *Replica) checkNewerRecords(records []message.Record, out *Out) {
 	for _, rec := range records {
 		own, ok := r.records.Get(rec.Key)
--- a/control/quorum/replica.go
+++ b/control/quorum/replica.go
@@ -1,11 +1,11 @@
-// Package quorum implements one partition's replica on a control daemon: it votes,
+// Package quorum implements one partition's replica on a control daemon. A replica votes,
 // becomes a candidate when there is no leader, and as leader replicates writes to a
-// majority. It is a plain state machine: its inputs are messages and time, its outputs
+// majority. It is a state machine whose inputs are messages and time, and whose outputs are
 // messages and saves.
 //
 // The terminology is Raft's, with one difference: there is no log. A replica's state is
-// a set of versioned records and the last complete term, the term of the leader whose
-// records were last installed completely. A candidate reads the state of a majority,
+// a set of versioned records and the last complete term, which is the term of the leader
+// whose records were last installed completely. A candidate reads the state of a majority,
 // takes the records of the highest complete term, merges them by version, and installs
 // the result at the replicas under its own term before it serves.
 //
@@ -28,16 +28,16 @@
 // fleet; control/daemon derives them from the users' settings (QuorumConfig).
 type Config struct {
 	// LeaderLease is the length of a leader lease. A leader that gets no acknowledgement
-	// from a majority for so long stops being leader, and only then can another be
-	// elected. Longer leases tolerate longer pauses, shorter ones allow faster failover.
+	// from a majority for this long stops being leader, and only then can another leader
+	// be elected. Longer leases tolerate longer pauses, shorter ones allow faster failover.
 	LeaderLease time.Duration
 	// Drift is the maximum rate by which one clock runs faster than another, as a
 	// fraction of 1. If a clock exceeds it, two leaders' leases may overlap.
 	Drift float64
-	// Margin is added, besides Drift, to every wait for a time on another replica's clock.
+	// Margin is added, in addition to Drift, to every wait for a time on another replica's clock.
 	Margin time.Duration
-	// HeartbeatInterval is the time between two heartbeats, and before a write is
-	// resent. Several must fit into one LeaderLease.
+	// HeartbeatInterval is the time between two heartbeats, and the time after which a
+	// pending write is resent. Several intervals must fit into one LeaderLease.
 	HeartbeatInterval time.Duration
 	// LostAfter is how long a replica may be silent before a ready learner replaces it.
 	// It must be longer than one LeaderLease, or a restart would be treated as a loss.
@@ -95,15 +95,16 @@
 const (
 	follower     role = iota
 	preCandidate      // requests pre-votes, which bind no voter
-	candidate         // requests votes
+	candidate         // requests votes, which bind the voters
 	installing        // won its election, and installs its records at a majority before it serves
 	leader
 )
 
 // repairIntervalLeases is the number of leader leases between two comparisons with the
-// same replica. It is also how many leases a voter may stay bound to a term above the
-// leader's, during which its copy isn't updated, before the leader steps down so that a
-// higher term is used, and how many comparisons a lagging peer may leave unanswered.
+// same replica, and the number of comparisons that a lagging peer may leave unanswered. It also
+// limits for how many leader leases a voter may stay bound to a term above the leader's,
+// during which the voter's copy isn't updated. After that, the leader steps down so that
+// the next election uses a higher term.
 const repairIntervalLeases = 8
 
 // Replica is the state machine. It is not safe for concurrent use.
@@ -119,15 +120,15 @@
 	resigned bool          // no longer renews its lease or starts elections
 
 	role role
-	term uint64 // the term in which it is, or was last, candidate or leader
+	term uint64 // the term in which this replica is, or was last, candidate or leader
 
 	support   leaderSupport
-	lastGrant withdrawableGrant // the last vote that it granted
+	lastGrant withdrawableGrant // the last vote that this replica granted
 	epochs    map[string]uint64 // the latest known incarnation of each daemon
 	election  election
 	lease     leaderLease
 
-	leaderSince time.Duration // when it won its election, after which no earlier leader could act
+	leaderSince time.Duration // when this replica won its last election; no earlier leader can act after that
 	writesFrom  time.Duration // as leader: no write may start before this time
 
 	replication replication
@@ -148,12 +149,12 @@
 	Self      message.Replica
 	Folder    *Folder         // shared by the replicas of a daemon; nil: no incarnation is claimed or checked
 	Meta      Meta            // as read from disk
-	Records   *digest.Records // as read from disk; owned by the replica from now on
-	IsNew     bool            // it has never voted, so it has no supported lease to wait out
+	Records   *digest.Records // as read from disk; the caller must not use them after New
+	IsNew     bool            // the replica has never voted, so New doesn't wait for a lease to expire
 }
 
-// New returns a replica. Unless it is new, it waits out one full lease before it
-// votes, since it may have supported a leader right before the restart.
+// New returns a replica. Unless IsNew is set, the replica does not vote until one full lease
+// has passed, since it may have supported a leader right before the restart.
 //
 // Example: r := quorum.New(cfg, quorum.InitialState{Self: self, Records: records, IsNew: true}, now)
 func New(cfg Config, initial InitialState, now time.Duration) *Replica {
@@ -178,8 +179,8 @@
 	return r
 }
 
-// WritesFrom returns when a leader may start to write. Leases granted under an earlier
-// leader whose daemon restarted have expired by then.
+// WritesFrom returns the time from which this leader may write. By then, the leases granted
+// under an earlier leader whose daemon restarted have expired.
 //
 // Example: if now >= r.WritesFrom() { write() }
 func (r *Replica) WritesFrom() time.Duration { return r.writesFrom }
@@ -199,8 +200,8 @@
 // Example: left := r.LeaseEnd() - now
 func (r *Replica) LeaseEnd() time.Duration { return r.lease.end }
 
-// LeaderSince returns when this replica won its last election. No earlier leader could
-// act from then on.
+// LeaderSince returns when this replica won its last election. No earlier leader can act
+// after that time.
 //
 // Example: if now-r.LeaderSince() < grace { holdOrders() }
 func (r *Replica) LeaderSince() time.Duration { return r.leaderSince }
@@ -271,7 +272,7 @@
 }
 
 // Tick handles the passage of time: it renews or ends leases, starts elections and
-// resends what was not answered.
+// resends unanswered messages.
 //
 // Example: out := r.Tick(now)
 func (r *Replica) Tick(now time.Duration) (out Out) {
@@ -310,9 +311,9 @@
 	return r.role != follower && r.isDiskStalled(now) || r.isOutvoted(now)
 }
 
-// isOutvoted reports whether a voter has been bound to a term above this leader's for
-// so long that only an election in a higher term wins it back. A leader with pending
-// writes waits for these first.
+// isOutvoted reports whether a voter has been bound to a term above this leader's for more
+// than repairIntervalLeases leader leases. Only an election in a higher term releases such a
+// voter. A leader with pending writes first waits for them to complete.
 func (r *Replica) isOutvoted(now time.Duration) bool {
 	if r.role != leader || len(r.replication.pending) > 0 {
 		return false
@@ -325,7 +326,8 @@
 	return false
 }
 
-// mayLead reports whether this replica may be or become leader at all.
+// mayLead reports whether this replica may start an election or continue as leader. It may
+// not if it has resigned, is incomplete, has a stalled disk or isn't in the group.
 func (r *Replica) mayLead(now time.Duration) bool {
 	return !r.resigned && !r.meta.Incomplete && !r.isDiskStalled(now) && r.meta.Group.Has(r.self.Ident)
 }
@@ -351,7 +353,7 @@
 	r.election.notBefore = max(r.election.notBefore, now+r.electionDelay()+r.cfg.HeartbeatInterval)
 }
 
-// tickLeader renews the lease, compares copies, and resends what was not answered.
+// tickLeader renews the lease, compares copies, and resends unanswered messages.
 func (r *Replica) tickLeader(now time.Duration, out *Out) {
 	if now-r.lease.heartbeatAt >= r.cfg.HeartbeatInterval {
 		r.sendHeartbeats(now, out)
@@ -385,8 +387,8 @@
 // hasWonElection reports whether this replica won the election of its term.
 func (r *Replica) hasWonElection() bool { return r.role == installing || r.role == leader }
 
-// leadsTerm reports whether this replica won the election of a term, so that an answer
-// in that term is to its own messages.
+// leadsTerm reports whether this replica won the election of a term and is still in that
+// term. Answers in this term are then to its own messages.
 func (r *Replica) leadsTerm(term uint64) bool { return r.hasWonElection() && r.term == term }
 
 // peers returns the daemons that the leader keeps up to date: replicas and learners.
--- a/control/quorum/replicate.go
+++ b/control/quorum/replicate.go
@@ -13,7 +13,7 @@
 type replication struct {
 	lastRequest    uint64            // the last number drawn in the current term
 	pending        map[uint64]*write // not yet acknowledged by a majority
-	partiallyAcked map[uint64]*write // acknowledged by a majority but not by all; their records are dropped
+	partiallyAcked map[uint64]*write // acknowledged by a majority but not by all peers; without their records
 }
 
 // write is a write that is being replicated.
@@ -45,8 +45,8 @@
 	return results
 }
 
-// commit marks a write as acknowledged by a majority, and keeps it while a peer's
-// acknowledgement is missing.
+// commit marks a write as acknowledged by a majority. It keeps the write, without records,
+// in partiallyAcked if a peer has not acknowledged it yet.
 func (p *replication) commit(request uint64, w *write, peers []message.Replica) {
 	delete(p.pending, request)
 	for _, peer := range peers {
@@ -95,7 +95,7 @@
 	}
 }
 
-// resendWrites resends the pending writes that were sent a heartbeat interval ago.
+// resendWrites resends the pending writes that were last sent at least a heartbeat interval ago.
 func (r *Replica) resendWrites(now time.Duration, out *Out) {
 	for _, request := range slices.Sorted(maps.Keys(r.replication.pending)) {
 		w := r.replication.pending[request]
@@ -106,8 +106,8 @@
 	}
 }
 
-// handleReplicate stores a write of the leader if this replica's records hold the
-// leader's term, which the write builds on.
+// handleReplicate stores a write of the leader if this replica holds the leader's term.
+// Without the records installed in that term, its copy would be incomplete.
 func (r *Replica) handleReplicate(now time.Duration, from message.Sender, m message.Replicate, out *Out) {
 	isVotedFor := r.meta.isVotedFor(m.Term, from.Ident)
 	switch {
@@ -154,7 +154,7 @@
 	r.replication.commit(m.ResponseTo, w, r.peers())
 	outcome := Committed
 	if now >= r.lease.end {
-		outcome = Uncertain // the next leader will most likely find it, but this one can't be sure
+		outcome = Uncertain // the next leader will most likely find the write, but this leader can't be sure
 	}
 	out.Results = append(out.Results, WriteResult{Tag: w.tag, Outcome: outcome})
 }
--- a/control/quorum/vote.go
+++ b/control/quorum/vote.go
@@ -8,35 +8,35 @@
 	"mulleinmast/wire/message"
 )
 
-// The voter's side of elections.
+// This file implements the voter's side of elections.
 
-// leaderSupport is a replica's support of a leader. While it lasts, the replica votes
-// for no other candidate, so that no two leaders hold a leader lease at once.
+// leaderSupport is a replica's support of a leader. While the support lasts, the replica
+// votes for no other candidate, so that no two leaders hold a leader lease at the same time.
 type leaderSupport struct {
-	leader             string        // identity of the candidate or leader that it supported last
-	until              time.Duration // it votes for no other candidate before this time
-	earlierLeasesUntil time.Duration // until when leases granted under an earlier leader may be valid
+	leader             string        // identity of the candidate or leader that the replica supported last
+	until              time.Duration // the replica votes for no other candidate before this time
+	earlierLeasesUntil time.Duration // leases granted under an earlier leader may be valid until this time
 	known              message.Leadership
 	knownAt            time.Duration // when known was last supported
 }
 
-// withdrawableGrant is a granted vote that can still be withdrawn: if its candidate
-// abandons the term, nobody can win with the vote, and the previous one is restored.
+// withdrawableGrant is a granted vote that can still be withdrawn. If the candidate abandons
+// the term, nobody can win with the vote, and the previous vote is restored.
 type withdrawableGrant struct {
 	term   uint64 // the term of the vote; 0: no vote can be withdrawn
 	before vote   // the previous vote
 }
 
-// isLeaderRestarted reports whether the leader that this replica is bound to has
-// restarted since. A new incarnation does not resume a leadership.
+// isLeaderRestarted reports whether the leader that this replica voted for has restarted
+// since the vote. A new incarnation does not resume a leadership.
 func (r *Replica) isLeaderRestarted() bool {
 	return r.meta.VotedForEpoch > 0 && r.epochs[r.meta.VotedFor] > r.meta.VotedForEpoch
 }
 
 // isUnbound reports whether this replica may support another leader now, because the
-// lease that it supported has expired or its leader has restarted. In the second case
-// leases granted under that leader may still be valid, so the vote for the next leader
-// states for how long it must not write.
+// lease that it supported has expired or its leader has restarted. After a restart, leases
+// granted under that leader may still be valid, so this replica's vote states for how long
+// the next leader must not write.
 func (r *Replica) isUnbound(now time.Duration) bool {
 	return now >= r.support.until || r.isLeaderRestarted()
 }
@@ -54,8 +54,8 @@
 	return from.Epoch < r.epochs[from.Ident]
 }
 
-// noteEpoch records the incarnation that a message came from. A follower that learns
-// from it that its leader has restarted may become a candidate.
+// noteEpoch records the incarnation that sent a message. If this shows a follower that its
+// leader has restarted, the follower may become a candidate after its election delay.
 func (r *Replica) noteEpoch(now time.Duration, from message.Sender) {
 	if from.Epoch <= r.epochs[from.Ident] {
 		return
@@ -89,8 +89,8 @@
 }
 
 // joinForVote reports whether this replica has a vote in a candidate's group. If that
-// group is later than its own and includes it, it first switches to that group, which
-// the next save stores.
+// group is later than this replica's own and includes this replica, joinForVote first
+// switches to that group. The next save stores the group.
 func (r *Replica) joinForVote(now time.Duration, candidate string, group message.Group) bool {
 	own := r.meta.Group
 	// An incomplete replica may have lost a record that only a majority including its
@@ -112,8 +112,8 @@
 		slices.EqualFunc(a.Replicas, b.Replicas, sameIdent) && slices.EqualFunc(a.Next, b.Next, sameIdent)
 }
 
-// grantVote binds this replica to a candidate. Once that is on disk, the vote is sent,
-// with the records in the ranges where the candidate's differ.
+// grantVote binds this replica to a candidate. Once the vote is on disk, it is sent with
+// this replica's records in the ranges where the candidate's digests differ.
 func (r *Replica) grantVote(
 	now time.Duration, from message.Sender, req message.VoteRequest, repeated bool, out *Out,
 ) {
@@ -153,9 +153,9 @@
 	}.Message(r.partition))
 }
 
-// handleAbandonTerm withdraws the vote for a candidate that has abandoned its term, so
-// that nobody can become leader in it. A later incarnation of the candidate may have
-// requested a vote in the same term, so only the one that has the vote can abandon it.
+// handleAbandonTerm withdraws the vote for a candidate that has abandoned its term and can
+// no longer become leader in it. A later incarnation of the candidate may have requested a
+// vote in the same term, so only the incarnation that has the vote can abandon the term.
 func (r *Replica) handleAbandonTerm(from message.Sender, m message.AbandonTerm, out *Out) {
 	if !r.meta.isVotedFor(m.Term, from.Ident) || r.meta.VotedForEpoch != from.Epoch || r.lastGrant.term != m.Term {
 		return
