--- a/control/digest/digest.go
+++ b/control/digest/digest.go
@@ -60,7 +60,8 @@
 	return x ^ x>>31
 }
 
-// sum combines the digests of all ranges into one. It is never 0, which means "no sum".
+// sum combines the digests of all ranges into one. The result is never 0, which means
+// "no sum" in messages.
 func sum(digests [Ranges]uint64) uint64 {
 	all := uint64(0)
 	for _, d := range digests {
--- a/control/digest/records.go
+++ b/control/digest/records.go
@@ -47,8 +47,8 @@
 	r.digests[i] ^= Fingerprint(record)
 }
 
-// PutNewer stores a record if it is newer than the stored one, and reports whether it
-// did.
+// PutNewer stores a record if it is newer than the stored record or its key is not stored
+// yet. It reports whether the record was stored.
 //
 // Example: if r.PutNewer(record) { save(record) }
 func (r *Records) PutNewer(record message.Record) bool {
--- a/control/incarnation/incarnation.go
+++ b/control/incarnation/incarnation.go
@@ -1,5 +1,5 @@
 // Package incarnation numbers the starts of a daemon that has a data folder. An
-// incarnation number (called an epoch elsewhere) combines the number of starts from that
+// incarnation number, which other packages call an epoch, combines the number of starts from that
 // folder with a random nonce drawn at each start. The nonce distinguishes processes that
 // were started from copies of the same folder and have the same start count.
 package incarnation
@@ -9,9 +9,9 @@
 // nonceBits is the length of the nonce, which fills the bits below the start count.
 const nonceBits = 32
 
-// MaxNonce is the largest nonce. It is never drawn at a start: data folders store it in
-// place of the drawn nonce, so that a build without nonces, which adds one to the stored
-// number, increments the start count.
+// MaxNonce is the largest nonce. It is never drawn at a start. Data folders store it in place
+// of the drawn nonce. A build without nonces adds one to the stored number, which then
+// increments the start count.
 const MaxNonce = 1<<nonceBits - 1
 
 // Number combines a start count and a nonce into an incarnation number.
@@ -44,7 +44,7 @@
 	Same     Order = iota
 	Earlier        // fewer starts
 	Later          // more starts
-	Conflict       // same start count but different nonces: two copies of one folder are running
+	Conflict       // same start count but different nonces, so two copies of one folder are running
 )
 
 // Compare returns the order of epoch relative to other, both of the same identity.
--- a/control/lease/config.go
+++ b/control/lease/config.go
@@ -3,14 +3,14 @@
 import "time"
 
 // Config holds the timing parameters of the leases. Durations are positive and measured
-// by the node's own clock; control/daemon derives them from the configured bound on the
+// by the node's own clock. control/daemon derives them from the configured bound on the
 // time that a change may take.
 type Config struct {
 	// VolumeLease is the length of a volume lease. A write waits at most this long, plus
 	// drift and margin, for a failed child. Default: 0.4 of the bound on a change.
 	VolumeLease time.Duration
 	// ObjectLease is the length of an object lease. A pinned record is requested again
-	// after three quarters of it. Default: 600 volume leases.
+	// after three quarters of that time. Default: 600 volume leases.
 	ObjectLease time.Duration
 	// Drift is the maximum relative rate difference between two clocks, from 0 to 0.2.
 	// Granters extend the leases that they grant by this ratio. Default: 0.02.
@@ -28,8 +28,9 @@
 	// reshaping of the tree. Default: 5 volume leases.
 	LoadInterval time.Duration
 	// MaxRenewals is the number of renewals in a LoadInterval above which a parent
-	// redirects children to relays even if that saves no time. A relay that receives half
-	// as many or more keeps its children, since its parent would have no room for them.
+	// redirects children to relays even if that saves no time. A relay that receives at
+	// least half as many renewals keeps its children, since its parent would have no room
+	// for them.
 	// Default: 2000.
 	MaxRenewals int
 }
@@ -48,13 +49,13 @@
 // is treated as having been stalled.
 func (c Config) renewalTimeout() time.Duration { return c.RenewInterval / 2 }
 
-// leaseListGap returns the minimum time between two lease lists. Overlapping reconnects
-// would keep undoing each other's results indefinitely.
+// leaseListGap returns the minimum time between two lease lists. Without this gap,
+// overlapping reconnects would keep undoing each other's results indefinitely.
 func (c Config) leaseListGap() time.Duration { return c.RenewInterval / 2 }
 
-// resendGap returns the minimum age of an unacknowledged invalidation before a renewal by
-// the child causes it to be resent. Before that, the renewal may merely have overtaken
-// the acknowledgement.
+// resendGap returns the age from which an unacknowledged invalidation is resent when the
+// child renews. If the invalidation is more recent, the renewal may have overtaken its
+// acknowledgement.
 func (c Config) resendGap() time.Duration { return c.RenewInterval / 4 }
 
 // childCheckInterval returns the time between two scans of the children.
@@ -72,8 +73,8 @@
 // forgetChildAfter returns the time without a renewal after which a child is forgotten.
 func (c Config) forgetChildAfter() time.Duration { return 8 * c.VolumeLease }
 
-// maxRenewalWithoutAck returns for how long a child's lease is still renewed while it has
-// not acknowledged an invalidation. Without this allowance, a relay that waits for a
-// failed child would lose the leases of its entire zone. The bound keeps a write from
+// maxRenewalWithoutAck returns for how long a child's lease is still renewed while the child
+// has not acknowledged an invalidation. Without this allowance, a relay that waits for a
+// failed child would lose the leases of its entire zone. The limit prevents a write from
 // waiting forever.
 func (c Config) maxRenewalWithoutAck() time.Duration { return c.VolumeLease / 2 }
--- a/control/lease/downstream.go
+++ b/control/lease/downstream.go
@@ -19,8 +19,8 @@
 	sequence  uint64            // last sequence number sent; children drop messages that arrive out of order
 	children  map[string]*child // by childID
 	lastCheck time.Duration     // time of the last scan of the children
-	// waiters holds, by key, the children that wait for the record, and for each the version
-	// from which it can apply patches.
+	// waiters holds, by key, the children that wait for the record, and the version from
+	// which each of these children can apply patches.
 	waiters map[string]map[string]message.Version
 }
 
@@ -30,15 +30,15 @@
 	replica message.Replica
 	epoch   uint64
 
-	volumeExpiry time.Duration            // end of all volume leases granted to it, with drift and margin
-	objectExpiry map[string]time.Duration // key -> end of the object lease granted to it, with drift and margin
+	volumeExpiry time.Duration            // end of all volume leases granted to the child, with drift and margin
+	objectExpiry map[string]time.Duration // key -> end of the object lease granted to the child, with drift and margin
 
 	reconnected bool   // has reconnected since this node first saw it
 	unreachable bool   // on the unreachable list: may still hold invalidated records and must reconnect
-	reconciled  uint64 // sequence of the reconciliation whose ReconnectDone takes it off the list; 0 if none
+	reconciled  uint64 // sequence of the reconciliation whose ReconnectDone removes it from the list; 0 if none
 
 	pending      *pendingRenewal // latest renewal received while this node had no lease itself; nil if none
-	pendingSince time.Duration   // when the first of these renewals was received
+	pendingSince time.Duration   // when the first renewal of the current wait was received
 
 	renewCost time.Duration // cost of renewing at this node, as measured by the child
 	lastSeen  time.Duration // when its last renewal was handled
@@ -92,8 +92,8 @@
 }
 
 // answerRenewal grants the lease, requests a reconnect, or defers the renewal until this
-// node has a lease itself. A child that has not acknowledged an invalidation for too long
-// gets no answer, so that its lease expires.
+// node has a lease itself. A child that has not acknowledged an invalidation for longer than
+// maxRenewalWithoutAck gets no answer, so that its lease expires.
 func (n *Node) answerRenewal(now time.Duration, c *child, renewal pendingRenewal, out *Out) {
 	c.lastSeen = now
 	n.countRenewal(now, c, n.HasVolumeLease(now) && n.servesAll(now, renewal.keys))
@@ -175,7 +175,7 @@
 }
 
 // grantVolumeLease returns the length of the volume lease to grant to a child now, and
-// records it as granted. It never extends beyond this node's own lease.
+// records the lease as granted. The lease never extends beyond this node's own lease.
 func (n *Node) grantVolumeLease(now time.Duration, c *child) time.Duration {
 	length := n.maxVolumeLease(now)
 	grantWithinOwnLease.Hold(length == 0 || now+length <= n.VolumeExpiry(),
@@ -205,7 +205,8 @@
 	c.objectExpiry[key] = now + n.cfg.granterExpiry(n.cfg.ObjectLease)
 }
 
-// addWaiter registers a child as waiting for a record, and requests it from the parent.
+// addWaiter registers a child as waiting for a record, and requests the record from the
+// parent.
 func (n *Node) addWaiter(now time.Duration, c *child, key string, base message.Version, out *Out) {
 	if n.downstream.waiters[key] == nil {
 		n.downstream.waiters[key] = map[string]message.Version{}
@@ -220,7 +221,8 @@
 	}
 }
 
-// serveWaiters sends a record to the children that wait for it, if it can be served now.
+// serveWaiters sends a record to the children that wait for it, if the record can be served
+// now.
 func (n *Node) serveWaiters(now time.Duration, key string, out *Out) {
 	waiters := n.downstream.waiters[key]
 	if len(waiters) == 0 || n.invalidations.isInProgress(key) {
@@ -243,8 +245,9 @@
 	}
 }
 
-// mergeGrants merges the record grants for each child into the first of them. This is safe
-// because all grants are from one step, in which no record is withdrawn after its grant.
+// mergeGrants merges the record grants for each child into the child's first grant. This is
+// safe because all grants are from one step, and no record is withdrawn after its grant in
+// the same step.
 func mergeGrants(sends []message.Envelope) []message.Envelope {
 	first := map[string]int{} // child's identity -> index of its first grant
 	merged := sends[:0]
@@ -275,15 +278,15 @@
 	return c.reconnected && !c.unreachable && now < c.volumeExpiry && !n.invalidations.isAwaitingAck(c.id)
 }
 
-// handleLeaseList handles the second half of a reconnect. One message grants the volume
-// lease and the listed records that are current; the child drops all other records.
+// handleLeaseList answers the lease list of a reconnecting child. The answer grants the
+// volume lease and the listed records that are current. The child drops all other records.
 func (n *Node) handleLeaseList(now time.Duration, sender message.Sender, m message.LeaseList, out *Out) {
 	c := n.getOrAddChild(sender)
 	if !n.HasVolumeLease(now) || n.invalidations.isAwaitingAck(c.id) || m.VolumeEpoch != n.VolumeEpoch() {
 		return
 	}
 	// The child remains unreachable until its ReconnectDone. Object leases recorded earlier
-	// are kept: this list may be late, and the child may have been granted records since.
+	// are kept, because the child may have been granted records after it sent this list.
 	c.unreachable, c.reconnected = true, true
 	answer := message.Reconciliation{ResponseTo: m.RequestID, ObjectLease: n.cfg.ObjectLease}
 	for _, r := range m.Records {
@@ -303,7 +306,8 @@
 	return ok && !n.invalidations.isInProgress(r.Key) && current.Version == r.Version && current.Deleted == r.Deleted
 }
 
-// handleReconnectDone removes a child from the unreachable list.
+// handleReconnectDone removes a child from the unreachable list if the message confirms the
+// child's latest reconciliation.
 func (n *Node) handleReconnectDone(sender message.Sender, m message.ReconnectDone) {
 	c := n.downstream.children[childID(sender)]
 	if c != nil && m.VolumeEpoch == n.VolumeEpoch() && m.Sequence == c.reconciled {
@@ -311,10 +315,10 @@
 	}
 }
 
-// checkChildren denies renewals that were deferred for too long, and forgets children
-// that have not renewed for a long time.
+// checkChildren denies renewals that were deferred for longer than a volume lease, and drops
+// children that have not renewed for forgetChildAfter.
 func (n *Node) checkChildren(now time.Duration, out *Out) {
-	if now-n.downstream.lastCheck < n.cfg.childCheckInterval() { // a scan is expensive and not urgent
+	if now-n.downstream.lastCheck < n.cfg.childCheckInterval() { // scans are expensive and not urgent
 		return
 	}
 	n.downstream.lastCheck = now
--- a/control/lease/invalidation.go
+++ b/control/lease/invalidation.go
@@ -20,7 +20,7 @@
 	number         uint64                   // acknowledgements of earlier invalidations, with other numbers, are ignored
 	unacknowledged map[string]time.Duration // child -> when it was last sent
 
-	// Notified when the invalidation is complete:
+	// The parents and writers to notify when the invalidation is complete.
 	granters []waitingGranter // parents that requested it
 	tags     []uint64         // tags of writers at the root, see Suspend
 }
@@ -28,7 +28,7 @@
 // waitingGranter is a parent that is waiting for the acknowledgement of its invalidation.
 type waitingGranter struct {
 	replica     message.Replica
-	number      uint64              // assigned by the parent
+	number      uint64              // number of the parent's invalidation
 	volumeEpoch message.VolumeEpoch // of the parent
 }
 
@@ -64,14 +64,16 @@
 	return inv
 }
 
-// Suspend stops serving a record at the root and withdraws it from the tree. Once no
-// valid lease on the record remains below the root, Out.Invalidated contains the tag.
+// Suspend stops serving a record at the root and withdraws it from the tree. When no valid
+// lease on the record remains below the root, this step or a later one returns the tag in
+// Out.Invalidated. A tag of 0 is never returned.
 //
 // Example: out := n.Suspend(now, "plan/now", 17)
 func (n *Node) Suspend(now time.Duration, key string, tag uint64) (out Out) {
 	n.root.suspended[key]++
 	if n.root.active && n.root.suspended[key] == 1 {
-		n.extendChain(n.root.record(key)) // its patch may be missing if no child has requested it since it was written
+		// The patch to the current version may be missing if no child has requested that version.
+		n.extendChain(n.root.record(key))
 		n.patches.keepBase(now, n.root.record(key))
 	}
 	n.generation++
@@ -109,14 +111,16 @@
 	return out
 }
 
-// invalidate drops a record here and below, without notifying a parent or writer.
+// invalidate drops a record at this node and its descendants, without notifying a parent or
+// writer.
 func (n *Node) invalidate(now time.Duration, key string, out *Out) {
 	n.completeIfAcknowledged(now, n.withdraw(now, key, out), out)
 }
 
-// withdraw drops a record here and invalidates it at the children, unless an
-// invalidation is already in progress. Children with a valid volume lease must
-// acknowledge it; those whose lease has expired are put on the unreachable list.
+// withdraw drops a record at this node and invalidates it at the children, unless an
+// invalidation of the record is already in progress. Children with a valid volume lease must
+// acknowledge the invalidation. Children whose lease has expired are put on the unreachable
+// list.
 func (n *Node) withdraw(now time.Duration, key string, out *Out) *invalidation {
 	if cached, ok := n.records.cached[key]; ok {
 		n.extendChain(cached.record)
@@ -201,9 +205,9 @@
 	}
 }
 
-// completeIfAcknowledged completes an invalidation that no longer waits for any child: it
-// notifies those who requested it, fetches the record again if it is pinned, and serves
-// waiting children.
+// completeIfAcknowledged completes an invalidation that no longer waits for any child. It
+// notifies the parents and writers that requested the invalidation, fetches the record again
+// if it is pinned, and sends it to the children that wait for it.
 func (n *Node) completeIfAcknowledged(now time.Duration, inv *invalidation, out *Out) {
 	if len(inv.unacknowledged) > 0 {
 		return
@@ -222,7 +226,8 @@
 	n.serveWaiters(now, inv.key, out)
 }
 
-// acknowledge notifies a parent that its invalidation is complete here and below.
+// acknowledge notifies a parent that its invalidation is complete at this node and its
+// descendants.
 func (n *Node) acknowledge(key string, granter waitingGranter, out *Out) {
 	m := message.InvalidationAck{
 		Key: key, Number: granter.number, VolumeEpoch: granter.volumeEpoch,
--- a/control/lease/lease.go
+++ b/control/lease/lease.go
@@ -11,7 +11,7 @@
 // The protocol between parents and children:
 //
 //   - A child renews its lease and requests records with a LeaseRenewal. The parent
-//     answers with a LeaseGrant, and sends records that it does not have yet later.
+//     answers with a LeaseGrant. Records that the parent does not have yet follow later.
 //   - A child must reconnect (ReconnectRequest) if the parent does not know it, if it is
 //     on the unreachable list, or if its volume epoch differs. It lists the records that
 //     it holds (LeaseList), the parent confirms those that are current (Reconciliation),
@@ -20,7 +20,7 @@
 //     InvalidationAck once all of its own children have acknowledged or their leases have
 //     expired.
 //   - A parent that has no valid lease itself holds renewals until it has one. It sends a
-//     LeaseDenial after the length of a volume lease, or at once if it cannot get a lease.
+//     LeaseDenial after the length of a volume lease, or immediately if it cannot get a lease.
 //   - A parent that knows a better parent for a child sends a Redirect.
 //
 // Step and Tick are in step.go, the child's side in upstream.go and records.go, the
@@ -45,7 +45,7 @@
 	Readable    []string        // keys of records that can now be served
 	Withdrawn   []string        // keys of records that are no longer served
 	Invalidated []uint64        // tags passed to Suspend whose invalidation is complete
-	Orphaned    bool            // the parent denied the lease or does not answer: choose another
+	Orphaned    bool            // the parent denied the lease or does not answer; the daemon must choose another
 	Redirect    message.Replica // a better parent to connect to; zero if none
 }
 
@@ -54,7 +54,7 @@
 	cfg        Config
 	partition  int
 	self       message.Replica
-	epoch      uint64 // of this daemon's incarnation
+	epoch      uint64 // incarnation of this daemon
 	generation uint64 // number of changes to the served records, see Generation
 
 	root          rootRole
@@ -66,7 +66,7 @@
 	load          loadStats
 
 	// RelayOf returns the static relay that a child would use if it did not connect
-	// directly to this node; zero if none. The daemon sets it from the member list.
+	// directly to this node, or zero if none. The daemon sets RelayOf from the member list.
 	RelayOf func(ident string) message.Replica
 }
 
@@ -92,8 +92,8 @@
 	formerLeaseEnd time.Duration        // end of this node's previous leader lease
 }
 
-// BecomeRoot makes this node the root: records reads its records, leaseEnd returns the
-// end of the leader lease. The node drops its children and the state it had as a child.
+// BecomeRoot makes this node the root. The function records returns the root's record for a
+// key, and leaseEnd returns the end of the leader lease. The node drops its children and the state it had as a child.
 //
 // Example: n.BecomeRoot(replica.Term(), records, replica.LeaseEnd)
 func (n *Node) BecomeRoot(term uint64, records RecordSource, leaseEnd func() time.Duration) {
@@ -123,9 +123,9 @@
 	n.upstream.unansweredSince = 0
 }
 
-// keepRootRecords caches the records that a resigning root served as its last known ones.
-// It skips records of later terms: the next leader may have written records here before
-// this node noticed the change of leadership.
+// keepRootRecords caches the pinned records that a resigning root served, as its last known
+// records. It skips records of later terms, which the next leader may have written to this
+// node's copy before the node noticed the change of leadership.
 func (n *Node) keepRootRecords() {
 	n.root.formerLeaseEnd = n.root.leaseEnd()
 	for key := range n.records.pinned {
@@ -196,8 +196,8 @@
 	return until
 }
 
-// Get returns a record if both leases are valid. If ok is true and the record is marked
-// as deleted, the record is known not to exist.
+// Get returns a record if its object lease and the volume lease are valid. If ok is true and
+// the record is marked as deleted, the record is known not to exist.
 //
 // Example: record, ok := n.Get(now, "plan/now")
 func (n *Node) Get(now time.Duration, key string) (record message.Record, ok bool) {
@@ -232,7 +232,7 @@
 	return out
 }
 
-// Unpin reverses Pin: the record is no longer fetched again after it is withdrawn.
+// Unpin reverses Pin, so that the record is no longer fetched again after it is withdrawn.
 //
 // Example: n.Unpin("server/of/yesterday")
 func (n *Node) Unpin(key string) {
--- a/control/lease/patches.go
+++ b/control/lease/patches.go
@@ -9,10 +9,10 @@
 
 // Changes of a record are sent down the tree as patches. A child that requests a record
 // includes the version that it last held. The parent sends the patches from that version
-// to the current one: none if the versions are the same, or the full value if the child's
-// version is too old. Relays forward the patches that they receive. Each patch contains a
-// checksum of the resulting value; if it does not match, the child discards the patch and
-// requests the full value.
+// to the current one. It sends no patch if the versions are the same, and the full value if
+// the child's version is too old. Relays forward the patches that they receive. Each patch contains a
+// checksum of the resulting value. If the checksum does not match, the child discards the
+// patch and requests the full value.
 
 // Codec computes and applies patches between record values.
 type Codec interface {
@@ -33,8 +33,8 @@
 // maxPatches is the maximum number of patches that a parent keeps per record.
 const maxPatches = 32
 
-// patchCache holds the state needed for patches: as a child, the values that were last
-// held; as a parent, the patches from earlier versions to the current one.
+// patchCache holds the state needed for patches: the last withdrawn values, which are the
+// bases of later patches, and the patches from earlier versions to the current one.
 type patchCache struct {
 	codec     Codec // if nil, all values are sent in full and the maps are nil
 	minLength int   // in bytes; shorter values are sent in full
@@ -135,7 +135,7 @@
 }
 
 // extendChain computes the patch from the previous version of a record to the current one,
-// unless it already exists or there are no children to send it to.
+// unless the patch already exists or this node has no children.
 func (n *Node) extendChain(record message.Record) {
 	p := &n.patches
 	base, ok := p.bases[record.Key]
@@ -155,8 +155,8 @@
 	p.setChain(record.Key, appendToChain(chain, patch))
 }
 
-// recordForChild returns a record in the form to send to a child that holds version base
-// of it; base is zero if the child holds none.
+// recordForChild returns a record in the form to send to a child that holds its version
+// base. A zero base means that the child holds no version.
 func (n *Node) recordForChild(record message.Record, base message.Version) message.Record {
 	p := &n.patches
 	if !p.isPatchable(record) {
--- a/control/lease/records.go
+++ b/control/lease/records.go
@@ -66,10 +66,10 @@
 	}
 }
 
-// LastKnown returns a record whose volume lease has expired, and when it expired, unless
-// the record has been withdrawn since. The record is not protected by a lease: only
+// LastKnown returns a record whose volume lease has expired, and when that lease expired,
+// unless the record has been withdrawn since. The record is not protected by a lease: only
 // callers that may use stale records while the leader is unreachable may call LastKnown,
-// and they must bound how long they do.
+// and they must limit how long they use such records.
 //
 // Example: if record, at, ok := n.LastKnown(now, "plan/now"); ok && now-at < bound { route(record) }
 func (n *Node) LastKnown(now time.Duration, key string) (record message.Record, expiredAt time.Duration, ok bool) {
@@ -79,9 +79,9 @@
 }
 
 // StaleSince returns when the volume lease expired, and whether LastKnown may serve records
-// now. It may once a renewal has been unanswered for half a renew interval during which
-// this node ran without interruption. A node that was stalled must first renew, or at
-// least wait for an answer that may already be on its way.
+// now. LastKnown may do so once a renewal has been unanswered for half a renew interval
+// during which this node ran without interruption. A node that was stalled must first renew
+// or wait for half a renew interval, since an answer may already be in flight.
 //
 // Example: if at, ok := n.StaleSince(now); ok { goOnUntil(at + bound) }
 func (n *Node) StaleSince(now time.Duration) (at time.Duration, ok bool) {
@@ -92,8 +92,9 @@
 	return max(u.volumeExpiry, n.root.formerLeaseEnd), ok
 }
 
-// ReadAllowingStale returns a record if both leases are valid, or else its last known
-// version if the volume lease expired less than maxStaleness ago and LastKnown serves it.
+// ReadAllowingStale returns a record if its object lease and the volume lease are valid.
+// Otherwise it returns the last known version, if the volume lease expired less than
+// maxStaleness ago and LastKnown returns the record.
 //
 // Example: if record, ok := n.ReadAllowingStale(now, "plan/now", bound); ok { route(record) }
 func (n *Node) ReadAllowingStale(now time.Duration, key string, maxStaleness time.Duration) (message.Record, bool) {
@@ -104,7 +105,8 @@
 	return record, ok && now < expiredAt+maxStaleness
 }
 
-// StaleUntil returns until when ReadAllowingStale serves records if no lease is renewed.
+// StaleUntil returns the time until which ReadAllowingStale returns records if no lease is
+// renewed.
 //
 // Example: if now < n.StaleUntil(now, bound) { route() }
 func (n *Node) StaleUntil(now, maxStaleness time.Duration) time.Duration {
--- a/control/lease/reshape.go
+++ b/control/lease/reshape.go
@@ -53,8 +53,8 @@
 	s.skipped = map[message.Replica]*skippedRelay{}
 }
 
-// countRenewal counts a child's renewal, and whether it could be granted immediately. It
-// also counts it for the relay that the child bypasses, if any.
+// countRenewal counts a child's renewal, and whether it could be granted immediately. The
+// renewal is also counted for the relay that the child bypasses, if any.
 func (n *Node) countRenewal(now time.Duration, c *child, hit bool) {
 	n.load.requests++
 	if hit {
@@ -85,8 +85,8 @@
 	r.volumeExpiry = now + volumeLease
 }
 
-// reshape evaluates the paper's inequalities once per LoadInterval. After a change it waits
-// for at least two intervals.
+// reshape evaluates the paper's inequalities for joins and splits once per LoadInterval, and
+// redirects children accordingly. After a change it waits for at least two intervals.
 func (n *Node) reshape(now time.Duration, out *Out) {
 	s, interval := &n.load, n.cfg.LoadInterval
 	if interval == 0 || now-s.windowStart < interval {
@@ -104,7 +104,7 @@
 }
 
 // shouldJoin reports whether the children would renew faster directly at this node's
-// parent, and the parent has room for them.
+// parent, and are few enough for the parent to handle.
 func (n *Node) shouldJoin(childCost time.Duration) bool {
 	s := &n.load
 	if n.root.active || n.upstream.parent.Ident == "" || s.requests == 0 || childCost <= 0 {
@@ -116,8 +116,8 @@
 		len(n.downstream.children) <= maxJoinChildren
 }
 
-// split redirects children to the relays that they bypass if they would renew faster there
-// or this node is overloaded.
+// split redirects children to the relays that they bypass if they would renew faster at the
+// relay, or if this node handled more than MaxRenewals renewals in the window.
 func (n *Node) split(now, childCost time.Duration, out *Out) {
 	relays := slices.SortedFunc(maps.Keys(n.load.skipped), func(a, b message.Replica) int {
 		return strings.Compare(a.Addr+a.Ident, b.Addr+b.Ident)
@@ -134,7 +134,7 @@
 	}
 }
 
-// isRelayBetter reports whether children that bypass a relay would renew faster there.
+// isRelayBetter reports whether children that bypass a relay would renew faster at the relay.
 func (n *Node) isRelayBetter(relay message.Replica, skipped *skippedRelay, childCost time.Duration) bool {
 	missRate := 1 - float64(skipped.hits)/float64(skipped.requests)
 	relayCost := n.relayRenewCost(relay)
--- a/control/lease/upstream.go
+++ b/control/lease/upstream.go
@@ -23,7 +23,7 @@
 type upstream struct {
 	parent       message.Replica                // zero if none
 	volumeEpoch  message.VolumeEpoch            // of the parent, as of the last reconnect; zero if not yet connected
-	volumeExpiry time.Duration                  // end of the volume lease, which may be from an earlier parent
+	volumeExpiry time.Duration                  // end of the volume lease, possibly granted by an earlier parent
 	lastSequence map[message.VolumeEpoch]uint64 // highest sequence number received from each granter
 
 	lastRequest uint64                   // last request ID, shared by renewals and lease lists
@@ -35,7 +35,7 @@
 	lastAnswer    time.Duration // when the parent last answered, was set, or was reported as silent
 	renewEarly    bool          // renew before the interval has passed, as soon as minRenewGap allows it
 
-	unansweredSince time.Duration // since when a renewal is due and unanswered; 0 if none is
+	unansweredSince time.Duration // since when a renewal is due or unanswered; 0 if none is
 	lastTick        time.Duration // a gap longer than renewalTimeout means that the node was stalled
 }
 
@@ -51,12 +51,12 @@
 type pendingFetch struct {
 	since    time.Duration // start of the object lease
 	lastSent time.Duration // when a renewal last requested it
-	attempts int           // renewals that requested it; 0 if none did, or none will be answered
+	attempts int           // number of renewals that requested the record and may still be answered
 }
 
 // shouldRequest reports whether the next renewal should request the record. The interval
-// doubles with each attempt; otherwise a slow parent would receive more requests the
-// slower it gets.
+// between requests doubles with each attempt. With a constant interval, a parent would
+// receive more requests the slower it answers.
 func (f pendingFetch) shouldRequest(now, renewInterval time.Duration) bool {
 	return f.attempts == 0 || now-f.lastSent >= renewInterval/2<<min(f.attempts-1, maxBackoff)
 }
@@ -133,9 +133,9 @@
 }
 
 // noteTick records the time of a tick. After a stall, the wait for an unanswered renewal
-// starts over, since the answer may have arrived without having been handled yet. The wait
-// also starts, even if no renewal was sent, when there is no valid volume lease: a node
-// without a parent cannot send one.
+// restarts, since the answer may have arrived without having been handled yet. The wait
+// also starts when there is no valid volume lease, even if no renewal was sent, because a
+// node without a parent cannot send a renewal.
 func (n *Node) noteTick(now time.Duration) {
 	u := &n.upstream
 	if now-u.lastTick > n.cfg.renewalTimeout() {
@@ -157,8 +157,8 @@
 	}
 }
 
-// renewSoon renews at once, unless another renewal was sent less than minRenewGap ago. In
-// that case one later renewal requests all records needed until then, since each renewal
+// renewSoon renews immediately, unless another renewal was sent less than minRenewGap ago. In
+// that case, one later renewal requests all records needed by that time, since each renewal
 // costs a message in each direction.
 func (n *Node) renewSoon(now time.Duration, out *Out) {
 	if now-n.upstream.lastRenewal < n.cfg.minRenewGap() {
@@ -191,8 +191,8 @@
 }
 
 // keysToRequest returns the sorted keys of the records that a renewal should request now.
-// There are none until this node is connected: the parent would ignore them and request a
-// reconnect.
+// There are none until this node is connected, because the parent would ignore the keys and
+// request a reconnect.
 func (n *Node) keysToRequest(now time.Duration) (keys []string) {
 	u := &n.upstream
 	if !u.isConnected() {
@@ -233,8 +233,8 @@
 	return true
 }
 
-// handleInvalidate drops a record here and below. Dropping a record is safe no matter which
-// granter requests it. Recording the sequence number ensures that a grant overtaken by this
+// handleInvalidate drops a record at this node and its descendants. Dropping a record is safe
+// no matter which granter requests it. Recording the sequence number ensures that a grant overtaken by this
 // invalidation is rejected when it arrives.
 func (n *Node) handleInvalidate(
 	now time.Duration, sender message.Sender, header message.GrantHeader, m message.Invalidation, out *Out,
@@ -251,7 +251,7 @@
 	n.completeIfAcknowledged(now, inv, out)
 }
 
-// handleRedirect reports a better parent to the daemon. A relay that has returned may
+// handleRedirect reports a better parent to the daemon. A relay that is available again may
 // redirect its former children to itself, although it is not their parent at that time.
 func (n *Node) handleRedirect(
 	now time.Duration, sender message.Sender, header message.GrantHeader, m message.Redirect, out *Out,
@@ -267,7 +267,8 @@
 	}
 }
 
-// handleReconnect sends the list of the records that are held under valid object leases.
+// handleReconnect sends the parent a list of the records with valid object leases, unless
+// the last list was sent less than leaseListGap ago.
 func (n *Node) handleReconnect(now time.Duration, header message.GrantHeader, out *Out) {
 	u := &n.upstream
 	if u.lastLeaseList > 0 && now-u.lastLeaseList < n.cfg.leaseListGap() {
