--- a/control/digest/digest_test.go
+++ b/control/digest/digest_test.go
@@ -10,7 +10,8 @@
 )
 
 // After any sequence of Put, PutNewer and Delete, the digests match the stored records.
-// Two sets differ only in the ranges whose records differ, also if only a value does.
+// The digests of two sets differ only in the ranges whose records differ, even if the records
+// differ only in a value.
 func TestDigestsMatchRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := NewRecords()
--- a/control/lease/generation_test.go
+++ b/control/lease/generation_test.go
@@ -10,8 +10,8 @@
 )
 
 // Suspend and Resume must change Generation, since a snapshot read at the root is valid
-// only while Generation is unchanged. Without this, the leader once continued to serve a
-// server list from a snapshot while the list was being written.
+// only while Generation is unchanged. Without these changes, the leader once continued to
+// serve a server list from a snapshot while the list was being written.
 func TestSuspendAndResumeChangeGeneration(t *testing.T) {
 	n := New(cfg, 0, message.Replica{Ident: "p", Addr: "p"}, 1)
 	records := func(key string) message.Record { return message.Record{Key: key} }
@@ -35,9 +35,9 @@
 	}
 }
 
-// randomNode is a node that is driven by a random sequence of steps. They include messages
-// from a parent "p", whose record versions only increase, and the leader's writes while
-// the node is the root itself.
+// randomNode is a node that is driven by a random sequence of steps. The steps include
+// messages from a parent "p", whose record versions only increase, and the leader's writes
+// while the node is the root.
 type randomNode struct {
 	*Node
 	now       time.Duration
--- a/control/lease/lastknown_test.go
+++ b/control/lease/lastknown_test.go
@@ -112,7 +112,7 @@
 		t.Error("LastKnown stopped serving the record after 30 s; only its caller may bound the duration")
 	}
 
-	// Frozen until 8 s, with or without an unanswered renewal.
+	// The node is frozen until 8 s, with or without an unanswered renewal.
 	for _, renewing := range []bool{true, false} {
 		for _, answered := range []bool{true, false} {
 			l := newLeaf("k")
@@ -137,7 +137,7 @@
 	}
 }
 
-// LastKnown never serves a record that was withdrawn, however it was withdrawn.
+// LastKnown never serves a withdrawn record, regardless of how the record was withdrawn.
 func TestLastKnownNeverServesWithdrawnRecord(t *testing.T) {
 	for name, withdraw := range map[string]func(*leaf){
 		"invalidated under valid leases": func(l *leaf) {
@@ -224,8 +224,8 @@
 			t.Errorf("LastKnown serves %q after ResignRoot", k)
 		}
 	}
-	// Records that the next leader does not confirm are dropped; those that it grants become
-	// the last known ones.
+	// Records that the next leader does not confirm are dropped. Records that it grants become
+	// the last known records.
 	l.parentRecords = map[string]message.Record{"k": {Key: "k", Version: message.Version{Term: 5, Seq: 9}}}
 	l.isCutOff = false
 	l.deliver(l.SetParent(l.now, message.Replica{Ident: "p", Addr: "p"}))
--- a/control/lease/lease_test.go
+++ b/control/lease/lease_test.go
@@ -50,9 +50,9 @@
 	}.Message(0)
 }
 
-// Overlapping reconnects used to drop the records that were granted since the other one's
-// lease list was sent. This repeated forever while the volume lease remained valid.
-// Therefore only one list is sent at a time, and the record is fetched again.
+// When two reconnects overlapped, the later one used to drop the records that were granted
+// after its lease list was sent. This repeated forever while the volume lease remained valid.
+// Therefore only one lease list is sent at a time, and the record is fetched again.
 func TestOverlappingReconnectsKeepGrantedRecords(t *testing.T) {
 	now := time.Second
 	c := newReconnectingChild(1, now)
@@ -88,8 +88,8 @@
 	}
 }
 
-// A child ignores grants addressed to an earlier incarnation: the granter would send the
-// invalidation of such a record to that incarnation only.
+// A child ignores grants addressed to an earlier incarnation, because the granter would send
+// the invalidation of such a record only to that incarnation.
 func TestGrantForEarlierIncarnationIsIgnored(t *testing.T) {
 	for incarnation, want := range map[uint64]bool{1: false, 2: true} {
 		now := time.Second
--- a/control/lease/nolease_test.go
+++ b/control/lease/nolease_test.go
@@ -7,8 +7,8 @@
 	"mulleinmast/wire/message"
 )
 
-// A node that serves last known records, and a root whose lease has expired, must not
-// grant leases or records to their children, nor confirm records.
+// A node that serves last known records must not grant leases or records to its children, or
+// confirm their records. The same applies to a root whose lease has expired.
 func TestNothingIsGrantedWithoutLease(t *testing.T) {
 	for _, root := range []bool{false, true} {
 		l := newLeaf("k")
--- a/control/lease/patches_test.go
+++ b/control/lease/patches_test.go
@@ -261,8 +261,8 @@
 	}
 }
 
-// A node that receives a corrupt patch requests the full record, and never serves anything
-// else.
+// A node that receives a corrupt patch requests the full record, and never serves the result
+// of the corrupt patch.
 func TestCorruptPatchIsNotServed(t *testing.T) {
 	tree := newTestTree(t, onAllNodes(fleetconfig.Codec{}))
 	tree.writeRecord(encodedPlan(t, 300, 0))
--- a/control/quorum/cluster_test.go
+++ b/control/quorum/cluster_test.go
@@ -18,7 +18,7 @@
 )
 
 // cluster is several replicas of one partition, connected by a network that drops the
-// messages for which isLost returns true. Saves are on disk at once.
+// messages for which isLost returns true. Saves complete immediately.
 type cluster struct {
 	t        *testing.T
 	now      time.Duration
@@ -59,7 +59,7 @@
 	return New(cfg, InitialState{Partition: 1, Self: self, Meta: meta, Records: digest.NewRecords()}, now)
 }
 
-// newCluster returns a cluster of a group of members and of other replicas without a group.
+// newCluster returns a cluster in which the members form a group and the others have no group.
 func newCluster(t *testing.T, members, others []string) *cluster {
 	c := &cluster{
 		t: t, replicas: map[string]*Replica{}, isDown: map[string]bool{},
@@ -104,7 +104,8 @@
 	}
 }
 
-// advance lets time pass, and calls the functions in each after every tick.
+// advance lets the duration d pass in ticks of 10 ms, and calls the functions in each after
+// every tick.
 func (c *cluster) advance(d time.Duration, each ...func()) {
 	for end := c.now + d; c.now < end; c.now += 10 * time.Millisecond {
 		for _, id := range slices.Sorted(maps.Keys(c.replicas)) {
@@ -155,7 +156,7 @@
 	}
 }
 
-// replaceReplica has the leader start a group change; it fails the test if that is refused.
+// replaceReplica has the leader start a group change. It fails the test if the leader refuses.
 func (c *cluster) replaceReplica(out, in string) {
 	c.t.Helper()
 	id, r := c.leader()
--- a/control/quorum/copies_test.go
+++ b/control/quorum/copies_test.go
@@ -22,7 +22,7 @@
 	records     *digest.Records // on disk
 }
 
-// trio is a group of three replicas whose messages arrive at once and in order.
+// trio is a group of three replicas whose messages arrive immediately and in order.
 type trio struct {
 	t        *testing.T
 	now      time.Duration
@@ -107,8 +107,8 @@
 	}
 }
 
-// advance lets time pass; if writing is set, the leader starts a write at each tick.
-// The messages of a write are delivered at the next tick.
+// advance lets the duration d pass in ticks of 25 ms. If writing is set, the leader starts a
+// write at each tick. The messages of a write are delivered at the next tick.
 func (w *trio) advance(d time.Duration, writing bool) {
 	for end := w.now + d; w.now < end; w.now += 25 * time.Millisecond {
 		w.deliver()
@@ -158,8 +158,8 @@
 	return ""
 }
 
-// A replica that was cut off during hundreds of writes must be up to date within one
-// and a half leases of its return, even while writes continue.
+// A replica that was cut off during hundreds of writes must be up to date within 1.5 leader
+// leases after it is reconnected, even while writes continue.
 func TestReturningReplicaCatchesUpDuringWrites(t *testing.T) {
 	w := newTrio(t)
 	w.advance(3*time.Second, false)
@@ -186,8 +186,8 @@
 	w.start(id)
 }
 
-// A replica whose disk lost a record must not vote. Otherwise it and a replica that
-// missed the write would form a majority that elects a leader without the record.
+// A replica whose disk lost a record must not vote. Otherwise it could form a majority with a
+// replica that missed the write, and elect a leader without the record.
 func TestIncompleteReplicaDoesNotVote(t *testing.T) {
 	w := newTrio(t)
 	w.advance(3*time.Second, false)
@@ -196,7 +196,7 @@
 	for _, id := range []string{leaderID, cutOffID} {
 		third = strings.ReplaceAll(third, id, "")
 	}
-	w.members[cutOffID].isCutOff = true // so that it misses the write
+	w.members[cutOffID].isCutOff = true // so that this replica misses the write
 	tag := w.write(leaderID)
 	w.deliver()
 	if !slices.Contains(w.results, WriteResult{tag, Committed}) {
@@ -246,8 +246,8 @@
 }
 
 // A leader with a stalled disk continues to renew its lease and commit writes through
-// the other replicas. If the stall lasts it steps down, and it must not become a
-// candidate before its waiting saves are on disk.
+// the other replicas. If the stall lasts for maxDiskStallLeases, the leader steps down, and
+// must not become a candidate before its waiting saves are on disk.
 func TestLeaderWithStalledDiskStepsDown(t *testing.T) {
 	w := newTrio(t)
 	w.advance(3*time.Second, false)
@@ -280,7 +280,7 @@
 	}
 }
 
-// The floor deletes records in the same save that stores it. The disk must then hold
+// The save that stores the floor also deletes the records below it. The disk must then hold
 // the same records as the replica, with the same checksum.
 func TestDiskMatchesReplicaState(t *testing.T) {
 	w := newTrio(t)
@@ -360,7 +360,7 @@
 	if n := w.members[leaderID].replica.Records().Size(); n != 301 {
 		t.Fatalf("%d records, expected 301 with the tombstones", n)
 	}
-	// The returning replica still holds the records, and one other the tombstones.
+	// The reconnected replica still holds the records, and another replica holds the tombstones.
 	w.members[cutOffID].isCutOff, w.members[leaderID].isCutOff = false, true
 	w.advance(3*time.Second, false)
 	if w.leader() == leaderID || w.leader() == "" {
--- a/control/quorum/epoch_test.go
+++ b/control/quorum/epoch_test.go
@@ -10,11 +10,11 @@
 
 // A candidate that stops before its own vote is on disk may use the same term again in
 // its next incarnation. Delayed votes for the first incarnation must not count for the
-// second, since they hold only the records that the first one's copy lacked.
+// second, since these votes hold only the records that the first incarnation's copy lacked.
 func TestVotesForEarlierIncarnationAreIgnored(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		epoch uint64 // the incarnation that b voted for; 0: b is an earlier build, which doesn't send it
+		epoch uint64 // the incarnation that b voted for; 0 if b is an earlier build, which doesn't send it
 		won   bool
 	}{{"this incarnation", 2, true}, {"an earlier incarnation", 1, false}, {"an unnamed incarnation", 0, true}} {
 		r := restartedReplica(cfg, threeReplicas.Replicas[0], votedForX, 0)
@@ -65,7 +65,7 @@
 }
 
 // An incarnation that abandons a term must not withdraw the vote for another
-// incarnation in the same term, whether that is a later or an earlier one.
+// incarnation in the same term, whether the other incarnation is later or earlier.
 func TestAbandonTermAppliesOnlyToItsIncarnation(t *testing.T) {
 	v := runningVoter(t)
 	at := 10*time.Second + fullLeaseWait
--- a/control/quorum/group_test.go
+++ b/control/quorum/group_test.go
@@ -10,8 +10,8 @@
 )
 
 // A replica that was replaced, missed writes and joins again under the same leader must
-// not vote before it holds these writes. Otherwise a write that two of three replicas
-// held would be left on only one replica of the group.
+// not vote before it holds these writes. Otherwise a write that two of three replicas held
+// could remain on only one replica of the group.
 func TestReturningReplicaIsCompleteBeforeItVotes(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 	c.advance(2 * time.Second)
@@ -43,14 +43,14 @@
 }
 
 // If two leaders each begin a group change and then lose contact, two different groups
-// exist. All replicas, including the earlier leader, must adopt the later leader's.
+// exist. All replicas, including the earlier leader, must adopt the later leader's group.
 func TestLaterLeadersGroupWins(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d", "e"})
 	c.advance(2 * time.Second)
 	first, one, two := c.leaderAndOthers()
 	c.advance(time.Second, c.maintain("d", "e"))
 	c.isLost = func(string, message.Message) bool { return true }
-	c.replaceReplica(one, "d") // all messages about it are lost
+	c.replaceReplica(one, "d") // all messages about this change are lost
 	c.deliver()
 	c.isLost = func(to string, m message.Message) bool { return to == first || m.From == first }
 	c.advance(4*time.Second, c.maintain("d", "e"))
@@ -75,7 +75,7 @@
 }
 
 // The next leader must finish a group change of its predecessor if the joining replica
-// answers, and undo it if not.
+// answers, and undo the change if it doesn't.
 func TestNextLeaderFinishesOrUndoesGroupChange(t *testing.T) {
 	for _, isJoiningUp := range []bool{true, false} {
 		c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
@@ -83,7 +83,7 @@
 		first, one, two := c.leaderAndOthers()
 		c.advance(time.Second, c.maintain("d"))
 		c.replaceReplica(one, "d")
-		// The joint group is replicated, but no confirmation that d holds the complete state.
+		// The joint group is replicated, but confirmations that d holds the complete state are lost.
 		c.isLost = func(_ string, m message.Message) bool {
 			return m.Op == opJoin || m.Kind == message.KindStateInstalled
 		}
@@ -93,7 +93,7 @@
 		}
 		if c.isDown["d"] = !isJoiningUp; isJoiningUp {
 			c.isDown[first] = true
-		} else { // three replicas don't tolerate two losses at once
+		} else { // three replicas don't tolerate two simultaneous losses
 			c.replicas[first].Resign()
 		}
 		c.isLost = func(string, message.Message) bool { return false }
@@ -150,7 +150,7 @@
 }
 
 // A replica that was replaced while it was cut off as a candidate in a higher term must
-// become a learner at once, released from its vote in that term.
+// become a learner and be released from its vote in that term, so that it can join again.
 func TestReplacedReplicaBecomesLearner(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 	c.advance(2 * time.Second)
@@ -201,9 +201,9 @@
 	}
 }
 
-// A terminating replica may leave only after each other replica has answered a
-// heartbeat sent since the leader knew of the termination. It may not leave if another
-// replica was lost just before.
+// A terminating replica may leave only after each other replica has answered a heartbeat
+// that was sent after the leader learned of the termination. The replica may not leave if
+// another replica was lost just before.
 func TestTerminatingReplicaMayLeave(t *testing.T) {
 	for _, otherIsLost := range []bool{false, true} {
 		c := newCluster(t, []string{"a", "b", "c"}, nil)
@@ -227,8 +227,8 @@
 	}
 }
 
-// A new leader measures its predecessor's silence from the last heartbeat that it received
-// from it, so that a lost former leader is replaced no later than any other lost replica.
+// A new leader measures its predecessor's silence from the predecessor's last heartbeat, so
+// that a lost former leader is replaced no later than any other lost replica.
 func TestFormerLeaderIsLostAfterSameDelay(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, nil)
 	c.advance(2 * time.Second)
@@ -252,8 +252,8 @@
 	}
 }
 
-// A pending write must not delay a group change, and then needs both majorities like
-// any other write.
+// A pending write must not delay a group change. During the change, the pending write needs
+// both majorities, like any other write.
 func TestPendingWriteNeedsBothMajorities(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 	c.advance(2 * time.Second)
@@ -365,7 +365,7 @@
 		first, one, _ := c.leaderAndOthers()
 		c.advance(time.Second, c.maintain("d"))
 		leaderID := first
-		if isInherited { // the previous leader began it, and all messages about it were lost
+		if isInherited { // begun by the previous leader, with all messages about the change lost
 			c.isLost = func(string, message.Message) bool { return true }
 			c.replaceReplica(one, "d")
 			c.deliver()
--- a/control/quorum/groupchange_test.go
+++ b/control/quorum/groupchange_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// A voter must not support a lease before its vote is on disk. After a restart without
-// the vote, it would consider itself bound to the previous leader and, if that one has
-// restarted too, vote for another candidate while the lease is valid.
+// A voter must not support a lease before its vote is on disk. After a restart without the
+// vote, the voter would consider itself bound to the previous leader. If the previous leader
+// has restarted too, the voter would vote for another candidate while the lease is valid.
 func TestVoteIsOnDiskBeforeHeartbeatIsAcked(t *testing.T) {
 	for name, bind := range map[string]message.Message{
 		"it joined the term by an install": {Kind: message.KindInstallState, Term: 6, Group: threeReplicas},
@@ -91,8 +91,8 @@
 }
 
 // A joining replica that is elected during its own group change must finish the change,
-// since as leader it holds the complete state. The replica that it replaces is lost for
-// good, so until the change is finished one more loss would end all writes.
+// since as leader it holds the complete state. The replica that it replaces is lost
+// permanently, so one more loss before the change is finished would prevent all writes.
 func TestJoiningReplicaAsLeaderFinishesGroupChange(t *testing.T) {
 	c := newCluster(t, []string{"a", "b", "c"}, []string{"d"})
 	c.advance(2 * time.Second)
@@ -120,7 +120,7 @@
 		t.Errorf("the group change is still in progress: %+v", g)
 	}
 	c.isLost = func(string, message.Message) bool { return false }
-	c.isDown[other] = true // a group must tolerate losses one after another
+	c.isDown[other] = true // after the change, the group must tolerate another loss
 	if !c.writeRecord("k") {
 		t.Error("a write was not committed after one more loss")
 	}
--- a/control/quorum/incarnation.go
+++ b/control/quorum/incarnation.go
@@ -24,8 +24,8 @@
 // incarnation and save point that it knows. A replica that learns of an incarnation or a state that isn't in its own
 // history is superseded: it stops taking part in the group.
 
-// incarnationGuard is what a replica keeps about incarnations, its own and its
-// peers', besides what its Meta holds.
+// incarnationGuard is the state about a replica's own incarnation and its peers'
+// incarnations that is not part of Meta.
 type incarnationGuard struct {
 	folder         *Folder         // nil: no incarnation is claimed or checked
 	acknowledgedBy map[string]bool // the peers that recognize this incarnation
--- a/control/quorum/incarnation_test.go
+++ b/control/quorum/incarnation_test.go
@@ -19,7 +19,7 @@
 }
 
 const (
-	firstStart     = 1<<32 + 11 // incarnations of b: the number of starts and a nonce
+	firstStart     = 1<<32 + 11 // incarnations of b, each with the number of starts and a nonce
 	firstStartTwin = 1<<32 + 12
 	secondStart    = 2<<32 + 5
 )
@@ -84,7 +84,7 @@
 	}{
 		{"the known one", firstStart, message.SavePoint{}, true},
 		{"another one with the same number of starts", firstStartTwin, message.SavePoint{}, false},
-		{"one of a build without incarnations", 0<<32 + 3, message.SavePoint{}, true}, // nothing is checked
+		{"one of a build without incarnations", 0<<32 + 3, message.SavePoint{}, true}, // its incarnation is not checked
 		{"a later one from the latest state", secondStart, heard, true},
 		{"a later one from a later state", secondStart, message.SavePoint{Epoch: firstStart, Saves: 9}, true},
 		{"a later one from an earlier state", secondStart, message.SavePoint{Epoch: firstStart, Saves: 4}, false},
@@ -145,7 +145,7 @@
 	}
 }
 
-// Only a replica of its own group may supersede a replica.
+// A replica may be superseded only by messages from replicas of its own group.
 func TestNonMemberDoesNotSupersede(t *testing.T) {
 	g := openGuarded(t, 7<<32+1, Meta{})
 	m := message.IncarnationNotice{KnownEpoch: 9 << 32, Group: threeReplicas}.Message(1)
@@ -194,8 +194,8 @@
 	}
 }
 
-// The peers' incarnations must be saved within a heartbeat interval even if nothing
-// else is saved, and only those of replicas.
+// The incarnations of the other replicas must be saved within a heartbeat interval even if
+// nothing else is saved. Incarnations of daemons that are not replicas must not be saved.
 func TestPeerIncarnationsAreSaved(t *testing.T) {
 	g := openGuarded(t, 7<<32+1, Meta{})
 	g.step(message.Message{Kind: message.KindRejectVote, Epoch: firstStart, KnownEpoch: 7<<32 + 1, Saves: 4})
@@ -221,7 +221,7 @@
 // others, and stop once the replica has acknowledged the announcement.
 func TestLeaderAnnouncesPeerIncarnations(t *testing.T) {
 	w := newTrio(t)
-	for i, replica := range threeReplicas.Replicas { // with folders
+	for i, replica := range threeReplicas.Replicas { // restart each replica with a folder
 		m := w.members[replica.Ident]
 		m.replica = restartedIncarnation(replica, incarnation.Number(1, uint32(i+1)), m.meta)
 	}
--- a/control/quorum/meta_test.go
+++ b/control/quorum/meta_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// The checksums are stored with the state. If a build computed them differently, it
-// would treat an intact copy as damaged.
+// The checksums are stored with the state, so they must not change. A build that computed
+// them differently would treat an intact copy as damaged.
 func TestMetaChecksumsMatchEarlierBuilds(t *testing.T) {
 	records := digest.NewRecords()
 	records.Put(message.Record{Key: "plan/now", Version: message.Version{Term: 9, Seq: 4}, Value: []byte("value")})
--- a/control/quorum/repair.go
+++ b/control/quorum/repair.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// answerRepair handles a repair message. If the message holds only digests, it answers with
-// this replica's digests. If the message holds records, it applies them and answers with this
-// replica's records that are newer than the leader's or unknown to the leader.
+// answerRepair handles a repair message. A message that holds only digests is passed to
+// answerComparison. If the message holds records, this replica applies them and answers with
+// its own records that are newer than the leader's or unknown to the leader.
 func (r *Replica) answerRepair(from message.Sender, m message.InstallState, out *Out) {
 	if m.Ranges == nil {
 		r.answerComparison(from, m, out)
@@ -53,7 +53,9 @@
 	r.enqueueSave(out, Save{Records: accepted, Delete: deleted}, envelope(from.Replica, done.Message(r.partition)))
 }
 
-// answerComparison answers a repair message that holds only digests.
+// answerComparison answers a repair message that holds only the leader's digests. If this
+// replica's digests differ, it sends them. If they are equal, it confirms this to a leader
+// that waits for the copy to catch up, once all earlier saves are on disk.
 func (r *Replica) answerComparison(from message.Sender, m message.InstallState, out *Out) {
 	if len(digest.DifferingRanges(r.records.Digests(), m.Digests)) > 0 {
 		out.send(from.Replica, message.StateMismatch{
--- a/control/quorum/replica.go
+++ b/control/quorum/replica.go
@@ -221,7 +221,7 @@
 // Example: rec, ok := r.Records().Get(key)
 func (r *Replica) Records() *digest.Records { return r.records }
 
-// Meta returns the durable state besides the records.
+// Meta returns the durable state except the records.
 //
 // Example: r.Meta().LastComplete
 func (r *Replica) Meta() Meta { return r.meta }
--- a/control/quorum/replica_test.go
+++ b/control/quorum/replica_test.go
@@ -13,7 +13,7 @@
 	HeartbeatInterval: 333 * time.Millisecond,
 }
 
-// single is a group of one replica, whose messages and saves are carried out at once.
+// single is a group of one replica, whose messages and saves complete immediately.
 type single struct {
 	replica *Replica
 	now     time.Duration
--- a/control/quorum/vote_test.go
+++ b/control/quorum/vote_test.go
@@ -10,10 +10,10 @@
 
 var (
 	threeReplicas = message.Group{Number: 1, Replicas: replicasOf("a", "b", "x")}
-	fullLeaseWait = cfg.Wait(cfg.LeaderLease) // how long a voter waits out a lease that it may have supported
+	fullLeaseWait = cfg.Wait(cfg.LeaderLease) // how long a voter waits for a lease that it may have supported
 )
 
-// voter is replica a of three, stepped by the test. Its saves are on disk at once.
+// voter is replica a of three, stepped by the test. Its saves complete immediately.
 type voter struct {
 	t       *testing.T
 	replica *Replica
@@ -40,9 +40,9 @@
 	return v.sent
 }
 
-// requestVote has a candidate that promises to delay its writes request a vote. The
-// second result is how long earlier leases may be valid if the vote was granted, and
-// how long the voter is bound if not.
+// requestVote requests a vote for a candidate that promises to delay its writes, and reports
+// whether the vote was granted. If it was, the second result is how long earlier leases may
+// be valid; otherwise, how long the voter is bound.
 func (v *voter) requestVote(now time.Duration, from string, epoch, term uint64) (granted bool, left time.Duration) {
 	v.t.Helper()
 	out := v.step(now, from, epoch, message.Message{
@@ -64,7 +64,7 @@
 	return &voter{t: t, replica: restartedReplica(cfg, threeReplicas.Replicas[0], votedForX, 0)}
 }
 
-// runningVoter returns a voter that supported x's incarnation 3 last at 10 s.
+// runningVoter returns a voter that last acknowledged x's incarnation 3 at 10 s.
 func runningVoter(t *testing.T) *voter {
 	v := restartedVoter(t)
 	for at := 9 * time.Second; at <= 10*time.Second; at += 250 * time.Millisecond {
@@ -77,7 +77,7 @@
 }
 
 // A restarted voter that knows of no new incarnation of its leader must wait out the
-// lease that it may have supported. A message of the leader's same incarnation, or of a
+// lease that it may have supported. A message of the same incarnation of the leader, or of a
 // new incarnation of another replica, doesn't show that the leader has restarted.
 func TestRestartedVoterWaitsOutLease(t *testing.T) {
 	v := restartedVoter(t)
@@ -96,8 +96,8 @@
 	}
 }
 
-// A voter that knows of a new incarnation of its leader must vote at once, for any
-// candidate, and state how long leases granted under the earlier one may be valid.
+// A voter that knows of a new incarnation of its leader must vote immediately, for any
+// candidate, and state how long leases granted under the earlier incarnation may be valid.
 func TestVoterVotesAtOnceAfterLeaderRestart(t *testing.T) {
 	last := 10 * time.Second
 	for name, tc := range map[string]struct {
@@ -117,7 +117,7 @@
 		if granted, left := v.requestVote(tc.at, "x", 4, 6); !granted || left != tc.until-tc.at {
 			t.Errorf("%s: requested by the new incarnation: voted %v, earlier leases valid for %v", name, granted, left)
 		}
-		v = tc.make(t) // it also grants pre-votes, and becomes a candidate itself
+		v = tc.make(t) // the voter also grants pre-votes, and becomes a candidate itself
 		v.step(tc.at, "x", 4, message.Message{Kind: message.KindRejectVote})
 		preVote := message.VoteRequest{Term: 6, PreVote: true, WriteDelay: fullLeaseWait}.Message(1)
 		if out := v.step(tc.at, "b", 1, preVote); !isOnlyMessage(out, message.KindGrantVote) {
@@ -129,8 +129,8 @@
 	}
 }
 
-// A candidate of an earlier build, which would write at once, must not get a vote
-// before the lease has expired.
+// A candidate of an earlier build, which would write immediately after its election, must
+// not get a vote before the lease has expired.
 func TestNoEarlyVoteForEarlierBuild(t *testing.T) {
 	v := runningVoter(t)
 	at := 10*time.Second + 300*time.Millisecond
@@ -147,8 +147,8 @@
 	}
 }
 
-// State stored by an earlier build names no incarnation of the leader. Such a voter must
-// wait out the lease even if it learns of a new incarnation.
+// State stored by an earlier build names no incarnation of the leader. A voter with such
+// state must wait for the lease to expire even if it learns of a new incarnation.
 func TestMetaOfEarlierBuild(t *testing.T) {
 	var m Meta
 	const stored = `{"Promised":5,"To":"x","Tried":2,"Set":5,"Group":{"Num":1,` +
@@ -159,7 +159,7 @@
 	if m.LastComplete != 5 || len(m.Group.Replicas) != 3 {
 		t.Fatalf("state stored by the earlier build is read as %+v", m)
 	}
-	for _, to := range []string{"x", "a"} { // bound to another, or to itself
+	for _, to := range []string{"x", "a"} { // the voter is bound to another replica, or to itself
 		m.VotedFor = to
 		v := &voter{t: t, replica: restartedReplica(cfg, threeReplicas.Replicas[0], m, 0)}
 		v.step(time.Millisecond, "x", 99, message.Message{Kind: message.KindRejectVote})
@@ -173,7 +173,8 @@
 }
 
 // elect makes replica a win an election that starts at now, and become leader. The vote of
-// b states how long earlier leases may be valid, and b confirms that it holds the records.
+// b states that earlier leases are valid for leasesValidFor, and b confirms that it holds the
+// records.
 func (v *voter) elect(now, leasesValidFor time.Duration) {
 	v.t.Helper()
 	for end := now + 3*time.Second; v.replica.role != candidate; now += 10 * time.Millisecond {
@@ -239,7 +240,7 @@
 			t.Errorf("earlier leases valid for %v: writes from %v", leasesValidFor, from)
 		}
 	}
-	// The statement in its own vote counts like any other: the vote was bound to x until 11.04 s.
+	// The new leader's own vote counts too. The new leader had been bound to x until 11.04 s.
 	v := runningVoter(t)
 	v.step(10*time.Second+100*time.Millisecond, "x", 4, message.Message{Kind: message.KindRejectVote})
 	v.elect(10*time.Second+110*time.Millisecond, 0)
@@ -275,9 +276,9 @@
 	}
 }
 
-// A candidate that abandons its term must leave the voter bound as before. If the
-// leader's new incarnation is known, the voter is then free to vote, and still states
-// how long earlier leases may be valid.
+// When a candidate abandons its term, the voter must be bound to its previous leader again.
+// If a new incarnation of that leader is known, the voter may vote for another candidate, and
+// still states how long earlier leases may be valid.
 func TestAbandonedTermRestoresPreviousVote(t *testing.T) {
 	at := 10*time.Second + 100*time.Millisecond
 	v := runningVoter(t)
@@ -296,7 +297,7 @@
 		t.Errorf("after the term was abandoned: voted %v, earlier leases valid for %v", granted, left)
 	}
 
-	// A voter that waited out the lease supports the leader again if it is still alive.
+	// A voter that waited for the lease to expire supports the leader again if the leader is alive.
 	v = runningVoter(t)
 	at = 10*time.Second + fullLeaseWait
 	v.requestVote(at, "b", 1, 6)
@@ -306,8 +307,8 @@
 		t.Errorf("heartbeat after the term was abandoned: %+v", out)
 	}
 
-	// After a restart the previous vote is no longer known, so AbandonTerm must change
-	// nothing, and must not bring back a lower term.
+	// After a restart the voter no longer knows its previous vote, so AbandonTerm must change
+	// nothing and must not restore a lower term.
 	v = runningVoter(t)
 	v.requestVote(at, "b", 1, 6)
 	v.replica = restartedReplica(cfg, threeReplicas.Replicas[0], v.replica.Meta(), at)
--- a/control/quorum/walk_test.go
+++ b/control/quorum/walk_test.go
@@ -13,10 +13,10 @@
 	"mulleinmast/wire/message"
 )
 
-// walk is a randomized run of a group of three replicas among five or more machines,
-// with many faults at once: messages are lost, delayed, reordered and duplicated,
-// daemons restart with saves in flight, machines are lost with their disks, and the
-// leader replaces replicas at random, as fast as it may.
+// walk is a randomized run of a group of three replicas among five or more machines, with
+// many simultaneous faults. Messages are lost, delayed, reordered and duplicated. Daemons
+// restart with saves in flight, and machines are lost with their disks. The leader replaces
+// random replicas as often as it is allowed to.
 type walk struct {
 	*testing.T
 	seed           int64
@@ -134,8 +134,8 @@
 	w.start(fmt.Sprintf("n%d", w.newMachines))
 }
 
-// check fails the test if there are two leaders at once, or if a new leader lacks a
-// record that was committed before.
+// check fails the test if there are two leaders at the same time, or if a new leader lacks a
+// record that was committed before its election.
 func (w *walk) check() {
 	var leaders []string
 	for _, id := range slices.Sorted(maps.Keys(w.replicas)) {
@@ -209,7 +209,7 @@
 	case 2:
 		w.replicas[id].Resign()
 	case 3:
-		if w.mayLoseMachine && w.canLose(id) && len(ids) > 4 { // the machine is lost for good
+		if w.mayLoseMachine && w.canLose(id) && len(ids) > 4 { // the machine is lost permanently
 			w.mayLoseMachine = false
 			delete(w.replicas, id)
 			w.startNewMachine()
