--- a/control/daemon/calls.go
+++ b/control/daemon/calls.go
@@ -89,9 +89,9 @@
 	return d.View().Leaderships[partition].Leader
 }
 
-// Call has the leader of a partition execute an operation, wherever that leader runs, and retries
-// across a change of leader until the timeout. It returns a status and a JSON body: a call that
-// was sent but not answered is "uncertain", one that no leader accepted is "not done".
+// Call has the leader of a partition, on this daemon or another, execute an operation. It retries
+// across a change of leader until the timeout and returns a status and a JSON body. The result of a
+// call that was sent but not answered is "uncertain"; if no leader accepted it, "not done".
 //
 // Example: status, body := d.Call(ctx, 0, "plan", plan, 4*time.Second)
 func (d *Daemon) Call(ctx context.Context, partition int, op string, body []byte, timeout time.Duration) (int, []byte) {
@@ -106,8 +106,9 @@
 	}
 }
 
-// RequestSlots requests this daemon's share of the servers' slots from the partition's leader. The
-// share's lifetime counts from the time just before the call, which is returned as from.
+// RequestSlots requests this daemon's share of the servers' slots from the partition's leader. It
+// also returns from, the time just before the call, at which the share's lifetime begins. ok is
+// false if the leader didn't grant a share.
 //
 // Example: share, from, ok := d.RequestSlots(ctx, p, demand, 200*time.Millisecond)
 func (d *Daemon) RequestSlots(
@@ -121,8 +122,8 @@
 	return share, from, true
 }
 
-// RequestToken requests a token of a tenant's rate limit from a partition's leader. ok is false if
-// no leader answered.
+// RequestToken requests a token of a tenant's rate limit from a partition's leader and returns the
+// leader's grant, which may be a delay instead of a token. ok is false if no leader answered.
 //
 // Example: grant, ok := d.RequestToken(ctx, 3, request, 100*time.Millisecond)
 func (d *Daemon) RequestToken(
@@ -137,12 +138,12 @@
 // LeaderContact describes this daemon's contact with a partition's leader.
 type LeaderContact struct {
 	LapsedFor         time.Duration    // how long ago its volume lease lapsed; 0 if it holds one
-	LeaderUnreachable bool             // for longer than a leader election takes
-	OtherDaemons      []message.Member // control daemons to redirect callers to while this one is cut off
+	LeaderUnreachable bool             // whether the lease lapsed longer ago than an election takes
+	OtherDaemons      []message.Member // control daemons to redirect callers to while this daemon is cut off
 }
 
-// Contact reports whether this daemon is in contact with a partition's leader, judged only by its
-// own lease and clock.
+// Contact returns this daemon's contact with a partition's leader, judged only by this daemon's own
+// lease and clock.
 //
 // Example: if d.Contact(0).LeaderUnreachable { redirectCaller() }
 func (d *Daemon) Contact(partition int) (out LeaderContact) {
@@ -153,9 +154,9 @@
 }
 
 // otherDaemons returns the control daemons that became unreachable in the same network partition
-// that let this daemon's lease lapse. If there are none and this daemon has no session, it returns
-// all other control daemons. With a session it then returns none: as far as this daemon knows, no
-// daemon has a leader.
+// that let this daemon's lease lapse. If there are none, the result depends on the session. Without
+// a session it is all other control daemons. With a session it is empty, because as far as this
+// daemon knows, no daemon has a leader.
 func (d *Daemon) otherDaemons(lapsedFor time.Duration) (others []message.Member) {
 	view := d.View()
 	for _, lost := range view.PartitionedFrom() {
--- a/control/daemon/config.go
+++ b/control/daemon/config.go
@@ -12,8 +12,8 @@
 	"mulleinmast/control/fleetconfig"
 )
 
-// Bounds are the time limits guaranteed to users. All intervals and timeouts are derived from them
-// as ratios. Each is 100 ms to 1 h; in the config file its name has the prefix "bound_".
+// Bounds are the time limits guaranteed to users. All intervals and timeouts are ratios of these
+// bounds. Each bound is 100 ms to 1 h. In the config file the names have the prefix "bound_".
 type Bounds struct {
 	Plan     time.Duration // until an acknowledged plan is active on every daemon; default 2 s
 	Leave    time.Duration // until a leaving server receives no more requests; default 3 s
@@ -31,21 +31,21 @@
 	Zone         string   // name of this machine's zone, same format as Fleet; default "zone-1"
 	Seeds        []string // WireAddr of one to three daemons to contact first; required
 	DataFolder   string   // state of a control daemon; default empty: the daemon stores no state
-	Partitions   int      // of services, besides the configuration's; same on all daemons, fixed: 1 to 64; default 8
+	Partitions   int      // service partitions, in addition to the configuration's; same on all daemons, fixed: 1 to 64; default 8
 	Drift        float64  // maximum relative clock drift between daemons: 0 to 0.2; default 0.02
 	Bounds       Bounds
 	QueueLimit   int  // maximum queued requests per service: 1 to 1,048,576; default 512
 	TestSwitches bool // enables the fault injection endpoints used by tests; default false
 	EventLogSize int  // capacity of the event log's ring buffer, in entries: 16 to 1,048,576; default 4,096
-	Losses       int  // tolerated concurrent losses of control daemons, 0 to 4; first groups have 2*Losses+1; default 1
+	Losses       int  // tolerated concurrent losses of control daemons: 0 to 4; a first group has 2*Losses+1; default 1
 	FirstStart   bool // whether the fleet may be bootstrapped; false: only join an existing group; default true
-	// AdmitRatio limits the queueing delay: a request that would wait behind others longer than
-	// this ratio times its route's latency target is rejected at once. Up to 100; 0 rejects none;
-	// default 3.
+	// AdmitRatio limits the queueing delay: a request is rejected immediately if it would wait
+	// behind other requests longer than this ratio times its route's latency target. It is 0 to
+	// 100; 0 rejects no request; default 3.
 	AdmitRatio float64
 
 	InTouchAfter time.Duration // how long a machine must be healthy before the bounds apply to it; default 3 s
-	CatchUpBound time.Duration // until a replacement machine counts like the one that it replaced; default 4 s
+	CatchUpBound time.Duration // until a replacement machine counts like the replaced one; default 4 s
 	AckBound     time.Duration // until an operator's order is acknowledged; default 4 s
 	GracePeriod  time.Duration // from the stop signal until the process is killed; default 12 s
 	Cores        int           // CPU cores to use; default 0: all
@@ -56,16 +56,16 @@
 	Limit        Limit         // of tenants, fleet-wide; default 10% overrun in 5 s
 }
 
-// Retry limits the calls that all daemons together send beyond the first call of each request: to
-// Ratio times the requests in a Window, plus Slack.
+// Retry limits the calls that all daemons together send in addition to the first call of each
+// request. The limit is Ratio times the number of requests in a Window, plus Slack.
 type Retry struct {
 	Ratio  float64
 	Window time.Duration
 	Slack  int
 }
 
-// WarmUp limits the load that a warming server receives per second from all daemons: to Over times
-// what it can take, plus Slack.
+// WarmUp limits the load that a warming server receives per second from all daemons. The limit is
+// Over times what the server can take, plus Slack.
 type WarmUp struct {
 	Over  float64
 	Slack float64
--- a/control/daemon/daemon.go
+++ b/control/daemon/daemon.go
@@ -51,10 +51,10 @@
 
 	// TrafficState returns the data plane's part of the state dump; nil if there is none.
 	TrafficState func() map[string]any
-	// Explainers return what happened to a request, given its ID, or to all known requests.
+	// Explainers return what happened to the request with the given ID, or to all known requests.
 	Explainers []func(request string) []any
-	// LoadPoller and OrderSender call the model servers. Until a driver sets them, each call
-	// fails.
+	// LoadPoller and OrderSender call the model servers. Every call fails unless a driver sets
+	// them.
 	LoadPoller  LoadPoller
 	OrderSender OrderSender
 	// Pressure returns how heavily a server is loaded; nil if unknown.
@@ -113,7 +113,7 @@
 // Example: d.Add(listener)
 func (d *Daemon) Add(s suture.Service) { d.services = append(d.services, s) }
 
-// AddControlAddrs adds addresses of control daemons, such as those from a changed configuration.
+// AddControlAddrs adds addresses of control daemons, for example from a changed configuration.
 //
 // Example: d.AddControlAddrs("10.0.0.7:7000")
 func (d *Daemon) AddControlAddrs(addrs ...string) { d.members.addControlAddrs(addrs...) }
--- a/control/daemon/diskwriter.go
+++ b/control/daemon/diskwriter.go
@@ -73,9 +73,9 @@
 }
 
 // flush writes the pending saves. It returns false if there are none or the context has ended. A
-// failed batch is put back before the saves that were added since, into one batch with them, and
-// retried until it succeeds or the daemon stops: nothing depends on these saves until they are on
-// disk.
+// failed batch is put back in front of the saves that were added in the meantime, and the combined
+// batch is retried until it succeeds or the daemon stops. Retrying is safe because nothing depends
+// on a save until it is on disk.
 func (w *diskWriter) flush(ctx context.Context) bool {
 	batch := w.takePending()
 	if batch.IsEmpty() || ctx.Err() != nil {
@@ -136,7 +136,7 @@
 	})
 }
 
-// checkSaveOrder checks that saves are reported as done in order.
+// checkSaveOrder checks that saves are reported as done in the order of their numbers.
 func (s *shard) checkSaveOrder(save uint64) {
 	savesInOrder.Hold(save > s.lastSave, "partition %d: save %d reported as done after save %d",
 		s.partition, save, s.lastSave)
--- a/control/daemon/drainshares.go
+++ b/control/daemon/drainshares.go
@@ -6,11 +6,11 @@
 	"mulleinmast/control/fleetconfig"
 )
 
-// Bounds.Leave is the time in which a leaving server receives its last request. It is divided
-// among the consecutive delays between the moment when the platform's list shows that the server
-// leaves and the moment when no more requests arrive there. Each share is a ratio to the bound;
-// the code that uses a delay reads its share here. A write of a list doesn't wait for another one
-// (partition.Job.Mergeable), so its time counts once.
+// Bounds.Leave is the time in which a leaving server receives its last request. It starts when the
+// platform's list shows that the server leaves and ends when no more requests arrive there. The
+// bound is divided among the consecutive delays in this time; each share is a ratio to the bound.
+// A write of a list doesn't wait for another write (partition.Job.Mergeable), so the time of a
+// write counts once.
 const (
 	pullShare     = 0.15 // until the list is polled next
 	readShare     = 0.15 // until the list is read and its change has reached the service's leader
@@ -22,13 +22,13 @@
 )
 
 // staleRatio limits how long a daemon that is in contact with the leader uses a plan, or the list
-// of evacuated zones, after its lease lapsed, as a ratio to the bound on a change of it. The bound
-// counts from the acknowledgement, which comes after the lapse.
+// of evacuated zones, after the lease lapsed. It is a ratio to the bound on a change of that record.
+// The bound counts from the acknowledgement of the change, which comes after the lapse.
 const staleRatio = 0.5
 
 // staleRecheckRatio is the interval after which a record without a lease is checked again, as a
-// ratio to the volume lease: a daemon that was cut off may have contact again by then, and then
-// the shorter limits apply.
+// ratio to the volume lease. A daemon that was cut off may have regained contact in this interval;
+// the shorter limits of a daemon in contact then apply.
 const staleRecheckRatio = 0.125
 
 // maxWithdrawal returns the share of Bounds.Leave in which a record is withdrawn from all lease
@@ -50,16 +50,16 @@
 	}
 }
 
-// MaxListAge returns how long a withdrawn list of servers is still used to tell which servers
-// exist: as long as its next version may be delayed by a daemon that doesn't answer. Whether a
-// server may be used depends on its own record, which is withdrawn independently of the list.
+// MaxListAge returns how long a withdrawn list of servers is still used to determine which servers
+// exist. A daemon that doesn't answer may delay the next version of the list for this time. Whether
+// a server may be used depends on the server's own record, which is withdrawn independently.
 //
 // Example: c.MaxListAge() == 1650*time.Millisecond for a bound on leaving of 3 s
 func (c Config) MaxListAge() time.Duration { return fraction(c.Bounds.Leave, withdrawShare+staleShare) }
 
-// MaxStaleness returns how long a daemon routes requests by a record after its lease lapsed. A
-// daemon that is cut off does so for the recovery bound. One that is in contact with the leader,
-// and whose leases are only late, does so for the time that the record's own bound leaves.
+// MaxStaleness returns how long a daemon routes requests by a record after the record's lease
+// lapsed. For a daemon that is cut off from the leader this is the recovery bound. For a daemon in
+// contact with the leader, whose leases are only late, it is a share of the bound on the record.
 //
 // Example: c.MaxStaleness(3, fleetconfig.ListKey("timetable"), false) == 600*time.Millisecond
 func (c Config) MaxStaleness(partition int, key string, isCutOff bool) time.Duration {
--- a/control/daemon/handover.go
+++ b/control/daemon/handover.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// RefusesRequests reports whether the daemon was asked to stop long enough ago for the platform to
-// have seen that it isn't ready. Until then it still accepts requests.
+// RefusesRequests reports whether the daemon was asked to stop at least Bounds.Plan ago. By then the
+// platform has seen that the daemon isn't ready; before, the daemon still accepts requests.
 //
 // Example: if d.RefusesRequests() { refuse() }
 func (d *Daemon) RefusesRequests() bool {
@@ -58,9 +58,9 @@
 	return n
 }
 
-// HandOver waits until no partition needs this daemon's replica. It returns at once if no learner
-// could take its place, and at the latest when the context ends or most of the grace period since
-// the stop request has passed.
+// HandOver waits until no partition needs this daemon's replica. It returns immediately if no
+// learner could take the replica's place. It returns at the latest when the context ends or
+// handOverRatio of the grace period has passed since the stop request.
 //
 // Example: d.Leave(); serveOn(); d.HandOver(ctx)
 func (d *Daemon) HandOver(ctx context.Context) {
@@ -81,7 +81,7 @@
 const (
 	stageIncomplete replicaStage = iota // some partition has no complete replica here
 	stageComplete                       // every partition has a complete replica here
-	stageVoting                         // and this daemon votes in every partition
+	stageVoting                         // complete, and this daemon votes in every partition
 )
 
 // String returns the stage as shown in the log.
--- a/control/daemon/membership.go
+++ b/control/daemon/membership.go
@@ -17,8 +17,8 @@
 // memberTable is the session table under a lock, with the view of the fleet as of its last tick.
 type memberTable struct {
 	view atomic.Pointer[membership.View]
-	// coreChanged is when a control daemon was last seen to leave, join or restart, or a
-	// partition's leader to change.
+	// coreChanged is the time when the core was last seen to change: a control daemon left, joined
+	// or restarted, or a partition's leader changed.
 	coreChanged atomic.Int64
 
 	mu    sync.Mutex // guards table
@@ -77,8 +77,8 @@
 	}
 }
 
-// tickMembership is one round of runMembership. Steps that take the shards' locks come before
-// those that take the table's lock.
+// tickMembership is one round of runMembership. Steps that acquire the shards' locks run before
+// steps that acquire the table's lock.
 func (d *Daemon) tickMembership() {
 	leaderships := d.leaderships()
 	d.updateReadiness()
@@ -151,7 +151,7 @@
 }
 
 // saveFirstGroups saves the first group of every partition. It holds all shards' locks, so that a
-// vote that a partition grants concurrently reaches the disk later.
+// vote granted concurrently by a partition is saved after the group.
 func (d *Daemon) saveFirstGroups(group message.Group) (sends []message.Envelope) {
 	var saves []quorum.Save
 	for _, s := range d.shards {
--- a/control/daemon/messages.go
+++ b/control/daemon/messages.go
@@ -7,15 +7,16 @@
 	"mulleinmast/wire/message"
 )
 
-// send sends a message; one addressed to this daemon itself is delivered locally. The caller may
-// hold a shard's lock.
+// send sends a message. A message to this daemon itself is delivered locally. The caller may hold a
+// shard's lock.
 func (d *Daemon) send(e message.Envelope) {
 	if e.Message.To == d.self.Ident {
 		e.Message.From, e.Message.Epoch, e.Message.Addr = d.self.Ident, d.epoch, d.self.Addr
 		go d.receive(e.Message)
 		return
 	}
-	// A replica is identified by its identity; its machine may have a new address.
+	// The envelope's address may be outdated, because a replica keeps its identity when its
+	// machine gets a new address.
 	if member, ok := d.View().Find(e.Message.To); ok && !e.ExactAddr {
 		e.Addr = member.Addr
 	}
--- a/control/daemon/open.go
+++ b/control/daemon/open.go
@@ -23,8 +23,8 @@
 	"mulleinmast/wire/transport"
 )
 
-// Open opens the data folder, listens on both addresses and creates the state machines. Nothing
-// runs until Run.
+// Open opens the data folder, listens on both addresses and creates the state machines. It starts
+// nothing; Run does.
 //
 // Example: d, err := daemon.Open(cfg, events)
 func Open(cfg Config, events *eventlog.Log) (*Daemon, error) {
@@ -80,9 +80,9 @@
 	return nil
 }
 
-// openFolder opens the data folder. While the disk is full or failing it retries: without its
-// epoch on disk a daemon must not send messages, and the stored state is worth more than an early
-// start.
+// openFolder opens the data folder. While the disk is full or failing it retries, because a daemon
+// must not send messages before its epoch is on disk, and the stored state is worth more than an
+// early start.
 func openFolder(cfg Config, events *eventlog.Log) (*storage.Store, error) {
 	for {
 		store, err := storage.Open(cfg.DataFolder, cfg.Fleet)
@@ -222,8 +222,8 @@
 	}
 }
 
-// newCalls creates the set of calls in progress. A call may be sent more than once and is
-// identified by its ID.
+// newCalls creates the set of calls in progress. A call may be sent more than once; leaders
+// recognize it by its ID, which includes this daemon's start count.
 func newCalls(cfg Config, epoch uint64) *leadercall.Calls {
 	return leadercall.New(leadercall.Config{
 		TryTimeout:    cfg.VolumeLease() / 2,
--- a/control/daemon/planformat.go
+++ b/control/daemon/planformat.go
@@ -8,9 +8,9 @@
 	"mulleinmast/control/fleetconfig"
 )
 
-// Build identifies this build to other daemons. It names the message formats that it understands
-// ("2": incremental load reports, see traffic/loadreport) and the newest plan format that it
-// reads.
+// Build identifies this build to other daemons. It consists of the message formats that this build
+// understands and the newest plan format that it reads. Message formats "2" include incremental
+// load reports (see traffic/loadreport).
 var Build = fmt.Sprintf("2%s%d", formatSeparator, fleetconfig.NewestFormat())
 
 // formatSeparator precedes the plan format in a build's name. Builds without it read only the
@@ -28,7 +28,7 @@
 }
 
 // planFormatOfFleet returns the newest plan format that all daemons known here read. Plans that
-// need a newer one are rejected.
+// need a newer format are rejected.
 func (d *Daemon) planFormatOfFleet() int {
 	lowest := fleetconfig.NewestFormat()
 	for _, m := range d.View().Members {
--- a/control/daemon/plangaps.go
+++ b/control/daemon/plangaps.go
@@ -9,8 +9,8 @@
 	"mulleinmast/control/fleetconfig"
 )
 
-// planGaps measures how long the plan can't be read here at each change: from its invalidation
-// until the next version arrives. The caller holds the lock of partition 0.
+// planGaps measures how long the plan can't be read here at each change, from the invalidation of
+// one version to the arrival of the next. Callers hold the lock of partition 0.
 type planGaps struct {
 	withdrawnAt time.Duration // 0 while the plan isn't withdrawn
 	duration    *metrics.Histogram
--- a/control/daemon/readiness.go
+++ b/control/daemon/readiness.go
@@ -27,9 +27,9 @@
 	return last > 0 && !r.stopping.Load() && now-last < limit
 }
 
-// Ready reports whether the daemon can serve and isn't stopping, or could do so within the last
-// volume lease. Each change withdraws the configuration for some tens of ms, during which requests
-// wait for it, so that even hundreds of consecutive changes don't make a daemon unready.
+// Ready reports whether the daemon can serve now, or could serve at some time within the last volume
+// lease and isn't stopping. Each change withdraws the configuration for some tens of ms, and requests
+// wait for this time. Even hundreds of consecutive changes therefore don't make a daemon unready.
 //
 // Example: if d.Ready() { respond(200) }
 func (d *Daemon) Ready() bool {
@@ -40,8 +40,9 @@
 // Ready, it doesn't tolerate short interruptions.
 func (d *Daemon) isReady() bool { return d.readiness.ready.Load() && d.canServe() }
 
-// isReadyToMembers reports whether the session table shows this daemon as ready. An interruption
-// as short as that of a configuration change isn't worth a table update.
+// isReadyToMembers reports whether the session table shows this daemon as ready. It ignores
+// interruptions shorter than a session timeout, such as those of configuration changes, because
+// they aren't worth a table update.
 func (d *Daemon) isReadyToMembers() bool {
 	if d.readiness.ready.Load() {
 		d.readiness.lastReady.Store(int64(d.Now()))
@@ -50,7 +51,8 @@
 	return d.readiness.wasReadyWithin(d.Now(), d.Cfg.MembershipConfig().SessionTimeout)
 }
 
-// canServe reports whether requests can be routed by the configuration that is readable here.
+// canServe reports whether this daemon can read the configuration that it needs to route requests,
+// and is neither stopping nor superseded.
 func (d *Daemon) canServe() bool {
 	if d.readiness.stopping.Load() || d.WhySuperseded() != "" {
 		return false
@@ -77,7 +79,7 @@
 	}
 }
 
-// whyNotReady returns the reason shown to operators why the daemon isn't ready.
+// whyNotReady returns the reason why the daemon isn't ready, for operators.
 func (d *Daemon) whyNotReady() string {
 	if reason := d.WhySuperseded(); reason != "" {
 		return "the state in " + d.Cfg.DataFolder + " is superseded: " + reason
@@ -97,8 +99,8 @@
 	return "no valid leases on the configuration"
 }
 
-// whyNoMajority describes the first partition of whose group too few daemons are members of the
-// fleet; empty if there is none.
+// whyNoMajority describes the first partition whose group lacks a majority, because too few of the
+// group's daemons are members of the fleet. It returns "" if there is no such partition.
 func (d *Daemon) whyNoMajority() string {
 	for _, s := range d.shards {
 		group, present := s.group(), 0
--- a/control/daemon/reconcile.go
+++ b/control/daemon/reconcile.go
@@ -45,8 +45,8 @@
 	return errNoDriver
 }
 
-// reconcile has a partition's leader reconcile its group, its once keys and its servers, and makes
-// the calls to servers that it requests.
+// reconcile has a partition's leader reconcile its group, its once keys and its servers, and starts
+// the polls and orders that the leader requests.
 func (d *Daemon) reconcile(ctx context.Context, s *shard) {
 	cluster := d.clusterView()
 	s.mu.Lock()
@@ -88,8 +88,8 @@
 // addrOfServer returns the address in a server record's key.
 func addrOfServer(key string) string { return key[strings.LastIndexByte(key, '/')+1:] }
 
-// sendOrder sends an order to a server. The leader lease is checked again just before its first
-// byte is sent.
+// sendOrder sends an order to a server. The leader lease is checked again just before the first
+// byte of the order is sent.
 func (d *Daemon) sendOrder(ctx context.Context, s *shard, order placement.Order) {
 	ctx, cancel := context.WithTimeout(ctx, fraction(d.Cfg.Bounds.Swap, orderTimeoutRatio))
 	defer cancel()
--- a/control/daemon/records.go
+++ b/control/daemon/records.go
@@ -9,8 +9,8 @@
 	"mulleinmast/wire/message"
 )
 
-// Read returns a record from this daemon's cache if both leases are valid now and this build can
-// read it.
+// Read returns a record from this daemon's cache. ok is false unless the volume lease and the
+// record's object lease are valid now and this build can read the record.
 //
 // Example: rec, ok := d.Read(0, fleetconfig.PlanKey)
 func (d *Daemon) Read(partition int, key string) (message.Record, bool) {
@@ -21,10 +21,10 @@
 	return rec, ok && d.isReadable(s, rec)
 }
 
-// ReadAllowingStale returns a record under valid leases or, while they aren't renewed, as of when
-// they lapsed: at most for MaxStaleness after that, which is short if this daemon is in contact
-// with the leader, and never after the record was withdrawn. Only routing and readiness depend on
-// such records; they are never the basis of orders, writes or messages to others.
+// ReadAllowingStale returns a record under valid leases. If the leases lapsed because renewals go
+// unanswered, it returns the last known version for at most MaxStaleness, but never after the record
+// was withdrawn. MaxStaleness is short if this daemon is in contact with the leader. Only routing
+// and readiness may depend on stale records; orders, writes and messages to others must not.
 //
 // Example: rec, ok := d.ReadAllowingStale(0, fleetconfig.PlanKey)
 func (d *Daemon) ReadAllowingStale(partition int, key string) (message.Record, bool) {
@@ -35,8 +35,8 @@
 	return rec, ok && d.isReadable(s, rec)
 }
 
-// StaleUntil returns until when the result of ReadAllowingStale remains usable without another
-// check, unless leases are renewed.
+// StaleUntil returns the time until which the result of ReadAllowingStale remains usable without
+// another check if no lease is renewed.
 //
 // Example: if d.Now() < d.StaleUntil(p, fleetconfig.ListKey("timetable")) { route() }
 func (d *Daemon) StaleUntil(partition int, key string) time.Duration {
@@ -51,8 +51,8 @@
 	return min(until, now+fraction(d.Cfg.VolumeLease(), staleRecheckRatio))
 }
 
-// ValidUntil returns when the first of the leases lapses under which this daemon serves a
-// partition's records, unless they are renewed before.
+// ValidUntil returns when the first of the leases under which this daemon serves a partition's
+// records lapses if none is renewed.
 //
 // Example: if d.Now() < d.ValidUntil(p) { serve() }
 func (d *Daemon) ValidUntil(partition int) time.Duration {
@@ -79,14 +79,14 @@
 // Example: gen := d.Generation(p); read(); ...; if d.Generation(p) != gen { readAgain() }
 func (d *Daemon) Generation(partition int) uint64 { return d.shards[partition].generation.Load() }
 
-// Pin keeps a record readable here from now on.
+// Pin keeps a record readable here until Unpin is called.
 //
 // Example: d.Pin(p, fleetconfig.ListKey("timetable"))
 func (d *Daemon) Pin(partition int, key string) {
 	d.step(d.shards[partition], func(c *leader.Controller, now time.Duration) leader.Out { return c.Pin(now, key) })
 }
 
-// Unpin undoes Pin.
+// Unpin reverts Pin: the record is not fetched again after it is withdrawn.
 //
 // Example: d.Unpin(p, fleetconfig.ServerRecordKey("timetable", "i-7f3a"))
 func (d *Daemon) Unpin(partition int, key string) {
@@ -119,8 +119,7 @@
 	}
 }
 
-// Plan returns the ID and version of the current plan; ok is false unless it is under valid
-// leases.
+// Plan returns the ID and version of the current plan. ok is false unless Read can return the plan.
 //
 // Example: id, version, ok := d.Plan()
 func (d *Daemon) Plan() (id string, version uint64, ok bool) {
@@ -132,12 +131,14 @@
 	return plan.ID, plan.Version, true
 }
 
-// DecodePlan decodes a plan record, once per version. The caller must not modify the plan.
+// DecodePlan returns the plan in a record. Each version is decoded once and shared, so callers must
+// not modify the plan.
 //
 // Example: plan := d.DecodePlan(rec)
 func (d *Daemon) DecodePlan(rec message.Record) fleetconfig.Plan { return d.plans.MustRead(rec) }
 
-// Term returns the term of a partition's leader as far as this daemon knows it; attempts carry it.
+// Term returns the term of a partition's leader as far as this daemon knows it. Attempts of requests
+// carry this term.
 //
 // Example: term := d.Term(p)
 func (d *Daemon) Term(partition int) uint64 { return d.View().Leaderships[partition].Term }
--- a/control/daemon/response.go
+++ b/control/daemon/response.go
@@ -19,8 +19,8 @@
 	resultUnknown  = "not known"
 )
 
-// Respond writes a JSON response: an encoded value, or bytes that are already JSON. Status 429 and
-// server errors carry a Retry-After header.
+// Respond writes a JSON response. v is a value to encode, or bytes that are already JSON. Responses
+// with status 429 or a server error get a Retry-After header.
 //
 // Example: daemon.Respond(w, 503, leadercall.Response{Result: "refused", RetryAfterMillis: 1500})
 func Respond(w http.ResponseWriter, status int, v any) {
--- a/control/daemon/serverlists.go
+++ b/control/daemon/serverlists.go
@@ -19,14 +19,14 @@
 	// pullRatio is the interval between two polls of the source, as a ratio to the bound in which
 	// a leaving server stops receiving requests.
 	pullRatio = pullShare
-	// pullTimeouts is how many poll timeouts fit into that bound.
+	// pullTimeouts is the ratio of the same bound to the timeout of a poll.
 	pullTimeouts = 3
 	// listSequenceBits is the number of bits of a list's version that count the lists of one term.
 	listSequenceBits = 24
 )
 
-// ServerSource lists the model servers by service. If the platform keeps a list that can be
-// queried, the leader of the configuration polls it and writes changes to the leaders of the
+// ServerSource lists the model servers by service, for platforms whose list can be queried. The
+// leader of the configuration polls the source and writes changed lists to the leaders of the
 // services.
 type ServerSource interface {
 	// List returns the complete list; on an error all lists stay unchanged.
@@ -48,7 +48,7 @@
 	return &listWriter{term: term, termEnded: termEnded, accepted: map[string][]byte{}}
 }
 
-// isAccepted reports whether a service's leader already has a list.
+// isAccepted reports whether a service's leader has already accepted this list.
 func (l *listWriter) isAccepted(service string, packed []byte) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -131,10 +131,10 @@
 	}
 }
 
-// addEmptyServices adds the plan's services that the source doesn't name: they no longer have
-// servers. While a plan is being written, which is nearly always the case during a series of
-// changes, it can't be read. Then the removal of these services' servers is delayed, but the other
-// lists are still written.
+// addEmptyServices adds an empty list for each service of the plan that the source doesn't name,
+// because such a service no longer has servers. The plan can't be read while it is being written,
+// which is nearly always the case during a series of changes. The removal of these services'
+// servers is then delayed, but the other lists are still written.
 func (d *Daemon) addEmptyServices(servers map[string][]fleetconfig.Server) {
 	rec, ok := d.Read(0, fleetconfig.PlanKey)
 	if !ok {
--- a/control/daemon/shard.go
+++ b/control/daemon/shard.go
@@ -90,8 +90,8 @@
 	log("leader", "leadership lost", "partition", s.partition)
 }
 
-// updateParent has the next parent selected if the current one can't serve or redirects to a
-// better one.
+// updateParent tells the parent chooser if the current parent can't serve or redirects to another
+// one. The next tick of the shard sets the new parent.
 func (d *Daemon) updateParent(s *shard, out leader.Out) {
 	if out.Orphaned {
 		s.parents.FallBackToLeader(d.Now())
@@ -114,8 +114,8 @@
 	}
 }
 
-// runShards ticks all partitions one after another: this takes one timer, and messages of several
-// partitions to the same daemon are sent in one write.
+// runShards ticks all partitions one after another, so that one timer suffices and the messages of
+// several partitions to the same daemon are sent in one write.
 func (d *Daemon) runShards(ctx context.Context) error {
 	ticker := time.NewTicker(d.Cfg.VolumeLease() / shardTicks)
 	defer ticker.Stop()
--- a/control/daemon/superseded.go
+++ b/control/daemon/superseded.go
@@ -15,8 +15,8 @@
 
 func newSupersession() *supersession { return &supersession{done: make(chan struct{})} }
 
-// Superseded returns a channel that is closed once this daemon's state is superseded: it no longer
-// votes and must exit; the next start begins empty.
+// Superseded returns a channel that is closed once this daemon's state is superseded. The daemon
+// then no longer votes and must exit. Its next start begins with empty state.
 //
 // Example: <-d.Superseded()
 func (d *Daemon) Superseded() <-chan struct{} { return d.supersession.done }
--- a/control/daemon/testswitches.go
+++ b/control/daemon/testswitches.go
@@ -51,7 +51,8 @@
 	}
 }
 
-// leapResponse reports what is still led, held or valid just after the clock was advanced.
+// leapResponse is the state just after the clock was advanced: the number of partitions that this
+// daemon still leads or has a lease on, and whether the plan is still valid.
 type leapResponse struct {
 	PartitionsHeld int    `json:"parts_still_held"`
 	PlanValid      bool   `json:"plan_still_valid"`
--- a/control/daemon/timing.go
+++ b/control/daemon/timing.go
@@ -27,13 +27,12 @@
 )
 
 const (
-	// lostReplicaRatio is the part of the catch-up bound after which a learner takes over a silent
-	// replica. It is longer than a restart takes, and the rest of the bound is longer than an
-	// election and a step of a group change take.
+	// lostReplicaRatio is the ratio to the catch-up bound of the time after which a learner takes
+	// over from a silent replica. This time is longer than a restart takes. The rest of the bound
+	// is longer than an election and a step of a group change take.
 	lostReplicaRatio = 0.5
 	// resendRatio is the time in which an operator may resend an order, as a ratio to the time in
-	// which an order is acknowledged. The difference covers how long a try may be delayed on its
-	// way.
+	// which an order is acknowledged. The difference covers the delay of a try in transit.
 	resendRatio = 1.25
 )
 
@@ -41,8 +40,9 @@
 	return time.Duration(float64(d) * ratio)
 }
 
-// VolumeLease returns the length of the volume leases. It is short enough that a record is
-// withdrawn within a share of the bound on a plan change and of the bound on a leaving server.
+// VolumeLease returns the length of the volume leases. The withdrawal of a record may take until the
+// leases on it have expired, so their length is limited by a share of the bound on a plan change
+// and by a share of the bound on a leaving server.
 //
 // Example: c.VolumeLease() == 800*time.Millisecond for a plan bound of 2 s
 func (c Config) VolumeLease() time.Duration {
--- a/control/daemon/wirelog.go
+++ b/control/daemon/wirelog.go
@@ -16,7 +16,7 @@
 	// wireLogRatio is the interval between two samples of the transport's counters, as a ratio to
 	// the plan bound.
 	wireLogRatio = 2
-	// busyBytesPerSecond is the average rate of sent bytes from which on an interval is logged.
+	// busyBytesPerSecond is the minimum average rate of sent bytes at which an interval is logged.
 	busyBytesPerSecond = 64 << 10
 	// loggedKinds is the maximum number of message kinds named in a log entry.
 	loggedKinds = 4
@@ -28,7 +28,8 @@
 	counts map[string]transport.KindCount
 }
 
-// runWireLog logs which kinds of messages cause the traffic while this daemon sends much.
+// runWireLog logs which kinds of messages cause the traffic in each interval in which this daemon
+// sends at least busyBytesPerSecond.
 func (d *Daemon) runWireLog(ctx context.Context) error {
 	ticker := time.NewTicker(fraction(d.Cfg.Bounds.Plan, wireLogRatio))
 	defer ticker.Stop()
--- a/control/eventlog/eventlog.go
+++ b/control/eventlog/eventlog.go
@@ -1,6 +1,6 @@
 // Package eventlog is the daemon's log: a ring buffer of entries in memory. An entry has a level,
 // a kind (the part of the daemon that it concerns), a message and fields. Debug entries stay in
-// the ring buffer. Info entries are also written out at once. A warning is written out together
+// the ring buffer. Info entries are also written out immediately. A warning is written out together
 // with the entries before it.
 package eventlog
 
@@ -16,13 +16,13 @@
 )
 
 const (
-	// warningKind is the prefix of the kind of a warning: in the ring buffer, in the output, and
-	// in scripts that search for it.
+	// warningKind is the prefix of the kind of a warning, in the ring buffer and in the output.
+	// Scripts search for this prefix.
 	warningKind = "trouble "
 	// flushInterval is the minimum time between two warnings that write out the ring buffer, so
 	// that a series of warnings doesn't fill the disk.
 	flushInterval = 10 * time.Second
-	// missingValue replaces the value of a key without one.
+	// missingValue is shown after a key that has no value.
 	missingValue = "(none)"
 )
 
@@ -36,7 +36,7 @@
 
 // Log is the ring buffer with its output. Its methods are safe for concurrent use.
 type Log struct {
-	// Verbose makes the log write out each entry at once. Set it before the first entry.
+	// Verbose makes the log write out each entry immediately. Set it before the first entry.
 	Verbose bool
 
 	out log.Logger
@@ -65,7 +65,7 @@
 	l.append(kind, render(message, fields))
 }
 
-// Info adds an entry and writes it out at once.
+// Info adds an entry and writes it out immediately.
 //
 // Example: events.Info("start", "listening", "addr", addr)
 func (l *Log) Info(kind, message string, fields ...any) {
@@ -75,7 +75,7 @@
 }
 
 // Warn adds an entry and writes out all entries since the last write by a warning. It writes at
-// most once per flushInterval.
+// most once per flushInterval; a warning within that interval only adds its entry.
 //
 // Example: events.Warn("disk", "write failed", "error", err)
 func (l *Log) Warn(kind, message string, fields ...any) {
--- a/control/leadercall/leadercall.go
+++ b/control/leadercall/leadercall.go
@@ -1,7 +1,7 @@
 // Package leadercall sends calls to the leaders of partitions and retries them across changes of
-// leader. It is a state machine without I/O. A call that was sent and not answered ends as "uncertain",
-// one that no leader accepted as "not done". All tries of a call carry the same call ID, so that a
-// leader executes it only once.
+// leader. It is a state machine without I/O. A call that was sent and not answered ends as "uncertain".
+// A call that no leader accepted ends as "not done". All tries of a call carry the same call ID, so
+// that a leader executes the call only once.
 package leadercall
 
 import (
@@ -30,7 +30,7 @@
 // Config holds the timeouts of calls.
 type Config struct {
 	TryTimeout    time.Duration // how long to wait for a leader's answer to a try
-	RetryInterval time.Duration // delay before the next try if no leader is known or the daemon isn't the leader
+	RetryInterval time.Duration // delay before the next try if no leader is known or the called daemon isn't the leader
 	RetryAfter    time.Duration // retry delay suggested to callers whose call was not answered
 }
 
@@ -87,8 +87,8 @@
 	return &Calls{cfg: cfg, lastID: epoch << epochBits, calls: map[uint64]*call{}, tries: map[uint64]try{}}
 }
 
-// Start begins a call to a partition's leader; the leader may be unknown. A call with a single try
-// is given up when that try isn't answered.
+// Start begins a call to a partition's leader and returns the call's ID. The leader may be unknown;
+// its Ident is then empty. A call with a single try is given up if that try isn't answered.
 //
 // Example: id, out := c.Start(now, leader, 0, leadercall.OpPlan, body, now+4*time.Second, false)
 func (c *Calls) Start(
@@ -105,7 +105,8 @@
 	return started.id, out
 }
 
-// try sends a call to the leader. If none is known it schedules the next try.
+// try sends a call to the leader. If no leader is known, it schedules the next try, or gives up a
+// call with a single try.
 func (c *Calls) try(now time.Duration, call *call, leader message.Replica, out *Out) {
 	if leader.Ident == "" {
 		if call.singleTry {
@@ -184,7 +185,8 @@
 	}
 }
 
-// giveUp ends an unanswered call with what is known about its outcome.
+// giveUp ends an unanswered call: as "uncertain" if a leader may have executed it, otherwise as
+// "not done".
 func (c *Calls) giveUp(call *call, out *Out) {
 	c.remove(call)
 	status := StatusNotDone
@@ -199,8 +201,8 @@
 	out.Results = append(out.Results, Result{call.id, status, MustMarshal(response)})
 }
 
-// Tick advances all calls to the current time. leaderOf returns a partition's leader as far as
-// known.
+// Tick advances all calls to the current time. leaderOf returns a partition's leader, or the zero
+// Replica if the leader is unknown.
 //
 // Example: out := c.Tick(now, func(partition int) message.Replica { return view.Leaderships[partition].Leader })
 func (c *Calls) Tick(now time.Duration, leaderOf func(int) message.Replica) (out Out) {
--- a/control/leadercall/response.go
+++ b/control/leadercall/response.go
@@ -16,8 +16,8 @@
 	OpToken    = "token"    // requests a token of a tenant's rate limit; ratelimit.Request
 )
 
-// HasSingleTry reports whether a call is given up if its first try isn't answered: the result
-// would be useless later, and the caller sends a new call by itself.
+// HasSingleTry reports whether a call is given up if its first try isn't answered. This holds for
+// operations whose result is useless later and whose callers send a new call anyway.
 //
 // Example: calls.Start(now, leader, 3, op, body, deadline, leadercall.HasSingleTry(op))
 func HasSingleTry(op string) bool { return op == OpDemand || op == OpToken }
--- a/control/partition/batch.go
+++ b/control/partition/batch.go
@@ -9,9 +9,9 @@
 	"mulleinmast/wire/message"
 )
 
-// maxRunningBatches limits the batches that run concurrently. Every descendant in the lease tree
-// waits for each of them, and a burst of writes (all servers of a model, for example) would
-// otherwise be sent to all descendants at once.
+// maxRunningBatches limits the batches that run concurrently. Each batch is sent to every descendant
+// in the lease tree. Without the limit, all batches of a burst of writes, such as writes to all
+// servers of a model, would be sent to all descendants at the same time.
 const maxRunningBatches = 32
 
 // stage is the progress of a batch. A batch ends with the replica's result or when the
@@ -34,9 +34,9 @@
 	invalidationsLeft int
 }
 
-// results returns the results of a batch's jobs. A job that wrote nothing may have decided
-// this on records that the batch was about to write, so its result is valid only if the batch
-// was committed.
+// results returns the results of a batch's jobs. A job that wrote nothing may have been built
+// from records that the batch was about to write, so its result is valid only if the batch was
+// committed.
 func (b *batch) results(outcome Outcome) (results []Result) {
 	for _, j := range b.jobs {
 		result := Result{Tag: j.tag, Outcome: outcome, Answer: j.answer}
@@ -115,9 +115,9 @@
 	p.startInvalidations(now, out)
 }
 
-// findOpenBatch returns the batch that a job with a single key can still join, or nil: one that
-// writes the same record and is not being committed yet. Without it each job of a sequence would
-// wait again for descendants that do not answer.
+// findOpenBatch returns the batch that a job with a single key can still join, or nil. Such a
+// batch writes the same record and is not being committed yet. If jobs could not join a running
+// batch, each job of a sequence would wait again for descendants that do not answer.
 func (p *Partition) findOpenBatch(j *job) *batch {
 	if !j.Mergeable || len(j.Keys) != 1 || !p.busyKeys[j.Keys[0]] {
 		return nil
@@ -131,7 +131,8 @@
 	return nil
 }
 
-// startJob starts a batch with a job. It returns nil if the job writes nothing and so is complete.
+// startJob starts a batch with a job. If the job writes nothing, startJob completes it and returns
+// nil.
 func (p *Partition) startJob(j *job, out *Out) *batch {
 	b := &batch{}
 	p.addToBatch(b, j)
--- a/control/partition/job.go
+++ b/control/partition/job.go
@@ -17,9 +17,10 @@
 	// Mergeable allows the job to be written in one batch with other jobs that have the
 	// same keys. Build may then read records that do not have a version yet.
 	Mergeable bool
-	// Build returns the records to write, each under one of Keys, based on the current
-	// ones; it returns none if there is nothing to write. The answer is passed to the
-	// caller in Result. Build runs when no other job holds the keys.
+	// Build returns the records to write, each under one of Keys. It reads the current
+	// records with read, and returns no records if there is nothing to write. The answer
+	// is passed to the caller in Result. Build runs when no other job holds the keys, or
+	// when the job joins a batch with the same keys.
 	Build func(read lease.RecordSource) (records []message.Record, answer any)
 }
 
@@ -45,14 +46,14 @@
 type Result struct {
 	Tag     uint64 // as passed to Submit
 	Outcome Outcome
-	Answer  any // as returned by Build; nil if nothing was done
+	Answer  any // as returned by Build; nil if Outcome is NotLeader
 }
 
 // job is a submitted Job, in the queue or in a batch.
 type job struct {
 	Job
 	tag    uint64
-	answer any  // set once built
+	answer any  // as returned by Build
 	isNoOp bool // Build returned no records
 }
 
--- a/control/partition/out.go
+++ b/control/partition/out.go
@@ -16,20 +16,20 @@
 	Saves   []quorum.Save // to be synced to disk; the caller then calls Saved with each ticket
 	Results []Result      // of completed jobs
 
-	// Readable are the keys of records that may be read here from now on, Withdrawn
-	// those that may no longer be read.
+	// Readable are the keys of the records that became readable here in this step.
+	// Withdrawn are the keys of the records that may no longer be read here.
 	Readable, Withdrawn []string
 
 	Won      bool            // this daemon became the leader
 	Lost     bool            // this daemon is no longer the leader
 	Orphaned bool            // the node needs another parent
-	Redirect message.Replica // the new parent that the node's parent refers it to; zero: none
+	Redirect message.Replica // the new parent to which the current parent refers the node; zero: none
 
 	// Superseded is the reason why this daemon's replica lost its vote, or empty.
 	Superseded string
 }
 
-// addNodeOut adds the actions for others that a step of the lease tree node requests.
+// addNodeOut adds the part of a lease tree node's output that the caller of the partition handles.
 func (o *Out) addNodeOut(node lease.Out) {
 	o.Sends = append(o.Sends, node.Sends...)
 	o.Readable = append(o.Readable, node.Readable...)
@@ -40,7 +40,7 @@
 	}
 }
 
-// addReplicaOut adds the actions for others that a step of the replica requests.
+// addReplicaOut adds the part of a replica's output that the caller of the partition handles.
 func (o *Out) addReplicaOut(replica quorum.Out) {
 	o.Sends = append(o.Sends, replica.Sends...)
 	o.Saves = append(o.Saves, replica.Saves...)
@@ -49,7 +49,8 @@
 	}
 }
 
-// handleNodeOut continues the batches whose records have been invalidated.
+// handleNodeOut handles the output of the lease tree node and continues the batches whose records
+// have been invalidated.
 func (p *Partition) handleNodeOut(now time.Duration, node lease.Out, out *Out) {
 	out.addNodeOut(node)
 	for _, tag := range node.Invalidated {
@@ -57,7 +58,8 @@
 	}
 }
 
-// handleReplicaOut handles completed writes and changes of the leadership.
+// handleReplicaOut handles the output of the replica, including completed writes and changes of
+// the leadership.
 func (p *Partition) handleReplicaOut(now time.Duration, replica quorum.Out, out *Out) {
 	out.addReplicaOut(replica)
 	for _, result := range replica.Results {
--- a/control/partition/step.go
+++ b/control/partition/step.go
@@ -45,7 +45,7 @@
 	return out
 }
 
-// SetLearners sets the control daemons that a leader keeps up to date without a vote.
+// SetLearners sets the learners: control daemons without a vote that a leader keeps up to date.
 //
 // Example: out := p.SetLearners(now, learners)
 func (p *Partition) SetLearners(now time.Duration, learners []message.Replica) (out Out) {
@@ -54,7 +54,7 @@
 	return out
 }
 
-// ReplaceReplica starts to replace a replica of the group by a learner, if this daemon is
+// ReplaceReplica starts the replacement of a replica of the group by a learner, if this daemon is
 // the leader and may write.
 //
 // Example: out := p.ReplaceReplica(now, "c", learner)
@@ -129,8 +129,8 @@
 	return kind >= message.KindRequestVote && kind <= message.KindHeartbeatAck || kind == message.KindIncarnation
 }
 
-// finishStep completes a step: it starts the jobs whose keys are free and delivers the
-// messages that the partition sends to itself, until none is left.
+// finishStep completes a step. It starts the jobs whose keys are free and delivers the messages
+// that the partition sends to itself. It repeats both until no such message is left.
 func (p *Partition) finishStep(now time.Duration, out *Out) {
 	for {
 		p.startJobs(now, out)
--- a/control/ratelimit/ratelimit.go
+++ b/control/ratelimit/ratelimit.go
@@ -1,14 +1,15 @@
 // Package ratelimit enforces a fleet-wide rate limit for each tenant. A tenant's limit, a
 // rate and a burst, is divided into token buckets that are held by the leaders of some of
 // the partitions. A daemon takes one token per request from any of these buckets and tries
-// the nearest first. A token that is not used within its validity expires.
+// the nearest bucket first. A token that is not used within its validity expires.
 //
 // The total is bounded under all failures, for three reasons. First, the leader lease ensures
 // that a partition has one leader at a time. Second, the bucket of a new leader starts empty,
 // so that the buckets of two successive leaders together grant no more than one bucket would.
-// Third, a token that is not used within its validity V is void, so that a window W sees at
-// most the tokens granted within W+V: Rate*(W+V) plus the bursts. No counter is stored on
-// disk, and nothing has to be reconciled after a crash, a network partition or a pause.
+// Third, a token that is not used within its validity V expires, so that at most the tokens
+// granted within W+V are used in a window W. These are Rate*(W+V) tokens plus the bursts. No
+// counter is stored on disk, and nothing has to be reconciled after a crash, a network
+// partition or a pause.
 //
 // Allocator is the leader's side; Division describes how a limit is divided. Both are
 // deterministic: they do no I/O, read no clock and use no random numbers.
@@ -44,8 +45,8 @@
 	// burstRatio is the share of the burst and of the slack that the buckets hold. The rest
 	// extends the validity, so that a token remains valid while a long prompt is read.
 	burstRatio = 0.5
-	// validityRatio is the share used of the validity that the bounds allow. The rest covers clock
-	// drift and the transit time to the server.
+	// validityRatio is the ratio of the validity to the longest one that the bounds allow. The
+	// difference covers clock drift and the transit time to the server.
 	validityRatio = 0.9
 	// minValidity is the minimum validity: a token has to outlast the call that fetches it.
 	minValidity = 250 * time.Millisecond
@@ -159,8 +160,8 @@
 // sweepInterval is the interval at which idle buckets are removed.
 const sweepInterval = 10 * time.Second
 
-// sweep deletes buckets that were idle until they were full. A recreated bucket is full too,
-// because it is filled from the start of the leadership.
+// sweep deletes buckets that are idle and full. Deleting them grants no additional tokens: a
+// recreated bucket is full too, because it is filled from the start of the leadership.
 func (a *Allocator) sweep(now time.Duration) {
 	if now-a.sweptAt < sweepInterval {
 		return
@@ -176,7 +177,7 @@
 	}
 }
 
-// Buckets returns the number of buckets that tokens were taken from recently.
+// Buckets returns the number of buckets in memory; idle full buckets are removed by sweeps.
 //
 // Example: gauge(a.Buckets())
 func (a *Allocator) Buckets() int { return len(a.buckets) }
