--- a/control/membership/bootstrap.go
+++ b/control/membership/bootstrap.go
@@ -15,17 +15,17 @@
 const firstGroupNumber = 1
 
 // bootstrap is the state of forming the first group of a new fleet. The coordinator is the
-// seed with the lowest address that is still in its first incarnation; it may lack a disk. It
-// proposes replicas once every seed answers, no seed knows of a group and the set of control
-// daemons known to the seeds has not changed for a session timeout. A seed binds itself, for
-// the rest of its incarnation, to the first proposal that it receives. Once all seeds are
-// bound, the replicas are notified. A coordinator that succeeds a failed one can therefore
-// only continue with the same replicas.
+// seed with the lowest address among the seeds that are still in their first incarnation; it
+// may lack a disk. The coordinator proposes replicas once every seed answers, no seed knows of
+// a group and the set of control daemons known to the seeds has not changed for a session
+// timeout. A seed binds itself, for the rest of its incarnation, to the first proposal that it
+// receives. Once all seeds are bound, the replicas are notified. If a coordinator fails, its
+// successor can therefore only continue with the same replicas.
 type bootstrap struct {
 	round   uint64                          // current census round of this seed; no two incarnations use the same round
 	answers map[string]message.CensusAnswer // latest answer by seed address; nil: no census yet
 
-	disks      string        // identities of the control daemons known last
+	disks      string        // identities of the control daemons known as of the last step
 	disksSince time.Duration // time of the last change of disks
 
 	bound       []message.Replica // replicas that this seed is bound to; nil: none
@@ -33,7 +33,7 @@
 	proposed    bool              // this seed's census proposes bound
 	announced   bool              // the replicas are being notified, until a leader is known
 
-	formed bool // this daemon has a group, or knows that the fleet has one
+	formed bool // this daemon announced the first group or became one of its replicas
 }
 
 // isStale reports whether an answer belongs to a round that is no longer valid.
@@ -47,7 +47,7 @@
 }
 
 // adoptProposal binds this seed, as coordinator, to the proposal of an earlier coordinator. It
-// replaces only a proposal of its own.
+// replaces this seed's own proposal, but not one that this seed received.
 func (b *bootstrap) adoptProposal(g message.Group) {
 	if g.Number > 0 && (b.bound == nil || b.ownProposal) {
 		b.bound, b.ownProposal = g.Replicas, false
@@ -132,9 +132,9 @@
 	}
 }
 
-// agreeOnGroup evaluates the latest census answers, proposes replicas when the conditions are
-// met, and reports whether every seed is bound to them. A restarted seed need not be bound,
-// because it cannot be the coordinator.
+// agreeOnGroup evaluates the latest census answers, proposes replicas when the conditions for a
+// proposal are met (see bootstrap), and reports whether every seed is bound to these replicas.
+// A restarted seed need not be bound, because it cannot be the coordinator.
 func (t *Table) agreeOnGroup(now time.Duration) bool {
 	b, c := &t.bootstrap, t.readCensus()
 	if !c.canBootstrap {
@@ -157,13 +157,13 @@
 
 // census is the combined result of the seeds' answers.
 type census struct {
-	canBootstrap bool                      // every other seed answered, none may coordinate or has a group
-	allBound     bool                      // every seed in its first incarnation is bound to the same replicas as this one
+	canBootstrap bool                      // every other seed answered, and no other seed may coordinate or has a group
+	allBound     bool                      // all seeds in their first incarnation are bound to this seed's replicas
 	disks        map[string]message.Member // control daemons known to any seed, by address
 }
 
-// addControls adds the control daemons known to one seed. Two incarnations at one address or
-// a disk that is not empty prevent a bootstrap.
+// addControls adds the control daemons known to one seed. It rules out a bootstrap if there are
+// two incarnations at one address or a disk that is not empty.
 func (c *census) addControls(controls []message.Member) {
 	for _, m := range controls {
 		known, ok := c.disks[m.Addr]
@@ -231,7 +231,7 @@
 		t.knowsAll(proposed.Replicas)
 }
 
-// knowsAll reports whether all the replicas, at least one, are known control daemons.
+// knowsAll reports whether there is at least one replica and all replicas are known control daemons.
 func (t *Table) knowsAll(replicas []message.Replica) bool {
 	controls := t.controlDaemons()
 	for _, replica := range replicas {
--- a/control/membership/currentview.go
+++ b/control/membership/currentview.go
@@ -25,7 +25,7 @@
 	members   []message.Member // sorted by address; nil: none yet
 	digest    uint64           // of members; 0: not computed yet; invalidViewDigest: members differ from the sender's view
 	past      []pastView       // earlier views, oldest first; only at control daemons
-	rebuiltAt time.Duration    // time when it was last rebuilt from the sessions
+	rebuiltAt time.Duration    // time when the view was last rebuilt from the sessions
 }
 
 // pastView is an earlier view and its digest.
@@ -56,14 +56,15 @@
 	return v.digest
 }
 
-// savePastView stores the current view, so that members that still have it can be sent differences.
+// savePastView stores the current view, so that members that still use this view can be sent the
+// differences to the next one.
 func (v *currentView) savePastView() {
 	past := v.past[max(0, len(v.past)-maxPastViews+1):]
 	v.past = append(past, pastView{v.viewDigest(), v.members})
 }
 
 // diffSince returns the changes since the view with the given digest: the members that are new
-// or different, and the addresses that were removed. It is not ok if that view is no longer
+// or different, and the addresses that were removed. ok is false if that view is no longer
 // kept, or if the changes affect at least half as many members as the full view has.
 func (v *currentView) diffSince(digest uint64) (changed []message.Member, removed []string, ok bool) {
 	i := slices.IndexFunc(v.past, func(p pastView) bool { return p.digest == digest })
--- a/control/membership/gossip.go
+++ b/control/membership/gossip.go
@@ -50,8 +50,9 @@
 	return latest
 }
 
-// sendGossip sends our sessions to the other control daemons and omits what they already
-// have. Every lostGossipRounds rounds it also includes lost control daemons.
+// sendGossip sends our sessions and leaderships to the other control daemons. It omits them if
+// the receiver has acknowledged them. Every lostGossipRounds rounds it also sends gossip to lost
+// control daemons.
 func (t *Table) sendGossip(out *Out) {
 	t.gossip.rounds++
 	own := message.Gossip{
@@ -91,7 +92,8 @@
 	return h.Sum64() | 1 // 0 means no digest
 }
 
-// handleGossip handles a control daemon's gossip and refers it to control daemons that it may not know.
+// handleGossip handles a control daemon's gossip. If the sender knows other control daemons than
+// this daemon, handleGossip sends it a referral.
 func (t *Table) handleGossip(now time.Duration, m message.Gossip, out *Out) {
 	switch {
 	case t.self.HasDisk:
@@ -99,7 +101,7 @@
 	case m.Self.Ident != "":
 		t.recordGossiper(now, m.Self)
 	}
-	if m.ControlDaemonsDigest != t.controlsDigest() && m.Self.Ident != "" { // one side does not know all control daemons yet
+	if m.ControlDaemonsDigest != t.controlsDigest() && m.Self.Ident != "" { // one side does not know all control daemons
 		t.sendReferral(m.Self, out)
 	}
 	t.learnLeaderships(m.Leaderships)
@@ -112,7 +114,7 @@
 	next := receivedGossip{members: append(m.Members, m.Self), at: now, digest: m.Digest}
 	switch {
 	case !m.Unchanged:
-	case !ok || known.digest != m.Digest: // our next gossip acknowledges nothing, so the sender sends everything
+	case !ok || known.digest != m.Digest: // our next gossip acknowledges nothing, so the sender sends its full gossip
 		next.digest = 0
 	case known.sender() == m.Self:
 		known.at = now
@@ -144,7 +146,8 @@
 	return h.Sum64()
 }
 
-// controlDaemons returns the known control daemons, sorted by address.
+// controlDaemons returns the known control daemons, sorted by address. A daemon without a disk and
+// without a session knows only the senders of gossip.
 func (t *Table) controlDaemons() (controls []message.Member) {
 	known := t.view.members
 	if !t.self.HasDisk && !t.client.hasSession {
--- a/control/membership/lost.go
+++ b/control/membership/lost.go
@@ -10,23 +10,25 @@
 
 // An isolated daemon drops the others from its view within a session timeout, and the seeds
 // and groups that it knows may be out of date. Control daemons that disappear from the view
-// are therefore kept as lost for some time: they are contacted periodically, sent as
-// referrals to members with a session here, and returned to callers that must try elsewhere.
+// are therefore kept as lost for lostRetentionTimeouts session timeouts. They are contacted
+// periodically, sent as referrals to members with a session here, and returned to callers
+// that must retry at another daemon.
 
 const (
 	lostRetentionTimeouts   = 100 // session timeouts
 	lostGossipRounds        = 4   // gossip rounds between two messages to a lost control daemon
 	maxLost                 = 8   // maximum number of lost control daemons that are kept
-	partitionWindowTimeouts = 2   // session timeouts within which the daemons behind one network partition are lost
+	partitionWindowTimeouts = 2   // session timeouts within which all daemons cut off by one network partition are lost
 )
 
-// LostDaemon is a control daemon that disappeared from the view, and the time when it did.
+// LostDaemon is a control daemon that disappeared from the view, and the time of its disappearance.
 type LostDaemon struct {
 	message.Member
 	LostAt time.Duration // on the clock of the daemon whose view it is
 }
 
-// recordLost records control daemons that a new view lacks and removes those that are back.
+// recordLost records the control daemons that a new view lacks. Daemons that are in the view again
+// are no longer lost.
 func (t *Table) recordLost(next []message.Member) {
 	present := map[string]bool{t.self.Addr: true}
 	for _, m := range next {
@@ -93,7 +95,7 @@
 	return v.Lost[:n]
 }
 
-// sendLostReferral refers a daemon, which may know no others, to the lost control daemons.
+// sendLostReferral refers a daemon, which may know no other control daemon, to those lost most recently.
 func (t *Table) sendLostReferral(to message.Member, out *Out) {
 	referral := message.Welcome{Form: message.WelcomeReferral}
 	for _, l := range t.View().PartitionedFrom() {
--- a/control/membership/membership.go
+++ b/control/membership/membership.go
@@ -6,11 +6,11 @@
 // A daemon opens or renews its session with a Hello; the Welcome returns the changes of the
 // view or refers the daemon to control daemons (session.go). Control daemons exchange their
 // sessions as Gossip (gossip.go) and build the view from all of them (currentview.go). Control
-// daemons that disappear from the view are kept as lost for some time (lost.go). Until a group
-// exists, seeds query each other with Census and CensusAnswer, and notify the replicas of the
-// new group with Bootstrap (bootstrap.go). Other packages read a View (view.go), which includes
-// the relay of each zone (relay.go); a ParentChooser selects the daemon's parent from it
-// (parent.go).
+// daemons that disappear from the view are kept as lost for a limited time (lost.go). Until a
+// group exists, seeds query each other with Census and CensusAnswer, and notify the replicas of
+// the new group with Bootstrap (bootstrap.go). Other packages read a View (view.go), which
+// includes the relay of each zone (relay.go). A ParentChooser selects the daemon's parent in the
+// lease tree from the View (parent.go).
 package membership
 
 import (
@@ -40,7 +40,7 @@
 	FirstStart bool
 }
 
-// Table is the membership state machine. It is not safe for concurrent use; the Views that it
+// Table is the membership state machine. It is not safe for concurrent use, but the Views that it
 // publishes are.
 type Table struct {
 	cfg   Config
@@ -48,7 +48,7 @@
 	now   time.Duration  // time of the last step
 	seeds []string       // addresses from the configuration
 
-	learnedAddrs []string // of control daemons, from other sources: this daemon's groups, referrals
+	learnedAddrs []string // addresses of control daemons from other sources, such as stored groups and referrals
 	controls     sessionHost
 	client       sessionClient
 	gossip       gossipState
@@ -88,8 +88,8 @@
 	o.Sends = append(o.Sends, message.Envelope{Addr: addr, Message: m})
 }
 
-// AddControlAddrs adds addresses of control daemons from other sources than the configuration.
-// All seeds may have been replaced since the configuration was written.
+// AddControlAddrs adds addresses of control daemons from sources other than the configuration.
+// They are needed because all seeds may have been replaced since the configuration was written.
 //
 // Example: t.AddControlAddrs("10.0.0.7:7000")
 func (t *Table) AddControlAddrs(addrs ...string) {
@@ -101,7 +101,7 @@
 }
 
 // Tick advances the time: it sends heartbeats and gossip and expires sessions. self is the
-// current state of this daemon, leaderships are those that it currently holds.
+// current state of this daemon; leaderships are those that this daemon holds or knows of.
 //
 // Example: out := t.Tick(now, self, leaderships)
 func (t *Table) Tick(now time.Duration, self message.Member, leaderships []message.Leadership) (out Out) {
--- a/control/membership/parent.go
+++ b/control/membership/parent.go
@@ -6,10 +6,10 @@
 	"mulleinmast/wire/message"
 )
 
-// Time, in volume leases, for which a daemon keeps a parent other than the static one.
+// Time, in volume leases, for which a daemon keeps a parent other than its static parent.
 const (
-	fallbackLeases = 5  // with the leader, after the parent could not serve it
-	redirectLeases = 40 // with the target of a redirect
+	fallbackLeases = 5  // the leader, after the previous parent could not serve this daemon
+	redirectLeases = 40 // the target of a redirect
 )
 
 // ParentChooser chooses a daemon's parent for one partition: the target of a redirect, the
@@ -32,8 +32,8 @@
 	c.fallbackUntil = now + fallbackLeases*c.VolumeLease
 }
 
-// FollowRedirect makes the target of a redirect the parent for redirectLeases volume leases. A
-// redirect joins, splits, or returns a daemon to a relay that has recovered.
+// FollowRedirect makes the target of a redirect the parent for redirectLeases volume leases. See
+// message.RedirectJoin, RedirectSplit and RedirectReturn for the reasons of redirects.
 //
 // Example: c.FollowRedirect(now, out.Redirect)
 func (c *ParentChooser) FollowRedirect(now time.Duration, to message.Replica) {
@@ -41,7 +41,8 @@
 	c.fallbackUntil = 0
 }
 
-// Parent returns the replica from which to renew leases at time now; zero for the leader itself.
+// Parent returns the replica from which this daemon renews its leases at time now. It is zero if
+// this daemon is the leader.
 //
 // Example: p := c.Parent(now, view)
 func (c *ParentChooser) Parent(now time.Duration, v *View) message.Replica {
--- a/control/membership/relay.go
+++ b/control/membership/relay.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// Parent returns this daemon's static parent for a partition: the zone's relay, or the leader
-// for the relay itself and in zones without a relay; zero for the leader.
+// Parent returns this daemon's static parent for a partition: the zone's relay, or the leader if
+// this daemon is the relay or the zone has none. It is zero if this daemon is the leader.
 //
 // Example: replica := v.Parent(3)
 func (v *View) Parent(partition int) message.Replica {
--- a/control/membership/session.go
+++ b/control/membership/session.go
@@ -8,7 +8,7 @@
 	"mulleinmast/wire/message"
 )
 
-// parallelHellos is the number of control daemons that are asked for a session at once.
+// parallelHellos is the maximum number of control daemons that are asked for a session concurrently.
 const parallelHellos = 3
 
 // sessionHost is the control daemon's side of the sessions.
@@ -53,7 +53,7 @@
 // sessionClient is the daemon's side of its own session at a control daemon.
 type sessionClient struct {
 	home         string        // address of the control daemon that has our session
-	homeIsolated bool          // home hears from few other control daemons and may not know the leaders
+	homeIsolated bool          // home hears from at most half of the control daemons and may not know the leaders
 	lastWelcome  time.Duration // time of the last answer from a control daemon
 	hasSession   bool          // our session is valid; always true at a control daemon
 	helloCount   int           // hello counter, to rotate through the control daemons
@@ -112,8 +112,8 @@
 	return addrs
 }
 
-// sendHellos renews the session at the home control daemon. If that is unresponsive, isolated
-// or not known yet, it asks several control daemons at once.
+// sendHellos renews the session at the home control daemon. If home is unresponsive, isolated or
+// not known yet, sendHellos asks several control daemons concurrently.
 func (t *Table) sendHellos(now time.Duration, out *Out) {
 	c := &t.client
 	addrs := t.controlAddrs()
@@ -151,7 +151,7 @@
 		return
 	}
 	changed := t.controls.open(now, m.Self)
-	if changed && now-t.view.rebuiltAt >= t.cfg.HeartbeatInterval/4 { // limits rebuilds when many hellos arrive at once
+	if changed && now-t.view.rebuiltAt >= t.cfg.HeartbeatInterval/4 { // limits rebuilds during a burst of hellos
 		t.rebuildView(now)
 	}
 	out.send(m.Self.Addr, t.newWelcome(now, m).Message())
@@ -160,7 +160,7 @@
 	}
 }
 
-// newWelcome returns the answer to a hello, with the data that the member does not have yet.
+// newWelcome returns the answer to a hello. It includes only the data that the member does not have.
 func (t *Table) newWelcome(now time.Duration, m message.Hello) message.Welcome {
 	w := message.Welcome{
 		Leaderships: t.knownLeaderships(), ViewDigest: t.view.viewDigest(), ControlDaemonCount: t.reachableControls(now),
@@ -193,8 +193,8 @@
 	return count
 }
 
-// handleWelcome records that the session is valid and applies the sender's view. A referral is
-// followed instead.
+// handleWelcome handles a control daemon's answer to a hello. It follows a referral; any other
+// welcome means that our session is valid, and handleWelcome applies the sender's view.
 func (t *Table) handleWelcome(now time.Duration, from string, m message.Welcome, out *Out) {
 	if m.Form == message.WelcomeReferral {
 		t.followReferral(m.Members, out)
--- a/control/membership/view.go
+++ b/control/membership/view.go
@@ -16,8 +16,8 @@
 	Members     []message.Member           // sorted by address
 	Leaderships map[int]message.Leadership // by partition
 	HasSession  bool                       // this daemon's session is valid
-	// Lost are control daemons that disappeared from the view, latest first: at an isolated
-	// daemon the other ones, elsewhere those that stopped.
+	// Lost are the control daemons that disappeared from the view, latest first. At an isolated
+	// daemon these are the daemons that it cannot reach, elsewhere the daemons that stopped.
 	Lost []LostDaemon
 
 	partitionWindow time.Duration // see PartitionedFrom
@@ -26,7 +26,7 @@
 	relays          sync.Map // relayKey -> message.Replica, computed on first use
 }
 
-// View returns a snapshot of the table. It returns the same one while nothing changes.
+// View returns a snapshot of the table. It returns the same snapshot until the table changes.
 //
 // Example: v := t.View()
 func (t *Table) View() *View {
--- a/control/partition/batch.go
+++ b/control/partition/batch.go
@@ -9,9 +9,9 @@
 	"mulleinmast/wire/message"
 )
 
-// maxRunningBatches limits the batches that run concurrently. Each batch is sent to every descendant
-// in the lease tree. Without the limit, all batches of a burst of writes, such as writes to all
-// servers of a model, would be sent to all descendants at the same time.
+// maxRunningBatches limits the batches that run concurrently. While a batch runs, the descendants in
+// the lease tree wait for its records. Without the limit, all batches of a burst of writes, such as
+// writes to all servers of a model, would be sent to all descendants at the same time.
 const maxRunningBatches = 32
 
 // stage is the progress of a batch. A batch ends with the replica's result or when the
