--- a/control/daemon/calls_test.go
+++ b/control/daemon/calls_test.go
@@ -10,8 +10,8 @@
 )
 
 // Contact is judged only by the daemon's own lease and clock. Callers are redirected to control
-// daemons on the other side of the same network partition, or to all others if this daemon has no
-// session. While no daemon has a leader they aren't redirected.
+// daemons on the other side of the same network partition, or to all other control daemons if this
+// daemon has no session. While no daemon has a leader, callers aren't redirected.
 func TestContactNamesOtherDaemonsWhenCutOff(t *testing.T) {
 	d := openIsolated(t, withLongLeases)
 	grantVolumeLease(d)
@@ -24,7 +24,7 @@
 		return &membership.View{HasSession: true, Members: []message.Member{control("a")}, Lost: lost}
 	}
 	start := d.Now()
-	for _, c := range []struct { // in sequence on one clock
+	for _, c := range []struct { // the cases run in sequence on one clock
 		name        string
 		wait        time.Duration
 		view        *membership.View
--- a/control/daemon/config_test.go
+++ b/control/daemon/config_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-// validFlags are the flags that a daemon needs at least.
+// validFlags are the flags that a daemon requires.
 var validFlags = []string{
 	"-wire", "10.0.0.1:7000", "-web", "10.0.0.1:8000",
 	"-seeds", "10.0.0.1:7000,10.0.0.2:7000,10.0.0.3:7000",
 }
 
-// readFlags parses the valid flags followed by more.
+// readFlags parses the valid flags followed by additional flags.
 func readFlags(more ...string) (Config, error) {
 	return ReadConfig("mulleinmast", slices.Concat(validFlags, more), io.Discard)
 }
--- a/control/daemon/diskwriter_test.go
+++ b/control/daemon/diskwriter_test.go
@@ -11,9 +11,9 @@
 	"mulleinmast/wire/message"
 )
 
-// Saves that a full disk rejects are kept in order, merged so that their size is bounded by that
-// of the state, and written together with later ones once there is space. Both the failure and the
-// recovery are logged.
+// Saves that a full disk rejects are kept in order and merged, so that their size is bounded by the
+// size of the state. Once the disk has space they are written together with later saves. Both the
+// failure and the recovery are logged.
 func TestFailedWritesAreRetried(t *testing.T) {
 	d := openIsolated(t, func(cfg *Config) {
 		cfg.DataFolder = t.TempDir()
--- a/control/daemon/drainshares_test.go
+++ b/control/daemon/drainshares_test.go
@@ -11,7 +11,7 @@
 	"mulleinmast/wire/message"
 )
 
-// drawBounds draws bounds of 1 s to 20 s each and a clock drift of up to the maximum.
+// drawBounds draws random bounds of 1 s to 20 s each and a random clock drift up to the maximum.
 func drawBounds(t *rapid.T) Config {
 	draw := func(name string) time.Duration {
 		return time.Duration(rapid.IntRange(1000, 20000).Draw(t, name)) * time.Millisecond
@@ -25,9 +25,9 @@
 }
 
 // For all bounds, the delays until a leaving server receives no more requests add up to at most
-// Bounds.Leave: the next poll of the list, its way to the leader, the withdrawal, which may take
-// the longest lease, the stale use by a daemon in contact with the leader, and the delivery of the
-// last request.
+// Bounds.Leave. These are the delays until the list is polled, until it reaches the leader, until
+// the old list is withdrawn (at most the longest lease), while a daemon in contact with the leader
+// uses stale records, and until the last request is delivered.
 func TestDrainSharesFitLeaveBound(t *testing.T) {
 	if drainShares > 1 {
 		t.Errorf("the shares add up to %v", drainShares)
@@ -55,10 +55,10 @@
 	})
 }
 
-// A daemon whose renewals go unanswered, but which has its session and an unchanged core, is late
-// and not cut off. It stops using its servers when a share of their bound has passed since the
-// lapse, and isn't ready once the plan and the zones are too old. A daemon that is cut off
-// continues.
+// A daemon whose renewals go unanswered counts as being in contact, not as cut off, while it has a
+// session and the core is unchanged. It stops using a list of servers when staleShare of
+// Bounds.Leave has passed since the lease lapsed. A daemon that counts as cut off, because the core
+// has just changed, continues to use the list.
 func TestStaleReadsEndEarlyWhileInContact(t *testing.T) {
 	d := openIsolated(t, func(cfg *Config) {
 		withLongLeases(cfg)
--- a/control/daemon/handover_test.go
+++ b/control/daemon/handover_test.go
@@ -9,8 +9,9 @@
 	"mulleinmast/wire/message"
 )
 
-// A stopping daemon waits for its replicas to be taken over only if there is a learner that can do
-// so, and only for its part of the grace period. A plain restart isn't delayed.
+// A stopping daemon waits for its replicas to be taken over only if there is a learner that can take
+// them over, and only for handOverRatio of the grace period. A restart without a learner isn't
+// delayed.
 func TestHandOverWaitsOnlyForLearners(t *testing.T) {
 	d := openIsolated(t, func(cfg *Config) { cfg.DataFolder, cfg.GracePeriod = t.TempDir(), time.Hour })
 	d.bootstrap([]message.Replica{d.self, {Ident: "b", Addr: "127.0.0.1:1"}, {Ident: "c", Addr: "127.0.0.1:2"}})
--- a/control/daemon/interface_test.go
+++ b/control/daemon/interface_test.go
@@ -26,8 +26,8 @@
 	"mulleinmast/control/placement"
 )
 
-// golden compares a text with a file in testdata, which records names and formats that others
-// depend on. The files are rewritten only when the interface is meant to change:
+// golden compares a text with a file in testdata, which records names and formats that users and
+// other builds depend on. Rewrite the files only to change the interface on purpose:
 //
 //	GOLDEN=write go test ./control/daemon
 func golden(t *testing.T, name, got string) {
@@ -139,8 +139,8 @@
 	golden(t, "operator-types.txt", text.String())
 }
 
-// maskJSON returns a JSON text with the parts masked that vary between runs: numbers become 0, and
-// of log entries only the first is kept.
+// maskJSON returns a JSON text in which the parts that vary between runs are masked. Numbers become
+// 0, and only the first log entry is kept.
 func maskJSON(text []byte, vary ...string) string {
 	var v any
 	if err := json.Unmarshal(text, &v); err != nil {
@@ -223,7 +223,7 @@
 	}
 }
 
-// Each call of the operator API at a daemon that is a one-daemon fleet keeps its response.
+// The responses to the calls of the operator API, at the only daemon of a fleet, are unchanged.
 func TestOperatorCallsKeepTheirAnswers(t *testing.T) {
 	cfg, backup := singleDaemonConfig(t), filepath.Join(t.TempDir(), "backup")
 	d, plan := runDaemon(t, cfg), string(firstPlan())
@@ -299,7 +299,7 @@
 	}
 }
 
-// The fault injection calls used by tests keep their paths and responses.
+// The paths and responses of the fault injection calls are unchanged.
 func TestFaultInjectionCallsKeepTheirAnswers(t *testing.T) {
 	d := openIsolated(t, func(cfg *Config) { withLongLeases(cfg); cfg.TestSwitches = true })
 	var text strings.Builder
--- a/control/daemon/open_test.go
+++ b/control/daemon/open_test.go
@@ -12,8 +12,8 @@
 	"mulleinmast/wire/message"
 )
 
-// openIsolated opens a daemon that has no disk and one service partition, and that has not met any
-// other daemon. change modifies its config first.
+// openIsolated opens a daemon without a disk that has one service partition and no contact with
+// other daemons. change modifies the daemon's config before it is opened.
 func openIsolated(t *testing.T, change func(*Config)) *Daemon {
 	t.Helper()
 	cfg := Default()
@@ -43,7 +43,7 @@
 }
 
 // grantVolumeLease makes a daemon's configuration partition adopt a parent and receive a volume
-// lease from it. fromParent delivers further messages from the parent.
+// lease from the parent. The returned fromParent delivers further messages from the parent.
 func grantVolumeLease(d *Daemon) (fromParent func(message.Message) []message.Envelope) {
 	return grantVolumeLeaseFor(d, 0)
 }
--- a/control/daemon/readiness_test.go
+++ b/control/daemon/readiness_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// A series of configuration changes withdraws the configuration repeatedly for a moment. This
-// doesn't make a daemon unready; a volume lease without the configuration does, and a request to
-// stop does so at once.
+// A daemon stays ready while a series of configuration changes repeatedly withdraws the configuration
+// for a moment. It becomes unready after a volume lease without the configuration, and immediately
+// after a request to stop.
 func TestConfigurationChangesKeepDaemonReady(t *testing.T) {
 	d := openIsolated(t, withLongLeases)
 	if d.Ready() {
--- a/control/daemon/records_test.go
+++ b/control/daemon/records_test.go
@@ -9,9 +9,10 @@
 	"mulleinmast/wire/message"
 )
 
-// A daemon that can't reach a leader routes, and is ready, by the records that it had when its
-// leases lapsed. This starts only after a renewal went unanswered, not just after waking from a
-// suspend, and ends once MaxStaleness has passed. Read requires valid leases throughout.
+// A daemon that can't reach a leader stays ready and routes by the records that it had when its
+// leases lapsed. The use of these stale records starts only after a renewal went unanswered, so not
+// immediately after a suspend, and ends once MaxStaleness has passed. Read always requires valid
+// leases.
 func TestStaleReadsEndWithMaxStaleness(t *testing.T) {
 	d := openIsolated(t, func(cfg *Config) {
 		withLongLeases(cfg)
@@ -31,7 +32,7 @@
 	tick := func() {
 		d.step(d.shards[0], func(c *leader.Controller, now time.Duration) leader.Out { return c.Tick(now) })
 	}
-	advance := func(length time.Duration) { // awake, while renewals go unanswered
+	advance := func(length time.Duration) { // the daemon runs while renewals go unanswered
 		for end := d.Now() + length; d.Now() < end; tick() {
 			d.clock.Advance(min(interval/16, max(1, end-d.Now())))
 		}
--- a/control/daemon/serverlists_test.go
+++ b/control/daemon/serverlists_test.go
@@ -16,8 +16,8 @@
 	}, nil
 }
 
-// While a plan is being written, which is nearly always the case during a series of changes, it
-// can't be read at its leader. The servers' lists are written regardless.
+// While a plan is being written, which is nearly always the case during a series of changes, its
+// leader can't read it. The leader writes the lists of servers nevertheless.
 func TestServerListsDoNotWaitForPlan(t *testing.T) {
 	d := openIsolated(t, func(*Config) {})
 	d.ServerSource = fakeSource{}
--- a/control/daemon/unreadable_test.go
+++ b/control/daemon/unreadable_test.go
@@ -15,9 +15,8 @@
 
 const planFromOtherBuild = "m\xffof another build"
 
-// A daemon doesn't serve a record that this build can't read, even under valid leases, and keeps
-// running. It isn't ready and reports the reason, and becomes ready again once it receives a
-// readable record.
+// A daemon keeps running but doesn't serve a record that this build can't read, even under valid
+// leases. It is unready and reports the reason until it receives a readable version of the record.
 func TestUnreadableRecordIsNotServed(t *testing.T) {
 	readable := map[string]string{fleetconfig.PlanKey: "{}", fleetconfig.ZoneKey: `["north"]`}
 	for _, c := range []struct{ name, key, value string }{
@@ -78,8 +77,8 @@
 }
 
 // An unreadable record with a valid checksum in the data folder doesn't stop a daemon. The daemon
-// leads and executes operations that don't need the record, answers others with "not done", and
-// reports why it isn't ready.
+// leads and executes operations that don't need the record. It answers other operations with
+// "not done" and reports why it isn't ready.
 func TestDaemonRunsWithUnreadableRecordOnDisk(t *testing.T) {
 	cfg := singleDaemonConfig(t)
 	first := runDaemon(t, cfg)
--- a/control/daemon/wirelog_test.go
+++ b/control/daemon/wirelog_test.go
@@ -7,8 +7,8 @@
 	"mulleinmast/wire/transport"
 )
 
-// The traffic of a busy link is logged, the largest message kind first. That of an idle link
-// isn't.
+// The traffic of a busy link is logged, with the largest message kind first. The traffic of an idle
+// link isn't logged.
 func TestBusyLinkIsLogged(t *testing.T) {
 	const second = time.Second
 	counts := func(grants, hellos int64) map[string]transport.KindCount {
--- a/control/leadercall/leadercall_test.go
+++ b/control/leadercall/leadercall_test.go
@@ -35,8 +35,8 @@
 	return response
 }
 
-// A call that no leader accepted ends as "not done", one that was sent and not answered as
-// "uncertain". Neither waits past its deadline, and both responses contain a retry delay.
+// A call that no leader accepted ends as "not done". A call that was sent and not answered ends as
+// "uncertain". Neither call waits past its deadline, and both responses contain a retry delay.
 func TestUnansweredCallReportsKnownOutcome(t *testing.T) {
 	for name, test := range map[string]struct {
 		leader message.Replica
@@ -70,8 +70,8 @@
 	}
 }
 
-// An answer to an earlier try completes the call; a second answer, or one with an unknown ID, is
-// ignored.
+// An answer to an earlier try completes the call. A second answer, or an answer with an unknown
+// request ID, is ignored.
 func TestLateAnswerEndsCallOnce(t *testing.T) {
 	calls := New(cfg, 1)
 	id, out := calls.Start(0, leader, 0, OpPlan, nil, 4*time.Second, false)
@@ -109,8 +109,8 @@
 	}
 }
 
-// A call whose basis is outdated is retried at once on the version that the leader returned. A
-// basis returned to an earlier try, or to a completed call, is ignored.
+// A call whose basis is outdated is retried immediately, based on the version that the leader
+// returned. A basis returned to an earlier try, or to a completed call, is ignored.
 func TestOutdatedBasisIsRetriedAtOnce(t *testing.T) {
 	calls := New(cfg, 1)
 	_, out := calls.Start(0, leader, 0, OpEvacuate, nil, 4*time.Second, false)
@@ -164,7 +164,7 @@
 }
 
 // If a leader doesn't know the outcome of an earlier try, the call continues while a later try is
-// in flight: the later try's leader recognizes the call by its ID.
+// in flight, because the leader of the later try recognizes the call by its ID.
 func TestUncertainEarlierTryDoesNotEndCall(t *testing.T) {
 	calls := New(cfg, 1)
 	id, out := calls.Start(0, leader, 0, OpPlan, nil, 4*time.Second, false)
--- a/control/leadercall/stored_test.go
+++ b/control/leadercall/stored_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// The message of a call is the frame that other builds read: its fields and numbers, in the first
-// try and in later ones.
+// The frame of a call, in the first try and in later tries, has the fields and numbers that other
+// builds read.
 func TestCallFrameKeepsItsBytes(t *testing.T) {
 	calls := New(cfg, 3)
 	frame := func(name string, sends []message.Envelope) message.Message {
--- a/control/membership/bootstrap_test.go
+++ b/control/membership/bootstrap_test.go
@@ -27,10 +27,10 @@
 	message  message.Message
 }
 
-// testFleet is a fleet on a simulated clock whose messages are delivered at once, delayed or lost.
+// testFleet is a fleet on a simulated clock. Its messages are delivered immediately, delayed or lost.
 type testFleet struct {
 	cfg              Config
-	alwaysFirstStart bool // every start is a first start, as without a platform
+	alwaysFirstStart bool // every start of a machine counts as its first start, as without a platform
 	now              time.Duration
 	seeds            []string
 	machines         []*testMachine
@@ -43,8 +43,8 @@
 	term             uint64 // term of lastLeader
 }
 
-// newTestFleet starts a fleet. Each zone is a string with one character per machine: 'd' with a
-// disk, '-' without one, 'D' and '+' likewise for seeds.
+// newTestFleet starts a fleet. Each zone is a string with one character per machine: 'd' for a
+// machine with a disk, '-' for one without, 'D' for a seed with a disk, '+' for a seed without.
 func newTestFleet(losses int, zones ...string) *testFleet {
 	f := &testFleet{
 		cfg: cfg, byAddr: map[string]*testMachine{}, formed: map[string]bool{},
@@ -70,7 +70,7 @@
 	return f
 }
 
-// start starts or restarts a machine, which keeps its disk.
+// start starts or restarts a machine. A restarted machine still has the state on its disk.
 func (f *testFleet) start(m *testMachine) {
 	c := f.cfg
 	c.FirstStart = m.starts == 0 || f.alwaysFirstStart
@@ -115,7 +115,7 @@
 				leaderships = append(leaderships, message.Leadership{Term: f.termOf(m), Leader: m.self.Replica()})
 			}
 			f.send(m, m.table.Tick(f.now, m.self, leaderships))
-			for _, s := range m.group { // as in control/quorum, a replica's messages tell the others their group
+			for _, s := range m.group { // as in control/quorum, a replica's messages contain its group
 				to := f.byAddr[s.Addr]
 				vote := packet{f.now, m.self.Addr, s.Addr, message.Message{Kind: message.KindRequestVote}}
 				if !to.down && !f.isLost(vote) {
@@ -228,8 +228,8 @@
 	}
 }
 
-// No group is formed while a control daemon already has one, or with fewer control daemons
-// than replicas.
+// No group is formed while a control daemon already has a group, or while there are fewer control
+// daemons than the group has replicas.
 func TestNoBootstrapWithExistingGroup(t *testing.T) {
 	f := newTestFleet(1, "+d-", "+d-", "+dd")
 	old := f.machines[len(f.machines)-1]
--- a/control/membership/fleet_test.go
+++ b/control/membership/fleet_test.go
@@ -7,8 +7,8 @@
 	"mulleinmast/wire/message"
 )
 
-// smallFleet runs tables whose messages are delivered at once, except between control daemons
-// on different sides of a network partition.
+// smallFleet runs the tables of a fleet. It delivers messages immediately, except between control
+// daemons on different sides of a network partition, where it drops them.
 type smallFleet struct {
 	cfg         Config
 	now         time.Duration
@@ -39,8 +39,8 @@
 	f.leaderships[addr] = []message.Leadership{{Partition: 0, Term: term, Leader: f.members[addr].Replica()}}
 }
 
-// isDropped reports whether the partition separates two daemons. It affects only control
-// daemons; the other daemons reach all.
+// isDropped reports whether the network partition separates two daemons. It separates only control
+// daemons; daemons without a disk reach all others.
 func (f *smallFleet) isDropped(a, b string) bool {
 	return f.members[a].HasDisk && f.members[b].HasDisk && f.isCutOff[a] != f.isCutOff[b]
 }
--- a/control/membership/golden_random_test.go
+++ b/control/membership/golden_random_test.go
@@ -80,7 +80,8 @@
 	}
 }
 
-// changeLeader makes a replica the leader of one partition and leaves the others without one.
+// changeLeader makes a replica the leader of one partition and leaves the other partitions without
+// a leader.
 func (r *randomFleet) changeLeader(leader *recordedDaemon) {
 	if leader.group == nil {
 		return
--- a/control/membership/golden_test.go
+++ b/control/membership/golden_test.go
@@ -40,7 +40,7 @@
 }
 
 // recorder runs the tables of a fleet, delivers their messages as bytes and logs the actions
-// that they request. A message that was logged before is logged by its number only.
+// that the tables request. Of a message that was logged before it logs only the number.
 type recorder struct {
 	t       *testing.T
 	cfg     Config
@@ -66,7 +66,7 @@
 
 func (r *recorder) startScene(name string) { fmt.Fprintf(r.log, "\n== %s\n", name) }
 
-// start starts a new incarnation of a daemon; without a disk it also gets a new identity.
+// start starts a new incarnation of a daemon. A daemon without a disk also gets a new identity.
 func (r *recorder) start(addr, zone string, disk bool, seeds []string, first bool) {
 	d := r.daemons[addr]
 	if d == nil {
@@ -192,7 +192,7 @@
 	fmt.Fprintf(r.log, "%s %s %s %08x\n", what, m.Ident, m.Addr, crc32.ChecksumIEEE(b))
 }
 
-// step makes a daemon handle a message as if it came from another one.
+// step makes a daemon handle a message as if it came from another daemon.
 func (r *recorder) step(to string, m message.Message) {
 	r.now++
 	r.recordOut(to, r.daemons[to].table.Step(r.now, m))
@@ -330,8 +330,8 @@
 	}
 }
 
-// The messages of a fleet's tables, byte by byte, and their views match the golden file. It was
-// recorded by the build before the message handlers were split.
+// The messages of a fleet's tables, byte by byte, and the views of the tables match the golden
+// file. The file was recorded by the build before the message handlers were split.
 func TestMessagesMatchGolden(t *testing.T) {
 	var log strings.Builder
 	recordScenes(t, &log)
--- a/control/membership/lost_test.go
+++ b/control/membership/lost_test.go
@@ -14,8 +14,8 @@
 }
 
 // Guards against a daemon that is stuck at an isolated control daemon. A daemon without a disk
-// starts while its only seed is cut off from the others; it still has to find them and their
-// current leader.
+// starts while its only seed is cut off from the other control daemons. The daemon still has to
+// find these control daemons and their current leader.
 func TestJoinThroughIsolatedSeed(t *testing.T) {
 	seeds := []string{addrOf(1), addrOf(2), addrOf(3)}
 	f := newSmallFleet(oneLossConfig, func(int) []string { return seeds }, controlDaemons(3)...)
@@ -45,9 +45,9 @@
 	}
 }
 
-// Guards against a permanent split after a network partition that outlasts the sessions:
-// control daemons that are no longer listed as seeds or learned addresses reconnect through
-// their lists of lost daemons.
+// Guards against a permanent split after a network partition that outlasts the sessions. Control
+// daemons that are no longer listed as seeds or learned addresses have to reconnect through their
+// lists of lost daemons.
 func TestLostControlDaemonsReconnect(t *testing.T) {
 	seeds := [][]string{{addrOf(1)}, {addrOf(1)}, {addrOf(2)}}
 	f := newSmallFleet(oneLossConfig, func(i int) []string { return seeds[i] }, controlDaemons(3)...)
@@ -73,8 +73,9 @@
 	}
 }
 
-// Lost control daemons are removed from the list after the retention time, or when it holds more
-// than maxLost. PartitionedFrom returns only the latest one if they were lost one after another.
+// Lost control daemons are removed from the list after the retention time, and the oldest ones when
+// the list holds more than maxLost. If the daemons were lost one after another, PartitionedFrom
+// returns only the latest.
 func TestLostControlDaemonsArePruned(t *testing.T) {
 	f := newSmallFleet(oneLossConfig, func(int) []string { return []string{addrOf(1)} }, controlDaemons(2*maxLost)...)
 	f.advance(5 * time.Second)
--- a/control/membership/membership_test.go
+++ b/control/membership/membership_test.go
@@ -14,8 +14,8 @@
 	return message.Member{Ident: id, Epoch: 1, Addr: addr, HasDisk: true}
 }
 
-// After a restart with a new identity, only the new identity is in the view, both at the control
-// daemon with the session and at one that learns of it by gossip.
+// After a daemon restarts with a new identity, only the new identity is in the view, both at the
+// control daemon with the session and at a control daemon that learns of the session by gossip.
 func TestEarlierIncarnationIsRemoved(t *testing.T) {
 	for try := 0; try < 20; try++ {
 		a, b := New(cfg, diskMember("a", "10.0.0.1:1"), nil), New(cfg, diskMember("b", "10.0.0.2:1"), nil)
@@ -41,7 +41,7 @@
 }
 
 // Gossip acknowledges the digest of the receiver's latest incarnation, even if gossip from an
-// earlier one is still stored.
+// earlier incarnation is still stored.
 func TestGossipAcknowledgesLatestIncarnation(t *testing.T) {
 	for range 20 {
 		a := New(cfg, diskMember("a", "10.0.0.1:1"), nil)
@@ -81,8 +81,8 @@
 	}
 }
 
-// A daemon that was redirected to the leader returns to its static parent when the leader
-// changes, and one that was redirected to a relay when the relay changes.
+// A daemon that was redirected to the leader returns to its static parent when the leader changes.
+// A daemon that was redirected to a relay returns to its static parent when the relay changes.
 func TestRedirectEndsWhenTargetChangesRole(t *testing.T) {
 	v := &View{
 		Self:         message.Member{Ident: "m", Zone: "c"},
--- a/control/membership/view_test.go
+++ b/control/membership/view_test.go
@@ -60,8 +60,9 @@
 	}
 }
 
-// If a control daemon of a large zone leads a partition, another one is the relay. If there is no
-// other, the members use the leader directly, and a relay again after the leadership moves.
+// If a control daemon of a large zone leads a partition, another control daemon of the zone is the
+// relay. If there is no other, the zone's members use the leader directly, and use a relay again
+// after the leadership moves to another zone.
 func TestRelayInLeaderZone(t *testing.T) {
 	lead := func(v *View, ident string) {
 		v.Leaderships[0] = message.Leadership{Term: 2, Leader: message.Replica{Ident: ident, Addr: ident}}
@@ -89,9 +90,9 @@
 	}
 }
 
-// A daemon that shuts down has to hand over its replica if a spare control daemon could replace
-// it, and also while a change of the group is in progress, which still needs a majority of the
-// replicas from before the change.
+// A daemon that shuts down has to hand over its replica if a spare control daemon could replace the
+// replica. It also has to while a change of the group is in progress, because the group then still
+// needs a majority of the replicas from before the change.
 func TestMustHandOverDuringGroupChange(t *testing.T) {
 	me := message.Member{Ident: "a", HasDisk: true}
 	replicas := func(idents ...string) (list []message.Replica) {
--- a/control/partition/batch_test.go
+++ b/control/partition/batch_test.go
@@ -20,9 +20,9 @@
 	}}
 }
 
-// Jobs submitted while an earlier one is pending are merged into one batch, with one
-// invalidation and one write, when the earlier one completes. A job that depends on a merged
-// but unwritten record gets its result together with that write, even if it writes nothing.
+// Jobs submitted while an earlier job is pending are merged into one batch, with one invalidation
+// and one write, when the earlier job completes. A job that read a merged but unwritten record gets
+// its result together with the write of that record, even if the job writes nothing.
 func TestWaitingJobsAreMerged(t *testing.T) {
 	p, sync := newLeader(t)
 	now := p.Replica.LeaseEnd() - 900*time.Millisecond
@@ -55,8 +55,8 @@
 }
 
 // Guards against a final answer that is based on a write which never committed. If a merged
-// batch fails, the jobs that wrote are uncertain, and a job that wrote nothing because of
-// them gets NotLeader instead of its answer.
+// batch fails, the jobs that wrote are uncertain. A job that wrote nothing because of their
+// records gets NotLeader instead of its answer.
 func TestMergedJobsFailTogether(t *testing.T) {
 	p, _ := newLeader(t)
 	now := p.Replica.LeaseEnd() - 900*time.Millisecond
--- a/control/partition/helpers_test.go
+++ b/control/partition/helpers_test.go
@@ -28,8 +28,8 @@
 	}
 )
 
-// syncSaves completes all saves of a step at once, including those that follow from it, and
-// adds the resulting messages and results.
+// syncSaves immediately completes all saves of a step, including the saves that follow from these,
+// and returns the step's output with the resulting messages and results added.
 func syncSaves(p *Partition, now time.Duration, out Out) Out {
 	for len(out.Saves) > 0 {
 		saved := p.Saved(now, out.Saves[0].Ticket)
@@ -40,8 +40,8 @@
 	return out
 }
 
-// newLeader returns a partition whose only replica is this daemon's and which it leads, and a
-// function that completes the saves of its steps.
+// newLeader returns a partition whose only replica is on this daemon, which leads the partition. It
+// also returns a function that completes the saves of the partition's steps.
 func newLeader(t *testing.T) (p *Partition, sync func(Out) Out) {
 	t.Helper()
 	meta := quorum.Meta{Group: message.Group{Number: 1, Replicas: []message.Replica{self}}}
--- a/control/partition/partition_test.go
+++ b/control/partition/partition_test.go
@@ -8,8 +8,8 @@
 	"mulleinmast/wire/message"
 )
 
-// A write is acknowledged only after the child that holds the record has acknowledged its
-// invalidation or its lease has expired. Until then neither the old nor the new record is
+// A write is acknowledged only after the child that holds the record has acknowledged the
+// invalidation or the child's lease has expired. Until then neither the old nor the new record is
 // served.
 func TestWriteIsAcknowledgedAfterInvalidation(t *testing.T) {
 	for _, acks := range []bool{true, false} {
--- a/control/partition/writesfrom_test.go
+++ b/control/partition/writesfrom_test.go
@@ -10,7 +10,7 @@
 	"mulleinmast/wire/message"
 )
 
-// returningLeader returns a partition whose daemon led it, was killed during a change of the
+// returningLeader returns a partition on a daemon that led it, was killed during a change of the
 // group and has restarted.
 func returningLeader() *Partition {
 	records := digest.NewRecords()
@@ -25,8 +25,8 @@
 	return New(number, self, 2, replica, lease.New(leaseConfig, number, self, 2))
 }
 
-// expectReturn waits until the daemon leads again, checks that this is fast and that writes are
-// deferred, and returns the time.
+// expectReturn waits until the daemon leads again and returns the time. It checks that this takes
+// at most 200 ms, that writes are deferred and that the committed record is served.
 func expectReturn(t *testing.T, p *Partition) (now time.Duration) {
 	t.Helper()
 	for ; !p.IsLeader(now); now += 10 * time.Millisecond {
@@ -44,10 +44,10 @@
 	return now
 }
 
-// A restarted daemon that led the partition leads it again at once. It serves and grants the
-// committed records, but neither writes nor changes the group until the leases of its earlier
-// incarnation have expired; then it runs the waiting jobs. If the leadership is lost first,
-// these jobs end with NotLeader.
+// A restarted daemon that led the partition leads it again within 200 ms. It serves and grants the
+// committed records, but neither writes nor changes the group until the leases granted by its
+// earlier incarnation have expired. Then it runs the waiting jobs. If the leadership is lost before
+// that, these jobs end with NotLeader.
 func TestReturningLeaderDefersWrites(t *testing.T) {
 	for _, lost := range []bool{false, true} {
 		p := returningLeader()
--- a/control/ratelimit/ratelimit_test.go
+++ b/control/ratelimit/ratelimit_test.go
@@ -11,7 +11,7 @@
 const second = time.Second
 
 // For any limit and bounds, the sum of the buckets does not exceed the limit, and the tokens
-// granted in a window plus the validity before it stay within the bounds.
+// granted in a window and in the validity before the window stay within the bounds.
 func TestDivisionStaysWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		bounds := Bounds{
@@ -106,7 +106,7 @@
 	}
 }
 
-// An empty bucket asks daemons to retry later when more of them are waiting.
+// The retry delay of an empty bucket grows with the number of waiting daemons.
 func TestRetryAfterGrowsWithDaemons(t *testing.T) {
 	a := NewAllocator(0)
 	r := Request{Tenant: "a", Version: 1, Limit: Limit{Rate: 20, Burst: 1}}
@@ -131,7 +131,7 @@
 	}
 }
 
-// Idle buckets are deleted once they are full, and are full again when they are recreated.
+// Idle buckets are deleted once they are full, and are full when they are recreated.
 func TestIdleBucketsAreDeleted(t *testing.T) {
 	a := NewAllocator(0)
 	fast := Request{Tenant: "fast", Version: 1, Limit: Limit{Rate: 10, Burst: 5}}
