--- a/control/daemon/daemon.go
+++ b/control/daemon/daemon.go
@@ -41,7 +41,7 @@
 )
 
 // Daemon is one daemon of the fleet. The drivers that serve clients and call model servers set the
-// exported fields between Open and Run; they don't change afterwards.
+// exported fields between Open and Run; these fields don't change afterwards.
 type Daemon struct {
 	Cfg       Config
 	Events    *eventlog.Log
--- a/control/daemon/diskwriter.go
+++ b/control/daemon/diskwriter.go
@@ -17,7 +17,7 @@
 // diskWriter writes the replicas' saves to the data folder and combines all pending saves into one
 // transaction. Only its run loop writes.
 type diskWriter struct {
-	store       *storage.Store // nil without a data folder; then nothing is ever added
+	store       *storage.Store // nil without a data folder; no saves are added in this case
 	events      *eventlog.Log
 	now         func() time.Duration
 	volumeLease time.Duration
--- a/control/membership/membership.go
+++ b/control/membership/membership.go
@@ -32,8 +32,8 @@
 	// MinRelayMembers is the minimum number of members of a zone that gets a relay. The default
 	// is 3.
 	MinRelayMembers int
-	// ToleratedLosses is the number of control daemons that may be lost at once, 0 to 4. The
-	// first group has 2*ToleratedLosses+1 replicas. The default is 1.
+	// ToleratedLosses is the number of control daemons whose concurrent loss is tolerated, 0 to
+	// 4. The first group has 2*ToleratedLosses+1 replicas. The default is 1.
 	ToleratedLosses int
 	// FirstStart is set if both the fleet and this daemon start for the first time, so that
 	// a seed may form the first group. The default is true.
