--- a/traffic/attempt/attempt.go
+++ b/traffic/attempt/attempt.go
@@ -1,17 +1,17 @@
-// Package attempt records the attempts of one request and what is known of each.
-// The next move is a pure function of that ledger.
+// Package attempt keeps a ledger of one request's attempts with what is known of each.
+// The next move is a pure function of the ledger.
 package attempt
 
 // State is what is known of an attempt.
 type State uint8
 
-// States of an attempt. Lost costs a prefill only wasted work; for a decode
-// it means that the request may have run.
+// States of an attempt. A lost prefill only wastes work. If a decode is lost, the
+// request may have run.
 const (
 	Open       State = iota // no outcome yet
 	NotSent                 // nothing reached the server
 	Refused                 // the server said that it did not and will not run it
-	Prefilled               // a prefill ended and left a handle
+	Prefilled               // a prefill ended and returned a handle
 	HandleLost              // a decode was rejected: its handle is gone or belongs to another request
 	Lost                    // sent, but no outcome was received
 	Streaming               // a piece was sent to the client, more may follow
@@ -55,8 +55,8 @@
 	Wait      Move = iota // an attempt is open
 	DoPrefill             // find a prefill server
 	DoDecode              // hand over to a decode server
-	Refuse                // final: has not run and never will
-	Unknown               // final: may have run
+	Refuse                // final: the request has not run and never will
+	Unknown               // final: the request may have run
 	Break                 // final: abort the stream
 	Finish                // final: the complete answer was sent
 )
@@ -70,7 +70,7 @@
 
 // Ledger is a request's attempts.
 type Ledger struct {
-	AtMostOnce  bool // never sent again once it may have run
+	AtMostOnce  bool // the request is not sent again once it may have run
 	MaxPerPhase int  // maximum attempts per phase
 	Attempts    []Attempt
 }
@@ -165,7 +165,7 @@
 	case HandleLost:
 		return l.moveOrEnd(DoPrefill, l.hasAttemptsLeft(Prefill)), true
 	}
-	// Lost: it may have run.
+	// The decode was lost, so the request may have run.
 	return l.moveOrEnd(DoPrefill, !l.AtMostOnce && l.hasAttemptsLeft(Prefill)), true
 }
 
--- a/traffic/forward/admission.go
+++ b/traffic/forward/admission.go
@@ -6,11 +6,11 @@
 // tenant at its limit: under load they yield to tenants that stay below their limits.
 const atLimitRatio = 0.5
 
-// canMeetTarget reports whether a request that has not started is predicted to meet its
-// TTFT target despite the requests ahead of it. The time that its own prompt takes is
-// deducted from the target, but half of the target is always left for waiting. A request
-// that can't meet its target would delay others as well, so it is refused at once and its
-// client can retry when the queue is shorter.
+// canMeetTarget reports whether a request's wait is predicted to be at most MaxPredictedWait
+// times the allowance for waiting. The allowance is the TTFT target less the time of the
+// request's own prefill, but at least half of the target. A request that can't meet its
+// target would delay others as well, so it is refused immediately, and its client can retry
+// when the queue is shorter. Requests that may already have started are not checked.
 func (d *Dispatcher) canMeetTarget(now time.Duration, r *pendingRequest) bool {
 	if d.cfg.MaxPredictedWait == 0 || r.TTFTTarget == 0 || r.streamStarted || r.handle != nil || r.attempts.MayHaveRun() {
 		return true
@@ -37,13 +37,15 @@
 	return true
 }
 
-// returnRetry gives back a retry that was taken at takenAt and turned out not to count.
+// returnRetry gives back a retry that was taken at takenAt, because nothing reached the server
+// or because the send was the first accepted prefill.
 func (d *Dispatcher) returnRetry(takenAt time.Duration) {
 	d.retries.Return(takenAt)
 	d.retryWindow.retries = max(0, d.retryWindow.retries-1)
 }
 
-// wait has a request wait for valid leases or an available server, for MaxWait at most.
+// wait makes a request wait for valid leases or an available server, until MaxWait after its
+// arrival or last send at most. After this time or the deadline it ends the request.
 func (d *Dispatcher) wait(now time.Duration, r *pendingRequest, why string) Decision {
 	until := min(max(r.arrivedAt, r.sentAt)+d.cfg.MaxWait, r.Deadline)
 	if now >= until {
--- a/traffic/forward/dispatcher.go
+++ b/traffic/forward/dispatcher.go
@@ -32,7 +32,7 @@
 	load LoadReporter
 
 	generations        [2]uint64
-	complete           bool // servable was read at these generations
+	complete           bool // servable was read completely at generations
 	validUntil         time.Duration
 	servable           map[string]Server
 	sortedKeys         []string // sorted keys of servable, so that choices among equals are deterministic
@@ -98,8 +98,8 @@
 // Example: for d.InFlight() > 0 { wait() }
 func (d *Dispatcher) InFlight() int { return len(d.pending) }
 
-// Keys returns the keys of the records that the dispatcher reads, so that its user keeps their
-// leases: the server list, and the records of the listed servers that are not leaving.
+// Keys returns the keys of the records that the dispatcher reads, so that the caller can keep
+// their leases: the server list, and the records of the listed servers that are not leaving.
 //
 // Example: for _, k := range d.Keys() { daemon.Pin(part, k) }
 func (d *Dispatcher) Keys() []string {
@@ -116,8 +116,8 @@
 	return keys
 }
 
-// Refresh reads the records again if they changed. It must be called more often than every
-// MaxListAge, as the dispatcher only notes at these calls when the list was last readable.
+// Refresh reads the records again if they changed. It must be called at intervals
+// shorter than MaxListAge, which counts from the last refresh at which the list was readable.
 //
 // Example: d.Refresh(now)
 func (d *Dispatcher) Refresh(now time.Duration) { d.refreshServers(now) }
@@ -201,7 +201,7 @@
 	return true
 }
 
-// noteListRead notes that the list is readable now, unless servable comes from a withdrawn list.
+// noteListRead records that the list is readable now, unless servable comes from a withdrawn list.
 func (d *Dispatcher) noteListRead(now time.Duration) {
 	if !d.usingWithdrawnList {
 		d.listReadAt = now
@@ -229,7 +229,7 @@
 		return Server{}, false
 	}
 	r := d.readRecord(rec)
-	if listed.Role != "" && listed.Role != r.Role { // according to the list, it has not taken on its role yet
+	if listed.Role != "" && listed.Role != r.Role { // the server has not yet taken on its listed role
 		return Server{}, false
 	}
 	if !r.readable || r.NextRole != "" || r.Status != placement.Up && r.Status != placement.Warming {
@@ -241,7 +241,7 @@
 	}, true
 }
 
-// forgetStats drops the stats of servers that are not servable and have not been used for long.
+// forgetStats drops the stats of servers that are not servable and were unused for ten retry windows.
 func (d *Dispatcher) forgetStats(now time.Duration) {
 	for key, st := range d.stats {
 		if _, ok := d.servable[key]; !ok && st.inFlight == 0 && now-st.seenAt > 10*d.cfg.RetryWindow {
--- a/traffic/forward/filter.go
+++ b/traffic/forward/filter.go
@@ -7,8 +7,8 @@
 )
 
 // filter returns the servers of a role that the request may be sent to now. It excludes
-// servers that were already tried in this phase, and warming servers beyond the rate that
-// all daemons together may send them. Servers in backoff are returned only if there are no
+// servers that were already tried in this phase, and warming servers to which this daemon
+// may not send another request yet. Servers in backoff are returned only if there are no
 // others. The order starts at a different server for each request, since the first of
 // several servers with equal cost is picked.
 func (d *Dispatcher) filter(now time.Duration, r *pendingRequest, role string, phase attempt.Phase) []Server {
--- a/traffic/forward/pick.go
+++ b/traffic/forward/pick.go
@@ -12,7 +12,7 @@
 func (d *Dispatcher) pickServer(now time.Duration, r *pendingRequest) (Decision, bool) {
 	disaggregate := r.Disaggregated && r.InputTokens > 0 && !r.streamStarted && !r.ContinuesStream &&
 		r.attempts.AttemptCount(attempt.Prefill) < r.maxAttempts()
-	if r.prefillAccepted { // another prefill counts as a send, and so does the decode after it
+	if r.prefillAccepted { // another prefill and the decode after it both count as sends
 		disaggregate = disaggregate && r.countedSends+1 < r.maxAttempts() && d.retries.Has(now)
 	}
 	return d.pick(now, r, disaggregate)
--- a/traffic/forward/request.go
+++ b/traffic/forward/request.go
@@ -19,15 +19,15 @@
 	server           Server
 	sentAt           time.Duration
 	handle           *Handle
-	countedSends     int           // sends that count against MaxAttempts: all but the first accepted prefill
+	countedSends     int           // sends that reached a server, except the first accepted prefill; limited by MaxAttempts
 	prefillAccepted  bool          // a server accepted a prefill
 	lostHandles      []Handle      // KV caches that a decode server could not fetch; they may still exist
 	streamStarted    bool          // events were sent to the client
 	isRetry          bool          // the current send is a retry
-	firstSendCounted bool          // in Counts and for the retry ratio
+	firstSendCounted bool          // the first send was counted in Counts and the retry bucket
 	uncachedTokens   int           // tokens that the current server still has to prefill, as far as known
 	predictedWait    time.Duration // wait for other requests, as predicted by the last pick
-	predictedPrefill time.Duration // prefill time of its prompt, by the same prediction
+	predictedPrefill time.Duration // prefill time of the prompt, as predicted by the last pick
 	trace            []string
 }
 
@@ -146,7 +146,7 @@
 	}
 	if r.isRetry {
 		d.counts.Retries++
-	} else if !r.firstSendCounted { // after MaySend blocked a send, the request gets here again
+	} else if !r.firstSendCounted { // not counted again after MaySend blocked a send
 		r.firstSendCounted = true
 		d.counts.FirstSends++
 		d.retries.Earn(now)
@@ -165,9 +165,9 @@
 	return decision
 }
 
-// priority returns a request's priority at a server. It is the urgency of its route, except
-// that a request that has missed its TTFT target yields to all that can still meet theirs,
-// and that a short prompt doesn't wait behind long ones.
+// priority returns a request's priority at a server, which is normally the urgency of its
+// route. A request that has missed its TTFT target yields to all requests that can still meet
+// theirs. A short prefill gets the highest priority, so that it doesn't wait behind long ones.
 func (d *Dispatcher) priority(now time.Duration, r *pendingRequest, decision Decision) int {
 	switch {
 	case !r.streamStarted && now-r.arrivedAt > r.TTFTTarget:
@@ -193,7 +193,7 @@
 		d.returnRetry(r.sentAt)
 	}
 	switch outcome {
-	case NotSent, Lost: // doubles, up to 8 times FailureBackoff, until the server answers
+	case NotSent, Lost: // the backoff doubles per failure, up to 8 times FailureBackoff
 		st.backoffUntil = now + d.cfg.FailureBackoff<<min(st.consecutiveFailures, 3)
 		st.consecutiveFailures++
 		d.load.CallEnded(now, r.server.Key, false)
@@ -354,7 +354,7 @@
 	case r.handle == nil:
 	case outcome == HandleLost:
 		r.lostHandles, r.handle = append(r.lostHandles, *r.handle), nil
-	case outcome == OK || outcome == Lost: // the server fetched the KV cache; one that rejects the call doesn't
+	case outcome == OK || outcome == Lost: // the server fetched the KV cache, unlike one that rejects the call
 		r.handle = nil
 	}
 	last := &r.attempts.Attempts[len(r.attempts.Attempts)-1]
@@ -373,7 +373,7 @@
 }
 
 // ClientGone ends a request whose client disconnected. calling is true if a call is in
-// flight, which the caller cancels.
+// flight; the caller must cancel this call.
 //
 // Example: d.ClientGone(now, id, true)
 func (d *Dispatcher) ClientGone(now time.Duration, id string, calling bool) Decision {
@@ -385,8 +385,8 @@
 	return d.release(r, Decision{Action: Break, Reason: "the client went away"})
 }
 
-// Withdraw ends a request that may not continue. Its last decision was a call, which the caller
-// must not make.
+// Withdraw ends a request that may not continue. The caller must not make the call that the last
+// decision asked for.
 //
 // Example: decision := d.Withdraw(now, id, "its key was taken away")
 func (d *Dispatcher) Withdraw(now time.Duration, id, why string) Decision {
--- a/traffic/forward/score.go
+++ b/traffic/forward/score.go
@@ -11,7 +11,7 @@
 type Weights struct {
 	CrossZoneBody     float64 // per KB of request body sent to another zone
 	CacheMiss         float64 // per 1,000 tokens to prefill that another server has cached
-	ReportedLoad      float64 // fraction of the reported load that counts: reports are older than a prefill takes
+	ReportedLoad      float64 // factor on the reported load, since reports are older than a prefill takes
 	KVTransfer        float64 // per 1,000 tokens of KV cache transferred within a zone
 	CrossZoneTransfer float64 // factor on KVTransfer for transfers between zones
 	AffinityMiss      float64 // per rank of a server below the first in a prefix's affinity order
@@ -24,12 +24,12 @@
 // and its predicted times.
 type scoredServer struct {
 	Server
-	wait           time.Duration // until it could start the prompt
+	wait           time.Duration // until the server could start the prompt
 	prefill        time.Duration // duration of the prefill
-	cost           float64       // other than time
-	uncachedTokens int           // tokens that it has to prefill
-	decoding       int           // answers that it is decoding
-	interToken     time.Duration // recent time between their events
+	cost           float64       // cost without the predicted times
+	uncachedTokens int           // tokens that the server has to prefill
+	decoding       int           // answers that the server is decoding
+	interToken     time.Duration // recent time between events of these answers
 }
 
 // prefillTime returns how long a prefill takes at a rate in tokens per millisecond.
--- a/traffic/forward/types.go
+++ b/traffic/forward/types.go
@@ -50,8 +50,8 @@
 	RetryWindow time.Duration // see attempt.Bucket
 	RetrySlack  int           // additional retries per window, for all daemons together
 	MaxWait     time.Duration // maximum time that a request waits for leases and servers
-	// MaxPredictedWait is a multiple of the TTFT target: a request that is predicted to
-	// wait for longer is refused at once; 0 disables the check.
+	// MaxPredictedWait is the maximum predicted wait as a multiple of the time that the TTFT
+	// target leaves for waiting. Requests beyond it are refused immediately; 0 disables the check.
 	MaxPredictedWait float64
 	// MaxListAge is how long a server list remains in use after it was withdrawn. Whether a
 	// listed server may be used still depends on its own record, which has its own leases.
@@ -66,7 +66,7 @@
 // Source reads the records that may be used for routing now: under valid leases, or for a
 // limited time after they expired.
 type Source interface {
-	// Read returns a record of a partition; false if it may not be used now.
+	// Read returns a record of a partition, or false if the record may not be used now.
 	Read(partition int, key string) (message.Record, bool)
 	// Generation returns the number of changes to a partition's readable records.
 	Generation(partition int) uint64
@@ -98,7 +98,7 @@
 const (
 	OK          Outcome = iota
 	NotSent             // nothing reached the server
-	Overloaded          // the server did not and will not run it: it has no free slot
+	Overloaded          // the server has no free slot; it did not and will not run the request
 	WrongServer         // not run: a different server, or one with another role, has the address
 	HandleLost          // not run: the KV cache is not available
 	Lost                // sent, but no complete answer was received
@@ -123,8 +123,8 @@
 	Wait      Action = iota + 1 // wait for leases or servers, then call Continue
 	Prefill                     // have a server prefill the prompt and keep its KV cache
 	Decode                      // have a server decode the answer
-	Refuse                      // final: has not run and never will
-	Unknown                     // final: may have run
+	Refuse                      // final: the request has not run and never will
+	Unknown                     // final: the request may have run
 	Break                       // final: the stream has started and can't be continued
 	Done                        // final: the complete answer was sent
 	Duplicate                   // final: another request with the same ID is pending
@@ -150,7 +150,7 @@
 	Handle         *Handle       // for a Decode: the KV cache to fetch; nil if the server prefills the prompt itself
 	Until          time.Duration // for a Wait: its end; for a call: its deadline
 	Priority       int           // at the server: 0 is the most urgent, 9 the least
-	ReleaseHandles []Handle      // KV caches that won't be used
+	ReleaseHandles []Handle      // KV caches to release, as they won't be used
 	RetryAfter     time.Duration // for a Refuse: when the client should retry
 	Reason         string
 	Trace          []string // for a final decision: the sends with their outcomes
--- a/traffic/forward/warmup.go
+++ b/traffic/forward/warmup.go
@@ -49,11 +49,11 @@
 	}
 }
 
-// warmupSpacingOf returns the interval between this daemon's sends to a warming server; false
-// if the daemon must not use the server. Each of the daemons that use it sends an equal share
-// of its rate, and in any second at most one request more. Therefore at most as many daemons
-// use it as there are requests between its rate and its limit: the first in an order that is
-// the same on all daemons.
+// warmupSpacingOf returns the interval between this daemon's sends to a warming server, or
+// false if the daemon must not use the server. Each daemon that uses the server gets an equal
+// share of its rate and may exceed the share by one request in any second. The number of these
+// daemons is therefore at most the server's limit minus its rate. They are the first in an
+// order of daemons that all daemons compute identically.
 func (d *Dispatcher) warmupSpacingOf(server string) (time.Duration, bool) {
 	if d.warmup.Rate <= 0 {
 		return 0, true
--- a/traffic/gateway/admit.go
+++ b/traffic/gateway/admit.go
@@ -22,8 +22,8 @@
 type admission struct {
 	plan   *activePlan
 	route  *fleetconfig.Route
-	tenant *apikey.Tenant // that the client's key belongs to; nil: no key is needed
-	status int            // 0: admitted; otherwise the HTTP status of the refusal
+	tenant *apikey.Tenant // tenant of the client's key; nil if no key is needed
+	status int            // HTTP status of the refusal; 0 if the request is admitted
 	reason string
 	permit permit // set if the tenant has a limit
 }
--- a/traffic/gateway/dispatcher.go
+++ b/traffic/gateway/dispatcher.go
@@ -17,7 +17,7 @@
 	partition int
 	pressure  atomic.Pointer[map[string]placement.Pressure] // by server, as last measured
 
-	mu sync.Mutex // guards all below
+	mu sync.Mutex // guards the fields below
 	*forward.Dispatcher
 	pinned map[string]bool // keys of the records pinned in the daemon's cache
 }
--- a/traffic/gateway/execute.go
+++ b/traffic/gateway/execute.go
@@ -209,7 +209,7 @@
 			d.eventSent(fwd.ID, now-lastAt, fixed)
 		}
 		first, lastAt = false, now
-		if !w.Pass(b) { // not the server's fault
+		if !w.Pass(b) { // the client failed, not the server
 			delivered.clientGone = true
 			return forward.Lost, "the client takes nothing"
 		}
--- a/traffic/gateway/gateway.go
+++ b/traffic/gateway/gateway.go
@@ -143,8 +143,8 @@
 	}
 	for _, service := range p.plan.Services {
 		d := g.dispatcherFor(service.Name)
-		// The record of a server that was just listed is about to be written. Reading it at the
-		// next interval takes one read instead of two: now, and again when it exists.
+		// The record of a newly listed server is about to be written. Pinning it at the next
+		// interval avoids a read before the record exists, which would have to be repeated.
 		if measure || !d.hasPins() {
 			g.pinRecords(d)
 			g.updateMeasurements(d, service)
--- a/traffic/gateway/limit.go
+++ b/traffic/gateway/limit.go
@@ -21,7 +21,7 @@
 
 // permit is a token of a tenant's limit, for one run of a request.
 type permit struct {
-	until           time.Duration // expiry on the daemon's clock; 0: there is no token, or it was used
+	until           time.Duration // expiry on the daemon's clock; 0 if there is no token or it was used
 	isTenantAtLimit bool
 }
 
@@ -35,12 +35,12 @@
 type limits struct {
 	daemon     *daemon.Daemon
 	askTimeout time.Duration
-	// leaderWait is how long a request waits if no leader is known, as after start-up.
+	// leaderWait is how long a request waits for a known leader, for example after start-up.
 	leaderWait time.Duration
 
 	mu      sync.Mutex // guards the fields below
 	limiter *limiter.Limiter
-	view    *membership.View // from which leaders was computed
+	view    *membership.View // the view that leaders was computed from
 	leaders []limiter.Leader // by partition
 }
 
--- a/traffic/gateway/plan.go
+++ b/traffic/gateway/plan.go
@@ -12,13 +12,13 @@
 
 // activePlan is a version of the plan prepared for lookups; it is immutable.
 type activePlan struct {
-	generation    uint64        // of the records of partition 0; the plan is read again when it changes
+	generation    uint64        // of partition 0's records; when it changes, the plan is read again
 	validUntil    time.Duration // on the daemon's clock
 	version       message.Version
 	table         *route.Table
 	tenants       *apikey.Index
 	plan          fleetconfig.Plan
-	leastUrgency  int             // of the least urgent route or tenant
+	leastUrgency  int             // urgency of the least urgent route or tenant
 	disaggregated map[string]bool // services with separate prefill and decode servers
 }
 
