--- a/traffic/forward/request.go
+++ b/traffic/forward/request.go
@@ -19,7 +19,7 @@
 	server           Server
 	sentAt           time.Duration
 	handle           *Handle
-	countedSends     int           // sends that reached a server, except the first accepted prefill; limited by MaxAttempts
+	countedSends     int           // sends that reached a server, except the first accepted prefill
 	prefillAccepted  bool          // a server accepted a prefill
 	lostHandles      []Handle      // KV caches that a decode server could not fetch; they may still exist
 	streamStarted    bool          // events were sent to the client
--- a/traffic/forward/warmup.go
+++ b/traffic/forward/warmup.go
@@ -52,8 +52,8 @@
 // warmupSpacingOf returns the interval between this daemon's sends to a warming server, or
 // false if the daemon must not use the server. Each daemon that uses the server gets an equal
 // share of its rate and may exceed the share by one request in any second. The number of these
-// daemons is therefore at most the server's limit minus its rate. They are the first in an
-// order of daemons that all daemons compute identically.
+// daemons is therefore limited to the server's limit minus its rate, but is at least 1. They
+// are the first in an order of daemons that all daemons compute identically.
 func (d *Dispatcher) warmupSpacingOf(server string) (time.Duration, bool) {
 	if d.warmup.Rate <= 0 {
 		return 0, true
--- a/traffic/gateway/admit.go
+++ b/traffic/gateway/admit.go
@@ -48,7 +48,8 @@
 }
 
 // admit finds the route and tenant of a request. Only a plan under valid leases can prove
-// that there is none, so before a refusal it waits a short while for a leased plan.
+// that the request has no route or tenant, so admit waits for a leased plan before a refusal,
+// for at most RetryAfter.
 func (g *Gateway) admit(ctx context.Context, req *Request, p *activePlan) admission {
 	if a := p.admit(req); a.status == 0 {
 		return a
--- a/traffic/gateway/plan.go
+++ b/traffic/gateway/plan.go
@@ -71,9 +71,9 @@
 	return p
 }
 
-// BodyBytes returns the maximum size of a request body by the plan last seen here, 0 if
-// none has been seen. It is known to be current (sure) only under valid leases, and only
-// then may a larger body be refused permanently.
+// BodyBytes returns the maximum size of a request body according to the last plan that this
+// daemon read, or 0 if it has read none. sure reports whether the plan is under valid leases;
+// only then may a larger body be refused permanently.
 //
 // Example: most, sure := g.BodyBytes()
 func (g *Gateway) BodyBytes() (most int64, sure bool) {
@@ -87,7 +87,7 @@
 }
 
 // leasedPlan returns the plan if it is covered by valid leases now. Requests are also routed
-// by a stale plan, for a while, but a permanent refusal needs a leased one.
+// by a plan whose leases expired recently, but a permanent refusal needs a leased plan.
 func (g *Gateway) leasedPlan() (*activePlan, bool) {
 	rec, ok := g.daemon.Read(0, fleetconfig.PlanKey)
 	if !ok || rec.Deleted {
@@ -105,7 +105,7 @@
 	return g.cfg.MaxWait
 }
 
-// awaitPlan waits until read returns a plan, for a limited time.
+// awaitPlan waits until read returns a plan, for at most the given time.
 func (g *Gateway) awaitPlan(
 	ctx context.Context, most time.Duration, read func() (*activePlan, bool),
 ) (*activePlan, bool) {
--- a/traffic/gateway/port.go
+++ b/traffic/gateway/port.go
@@ -11,17 +11,17 @@
 	"mulleinmast/traffic/forward"
 )
 
-// Request is one attempt of a client, as read completely by its driver.
+// Request is one attempt of a client, completely read by the driver.
 type Request struct {
 	ID              string // chosen by the client, echoed by servers
 	Key             string // API key of the client's tenant, a secret; never sent to a server
 	Method          string
 	Host            string
-	Path            string // decides the route
+	Path            string // determines the route
 	Target          string // path and query as received, forwarded unchanged
 	Header          http.Header
 	Body            []byte
-	ClientTimeout   time.Duration // how long the client will wait; 0: not specified
+	ClientTimeout   time.Duration // how long the client will wait; 0 if not specified
 	Parts           []forward.Part
 	InputTokens     int    // tokens of the prompt
 	MaxOutputTokens int    // maximum number of output tokens
@@ -40,7 +40,7 @@
 	Close()
 }
 
-// Engines calls the model servers. The end of a call's context cancels it. maySend is
+// Engines calls the model servers. A call is canceled when its context ends. maySend is
 // called just before the first byte is sent; if it returns false, the outcome is
 // forward.Blocked.
 type Engines interface {
@@ -61,7 +61,7 @@
 
 // Client receives the answer to one request.
 type Client interface {
-	// Within limits the time for the answer, from now on.
+	// Within limits the time for the answer, counted from this call.
 	Within(timeout time.Duration)
 	// Begin sends the status and header of the answer.
 	Begin(status int, h http.Header)
--- a/traffic/gateway/report.go
+++ b/traffic/gateway/report.go
@@ -24,7 +24,7 @@
 // RequestTrace records how a request that was not served ended, for diagnosis.
 type RequestTrace struct {
 	Request    string    `json:"request"`
-	Wall       time.Time `json:"wall"` // wall-clock time of its end, informational
+	Wall       time.Time `json:"wall"` // wall-clock time at which the request ended, informational
 	Host       string    `json:"host"`
 	Path       string    `json:"path"`
 	Service    string    `json:"service,omitempty"`
@@ -40,7 +40,7 @@
 type report struct {
 	set *metrics.Set
 
-	mu           sync.Mutex // guards all below
+	mu           sync.Mutex // guards the fields below
 	traces       [maxTraces]RequestTrace
 	next         int
 	reasons      map[string]bool
@@ -55,8 +55,8 @@
 }
 
 // reasonLabel returns a reason without the details after its first colon, for use as a metric
-// label. After maxReasons distinct ones it returns otherReason for new ones; the caller holds
-// r.mu.
+// label. After maxReasons distinct reasons it returns otherReason for any new reason. The caller
+// holds r.mu.
 func (r *report) reasonLabel(why string) string {
 	short, _, _ := strings.Cut(why, ":")
 	if !r.reasons[short] {
@@ -88,7 +88,7 @@
 }
 
 // recordSend records a send to a server that was based on records whose leases had been
-// expired for lapsedFor; 0: they are valid.
+// expired for lapsedFor, which is 0 if the leases are valid.
 func (r *report) recordSend(lapsedFor time.Duration) {
 	if lapsedFor == 0 {
 		return
@@ -156,8 +156,8 @@
 	g.Unread(req.ID, status, why)
 }
 
-// Unread records a request that ended before it reached a dispatcher; status 0: its client
-// disconnected.
+// Unread records a request that ended before it reached a dispatcher. Status 0 means that its
+// client disconnected.
 //
 // Example: g.Unread(id, 413, "the body is too large")
 func (g *Gateway) Unread(id string, status int, why string) {
--- a/traffic/limiter/limiter.go
+++ b/traffic/limiter/limiter.go
@@ -1,6 +1,6 @@
 // Package limiter decides, on one daemon, which partition leader to ask for a rate-limit
-// token of a tenant (control/ratelimit): a leader in the same zone first, then others if its
-// bucket is empty or it does not answer. A bucket known to be empty isn't asked, so that a
+// token of a tenant (control/ratelimit). It asks a leader in the same zone first, then others
+// if that leader's bucket is empty or the leader does not answer. A bucket known to be empty isn't asked, so that a
 // tenant far beyond its limit is refused without any message being sent. The limiter is a
 // plain state machine; traffic/gateway carries out its decisions.
 package limiter
@@ -29,7 +29,7 @@
 // Tenant is a tenant with its limit, as defined by one version of the plan.
 type Tenant struct {
 	Name    string
-	Version uint64 // of the plan
+	Version uint64 // version of the plan
 	Limit   ratelimit.Limit
 }
 
@@ -95,7 +95,7 @@
 	Ask           Action = iota + 1 // ask a partition's leader for a token
 	LimitExceeded                   // final: the tenant exceeded its limit
 	Unreachable                     // final: no leader can be reached
-	NoLeaderKnown                   // no leader is known yet, as after start-up; the caller may wait for one
+	NoLeaderKnown                   // no leader is known yet, for example after start-up; the caller may wait for one
 )
 
 // Decision is the next step of an acquisition.
--- a/traffic/loadreport/changes.go
+++ b/traffic/loadreport/changes.go
@@ -10,8 +10,8 @@
 
 // Heads send incremental reports: the changes since the last report, largest first and at
 // most as many as fit in one report, plus a part of the unchanged loads in rotation. A
-// daemon that joins or missed a report therefore has all loads after some intervals. So the
-// size of a report doesn't grow with the number of servers, and the link of a head retains
+// daemon that joins or missed a report therefore receives all loads within one rotation. The
+// size of a report doesn't grow with the number of servers, so the link of a head retains
 // capacity for other messages.
 
 // The kinds of incremental reports.
@@ -73,8 +73,8 @@
 	return out
 }
 
-// changeWeight returns how significant a change of load is; 0: it need not be reported. The
-// number of daemons with answers matters only if some daemons had no answer.
+// changeWeight returns how significant a change of load is, or 0 if it need not be reported.
+// Changes of Answered count only if Unanswered was or is above 0.
 func changeWeight(was, is ServerLoad) int {
 	w := abs(is.Tokens-was.Tokens) + 256*abs(is.Decoding-was.Decoding)
 	if was.Unanswered > 0 || is.Unanswered > 0 {
--- a/traffic/loadreport/exchange.go
+++ b/traffic/loadreport/exchange.go
@@ -8,8 +8,8 @@
 	"mulleinmast/wire/message"
 )
 
-// controlHeadMinMembers is the number of members from which on a zone's head is one of its
-// control daemons, if it has any: their machines have links of higher bandwidth.
+// controlHeadMinMembers is the minimum number of members of a zone whose head is chosen from its
+// control daemons, if it has any. The machines of control daemons have links of higher bandwidth.
 const controlHeadMinMembers = 12
 
 // ZoneHead returns the daemon that aggregates the reports of a zone. All daemons with the
@@ -108,8 +108,8 @@
 	return out
 }
 
-// loadUpdate is an aggregate to send to several daemons: as changes to those that support
-// incremental reports, in full to those of older builds.
+// loadUpdate is an aggregate to send to several daemons. Daemons that support incremental
+// reports get the changes, and daemons of older builds get the full aggregate.
 type loadUpdate struct {
 	fullKind, changesKind byte
 	all                   map[uint64]ServerLoad
--- a/traffic/loadreport/loadreport.go
+++ b/traffic/loadreport/loadreport.go
@@ -15,7 +15,7 @@
 
 // Config holds the parameters of the reporter.
 type Config struct {
-	Interval       time.Duration // between two reports
+	Interval       time.Duration // time between two reports
 	MaxAge         time.Duration // reports older than this are ignored
 	MaxPrefixes    int           // cached prefixes in one report
 	CachedFraction float64       // fraction of a server's cache that is assumed to be retained
@@ -34,8 +34,8 @@
 	loads map[uint64]ServerLoad
 }
 
-// reportedPrefix is a CachedPrefix with the daemon that reported it, to which it need not
-// be sent back.
+// reportedPrefix is a CachedPrefix with the daemon that reported it. The prefix need not be
+// sent back to this daemon.
 type reportedPrefix struct {
 	CachedPrefix
 	from string
@@ -48,9 +48,9 @@
 // Reporter is the state machine of one daemon.
 type Reporter struct {
 	cfg        Config
-	local      map[uint64]ServerLoad    // load from this daemon, now
+	local      map[uint64]ServerLoad    // current load from this daemon
 	reported   map[uint64]ServerLoad    // load from this daemon as last reported
-	members    map[string]receivedLoads // by daemon of this zone, if this daemon is its head
+	members    map[string]receivedLoads // by daemon of this zone, if this daemon is the zone's head
 	zones      map[string]receivedLoads // by other zone
 	fleet      receivedLoads            // the sum of the fleet, from the head of this zone
 	outcomes   map[uint64]callOutcomes
@@ -64,7 +64,7 @@
 	prefixesForHeads []CachedPrefix   // from this zone, for the other heads
 	prefixesForZone  []reportedPrefix // for the daemons of this zone
 
-	writtenTokens map[uint64]float64                // tokens that each server had to cache so far
+	writtenTokens map[uint64]float64                // total tokens that each server newly had to cache
 	cacheSize     map[uint64]float64                // tokens that each server can cache
 	prefixes      map[uint64]map[uint64]*cacheEntry // by prefix, then by server
 	prefixOrder   []uint64
@@ -179,8 +179,8 @@
 	}
 }
 
-// Load returns the load of a server: from the other daemons as last reported, and from
-// this daemon as of now.
+// Load returns the load of a server: the sum of the load from the other daemons as last
+// reported and the current load from this daemon.
 //
 // Example: load := r.Load(now, id); wait := load.Tokens / prefillRate
 func (r *Reporter) Load(now time.Duration, server uint64) (sum ServerLoad) {
@@ -251,7 +251,7 @@
 	p.writtenTokens = r.writtenTokens[cached.Server]
 }
 
-// SetCacheSize sets how many tokens a server can cache; 0: unknown.
+// SetCacheSize sets how many tokens a server can cache; 0 means unknown.
 //
 // Example: r.SetCacheSize(id, 295740)
 func (r *Reporter) SetCacheSize(server uint64, tokens int) { r.cacheSize[server] = float64(tokens) }
--- a/traffic/nativeapi/calls.go
+++ b/traffic/nativeapi/calls.go
@@ -70,8 +70,8 @@
 }
 
 // readPieces passes a stream's pieces to the dispatcher, at most MaxPiecesAhead more than the client has
-// taken. It returns the error of a stream that broke off, and nil if the stream ended or was canceled: the
-// dispatcher knows about both.
+// taken. It returns an error if the stream broke off. It returns nil if the stream ended or was canceled,
+// because the dispatcher already knows of both cases.
 func (s *stream) readPieces(ctx context.Context, decision scheduler.Decision, answer *serverpool.Stream) error {
 	for {
 		piece, err := answer.Next()
--- a/traffic/nativeapi/dispatcher.go
+++ b/traffic/nativeapi/dispatcher.go
@@ -16,7 +16,7 @@
 	partition int
 	wake      chan struct{} // signals that requests need slots
 
-	mu sync.Mutex // guards all below
+	mu sync.Mutex // guards the fields below
 	*scheduler.Dispatcher
 	streams map[string]*stream // by request ID
 }
--- a/traffic/nativeapi/request.go
+++ b/traffic/nativeapi/request.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// refuseEarly refuses a request before it reaches a dispatcher. Whether a request with the same once key ran
-// before is unknown then, so a request with a once key is answered as uncertain.
+// refuseEarly refuses a request before it reaches a dispatcher. At this point it is unknown whether an earlier
+// request with the same once key ran, so a request with a once key is answered as uncertain.
 func (a *API) refuseEarly(w http.ResponseWriter, req scheduler.ClientRequest, why string, retryAfter time.Duration) {
 	a.refusedEarly.Add(1)
 	result := "shed"
--- a/traffic/nativeapi/stream.go
+++ b/traffic/nativeapi/stream.go
@@ -64,7 +64,7 @@
 		calls: map[int]context.CancelFunc{},
 	}
 	w.Header().Set("X-Request", request.ID)
-	// Limits all writes to the plan bound after the request's deadline, whatever the dispatcher decides.
+	// All writes end by the plan bound after the request's deadline, regardless of the dispatcher's decisions.
 	writeTimeout := request.Deadline - a.daemon.Now() + a.daemon.Cfg.Bounds.Plan
 	_ = s.controller.SetWriteDeadline(time.Now().Add(writeTimeout))
 	defer func() { _ = s.controller.SetWriteDeadline(time.Time{}) }() // the connection may be reused for another request
--- a/traffic/scheduler/dispatcher.go
+++ b/traffic/scheduler/dispatcher.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// SetShare applies a share of slots. Its validity period starts at the time of the request for it.
+// SetShare applies a share of slots. Its validity period starts when the share was requested (askedAt).
 //
 // Example: out := d.SetShare(now, share, askedAt)
 func (d *Dispatcher) SetShare(now time.Duration, s placement.Share, askedAt time.Duration) (out Out) {
--- a/traffic/scheduler/request.go
+++ b/traffic/scheduler/request.go
@@ -36,9 +36,9 @@
 	// Current attempt.
 	attemptNumber    int
 	isRetry          bool
-	firstSendCounted bool // in the counters and for the retry ratio
+	firstSendCounted bool // the first send was counted in the counters and the retry bucket
 	server           string
-	callDeadline     time.Duration // a call without an answer times out then
+	callDeadline     time.Duration // when a call without an answer times out
 	runID            string        // run ID of a decode
 	recordVersion    string        // version of the prefill server's record
 
--- a/traffic/scheduler/servers.go
+++ b/traffic/scheduler/servers.go
@@ -62,8 +62,8 @@
 	return p
 }
 
-// servableRecord returns a server's record, and whether the server may get new work now: both leases are
-// valid, the server is listed and has a role, it is neither leaving nor excluded, and its zone is in
+// servableRecord returns a server's record, and whether the server may get new work now: its records are
+// under valid leases, the server is listed and has a role, it is neither leaving nor excluded, and its zone is in
 // service.
 func (d *Dispatcher) servableRecord(addr string) (record placement.ServerRecord, ok bool) {
 	rec, ok := d.source(d.partition, fleetconfig.ServerRecordKey(d.service, addr))
--- a/traffic/scheduler/types.go
+++ b/traffic/scheduler/types.go
@@ -128,7 +128,7 @@
 // Out is the output of one input to the state machine.
 type Out struct {
 	Decisions  []Decision
-	NeedsSlots bool // the leader must be notified of the demand at once
+	NeedsSlots bool // the leader must be notified of the demand immediately
 }
 
 func (o *Out) add(decision Decision) { o.Decisions = append(o.Decisions, decision) }
--- a/traffic/serverpool/client.go
+++ b/traffic/serverpool/client.go
@@ -37,13 +37,13 @@
 const (
 	OK         Outcome = iota
 	NotSent            // nothing reached the server
-	Refused            // the server did not and will not run it
+	Refused            // the server did not and will not run the request
 	HandleLost         // not run: the KV cache is not available or belongs to another request
 	Lost               // sent, but no complete response was received
 	Blocked            // not sent: maySend returned false
 )
 
-// Results in a server's response that mean that it has not run the request.
+// Results in a server's response that mean that the server has not run the request.
 const (
 	resultRefused    = "shed"
 	resultHandleLost = "lapsed"
--- a/traffic/serverpool/prefix.go
+++ b/traffic/serverpool/prefix.go
@@ -24,7 +24,7 @@
 }
 
 // PrefixIndex tracks which prefill servers have which prefixes cached. It is not safe for
-// concurrent use: its user must hold a lock.
+// concurrent use: callers must hold a lock.
 type PrefixIndex struct {
 	maxPrefixes int
 	servers     map[uint64][]string // addresses by prefix hash
--- a/traffic/serverpool/types.go
+++ b/traffic/serverpool/types.go
@@ -62,8 +62,8 @@
 	Error   string `json:"error,omitempty"`
 }
 
-// Mismatch describes why a piece is not the one expected next in a run of which some number
-// of pieces has arrived; "" if it is.
+// Mismatch describes why a piece is not the next one expected in a run after the given number
+// of pieces, or returns "" if it is.
 //
 // Example: if why := piece.Mismatch("req-1", "run-1", 3); why != "" { breakOff(why) }
 func (p Piece) Mismatch(request, runID string, pieces int) string {
--- a/traffic/slots/queue.go
+++ b/traffic/slots/queue.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Queue is the queue of one service. It is not safe for concurrent use: its user
+// Queue is the queue of one service. It is not safe for concurrent use: callers
 // must hold a lock.
 type Queue struct {
 	cfg          Config
@@ -53,9 +53,10 @@
 	return results
 }
 
-// Enqueue queues a request, or refuses it or a less urgent one. tenantFraction is the
-// fraction of the queue that the tenant's requests may fill. A request that is queued
-// again keeps its original position.
+// Enqueue queues a request or refuses it. If the queue is full, a more urgent request displaces
+// the last queued one, which is refused instead. tenantFraction is the fraction of the queue
+// that the tenant's requests may fill. A request that is queued again keeps its original
+// position.
 //
 // Example: q.Enqueue(now, entry, 0.5)
 func (q *Queue) Enqueue(now time.Duration, e *Entry, tenantFraction float64) {
--- a/traffic/slots/shares.go
+++ b/traffic/slots/shares.go
@@ -78,9 +78,9 @@
 	return addrs
 }
 
-// isLate reports whether a request is to be refused. It doesn't wait for the deadline to come near:
-// a request is refused once those ahead of it are predicted to take slots until its deadline, or
-// once it has spent half of its time in the queue.
+// isLate reports whether a request is to be refused: the requests ahead of it are predicted to take
+// all slots until its deadline, or it has spent half of its time in the queue. Requests are thereby
+// refused well before their deadline.
 func (q *Queue) isLate(now time.Duration, e *Entry, ahead int) bool {
 	return now+q.predictedWait(e.Phase, ahead) >= e.Deadline || now-e.queuedAt > (e.Deadline-e.queuedAt)/2
 }
@@ -93,8 +93,8 @@
 	q.results = append(q.results, Result{ID: e.ID, Addr: addr})
 }
 
-// measureInterval adds the time since the last assigned slot to the moving average. The time
-// counts only while requests waited: an idle server is not a slow one.
+// measureInterval adds the time since the last assigned slot to the moving average. Time
+// in which no request waited is not counted, because an idle server is not a slow one.
 func (q *Queue) measureInterval(now time.Duration, e *Entry) {
 	const weight = 8 // the new interval counts 1/weight
 	average := &q.slotInterval[e.Phase]
--- a/traffic/slots/types.go
+++ b/traffic/slots/types.go
@@ -2,7 +2,8 @@
 // slot on a prefill or decode server, most urgent first, and are assigned one only within
 // the share of slots that the leader granted this daemon.
 //
-// Files: queue.go holds the queue, shares.go assigns slots, report.go reports the counts of both.
+// Files: queue.go holds the queue, shares.go assigns slots, report.go reports the counts
+// of waiting requests and slots in use.
 package slots
 
 import "time"
