--- a/traffic/attempt/attempt_test.go
+++ b/traffic/attempt/attempt_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Random outcomes: a request that may run at most once reaches a decode server at most once, nothing
-// is sent after the first piece, and each final move agrees with what may have run.
+// For random outcomes, a request that may run at most once reaches a decode server at most once, no call
+// is made after the first piece, and the final move agrees with whether the request may have run.
 func TestLedgerUpholdsRequestGuarantees(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Ledger{AtMostOnce: rapid.Bool().Draw(t, "once"), MaxPerPhase: 3}
--- a/traffic/forward/model_test.go
+++ b/traffic/forward/model_test.go
@@ -21,8 +21,8 @@
 	until      time.Duration
 	generation uint64
 	list       []fleetconfig.Server
-	evacuated  map[string]bool   // zones
-	roles      map[string]string // by server ID; "": no record
+	evacuated  map[string]bool   // evacuated zones
+	roles      map[string]string // by server ID; "" if the server has no record
 	withdrawn  bool              // the list is being written
 }
 
@@ -104,18 +104,18 @@
 	decidedAt        time.Duration
 	started          bool // the client received a head
 	mayHaveRun       bool
-	decodes          int // that arrived at a server
-	acceptedPrefills int // that arrived and were not rejected
+	decodes          int // decodes that arrived at a server
+	acceptedPrefills int // prefills that arrived at a server and were not rejected
 	rejectedPrefills int
 	tried            map[string]bool
-	handles          map[string]string // by id: kept, sent (it may have been fetched), turned (a decode server rejected the call), taken or gone
+	handles          map[string]string // by ID: kept, sent (maybe fetched), turned (rejected), taken (fetched) or gone
 	ended            bool
 }
 
-// retries returns the number of arrivals after the first.
+// retries returns the number of counted sends after the first.
 func (req *modelRequest) retries() int { return max(0, req.countedSends()-1) }
 
-// countedSends returns the number of arrivals without the first accepted prefill.
+// countedSends returns the number of arrivals at servers, except the first accepted prefill.
 func (req *modelRequest) countedSends() int {
 	return req.decodes + max(0, req.acceptedPrefills-1) + req.rejectedPrefills
 }
@@ -130,7 +130,7 @@
 	now          time.Duration
 	pending      map[string]*modelRequest
 	requestCount int
-	startTimes   []time.Duration                   // of requests
+	startTimes   []time.Duration                   // start times of all requests
 	retryTimes   []time.Duration                   // arrivals after a request's first
 	checkEnded   func(m *model, req *modelRequest) // called for each request that ended
 }
--- a/traffic/forward/property_test.go
+++ b/traffic/forward/property_test.go
@@ -23,10 +23,10 @@
 	os.Exit(invariant.Main(m))
 }
 
-// Random changes of servers, records and calls: a request that may have run is not sent
-// again unless it is repeatable, it is refused only if it can't have run, a handle goes to
-// one decode server and is released if none used it, a stream is resumed at another server
-// only if it is resumable, and every request ends.
+// Under random changes of servers, records and call outcomes, these guarantees must hold. A
+// request that may have run is sent again only if it is repeatable, and is refused only if it
+// can't have run. A handle goes to one decode server and is released if no server used it. A
+// stream is resumed at another server only if it is resumable. Every request ends.
 func TestRequestGuaranteesHoldForAnyOutcomes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t, testConfig)
@@ -39,7 +39,7 @@
 	})
 }
 
-// A daemon's retries stay within its share of the limit in every window, whatever fails.
+// A daemon's retries stay within its share of the limit in every window, regardless of failures.
 func TestRetriesStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := testConfig
@@ -76,7 +76,7 @@
 	return names
 }
 
-// The daemons share the retry slack: none has more than its share.
+// The daemons share the retry slack: no daemon has more than its share.
 func TestRetrySlackIsShared(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		slack, n := rapid.IntRange(0, 200).Draw(t, "slack"), rapid.IntRange(0, 300).Draw(t, "daemons")
--- a/traffic/forward/warmup_test.go
+++ b/traffic/forward/warmup_test.go
@@ -24,7 +24,7 @@
 			d.SetDaemons(now, self, daemons)
 			dispatchers = append(dispatchers, d)
 		}
-		if cut := rapid.IntRange(0, n).Draw(t, "cut"); cut > 0 { // from now on each side sees only its own daemons
+		if cut := rapid.IntRange(0, n).Draw(t, "cut"); cut > 0 { // each side of the network partition sees only itself
 			for i, d := range dispatchers {
 				if i < cut {
 					d.SetDaemons(now+time.Second, daemons[i], daemons[:cut])
--- a/traffic/gateway/cut_test.go
+++ b/traffic/gateway/cut_test.go
@@ -47,7 +47,7 @@
 	return out, f
 }
 
-// eventually waits until a condition holds and fails the test if that takes too long.
+// eventually waits until a condition holds and fails the test after 20 seconds.
 func eventually(t *testing.T, c *daemon.Daemon, what string, condition func() bool) {
 	t.Helper()
 	limit, ticker := time.After(20*time.Second), time.NewTicker(c.Cfg.VolumeLease()/32)
@@ -61,9 +61,9 @@
 	}
 }
 
-// For the overrun, a daemon that is cut off keeps serving requests that its last records
-// allow. It doesn't permanently refuse others, as a later configuration may allow them; nor
-// does a daemon that has no configuration yet.
+// A daemon that is cut off keeps serving requests that its last records allow, until the overrun
+// after its leases expired has passed. It doesn't permanently refuse other requests, because a
+// later configuration may allow them. A daemon without a configuration doesn't do so either.
 func TestStaleRecordsNeverRefusePermanently(t *testing.T) {
 	g, f := newCutOffGateway(t, 3*time.Second)
 	ask := func(path string) string {
--- a/traffic/gateway/fake_test.go
+++ b/traffic/gateway/fake_test.go
@@ -12,7 +12,8 @@
 	"mulleinmast/traffic/forward"
 )
 
-// fakeEngines are model servers whose outcomes are scripted; n counts the calls of a kind.
+// fakeEngines are model servers whose outcomes are scripted; n is the
+// number of calls of the same kind so far, including this one.
 type fakeEngines struct {
 	mu       sync.Mutex
 	calls    []string
@@ -68,7 +69,7 @@
 // piece is an event with its id, or bytes without an id.
 type piece struct{ id, text string }
 
-// scriptedAnswer is an answer with given pieces; err is the error at its end, nil: it is complete.
+// scriptedAnswer is an answer with given pieces; err is the error at its end, or nil if it is complete.
 type scriptedAnswer struct {
 	status int
 	kind   string
--- a/traffic/gateway/gateway_test.go
+++ b/traffic/gateway/gateway_test.go
@@ -154,7 +154,7 @@
 
 var errReset = errors.New("reset")
 
-// For each sequence of call outcomes, checks the calls to servers and what the client receives.
+// Each sequence of call outcomes must lead to the expected calls to servers and output to the client.
 func TestRequestOutcomes(t *testing.T) {
 	text := func(status int, err error, texts ...string) *scriptedAnswer {
 		a := &scriptedAnswer{status: status, kind: "text/plain", err: err}
@@ -318,10 +318,10 @@
 	}
 }
 
-// The deadline of the route applies even if the client would wait longer: no server is given
-// more time.
+// The deadline of the route applies even if the client would wait longer. No server is given
+// more time than that.
 func TestRouteDeadlineBoundsRequest(t *testing.T) {
-	const giveUp = 5 * time.Second // of the routes here
+	const giveUp = 5 * time.Second // deadline of the routes in newTestGateway
 	g, _ := sharedGateway()
 	for _, left := range []time.Duration{0, time.Hour, time.Second} {
 		var until time.Duration
--- a/traffic/gateway/limit_test.go
+++ b/traffic/gateway/limit_test.go
@@ -62,8 +62,8 @@
 	return "0"
 }
 
-// After a power loss a view knows the leaders of only some partitions; the others must appear as
-// unknown and the known ones with their zone.
+// After a power loss, a view contains the leaders of only some partitions. The other leaders must
+// be marked as unknown, and known leaders must be marked as near if they are in the same zone.
 func TestLeadersOfPartialView(t *testing.T) {
 	self := message.Member{Ident: "me", Zone: "north", HasDisk: true}
 	view := *membership.New(daemon.Default().MembershipConfig(), self, nil).View()
@@ -88,7 +88,7 @@
 }
 
 // A tenant is served within its limit and gets 429 beyond it. A tenant without a limit needs
-// no token, and without a known key nothing is served.
+// no token, and a request without a known key is not served.
 func TestTenantLimitIsEnforced(t *testing.T) {
 	g := newLimitedGateway(t)
 	served := func() *fakeEngines { return &fakeEngines{decode: scriptedOutcomes(events(1, 1, nil))} }
@@ -154,7 +154,7 @@
 		if tokenCount(g, tokenGranted) == before || !slices.Equal(e.log, []string{"refuse 503"}) {
 			return false
 		}
-		eventually(t, g.daemon, "its handle is released", func() bool { // asynchronously
+		eventually(t, g.daemon, "its handle is released", func() bool { // handles are released asynchronously
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			return len(f.released) == 1
--- a/traffic/limiter/bound_test.go
+++ b/traffic/limiter/bound_test.go
@@ -17,7 +17,7 @@
 	t            *rapid.T
 	rng          *rand.Rand // for frequent random choices
 	now          time.Duration
-	leaders      []*ratelimit.Allocator // by partition; nil: it has no leader now
+	leaders      []*ratelimit.Allocator // by partition; nil if it has no leader now
 	daemons      []*Limiter
 	tenants      []Tenant        // by daemon, as in its plan
 	frozenUntil  []time.Duration // by daemon
@@ -129,17 +129,17 @@
 const (
 	overloadDuration = 12 * time.Second
 	overloadInterval = 500 * ms
-	overloadBurst    = 200 // each time
+	overloadBurst    = 200 // requests per overloadInterval
 )
 
-// overload sends far more requests than the limit allows, for a while.
+// overload sends far more requests than the limit allows, for overloadDuration.
 func (f *fleet) overload() {
 	for end := f.now + overloadDuration; f.now < end; f.now += overloadInterval {
 		f.sendBurst(overloadBurst)
 	}
 }
 
-// sendBurst sends several requests at once, each to a random daemon.
+// sendBurst sends requests at the same simulated time, each to a random daemon.
 func (f *fleet) sendBurst(size int) {
 	for range size {
 		f.sendRequest(f.rng.Intn(len(f.daemons)))
--- a/traffic/limiter/limiter_test.go
+++ b/traffic/limiter/limiter_test.go
@@ -16,7 +16,7 @@
 
 var tenant = Tenant{Name: "a", Version: 7, Limit: ratelimit.Limit{Rate: 40, Burst: 40}}
 
-// knownLeaders returns known leaders of all partitions; those listed are in the same zone.
+// knownLeaders returns known leaders of all partitions. The leaders of the listed partitions are near.
 func knownLeaders(near ...int) []Leader {
 	leaders := make([]Leader, cfg.Partitions+1)
 	for p := range leaders {
@@ -68,7 +68,7 @@
 	}
 }
 
-// A leader that doesn't answer is skipped for a while. If no leader can be reached, the
+// A leader that doesn't answer is skipped for UnreachableBackoff. If no leader can be reached, the
 // request is refused as Unreachable, not as LimitExceeded.
 func TestUnreachableLeadersAreSkipped(t *testing.T) {
 	l := New(cfg)
--- a/traffic/loadreport/changes.go
+++ b/traffic/loadreport/changes.go
@@ -10,7 +10,8 @@
 
 // Heads send incremental reports: the changes since the last report, largest first and at
 // most as many as fit in one report, plus a part of the unchanged loads in rotation. A
-// daemon that joins or missed a report therefore receives all loads within one rotation. The
+// daemon that joins or missed a report therefore receives the unchanged loads over
+// refreshReports reports, provided that no report has more than maxRefreshed of them. The
 // size of a report doesn't grow with the number of servers, so the link of a head retains
 // capacity for other messages.
 
--- a/traffic/loadreport/exchange_test.go
+++ b/traffic/loadreport/exchange_test.go
@@ -15,7 +15,7 @@
 	now       time.Duration
 	members   []message.Member
 	reporters map[string]*Reporter
-	bytes     map[string]int // to a daemon
+	bytes     map[string]int // bytes sent, by receiving daemon
 	drop      func(to string) bool
 }
 
@@ -31,7 +31,7 @@
 	return z
 }
 
-// report has each daemon report once; messages are delivered immediately.
+// report makes each daemon report once; messages are delivered immediately.
 func (z *testZone) report() {
 	for _, m := range z.members {
 		for _, s := range z.reporters[m.Ident].Tick(z.now, m, z.members) {
@@ -56,7 +56,7 @@
 	z := newZone(t, 20)
 	for n := range seconds * int(time.Second/testConfig.Interval) {
 		for i, m := range z.members {
-			for k := range 40 { // requests start at all daemons all the time
+			for k := range 40 { // requests start at every daemon in each interval
 				z.reporters[m.Ident].AddLoad(serverID((n*977+i*131+k*17)%servers), 100+n, 1)
 			}
 		}
@@ -179,7 +179,8 @@
 	}
 }
 
-// The head of a large zone is a control daemon, if it has one, for the bandwidth of its link.
+// The head of a large zone is a control daemon, if the zone has one, because control daemons have
+// links of higher bandwidth.
 func TestHeadOfLargeZoneIsControlDaemon(t *testing.T) {
 	for _, n := range []int{controlHeadMinMembers - 1, controlHeadMinMembers, 40} {
 		z := newZone(t, n)
--- a/traffic/scheduler/timeout.go
+++ b/traffic/scheduler/timeout.go
@@ -22,7 +22,8 @@
 	}
 }
 
-// checkQueued gives up a queued request that has had no suitable server for longer than MaxWait or has reached its deadline.
+// checkQueued gives up a queued request that has had no suitable server for longer than MaxWait or has
+// reached its deadline.
 func (d *Dispatcher) checkQueued(now time.Duration, r *pendingRequest, out *Out) {
 	noLeasesOrShare := !d.queue.HasValidShare(now) || len(d.servable) == 0
 	if !noLeasesOrShare && d.canBeServed(r) {
