--- a/traffic/apikey/apikey.go
+++ b/traffic/apikey/apikey.go
@@ -41,7 +41,7 @@
 // Tenant holds the settings of a tenant that apply to its requests.
 type Tenant struct {
 	Name    string
-	Urgency *int // overrides the urgency of the route; nil: the route's urgency applies
+	Urgency *int // overrides the urgency of the route; nil if the route's urgency applies
 	Rate    float64
 	Burst   float64
 }
--- a/traffic/forward/request.go
+++ b/traffic/forward/request.go
@@ -36,7 +36,7 @@
 
 // Start accepts a request and returns the first decision. The client chooses the request's
 // ID: while another request with the same ID is pending here, the new one is a duplicate
-// and ends at once.
+// and ends immediately.
 //
 // Example: decision := d.Start(now, request)
 func (d *Dispatcher) Start(now time.Duration, req Request) Decision {
--- a/traffic/forward/score.go
+++ b/traffic/forward/score.go
@@ -110,9 +110,9 @@
 	}
 }
 
-// latenessCost returns the cost of an answer whose first event comes after the given time: almost
-// nothing well within the target, about a quarter of its value just before the target, half of it
-// beyond, and then growing.
+// latenessCost returns the cost of an answer whose first event comes after the given time, as a
+// fraction of the request's value: almost nothing well within the target, about a quarter just
+// before the target, and beyond the target half plus an amount that grows with the delay.
 func latenessCost(after, target time.Duration) float64 {
 	x := float64(after) / float64(max(target, time.Millisecond))
 	switch {
@@ -124,9 +124,9 @@
 	return 0.5 + 0.2*(x-1)
 }
 
-// stallCost returns the cost for the answers that a server is decoding when it prefills a
-// prompt between their tokens: nothing while the resulting pause is well below the
-// inter-token target, and the full Stall weight per answer close to it and beyond.
+// stallCost returns the cost of pausing the answers that a server is decoding, because it
+// prefills a prompt between their tokens. The cost is 0 if the pause is well below the
+// inter-token target, and the full Stall weight per answer if it is close to the target or above.
 func (d *Dispatcher) stallCost(o scoredServer) float64 {
 	if d.shortestInterToken == 0 || o.decoding == 0 {
 		return 0
--- a/traffic/forward/servers_test.go
+++ b/traffic/forward/servers_test.go
@@ -80,8 +80,8 @@
 	expect("the next list", "1", "3")
 }
 
-// The records of leaving servers are no longer read, so their keys are not returned; nor are those
-// of servers that are not listed.
+// The records of leaving servers are no longer read, so their keys are not returned. The keys of
+// servers that are not listed are not returned either.
 func TestKeysOmitLeavingServers(t *testing.T) {
 	now := time.Second
 	src := &fakeSource{now: &now, until: time.Minute, generation: 1, list: []fleetconfig.Server{
--- a/traffic/forward/warmup.go
+++ b/traffic/forward/warmup.go
@@ -5,7 +5,7 @@
 // WarmupLimit limits the requests per second that a warming server gets from all daemons
 // together: Rate times Over, plus Slack.
 type WarmupLimit struct {
-	Rate  float64 // requests per second; 0: no limit
+	Rate  float64 // requests per second; 0 means no limit
 	Over  float64
 	Slack float64
 }
--- a/traffic/gateway/admit.go
+++ b/traffic/gateway/admit.go
@@ -65,7 +65,7 @@
 // that the request was admitted for. It is checked before each send, as a request may wait.
 func (g *Gateway) isKeyValid(req *Request, admitted admission) bool {
 	p, ok := g.currentPlan()
-	return !ok || admitted.isValidIn(p, req.Key) // without a plan no server is chosen anyway
+	return !ok || admitted.isValidIn(p, req.Key) // without a plan, no server is picked and nothing is sent
 }
 
 // isValidIn reports whether a key belongs to the tenant of the admission in another plan.
--- a/traffic/gateway/dispatcher.go
+++ b/traffic/gateway/dispatcher.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// updatePins marks the records that the dispatcher reads as pinned. It returns the keys to
-// pin, which were not pinned before, and those to unpin, which are no longer read.
+// updatePins marks the records that the dispatcher reads as pinned. It returns the keys
+// that were not pinned before and the pinned keys that are no longer read.
 func (d *dispatcher) updatePins() (fresh, stale []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/traffic/gateway/fake_test.go
+++ b/traffic/gateway/fake_test.go
@@ -110,7 +110,7 @@
 // recordingClient records what a client receives.
 type recordingClient struct {
 	log          []string
-	acceptPieces int // entries in the log after which writes fail; 0: unlimited
+	acceptPieces int // entries in the log after which writes fail; 0 means unlimited
 	onPass       func(n int)
 	blocked      bool          // the client reads nothing: Pass blocks
 	timeUp       chan struct{} // closed at the time limit; a blocked Pass then fails
--- a/traffic/gateway/gateway.go
+++ b/traffic/gateway/gateway.go
@@ -85,8 +85,8 @@
 	return s.ReadAllowingStale(partition, key)
 }
 
-// Until returns when Read stops returning the records of a partition: for partition 0 those
-// of the zones, for other partitions those of the servers.
+// Until returns when Read stops returning the records of a partition. These are the records of
+// the zones for partition 0, and the records of the servers for other partitions.
 //
 // Example: if now < source.Until(partition) { route() }
 func (s source) Until(partition int) time.Duration {
--- a/traffic/gateway/report.go
+++ b/traffic/gateway/report.go
@@ -47,7 +47,7 @@
 	sinceSummary map[string]int // by end and reason
 
 	withoutLease  int           // sends based on records with expired leases, since the last summary
-	longestLapsed time.Duration // the longest time that those leases had been expired
+	longestLapsed time.Duration // the longest time since the expiry of a lease behind these sends
 }
 
 func newReport(set *metrics.Set) *report {
--- a/traffic/limiter/limiter.go
+++ b/traffic/limiter/limiter.go
@@ -59,7 +59,7 @@
 type Acquisition struct {
 	tenant         Tenant
 	division       ratelimit.Division
-	firstPartition int // of the tenant's first bucket, counted from 0
+	firstPartition int // partition of the tenant's first bucket, counted from 0
 	asked          map[int]bool
 	isAtLimit      bool
 }
--- a/traffic/loadreport/loadreport.go
+++ b/traffic/loadreport/loadreport.go
@@ -113,8 +113,8 @@
 	r.local[server] = load
 }
 
-// callOutcomes holds when this daemon's calls to a server last ended with and without an
-// answer.
+// callOutcomes holds the times at which this daemon's last answered and last unanswered calls
+// to a server ended.
 type callOutcomes struct{ lastAnswered, lastUnanswered time.Duration }
 
 // CallEnded records the end of a call to a server: with an answer of any kind, or without
@@ -155,8 +155,8 @@
 	return out
 }
 
-// IsDown reports whether a server is probably down: at least as many daemons failed to get
-// an answer from it as recently got one.
+// IsDown reports whether a server is probably down: some daemons recently got no answer from
+// the server, and at least as many as recently got one.
 //
 // Example: if r.IsDown(now, id) { avoid(server) }
 func (r *Reporter) IsDown(now time.Duration, server uint64) bool {
--- a/traffic/scheduler/call.go
+++ b/traffic/scheduler/call.go
@@ -25,7 +25,7 @@
 	d.countSend(now, r)
 	r.stage, r.server = calling, addr
 	r.attemptNumber++
-	// A server that doesn't answer gets half of the remaining time, so that another one can be tried.
+	// A server that doesn't answer gets half of the remaining time, so that another server can be tried.
 	half := (r.Deadline - now) / 2
 	r.callDeadline = now + half
 	if r.phase == slots.Prefill {
@@ -77,8 +77,8 @@
 	}
 }
 
-// decodeCall records an attempt on a decode server and returns the decision to call it. Its stream
-// may last until the request's deadline.
+// decodeCall records an attempt on a decode server and returns the decision to call it. The
+// stream of the call may last until the request's deadline.
 func (d *Dispatcher) decodeCall(now time.Duration, r *pendingRequest) Decision {
 	r.attempts.Add(attempt.Decode, r.server)
 	r.picks = append(r.picks, fmt.Sprintf("decode server %s, paired with %s", r.server, r.handle.PrefillServer))
--- a/traffic/slots/queue.go
+++ b/traffic/slots/queue.go
@@ -81,8 +81,8 @@
 	q.Assign(now)
 }
 
-// countQueued returns the number of queued requests of the entry's tenant, and of those
-// ahead of the entry that wait for the same phase.
+// countQueued returns the number of queued requests of the entry's tenant, and the number of
+// requests of any tenant ahead of the entry that wait for the same phase.
 func (q *Queue) countQueued(e *Entry) (tenantQueued, ahead int) {
 	for _, other := range q.entries {
 		if other.Tenant == e.Tenant {
