--- a/traffic/gateway/execute.go
+++ b/traffic/gateway/execute.go
@@ -143,8 +143,8 @@
 	return g.step(d, func(now time.Duration) forward.Decision { return d.PrefillDone(now, fwd.ID, outcome, h, why) })
 }
 
-// sendCheck returns the check to make just before the first byte of a call is sent. admitted
-// is set for a call that runs the request, which needs a valid token.
+// sendCheck returns the check to make just before the first byte of a call is sent. admitted is
+// nil unless the call runs the request. Such a call needs a valid token if the tenant has a limit.
 func (g *Gateway) sendCheck(
 	d *dispatcher, admitted *admission, fwd forward.Request, decision forward.Decision,
 ) func() bool {
--- a/traffic/gateway/report.go
+++ b/traffic/gateway/report.go
@@ -101,7 +101,7 @@
 }
 
 // staleSendSummary describes the sends based on records with expired leases since the last
-// summary; "" if there were none.
+// summary. It returns "" if there were none.
 func (r *report) staleSendSummary() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -127,7 +127,7 @@
 }
 
 // failureSummary describes the requests that were not served since the last summary, by end
-// and reason; "" if there were none.
+// and reason. It returns "" if there were none.
 func (r *report) failureSummary() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/traffic/loadreport/changes.go
+++ b/traffic/loadreport/changes.go
@@ -23,7 +23,7 @@
 
 const (
 	maxChanges     = 128 // changed servers in one report
-	refreshReports = 16  // number of reports over which all servers are sent, changed or not
+	refreshReports = 16  // number of reports over which the unchanged servers are sent
 	maxRefreshed   = 48  // unchanged servers in one report
 )
 
--- a/traffic/loadreport/exchange.go
+++ b/traffic/loadreport/exchange.go
@@ -159,7 +159,7 @@
 	}
 }
 
-// Step processes another daemon's report; a malformed one is ignored.
+// Step processes another daemon's report. A malformed report is ignored.
 //
 // Example: r.Step(now, message)
 func (r *Reporter) Step(now time.Duration, m message.Message) {
--- a/traffic/loadreport/loadreport.go
+++ b/traffic/loadreport/loadreport.go
@@ -222,7 +222,7 @@
 }
 
 // RecordPrefix records, for the next report, that a server prefilled a prompt or received
-// its KV cache; tokens counts those that the server newly had to cache.
+// its KV cache. tokens is the number of tokens that the server newly had to cache.
 //
 // Example: r.RecordPrefix(prefix, id, 1460)
 func (r *Reporter) RecordPrefix(prefix, server uint64, tokens int) {
--- a/traffic/serverpool/types.go
+++ b/traffic/serverpool/types.go
@@ -29,7 +29,7 @@
 	CachedParts   int    `json:"cached"` // leading prompt parts that were already cached
 }
 
-// Mismatch describes how a handle differs from the one expected from an attempt; "" if it matches.
+// Mismatch describes how a handle differs from the one expected from an attempt. It returns "" for a match.
 //
 // Example: if why := handle.Mismatch("req-1", 1, "10.0.0.1:9000", "3.7"); why != "" { failed(why) }
 func (h Handle) Mismatch(request string, attempt int, prefillServer, recordVersion string) string {
--- a/traffic/slots/shares.go
+++ b/traffic/slots/shares.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// freeServers returns the sorted addresses of the servers with a free slot, none if
-// the share is not valid.
+// freeServers returns the sorted addresses of the servers with a free slot. It
+// returns none if the share is not valid.
 func (q *Queue) freeServers(now time.Duration) (free []string) {
 	if !q.HasValidShare(now) {
 		return nil
