--- a/traffic/gateway/admit.go
+++ b/traffic/gateway/admit.go
@@ -22,8 +22,8 @@
 type admission struct {
 	plan   *activePlan
 	route  *fleetconfig.Route
-	tenant *apikey.Tenant // that the client's key belongs to; nil: no key is needed
-	status int            // 0: admitted; otherwise the HTTP status of the refusal
+	tenant *apikey.Tenant // tenant of the client's key; nil if no key is needed
+	status int            // HTTP status of the refusal; 0 if the request is admitted
 	reason string
 	permit permit // set if the tenant has a limit
 }
@@ -48,7 +48,8 @@
 }
 
 // admit finds the route and tenant of a request. Only a plan under valid leases can prove
-// that there is none, so before a refusal it waits a short while for a leased plan.
+// that the request has no route or tenant, so admit waits for a leased plan before a refusal,
+// for at most RetryAfter.
 func (g *Gateway) admit(ctx context.Context, req *Request, p *activePlan) admission {
 	if a := p.admit(req); a.status == 0 {
 		return a
@@ -64,7 +65,7 @@
 // that the request was admitted for. It is checked before each send, as a request may wait.
 func (g *Gateway) isKeyValid(req *Request, admitted admission) bool {
 	p, ok := g.currentPlan()
-	return !ok || admitted.isValidIn(p, req.Key) // without a plan no server is chosen anyway
+	return !ok || admitted.isValidIn(p, req.Key) // without a plan, no server is picked and nothing is sent
 }
 
 // isValidIn reports whether a key belongs to the tenant of the admission in another plan.
--- a/traffic/gateway/dispatcher.go
+++ b/traffic/gateway/dispatcher.go
@@ -17,7 +17,7 @@
 	partition int
 	pressure  atomic.Pointer[map[string]placement.Pressure] // by server, as last measured
 
-	mu sync.Mutex // guards all below
+	mu sync.Mutex // guards the fields below
 	*forward.Dispatcher
 	pinned map[string]bool // keys of the records pinned in the daemon's cache
 }
@@ -61,8 +61,8 @@
 	}
 }
 
-// updatePins marks the records that the dispatcher reads as pinned. It returns the keys to
-// pin, which were not pinned before, and those to unpin, which are no longer read.
+// updatePins marks the records that the dispatcher reads as pinned. It returns the keys
+// that were not pinned before and the pinned keys that are no longer read.
 func (d *dispatcher) updatePins() (fresh, stale []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/traffic/loadreport/changes.go
+++ b/traffic/loadreport/changes.go
@@ -10,8 +10,9 @@
 
 // Heads send incremental reports: the changes since the last report, largest first and at
 // most as many as fit in one report, plus a part of the unchanged loads in rotation. A
-// daemon that joins or missed a report therefore has all loads after some intervals. So the
-// size of a report doesn't grow with the number of servers, and the link of a head retains
+// daemon that joins or missed a report therefore receives the unchanged loads over
+// refreshReports reports, provided that no report has more than maxRefreshed of them. The
+// size of a report doesn't grow with the number of servers, so the link of a head retains
 // capacity for other messages.
 
 // The kinds of incremental reports.
@@ -22,7 +23,7 @@
 
 const (
 	maxChanges     = 128 // changed servers in one report
-	refreshReports = 16  // number of reports over which all servers are sent, changed or not
+	refreshReports = 16  // number of reports over which the unchanged servers are sent
 	maxRefreshed   = 48  // unchanged servers in one report
 )
 
@@ -73,8 +74,8 @@
 	return out
 }
 
-// changeWeight returns how significant a change of load is; 0: it need not be reported. The
-// number of daemons with answers matters only if some daemons had no answer.
+// changeWeight returns how significant a change of load is, or 0 if it need not be reported.
+// Changes of Answered count only if Unanswered was or is above 0.
 func changeWeight(was, is ServerLoad) int {
 	w := abs(is.Tokens-was.Tokens) + 256*abs(is.Decoding-was.Decoding)
 	if was.Unanswered > 0 || is.Unanswered > 0 {
--- a/traffic/serverpool/types.go
+++ b/traffic/serverpool/types.go
@@ -29,7 +29,7 @@
 	CachedParts   int    `json:"cached"` // leading prompt parts that were already cached
 }
 
-// Mismatch describes how a handle differs from the one expected from an attempt; "" if it matches.
+// Mismatch describes how a handle differs from the one expected from an attempt. It returns "" for a match.
 //
 // Example: if why := handle.Mismatch("req-1", 1, "10.0.0.1:9000", "3.7"); why != "" { failed(why) }
 func (h Handle) Mismatch(request string, attempt int, prefillServer, recordVersion string) string {
@@ -62,8 +62,8 @@
 	Error   string `json:"error,omitempty"`
 }
 
-// Mismatch describes why a piece is not the one expected next in a run of which some number
-// of pieces has arrived; "" if it is.
+// Mismatch describes why a piece is not the next one expected in a run after the given number
+// of pieces, or returns "" if it is.
 //
 // Example: if why := piece.Mismatch("req-1", "run-1", 3); why != "" { breakOff(why) }
 func (p Piece) Mismatch(request, runID string, pieces int) string {
