--- a/proof/standin/mutants/rules.sh
+++ b/proof/standin/mutants/rules.sh
@@ -50,7 +50,7 @@
 mutant leader-tells-nobody control/quorum TestLeaderAnnouncesPeerIncarnations control/quorum/heartbeat.go ', Peers: r.announcePeers(to)}' '}'
 mutant superseded-goes-on control/storage TestSupersededStateIsQuarantined control/storage/quarantine.go 'return errSuperseded' 'return s.openState(fleet)'
 mutant left-state-claims control/storage TestRestoredStateDisownsIncarnations control/storage/header.go 'starts += restoreStartOffset' 'starts += 0'
-mutant spoilt-past-counts control/storage TestCorruptIncarnationsAreDisowned control/storage/load.go 'if r.Past != r.IncarnationsSum() {' 'if r.Past == 0 && r.PastSum() != 0 {'
+mutant spoilt-past-counts control/storage TestCorruptIncarnationsAreDisowned control/storage/load.go 'if r.Past != r.IncarnationsSum() {' 'if r.Past == 0 && r.IncarnationsSum() != 0 {'
 # records sent to child daemons, merged changes, formats
 mutant patch-on-any-base control/lease TestCorruptPatchIsNotServed $patches 'err != nil || patch.From != record.Version' 'err != nil && patch.From != record.Version'
 mutant patches-end-at-relays control/lease TestChangeIsSentAsPatch $patches '	p.setChain(granted.Key, chain)
